--- a/benches/restart.rs
+++ b/benches/restart.rs
@@ -179,7 +179,8 @@
 fn side(on: bool) -> Side {
     let shops: Vec<Arc<Shop>> = (0..SHOPS).map(|_| Arc::new(Shop::default())).collect();
     shops.iter().for_each(Shop::start);
-    let folder = std::env::temp_dir().join(format!("sagemount-restart-{}-{on}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("connection-balancer-restart-{}-{on}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let config = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "{}", "seed": "5", "known": {},
@@ -194,7 +195,7 @@
     );
     std::fs::write(folder.join("config.json"), config).expect("written");
     std::fs::write(folder.join("moves.json"), format!(r#"{{"platform": {{"on": {on}}}}}"#)).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_sagemount"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
     command.arg("serve").arg("--config").arg(folder.join("config.json"));
     command.arg("--rebalance").arg(folder.join("moves.json")).env("TMPDIR", &folder);
     let mut daemon = command.env_remove("NODE_MGMT").stderr(Stdio::piped()).spawn().expect("starts");
--- a/model/src/day.rs
+++ b/simulation/src/day.rs
@@ -3,13 +3,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use sagemount::routing::{
+use connection_balancer::routing::{
     reduce, Answer, AuthId, Authorisation, Budget, Effect, Input, IssuerHost, LegEnd, Lifecycle, PoolSetup,
     State, StoreSetup,
 };
-use sagemount::{Class, Repeat, Settings, Time};
+use connection_balancer::{Class, Repeat, Settings, Time};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
 
 use crate::clients::{self, Client, CLASSES, SETUP_AIMS};
 use crate::host::Host;
@@ -205,7 +205,7 @@
         let world = World {
             hosts: 20,
             balancers: 1,
-            rebalance: sagemount::rebalance::Setup { on, ..Default::default() },
+            rebalance: connection_balancer::rebalance::Setup { on, ..Default::default() },
             ..World::default()
         };
         let setup = setup(&world, 1);
--- a/model/src/main.rs
+++ b/simulation/src/main.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 use argh::FromArgs;
-use sagemount_model::day::{play, Held};
-use sagemount_model::grid::{days, moving, world as world_of, Cell, GROUPS, RATES, SESSIONS, TROUBLES};
-use sagemount_model::world::{self, Session, Trouble, World};
+use simulation::day::{play, Held};
+use simulation::grid::{days, moving, world as world_of, Cell, GROUPS, RATES, SESSIONS, TROUBLES};
+use simulation::world::{self, Session, Trouble, World};
 
 /// Plays days of the model.
 #[derive(FromArgs)]
--- a/model/src/world.rs
+++ b/simulation/src/world.rs
@@ -1,6 +1,6 @@
 //! What a day is played on: sizes, speeds, troubles.
 
-use sagemount::rebalance;
+use connection_balancer::rebalance;
 
 /// Microseconds in a second.
 pub const SECOND: u64 = 1_000_000;
--- a/model/tests/grid.rs
+++ b/simulation/tests/grid.rs
@@ -1,9 +1,9 @@
 //! Rebalancing never makes things worse than leaving connections alone: pairs of seeded days around real reducers.
-//! The whole grid is a sub-command (`sagemount-model grid`); here are its corners, with the same verdict each run.
+//! The whole grid is a sub-command (`simulation grid`); here are its corners, with the same verdict each run.
 
-use sagemount_model::day::play;
-use sagemount_model::grid::{days, moving, world, Cell, GROUPS, SESSIONS, TROUBLES};
-use sagemount_model::world::{Session, Trouble, World, TROUBLES as ALL};
+use simulation::day::play;
+use simulation::grid::{days, moving, world, Cell, GROUPS, SESSIONS, TROUBLES};
+use simulation::world::{Session, Trouble, World, TROUBLES as ALL};
 
 /// Twenty pairs let one of the thirty cells pass its own noise by chance (-0.0067 against 0.0064, and sound at sixty).
 const PAIRS: std::ops::Range<u64> = 0..60;
--- a/src/bin/sagemount-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -8,8 +8,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
+use connection_balancer::*;
 use rustc_hash::FxHashMap;
-use sagemount::*;
 use wire::{Config, Line, Message, Scoped, What};
 
 /// One balancer with what its events need to be put in the module's terms.
@@ -190,7 +190,7 @@
     match serve(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("sagemount-adapter: {problem}");
+            eprintln!("simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/sagemount-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use sagemount::*;
+use connection_balancer::*;
 
 /// What is wrong with a line, said plainly.
 #[derive(Debug, PartialEq)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,7 +25,7 @@
 //! # A host in small
 //!
 //! ```
-//! use sagemount::*;
+//! use connection_balancer::*;
 //!
 //! let safe = Class { worth: 1.0, setup_aim: 300_000, message_aim: 100_000, repeat: Repeat::Safe };
 //! let settings = Settings { classes: vec![safe], max_attempts: 3, ..Settings::default() };
@@ -87,8 +87,8 @@
 #[allow(missing_docs)]
 pub mod transport;
 
-mod rules;
+mod policy;
 mod types;
 
-pub use rules::Balancer;
+pub use policy::Balancer;
 pub use types::*;
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -202,7 +202,7 @@
             Ok(())
         }
         Command::Version(_) => {
-            println!("sagemount {}", env!("CARGO_PKG_VERSION"));
+            println!("connection-balancer {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
     }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -366,7 +366,7 @@
     let (levels, format) = (place.at("levels"), place.at("format"));
     // Danger: to the library a level that is misspelt is a module's name, all of which is written.
     let parsed = levels.text()?.map(|text| LogSetup::levels(&text).ok_or(()));
-    let wanted = "levels are wanted, such as info or warn,sagemount::transport=debug";
+    let wanted = "levels are wanted, such as info or warn,connection_balancer::transport=debug";
     let json = match format.text()?.as_deref() {
         None | Some("text") => false,
         Some("json") => true,
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,6 +1,6 @@
 //! The log: events of `tracing`, written to standard error in one place and rate-limited.
 //!
-//! As text a line reads `sagemount: LEVEL: MESSAGE key=value`; as JSON lines it is one object with time, level,
+//! As text a line reads `connection-balancer: LEVEL: MESSAGE key=value`; as JSON lines it is one object with time, level,
 //! target and fields. Levels are set for each module.
 
 use std::fmt;
@@ -21,6 +21,10 @@
 const BURST: f64 = 100.0;
 const EACH_SECOND: f64 = 10.0;
 
+/// The crate's name as it stands in the targets of log events, and the name that it had before.
+const CRATE: &str = "connection_balancer";
+const FORMER_CRATE: &str = "sagemount";
+
 /// How the log is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogSetup {
@@ -39,10 +43,12 @@
 
 impl LogSetup {
     /// Reads levels: one for all, and after that `MODULE=LEVEL` for modules of this program. None if that is not so.
+    /// Modules may be written under the program's earlier name, `sagemount::…`.
     pub fn levels(text: &str) -> Option<Targets> {
+        let text = &text.replace(FORMER_CRATE, CRATE);
         let level = |text: &str| !text.is_empty() && text.parse::<LevelFilter>().is_ok();
         let sound = |part: &str| match part.split_once('=') {
-            Some((module, text)) => module.starts_with("sagemount") && level(text),
+            Some((module, text)) => module.starts_with(CRATE) && level(text),
             None => level(part),
         };
         text.split(',').all(sound).then(|| text.parse().ok()).flatten()
@@ -91,7 +97,7 @@
         if dropped > 0 && self.json {
             writeln!(out, r#"{{"level":"WARN","message":"{dropped} log lines dropped"}}"#)?;
         } else if dropped > 0 {
-            writeln!(out, "sagemount: warn: {dropped} log lines dropped")?;
+            writeln!(out, "connection-balancer: warn: {dropped} log lines dropped")?;
         }
         out.write_all(line)?;
         Ok(line.len())
@@ -124,7 +130,7 @@
         mut out: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        write!(out, "sagemount: {}: ", event.metadata().level().as_str().to_ascii_lowercase())?;
+        write!(out, "connection-balancer: {}: ", event.metadata().level().as_str().to_ascii_lowercase())?;
         ctx.format_fields(out.by_ref(), event)?;
         writeln!(out)
     }
@@ -158,10 +164,19 @@
 
     #[test]
     fn levels_are_for_all_or_for_modules_of_this_program() {
-        for sound in ["info", "off", "warn,sagemount::transport=debug"] {
+        for sound in
+            ["info", "off", "warn,connection_balancer::transport=debug", "warn,sagemount::transport=debug"]
+        {
             assert!(LogSetup::levels(sound).is_some(), "{sound}");
         }
-        for faulty in ["loud", "", "transport=debug", "sagemount::transport=loud", "info,"] {
+        for faulty in [
+            "loud",
+            "",
+            "transport=debug",
+            "connection_balancer::transport=loud",
+            "sagemount::transport=loud",
+            "info,",
+        ] {
             assert!(LogSetup::levels(faulty).is_none(), "{faulty}");
         }
     }
--- a/src/program/main.rs
+++ b/src/program/main.rs
@@ -1,8 +1,8 @@
-//! The daemon. See `sagemount help`.
+//! The daemon. See `connection-balancer help`.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    sagemount::program::commands::run()
+    connection_balancer::program::commands::run()
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,13 +1,13 @@
 //! Parsers and encoders, without sockets. Each front is a small state machine over bytes.
 
+pub mod admin;
 pub mod flows;
 pub mod gossip;
-pub mod handover;
+pub mod hot_restart;
 pub mod http;
 pub mod irc;
 pub mod json;
 pub mod lines;
-pub mod mgmt;
 pub mod pcap;
 pub mod peers;
 pub mod platform;
--- a/src/routing/legs.rs
+++ b/src/routing/attempts.rs
@@ -1,6 +1,6 @@
 //! Legs: from their opening until their connection stands, or they come to nothing.
 
-use super::standing::LEAVING_FROM;
+use super::established::LEAVING_FROM;
 use super::{Answer, AuthId, Effect, Leg, LegEnd, Phase, State};
 use crate::{Event, Micros, Outcome, RequestId, ServerId, Time};
 
--- a/src/routing/hosts.rs
+++ b/src/routing/configuration.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::handover::Partner;
+use super::hot_restart::Partner;
 use super::{
     stored_host, AuthId, Budget, Counts, Effect, IssuerHost, Lifecycle, Phase, PoolId, PoolSetup, State,
 };
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -5,29 +5,29 @@
 //! shop's terms meet the module's: an authorisation is its request, a leg its attempt, an issuer host
 //! its server.
 
-mod acquirer;
-mod door;
-mod handover;
-mod hosts;
-mod legs;
-mod moves;
+mod admin;
+mod attempts;
+mod client;
+mod configuration;
+mod endpoints;
+mod established;
+mod gossip;
+mod hot_restart;
+mod input;
+mod migration;
 mod probes;
-mod sharing;
-mod standing;
 pub mod store;
-mod table;
-mod words;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use acquirer::LEAVING_WAIT;
-use handover::Partner;
+use client::LEAVING_WAIT;
+pub use endpoints::{host_number, stored_host, IssuerHost, Lifecycle, RoutingTable};
+use hot_restart::Partner;
+pub use input::*;
 use probes::Probes;
 pub use probes::{ProbeEnd, MOST_PROBES};
 use store::Store;
-pub use table::{host_number, stored_host, IssuerHost, Lifecycle, RoutingTable};
-pub use words::*;
 
 use crate::peers::{News, Peers, Word};
 use crate::rebalance::{self, Rebalance};
--- a/src/transport/door.rs
+++ b/src/transport/admin_server.rs
@@ -10,9 +10,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::hub::Hub;
+use super::driver::Hub;
+use crate::protocol::admin;
 use crate::protocol::lines::{Cut, Lines};
-use crate::protocol::mgmt;
 use crate::routing::{Input, Reply};
 
 /// Callers at a time: their descriptors are set aside for them.
@@ -53,12 +53,12 @@
 async fn hear(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
     let mut lines = Lines::default();
     loop {
-        match lines.next(mgmt::LONGEST_CALL) {
+        match lines.next(admin::LONGEST_CALL) {
             Cut::Line(line) => return Some(Ok(line)),
             Cut::TooLong => return Some(Err("too long for a call")),
             Cut::None => {}
         }
-        let mut piece = [0; mgmt::LONGEST_CALL];
+        let mut piece = [0; admin::LONGEST_CALL];
         match stream.read(&mut piece).await {
             Ok(0) if lines.is_empty() => return None,
             // Danger: what was cut off may have meant another host.
@@ -76,14 +76,14 @@
         Err(_) => Err("no line came in time"),
     };
     heard.set(true);
-    let reply = match line.and_then(|line| mgmt::call(&line)) {
+    let reply = match line.and_then(|line| admin::call(&line)) {
         Ok(call) => hub.call(|caller| Input::Call { caller, call }).await,
         Err(reason) => Reply::No(reason.to_owned()),
     };
     let answered = async {
-        stream.write_all(&mgmt::reply(&reply)).await?;
+        stream.write_all(&admin::reply(&reply)).await?;
         stream.shutdown().await?;
-        while stream.read(&mut [0; mgmt::LONGEST_CALL]).await? > 0 {}
+        while stream.read(&mut [0; admin::LONGEST_CALL]).await? > 0 {}
         std::io::Result::Ok(())
     };
     // Whether it waits for its answer or not: it has had it by now.
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, Instant};
 
-use super::hub::Hub;
-use super::orders::{Order, Passed};
+use super::commands::{Order, Passed};
+use super::driver::Hub;
 use crate::protocol::pcap::{Close, Tape, Way};
 use crate::protocol::{Front, Step};
 use crate::routing::{Answer, AuthId, Input, LegEnd, Standing};
--- a/src/transport/watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -12,8 +12,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-use super::hub::Hub;
-use super::orders::WatchOrder;
+use super::commands::WatchOrder;
+use super::driver::Hub;
 use crate::protocol::http::{self, News};
 use crate::routing::Input;
 
--- a/src/transport/hub.rs
+++ b/src/transport/driver.rs
@@ -11,9 +11,9 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, oneshot, watch as watch_channel, Notify};
 
-use super::bans;
+use super::commands::{Order, Outgoing, Probe, WatchOrder};
+use super::excluded_hosts;
 use super::files::Files;
-use super::orders::{Order, Outgoing, Probe, WatchOrder};
 use super::record::Recorder;
 use crate::program::config::PeersAt;
 use crate::protocol::{gossip, peers, Front};
@@ -193,7 +193,7 @@
                 Effect::Share { caller, host, out } => self.to_partner(Outgoing::Share { caller, host, out }),
                 Effect::KeepBans(bans) => {
                     if let Some(place) = self.place.borrow().as_deref() {
-                        bans::keep_bans(place, &bans);
+                        excluded_hosts::keep_bans(place, &bans);
                     }
                 }
                 Effect::Reply { caller, reply } => {
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -197,7 +197,8 @@
 
     impl Folder {
         fn new(name: &str) -> Folder {
-            let path = std::env::temp_dir().join(format!("sagemount-{name}-{}", std::process::id()));
+            let path =
+                std::env::temp_dir().join(format!("connection-balancer-{name}-{}", std::process::id()));
             let _ = fs::remove_dir_all(&path);
             Folder(path)
         }
--- a/src/transport/handover.rs
+++ b/src/transport/hot_restart.rs
@@ -15,11 +15,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout, Instant};
 
+use super::commands::{Order, Outgoing, Passed};
 use super::connection;
-use super::hub::Hub;
-use super::orders::{Order, Outgoing, Passed};
+use super::driver::Hub;
 use crate::program::config::Config;
-use crate::protocol::handover::{self, Word, LONGEST, MOST_PARTS, MOST_SOCKETS};
+use crate::protocol::hot_restart::{self, Word, LONGEST, MOST_PARTS, MOST_SOCKETS};
 use crate::routing::{AuthId, CallerId, Input, Legacy, PoolId, Standing};
 
 /// A process that is asked answers at once. Danger: it may hang, and a start waits for nobody.
@@ -46,7 +46,7 @@
     }
 
     async fn send(&self, word: &Word, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let bytes = handover::write(word).ok_or(io::ErrorKind::InvalidInput)?;
+        let bytes = hot_restart::write(word).ok_or(io::ErrorKind::InvalidInput)?;
         let send = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
             let mut beside = SendAncillaryBuffer::new(&mut space);
@@ -100,7 +100,7 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        let word = handover::read(&bytes).ok_or(io::ErrorKind::InvalidData)?;
+        let word = hot_restart::read(&bytes).ok_or(io::ErrorKind::InvalidData)?;
         Ok(Some((word, sockets)))
     }
 }
@@ -166,7 +166,7 @@
     for heard in 0..MOST_PARTS {
         match link.receive().await {
             Ok(Some((Word::Done, _))) => return Ok(Some(Inherited { link, sockets, legacy })),
-            Ok(Some((Word::Part(part), _))) => handover::add(&mut legacy, part),
+            Ok(Some((Word::Part(part), _))) => hot_restart::add(&mut legacy, part),
             Ok(Some((Word::Socket(name), beside))) => {
                 sockets.extend(beside.into_iter().map(|s| (name.clone(), s)))
             }
@@ -232,10 +232,10 @@
         for (name, socket) in hub.sockets()? {
             link.send(&Word::Socket(name), &[socket.as_fd()]).await?;
         }
-        for part in handover::parts(hub.legacy()) {
+        for part in hot_restart::parts(hub.legacy()) {
             // What does not fit a message is left out: no sound name or id is so long.
             let word = Word::Part(part);
-            if handover::write(&word).is_some() {
+            if hot_restart::write(&word).is_some() {
                 link.send(&word, &[]).await?;
             }
         }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,17 +1,17 @@
 //! Sockets and timers on tokio, one thread. Nothing is decided here: what comes in is handed to the
 //! reducer, and its effects are carried out.
 
-mod bans;
+mod admin_server;
+mod commands;
 mod connection;
-mod door;
+mod discovery_watch;
+mod driver;
+mod excluded_hosts;
 mod files;
-mod handover;
-mod hub;
-mod orders;
+mod hot_restart;
 mod probes;
 mod record;
 mod replay;
-mod watch;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, UdpSocket};
@@ -29,9 +29,9 @@
 use crate::protocol::{gossip, irc, platform};
 use crate::routing::store::{Entry, Gossip};
 use crate::routing::{Input, State, StoreSetup};
-pub use door::MOST_CALLERS;
-use hub::{FrontAt, Hub, Makes};
-use orders::WatchOrder;
+pub use admin_server::MOST_CALLERS;
+use commands::WatchOrder;
+use driver::{FrontAt, Hub, Makes};
 use record::Recorder;
 pub use replay::{replay, Which};
 
@@ -141,7 +141,7 @@
     /// The operators' door.
     fn door(hub: &Rc<Hub>, wanted: SocketAddr, listener: Rc<TcpListener>) -> Gate {
         crate::log!(info, "operators are heard on {}", bound(&listener, wanted));
-        let accepting = tokio::task::spawn_local(door::accept(hub.clone(), listener.clone()));
+        let accepting = tokio::task::spawn_local(admin_server::accept(hub.clone(), listener.clone()));
         Gate { wanted, listener, accepting, front: None }
     }
 
@@ -243,7 +243,7 @@
 
 /// The listener that the process before left for a front, or else one of its own.
 fn taken(
-    inherited: &mut Option<handover::Inherited>,
+    inherited: &mut Option<hot_restart::Inherited>,
     name: &str,
     wanted: SocketAddr,
 ) -> Result<Rc<TcpListener>, String> {
@@ -270,8 +270,8 @@
     let store = config.store.take();
     let mut daemon = Daemon { hub: hub.clone(), sources, store, platform: None, irc: None, mgmt };
 
-    let place = handover::place(&config);
-    let mut inherited = handover::take(&place).await;
+    let place = hot_restart::place(&config);
+    let mut inherited = hot_restart::take(&place).await;
     *hub.recorder.borrow_mut() = recorder;
     if let Some(store) = &daemon.store {
         // Danger: only now does nobody else write to the files.
@@ -293,7 +293,7 @@
     hub.set_place(place.clone());
     match &mut inherited {
         Some(inherited) => hub.feed(Input::Inherit(Box::new(std::mem::take(&mut inherited.legacy)))),
-        None => hub.feed(Input::Kept { entries: Vec::new(), bans: bans::kept_bans(&place) }),
+        None => hub.feed(Input::Kept { entries: Vec::new(), bans: excluded_hosts::kept_bans(&place) }),
     }
     if let (Some(pool), Some(shop)) = (shop_pool, &config.platform) {
         if let Some(discovery) = shop.pool.discovery {
@@ -302,7 +302,7 @@
             tokio::task::spawn_local(probes::keep(hub.clone(), orders));
             let (watches, orders) = mpsc::unbounded_channel();
             hub.set_watches(watches);
-            tokio::task::spawn_local(watch::keep(hub.clone(), orders));
+            tokio::task::spawn_local(discovery_watch::keep(hub.clone(), orders));
             let generation = Some(shop.known.generation);
             hub.watch(WatchOrder::At { pool, discovery, generation });
         }
@@ -326,9 +326,9 @@
     }
     hub.feed(Input::Listening);
     if let Some(inherited) = inherited {
-        tokio::task::spawn_local(handover::succeed(hub.clone(), inherited));
+        tokio::task::spawn_local(hot_restart::succeed(hub.clone(), inherited));
     }
-    handover::offer(hub.clone(), &place);
+    hot_restart::offer(hub.clone(), &place);
     tokio::task::spawn_local(hub.clone().keep_time());
     loop {
         tokio::select! {
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -11,8 +11,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-use super::hub::Hub;
-use super::orders::Probe;
+use super::commands::Probe;
+use super::driver::Hub;
 use crate::protocol::lines::{Cut, Lines};
 use crate::protocol::{platform, LONGEST_LINE};
 use crate::routing::{Input, ProbeEnd, MOST_PROBES};
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Mutex;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use super::hub::{Hub, Makes, Seen};
+use super::driver::{Hub, Makes, Seen};
 use super::{connection, irc_makes, platform_makes, Fronts};
 use crate::program::config::{read_file, Config};
 use crate::protocol::flows::{self, Flow};
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -5,7 +5,7 @@
 
 /// Runs the adapter over some input; gives its exit code, standard output and standard error.
 fn run(input: &str) -> (Option<i32>, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_sagemount-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -150,6 +150,6 @@
         ("HELLO\tprng=1\tbalancers=many", "line 2: HELLO: cannot read field 'balancers' from 'many'"),
     ] {
         let (code, _, err) = run(&format!("FRAME\tt=1.0\n{line}\nOVER_TO_YOU\n"));
-        assert_eq!((code, err.trim_end()), (Some(1), format!("sagemount-adapter: {complaint}").as_str()));
+        assert_eq!((code, err.trim_end()), (Some(1), format!("simulator-adapter: {complaint}").as_str()));
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the module tests share: short ways to say settings, lists and events.
 #![allow(dead_code)]
 
-use sagemount::*;
+use connection_balancer::*;
 
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,6 +1,6 @@
 //! Configuration: what is wrong is told by its key.
 
-use sagemount::program::config::{parse_operator, parse_platform, store_entry, Limits};
+use connection_balancer::program::config::{parse_operator, parse_platform, store_entry, Limits};
 
 #[test]
 fn the_operators_file_that_is_shipped_is_sound() {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use sagemount::*;
+use connection_balancer::*;
 
 // Of an aim of 100 ms: word of a server that fills, and of one that connections have to leave.
 const SLOW: Note = Note::MessageTime(40 * MS);
--- a/tests/standins/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -168,7 +168,7 @@
     }
 
     fn launch(folder: PathBuf, more: &[&str]) -> Daemon {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sagemount"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
         command.arg("serve").arg("--irc").arg(folder.join("irc.json")).args(more);
         let config = folder.join("config.json");
         if config.exists() {
@@ -232,14 +232,14 @@
     }
 
     pub fn exclude(&self, host: &str) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sagemount"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
         let output = command.args(["exclude", host, "--mgmt", &self.mgmt]).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
 
     /// Runs a command at this daemon's store.
     pub fn command(&self, words: &[&str]) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sagemount"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
         let output = command.args(words).args(["--store", &self.store]).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use sagemount::*;
+use connection_balancer::*;
 
 /// Seen on the bench's days at size: after a restart of most balancers discovery answered nobody for ten seconds.
 /// It serves calls one after another, also those whose callers it has turned away meanwhile, and all who were turned
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
+use connection_balancer::protocol::platform::{greeting, issuer_word, Greeting, Word};
+use connection_balancer::protocol::{http, irc, platform, Front, Step};
+use connection_balancer::routing::{Answer, LegEnd, Lifecycle};
 use proptest::prelude::*;
-use sagemount::protocol::platform::{greeting, issuer_word, Greeting, Word};
-use sagemount::protocol::{http, irc, platform, Front, Step};
-use sagemount::routing::{Answer, LegEnd, Lifecycle};
 
 /// What came out for each side, and what else was said, in order.
 #[derive(Debug, Default, PartialEq)]
--- a/tests/irc.rs
+++ b/tests/irc.rs
@@ -1,10 +1,10 @@
 //! The IRC front from end to end: clients and servers here are stand-ins on loopback.
 
-mod standins;
+mod fake_servers;
 
 use std::time::Duration;
 
-use standins::{irc_config, until, Client, Daemon, Manner, Server};
+use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 
 fn front(hosts: &[&Server], more: &str) -> Daemon {
     Daemon::start(&irc_config(hosts, more), None)
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,12 +1,43 @@
-//! The module is printed and kept in the folder that goes on call: it stays short and narrow.
+//! The decision module is printed and kept in the folder that goes on call: it stays short and narrow.
+
+use std::path::Path;
+
+/// Lines that are not blank, in all files that decide together.
+const MAX_POLICY_LINES: usize = 950;
+const MAX_LINE_WIDTH: usize = 110;
+
+/// The files that the deploy file lists as the decision module.
+fn policy_files() -> Vec<String> {
+    let deploy = include_str!("../deploy/balancer.toml");
+    let line =
+        deploy.lines().find(|line| line.starts_with("policy = ")).expect("the deploy file has `policy`");
+    line.split('"').skip(1).step_by(2).map(str::to_owned).collect()
+}
 
 #[test]
 fn the_module_keeps_its_size_and_width() {
-    let text = include_str!("../src/rules.rs");
-    let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 950, "{lines} lines that are not blank");
-    for (number, line) in text.lines().enumerate() {
-        assert!(line.chars().count() <= 110, "line {} is too wide", number + 1);
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut total = 0;
+    for file in policy_files() {
+        let text = std::fs::read_to_string(root.join(&file)).expect("a listed policy file can be read");
+        total += text.lines().filter(|line| !line.trim().is_empty()).count();
+        for (index, line) in text.lines().enumerate() {
+            assert!(line.chars().count() <= MAX_LINE_WIDTH, "{file}: line {} is too wide", index + 1);
+        }
     }
+    assert!(total <= MAX_POLICY_LINES, "{total} lines that are not blank");
+    let text =
+        std::fs::read_to_string(root.join("src/policy/mod.rs")).expect("the policy module can be read");
     assert!(text.lines().take(5).any(|line| line.contains("src/types.rs")), "it names the types file first");
 }
+
+#[test]
+fn every_file_of_the_policy_folder_is_listed() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let listed = policy_files();
+    for entry in std::fs::read_dir(root.join("src/policy")).expect("src/policy can be read") {
+        let name = entry.expect("an entry of src/policy can be read").file_name();
+        let path = format!("src/policy/{}", name.to_str().expect("file names are UTF-8"));
+        assert!(listed.contains(&path), "{path} is not listed under `policy` in deploy/balancer.toml");
+    }
+}
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -1,13 +1,13 @@
 //! Rebalancing over sockets: a client that is moved comes back and stands at the host that has room.
 
-mod standins;
+mod fake_servers;
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use standins::{irc_config, Client, Daemon};
+use fake_servers::{irc_config, Client, Daemon};
 
 /// A shop host that answers `OPEN`, tells each connection's load, and sends lines back.
 struct Shop {
@@ -108,7 +108,7 @@
 fn a_client_of_a_pressed_host_is_moved_comes_back_and_stands_where_there_is_room() {
     let (pressed, fresh) = (Shop::start("UP pressed"), Shop::start("UP fresh"));
     let text = config(&pressed, &fresh).replace("127.0.0.1:9", &discovery().to_string());
-    let file = std::env::temp_dir().join(format!("sagemount-moves-{}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!("connection-balancer-moves-{}.json", std::process::id()));
     std::fs::write(&file, r#"{"platform": {"on": true, "most_per_s": 20}}"#).expect("written");
     let path = file.to_str().expect("a name").to_owned();
     let daemon = Daemon::start_with(&irc_config(&[], ""), Some(&text), &["--rebalance", &path]);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,17 +1,17 @@
 //! The operators' door: its calls, its figures, and how it stands crowds.
 
-mod desk;
-mod standins;
+mod fake_servers;
+mod reducer_harness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 use std::net::Shutdown;
 
-use desk::{ask, Desk};
+use connection_balancer::protocol::admin;
+use connection_balancer::routing::*;
+use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
-use sagemount::protocol::mgmt;
-use sagemount::routing::*;
-use standins::{irc_config, until, Client, Daemon, Manner, Server};
+use reducer_harness::{ask, Desk};
 
 fn call(desk: &mut Desk, call: Call) -> Reply {
     match call_with(desk, call).pop() {
@@ -35,7 +35,7 @@
     /// Counted again from outside, by what went in and came out, the figures are the same after any steps.
     #[test]
     fn figures_are_true(steps in prop::collection::vec((0u8..12, 0usize..8, 1u64..500_000), 1..200)) {
-        let mut desk = Desk::with(Budget { held: 12, ..desk::BUDGET });
+        let mut desk = Desk::with(Budget { held: 12, ..reducer_harness::BUDGET });
         let mut auths: Vec<(AuthId, &str)> = Vec::new();
         let mut counts: BTreeMap<String, Counts> =
             ["chat", "wallet"].map(|class| (class.to_owned(), Counts::default())).into();
@@ -116,7 +116,7 @@
         let (mut out, mut legs) = (BTreeSet::new(), BTreeMap::<AuthId, (u32, String, bool)>::new());
         for (what, host, pause) in steps {
             desk.pass(pause);
-            let name = desk::HOSTS[host].to_owned();
+            let name = reducer_harness::HOSTS[host].to_owned();
             let auth = legs.keys().nth(host).copied().unwrap_or(AuthId(u64::MAX));
             let leg = legs.get(&auth).map_or(9, |leg| leg.0);
             let effects = match what {
@@ -131,7 +131,7 @@
                 2 => desk.list(host, Lifecycle::Gone),
                 3 => desk.list(host, Lifecycle::Ready),
                 4 => {
-                    let (pools, peers, budget) = (vec![desk::setup()], Vec::new(), desk::BUDGET);
+                    let (pools, peers, budget) = (vec![reducer_harness::setup()], Vec::new(), reducer_harness::BUDGET);
                     desk.put(Input::Configure { pools, peers, budget })
                 }
                 5 => {
@@ -166,7 +166,7 @@
     /// Whatever is said at the door, there is an answer to it, or it is no call yet.
     #[test]
     fn no_line_breaks_the_door(line in prop::collection::vec(any::<u8>(), 0..300)) {
-        let told = mgmt::call(&line);
+        let told = admin::call(&line);
         let known: [&[u8]; 4] = [b"readyz", b"telemetry", b"exclude ", b"include "];
         prop_assert!(told.is_err() || known.iter().any(|call| line.starts_with(call)), "{told:?}");
     }
@@ -175,7 +175,7 @@
 #[test]
 fn figures_have_the_names_and_the_form_that_are_agreed() {
     let mut desk = Desk::new();
-    let text = |desk: &mut Desk| String::from_utf8(mgmt::reply(&call(desk, Call::Telemetry))).unwrap();
+    let text = |desk: &mut Desk| String::from_utf8(admin::reply(&call(desk, Call::Telemetry))).unwrap();
     let classes = "edge_node.results.chat.succeeded:0|c\r\nedge_node.results.chat.declined:0|c\r\n\
         edge_node.results.chat.aborted:0|c\r\nedge_node.results.wallet.succeeded:0|c\r\n\
         edge_node.results.wallet.declined:0|c\r\nedge_node.results.wallet.aborted:0|c\r\n";
@@ -217,7 +217,7 @@
 #[test]
 fn a_host_is_taken_out_and_back_by_id_and_only_one_that_was_ever_listed() {
     let mut desk = Desk::new();
-    let host = desk::HOSTS[1].to_owned();
+    let host = reducer_harness::HOSTS[1].to_owned();
     let unheard = "s-0000dead".to_owned();
     for call_of in [Call::Exclude, Call::Include] {
         assert!(matches!(call(&mut desk, call_of(unheard.clone())), Reply::No(_)));
@@ -244,7 +244,7 @@
 fn clients_of_a_host_out_by_hand_are_moved_in_pace_and_soon() {
     let mut desk = Desk::new();
     let auths: Vec<AuthId> = (0..60).map(|_| desk.standing()).collect();
-    let host = desk::HOSTS[2].to_owned();
+    let host = reducer_harness::HOSTS[2].to_owned();
     let (mut moved, mut waves) = (BTreeSet::new(), 0);
     let mut effects = call_with(&mut desk, Call::Exclude(host));
     for _ in 0..15 {
@@ -269,7 +269,7 @@
     for _ in 0..60 {
         desk.standing();
     }
-    let (host, address) = (desk::HOSTS[2].to_owned(), desk.address(desk::HOSTS[2]));
+    let (host, address) = (reducer_harness::HOSTS[2].to_owned(), desk.address(reducer_harness::HOSTS[2]));
     let legs = |desk: &mut Desk, count: usize| {
         let mut there = 0;
         for _ in 0..count {
@@ -367,6 +367,6 @@
     let mut bytes = line.clone().into_bytes();
     let event = simd_json::to_owned_value(&mut bytes).unwrap_or_else(|e| panic!("{line}: {e}"));
     let event = format!("{event:?}");
-    assert!(event.contains("INFO") && event.contains("sagemount::transport"), "{event}");
+    assert!(event.contains("INFO") && event.contains("connection_balancer::transport"), "{event}");
     assert!(daemon.exited());
 }
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -1,15 +1,15 @@
 //! Captures: reading, reassembly, and a recording that is replayed.
 
-mod standins;
+mod fake_servers;
 
 use std::net::SocketAddr;
 use std::process::Command;
 
+use connection_balancer::protocol::flows;
+use connection_balancer::protocol::pcap::{self, Close, Segment, Tape, Way};
 use etherparse::PacketBuilder;
+use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
-use sagemount::protocol::flows;
-use sagemount::protocol::pcap::{self, Close, Segment, Tape, Way};
-use standins::{irc_config, until, Client, Daemon, Manner, Server};
 
 /// A file with one packet, in this byte order, with this magic and link.
 fn file(little: bool, magic: u32, link: u32, part: u32, packet: &[u8]) -> Vec<u8> {
@@ -206,7 +206,7 @@
 #[test]
 fn what_serve_records_replay_reads_back() {
     let server = Server::start(Manner::Welcome);
-    let folder = std::env::temp_dir().join(format!("sagemount-replay-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("connection-balancer-replay-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (capture, config) = (folder.join("front.pcap"), folder.join("irc.json"));
     let daemon =
@@ -229,7 +229,7 @@
     drop(daemon);
     std::fs::write(&config, irc_config(&[&server], "")).expect("written");
     let replay = |config: &std::path::Path| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sagemount"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
         command.arg("replay").arg(&capture).arg("--config").arg(config);
         command.args(["--front", "irc", "--port", &port]).output().expect("runs")
     };
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
+use connection_balancer::peers::{News, Peers, Setup, Word, SAMPLE};
+use connection_balancer::protocol::peers::{read, write, LONGEST};
+use connection_balancer::*;
 use proptest::prelude::*;
-use sagemount::peers::{News, Peers, Setup, Word, SAMPLE};
-use sagemount::protocol::peers::{read, write, LONGEST};
-use sagemount::*;
 
 const HOLDS: Micros = 2 * SECOND;
 
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front from end to end, with stand-ins for shop hosts and for discovery.
 
-mod standins;
+mod fake_servers;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use standins::{entry, irc_config, list, until, Client, Daemon, LONG};
+use fake_servers::{entry, irc_config, list, until, Client, Daemon, LONG};
 
 type Lines = Arc<Mutex<Vec<String>>>;
 /// Calls of discovery, with their times.
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -1,9 +1,9 @@
 //! What issuer hosts say to probes, read without sockets.
 
+use connection_balancer::protocol::platform::probe_answer;
+use connection_balancer::routing::ProbeEnd;
+use connection_balancer::Report;
 use proptest::prelude::*;
-use sagemount::protocol::platform::probe_answer;
-use sagemount::routing::ProbeEnd;
-use sagemount::Report;
 
 const NAMES: [&str; 2] = ["x0", "util"];
 
--- a/tests/crossings.rs
+++ b/tests/races.rs
@@ -1,14 +1,14 @@
 //! Where two events cross, on real sockets: one side is held at a known point until the other has happened, and both
 //! come to the daemon in one wake-up. `docs/crossings.md` has a row for each.
 
-mod standins;
+mod fake_servers;
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use standins::{answer, entry, irc_config, list, reset, until, Client, Daemon, Discovery, Held};
+use fake_servers::{answer, entry, irc_config, list, reset, until, Client, Daemon, Discovery, Held};
 
 /// What differs from test to test.
 struct Terms {
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -1,14 +1,14 @@
 //! Rebalancing: its parts in virtual time, its place in the reducer, and its settings.
 
-mod desk;
+mod reducer_harness;
 
-use desk::{ask, Desk, HOSTS};
+use connection_balancer::program::config;
+use connection_balancer::rebalance::view::Connection;
+use connection_balancer::rebalance::{Decision, Held, HostNow, Rebalance, Setup, Terms, Word, World};
+use connection_balancer::routing::*;
+use connection_balancer::{ServerId, Time};
 use proptest::prelude::*;
-use sagemount::program::config;
-use sagemount::rebalance::view::Connection;
-use sagemount::rebalance::{Decision, Held, HostNow, Rebalance, Setup, Terms, Word, World};
-use sagemount::routing::*;
-use sagemount::{ServerId, Time};
+use reducer_harness::{ask, Desk, HOSTS};
 
 const SECOND: u64 = 1_000_000;
 
@@ -556,14 +556,17 @@
 // ---- In the reducer ----
 
 fn balancing() -> PoolSetup {
-    PoolSetup { rebalance: Setup { on: true, most_per_s: 20.0, ..Setup::default() }, ..desk::setup() }
+    PoolSetup {
+        rebalance: Setup { on: true, most_per_s: 20.0, ..Setup::default() },
+        ..reducer_harness::setup()
+    }
 }
 
 /// A reducer that rebalances, with hosts 0 and 1 and so many connections at the first.
 fn crowded() -> (Desk, Vec<AuthId>) {
     let mut desk = Desk::new();
     let setups = vec![balancing()];
-    desk.put(Input::Configure { pools: setups, peers: Vec::new(), budget: desk::BUDGET });
+    desk.put(Input::Configure { pools: setups, peers: Vec::new(), budget: reducer_harness::BUDGET });
     let mut auths = Vec::new();
     for n in 0..40 {
         let auth = desk.met();
@@ -640,7 +643,11 @@
 #[test]
 fn a_reload_that_turns_it_off_ends_it() {
     let (mut desk, auths) = crowded();
-    desk.put(Input::Configure { pools: vec![desk::setup()], peers: Vec::new(), budget: desk::BUDGET });
+    desk.put(Input::Configure {
+        pools: vec![reducer_harness::setup()],
+        peers: Vec::new(),
+        budget: reducer_harness::BUDGET,
+    });
     assert!(moved(&mut desk, &auths, 15).is_empty());
     assert_eq!(desk.state.rebalancing(0), None);
 }
--- a/tests/desk/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -1,8 +1,8 @@
 //! A reducer with hosts and a clock, for tests.
 #![allow(dead_code)]
 
-use sagemount::routing::*;
-use sagemount::*;
+use connection_balancer::routing::*;
+use connection_balancer::*;
 
 pub const HOSTS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
 /// How long the acquirer side waits.
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,11 +1,11 @@
 //! The reducer, without wires or clocks.
 
-mod desk;
+mod reducer_harness;
 
-use desk::{ask, Desk, HOSTS, WAIT};
-use sagemount::peers::{News, Word};
-use sagemount::routing::*;
-use sagemount::{Class, Repeat, Report, ServerId};
+use connection_balancer::peers::{News, Word};
+use connection_balancer::routing::*;
+use connection_balancer::{Class, Repeat, Report, ServerId};
+use reducer_harness::{ask, Desk, HOSTS, WAIT};
 
 /// Seen on the bench: hosts tell a message's time by the same word as a load. Taken for a load it made the
 /// slowest host look empty (a calm day kept 0.68 of the simulator's result, 0.99 since).
@@ -32,8 +32,8 @@
 fn where_no_loads_are_told_every_figure_is_a_message_time() {
     let moved = |tells_load: bool| {
         let mut desk = Desk::new();
-        let setup = PoolSetup { tells_load, ..desk::setup() };
-        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: desk::BUDGET });
+        let setup = PoolSetup { tells_load, ..reducer_harness::setup() };
+        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
         let auths: Vec<AuthId> = (0..12).map(|_| desk.standing()).collect();
         let mut moved = 0;
         for second in 0..20 {
@@ -51,9 +51,9 @@
 /// A desk whose hosts may be probed, and the probes among effects.
 fn probing() -> Desk {
     let mut desk = Desk::new();
-    let mut setup = desk::setup();
+    let mut setup = reducer_harness::setup();
     (setup.settings.probes, setup.settings.probe_reports, setup.reports) = (true, true, vec!["x0"]);
-    desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: desk::BUDGET });
+    desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
     desk
 }
 
@@ -165,9 +165,9 @@
     };
     let fleet = || {
         let mut desk = Desk::new();
-        let mut setup = desk::setup();
+        let mut setup = reducer_harness::setup();
         (setup.settings.balancers, setup.peers) = (300, Some(0.0));
-        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: desk::BUDGET });
+        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
         desk
     };
     let (mut teller, mut hearer) = (fleet(), fleet());
@@ -458,7 +458,7 @@
                 }
                 }
                 for (auth, since) in &auths {
-                    let late = desk.now.since(*since) > desk::WAIT;
+                    let late = desk.now.since(*since) > reducer_harness::WAIT;
                     prop_assert!(!late || answered.contains_key(auth), "no answer in time");
                 }
             }
@@ -479,16 +479,20 @@
 fn another_configuration_keeps_what_is_out_and_moves_the_watch() {
     let mut desk = Desk::new();
     let (standing, (placing, host)) = (desk.standing(), desk.written());
-    let mut setup = desk::setup();
+    let mut setup = reducer_harness::setup();
     let first = Class { worth: 9.0, setup_aim: 1, message_aim: 7, repeat: Repeat::Unsafe };
     setup.settings.classes.insert(0, first);
     setup.classes.insert(0, "alerts".to_owned());
     setup.discovery = Some("127.0.0.1:9".parse().expect("an address"));
-    let effects =
-        desk.put(Input::Configure { pools: vec![setup.clone()], peers: Vec::new(), budget: desk::BUDGET });
+    let effects = desk.put(Input::Configure {
+        pools: vec![setup.clone()],
+        peers: Vec::new(),
+        budget: reducer_harness::BUDGET,
+    });
     let discovery = setup.discovery.expect("set above");
     assert_eq!(effects, [Effect::WatchAt { pool: 0, discovery }]);
-    let effects = desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: desk::BUDGET });
+    let effects =
+        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
     assert_eq!(effects, [], "the same address needs no new watch");
     // Were it taken for the class that came first, which may not be repeated, it would fail here.
     let effects = desk.put(Input::LegEnded { auth: placing, leg: 0, end: LegEnd::Broken });
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use common::*;
+use connection_balancer::*;
 use proptest::prelude::*;
-use sagemount::*;
 
 /// One thing that may happen. Numbers choose among what is there at that time.
 #[derive(Clone, Debug)]
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,13 +1,13 @@
 //! The replicated store: a model under loss, reordering and restarts, and two daemons that share one.
 
-mod standins;
+mod fake_servers;
 
 use std::collections::BTreeMap;
 
+use connection_balancer::protocol::gossip;
+use connection_balancer::routing::store::{Entry, Gossip, Store};
+use fake_servers::{until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
-use sagemount::protocol::gossip;
-use sagemount::routing::store::{Entry, Gossip, Store};
-use standins::{until, Client, Daemon, Manner, Server};
 
 fn map(store: &Store) -> BTreeMap<String, Entry> {
     store.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
@@ -124,7 +124,7 @@
     // Loopback addresses of this process's own: daemons have to know each other's beforehand.
     let id = std::process::id();
     let store = |n: u32| format!("127.{}.{}.{n}:7946", 1 + id / 256 % 250, id % 256);
-    let data = std::env::temp_dir().join(format!("sagemount-store-{id}"));
+    let data = std::env::temp_dir().join(format!("connection-balancer-store-{id}"));
     let config = |n: u32, peer: u32, more: &str| {
         format!(
             r#"{{"listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "name": "front{n}.test", "drain_over_ms": 200,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,8 +1,8 @@
 //! A new version in the place of one that serves: the reducers of both, what goes between them, and two
 //! daemons of which either may be lost on the way.
 
-mod desk;
-mod standins;
+mod fake_servers;
+mod reducer_harness;
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -10,14 +10,14 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-use desk::{ask, Desk, HOSTS};
+use connection_balancer::protocol::hot_restart::{add, parts, read, write, Part, Word};
+use connection_balancer::routing::store::Entry;
+use connection_balancer::routing::*;
+use connection_balancer::{Learned, Time};
+use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
+use reducer_harness::{ask, Desk, HOSTS};
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
-use sagemount::protocol::handover::{add, parts, read, write, Part, Word};
-use sagemount::routing::store::Entry;
-use sagemount::routing::*;
-use sagemount::{Learned, Time};
-use standins::{irc_config, until, Client, Daemon, Manner, Server};
 
 const CALLER: CallerId = CallerId(7);
 
