--- a/simulation/src/day.rs
+++ b/simulation/src/day.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use connection_balancer::routing::{
-    reduce, Answer, AuthId, Authorisation, Budget, Effect, Input, IssuerHost, LegEnd, Lifecycle, PoolSetup,
-    State, StoreSetup,
+    reduce, Answer, AttemptOutcome, Budget, ConnectionId, ConnectionRequest, Effect, Endpoint, Input,
+    Lifecycle, PoolSetup, State, StoreSetup,
 };
 use connection_balancer::{Class, Repeat, Settings, Time};
 use rand::{Rng, SeedableRng};
@@ -71,10 +71,10 @@
     GivesUp(usize, u32),
     /// It wants its connection no more.
     Leaves(usize),
-    /// A leg's first line arrives: of a balancer in this life.
-    Leg(usize, u64, AuthId, u32, usize),
+    /// An attempt's first line arrives: of a balancer in this life.
+    Attempt(usize, u64, ConnectionId, u32, usize),
     /// A host has set it up: at this life of the host.
-    Up(usize, u64, AuthId, u32, usize, u64),
+    Up(usize, u64, ConnectionId, u32, usize, u64),
     /// Time comes to something at a balancer.
     Due(usize, u64),
     /// The list tells.
@@ -87,8 +87,8 @@
 enum Place {
     Away,
     /// At a balancer of this life, which owes it an answer.
-    Asking(usize, u64, AuthId),
-    Standing(usize, u64, AuthId, usize),
+    Asking(usize, u64, ConnectionId),
+    Standing(usize, u64, ConnectionId, usize),
     Done,
 }
 
@@ -105,8 +105,8 @@
     state: State,
     up: bool,
     life: u64,
-    /// Who its authorisations are, and the host of each one's leg.
-    auths: BTreeMap<AuthId, (usize, Option<usize>)>,
+    /// Who its connections are, and the host of each one's attempt.
+    connections: BTreeMap<ConnectionId, (usize, Option<usize>)>,
     next: u64,
     due: Option<u64>,
     died: u64,
@@ -181,8 +181,8 @@
     }
 }
 
-fn host_entry(n: usize, lifecycle: Lifecycle, started: Option<u64>) -> IssuerHost {
-    IssuerHost {
+fn host_entry(n: usize, lifecycle: Lifecycle, started: Option<u64>) -> Endpoint {
+    Endpoint {
         name: format!("s-{:08x}", n + 1),
         address: n.to_string(),
         zone: "a".to_owned(),
@@ -212,26 +212,26 @@
         let budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
         let mut state = State::new(vec![setup], StoreSetup::default(), budget, Time(ORIGIN));
         let mut feed = |input| drop(reduce(&mut state, Time(ORIGIN), input));
-        feed(Input::Table {
+        feed(Input::EndpointsUpdated {
             pool: 0,
             whole: true,
             hosts: (0..20).map(|n| host_entry(n, Lifecycle::Ready, None)).collect(),
         });
         for n in 0..standing {
-            let auth = AuthId(n as u64);
+            let connection = ConnectionId(n as u64);
             // One host more in twenty at the first: over its part, so that the whole of it is looked at.
             let host = if n % 20 == 19 && n % 3 == 0 { 0 } else { n % 20 };
-            let ask = Authorisation {
+            let ask = ConnectionRequest {
                 class: "stock-feed".to_owned(),
                 standing_at: Some(format!("s-{:08x}", host + 1)),
                 key: Some(n as u64),
-                ..Authorisation::default()
+                ..ConnectionRequest::default()
             };
-            feed(Input::Met { auth, pool: 0 });
-            feed(Input::Authorise { auth, ask });
-            feed(Input::LegWritten { auth, leg: 0 });
-            feed(Input::LegUp { auth, leg: 0 });
-            feed(Input::Load { auth, load: LOAD * (0.5 + (n % 7) as f64 / 6.0) });
+            feed(Input::ClientConnected { connection, pool: 0 });
+            feed(Input::ConnectionRequested { connection, ask });
+            feed(Input::RequestForwarded { connection, attempt: 0 });
+            feed(Input::AttemptAccepted { connection, attempt: 0 });
+            feed(Input::LoadReported { connection, load: LOAD * (0.5 + (n % 7) as f64 / 6.0) });
         }
         Held { state, now: 0 }
     }
@@ -243,7 +243,7 @@
             self.state.next_due().map(|at| at.0.saturating_sub(ORIGIN)).filter(|at| *at < end)
         {
             self.now = at.max(self.now + 1);
-            reduce(&mut self.state, Time(ORIGIN + self.now), Input::Tick);
+            reduce(&mut self.state, Time(ORIGIN + self.now), Input::TimerFired);
         }
         self.now = end;
     }
@@ -314,10 +314,10 @@
         let setup = setup(self.world, seed);
         let budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
         let state = State::new(vec![setup], StoreSetup::default(), budget, self.clock());
-        Node { state, up: true, life, auths: BTreeMap::new(), next: 0, due: None, died: 0 }
+        Node { state, up: true, life, connections: BTreeMap::new(), next: 0, due: None, died: 0 }
     }
 
-    fn list(&self) -> Vec<IssuerHost> {
+    fn list(&self) -> Vec<Endpoint> {
         let host = |(n, lifecycle): (usize, &Lifecycle)| host_entry(n, *lifecycle, self.hosts[n].started);
         let listed = self.listed.iter().enumerate().filter(|(_, state)| **state != Lifecycle::Gone);
         listed.map(host).collect()
@@ -329,7 +329,7 @@
             self.rules.told(self.now, n, host, self.listed[host] != Lifecycle::Ready);
         }
         let hosts = self.list();
-        self.feed(n, Input::Table { pool: 0, whole: true, hosts });
+        self.feed(n, Input::EndpointsUpdated { pool: 0, whole: true, hosts });
     }
 
     /// All hear of a change, late.
@@ -366,22 +366,22 @@
         let who = &self.clients[client];
         let node = &mut self.nodes[n];
         node.next += 1;
-        let auth = AuthId(node.next);
+        let connection = ConnectionId(node.next);
         let life = node.life;
-        node.auths.insert(auth, (client, None));
-        self.people[client].place = Place::Asking(n, life, auth);
-        let ask = Authorisation {
-            id: Some(format!("{n}-{life}-{}", auth.0)),
+        node.connections.insert(connection, (client, None));
+        self.people[client].place = Place::Asking(n, life, connection);
+        let ask = ConnectionRequest {
+            id: Some(format!("{n}-{life}-{}", connection.0)),
             class: ["stock-feed", "wallet"][who.class].to_owned(),
             group: who.group,
             wait: Some(CLASSES[who.class].2),
             key: Some(client as u64),
             again: self.people[client].again,
             standing_at,
-            ..Authorisation::default()
+            ..ConnectionRequest::default()
         };
-        self.feed(n, Input::Met { auth, pool: 0 });
-        self.feed(n, Input::Authorise { auth, ask });
+        self.feed(n, Input::ClientConnected { connection, pool: 0 });
+        self.feed(n, Input::ConnectionRequested { connection, ask });
     }
 
     fn feed(&mut self, n: usize, input: Input) {
@@ -403,17 +403,17 @@
     fn carry_out(&mut self, n: usize, effect: Effect) {
         let life = self.nodes[n].life;
         match effect {
-            Effect::OpenLeg { auth, leg, address, .. } => {
+            Effect::OpenAttempt { connection, attempt, address, .. } => {
                 let host = address.parse().unwrap_or(usize::MAX);
-                self.rules.leg(self.now, (n, life, auth.0), host);
-                self.at(self.now + HOP, Event::Leg(n, life, auth, leg, host));
+                self.rules.attempt(self.now, (n, life, connection.0), host);
+                self.at(self.now + HOP, Event::Attempt(n, life, connection, attempt, host));
             }
-            Effect::CloseLeg { auth } => self.close_leg(n, auth),
-            Effect::Answer { auth, answer } => {
-                let Some(&(client, _)) = self.nodes[n].auths.get(&auth) else { return };
-                self.close_leg(n, auth);
-                self.nodes[n].auths.remove(&auth);
-                let who = (n, life, auth.0);
+            Effect::CloseAttempt { connection } => self.close_attempt(n, connection),
+            Effect::Answer { connection, answer } => {
+                let Some(&(client, _)) = self.nodes[n].connections.get(&connection) else { return };
+                self.close_attempt(n, connection);
+                self.nodes[n].connections.remove(&connection);
+                let who = (n, life, connection.0);
                 match answer {
                     Answer::Moved => {
                         self.result.moves += 1;
@@ -434,17 +434,17 @@
                         self.declined(client, 0);
                     }
                 }
-                self.feed(n, Input::Closed { auth });
+                self.feed(n, Input::SocketsClosed { connection });
             }
             // Asked for once at the start; all that changes is told.
             _ => {}
         }
     }
 
-    fn close_leg(&mut self, n: usize, auth: AuthId) {
+    fn close_attempt(&mut self, n: usize, connection: ConnectionId) {
         let life = self.nodes[n].life;
-        self.rules.over((n, life, auth.0));
-        let Some((client, host)) = self.nodes[n].auths.get_mut(&auth) else { return };
+        self.rules.over((n, life, connection.0));
+        let Some((client, host)) = self.nodes[n].connections.get_mut(&connection) else { return };
         if let Some(host) = host.take() {
             let client = *client;
             self.hosts[host].release(client);
@@ -479,39 +479,43 @@
         match event {
             Event::Comes(client, tries) => self.comes(client, tries),
             Event::GivesUp(client, tries) => {
-                if let (Place::Asking(n, life, auth), true) =
+                if let (Place::Asking(n, life, connection), true) =
                     (self.people[client].place, self.people[client].tries == tries)
                 {
                     if self.nodes[n].up && self.nodes[n].life == life {
-                        if !self.rules.answered((n, life, auth.0)) {
-                            self.rules.unanswered(self.now, (n, life, auth.0));
+                        if !self.rules.answered((n, life, connection.0)) {
+                            self.rules.unanswered(self.now, (n, life, connection.0));
                         }
-                        self.close_leg(n, auth);
-                        self.nodes[n].auths.remove(&auth);
-                        self.feed(n, Input::Left { auth });
-                        self.feed(n, Input::Closed { auth });
+                        self.close_attempt(n, connection);
+                        self.nodes[n].connections.remove(&connection);
+                        self.feed(n, Input::ClientDisconnected { connection });
+                        self.feed(n, Input::SocketsClosed { connection });
                     }
                     self.declined(client, 0);
                 }
             }
             Event::Leaves(client) => match std::mem::replace(&mut self.people[client].place, Place::Done) {
-                Place::Asking(n, life, auth) | Place::Standing(n, life, auth, _)
+                Place::Asking(n, life, connection) | Place::Standing(n, life, connection, _)
                     if self.nodes[n].up && self.nodes[n].life == life =>
                 {
-                    self.close_leg(n, auth);
-                    self.nodes[n].auths.remove(&auth);
-                    self.feed(n, Input::Left { auth });
-                    self.feed(n, Input::Closed { auth });
+                    self.close_attempt(n, connection);
+                    self.nodes[n].connections.remove(&connection);
+                    self.feed(n, Input::ClientDisconnected { connection });
+                    self.feed(n, Input::SocketsClosed { connection });
                 }
                 _ => {}
             },
-            Event::Leg(n, life, auth, leg, host) => self.leg(n, life, auth, leg, host),
-            Event::Up(n, life, auth, leg, host, process) => self.up(n, life, auth, leg, host, process),
+            Event::Attempt(n, life, connection, attempt, host) => {
+                self.attempt(n, life, connection, attempt, host)
+            }
+            Event::Up(n, life, connection, attempt, host, process) => {
+                self.up(n, life, connection, attempt, host, process)
+            }
             Event::Due(n, life) => {
                 let node = &self.nodes[n];
                 if node.up && node.life == life && node.due.is_some_and(|at| at <= self.now) {
                     self.nodes[n].due = None;
-                    self.feed(n, Input::Tick);
+                    self.feed(n, Input::TimerFired);
                 }
             }
             Event::Told(n, life) => {
@@ -547,20 +551,22 @@
         self.at(self.now + wait + 2 * HOP, Event::GivesUp(client, tries));
     }
 
-    fn leg(&mut self, n: usize, life: u64, auth: AuthId, leg: u32, host: usize) {
+    fn attempt(&mut self, n: usize, life: u64, connection: ConnectionId, attempt: u32, host: usize) {
         if !self.nodes[n].up || self.nodes[n].life != life {
             return;
         }
-        let Some(&(client, _)) = self.nodes[n].auths.get(&auth) else { return };
+        let Some(&(client, _)) = self.nodes[n].connections.get(&connection) else { return };
         let here = self.hosts.get(host).is_some_and(|host| host.up);
         if !here {
-            self.rules.over((n, life, auth.0));
-            return self.feed(n, Input::LegEnded { auth, leg, end: LegEnd::NoConnection });
+            self.rules.over((n, life, connection.0));
+            return self
+                .feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::NoConnection });
         }
-        self.feed(n, Input::LegWritten { auth, leg });
+        self.feed(n, Input::RequestForwarded { connection, attempt });
         if self.hosts[host].full() {
-            self.rules.over((n, life, auth.0));
-            return self.feed(n, Input::LegEnded { auth, leg, end: LegEnd::TurnedAway });
+            self.rules.over((n, life, connection.0));
+            return self
+                .feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway });
         }
         let who = &self.clients[client];
         let warmth = self.hosts[host].warmth(self.now);
@@ -568,33 +574,33 @@
             self.rules.cold(self.now, host, warmth, self.hosts[host].capacity, who.load);
         }
         self.hosts[host].take(self.now, client, who.load, who.group);
-        if let Some((_, at)) = self.nodes[n].auths.get_mut(&auth) {
+        if let Some((_, at)) = self.nodes[n].connections.get_mut(&connection) {
             *at = Some(host);
         }
         // What stood before the day is in the session store already.
         let called = if self.now <= HOP { self.now } else { self.store.call(self.now) };
         let takes = self.hosts[host].message(self.now) * SETUP_MESSAGES;
         let process = self.hosts[host].life;
-        self.at(called + takes as u64, Event::Up(n, life, auth, leg, host, process));
+        self.at(called + takes as u64, Event::Up(n, life, connection, attempt, host, process));
     }
 
-    fn up(&mut self, n: usize, life: u64, auth: AuthId, leg: u32, host: usize, process: u64) {
+    fn up(&mut self, n: usize, life: u64, connection: ConnectionId, attempt: u32, host: usize, process: u64) {
         if !self.nodes[n].up || self.nodes[n].life != life || self.hosts[host].life != process {
             return;
         }
-        let Some(&(client, Some(at))) = self.nodes[n].auths.get(&auth) else { return };
-        let asking = self.people[client].place == Place::Asking(n, life, auth);
-        // A leg that was closed and one that followed it may be at the same host.
-        let latest = self.legs(n, life, auth) == leg;
+        let Some(&(client, Some(at))) = self.nodes[n].connections.get(&connection) else { return };
+        let asking = self.people[client].place == Place::Asking(n, life, connection);
+        // An attempt that was closed and one that followed it may be at the same host.
+        let latest = self.attempts(n, life, connection) == attempt;
         if at != host || !asking || !latest || !self.hosts[host].up {
             return;
         }
-        self.people[client].place = Place::Standing(n, life, auth, host);
-        self.rules.over((n, life, auth.0));
-        self.rules.answer(self.now, (n, life, auth.0));
-        self.feed(n, Input::LegUp { auth, leg });
+        self.people[client].place = Place::Standing(n, life, connection, host);
+        self.rules.over((n, life, connection.0));
+        self.rules.answer(self.now, (n, life, connection.0));
+        self.feed(n, Input::AttemptAccepted { connection, attempt });
         let load = self.clients[client].load * LOAD;
-        self.feed(n, Input::Load { auth, load });
+        self.feed(n, Input::LoadReported { connection, load });
     }
 
     fn blow(&mut self, blow: Blow) {
@@ -602,7 +608,7 @@
             Blow::HostDies(host) => {
                 let held = self.hosts[host].die();
                 for client in held {
-                    let (Place::Standing(n, life, auth, _) | Place::Asking(n, life, auth)) =
+                    let (Place::Standing(n, life, connection, _) | Place::Asking(n, life, connection)) =
                         self.people[client].place
                     else {
                         continue;
@@ -610,19 +616,25 @@
                     if !self.nodes[n].up || self.nodes[n].life != life {
                         continue;
                     }
-                    if let Some((_, at)) = self.nodes[n].auths.get_mut(&auth) {
+                    if let Some((_, at)) = self.nodes[n].connections.get_mut(&connection) {
                         *at = None;
                     }
                     let standing = matches!(self.people[client].place, Place::Standing(..));
-                    let leg = self.legs(n, life, auth);
+                    let attempt = self.attempts(n, life, connection);
                     if standing {
-                        self.nodes[n].auths.remove(&auth);
-                        self.feed(n, Input::LegEnded { auth, leg, end: LegEnd::Broken });
-                        self.feed(n, Input::Closed { auth });
+                        self.nodes[n].connections.remove(&connection);
+                        self.feed(
+                            n,
+                            Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Broken },
+                        );
+                        self.feed(n, Input::SocketsClosed { connection });
                         self.breaks(client);
                     } else {
-                        self.rules.over((n, life, auth.0));
-                        self.feed(n, Input::LegEnded { auth, leg, end: LegEnd::Broken });
+                        self.rules.over((n, life, connection.0));
+                        self.feed(
+                            n,
+                            Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Broken },
+                        );
                     }
                 }
                 if !self.unlisted {
@@ -641,10 +653,10 @@
                 self.news();
             }
             Blow::BalancerDies(n) => {
-                let auths = std::mem::take(&mut self.nodes[n].auths);
+                let connections = std::mem::take(&mut self.nodes[n].connections);
                 self.nodes[n].up = false;
                 self.nodes[n].died = self.now;
-                for (_, (client, host)) in auths {
+                for (_, (client, host)) in connections {
                     if let Some(host) = host {
                         self.hosts[host].release(client);
                     }
@@ -660,9 +672,9 @@
         }
     }
 
-    /// The number of the leg that is out: the last that was opened.
-    fn legs(&self, n: usize, life: u64, auth: AuthId) -> u32 {
-        self.rules.legs((n, life, auth.0)).saturating_sub(1)
+    /// The number of the attempt that is out: the last that was opened.
+    fn attempts(&self, n: usize, life: u64, connection: ConnectionId) -> u32 {
+        self.rules.attempts((n, life, connection.0)).saturating_sub(1)
     }
 
     /// Hosts go on for a step, and what it was worth.
@@ -703,20 +715,20 @@
     }
 
     fn dropped(&mut self, client: usize) {
-        self.ended_by_host(client, LegEnd::Broken);
+        self.ended_by_host(client, AttemptOutcome::Broken);
     }
 
     fn sent_away(&mut self, client: usize) {
-        self.ended_by_host(client, LegEnd::SentAway);
+        self.ended_by_host(client, AttemptOutcome::SentAway);
     }
 
-    fn ended_by_host(&mut self, client: usize, end: LegEnd) {
-        let Place::Standing(n, life, auth, _) = self.people[client].place else { return };
-        let leg = self.legs(n, life, auth);
-        self.close_leg(n, auth);
-        self.nodes[n].auths.remove(&auth);
-        self.feed(n, Input::LegEnded { auth, leg, end });
-        self.feed(n, Input::Closed { auth });
+    fn ended_by_host(&mut self, client: usize, end: AttemptOutcome) {
+        let Place::Standing(n, life, connection, _) = self.people[client].place else { return };
+        let attempt = self.attempts(n, life, connection);
+        self.close_attempt(n, connection);
+        self.nodes[n].connections.remove(&connection);
+        self.feed(n, Input::AttemptEnded { connection, attempt, end });
+        self.feed(n, Input::SocketsClosed { connection });
         self.breaks(client);
     }
 
@@ -759,9 +771,9 @@
             // To one connection of each balancer.
             let mut told = vec![false; self.nodes.len()];
             for client in self.hosts[host].held.keys().copied().collect::<Vec<_>>() {
-                if let Place::Standing(n, life, auth, _) = self.people[client].place {
+                if let Place::Standing(n, life, connection, _) = self.people[client].place {
                     if !std::mem::replace(&mut told[n], true) && self.nodes[n].life == life {
-                        self.feed(n, Input::Load { auth, load: (took / 1000.0).round() });
+                        self.feed(n, Input::LoadReported { connection, load: (took / 1000.0).round() });
                     }
                 }
             }
--- a/simulation/src/host.rs
+++ b/simulation/src/host.rs
@@ -1,4 +1,4 @@
-//! An issuer host: a processor shared by what stands there.
+//! An server: a processor shared by what stands there.
 
 use std::collections::BTreeMap;
 
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,4 +1,4 @@
-//! A model of what the connection balancer serves, in virtual time: issuer hosts, a session store, clients and the front that
+//! A model of what the connection balancer serves, in virtual time: servers, a session store, clients and the front that
 //! spreads them, around several of the daemon's real reducers. It takes the place of sockets, not of decisions.
 //!
 //! **What it does.** [`day::play`] plays one seeded day of a [`world::World`] under a [`world::Trouble`], and returns
--- a/simulation/src/rules.rs
+++ b/simulation/src/rules.rs
@@ -14,7 +14,7 @@
 /// One that a balancer took.
 #[derive(Debug, Default)]
 struct Taken {
-    legs: u32,
+    attempts: u32,
     out: bool,
     answers: u32,
 }
@@ -46,16 +46,16 @@
         self.told.retain(|(of, _), _| *of != balancer);
     }
 
-    /// A leg is opened.
-    pub fn leg(&mut self, now: u64, who: (usize, u64, u64), host: usize) {
+    /// An attempt is opened.
+    pub fn attempt(&mut self, now: u64, who: (usize, u64, u64), host: usize) {
         let taken = self.taken.entry(who).or_default();
-        taken.legs += 1;
+        taken.attempts += 1;
         if taken.out {
             self.broken.push(format!("{now}: two legs of {who:?} at once"));
         }
         taken.out = true;
-        if taken.legs > 6 {
-            self.broken.push(format!("{now}: {} legs for {who:?}", taken.legs));
+        if taken.attempts > 6 {
+            self.broken.push(format!("{now}: {} legs for {who:?}", taken.attempts));
         }
         if taken.answers > 0 {
             self.broken.push(format!("{now}: a leg for {who:?} after its answer"));
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Legs opened so far for one that was taken.
-    pub fn legs(&self, who: (usize, u64, u64)) -> u32 {
-        self.taken.get(&who).map_or(0, |taken| taken.legs)
+    /// Attempts opened so far for one that was taken.
+    pub fn attempts(&self, who: (usize, u64, u64)) -> u32 {
+        self.taken.get(&who).map_or(0, |taken| taken.attempts)
     }
 
-    /// A leg is over or closed.
+    /// An attempt is over or closed.
     pub fn over(&mut self, who: (usize, u64, u64)) {
         if let Some(taken) = self.taken.get_mut(&who) {
             taken.out = false;
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -65,7 +65,7 @@
     rebalance: Option<PathBuf>,
 }
 
-/// Play the acquirer side's flows of a pcap file into a front, with loopback hosts only.
+/// Play the client's flows of a pcap file into a front, with loopback hosts only.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct Replay {
@@ -83,11 +83,11 @@
     port: Option<u16>,
 }
 
-/// Take an issuer host out, whatever any list says, until it is included again.
+/// Take an server out, whatever any list says, until it is included again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "exclude")]
 struct Exclude {
-    /// name of the issuer host
+    /// name of the server
     #[argh(positional)]
     host: String,
     /// address of a balancer's operators' door (default: $NODE_MGMT)
@@ -95,11 +95,11 @@
     mgmt: Option<String>,
 }
 
-/// Use an issuer host again that was excluded.
+/// Use an server again that was excluded.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "include")]
 struct Include {
-    /// name of the issuer host
+    /// name of the server
     #[argh(positional)]
     host: String,
     /// address of a balancer's operators' door (default: $NODE_MGMT)
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -10,11 +10,11 @@
 use crate::protocol::irc;
 use crate::protocol::json::{self, Fault, Place};
 use crate::routing::store::LONGEST_NODE;
-use crate::routing::{stored_host, Budget, IssuerHost, Lifecycle, PoolSetup, MOST_PROBES};
+use crate::routing::{stored_host, Budget, Endpoint, Lifecycle, PoolSetup, MOST_PROBES};
 use crate::transport::MOST_CALLERS;
 use crate::{rebalance, Class, Micros, Repeat, Scope, Settings, Tenant, ZoneId};
 
-/// The acquirer side of the platform has so long for its first line, which it sends at once. One that says
+/// The client of the platform has so long for its first line, which it sends at once. One that says
 /// nothing is to be closed within 3 s, the wait to be accepted included.
 const PLATFORM_GREETING: Micros = 1_500_000;
 /// The platform's clients send a line every 2 s and have one back at once: after this long without, a
@@ -85,14 +85,14 @@
         Limits { sockets, memory_mb }
     }
 
-    /// About a quarter of the descriptors is for connections without a leg, the rest for those with one, who
-    /// take two each. Half of the memory is for the buffers of all of them: one each, two with a leg. The
+    /// About a quarter of the descriptors is for connections without an attempt, the rest for those with one, who
+    /// take two each. Half of the memory is for the buffers of all of them: one each, two with an attempt. The
     /// operators' door and probes of hosts, where there are any, have their own set aside.
     pub fn budget(self, door: bool, probes: bool) -> Budget {
         let own = Limits::OWN + if door { Limits::DOOR } else { 0 } + if probes { MOST_PROBES } else { 0 };
         let (free, memory) = (self.sockets - own, (self.memory_mb << 20) / 2);
         let most = memory / Limits::LEAST_BUFFER;
-        // Danger: usual clients alone may hold a third of all descriptors, with a leg for each.
+        // Danger: usual clients alone may hold a third of all descriptors, with an attempt for each.
         let held = (free * 3 / 8).max(self.sockets / 3 + 1).min(free * 7 / 16).min(most * 3 / 8);
         let waiting = (free - 2 * held).min(most / 4);
         let buffer = memory / (waiting + 2 * held);
@@ -118,9 +118,9 @@
 pub struct Platform {
     /// Its balancer's name.
     pub name: String,
-    /// Where the platform's acquirer side connects.
+    /// Where the platform's client connects.
     pub listen: SocketAddr,
-    /// The routing table as last held.
+    /// The endpoint list as last held.
     pub known: News,
     /// The platform's pool.
     pub pool: PoolSetup,
@@ -236,12 +236,12 @@
 /// What the IRC front is told.
 #[derive(Debug)]
 pub struct Irc {
-    /// Where its acquirer side connects.
+    /// Where its client connects.
     pub listen: SocketAddr,
     /// How it speaks.
     pub setup: irc::Setup,
-    /// Its issuer hosts.
-    pub hosts: Vec<IssuerHost>,
+    /// Its servers.
+    pub hosts: Vec<Endpoint>,
     /// Its pool.
     pub pool: PoolSetup,
 }
@@ -418,9 +418,9 @@
     Ok(Some(StoreConfig { node, listen: address(&place.at("listen"))?, peers, data }))
 }
 
-fn irc_host(host: &Place<'_>) -> Result<IssuerHost, Fault> {
+fn irc_host(host: &Place<'_>) -> Result<Endpoint, Fault> {
     host.only(&["name", "address", "zone", "weight"])?;
-    Ok(IssuerHost {
+    Ok(Endpoint {
         name: host.at("name").must_text()?,
         address: address(&host.at("address"))?.to_string(),
         zone: host.at("zone").text()?.unwrap_or_default(),
@@ -588,7 +588,7 @@
     }
 }
 
-/// Names under which the issuer hosts' reports hold load over capacity, on this wire, where a probe brings one.
+/// Names under which the servers' reports hold load over capacity, on this wire, where a probe brings one.
 fn reports(settings: &Place<'_>) -> Result<Vec<&'static str>, Fault> {
     let reporting = settings.at("reporting");
     let fields = reporting.at("fields").texts()?;
--- a/src/protocol/hot_restart.rs
+++ b/src/protocol/hot_restart.rs
@@ -6,7 +6,7 @@
 use winnow::{ModalResult, Parser};
 
 use crate::routing::store::{Entry, Store};
-use crate::routing::{Authorisation, IssuerHost, Legacy, Lifecycle, Standing};
+use crate::routing::{ConnectionRequest, Endpoint, Legacy, Lifecycle, Standing};
 use crate::{Learned, Time};
 
 /// The longest message.
@@ -31,7 +31,7 @@
     Done,
     /// The process that starts serves now.
     Serving,
-    /// Beside this come the acquirer side's socket and its leg's, of a connection that stands at that front;
+    /// Beside this come the client's socket and its attempt's, of a connection that stands at that front;
     /// and what the front itself has to know of it.
     Standing { front: String, standing: Standing, state: Vec<u8> },
     /// A host is out by hand, or is not any more; the answer has the same number.
@@ -46,7 +46,7 @@
     Ban(String),
     EverListed(String),
     Entry(String, Entry),
-    Host { pool: String, host: IssuerHost, learned: Option<Learned> },
+    Host { pool: String, host: Endpoint, learned: Option<Learned> },
     Returned { pool: String, host: String, since: Time },
     Id { pool: String, id: String },
     Left(u64),
@@ -129,8 +129,8 @@
     })
 }
 
-fn host(input: &mut &[u8]) -> ModalResult<IssuerHost> {
-    Ok(IssuerHost {
+fn host(input: &mut &[u8]) -> ModalResult<Endpoint> {
+    Ok(Endpoint {
         name: text(input)?,
         address: text(input)?,
         zone: text(input)?,
@@ -143,8 +143,8 @@
     })
 }
 
-fn authorisation(input: &mut &[u8]) -> ModalResult<Authorisation> {
-    Ok(Authorisation {
+fn connection_request(input: &mut &[u8]) -> ModalResult<ConnectionRequest> {
+    Ok(ConnectionRequest {
         id: maybe(text).parse_next(input)?,
         class: text(input)?,
         tenant: maybe(text).parse_next(input)?,
@@ -160,7 +160,8 @@
 }
 
 fn standing(input: &mut &[u8]) -> ModalResult<Standing> {
-    let (ask, host, load, asked) = (authorisation, text, maybe(number), maybe(time)).parse_next(input)?;
+    let (ask, host, load, asked) =
+        (connection_request, text, maybe(number), maybe(time)).parse_next(input)?;
     Ok(Standing { ask, host, load, asked })
 }
 
@@ -250,7 +251,7 @@
         self.number(known.ceiling).time(&known.troubled).small(known.failures).time(&known.failed_at);
         self.figure(known.out_until.0).figure(known.next_cold_send.0).time(&known.moved)
     }
-    fn host(&mut self, host: &IssuerHost) -> &mut Out {
+    fn host(&mut self, host: &Endpoint) -> &mut Out {
         self.text(&host.name).text(&host.address).text(&host.zone).small(host.cell);
         self.tag(u8::from(host.lifecycle != Lifecycle::Ready)).number(host.weight).time(&host.started)
     }
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -1,4 +1,4 @@
-//! Discovery's HTTP/1.1: calls for the routing table, and its entries in JSON.
+//! Discovery's HTTP/1.1: calls for the endpoint list, and its entries in JSON.
 
 use winnow::ascii::{dec_uint, space0};
 use winnow::combinator::{delimited, repeat, terminated};
@@ -7,7 +7,7 @@
 use winnow::{ModalResult, Parser};
 
 use super::json::{self, Fault, Place};
-use crate::routing::{IssuerHost, Lifecycle};
+use crate::routing::{Endpoint, Lifecycle};
 use crate::Time;
 
 /// The longest answer taken: many times what the largest fleet's list needs.
@@ -121,7 +121,7 @@
     Ok(Some(Answer { status: head.status, body, close, taken: bytes.len() - left.len() }))
 }
 
-/// A routing table, or changes of it.
+/// A endpoint list, or changes of it.
 #[derive(Debug, PartialEq)]
 pub struct News {
     /// Its version.
@@ -129,14 +129,14 @@
     /// All of it, not changes only.
     pub whole: bool,
     /// Its entries.
-    pub hosts: Vec<IssuerHost>,
+    pub hosts: Vec<Endpoint>,
 }
 
 /// Reads a list.
 pub fn news(place: &Place<'_>) -> Result<News, Fault> {
-    let host = |item: &Place<'_>| -> Result<IssuerHost, Fault> {
+    let host = |item: &Place<'_>| -> Result<Endpoint, Fault> {
         let state = item.at("lifecycle");
-        Ok(IssuerHost {
+        Ok(Endpoint {
             name: item.at("instanceId").must_text()?,
             address: item.at("hostPort").must_text()?,
             zone: item.at("zone").text()?.unwrap_or_default(),
--- a/src/protocol/irc.rs
+++ b/src/protocol/irc.rs
@@ -1,5 +1,5 @@
 //! The IRC front: RFC 1459 and 2812 with IRCv3's `CAP`. A registration that is complete is what the
-//! acquirer side asks; the leg repeats it to an issuer host, and `001` there is its acceptance.
+//! client asks; the attempt repeats it to an server, and `001` there is its acceptance.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 
 use super::lines::{Cut, Lines, Relay};
 use super::{Front, Step};
-use crate::routing::{Answer, Authorisation, LegEnd};
+use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
 
 /// The longest line, its end included, without its tags (RFC 1459, 2.3).
@@ -20,7 +20,7 @@
 const MOST_LINES: u32 = 64;
 /// Bytes that may come before that, the passed over ones included.
 const MOST_BYTES: usize = 64 << 10;
-/// Bytes of a host's notices before its welcome that are kept for the acquirer side.
+/// Bytes of a host's notices before its welcome that are kept for the client.
 const MOST_NOTICES: usize = 4096;
 /// Bytes that a client may send ahead while it waits for its host.
 const MOST_AHEAD: usize = 8 << 10;
@@ -30,7 +30,7 @@
 pub struct Setup {
     /// Its name, as it stands before its own lines.
     pub name: String,
-    /// Where the acquirer side is told to come again.
+    /// Where the client is told to come again.
     pub address: (String, u16),
     /// The class and tenant of what is asked here.
     pub class: String,
@@ -92,7 +92,7 @@
     Over,
 }
 
-/// What the acquirer side has said of itself.
+/// What the client has said of itself.
 #[derive(Debug, Default)]
 struct Registration {
     pass: Option<Vec<u8>>,
@@ -111,14 +111,14 @@
     registration: Registration,
     lines: u32,
     bytes: usize,
-    acquirer: Lines,
+    client: Lines,
     /// The rest of a line that was too long is passed over up to its end.
     skipping: bool,
-    issuer: Lines,
+    server: Lines,
     /// What the host said before its welcome.
     notices: Vec<u8>,
     relay: Relay,
-    /// The acquirer side has said that it goes.
+    /// The client has said that it goes.
     quit: bool,
 }
 
@@ -140,10 +140,10 @@
         format!("ERROR :Closing Link: {} ({why})\r\n", self.nick()).into_bytes()
     }
 
-    /// The next line of the acquirer side that is fit to be read; what is not is answered here.
+    /// The next line of the client that is fit to be read; what is not is answered here.
     fn next_line(&mut self, steps: &mut Vec<Step>) -> Option<Vec<u8>> {
         loop {
-            let cut = self.acquirer.next(LONGEST_TAGS + LONGEST_LINE);
+            let cut = self.client.next(LONGEST_TAGS + LONGEST_LINE);
             let skipped = std::mem::take(&mut self.skipping);
             let line = match cut {
                 Cut::None => {
@@ -152,9 +152,9 @@
                 }
                 // Danger: a line without end must not fill the memory.
                 Cut::TooLong => {
-                    self.skipping = !self.acquirer.drop_line();
+                    self.skipping = !self.client.drop_line();
                     if !skipped {
-                        steps.push(Step::ToAcquirer(self.numeric(417, ":Input line was too long")));
+                        steps.push(Step::ToClient(self.numeric(417, ":Input line was too long")));
                     }
                     continue;
                 }
@@ -162,9 +162,9 @@
                 Cut::Line(line) => line,
             };
             if too_long(&line) {
-                steps.push(Step::ToAcquirer(self.numeric(417, ":Input line was too long")));
+                steps.push(Step::ToClient(self.numeric(417, ":Input line was too long")));
             } else if line.contains(&0) {
-                steps.push(Step::ToAcquirer(self.numeric(400, ":Line with a NUL byte")));
+                steps.push(Step::ToClient(self.numeric(400, ":Line with a NUL byte")));
             } else {
                 return Some(line);
             }
@@ -184,17 +184,17 @@
             }
             match message(&line) {
                 None if line.is_empty() => {}
-                None => steps.push(Step::ToAcquirer(self.numeric(421, "* :Unknown command"))),
+                None => steps.push(Step::ToClient(self.numeric(421, "* :Unknown command"))),
                 Some(message) => {
                     let command = message.command.to_ascii_uppercase();
                     if command == b"QUIT" {
                         self.phase = Phase::Over;
-                        steps.push(Step::ToAcquirer(self.error("Quit")));
+                        steps.push(Step::ToClient(self.error("Quit")));
                         return steps.push(Step::Close);
                     }
                     let reply = self.command(&command, &message.params);
                     if !reply.is_empty() {
-                        steps.push(Step::ToAcquirer(reply));
+                        steps.push(Step::ToClient(reply));
                     }
                 }
             }
@@ -204,7 +204,12 @@
                 let (class, tenant) = (self.setup.class.clone(), self.setup.tenant.clone());
                 // A tool that reconnects takes its nickname again.
                 let key = said.nick.as_deref().map(super::hashed);
-                steps.push(Step::Authorise(Authorisation { class, tenant, key, ..Authorisation::default() }));
+                steps.push(Step::ConnectionRequested(ConnectionRequest {
+                    class,
+                    tenant,
+                    key,
+                    ..ConnectionRequest::default()
+                }));
             }
         }
     }
@@ -283,16 +288,16 @@
 
     /// Danger: one that never completes its registration could keep the front busy for nothing.
     fn flood(&mut self, steps: &mut Vec<Step>) {
-        let ahead = self.phase == Phase::Placing && self.acquirer.len() > MOST_AHEAD;
+        let ahead = self.phase == Phase::Placing && self.client.len() > MOST_AHEAD;
         if self.lines > MOST_LINES || self.bytes > MOST_BYTES || ahead {
             self.phase = Phase::Over;
-            self.acquirer.take();
-            steps.push(Step::ToAcquirer(self.error("Excess Flood")));
+            self.client.take();
+            steps.push(Step::ToClient(self.error("Excess Flood")));
             steps.push(Step::Close);
         }
     }
 
-    /// Lines of the acquirer side for the host it has been placed at.
+    /// Lines of the client for the host it has been placed at.
     fn relay_lines(&mut self, steps: &mut Vec<Step>) {
         let mut pass = Vec::new();
         while let Some(line) = self.next_line(steps) {
@@ -301,39 +306,39 @@
             pass.extend_from_slice(b"\r\n");
         }
         if !pass.is_empty() {
-            steps.push(Step::ToIssuer(pass));
+            steps.push(Step::ToServer(pass));
         }
     }
 
-    /// A line of the host before its welcome; whether it decided the leg.
+    /// A line of the host before its welcome; whether it decided the attempt.
     fn verdict(&mut self, line: &[u8], steps: &mut Vec<Step>) -> bool {
         let whole = [line, b"\r\n"].concat();
         let Some(message) = message(line) else { return false };
         match &message.command.to_ascii_uppercase()[..] {
             b"PING" => {
                 let token = message.params.first().copied().unwrap_or_default();
-                steps.push(Step::ToIssuer([b"PONG :", token, b"\r\n"].concat()));
+                steps.push(Step::ToServer([b"PONG :", token, b"\r\n"].concat()));
                 return false;
             }
             b"001" => {
                 self.phase = Phase::Standing;
                 let mut first = std::mem::take(&mut self.notices);
                 first.extend_from_slice(&whole);
-                steps.push(Step::ToAcquirer(first));
+                steps.push(Step::ToClient(first));
                 steps.push(Step::Up);
             }
             b"CAP" if message.params.get(1).is_some_and(|verb| verb.eq_ignore_ascii_case(b"NAK")) => {
-                steps.push(Step::LegEnded(LegEnd::Error))
+                steps.push(Step::AttemptEnded(AttemptOutcome::Error))
             }
             b"CAP" => return false,
-            b"ERROR" => steps.push(Step::LegEnded(LegEnd::Error)),
+            b"ERROR" => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
             // The host is full, or wants its clients elsewhere.
-            b"263" | b"010" => steps.push(Step::LegEnded(LegEnd::TurnedAway)),
+            b"263" | b"010" => steps.push(Step::AttemptEnded(AttemptOutcome::TurnedAway)),
             // What it thinks of the nickname or the password no other host decides.
             b"431" | b"432" | b"433" | b"436" | b"437" | b"464" | b"465" => {
                 let error = self.error("Registration refused");
-                steps.push(Step::ToAcquirer([whole, error].concat()));
-                steps.push(Step::LegEnded(LegEnd::Verdict));
+                steps.push(Step::ToClient([whole, error].concat()));
+                steps.push(Step::AttemptEnded(AttemptOutcome::Verdict));
             }
             _ => {
                 if self.notices.len() + whole.len() <= MOST_NOTICES {
@@ -354,14 +359,14 @@
 }
 
 impl Front for Connection {
-    fn acquirer_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         if self.phase == Phase::Over {
             return;
         }
         if self.phase == Phase::Registering {
             self.bytes += bytes.len();
         }
-        self.acquirer.push(bytes);
+        self.client.push(bytes);
         self.register(steps);
         // Danger: not read any further, its end would not be seen either, and it would be sent on for nobody.
         if self.phase == Phase::Placing {
@@ -372,8 +377,8 @@
         }
     }
 
-    fn open_leg(&mut self, _wait: Micros) -> Vec<u8> {
-        self.issuer = Lines::default();
+    fn open_attempt(&mut self, _wait: Micros) -> Vec<u8> {
+        self.server = Lines::default();
         self.notices.clear();
         let said = &self.registration;
         let mut lines = Vec::new();
@@ -393,15 +398,15 @@
         lines
     }
 
-    fn issuer_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         let most = LONGEST_TAGS + LONGEST_LINE;
         let mut bytes = bytes.to_vec();
         if self.phase != Phase::Standing {
-            self.issuer.push(&bytes);
+            self.server.push(&bytes);
             loop {
-                match self.issuer.next(most) {
+                match self.server.next(most) {
                     Cut::None => return,
-                    Cut::TooLong => return steps.push(Step::LegEnded(LegEnd::Error)),
+                    Cut::TooLong => return steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
                     Cut::Line(line) if self.verdict(&line, steps) => break,
                     Cut::Line(_) => {}
                 }
@@ -409,21 +414,21 @@
             if self.phase != Phase::Standing {
                 return;
             }
-            bytes = self.issuer.take();
+            bytes = self.server.take();
             self.relay_lines(steps);
         }
         let (rest, lines) = self.relay.pass(&bytes, most);
         let pass = [rest, lines].concat();
         if !pass.is_empty() {
-            steps.push(Step::ToAcquirer(pass));
+            steps.push(Step::ToClient(pass));
         }
     }
 
-    fn issuer_ended(&mut self, _broken: bool) -> LegEnd {
+    fn server_ended(&mut self, _broken: bool) -> AttemptOutcome {
         if self.quit {
-            LegEnd::Served
+            AttemptOutcome::Served
         } else {
-            LegEnd::Broken
+            AttemptOutcome::Broken
         }
     }
 
@@ -453,7 +458,7 @@
     }
 
     fn at_rest(&self) -> Option<Vec<u8>> {
-        let rest = self.acquirer.is_empty() && !self.skipping && self.relay.at_start() && !self.quit;
+        let rest = self.client.is_empty() && !self.skipping && self.relay.at_start() && !self.quit;
         let nick = self.registration.nick.clone().unwrap_or_default();
         (self.phase == Phase::Standing && rest).then_some(nick)
     }
@@ -465,7 +470,7 @@
 
     fn waiting(&self) -> usize {
         if self.phase == Phase::Placing {
-            self.acquirer.len()
+            self.client.len()
         } else {
             0
         }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -12,7 +12,7 @@
 pub mod peers;
 pub mod platform;
 
-use crate::routing::{Answer, Authorisation, LegEnd};
+use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
 
 /// The longest line of the platform's wire, CRLF included.
@@ -29,37 +29,37 @@
 /// What a front makes of the bytes that came, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// For the acquirer side.
-    ToAcquirer(Vec<u8>),
-    /// For the issuer host.
-    ToIssuer(Vec<u8>),
-    /// The acquirer side asks whether this balancer can serve; this is for it if so.
+    /// For the client.
+    ToClient(Vec<u8>),
+    /// For the server.
+    ToServer(Vec<u8>),
+    /// The client asks whether this balancer can serve; this is for it if so.
     Ping(Vec<u8>),
-    /// The acquirer side asks.
-    Authorise(Authorisation),
-    /// The issuer host accepted.
+    /// The client asks.
+    ConnectionRequested(ConnectionRequest),
+    /// The server accepted.
     Up,
     /// It told the connection's load.
     Load(f64),
-    /// It ended the leg by its word; for [`LegEnd::Verdict`] the answer has been given with it.
-    LegEnded(LegEnd),
-    /// The acquirer side broke its protocol before it asked, and has been told: end it.
+    /// It ended the attempt by its word; for [`AttemptOutcome::Verdict`] the answer has been given with it.
+    AttemptEnded(AttemptOutcome),
+    /// The client broke its protocol before it asked, and has been told: end it.
     Close,
 }
 
-/// One connection of the acquirer side with the leg that is out for it.
+/// One connection of the client with the attempt that is out for it.
 pub trait Front {
-    /// Bytes came from the acquirer side.
-    fn acquirer_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
-    /// A leg is opened, and the host has so long: what is to be written first.
-    fn open_leg(&mut self, wait: Micros) -> Vec<u8>;
-    /// Bytes came from the issuer host.
-    fn issuer_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
-    /// The issuer host ended its side, or its connection broke: what that says of the leg.
-    fn issuer_ended(&mut self, broken: bool) -> LegEnd;
+    /// Bytes came from the client.
+    fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
+    /// An attempt is opened, and the host has so long: what is to be written first.
+    fn open_attempt(&mut self, wait: Micros) -> Vec<u8>;
+    /// Bytes came from the server.
+    fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
+    /// The server ended its side, or its connection broke: what that says of the attempt.
+    fn server_ended(&mut self, broken: bool) -> AttemptOutcome;
     /// The answer in this front's words. None where there is none to give.
     fn answer(&mut self, answer: Answer) -> Vec<u8>;
-    /// Bytes of an unfinished line from the issuer host, which nobody waits for any more.
+    /// Bytes of an unfinished line from the server, which nobody waits for any more.
     fn held_back(&mut self) -> Vec<u8>;
     /// What another process has to know to go on with a connection that stands, while it is between two lines
     /// in both directions; none while it is not.
--- a/src/protocol/pcap.rs
+++ b/src/protocol/pcap.rs
@@ -147,8 +147,8 @@
 /// Which way bytes went on a front's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Way {
-    FromAcquirer,
-    ToAcquirer,
+    FromClient,
+    ToClient,
 }
 
 /// How a side of a connection ended.
@@ -161,9 +161,9 @@
 /// A connection as packets: what its sockets read and wrote, with the numbers that TCP would have given.
 #[derive(Debug)]
 pub struct Tape {
-    acquirer: SocketAddr,
+    client: SocketAddr,
     front: SocketAddr,
-    /// What each side sends next: the acquirer side, the front.
+    /// What each side sends next: the client, the front.
     next: [u32; 2],
     closed: [bool; 2],
 }
@@ -178,17 +178,17 @@
 
 impl Tape {
     /// A connection that was just taken in, and its handshake's records.
-    pub fn start(at: Micros, acquirer: SocketAddr, front: SocketAddr) -> (Tape, Vec<u8>) {
-        let mut tape = Tape { acquirer, front, next: [1, 1], closed: [false; 2] };
-        let mut out = tape.packet(at, Way::FromAcquirer, 0, Flags { syn: true, ..Flags::default() }, &[]);
+    pub fn start(at: Micros, client: SocketAddr, front: SocketAddr) -> (Tape, Vec<u8>) {
+        let mut tape = Tape { client, front, next: [1, 1], closed: [false; 2] };
+        let mut out = tape.packet(at, Way::FromClient, 0, Flags { syn: true, ..Flags::default() }, &[]);
         out.extend(tape.packet(
             at,
-            Way::ToAcquirer,
+            Way::ToClient,
             0,
             Flags { syn: true, ack: true, ..Flags::default() },
             &[],
         ));
-        out.extend(tape.data(at, Way::FromAcquirer, &[]));
+        out.extend(tape.data(at, Way::FromClient, &[]));
         (tape, out)
     }
 
@@ -220,8 +220,8 @@
 
     fn packet(&self, at: Micros, way: Way, seq: u32, flags: Flags, payload: &[u8]) -> Vec<u8> {
         let (from, to) = match way {
-            Way::FromAcquirer => (self.acquirer, self.front),
-            Way::ToAcquirer => (self.front, self.acquirer),
+            Way::FromClient => (self.client, self.front),
+            Way::ToClient => (self.front, self.client),
         };
         let builder = match (from.ip(), to.ip()) {
             (IpAddr::V4(from), IpAddr::V4(to)) => PacketBuilder::ipv4(from.octets(), to.octets(), 64),
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's front: `OPEN` from the acquirer side, `UP`, `BUSY`, `ERR`, `BYE` and `MOVE` from
-//! issuer hosts, and lines both ways between.
+//! The platform's front: `OPEN` from the client, `UP`, `BUSY`, `ERR`, `BYE` and `MOVE` from
+//! servers, and lines both ways between.
 
 use winnow::ascii::{dec_uint, float, hex_uint};
 use winnow::combinator::{alt, opt, preceded, separated, separated_pair};
@@ -9,19 +9,19 @@
 
 use super::lines::{Cut, Lines, Measure, Relay};
 use super::{hashed, Front, Step, LONGEST_LINE};
-use crate::routing::{Answer, Authorisation, LegEnd, ProbeEnd};
+use crate::routing::{Answer, AttemptOutcome, ConnectionRequest, ProbeEnd};
 use crate::{Micros, Report};
 
-/// The first line of an acquirer side.
+/// The first line of an client.
 #[derive(Debug, PartialEq)]
 pub enum Greeting {
     /// The front asks whether this balancer is there.
     Ping,
     /// A connection is wanted. `d` in the line is the piece between its parts.
-    Open { ask: Box<Authorisation>, before: Vec<u8>, after: Option<Vec<u8>> },
+    Open { ask: Box<ConnectionRequest>, before: Vec<u8>, after: Option<Vec<u8>> },
 }
 
-/// A line of an issuer host.
+/// A line of an server.
 #[derive(Debug, PartialEq)]
 pub enum Word {
     Up,
@@ -70,7 +70,8 @@
     let text = |value| String::from_utf8_lossy(value).into_owned();
     let number =
         |value| float::<_, f64, ContextError>.parse(value).ok().filter(|n| n.is_finite() && *n >= 0.0);
-    let mut ask = Authorisation { id: Some(text(id)), key: Some(hashed(key)), ..Authorisation::default() };
+    let mut ask =
+        ConnectionRequest { id: Some(text(id)), key: Some(hashed(key)), ..ConnectionRequest::default() };
     // Danger: only the figure of `d` may change on its way; the rest has to stay as it came.
     let (mut before, mut after) = (line.to_vec(), None);
     for (n, &(name, value)) in pairs.iter().enumerate() {
@@ -100,8 +101,8 @@
     (waits && !ask.class.is_empty()).then_some(Greeting::Open { ask: Box::new(ask), before, after })
 }
 
-/// Reads a line of an issuer host.
-pub fn issuer_word(line: &[u8]) -> Word {
+/// Reads a line of an server.
+pub fn server_reply(line: &[u8]) -> Word {
     let tail = || opt(preceded(b' ', rest));
     let parsed = alt((
         (b"UP", tail()).value(()).map(|()| Word::Up),
@@ -115,7 +116,7 @@
     parsed.unwrap_or(Word::Other)
 }
 
-/// What asks an issuer host for its load.
+/// What asks an server for its load.
 pub const PROBE: &[u8] = b"STATS\r\n";
 /// A host asked for so many times what it can do is believed; anything beyond is no figure.
 const MOST_LOAD: f64 = 1000.0;
@@ -163,21 +164,21 @@
 pub struct Connection {
     phase: Phase,
     pings: u32,
-    acquirer: Lines,
-    issuer: Lines,
+    client: Lines,
+    server: Lines,
     /// The first line before and after the figure of `d`.
     request: (Vec<u8>, Option<Vec<u8>>),
-    /// What the issuer host's last word said of the leg's end.
-    ended: Option<LegEnd>,
+    /// What the server's last word said of the attempt's end.
+    ended: Option<AttemptOutcome>,
     relay: Relay,
-    /// The line that the acquirer side is at.
+    /// The line that the client is at.
     line: Measure,
 }
 
 impl Connection {
     fn greet(&mut self, steps: &mut Vec<Step>) {
         while self.phase == Phase::Greeting {
-            let line = match self.acquirer.next(LONGEST_LINE) {
+            let line = match self.client.next(LONGEST_LINE) {
                 Cut::Line(line) => line,
                 Cut::None => return,
                 Cut::TooLong => return self.wrong(steps),
@@ -187,78 +188,78 @@
                     self.pings += 1;
                     steps.push(Step::Ping(b"PONG\r\n".to_vec()));
                 }
-                // The acquirer side waits for its answer: what comes with its question is none of it.
-                Some(Greeting::Open { ask, before, after }) if self.acquirer.is_empty() => {
+                // The client waits for its answer: what comes with its question is none of it.
+                Some(Greeting::Open { ask, before, after }) if self.client.is_empty() => {
                     self.phase = Phase::Placing;
                     self.request = (before, after);
-                    steps.push(Step::Authorise(*ask));
+                    steps.push(Step::ConnectionRequested(*ask));
                 }
                 _ => return self.wrong(steps),
             }
         }
-        if !self.acquirer.is_empty() {
+        if !self.client.is_empty() {
             self.wrong(steps);
         }
     }
 
-    /// The acquirer side broke its protocol: it is told, and nothing more of it is read.
+    /// The client broke its protocol: it is told, and nothing more of it is read.
     fn wrong(&mut self, steps: &mut Vec<Step>) {
         self.phase = Phase::Over;
-        self.acquirer.take();
-        steps.extend([Step::ToAcquirer(b"ERR\r\n".to_vec()), Step::Close]);
+        self.client.take();
+        steps.extend([Step::ToClient(b"ERR\r\n".to_vec()), Step::Close]);
     }
 
-    /// The first line of a leg decides it.
+    /// The first line of an attempt decides it.
     fn verdict(&mut self, steps: &mut Vec<Step>) {
-        let line = match self.issuer.next(LONGEST_LINE) {
+        let line = match self.server.next(LONGEST_LINE) {
             Cut::Line(line) => line,
             Cut::None => return,
-            Cut::TooLong => return steps.push(Step::LegEnded(LegEnd::Error)),
+            Cut::TooLong => return steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
         };
-        match issuer_word(&line) {
+        match server_reply(&line) {
             Word::Up => {
                 self.phase = Phase::Standing;
-                steps.push(Step::ToAcquirer([&line[..], b"\r\n"].concat()));
+                steps.push(Step::ToClient([&line[..], b"\r\n"].concat()));
                 steps.push(Step::Up);
             }
-            Word::Busy => steps.push(Step::LegEnded(LegEnd::TurnedAway)),
-            _ => steps.push(Step::LegEnded(LegEnd::Error)),
+            Word::Busy => steps.push(Step::AttemptEnded(AttemptOutcome::TurnedAway)),
+            _ => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
         }
     }
 
     fn relay(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         let (rest, lines) = self.relay.pass(bytes, LONGEST_LINE);
         for line in lines.split_inclusive(|&b| b == b'\n') {
-            match issuer_word(line.trim_ascii_end()) {
+            match server_reply(line.trim_ascii_end()) {
                 Word::Load(load) => steps.push(Step::Load(load)),
-                Word::Bye => self.ended = Some(LegEnd::Served),
-                Word::Move => self.ended = Some(LegEnd::SentAway),
+                Word::Bye => self.ended = Some(AttemptOutcome::Served),
+                Word::Move => self.ended = Some(AttemptOutcome::SentAway),
                 _ => {}
             }
         }
         let pass = [rest, lines].concat();
         if !pass.is_empty() {
-            steps.push(Step::ToAcquirer(pass));
+            steps.push(Step::ToClient(pass));
         }
     }
 }
 
 impl Front for Connection {
-    fn acquirer_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         match self.phase {
             Phase::Over => return,
             Phase::Standing if self.line.fits(bytes, LONGEST_LINE) => {
-                return steps.push(Step::ToIssuer(bytes.to_vec()));
+                return steps.push(Step::ToServer(bytes.to_vec()));
             }
             // Danger: a line without end would keep this balancer and a host busy for ever.
             Phase::Standing => return self.wrong(steps),
-            _ => self.acquirer.push(bytes),
+            _ => self.client.push(bytes),
         }
         self.greet(steps);
     }
 
-    fn open_leg(&mut self, wait: Micros) -> Vec<u8> {
-        self.issuer = Lines::default();
+    fn open_attempt(&mut self, wait: Micros) -> Vec<u8> {
+        self.server = Lines::default();
         let (before, after) = &self.request;
         let mut line = before.clone();
         if let Some(after) = after {
@@ -269,20 +270,20 @@
         line
     }
 
-    fn issuer_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         if self.phase == Phase::Standing {
             return self.relay(bytes, steps);
         }
-        self.issuer.push(bytes);
+        self.server.push(bytes);
         self.verdict(steps);
         if self.phase == Phase::Standing {
-            let more = self.issuer.take();
+            let more = self.server.take();
             self.relay(&more, steps);
         }
     }
 
-    fn issuer_ended(&mut self, _broken: bool) -> LegEnd {
-        self.ended.unwrap_or(LegEnd::Broken)
+    fn server_ended(&mut self, _broken: bool) -> AttemptOutcome {
+        self.ended.unwrap_or(AttemptOutcome::Broken)
     }
 
     fn answer(&mut self, answer: Answer) -> Vec<u8> {
@@ -311,6 +312,6 @@
     }
 
     fn waiting(&self) -> usize {
-        self.acquirer.len()
+        self.client.len()
     }
 }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -26,7 +26,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::{AuthId, Micros, ServerId, Time};
+use crate::{ConnectionId, Micros, ServerId, Time};
 
 pub use precedence::{Held, World};
 use rate::Rate;
@@ -86,17 +86,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Word {
     /// A client asks: by which flow's key, if it has one, and whether it says that it was moved or cut off.
-    Arrived { auth: AuthId, key: Option<u64>, again: bool },
+    Arrived { connection: ConnectionId, key: Option<u64>, again: bool },
     /// Its connection stands, so long after it was asked for at the host; none for one that stood before.
-    Stood { auth: AuthId, at: Connection, setup: Option<Micros> },
+    Stood { connection: ConnectionId, at: Connection, setup: Option<Micros> },
     /// It told its load, in microseconds of work a second.
-    Load { auth: AuthId, load: f64 },
+    Load { connection: ConnectionId, load: f64 },
     /// A host told how long a message takes there.
     Delay { host: ServerId, took: Micros },
     /// A client that asked was refused or failed.
-    Declined { auth: AuthId },
+    Declined { connection: ConnectionId },
     /// Nothing is left of it here; `natural` unless it was moved or cut off.
-    Ended { auth: AuthId, natural: bool },
+    Ended { connection: ConnectionId, natural: bool },
     /// The list names so many hosts in use.
     Listed { ready: usize },
     /// The list cannot be had.
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
     /// Move these, off these hosts.
-    pub moves: Vec<(AuthId, ServerId)>,
+    pub moves: Vec<(ConnectionId, ServerId)>,
     /// Raise the ceilings of these hosts to so many slots.
     pub ceilings: Vec<(ServerId, f64)>,
     /// Lower the ceilings of these hosts to what they hold.
@@ -212,39 +212,39 @@
     }
 
     /// A standing connection, since when, and whether it came back from a move: for tests.
-    pub fn connection(&self, auth: AuthId) -> Option<(Connection, Time, bool)> {
-        self.view.connection(auth)
+    pub fn connection(&self, connection: ConnectionId) -> Option<(Connection, Time, bool)> {
+        self.view.connection(connection)
     }
 
     /// Takes in what happened.
     pub fn take(&mut self, now: Time, word: Word) {
         match word {
-            Word::Arrived { auth, key, again } => {
+            Word::Arrived { connection, key, again } => {
                 self.precedence.arrived(now);
-                if self.view.arrived(now, auth, key, again) {
+                if self.view.arrived(now, connection, key, again) {
                     self.figures.returned += 1;
                     self.rate.returned();
                 } else if again {
                     self.rate.others_returned();
                 }
             }
-            Word::Stood { auth, at, setup } => {
+            Word::Stood { connection, at, setup } => {
                 // Danger: at a slow host a set-up is slow too, which says nothing of the session store.
                 if let Some(took) = setup.filter(|_| !self.view.ever_slow(now, at.host)) {
                     self.rate.set_up(now, took);
                 }
-                self.view.stood(now, auth, at);
+                self.view.stood(now, connection, at);
             }
-            Word::Load { auth, load } => self.view.load(auth, load),
+            Word::Load { connection, load } => self.view.load(connection, load),
             Word::Delay { host, took } => self.view.delay(now, host, took),
-            Word::Declined { auth } => {
+            Word::Declined { connection } => {
                 self.rate.declined();
-                if self.view.declined(auth) {
+                if self.view.declined(connection) {
                     self.figures.refused += 1;
                     self.rate.refused(now);
                 }
             }
-            Word::Ended { auth, natural } => self.view.ended(now, auth, natural),
+            Word::Ended { connection, natural } => self.view.ended(now, connection, natural),
             Word::Listed { ready } => self.precedence.listed(now, ready),
             Word::ListLost => self.precedence.list_lost(),
             Word::ListTold => self.precedence.list_told(),
@@ -292,7 +292,7 @@
     }
 
     /// Who is moved, and whose ceilings are lowered to what they hold.
-    fn choose(&mut self, now: Time, hosts: &[HostNow]) -> (Vec<(AuthId, ServerId)>, Vec<ServerId>) {
+    fn choose(&mut self, now: Time, hosts: &[HostNow]) -> (Vec<(ConnectionId, ServerId)>, Vec<ServerId>) {
         let ready = || hosts.iter().filter(|host| host.ready);
         let (weights, slots) = gain::fleet(hosts);
         if weights <= 0.0 || slots <= 0.0 {
@@ -338,15 +338,15 @@
                 self.rate.spend(unit.members.len());
                 free -= unit.slots;
                 self.going.entry(host.host).or_insert(now);
-                moves.extend(unit.members.into_iter().map(|auth| (auth, host.host)));
+                moves.extend(unit.members.into_iter().map(|connection| (connection, host.host)));
             }
         }
         if let (false, Some(&(to, _))) = (moves.is_empty(), room.iter().max_by(|a, b| a.1.total_cmp(&b.1))) {
             self.filled.insert(to, now);
         }
         self.figures.moved += moves.len() as u64;
-        for &(auth, _) in &moves {
-            self.view.sent_away(now, auth);
+        for &(connection, _) in &moves {
+            self.view.sent_away(now, connection);
         }
         (moves, lowered)
     }
--- a/src/rebalance/order.rs
+++ b/src/rebalance/order.rs
@@ -3,13 +3,13 @@
 use super::gain::Press;
 use super::view::{View, GROUP_SLOTS};
 use super::Terms;
-use crate::{AuthId, ServerId};
+use crate::{ConnectionId, ServerId};
 
 /// What moves together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unit {
     /// Its connections.
-    pub members: Vec<AuthId>,
+    pub members: Vec<ConnectionId>,
     /// Slots that they take.
     pub slots: f64,
     /// Slots that the host is rid of: the group's part too.
@@ -45,13 +45,13 @@
         }
     };
     let (singles, groups) = view.units(host);
-    let single = |(auth, at, again): &(AuthId, super::Connection, bool)| {
+    let single = |(connection, at, again): &(ConnectionId, super::Connection, bool)| {
         let slots = view.slots(at);
-        (!again).then(|| Unit { members: vec![*auth], slots, relief: slots, worth: worth(at.class) })
+        (!again).then(|| Unit { members: vec![*connection], slots, relief: slots, worth: worth(at.class) })
     };
     let mut units: Vec<Unit> = singles.iter().filter_map(single).collect();
     for (group, members) in groups {
-        let known: Vec<_> = members.iter().filter_map(|auth| view.connection(*auth)).collect();
+        let known: Vec<_> = members.iter().filter_map(|connection| view.connection(*connection)).collect();
         if known.iter().any(|(_, _, again)| *again) {
             continue;
         }
--- a/src/rebalance/rate.rs
+++ b/src/rebalance/rate.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// A leg came to stand so long after it was written.
+    /// An attempt came to stand so long after it was written.
     pub(super) fn set_up(&mut self, now: Time, took: Micros) {
         self.answers.0 += 1.0;
         let took = took as f64;
--- a/src/rebalance/view.rs
+++ b/src/rebalance/view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Terms;
-use crate::{AuthId, Micros, ServerId, Time};
+use crate::{ConnectionId, Micros, ServerId, Time};
 
 /// Clients that were moved and have not come back: more than these are not remembered.
 pub const MOST_AWAY: usize = 4096;
@@ -47,18 +47,18 @@
 
 #[derive(Debug, Default)]
 struct Host {
-    standing: BTreeSet<AuthId>,
+    standing: BTreeSet<ConnectionId>,
     /// The seconds in which it was slow, the latest last, and how long a message took then.
     slow: Vec<(Time, Micros)>,
 }
 
 /// A connection that is of no group, and whether it came back from a move.
-pub type Single = (AuthId, Connection, bool);
+pub type Single = (ConnectionId, Connection, bool);
 
 /// What is known.
 #[derive(Debug)]
 pub struct View {
-    standing: BTreeMap<AuthId, Standing>,
+    standing: BTreeMap<ConnectionId, Standing>,
     hosts: BTreeMap<ServerId, Host>,
     /// Where each group stands, with how many.
     groups: BTreeMap<u64, BTreeMap<ServerId, usize>>,
@@ -68,10 +68,10 @@
     away: BTreeMap<u64, (Time, f64)>,
     /// Those whose clients have no key.
     nameless: Vec<(Time, f64)>,
-    /// Authorisations of clients that came back from a move of this balancer's.
-    back: BTreeSet<AuthId>,
-    /// Authorisations that ask again after a break or a move, whoever moved them.
-    again: BTreeSet<AuthId>,
+    /// Connections of clients that came back from a move of this balancer's.
+    back: BTreeSet<ConnectionId>,
+    /// Connections that ask again after a break or a move, whoever moved them.
+    again: BTreeSet<ConnectionId>,
     /// Time that connections stood, in seconds, up to then, and how many came to their own end.
     exposure: (f64, Time),
     ends: f64,
@@ -103,40 +103,46 @@
     }
 
     /// A client asks. Whether it is one that this balancer moved.
-    pub(super) fn arrived(&mut self, now: Time, auth: AuthId, key: Option<u64>, again: bool) -> bool {
+    pub(super) fn arrived(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        key: Option<u64>,
+        again: bool,
+    ) -> bool {
         let Some((since, _)) = key.and_then(|key| self.away.remove(&key)) else {
             if again {
-                self.again.insert(auth);
+                self.again.insert(connection);
             }
             return false;
         };
         self.away_for += (now.since(since) as f64 - self.away_for) / 16.0;
-        self.again.insert(auth);
-        self.back.insert(auth);
+        self.again.insert(connection);
+        self.back.insert(connection);
         true
     }
 
     /// It was refused or failed: whether its client had come back from a move of this balancer's.
-    pub(super) fn declined(&mut self, auth: AuthId) -> bool {
-        self.back.remove(&auth)
+    pub(super) fn declined(&mut self, connection: ConnectionId) -> bool {
+        self.back.remove(&connection)
     }
 
-    pub(super) fn stood(&mut self, now: Time, auth: AuthId, at: Connection) {
-        self.remove(now, auth);
+    pub(super) fn stood(&mut self, now: Time, connection: ConnectionId, at: Connection) {
+        self.remove(now, connection);
         self.pass(now);
         if let Some(load) = at.load {
             self.loads = (self.loads.0 + load, self.loads.1 + 1);
         }
-        self.hosts.entry(at.host).or_default().standing.insert(auth);
+        self.hosts.entry(at.host).or_default().standing.insert(connection);
         if let Some(group) = at.group {
             *self.groups.entry(group).or_default().entry(at.host).or_default() += 1;
         }
-        let again = self.again.contains(&auth);
-        self.standing.insert(auth, Standing { at, since: now, again });
+        let again = self.again.contains(&connection);
+        self.standing.insert(connection, Standing { at, since: now, again });
     }
 
-    pub(super) fn load(&mut self, auth: AuthId, load: f64) {
-        if let Some(connection) = self.standing.get_mut(&auth) {
+    pub(super) fn load(&mut self, connection: ConnectionId, load: f64) {
+        if let Some(connection) = self.standing.get_mut(&connection) {
             match connection.at.load.replace(load) {
                 Some(old) => self.loads.0 += load - old,
                 None => self.loads = (self.loads.0 + load, self.loads.1 + 1),
@@ -156,22 +162,22 @@
         }
     }
 
-    pub(super) fn ended(&mut self, now: Time, auth: AuthId, natural: bool) {
-        if self.remove(now, auth) && natural {
+    pub(super) fn ended(&mut self, now: Time, connection: ConnectionId, natural: bool) {
+        if self.remove(now, connection) && natural {
             self.ends += 1.0;
         }
-        self.back.remove(&auth);
-        self.again.remove(&auth);
+        self.back.remove(&connection);
+        self.again.remove(&connection);
     }
 
-    fn remove(&mut self, now: Time, auth: AuthId) -> bool {
+    fn remove(&mut self, now: Time, connection: ConnectionId) -> bool {
         self.pass(now);
-        let Some(Standing { at, .. }) = self.standing.remove(&auth) else { return false };
+        let Some(Standing { at, .. }) = self.standing.remove(&connection) else { return false };
         if let Some(load) = at.load {
             self.loads = (self.loads.0 - load, self.loads.1 - 1);
         }
         if let Some(host) = self.hosts.get_mut(&at.host) {
-            host.standing.remove(&auth);
+            host.standing.remove(&connection);
             if host.standing.is_empty() {
                 self.hosts.remove(&at.host);
             }
@@ -194,8 +200,8 @@
     }
 
     /// It is asked to come again.
-    pub(super) fn sent_away(&mut self, now: Time, auth: AuthId) {
-        let Some(at) = self.standing.get(&auth).map(|standing| standing.at) else { return };
+    pub(super) fn sent_away(&mut self, now: Time, connection: ConnectionId) {
+        let Some(at) = self.standing.get(&connection).map(|standing| standing.at) else { return };
         let slots = self.slots(&at);
         match at.key {
             Some(key) if self.away.len() < MOST_AWAY => drop(self.away.insert(key, (now, slots))),
@@ -261,21 +267,21 @@
     }
 
     /// A host's single connections, and its groups with their members.
-    pub fn units(&self, host: ServerId) -> (Vec<Single>, BTreeMap<u64, Vec<AuthId>>) {
-        let (mut singles, mut groups) = (Vec::new(), BTreeMap::<u64, Vec<AuthId>>::new());
-        for auth in self.hosts.get(&host).into_iter().flat_map(|host| &host.standing) {
-            let Some(standing) = self.standing.get(auth) else { continue };
+    pub fn units(&self, host: ServerId) -> (Vec<Single>, BTreeMap<u64, Vec<ConnectionId>>) {
+        let (mut singles, mut groups) = (Vec::new(), BTreeMap::<u64, Vec<ConnectionId>>::new());
+        for connection in self.hosts.get(&host).into_iter().flat_map(|host| &host.standing) {
+            let Some(standing) = self.standing.get(connection) else { continue };
             match standing.at.group {
-                Some(group) => groups.entry(group).or_default().push(*auth),
-                None => singles.push((*auth, standing.at, standing.again)),
+                Some(group) => groups.entry(group).or_default().push(*connection),
+                None => singles.push((*connection, standing.at, standing.again)),
             }
         }
         (singles, groups)
     }
 
     /// A standing connection, since when, and whether it came back from a move.
-    pub fn connection(&self, auth: AuthId) -> Option<(Connection, Time, bool)> {
-        self.standing.get(&auth).map(|standing| (standing.at, standing.since, standing.again))
+    pub fn connection(&self, connection: ConnectionId) -> Option<(Connection, Time, bool)> {
+        self.standing.get(&connection).map(|standing| (standing.at, standing.since, standing.again))
     }
 
     /// How many of a group stand at other hosts.
@@ -292,7 +298,7 @@
         let (mut squares, mut all, mut together) = (0.0, singles.len(), 0);
         squares += singles.iter().map(|(_, at, _)| self.slots(at).powi(2)).sum::<f64>();
         for members in groups.values() {
-            let known = members.iter().filter_map(|auth| self.standing.get(auth));
+            let known = members.iter().filter_map(|connection| self.standing.get(connection));
             let slots: f64 = known.map(|standing| self.slots(&standing.at)).sum();
             let several = members.len() > 1;
             squares += (slots + if several { GROUP_SLOTS } else { 0.0 }).powi(2);
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,6 +1,6 @@
 //! What operators ask for, and the figures that they are told.
 
-use super::{AuthId, Call, CallerId, Counts, Effect, Figures, Partner, Reply, State};
+use super::{Call, CallerId, ConnectionId, Counts, Effect, Figures, Partner, Reply, State};
 use crate::{Micros, Time};
 
 /// The other process has so long to take in an operator's word: the answer is due within 1 s.
@@ -14,7 +14,7 @@
             Call::Exclude(host) => return self.ban(now, caller, host, true),
             Call::Include(host) => return self.ban(now, caller, host, false),
         };
-        self.effects.push(Effect::Reply { caller, reply });
+        self.effects.push(Effect::AdminReply { caller, reply });
     }
 
     /// Takes a host out by hand, or back into use. Where another process serves beside this one, it has to hear
@@ -28,11 +28,11 @@
             () if !self.set_ban(now, &host, out) => Reply::No("the store is full".to_owned()),
             () if self.partner.is_some() => {
                 self.shared.insert(caller, now.plus(SHARE_WAIT));
-                return self.effects.push(Effect::Share { caller, host, out });
+                return self.effects.push(Effect::ShareExclusion { caller, host, out });
             }
             () => Reply::Yes,
         };
-        self.effects.push(Effect::Reply { caller, reply });
+        self.effects.push(Effect::AdminReply { caller, reply });
     }
 
     /// Whether it could be noted.
@@ -45,7 +45,7 @@
         if changed {
             let does = if out { "is out by hand" } else { "is in use again" };
             self.effects.push(Effect::Log(format!("{host} {does}")));
-            self.effects.push(Effect::KeepBans(self.bans.iter().cloned().collect()));
+            self.effects.push(Effect::PersistExclusions(self.bans.iter().cloned().collect()));
             (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
         }
         true
@@ -54,7 +54,7 @@
     /// The other process has heard of it, or will not.
     pub(super) fn share_taken(&mut self, caller: CallerId) {
         if self.shared.remove(&caller).is_some() {
-            self.effects.push(Effect::Reply { caller, reply: Reply::Yes });
+            self.effects.push(Effect::AdminReply { caller, reply: Reply::Yes });
         }
     }
 
@@ -76,9 +76,11 @@
         }
     }
 
-    /// Counts an outcome in its authorisation's class, if it has told one that is configured.
-    pub(super) fn count(&mut self, id: AuthId, add: impl FnOnce(&mut Counts)) {
-        let Some((pool, class)) = self.auths.get(&id).and_then(|a| Some((a.pool, a.class?))) else { return };
+    /// Counts an outcome in its connection's class, if it has told one that is configured.
+    pub(super) fn count(&mut self, id: ConnectionId, add: impl FnOnce(&mut Counts)) {
+        let Some((pool, class)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.class?))) else {
+            return;
+        };
         self.pools[pool].counts.get_mut(class.0 as usize).map(add);
     }
 
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,7 +1,7 @@
-//! Legs: from their opening until their connection stands, or they come to nothing.
+//! Attempts: from their opening until their connection stands, or they come to nothing.
 
 use super::established::LEAVING_FROM;
-use super::{Answer, AuthId, Effect, Leg, LegEnd, Phase, State};
+use super::{Answer, Attempt, AttemptOutcome, ConnectionId, Effect, Phase, State};
 use crate::{Event, Micros, Outcome, RequestId, ServerId, Time};
 
 /// A connection that stood before the start is tried again after so long.
@@ -10,57 +10,65 @@
 const ADOPT_UNLISTED: Micros = 2_000_000;
 
 impl State {
-    pub(super) fn open_leg(
+    pub(super) fn open_attempt(
         &mut self,
         now: Time,
-        id: AuthId,
+        id: ConnectionId,
         host: ServerId,
         wait: Micros,
         write_by: Option<Time>,
     ) {
-        let Some(auth) = self.auths.get_mut(&id) else { return };
-        let pool = &self.pools[auth.pool];
-        let (number, connect) = (auth.legs, pool.setup.settings.connect_timeout);
-        auth.legs += 1;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let pool = &self.pools[connection.pool];
+        let (number, connect) = (connection.attempts, pool.setup.settings.connect_timeout);
+        connection.attempts += 1;
         let until = now.plus(wait);
-        auth.leg = Some(Leg { number, host, written: false, since: now, until, write_by });
-        self.at.entry((auth.pool, host)).or_default().insert(id);
+        connection.attempt = Some(Attempt { number, host, written: false, since: now, until, write_by });
+        self.at.entry((connection.pool, host)).or_default().insert(id);
         let address = pool.table.any(host).map_or(String::new(), |host| host.address.clone());
-        self.effects.push(Effect::OpenLeg { auth: id, leg: number, address, wait });
+        self.effects.push(Effect::OpenAttempt { connection: id, attempt: number, address, wait });
         let due = until.min(now.plus(connect));
         self.set_due(id, Some(write_by.map_or(due, |by| by.min(due))));
     }
 
-    /// The leg that is out, if it is this one. Danger: a late word of an ended leg must change nothing.
-    pub(super) fn leg(&mut self, id: AuthId, number: u32) -> Option<&mut Leg> {
-        self.auths.get_mut(&id)?.leg.as_mut().filter(|leg| leg.number == number)
+    /// The attempt that is out, if it is this one. Danger: a late word of an ended attempt must change nothing.
+    pub(super) fn attempt(&mut self, id: ConnectionId, number: u32) -> Option<&mut Attempt> {
+        self.connections.get_mut(&id)?.attempt.as_mut().filter(|attempt| attempt.number == number)
     }
 
-    pub(super) fn leg_written(&mut self, now: Time, id: AuthId, number: u32) {
-        if let Some(leg) = self.leg(id, number).filter(|leg| !leg.written) {
-            leg.written = true;
-            leg.since = now;
+    pub(super) fn on_request_forwarded(&mut self, now: Time, id: ConnectionId, number: u32) {
+        if let Some(attempt) = self.attempt(id, number).filter(|attempt| !attempt.written) {
+            attempt.written = true;
+            attempt.since = now;
             self.forwards += 1;
         }
-        self.time_leg(id);
+        self.time_attempt(id);
     }
 
-    fn time_leg(&mut self, id: AuthId) {
-        let Some(auth) = self.auths.get(&id).filter(|a| a.phase != Phase::Standing) else { return };
-        if let Some(until) = auth.leg.filter(|leg| leg.written).map(|leg| leg.until) {
+    fn time_attempt(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id).filter(|a| a.phase != Phase::Standing) else {
+            return;
+        };
+        if let Some(until) = connection.attempt.filter(|attempt| attempt.written).map(|attempt| attempt.until)
+        {
             self.set_due(id, Some(until));
         }
     }
 
-    pub(super) fn leg_up(&mut self, now: Time, id: AuthId, number: u32) {
-        if self.leg(id, number).is_none() {
+    pub(super) fn on_attempt_accepted(&mut self, now: Time, id: ConnectionId, number: u32) {
+        if self.attempt(id, number).is_none() {
             return;
         }
-        let Some(auth) = self.auths.get_mut(&id).filter(|a| a.phase != Phase::Standing) else { return };
-        let (pool, placed) = (auth.pool, auth.phase == Phase::Placing);
-        let took = auth.leg.filter(|leg| placed && leg.written).map(|leg| now.since(leg.since));
-        auth.phase = Phase::Standing;
-        auth.move_at = self.leaving.map(|(_, at)| at.min(now.plus(LEAVING_FROM)));
+        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase != Phase::Standing) else {
+            return;
+        };
+        let (pool, placed) = (connection.pool, connection.phase == Phase::Placing);
+        let took = connection
+            .attempt
+            .filter(|attempt| placed && attempt.written)
+            .map(|attempt| now.since(attempt.since));
+        connection.phase = Phase::Standing;
+        connection.move_at = self.leaving.map(|(_, at)| at.min(now.plus(LEAVING_FROM)));
         self.count(id, |counts| counts.succeeded += 1);
         self.watch_over(now, id);
         self.stood(now, id, took);
@@ -71,31 +79,31 @@
         self.pass(id);
     }
 
-    pub(super) fn leg_ended(&mut self, now: Time, id: AuthId, number: u32, end: LegEnd) {
-        if self.leg(id, number).is_none() {
+    pub(super) fn on_attempt_ended(&mut self, now: Time, id: ConnectionId, number: u32, end: AttemptOutcome) {
+        if self.attempt(id, number).is_none() {
             return;
         }
         let outcome = match end {
             // A verdict is an answer as good as any: the host is sound.
-            LegEnd::Served | LegEnd::Verdict => Outcome::Ok,
-            LegEnd::SentAway => Outcome::Cancelled,
-            LegEnd::Error => Outcome::Error,
-            LegEnd::TurnedAway => Outcome::Full,
-            LegEnd::NoConnection => Outcome::ConnectFailed,
-            LegEnd::NoSocket => Outcome::NotSent,
-            LegEnd::Broken => Outcome::Reset,
+            AttemptOutcome::Served | AttemptOutcome::Verdict => Outcome::Ok,
+            AttemptOutcome::SentAway => Outcome::Cancelled,
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::TurnedAway => Outcome::Full,
+            AttemptOutcome::NoConnection => Outcome::ConnectFailed,
+            AttemptOutcome::NoSocket => Outcome::NotSent,
+            AttemptOutcome::Broken => Outcome::Reset,
         };
-        match self.auths.get(&id).map(|a| a.phase) {
+        match self.connections.get(&id).map(|a| a.phase) {
             Some(Phase::Adopting(until, _)) if now < until => {
-                self.drop_leg(id);
+                self.drop_attempt(id);
                 self.set_due(id, Some(now.plus(ADOPT_GAP)));
             }
-            Some(Phase::Placing) if end != LegEnd::Verdict => self.leg_failed(now, id, outcome),
+            Some(Phase::Placing) if end != AttemptOutcome::Verdict => self.attempt_failed(now, id, outcome),
             Some(phase) => {
-                if phase != Phase::Standing && end == LegEnd::Verdict {
+                if phase != Phase::Standing && end == AttemptOutcome::Verdict {
                     self.count(id, |counts| counts.declined += 1);
                 }
-                if end == LegEnd::SentAway {
+                if end == AttemptOutcome::SentAway {
                     self.cut_short(now, id);
                 }
                 self.end(now, id, outcome)
@@ -104,39 +112,42 @@
         }
     }
 
-    /// A leg of an authorisation that is still owed its answer has come to nothing.
-    pub(super) fn leg_failed(&mut self, now: Time, id: AuthId, outcome: Outcome) {
-        let Some((pool, leg)) = self.auths.get(&id).and_then(|a| Some((a.pool, a.leg?))) else { return };
-        self.drop_leg(id);
+    /// An attempt of a connection that is still owed its answer has come to nothing.
+    pub(super) fn attempt_failed(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
+        let Some((pool, attempt)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.attempt?))) else {
+            return;
+        };
+        self.drop_attempt(id);
         self.set_due(id, None);
-        let (request, attempt, answered) = (RequestId(id.0), leg.number, false);
+        let (request, attempt, answered) = (RequestId(id.0), attempt.number, false);
         self.tell(now, pool, Event::Ended { request, attempt, outcome, answered });
     }
 
-    pub(super) fn drop_leg(&mut self, id: AuthId) -> Option<Leg> {
-        let auth = self.auths.get_mut(&id)?;
-        let leg = auth.leg.take()?;
-        if let Some(there) = self.at.get_mut(&(auth.pool, leg.host)) {
+    pub(super) fn drop_attempt(&mut self, id: ConnectionId) -> Option<Attempt> {
+        let connection = self.connections.get_mut(&id)?;
+        let attempt = connection.attempt.take()?;
+        if let Some(there) = self.at.get_mut(&(connection.pool, attempt.host)) {
             there.remove(&id);
             if there.is_empty() {
-                self.at.remove(&(auth.pool, leg.host));
+                self.at.remove(&(connection.pool, attempt.host));
             }
         }
-        Some(leg)
+        Some(attempt)
     }
 
-    /// The leg of a connection that stood before the start is over, or the pause after it is.
-    pub(super) fn adopt_again(&mut self, now: Time, id: AuthId, until: Time, host: ServerId) {
-        let Some(auth) = self.auths.get(&id) else { return };
-        let pool = &self.pools[auth.pool];
+    /// The attempt of a connection that stood before the start is over, or the pause after it is.
+    pub(super) fn adopt_again(&mut self, now: Time, id: ConnectionId, until: Time, host: ServerId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let pool = &self.pools[connection.pool];
         let (most, listed) = (pool.setup.settings.max_attempts, pool.table.any(host).is_some());
         // Danger: a client may name a host that there never was; it is owed its error soon.
-        if now < until && auth.legs < most && (listed || now.since(auth.met) < ADOPT_UNLISTED) {
-            if self.drop_leg(id).is_some() {
-                self.effects.push(Effect::CloseLeg { auth: id });
+        if now < until && connection.attempts < most && (listed || now.since(connection.met) < ADOPT_UNLISTED)
+        {
+            if self.drop_attempt(id).is_some() {
+                self.effects.push(Effect::CloseAttempt { connection: id });
             }
             match listed {
-                true => self.open_leg(now, id, host, until.since(now), None),
+                true => self.open_attempt(now, id, host, until.since(now), None),
                 false => self.set_due(id, Some(now.plus(ADOPT_GAP))),
             }
         } else {
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,6 +1,9 @@
-//! The acquirer side: who connects, who asks, and how many may.
+//! The client: who connects, who asks, and how many may.
 
-use super::{host_number, Answer, Auth, AuthId, Authorisation, Effect, Partner, Phase, PoolId, State};
+use super::{
+    host_number, Answer, ClientConnection, ConnectionId, ConnectionRequest, Effect, Partner, Phase, PoolId,
+    State,
+};
 use crate::rebalance::Word;
 use crate::{ClassId, Event, GroupId, Micros, Outcome, RequestId, TenantId, Time};
 
@@ -8,28 +11,28 @@
 pub(super) const LEAVING_WAIT: Micros = 400_000;
 /// A connection that stood before the start is tried this long.
 const ADOPT_FOR: Micros = 30_000_000;
-/// Where connections without a leg are as many as they may be, one that has been there so long makes room.
-/// An acquirer side that means to ask does so at once; its line has to arrive.
+/// Where connections without an attempt are as many as they may be, one that has been there so long makes room.
+/// An client that means to ask does so at once; its line has to arrive.
 const ROOM_AFTER: Micros = 100_000;
 
 impl State {
-    pub(super) fn met(&mut self, now: Time, id: AuthId, pool: PoolId) {
+    pub(super) fn met(&mut self, now: Time, id: ConnectionId, pool: PoolId) {
         let Some(entered) = self.pools.get(pool) else { return };
         let greeting = entered.setup.greeting;
-        let auth = Auth {
+        let connection = ClientConnection {
             pool,
             class: None,
-            ask: Authorisation::default(),
+            ask: ConnectionRequest::default(),
             load: None,
             phase: Phase::Greeting,
-            legs: 0,
-            leg: None,
+            attempts: 0,
+            attempt: None,
             due: None,
             met: now,
             move_at: None,
             asked: None,
         };
-        self.auths.insert(id, auth);
+        self.connections.insert(id, connection);
         self.set_due(id, Some(now.plus(greeting)));
         self.waiting.insert(id, now);
         self.make_room(now);
@@ -48,21 +51,23 @@
             }
             self.forget(now, id);
             self.waiting.remove(&id);
-            self.effects.push(Effect::Drop { auth: id });
+            self.effects.push(Effect::AbortConnection { connection: id });
         }
         if room_at.is_some() != self.shut.is_some() {
-            self.effects.push(Effect::Doors { open: room_at.is_none() && !self.stepped_back() });
+            self.effects.push(Effect::SetAccepting { open: room_at.is_none() && !self.stepped_back() });
         }
         self.shut = room_at;
     }
 
-    pub(super) fn authorise(&mut self, now: Time, id: AuthId, ask: Authorisation) {
-        let Some(auth) = self.auths.get(&id).filter(|a| a.phase == Phase::Greeting) else { return };
-        let (pool_id, met) = (auth.pool, auth.met);
+    pub(super) fn on_connection_requested(&mut self, now: Time, id: ConnectionId, ask: ConnectionRequest) {
+        let Some(connection) = self.connections.get(&id).filter(|a| a.phase == Phase::Greeting) else {
+            return;
+        };
+        let (pool_id, met) = (connection.pool, connection.met);
         let greeting = self.pools[pool_id].setup.greeting;
         let index = |names: &[String], name: &str| names.iter().position(|n| !name.is_empty() && n == name);
         let class = index(&self.pools[pool_id].setup.classes, &ask.class).map(|n| ClassId(n as u16));
-        self.auths.entry(id).and_modify(|auth| auth.class = class);
+        self.connections.entry(id).and_modify(|connection| connection.class = class);
         if self.leaving.is_some() && self.partner != Some(Partner::Successor) {
             // What still arrives at a balancer that leaves is answered, and told to come again. Where another
             // process has taken its place, hosts are served by that one just the same.
@@ -90,8 +95,8 @@
         let pool = &mut self.pools[pool_id];
         pool.held += 1;
         pool.ids.extend(ask.id.clone());
-        self.auths.entry(id).and_modify(|auth| auth.ask = ask.clone());
-        let arrived = Word::Arrived { auth: id, key: ask.key, again: ask.again };
+        self.connections.entry(id).and_modify(|connection| connection.ask = ask.clone());
+        let arrived = Word::Arrived { connection: id, key: ask.key, again: ask.again };
         pool.rebalance.take(now, arrived);
         let (group, load, request) = (ask.group.map(GroupId), ask.load, RequestId(id.0));
         self.set_due(id, None);
@@ -107,9 +112,9 @@
         self.adopt_again(now, id, now.plus(ADOPT_FOR), server);
     }
 
-    pub(super) fn left(&mut self, now: Time, id: AuthId) {
-        let Some(auth) = self.auths.get(&id) else { return };
-        let (pool, phase) = (auth.pool, auth.phase);
+    pub(super) fn left(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let (pool, phase) = (connection.pool, connection.phase);
         if phase == Phase::Placing {
             self.tell(now, pool, Event::Left { request: RequestId(id.0) });
         }
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -1,11 +1,11 @@
-//! What may change while all goes on: the configuration and the routing table.
+//! What may change while all goes on: the configuration and the endpoint list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use super::hot_restart::Partner;
 use super::{
-    stored_host, AuthId, Budget, Counts, Effect, IssuerHost, Lifecycle, Phase, PoolId, PoolSetup, State,
+    stored_host, Budget, ConnectionId, Counts, Effect, Endpoint, Lifecycle, Phase, PoolId, PoolSetup, State,
 };
 use crate::rebalance::Word;
 use crate::{Event, Micros, Outcome, ServerId, Time};
@@ -18,7 +18,7 @@
 
 impl State {
     /// Another configuration takes the place of the old at one go. What is out, what stands and what was
-    /// learned of hosts stays, and so does the routing table, until the new discovery tells another.
+    /// learned of hosts stays, and so does the endpoint list, until the new discovery tells another.
     pub(super) fn configure(
         &mut self,
         now: Time,
@@ -37,7 +37,7 @@
             pool.setup = setup;
             pool.counts.resize(pool.setup.classes.len(), Counts::default());
             self.refresh(now, id);
-            self.effects.extend(moved.map(|discovery| Effect::WatchAt { pool: id, discovery }));
+            self.effects.extend(moved.map(|discovery| Effect::WatchEndpointsAt { pool: id, discovery }));
         }
         if self.peers != peers {
             self.gossip_at = (!peers.is_empty()).then_some(now);
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(super) fn follow(&mut self, now: Time, pool_id: PoolId, whole: bool, hosts: Vec<IssuerHost>) {
+    pub(super) fn follow(&mut self, now: Time, pool_id: PoolId, whole: bool, hosts: Vec<Endpoint>) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         if whole {
             pool.listed.clear();
@@ -59,7 +59,7 @@
         self.refresh(now, pool_id);
     }
 
-    /// Makes the routing table anew from what is listed, what is out by hand and what the store says of it.
+    /// Makes the endpoint list anew from what is listed, what is out by hand and what the store says of it.
     pub(super) fn refresh(&mut self, now: Time, pool_id: PoolId) {
         let pool = &mut self.pools[pool_id];
         let mut hosts = pool.listed.clone();
@@ -82,7 +82,7 @@
             hosts.entry(name.clone()).and_modify(|host| host.started = host.started.max(Some(at)));
         }
         if self.partner == Some(Partner::Successor) {
-            let cold = |host: &&mut IssuerHost| host.started.is_some_and(|at| now.since(at) < warm_up);
+            let cold = |host: &&mut Endpoint| host.started.is_some_and(|at| now.since(at) < warm_up);
             hosts.values_mut().filter(cold).for_each(|host| host.lifecycle = Lifecycle::Draining);
         }
         for name in &out {
@@ -101,24 +101,25 @@
         let leaving: Vec<_> = self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX))).collect();
         let table = &self.pools[pool_id].table;
         let held = leaving.into_iter().filter(|((_, host), _)| table.ready(*host).is_none());
-        let held: Vec<(ServerId, AuthId)> =
-            held.flat_map(|((_, host), auths)| auths.iter().map(|&auth| (*host, auth))).collect();
-        let mut draining: BTreeMap<(ServerId, Micros), Vec<AuthId>> = BTreeMap::new();
+        let held: Vec<(ServerId, ConnectionId)> = held
+            .flat_map(|((_, host), connections)| connections.iter().map(|&connection| (*host, connection)))
+            .collect();
+        let mut draining: BTreeMap<(ServerId, Micros), Vec<ConnectionId>> = BTreeMap::new();
         for (host, id) in held {
             let pool = &self.pools[pool_id];
             let gone = pool.table.any(host).is_none();
             let by_hand = pool.table.any(host).is_some_and(|host| pool.out.contains(&host.name));
             let over = pool.setup.drain_over;
             let over = if by_hand && over == 0 { OUT_OVER } else { over };
-            let Some(auth) = self.auths.get(&id) else { continue };
-            match (auth.phase, auth.leg) {
+            let Some(connection) = self.connections.get(&id) else { continue };
+            match (connection.phase, connection.attempt) {
                 // Danger (drains): what is not written yet must not reach a host told to be leaving.
-                (Phase::Placing, Some(leg)) if !leg.written => {
-                    self.effects.push(Effect::CloseLeg { auth: id });
-                    self.leg_failed(now, id, Outcome::NotSent);
+                (Phase::Placing, Some(attempt)) if !attempt.written => {
+                    self.effects.push(Effect::CloseAttempt { connection: id });
+                    self.attempt_failed(now, id, Outcome::NotSent);
                 }
                 (Phase::Standing, _) if gone => self.move_away(now, id, Outcome::Reset),
-                (Phase::Standing, _) if over > 0 && auth.move_at.is_none() => {
+                (Phase::Standing, _) if over > 0 && connection.move_at.is_none() => {
                     draining.entry((host, over)).or_default().push(id)
                 }
                 _ => {}
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,10 +1,10 @@
-//! The routing table: the issuer hosts that discovery lists, and their numbers in the module.
+//! The endpoint list: the servers that discovery lists, and their numbers in the module.
 
 use std::collections::BTreeMap;
 
 use crate::{CellId, Listed, ServerId, Standing, Time, ZoneId};
 
-/// Where an issuer host is in its life, as listed.
+/// Where an server is in its life, as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     /// It takes what is new.
@@ -15,9 +15,9 @@
     Gone,
 }
 
-/// One entry of the routing table.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct IssuerHost {
+pub struct Endpoint {
     /// Its name, the same at every balancer.
     pub name: String,
     /// Where this balancer reaches it.
@@ -34,20 +34,20 @@
     pub started: Option<Time>,
 }
 
-/// The issuer hosts known, by their numbers.
+/// The servers known, by their numbers.
 #[derive(Default)]
-pub struct RoutingTable {
-    hosts: BTreeMap<ServerId, IssuerHost>,
+pub struct EndpointList {
+    hosts: BTreeMap<ServerId, Endpoint>,
 }
 
-impl RoutingTable {
-    /// The host, if new legs may go there.
-    pub fn ready(&self, host: ServerId) -> Option<&IssuerHost> {
+impl EndpointList {
+    /// The host, if new attempts may go there.
+    pub fn ready(&self, host: ServerId) -> Option<&Endpoint> {
         self.any(host).filter(|host| host.lifecycle == Lifecycle::Ready)
     }
 
     /// The host, if it is listed at all.
-    pub fn any(&self, host: ServerId) -> Option<&IssuerHost> {
+    pub fn any(&self, host: ServerId) -> Option<&Endpoint> {
         self.hosts.get(&host)
     }
 
@@ -57,9 +57,9 @@
     }
 
     /// Takes in all hosts, and returns them in the module's terms.
-    pub fn follow(&mut self, hosts: impl Iterator<Item = IssuerHost>, zones: &[String]) -> Vec<Listed> {
+    pub fn follow(&mut self, hosts: impl Iterator<Item = Endpoint>, zones: &[String]) -> Vec<Listed> {
         self.hosts = hosts.map(|host| (host_number(&host.name), host)).collect();
-        let listed = |(&server, host): (&ServerId, &IssuerHost)| Listed {
+        let listed = |(&server, host): (&ServerId, &Endpoint)| Listed {
             server,
             zone: ZoneId(zones.iter().position(|z| *z == host.zone).unwrap_or(usize::MAX) as u16),
             cell: CellId(host.cell),
@@ -76,13 +76,13 @@
 }
 
 /// A host as the store holds it: its address, and then its zone and weight where they are told.
-pub fn stored_host(name: &str, text: &str) -> Option<IssuerHost> {
+pub fn stored_host(name: &str, text: &str) -> Option<Endpoint> {
     let mut words = text.split_ascii_whitespace();
     let address = words.next()?.parse::<std::net::SocketAddr>().ok()?.to_string();
     let (zone, weight) = (words.next().unwrap_or("").to_owned(), words.next().unwrap_or("1"));
     let weight = weight.parse().ok()?;
     let (name, lifecycle) = (name.to_owned(), Lifecycle::Ready);
-    Some(IssuerHost { name, address, zone, cell: 0, lifecycle, weight, started: None })
+    Some(Endpoint { name, address, zone, cell: 0, lifecycle, weight, started: None })
 }
 
 /// A host's number: the one in its name (`s-5be2a07c`), or a hash of a name that holds none. The same at
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,11 +1,11 @@
 //! Connections that stand, their moves and their ends.
 
-use super::{Answer, AuthId, Effect, Leg, Partner, Phase, State};
+use super::{Answer, Attempt, ConnectionId, Effect, Partner, Phase, State};
 use crate::peers::News;
 use crate::rebalance::Word;
 use crate::{Event, Micros, Note, Outcome, RequestId, Time};
 
-/// A balancer that is told to leave has the longest wait of its acquirer sides for it, at most so long, and
+/// A balancer that is told to leave has the longest wait of its clients for it, at most so long, and
 /// something more, of which a part is kept to be gone in good time.
 const LEAVING_WAITS: Micros = 3_000_000;
 const LEAVING_MORE: Micros = 400_000;
@@ -24,97 +24,102 @@
 const SLOW_GAP: Micros = 1_300_000;
 
 impl State {
-    pub(super) fn heard(&mut self, id: AuthId) {
-        let Some(auth) = self.auths.get_mut(&id).filter(|a| a.phase == Phase::Standing) else { return };
-        auth.asked = None;
+    pub(super) fn heard(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase == Phase::Standing) else {
+            return;
+        };
+        connection.asked = None;
     }
 
-    /// Danger: issuer hosts may tell two figures by the same word, a connection's load and, every second while it
+    /// Danger: servers may tell two figures by the same word, a connection's load and, every second while it
     /// is long, the time that a message takes; the settings say which are told. Taken for a load, that time makes
     /// the heaviest host look empty, and more is sent there.
-    pub(super) fn told(&mut self, now: Time, id: AuthId, figure: f64) {
-        let Some((pool_id, leg)) = self.auths.get(&id).and_then(|a| Some((a.pool, a.leg?))) else { return };
+    pub(super) fn told(&mut self, now: Time, id: ConnectionId, figure: f64) {
+        let Some((pool_id, attempt)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.attempt?)))
+        else {
+            return;
+        };
         // Danger: one senseless figure would spoil the means for good.
         if !(figure.is_finite() && figure >= 0.0) {
             return;
         }
         let pool = &mut self.pools[pool_id];
         let mean = pool.loads.0 / f64::max(pool.loads.1, 1.0);
-        let last = pool.slow.get(&leg.host).filter(|(at, _)| now.since(*at) <= SLOW_GAP);
+        let last = pool.slow.get(&attempt.host).filter(|(at, _)| now.since(*at) <= SLOW_GAP);
         let goes_on =
             last.is_some_and(|&(_, took)| (took / SLOW_FACTOR..took * SLOW_FACTOR).contains(&figure));
         let delay = figure < mean * LEAST_LOAD || goes_on || !pool.setup.tells_load;
         let note = if pool.setup.tells_delay && delay {
-            pool.slow.insert(leg.host, (now, figure));
+            pool.slow.insert(attempt.host, (now, figure));
             let took = (figure.max(0.0) * 1000.0) as Micros;
-            pool.rebalance.take(now, Word::Delay { host: leg.host, took });
-            self.tell_peers(now, pool_id, News::SlowHost(leg.host, took));
+            pool.rebalance.take(now, Word::Delay { host: attempt.host, took });
+            self.tell_peers(now, pool_id, News::SlowHost(attempt.host, took));
             Note::MessageTime(took)
         } else {
             pool.loads = (pool.loads.0 + figure, pool.loads.1 + 1.0);
-            pool.rebalance.take(now, Word::Load { auth: id, load: figure });
-            self.auths.entry(id).and_modify(|auth| auth.load = Some(figure));
+            pool.rebalance.take(now, Word::Load { connection: id, load: figure });
+            self.connections.entry(id).and_modify(|connection| connection.load = Some(figure));
             Note::Load(figure)
         };
         self.tell(now, pool_id, Event::Noted { request: RequestId(id.0), note });
     }
 
-    /// Ends an authorisation whose answer was given or is not owed any more, whatever of it is out.
-    pub(super) fn end(&mut self, now: Time, id: AuthId, outcome: Outcome) {
-        let Some((pool, phase)) = self.auths.get(&id).map(|a| (a.pool, a.phase)) else { return };
+    /// Ends a connection whose answer was given or is not owed any more, whatever of it is out.
+    pub(super) fn end(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
+        let Some((pool, phase)) = self.connections.get(&id).map(|a| (a.pool, a.phase)) else { return };
         // Whoever is moved or cut off has told so before: of these nothing is known any more.
         let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        self.weigh(now, pool, Word::Ended { auth: id, natural });
-        let leg = self.forget(now, id);
-        let attempt = match (phase, leg) {
+        self.weigh(now, pool, Word::Ended { connection: id, natural });
+        let attempt = self.forget(now, id);
+        let attempt = match (phase, attempt) {
             // To the module an adopted connection stands by its attempt 0, however often it was tried.
             (Phase::Adopting(..), _) => Some(0),
-            (_, leg) => leg.map(|leg| leg.number),
+            (_, attempt) => attempt.map(|attempt| attempt.number),
         };
         if let Some(attempt) = attempt {
-            self.effects.push(Effect::CloseLeg { auth: id });
+            self.effects.push(Effect::CloseAttempt { connection: id });
             let request = RequestId(id.0);
             self.tell(now, pool, Event::Ended { request, attempt, outcome, answered: true });
         }
     }
 
     /// Its sockets stay for a while: it waits to be closed.
-    pub(super) fn forget(&mut self, now: Time, id: AuthId) -> Option<Leg> {
-        let leg = self.drop_leg(id);
+    pub(super) fn forget(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
+        let attempt = self.drop_attempt(id);
         self.set_due(id, None);
-        if let Some(auth) = self.auths.remove(&id) {
+        if let Some(connection) = self.connections.remove(&id) {
             self.waiting.insert(id, now);
-            let pool = &mut self.pools[auth.pool];
-            pool.rebalance.take(now, Word::Ended { auth: id, natural: false });
-            pool.held -= usize::from(auth.phase != Phase::Greeting);
-            auth.ask.id.map(|id| pool.ids.remove(&id));
+            let pool = &mut self.pools[connection.pool];
+            pool.rebalance.take(now, Word::Ended { connection: id, natural: false });
+            pool.held -= usize::from(connection.phase != Phase::Greeting);
+            connection.ask.id.map(|id| pool.ids.remove(&id));
         }
-        leg
+        attempt
     }
 
-    /// The acquirer side is told to come again, and both sides are closed.
-    pub(super) fn move_away(&mut self, now: Time, id: AuthId, outcome: Outcome) {
+    /// The client is told to come again, and both sides are closed.
+    pub(super) fn move_away(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         self.give(now, id, Answer::Moved);
         self.cut_short(now, id);
         self.end(now, id, outcome);
     }
 
     /// Sets a standing connection's timer: for its move, or for the silence of its host.
-    pub(super) fn watch_over(&mut self, now: Time, id: AuthId) {
-        let Some(auth) = self.auths.get(&id) else { return };
-        let silence = self.pools[auth.pool].setup.silence;
-        let silent = (silence > 0).then(|| auth.asked.unwrap_or(now).plus(silence));
-        self.set_due(id, auth.move_at.into_iter().chain(silent).min());
+    pub(super) fn watch_over(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let silence = self.pools[connection.pool].setup.silence;
+        let silent = (silence > 0).then(|| connection.asked.unwrap_or(now).plus(silence));
+        self.set_due(id, connection.move_at.into_iter().chain(silent).min());
     }
 
     /// A standing connection's timer is due.
-    pub(super) fn overdue(&mut self, now: Time, id: AuthId) {
-        let Some(auth) = self.auths.get(&id) else { return };
-        let silence = self.pools[auth.pool].setup.silence;
+    pub(super) fn overdue(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let silence = self.pools[connection.pool].setup.silence;
         // Danger: a host that vanished says nothing; its clients would wait for ever.
-        if silence > 0 && auth.asked.is_some_and(|at| at.plus(silence) <= now) {
+        if silence > 0 && connection.asked.is_some_and(|at| at.plus(silence) <= now) {
             self.move_away(now, id, Outcome::Reset);
-        } else if auth.move_at.is_some_and(|at| at <= now) {
+        } else if connection.move_at.is_some_and(|at| at <= now) {
             self.move_away(now, id, Outcome::Cancelled);
         } else {
             self.watch_over(now, id);
@@ -122,12 +127,12 @@
     }
 
     /// Has standing connections moved one by one: all in one wave would hit the others at once.
-    pub(super) fn move_over(&mut self, now: Time, standing: &[AuthId], from: Micros, over: Micros) {
+    pub(super) fn move_over(&mut self, now: Time, standing: &[ConnectionId], from: Micros, over: Micros) {
         let gap = over / standing.len().max(1) as u64;
         for (n, &id) in standing.iter().enumerate() {
             let at = now.plus(from + gap * n as u64 + gap / 2);
-            let Some(auth) = self.auths.get_mut(&id) else { continue };
-            auth.move_at = Some(auth.move_at.map_or(at, |old| old.min(at)));
+            let Some(connection) = self.connections.get_mut(&id) else { continue };
+            connection.move_at = Some(connection.move_at.map_or(at, |old| old.min(at)));
             self.watch_over(now, id);
         }
     }
@@ -142,10 +147,10 @@
         let succeeded = self.partner == Some(Partner::Successor);
         let least = if succeeded { 0 } else { LEAVING_STAY.min(stay) };
         self.leaving = Some((now.plus(least), now.plus(stay)));
-        let standing: Vec<AuthId> =
-            self.auths.iter().filter(|(_, a)| a.phase == Phase::Standing).map(|(&id, _)| id).collect();
+        let standing: Vec<ConnectionId> =
+            self.connections.iter().filter(|(_, a)| a.phase == Phase::Standing).map(|(&id, _)| id).collect();
         let over = stay.saturating_sub(LEAVING_FROM + LEAVING_REST);
         self.move_over(now, &standing, LEAVING_FROM, over);
-        self.effects.push(Effect::Log(format!("leaving: {} connections to move", self.auths.len())));
+        self.effects.push(Effect::Log(format!("leaving: {} connections to move", self.connections.len())));
     }
 }
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -20,9 +20,10 @@
                 let sent = self.store.repair(&buckets);
                 if wanted && (!sent.is_empty() || buckets != self.store.digest()) {
                     let digest = Gossip::Digest { wanted: false, buckets: self.store.digest() };
-                    self.effects.push(Effect::Tell((from, digest)));
+                    self.effects.push(Effect::SendReplicaMessage((from, digest)));
                 }
-                self.effects.extend(sent.into_iter().map(|gossip| Effect::Tell((from, gossip))));
+                self.effects
+                    .extend(sent.into_iter().map(|gossip| Effect::SendReplicaMessage((from, gossip))));
             }
             Gossip::Entry { key, entry } => {
                 if let Some(entry) = self.store.hear(&key, entry) {
@@ -34,7 +35,7 @@
                 if self.write(now, &key, value.as_deref()) {
                     let entry = self.store.entry(&key).cloned();
                     let told = entry.map(|entry| Gossip::Entry { key, entry });
-                    self.effects.extend(told.map(|told| Effect::Tell((from, told))));
+                    self.effects.extend(told.map(|told| Effect::SendReplicaMessage((from, told))));
                 }
             }
             Gossip::Write { .. } => self.effects.push(Effect::Log(format!("write from {from} not taken"))),
@@ -56,7 +57,7 @@
         let told = Gossip::Entry { key: key.to_owned(), entry: entry.clone() };
         self.stored(now, key.to_owned(), entry);
         // Others hear of it at once; where that is lost, digests find it out.
-        self.effects.extend(self.peers.iter().map(|&peer| Effect::Tell((peer, told.clone()))));
+        self.effects.extend(self.peers.iter().map(|&peer| Effect::SendReplicaMessage((peer, told.clone()))));
         true
     }
 
@@ -65,7 +66,7 @@
         let value = entry.value.as_deref().unwrap_or("nothing");
         self.effects.push(Effect::Log(format!("store: {key} is {value}, says {}", entry.node)));
         let host = key.starts_with("life/") || key.starts_with("host/");
-        self.effects.push(Effect::Keep { key, entry });
+        self.effects.push(Effect::PersistEntry { key, entry });
         for pool in (0..self.pools.len()).filter(|_| host) {
             self.refresh(now, pool);
         }
@@ -77,6 +78,6 @@
         self.next_peer += 1;
         self.gossip_at = Some(now.plus(GOSSIP_GAP));
         let digest = Gossip::Digest { wanted: true, buckets: self.store.digest() };
-        self.effects.push(Effect::Tell((peer, digest)));
+        self.effects.push(Effect::SendReplicaMessage((peer, digest)));
     }
 }
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -1,7 +1,7 @@
 //! A new version in the place of an old one: what is left to it, and what both have to hear of meanwhile.
 
-use super::{host_number, Auth, Leg};
-use super::{AuthId, Effect, Legacy, Phase, PoolId, PoolLegacy, Standing, State};
+use super::{host_number, Attempt, ClientConnection};
+use super::{ConnectionId, Effect, Legacy, Phase, PoolId, PoolLegacy, Standing, State};
 use crate::{ClassId, Event, GroupId, Note, Outcome, RequestId, TenantId, Time};
 
 /// The other process, as long as there are two.
@@ -36,8 +36,8 @@
             pools: self.pools.iter().map(|pool| (pool.setup.name.to_owned(), pool_left(pool))).collect(),
             left: self.waiting.len(),
         };
-        self.effects.push(Effect::Doors { open: false });
-        self.effects.push(Effect::Bequeath(Box::new(legacy)));
+        self.effects.push(Effect::SetAccepting { open: false });
+        self.effects.push(Effect::ExportState(Box::new(legacy)));
     }
 
     /// It serves: what stands here follows.
@@ -49,28 +49,32 @@
         self.effects.push(Effect::Log("another process serves in this one's place".to_owned()));
         // Danger (cold hosts): what may be sent there is the other's to spend.
         (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
-        for id in self.auths.keys().copied().collect::<Vec<_>>() {
+        for id in self.connections.keys().copied().collect::<Vec<_>>() {
             self.pass(id);
         }
     }
 
     /// Has a connection follow to the process that serves, if it stands.
-    pub(super) fn pass(&mut self, id: AuthId) {
-        let Some(auth) = self.auths.get(&id).filter(|auth| auth.phase == Phase::Standing) else { return };
-        let (Some(Partner::Successor), Some(leg)) = (self.partner, auth.leg) else { return };
-        let Some(host) = self.pools[auth.pool].table.any(leg.host) else { return };
-        let (ask, host) = (auth.ask.clone(), host.name.clone());
-        let standing = Standing { ask, host, load: auth.load, asked: auth.asked };
-        self.effects.push(Effect::Pass { auth: id, pool: auth.pool, standing });
+    pub(super) fn pass(&mut self, id: ConnectionId) {
+        let Some(connection) =
+            self.connections.get(&id).filter(|connection| connection.phase == Phase::Standing)
+        else {
+            return;
+        };
+        let (Some(Partner::Successor), Some(attempt)) = (self.partner, connection.attempt) else { return };
+        let Some(host) = self.pools[connection.pool].table.any(attempt.host) else { return };
+        let (ask, host) = (connection.ask.clone(), host.name.clone());
+        let standing = Standing { ask, host, load: connection.load, asked: connection.asked };
+        self.effects.push(Effect::TransferConnection { connection: id, pool: connection.pool, standing });
     }
 
     /// Its sockets have gone: nothing of it is left here, and nothing of it ended.
-    pub(super) fn passed(&mut self, now: Time, id: AuthId) {
-        let Some(pool) = self.auths.get(&id).map(|auth| auth.pool) else { return };
-        let leg = self.forget(now, id);
+    pub(super) fn passed(&mut self, now: Time, id: ConnectionId) {
+        let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) else { return };
+        let attempt = self.forget(now, id);
         self.waiting.remove(&id);
-        if let Some(leg) = leg {
-            let (request, attempt, outcome) = (RequestId(id.0), leg.number, Outcome::Cancelled);
+        if let Some(attempt) = attempt {
+            let (request, attempt, outcome) = (RequestId(id.0), attempt.number, Outcome::Cancelled);
             self.tell(now, pool, Event::Ended { request, attempt, outcome, answered: true });
         }
     }
@@ -83,7 +87,7 @@
         for (key, entry) in legacy.entries {
             self.store.take(&key, entry);
         }
-        self.effects.push(Effect::KeepBans(self.bans.iter().cloned().collect()));
+        self.effects.push(Effect::PersistExclusions(self.bans.iter().cloned().collect()));
         for id in 0..self.pools.len() {
             let pool = &mut self.pools[id];
             let Some(left) = legacy.pools.get(pool.setup.name) else { continue };
@@ -102,7 +106,7 @@
     }
 
     /// A connection goes on here that stood at the process before.
-    pub(super) fn adopted(&mut self, now: Time, id: AuthId, pool_id: PoolId, standing: Standing) {
+    pub(super) fn adopted(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, standing: Standing) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let Standing { ask, host, load, asked } = standing;
         let host = host_number(&host);
@@ -115,28 +119,29 @@
             pool.elsewhere.remove(id);
             pool.ids.insert(id.clone());
         }
-        let leg = Some(Leg { number: 0, host, written: true, since: now, until: now, write_by: None });
-        let auth = Auth {
+        let attempt =
+            Some(Attempt { number: 0, host, written: true, since: now, until: now, write_by: None });
+        let connection = ClientConnection {
             pool: pool_id,
             class,
             ask,
             load: None,
             phase: Phase::Standing,
-            legs: 1,
-            leg,
+            attempts: 1,
+            attempt,
             due: None,
             met: now,
             move_at: None,
             asked,
         };
-        self.auths.insert(id, auth);
+        self.connections.insert(id, connection);
         self.at.entry((pool_id, host)).or_default().insert(id);
         let (request, server) = (RequestId(id.0), host);
         let class = class.unwrap_or_default();
         let known = self.pools[pool_id].table.any(host).is_some();
         self.tell(now, pool_id, Event::Open { request, class, tenant, group, load: hint, server });
         if let Some(load) = load {
-            self.auths.entry(id).and_modify(|auth| auth.load = Some(load));
+            self.connections.entry(id).and_modify(|connection| connection.load = Some(load));
             let pool = &mut self.pools[pool_id];
             pool.loads = (pool.loads.0 + load, pool.loads.1 + 1.0);
             self.tell(now, pool_id, Event::Noted { request, note: Note::Load(load) });
@@ -159,7 +164,7 @@
             Some(Partner::Heir | Partner::Successor) => {
                 self.effects
                     .push(Effect::Log("the process that was to take this one's place is gone".to_owned()));
-                self.effects.push(Effect::Doors { open: self.shut.is_none() });
+                self.effects.push(Effect::SetAccepting { open: self.shut.is_none() });
                 (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
             }
             // What it had open is open nowhere any more, and its descriptors are free.
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -4,18 +4,18 @@
 use std::net::SocketAddr;
 
 use super::store::{Entry, Gossip, Letter};
-use super::{IssuerHost, ProbeEnd};
+use super::{Endpoint, ProbeEnd};
 use crate::peers;
-pub use crate::AuthId;
+pub use crate::ConnectionId;
 use crate::{rebalance, Learned, Micros, ServerId, Settings, Time};
 
-/// Which of the pools of issuer hosts, each with its own routing table and balancer.
+/// Which of the pools of servers, each with its own endpoint list and balancer.
 pub type PoolId = usize;
 
-/// What the acquirer side asks for, in no wire's terms.
+/// What the client asks for, in no wire's terms.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Authorisation {
-    /// What the acquirer side calls it, where it does: no two that are open may be called alike.
+pub struct ConnectionRequest {
+    /// What the client calls it, where it does: no two that are open may be called alike.
     pub id: Option<String>,
     /// Name of its class.
     pub class: String,
@@ -25,10 +25,10 @@
     pub group: Option<u64>,
     /// Its usual load.
     pub load: Option<f64>,
-    /// How long the acquirer side waits from now on; where it does not say, what is left of the time it
+    /// How long the client waits from now on; where it does not say, what is left of the time it
     /// had to ask.
     pub wait: Option<Micros>,
-    /// It stood already, at this issuer host.
+    /// It stood already, at this server.
     pub standing_at: Option<String>,
     /// By what its client is known when it comes again: a hash of the flow's key, where there is one.
     pub key: Option<u64>,
@@ -36,16 +36,16 @@
     pub again: bool,
 }
 
-/// How a leg ended, as its issuer host or the network had it.
+/// How an attempt ended, as its server or the network had it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LegEnd {
+pub enum AttemptOutcome {
     /// Served to its end, in order.
     Served,
-    /// The host sent the acquirer side away.
+    /// The host sent the client away.
     SentAway,
     /// The host answered with an error.
     Error,
-    /// Turned away unseen.
+    /// Rejected unseen.
     TurnedAway,
     /// No connection, or it broke before the request was written in full.
     NoConnection,
@@ -53,7 +53,7 @@
     Broken,
     /// This machine had no socket left for it: the host had no part in that.
     NoSocket,
-    /// The host's own verdict was passed on to the acquirer side: nothing more is to be done.
+    /// The host's own verdict was passed on to the client: nothing more is to be done.
     Verdict,
 }
 
@@ -64,7 +64,7 @@
     Ready,
     /// The figures.
     Telemetry,
-    /// Take this issuer host out.
+    /// Take this server out.
     Exclude(String),
     /// Use it again.
     Include(String),
@@ -79,7 +79,7 @@
     Figures(Figures),
 }
 
-/// How authorisations of a class came out.
+/// How connections of a class came out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Brought up.
@@ -95,9 +95,9 @@
 pub struct Figures {
     /// Every configured class, by name.
     pub classes: BTreeMap<String, Counts>,
-    /// Legs written in full.
+    /// Attempts written in full.
     pub forwards: u64,
-    /// Authorisations taken and not yet ended, those that stand included.
+    /// Connections taken and not yet ended, those that stand included.
     pub outstanding: u64,
     /// Issuer hosts listed.
     pub discovered: u64,
@@ -128,8 +128,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Standing {
     /// What it asked for.
-    pub ask: Authorisation,
-    /// Its issuer host.
+    pub ask: ConnectionRequest,
+    /// Its server.
     pub host: String,
     /// The load that its host told last.
     pub load: Option<f64>,
@@ -155,119 +155,119 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolLegacy {
     /// The hosts as listed, with what was learned of them.
-    pub hosts: Vec<(IssuerHost, Option<Learned>)>,
+    pub hosts: Vec<(Endpoint, Option<Learned>)>,
     /// Hosts that were out by hand, and since when they are not any more.
     pub returned: Vec<(String, Time)>,
-    /// Ids of authorisations that are open there.
+    /// Ids of connections that are open there.
     pub ids: Vec<String>,
 }
 
 /// What happened outside.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The acquirer side connected to a pool's front.
-    Met { auth: AuthId, pool: PoolId },
+    /// The client connected to a pool's front.
+    ClientConnected { connection: ConnectionId, pool: PoolId },
     /// It asks.
-    Authorise { auth: AuthId, ask: Authorisation },
+    ConnectionRequested { connection: ConnectionId, ask: ConnectionRequest },
     /// It has not asked, and was heard up to now.
-    Unasked { auth: AuthId },
+    HandshakeTimedOut { connection: ConnectionId },
     /// It left.
-    Left { auth: AuthId },
+    ClientDisconnected { connection: ConnectionId },
     /// All of its sockets are closed.
-    Closed { auth: AuthId },
-    /// All of the leg's request is written.
-    LegWritten { auth: AuthId, leg: u32 },
-    /// The issuer host accepted: lines go both ways from here on.
-    LegUp { auth: AuthId, leg: u32 },
-    /// The issuer host ended the leg.
-    LegEnded { auth: AuthId, leg: u32, end: LegEnd },
-    /// A line went to the issuer host of a standing connection.
-    Asked { auth: AuthId },
+    SocketsClosed { connection: ConnectionId },
+    /// All of the attempt's request is written.
+    RequestForwarded { connection: ConnectionId, attempt: u32 },
+    /// The server accepted: lines go both ways from here on.
+    AttemptAccepted { connection: ConnectionId, attempt: u32 },
+    /// The server ended the attempt.
+    AttemptEnded { connection: ConnectionId, attempt: u32, end: AttemptOutcome },
+    /// A line went to the server of a standing connection.
+    LineForwarded { connection: ConnectionId },
     /// Something came from it.
-    Heard { auth: AuthId },
+    ServerActivity { connection: ConnectionId },
     /// It told a figure: the connection's load in microseconds of work a second, or, where the settings
     /// say that hosts tell it, the milliseconds that a message takes there.
-    Load { auth: AuthId, load: f64 },
+    LoadReported { connection: ConnectionId, load: f64 },
     /// What was kept of an earlier life: the store's entries, and hosts out by hand where no store says so.
-    Kept { entries: Vec<(String, Entry)>, bans: Vec<String> },
-    /// A routing table as it was last held, which may be old.
-    Known { pool: PoolId, hosts: Vec<IssuerHost> },
-    /// News of a routing table: all of it, or what changed.
-    Table { pool: PoolId, whole: bool, hosts: Vec<IssuerHost> },
+    StateRestored { entries: Vec<(String, Entry)>, bans: Vec<String> },
+    /// A endpoint list as it was last held, which may be old.
+    CachedEndpoints { pool: PoolId, hosts: Vec<Endpoint> },
+    /// News of a endpoint list: all of it, or what changed.
+    EndpointsUpdated { pool: PoolId, whole: bool, hosts: Vec<Endpoint> },
     /// Another balancer of the tier says what is slow.
-    Peer { pool: PoolId, word: peers::Word },
-    /// A probe of an issuer host is over.
-    Probed { pool: PoolId, host: ServerId, end: ProbeEnd },
+    GossipReceived { pool: PoolId, word: peers::Word },
+    /// A probe of an server is over.
+    ProbeCompleted { pool: PoolId, host: ServerId, end: ProbeEnd },
     /// The watch on it broke, or could not be had.
-    TableLost { pool: PoolId },
+    EndpointWatchLost { pool: PoolId },
     /// Another node's store, or an operator's command, sent this.
-    Gossip { from: SocketAddr, gossip: Gossip },
+    ReplicaMessage { from: SocketAddr, gossip: Gossip },
     /// The configuration was read again: its pools in the old order, and the other stores.
-    Configure { pools: Vec<PoolSetup>, peers: Vec<SocketAddr>, budget: Budget },
+    ConfigurationChanged { pools: Vec<PoolSetup>, peers: Vec<SocketAddr>, budget: Budget },
     /// The fronts listen.
     Listening,
     /// Another process starts in this one's place, and asks for what there is to know.
-    Succession,
+    SuccessorStarted,
     /// It serves now.
-    Succeeded,
+    SuccessorReady,
     /// The sockets of a standing connection are with it.
-    Passed { auth: AuthId },
+    ConnectionTransferred { connection: ConnectionId },
     /// This process has what the one before it knew.
-    Inherit(Box<Legacy>),
+    ImportState(Box<Legacy>),
     /// A standing connection came from the process before.
-    Adopted { auth: AuthId, pool: PoolId, standing: Standing },
+    ConnectionReceived { connection: ConnectionId, pool: PoolId, standing: Standing },
     /// The other process is gone.
-    PartnerLost,
+    PeerProcessLost,
     /// An operator's word came to the other process...
-    Shared { host: String, out: bool },
+    ExclusionShared { host: String, out: bool },
     /// ...or has arrived there.
-    ShareTaken { caller: CallerId },
+    ExclusionAcknowledged { caller: CallerId },
     /// An operator calls.
-    Call { caller: CallerId, call: Call },
+    AdminRequest { caller: CallerId, call: Call },
     /// This balancer is to leave.
-    Leave,
+    ShutdownRequested,
     /// Time has come to something.
-    Tick,
+    TimerFired,
 }
 
 /// What is to be done outside, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Connect to this address and send the request; the host is told that it has so long.
-    OpenLeg { auth: AuthId, leg: u32, address: String, wait: Micros },
-    /// Close the leg that is out.
-    CloseLeg { auth: AuthId },
+    OpenAttempt { connection: ConnectionId, attempt: u32, address: String, wait: Micros },
+    /// Close the attempt that is out.
+    CloseAttempt { connection: ConnectionId },
     /// Give this answer, then end both sides.
-    Answer { auth: AuthId, answer: Answer },
-    /// Hear the acquirer side once more: its time to ask is over. [`Input::Unasked`] if it still has not.
-    Hear { auth: AuthId },
-    /// Close all sockets of an authorisation at once.
-    Drop { auth: AuthId },
+    Answer { connection: ConnectionId, answer: Answer },
+    /// Hear the client once more: its time to ask is over. [`Input::HandshakeTimedOut`] if it still has not.
+    CheckHandshake { connection: ConnectionId },
+    /// Close all sockets of a connection at once.
+    AbortConnection { connection: ConnectionId },
     /// The fronts may accept connections, or have to leave them waiting.
-    Doors { open: bool },
+    SetAccepting { open: bool },
     /// Tell the other balancers of the tier what is slow.
-    TellPeers(peers::Word),
+    BroadcastGossip(peers::Word),
     /// Ask a host for its load, which its report has under the first of these names that it holds, and wait so
-    /// long for the answer. It is to be told once, by [`Input::Probed`].
-    Probe { pool: PoolId, host: ServerId, address: String, names: Vec<&'static str>, wait: Micros },
-    /// Watch a routing table, telling what was missed first.
-    Watch { pool: PoolId },
+    /// long for the answer. It is to be told once, by [`Input::ProbeCompleted`].
+    ProbeServer { pool: PoolId, host: ServerId, address: String, names: Vec<&'static str>, wait: Micros },
+    /// Watch a endpoint list, telling what was missed first.
+    WatchEndpoints { pool: PoolId },
     /// Let the old watch go and watch at this address, which tells the whole list first.
-    WatchAt { pool: PoolId, discovery: SocketAddr },
+    WatchEndpointsAt { pool: PoolId, discovery: SocketAddr },
     /// Send this to another node's store, or to whoever gave a command.
-    Tell(Letter),
+    SendReplicaMessage(Letter),
     /// Put an entry of the store where it outlives the process.
-    Keep { key: String, entry: Entry },
+    PersistEntry { key: String, entry: Entry },
     /// Leave this to the process that starts.
-    Bequeath(Box<Legacy>),
+    ExportState(Box<Legacy>),
     /// Pass a standing connection on to it, as soon as it is between two lines.
-    Pass { auth: AuthId, pool: PoolId, standing: Standing },
+    TransferConnection { connection: ConnectionId, pool: PoolId, standing: Standing },
     /// Tell the other process of a host out by hand or back, for this caller.
-    Share { caller: CallerId, host: String, out: bool },
+    ShareExclusion { caller: CallerId, host: String, out: bool },
     /// Put the hosts out by hand where they outlive the process.
-    KeepBans(Vec<String>),
+    PersistExclusions(Vec<String>),
     /// Answer an operator's call.
-    Reply { caller: CallerId, reply: Reply },
+    AdminReply { caller: CallerId, reply: Reply },
     /// A line for the log.
     Log(String),
     /// Nothing is held any more: the balancer may go.
@@ -286,9 +286,9 @@
 /// What all fronts together may hold, as this machine's limits allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Connections that have no leg: they have not asked yet, or are ended and not yet closed.
+    /// Connections that have no attempt: they have not asked yet, or are ended and not yet closed.
     pub waiting: usize,
-    /// Authorisations with a leg, out or standing.
+    /// Connections with an attempt, out or standing.
     pub held: usize,
     /// Bytes that wait for a side that does not read, before no more is taken from the other.
     pub buffer: usize,
@@ -307,11 +307,11 @@
     pub settings: Settings,
     /// The seed of its chance.
     pub seed: u64,
-    /// Where its routing table is watched; none where it comes from a file.
+    /// Where its endpoint list is watched; none where it comes from a file.
     pub discovery: Option<SocketAddr>,
-    /// The acquirer side has so long to ask.
+    /// The client has so long to ask.
     pub greeting: Micros,
-    /// The store may add issuer hosts, and says how many connections may be held; where it does not, so many.
+    /// The store may add servers, and says how many connections may be held; where it does not, so many.
     pub from_store: bool,
     pub most_held: usize,
     /// Clients of a draining host are moved over this time; 0 where hosts send them away by themselves.
@@ -323,7 +323,7 @@
     pub tells_load: bool,
     /// Names under which a probe's answer may carry a host's load over its capacity, the best first.
     pub reports: Vec<&'static str>,
-    /// The longest that an acquirer side waits for its answer.
+    /// The longest that an client waits for its answer.
     pub longest_wait: Micros,
     /// How standing connections are moved towards balance.
     pub rebalance: rebalance::Setup,
@@ -359,7 +359,7 @@
         }
     }
 
-    /// This setup in the place of another. Danger: authorisations that are out know their class, tenant and
+    /// This setup in the place of another. Danger: connections that are out know their class, tenant and
     /// zone by number, so names keep theirs; one that is no longer configured is there by no name.
     pub(super) fn after(mut self, old: &PoolSetup) -> PoolSetup {
         let now = &mut self.settings;
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -1,6 +1,6 @@
 //! Rebalancing, on the reducer's side: what it is told, and how its moves are carried out.
 
-use super::{AuthId, PoolId, State};
+use super::{ConnectionId, PoolId, State};
 use crate::rebalance::view::Connection;
 use crate::rebalance::{Figures, HostNow, Word, World};
 use crate::{Learned, Micros, Outcome, ServerId, Time};
@@ -13,10 +13,10 @@
         }
     }
 
-    /// An authorisation was refused or failed.
-    pub(super) fn declined(&mut self, now: Time, id: AuthId) {
-        if let Some(pool) = self.auths.get(&id).map(|auth| auth.pool) {
-            self.weigh(now, pool, Word::Declined { auth: id });
+    /// A connection was refused or failed.
+    pub(super) fn declined(&mut self, now: Time, id: ConnectionId) {
+        if let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) {
+            self.weigh(now, pool, Word::Declined { connection: id });
         }
     }
 
@@ -27,19 +27,28 @@
     }
 
     /// A standing connection ends before its own end.
-    pub(super) fn cut_short(&mut self, now: Time, id: AuthId) {
-        if let Some(pool) = self.auths.get(&id).map(|auth| auth.pool) {
-            self.weigh(now, pool, Word::Ended { auth: id, natural: false });
+    pub(super) fn cut_short(&mut self, now: Time, id: ConnectionId) {
+        if let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) {
+            self.weigh(now, pool, Word::Ended { connection: id, natural: false });
         }
     }
 
-    /// An authorisation's connection stands, so long after its leg was written.
-    pub(super) fn stood(&mut self, now: Time, id: AuthId, setup: Option<Micros>) {
-        let Some((auth, leg)) = self.auths.get(&id).and_then(|auth| Some((auth, auth.leg?))) else { return };
-        let (pool, class) = (auth.pool, auth.class.unwrap_or_default().0);
-        let at =
-            Connection { host: leg.host, class, group: auth.ask.group, load: auth.load, key: auth.ask.key };
-        self.weigh(now, pool, Word::Stood { auth: id, at, setup });
+    /// A connection's connection stands, so long after its attempt was written.
+    pub(super) fn stood(&mut self, now: Time, id: ConnectionId, setup: Option<Micros>) {
+        let Some((connection, attempt)) =
+            self.connections.get(&id).and_then(|connection| Some((connection, connection.attempt?)))
+        else {
+            return;
+        };
+        let (pool, class) = (connection.pool, connection.class.unwrap_or_default().0);
+        let at = Connection {
+            host: attempt.host,
+            class,
+            group: connection.ask.group,
+            load: connection.load,
+            key: connection.ask.key,
+        };
+        self.weigh(now, pool, Word::Stood { connection: id, at, setup });
     }
 
     /// Its time has come to look whether anybody should be moved.
@@ -50,7 +59,7 @@
         let world = World {
             leaving: self.leaving.is_some(),
             handover: self.partner.is_some(),
-            draining: leaving.map(|(_, auths)| auths.len()).sum(),
+            draining: leaving.map(|(_, connections)| connections.len()).sum(),
         };
         let pool = &mut self.pools[pool_id];
         let settings = &pool.setup.settings;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! The one reducer: every change of the balancer's state goes through [`reduce`], which reads nothing,
 //! writes nothing and knows no wire. Reading and writing are [`Effect`]s that it asks for.
 //!
-//! It owns the decision module's balancers, one for each pool of issuer hosts, and only here do the
-//! shop's terms meet the module's: an authorisation is its request, a leg its attempt, an issuer host
+//! It owns the decision module's balancers, one for each pool of servers, and only here do the
+//! shop's terms meet the module's: a connection is its request, an attempt its attempt, an server
 //! its server.
 
 mod admin;
@@ -22,7 +22,7 @@
 use std::net::SocketAddr;
 
 use client::LEAVING_WAIT;
-pub use endpoints::{host_number, stored_host, IssuerHost, Lifecycle, RoutingTable};
+pub use endpoints::{host_number, stored_host, Endpoint, EndpointList, Lifecycle};
 use hot_restart::Partner;
 pub use input::*;
 use probes::Probes;
@@ -35,9 +35,9 @@
 
 struct Pool {
     setup: PoolSetup,
-    /// How authorisations came out, by class.
+    /// How connections came out, by class.
     counts: Vec<Counts>,
-    /// The routing table has been told since the start.
+    /// The endpoint list has been told since the start.
     told: bool,
     /// Hosts that are out by hand, or by the store's word.
     out: BTreeSet<String>,
@@ -49,10 +49,10 @@
     /// What balancers tell each other.
     peers: Peers,
     probes: Probes,
-    table: RoutingTable,
+    table: EndpointList,
     /// The hosts as discovery or the operator's file lists them, before the store has its say.
-    listed: BTreeMap<String, IssuerHost>,
-    /// Authorisations past their greeting, and the ids by which their acquirer sides call them.
+    listed: BTreeMap<String, Endpoint>,
+    /// Connections past their greeting, and the ids by which their clients call them.
     held: usize,
     ids: BTreeSet<String>,
     /// Such as are open at the process before this one.
@@ -77,7 +77,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Leg {
+struct Attempt {
     number: u32,
     host: ServerId,
     written: bool,
@@ -89,15 +89,15 @@
     write_by: Option<Time>,
 }
 
-struct Auth {
+struct ClientConnection {
     pool: PoolId,
     class: Option<ClassId>,
-    ask: Authorisation,
+    ask: ConnectionRequest,
     /// The load that its host told last.
     load: Option<f64>,
     phase: Phase,
-    legs: u32,
-    leg: Option<Leg>,
+    attempts: u32,
+    attempt: Option<Attempt>,
     /// Its one timer.
     due: Option<Time>,
     /// When it connected, and when it is to be moved.
@@ -110,11 +110,11 @@
 /// All that the balancer knows.
 pub struct State {
     pools: Vec<Pool>,
-    auths: BTreeMap<AuthId, Auth>,
-    timers: BTreeSet<(Time, AuthId)>,
+    connections: BTreeMap<ConnectionId, ClientConnection>,
+    timers: BTreeSet<(Time, ConnectionId)>,
     /// Whether its fronts listen.
     listening: bool,
-    /// Legs written in full.
+    /// Attempts written in full.
     forwards: u64,
     /// Hosts out by hand, whatever any list says, where no store holds that.
     bans: BTreeSet<String>,
@@ -125,12 +125,12 @@
     /// Names of all hosts that were ever listed.
     ever_listed: BTreeSet<String>,
     budget: Budget,
-    /// Connections without a leg, and since when.
-    waiting: BTreeMap<AuthId, Time>,
+    /// Connections without an attempt, and since when.
+    waiting: BTreeMap<ConnectionId, Time>,
     /// The fronts accept no connections until there is room, which is looked for then.
     shut: Option<Time>,
-    /// Authorisations with a leg at a host.
-    at: BTreeMap<(PoolId, ServerId), BTreeSet<AuthId>>,
+    /// Connections with an attempt at a host.
+    at: BTreeMap<(PoolId, ServerId), BTreeSet<ConnectionId>>,
     /// From when it may go, and when it goes at the latest, once it leaves.
     leaving: Option<(Time, Time)>,
     /// That has come.
@@ -158,7 +158,7 @@
             peers: Peers::new(setup.peer_setup(), setup.seed),
             rebalance: Rebalance::new(setup.rebalance, setup.rebalance_terms(), setup.seed, now),
             probes: Probes::default(),
-            table: RoutingTable::default(),
+            table: EndpointList::default(),
             listed: BTreeMap::new(),
             counts: vec![Counts::default(); setup.classes.len()],
             told: false,
@@ -174,7 +174,7 @@
         };
         State {
             pools: pools.into_iter().map(pool).collect(),
-            auths: BTreeMap::new(),
+            connections: BTreeMap::new(),
             timers: BTreeSet::new(),
             listening: false,
             forwards: 0,
@@ -201,14 +201,14 @@
         self.budget
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// When [`Input::TimerFired`] is wanted next.
     pub fn next_due(&self) -> Option<Time> {
         let wakes = self.pools.iter().filter_map(|pool| pool.wake);
         let timers = self.timers.first().map(|&(at, _)| at);
-        let leaving = self
-            .leaving
-            .filter(|_| !self.left)
-            .map(|(from, to)| if self.auths.is_empty() { from } else { to });
+        let leaving =
+            self.leaving
+                .filter(|_| !self.left)
+                .map(|(from, to)| if self.connections.is_empty() { from } else { to });
         let shared = self.shared.values().copied();
         let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.due());
         wakes
@@ -221,9 +221,9 @@
             .min()
     }
 
-    /// Whether time has come to something of an authorisation, and no tick has told so yet.
-    pub fn overdue_by(&self, now: Time, id: AuthId) -> bool {
-        self.auths.get(&id).and_then(|auth| auth.due).is_some_and(|due| due <= now)
+    /// Whether time has come to something of a connection, and no tick has told so yet.
+    pub fn overdue_by(&self, now: Time, id: ConnectionId) -> bool {
+        self.connections.get(&id).and_then(|connection| connection.due).is_some_and(|due| due <= now)
     }
 
     /// What the store holds: for tests.
@@ -233,40 +233,50 @@
 
     fn take(&mut self, now: Time, input: Input) {
         match input {
-            Input::Met { auth, pool } => self.met(now, auth, pool),
-            Input::Authorise { auth, ask } => self.authorise(now, auth, ask),
-            Input::Left { auth } => self.left(now, auth),
-            Input::Unasked { auth } => {
-                if self.auths.get(&auth).is_some_and(|auth| auth.phase == Phase::Greeting) {
-                    self.answer(now, auth, Answer::Late);
+            Input::ClientConnected { connection, pool } => self.met(now, connection, pool),
+            Input::ConnectionRequested { connection, ask } => {
+                self.on_connection_requested(now, connection, ask)
+            }
+            Input::ClientDisconnected { connection } => self.left(now, connection),
+            Input::HandshakeTimedOut { connection } => {
+                if self
+                    .connections
+                    .get(&connection)
+                    .is_some_and(|connection| connection.phase == Phase::Greeting)
+                {
+                    self.answer(now, connection, Answer::Late);
                 }
             }
-            Input::Closed { auth } => {
-                self.waiting.remove(&auth);
+            Input::SocketsClosed { connection } => {
+                self.waiting.remove(&connection);
                 self.make_room(now);
             }
-            Input::LegWritten { auth, leg } => {
-                self.leg_written(now, auth, leg);
+            Input::RequestForwarded { connection, attempt } => {
+                self.on_request_forwarded(now, connection, attempt);
+            }
+            Input::AttemptAccepted { connection, attempt } => {
+                self.on_attempt_accepted(now, connection, attempt)
             }
-            Input::LegUp { auth, leg } => self.leg_up(now, auth, leg),
-            Input::LegEnded { auth, leg, end } => self.leg_ended(now, auth, leg, end),
-            Input::Asked { auth } => {
-                if let Some(auth) = self.auths.get_mut(&auth) {
-                    auth.asked.get_or_insert(now);
+            Input::AttemptEnded { connection, attempt, end } => {
+                self.on_attempt_ended(now, connection, attempt, end)
+            }
+            Input::LineForwarded { connection } => {
+                if let Some(connection) = self.connections.get_mut(&connection) {
+                    connection.asked.get_or_insert(now);
                 }
             }
-            Input::Heard { auth } => self.heard(auth),
-            Input::Load { auth, load } => self.told(now, auth, load),
-            Input::Kept { entries, bans } => self.kept(now, entries, bans),
-            Input::Known { pool, hosts } => self.follow(now, pool, true, hosts),
-            Input::Table { pool, whole, hosts } => {
+            Input::ServerActivity { connection } => self.heard(connection),
+            Input::LoadReported { connection, load } => self.told(now, connection, load),
+            Input::StateRestored { entries, bans } => self.kept(now, entries, bans),
+            Input::CachedEndpoints { pool, hosts } => self.follow(now, pool, true, hosts),
+            Input::EndpointsUpdated { pool, whole, hosts } => {
                 self.follow(now, pool, whole, hosts);
                 if let Some(pool) = self.pools.get_mut(pool) {
                     pool.told = true;
                     pool.rebalance.take(now, rebalance::Word::ListTold);
                 }
             }
-            Input::Peer { pool, word } => {
+            Input::GossipReceived { pool, word } => {
                 // Danger: words of hosts that are not listed would fill the memory, and say nothing here.
                 let table = &self.pools[pool].table;
                 let known = word.news.host().is_none_or(|host| table.any(host).is_some());
@@ -280,36 +290,39 @@
                     self.tell(now, pool, told);
                 }
             }
-            Input::Probed { pool, host, end } => self.probed(now, pool, host, end),
-            Input::TableLost { pool } => {
+            Input::ProbeCompleted { pool, host, end } => self.probed(now, pool, host, end),
+            Input::EndpointWatchLost { pool } => {
                 self.weigh(now, pool, rebalance::Word::ListLost);
                 self.tell(now, pool, Event::ListFailed);
             }
-            Input::Gossip { from, gossip } => self.gossip(now, from, gossip),
-            Input::Configure { pools, peers, budget } => self.configure(now, pools, peers, budget),
-            Input::Succession => self.bequeath(),
-            Input::Succeeded => self.succeeded(now),
-            Input::Passed { auth } => self.passed(now, auth),
-            Input::Inherit(legacy) => self.inherit(now, *legacy),
-            Input::Adopted { auth, pool, standing } => self.adopted(now, auth, pool, standing),
-            Input::PartnerLost => self.partner_lost(now),
-            Input::Shared { host, out } => drop(self.set_ban(now, &host, out)),
-            Input::ShareTaken { caller } => self.share_taken(caller),
+            Input::ReplicaMessage { from, gossip } => self.gossip(now, from, gossip),
+            Input::ConfigurationChanged { pools, peers, budget } => self.configure(now, pools, peers, budget),
+            Input::SuccessorStarted => self.bequeath(),
+            Input::SuccessorReady => self.succeeded(now),
+            Input::ConnectionTransferred { connection } => self.passed(now, connection),
+            Input::ImportState(legacy) => self.inherit(now, *legacy),
+            Input::ConnectionReceived { connection, pool, standing } => {
+                self.adopted(now, connection, pool, standing)
+            }
+            Input::PeerProcessLost => self.partner_lost(now),
+            Input::ExclusionShared { host, out } => drop(self.set_ban(now, &host, out)),
+            Input::ExclusionAcknowledged { caller } => self.share_taken(caller),
             Input::Listening => self.listening = true,
-            Input::Call { caller, call } => self.call(now, caller, call),
-            Input::Leave => self.leave(now),
-            Input::Tick => self.tick(now),
+            Input::AdminRequest { caller, call } => self.call(now, caller, call),
+            Input::ShutdownRequested => self.leave(now),
+            Input::TimerFired => self.tick(now),
         }
-        let over = self.leaving.is_some_and(|(from, to)| now >= to || now >= from && self.auths.is_empty());
+        let over =
+            self.leaving.is_some_and(|(from, to)| now >= to || now >= from && self.connections.is_empty());
         if over && !self.left {
             // Danger: who comes in until the process is gone is refused like those before.
             self.left = true;
             // Whoever is still here is owed a word.
-            for id in self.auths.keys().copied().collect::<Vec<_>>() {
-                let answer = match self.auths.get(&id).map(|auth| auth.phase) {
+            for id in self.connections.keys().copied().collect::<Vec<_>>() {
+                let answer = match self.connections.get(&id).map(|connection| connection.phase) {
                     Some(Phase::Standing) => Answer::Moved,
                     Some(Phase::Greeting) => {
-                        self.effects.push(Effect::Hear { auth: id });
+                        self.effects.push(Effect::CheckHandshake { connection: id });
                         continue;
                     }
                     // Its time may go on for longer than this process; elsewhere it can still be served.
@@ -324,13 +337,16 @@
     }
 
     /// Whether the client of a request may be told that to come again is harmless.
-    fn may_refuse(&self, id: AuthId) -> bool {
-        self.auths.get(&id).is_some_and(|auth| self.pools[auth.pool].balancer.may_refuse(RequestId(id.0)))
+    fn may_refuse(&self, id: ConnectionId) -> bool {
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| self.pools[connection.pool].balancer.may_refuse(RequestId(id.0)))
     }
 
     /// A refusal that says when to come again, as far as the settings allow.
-    fn come_again(&self, id: AuthId, wait: Micros) -> Answer {
-        let settings = self.auths.get(&id).map(|auth| &self.pools[auth.pool].setup.settings);
+    fn come_again(&self, id: ConnectionId, wait: Micros) -> Answer {
+        let settings =
+            self.connections.get(&id).map(|connection| &self.pools[connection.pool].setup.settings);
         let most = settings.filter(|settings| settings.retry_after).map_or(0, |s| s.max_retry_after);
         Answer::Refused(wait.min(most))
     }
@@ -340,19 +356,19 @@
     fn tick(&mut self, now: Time) {
         while let Some(&(_, id)) = self.timers.first().filter(|(at, _)| *at <= now) {
             self.set_due(id, None);
-            let Some(auth) = self.auths.get(&id) else { continue };
-            match (auth.phase, auth.leg) {
-                (Phase::Greeting, _) => self.effects.push(Effect::Hear { auth: id }),
-                (Phase::Placing, leg) => {
-                    let written = leg.is_some_and(|leg| leg.written);
-                    let over = leg.and_then(|leg| leg.write_by).is_some_and(|by| by <= now);
-                    self.effects.push(Effect::CloseLeg { auth: id });
+            let Some(connection) = self.connections.get(&id) else { continue };
+            match (connection.phase, connection.attempt) {
+                (Phase::Greeting, _) => self.effects.push(Effect::CheckHandshake { connection: id }),
+                (Phase::Placing, attempt) => {
+                    let written = attempt.is_some_and(|attempt| attempt.written);
+                    let over = attempt.and_then(|attempt| attempt.write_by).is_some_and(|by| by <= now);
+                    self.effects.push(Effect::CloseAttempt { connection: id });
                     let outcome = match (written, over) {
                         (true, _) => Outcome::TimedOut,
                         (false, true) => Outcome::NotSent,
                         (false, false) => Outcome::ConnectFailed,
                     };
-                    self.leg_failed(now, id, outcome);
+                    self.attempt_failed(now, id, outcome);
                 }
                 (Phase::Adopting(until, host), _) => self.adopt_again(now, id, until, host),
                 (Phase::Standing, _) => self.overdue(now, id),
@@ -378,9 +394,9 @@
         }
     }
 
-    fn set_due(&mut self, id: AuthId, due: Option<Time>) {
-        let Some(auth) = self.auths.get_mut(&id) else { return };
-        if let Some(old) = std::mem::replace(&mut auth.due, due) {
+    fn set_due(&mut self, id: ConnectionId, due: Option<Time>) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if let Some(old) = std::mem::replace(&mut connection.due, due) {
             self.timers.remove(&(old, id));
         }
         if let Some(at) = due {
@@ -388,9 +404,9 @@
         }
     }
 
-    fn phase(&mut self, id: AuthId, phase: Phase) {
-        if let Some(auth) = self.auths.get_mut(&id) {
-            auth.phase = phase;
+    fn phase(&mut self, id: ConnectionId, phase: Phase) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.phase = phase;
         }
     }
 
@@ -405,17 +421,17 @@
             match action {
                 Action::Send { request, server, timeout, within } => {
                     let write_by = within.map(|within| now.plus(within));
-                    self.open_leg(now, AuthId(request.0), server, timeout, write_by)
+                    self.open_attempt(now, ConnectionId(request.0), server, timeout, write_by)
                 }
                 Action::Refuse { request, retry_after } => {
-                    self.answer(now, AuthId(request.0), Answer::Refused(retry_after))
+                    self.answer(now, ConnectionId(request.0), Answer::Refused(retry_after))
                 }
-                Action::Fail { request } => self.answer(now, AuthId(request.0), Answer::Failed),
+                Action::Fail { request } => self.answer(now, ConnectionId(request.0), Answer::Failed),
                 Action::Cancel { request, attempt } => {
-                    let id = AuthId(request.0);
-                    if self.leg(id, attempt).is_some() {
-                        self.drop_leg(id);
-                        self.effects.push(Effect::CloseLeg { auth: id });
+                    let id = ConnectionId(request.0);
+                    if self.attempt(id, attempt).is_some() {
+                        self.drop_attempt(id);
+                        self.effects.push(Effect::CloseAttempt { connection: id });
                     }
                     let mut more = Vec::new();
                     let (outcome, answered) = (Outcome::Cancelled, true);
@@ -423,10 +439,10 @@
                     self.pools[pool].balancer.handle(now, ended, &mut more);
                     actions.extend(more);
                 }
-                Action::Move { request } => self.move_away(now, AuthId(request.0), Outcome::Cancelled),
+                Action::Move { request } => self.move_away(now, ConnectionId(request.0), Outcome::Cancelled),
                 Action::SetUpSlow => self.tell_peers(now, pool, News::SlowSetUps),
                 Action::Dropped { server } => self.tell_peers(now, pool, News::Dropped(server)),
-                Action::Subscribe => self.effects.push(Effect::Watch { pool }),
+                Action::Subscribe => self.effects.push(Effect::WatchEndpoints { pool }),
                 Action::WakeIn(wait) => {
                     let at = now.plus(wait);
                     let wake = &mut self.pools[pool].wake;
@@ -443,20 +459,20 @@
         let Pool { peers, balancer, .. } = &mut self.pools[pool];
         if peers.tell(now, news) {
             let groups = peers.sample(balancer.standing_groups());
-            self.effects.push(Effect::TellPeers(Word { news, groups }));
+            self.effects.push(Effect::BroadcastGossip(Word { news, groups }));
         }
     }
 
-    fn answer(&mut self, now: Time, id: AuthId, answer: Answer) {
-        // Danger: an authorisation that has ended in the meantime must not be answered a second time.
-        if self.auths.contains_key(&id) {
+    fn answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
+        // Danger: a connection that has ended in the meantime must not be answered a second time.
+        if self.connections.contains_key(&id) {
             self.give(now, id, answer);
             self.forget(now, id);
         }
     }
 
     /// The one place that gives an answer, and counts it.
-    fn give(&mut self, now: Time, id: AuthId, answer: Answer) {
+    fn give(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         match answer {
             Answer::Refused(_) => {
                 self.count(id, |counts| counts.declined += 1);
@@ -469,6 +485,6 @@
             // What stood was counted when it came to stand, and what never asked has no class.
             Answer::Moved | Answer::Late => {}
         }
-        self.effects.push(Effect::Answer { auth: id, answer });
+        self.effects.push(Effect::Answer { connection: id, answer });
     }
 }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -47,7 +47,7 @@
         let answer = Some(settings.setup_aim()).filter(|&aim| aim > 0);
         let wait = settings.connect_timeout + answer.unwrap_or(ANSWER_WAITS * settings.connect_timeout);
         let names = pool.setup.reports.clone();
-        self.effects.push(Effect::Probe {
+        self.effects.push(Effect::ProbeServer {
             pool: pool_id,
             host,
             address: listed.address.clone(),
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -77,7 +77,7 @@
     };
     heard.set(true);
     let reply = match line.and_then(|line| admin::call(&line)) {
-        Ok(call) => hub.call(|caller| Input::Call { caller, call }).await,
+        Ok(call) => hub.call(|caller| Input::AdminRequest { caller, call }).await,
         Err(reason) => Reply::No(reason.to_owned()),
     };
     let answered = async {
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -7,19 +7,19 @@
 
 use tokio::sync::oneshot;
 
-use crate::routing::{Answer, AuthId, CallerId, PoolId, Standing};
+use crate::routing::{Answer, CallerId, ConnectionId, PoolId, Standing};
 use crate::{Micros, ServerId};
 
 /// What a connection's task is to do.
 #[derive(Debug)]
 pub enum Order {
-    /// Open a leg.
-    OpenLeg { leg: u32, address: String, wait: Micros },
-    /// Close the leg.
-    CloseLeg,
+    /// Open an attempt.
+    OpenAttempt { attempt: u32, address: String, wait: Micros },
+    /// Close the attempt.
+    CloseAttempt,
     /// Give the answer and end.
     Answer(Answer),
-    /// Say whether the acquirer side has asked by now.
+    /// Say whether the client has asked by now.
     Hear,
     /// End at once, whatever is left to write.
     Drop,
@@ -30,18 +30,18 @@
 /// A connection on its way to another process.
 #[derive(Debug)]
 pub struct Passed {
-    pub acquirer: OwnedFd,
-    pub leg: OwnedFd,
+    pub client: OwnedFd,
+    pub attempt: OwnedFd,
     /// What its front has to know there.
     pub state: Vec<u8>,
-    /// What its acquirer side is told should it not arrive.
+    /// What its client is told should it not arrive.
     pub goodbye: Vec<u8>,
 }
 
 /// What is for the other process.
 pub enum Outgoing {
     Share { caller: CallerId, host: String, out: bool },
-    Pass { auth: AuthId, pool: PoolId, standing: Box<Standing> },
+    Pass { connection: ConnectionId, pool: PoolId, standing: Box<Standing> },
 }
 
 /// A host is to be asked for its load.
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the acquirer side, with the leg that is out for it.
+//! One connection of the client, with the attempt that is out for it.
 
 use std::future::Future;
 use std::io::{self, Read};
@@ -15,7 +15,7 @@
 use super::driver::Hub;
 use crate::protocol::pcap::{Close, Tape, Way};
 use crate::protocol::{Front, Step};
-use crate::routing::{Answer, AuthId, Input, LegEnd, Standing};
+use crate::routing::{Answer, AttemptOutcome, ConnectionId, Input, Standing};
 use crate::Micros;
 
 /// Bytes read at once.
@@ -24,7 +24,7 @@
 const LINGER: Duration = Duration::from_millis(700);
 /// ...or until it has had them all and been quiet so long: its descriptor is wanted for others.
 const QUIET: Duration = Duration::from_millis(100);
-/// Bytes taken, for nobody, from an acquirer side that has been answered. Danger: closed over unread bytes
+/// Bytes taken, for nobody, from an client that has been answered. Danger: closed over unread bytes
 /// the connection is reset, which may destroy the answer; but one that sends on for ever must not be read.
 const PASSED_OVER: usize = 128 << 10;
 
@@ -143,22 +143,22 @@
 
 struct Connection {
     hub: Rc<Hub>,
-    auth: AuthId,
+    id: ConnectionId,
     front: Box<dyn Front>,
-    acquirer: End,
-    /// A leg on its way, with what it is to be sent first.
+    client: End,
+    /// An attempt on its way, with what it is to be sent first.
     connecting: Option<(Connecting, Vec<u8>)>,
-    leg: Option<End>,
+    attempt: Option<End>,
     number: u32,
-    /// The leg's request is written in full.
+    /// The attempt's request is written in full.
     written: bool,
     standing: bool,
     /// The reducer holds nothing of it any more: what is left to write has so long.
     over: Option<Instant>,
-    /// Since then its acquirer side has sent nothing, and how much it has sent for nobody.
+    /// Since then its client has sent nothing, and how much it has sent for nobody.
     quiet: Instant,
     passed_over: usize,
-    /// What the issuer host still says is for nobody.
+    /// What the server still says is for nobody.
     discard: bool,
     /// Bytes held for a side that does not read; more are not taken from the other.
     buffer: usize,
@@ -169,49 +169,49 @@
 }
 
 /// Takes a connection in.
-pub fn start(hub: &Rc<Hub>, pool: usize, stream: TcpStream, front: Box<dyn Front>) -> AuthId {
-    let (auth, orders) = hub.enter();
+pub fn start(hub: &Rc<Hub>, pool: usize, stream: TcpStream, front: Box<dyn Front>) -> ConnectionId {
+    let (id, orders) = hub.enter();
     let ends = stream.peer_addr().ok().zip(stream.local_addr().ok());
     let mut tape = None;
     hub.record(|at| {
-        let Some((acquirer, front)) = ends else { return Vec::new() };
-        let (begun, records) = Tape::start(at, acquirer, front);
+        let Some((client, front)) = ends else { return Vec::new() };
+        let (begun, records) = Tape::start(at, client, front);
         tape = Some(begun);
         records
     });
-    let mut connection = Connection::new(hub, auth, front, stream);
-    connection.acquirer.sent = tape.is_some().then(Vec::new);
+    let mut connection = Connection::new(hub, id, front, stream);
+    connection.client.sent = tape.is_some().then(Vec::new);
     connection.tape = tape;
-    hub.feed(Input::Met { auth, pool });
+    hub.feed(Input::ClientConnected { connection: id, pool });
     connection.go(orders);
-    auth
+    id
 }
 
-/// Goes on with a connection that stood at another process, and with its leg.
+/// Goes on with a connection that stood at another process, and with its attempt.
 pub fn adopt(
     hub: &Rc<Hub>,
     pool: usize,
-    [acquirer, leg]: [TcpStream; 2],
+    [client, attempt]: [TcpStream; 2],
     front: Box<dyn Front>,
     standing: Standing,
 ) {
-    let (auth, orders) = hub.enter();
-    let mut connection = Connection::new(hub, auth, front, acquirer);
-    connection.leg = Some(End::new(leg));
+    let (id, orders) = hub.enter();
+    let mut connection = Connection::new(hub, id, front, client);
+    connection.attempt = Some(End::new(attempt));
     (connection.written, connection.standing) = (true, true);
-    hub.feed(Input::Adopted { auth, pool, standing });
+    hub.feed(Input::ConnectionReceived { connection: id, pool, standing });
     connection.go(orders);
 }
 
 impl Connection {
-    fn new(hub: &Rc<Hub>, auth: AuthId, front: Box<dyn Front>, stream: TcpStream) -> Connection {
+    fn new(hub: &Rc<Hub>, id: ConnectionId, front: Box<dyn Front>, stream: TcpStream) -> Connection {
         Connection {
             hub: hub.clone(),
-            auth,
+            id,
             front,
-            acquirer: End::new(stream),
+            client: End::new(stream),
             connecting: None,
-            leg: None,
+            attempt: None,
             number: 0,
             written: false,
             standing: false,
@@ -228,40 +228,40 @@
     fn go(mut self, orders: UnboundedReceiver<Order>) {
         tokio::task::spawn_local(async move {
             self.run(orders).await;
-            let (hub, auth) = (self.hub.clone(), self.auth);
+            let (hub, connection) = (self.hub.clone(), self.id);
             match self.heir.take() {
                 Some(heir) => self.pass(heir),
-                None => self.record(|tape, at| tape.close(at, Way::ToAcquirer, Close::InOrder)),
+                None => self.record(|tape, at| tape.close(at, Way::ToClient, Close::InOrder)),
             }
-            hub.leave(auth);
+            hub.leave(connection);
         });
     }
 
     /// Whether another process could go on with it as it is.
     fn at_rest(&self) -> bool {
         let written = |end: &End| end.out.is_empty() && !end.ended && !end.finish;
-        let ends = written(&self.acquirer) && self.leg.as_ref().is_some_and(written);
+        let ends = written(&self.client) && self.attempt.as_ref().is_some_and(written);
         self.standing && self.over.is_none() && ends && self.front.at_rest().is_some()
     }
 
     fn pass(mut self, heir: oneshot::Sender<Passed>) {
-        let (Some(state), Some(leg)) = (self.front.at_rest(), self.leg) else { return };
+        let (Some(state), Some(attempt)) = (self.front.at_rest(), self.attempt) else { return };
         let goodbye = self.front.answer(Answer::Moved);
-        let (Ok(acquirer), Ok(leg)) = (self.acquirer.stream.into_std(), leg.stream.into_std()) else {
+        let (Ok(client), Ok(attempt)) = (self.client.stream.into_std(), attempt.stream.into_std()) else {
             return;
         };
         // Whoever asked for it waits for nothing else.
-        let _ = heir.send(Passed { acquirer: acquirer.into(), leg: leg.into(), state, goodbye });
+        let _ = heir.send(Passed { client: client.into(), attempt: attempt.into(), state, goodbye });
     }
 
     async fn run(&mut self, mut orders: UnboundedReceiver<Order>) {
         loop {
             self.flush();
-            let leg_over = self.leg.as_ref().is_none_or(|leg| leg.finished);
-            let closed = self.acquirer.finished && self.acquirer.ended && leg_over;
+            let attempt_over = self.attempt.as_ref().is_none_or(|attempt| attempt.finished);
+            let closed = self.client.finished && self.client.ended && attempt_over;
             let end = self.over.map(|over| {
                 // Danger: one that floods has more there, and closed over that it might not see its answer.
-                let quiet = self.acquirer.finished && leg_over && self.passed_over < PASSED_OVER;
+                let quiet = self.client.finished && attempt_over && self.passed_over < PASSED_OVER;
                 if quiet {
                     over.min(self.quiet + QUIET)
                 } else {
@@ -271,11 +271,12 @@
             if end.is_some_and(|end| closed || Instant::now() >= end) || self.heir.is_some() {
                 return;
             }
-            let leg_held = self.leg.as_ref().map_or(0, |leg| leg.out.len()) + self.front.waiting();
+            let attempt_held =
+                self.attempt.as_ref().map_or(0, |attempt| attempt.out.len()) + self.front.waiting();
             // One that waits is heard whatever it sends: its front ends it when that is too much.
-            let room = leg_held < self.buffer || !self.standing;
-            let from_acquirer = room && self.passed_over < PASSED_OVER;
-            let from_leg = self.acquirer.out.len() < self.buffer;
+            let room = attempt_held < self.buffer || !self.standing;
+            let from_client = room && self.passed_over < PASSED_OVER;
+            let from_attempt = self.client.out.len() < self.buffer;
             tokio::select! {
                 biased;
                 order = orders.recv() => match order {
@@ -285,10 +286,10 @@
                 stream = connected(self.connecting.as_mut().map(|(connecting, _)| connecting)) => {
                     self.connected(stream)
                 }
-                () = writable(Some(&self.acquirer)) => {}
-                () = writable(self.leg.as_ref()) => {}
-                () = readable(self.leg.as_ref()), if from_leg => self.read_leg(),
-                () = readable(Some(&self.acquirer)), if from_acquirer => drop(self.read_acquirer(End::read)),
+                () = writable(Some(&self.client)) => {}
+                () = writable(self.attempt.as_ref()) => {}
+                () = readable(self.attempt.as_ref()), if from_attempt => self.read_attempt(),
+                () = readable(Some(&self.client)), if from_client => drop(self.read_client(End::read)),
                 () = until(end) => {}
             }
         }
@@ -307,21 +308,21 @@
             // Dropped, it says that this is no moment for it.
             Order::Pass(_) => {}
             _ if self.over.is_some() => {}
-            Order::OpenLeg { leg, address, wait } => {
-                self.close_leg();
-                self.number = leg;
-                let request = self.front.open_leg(wait);
+            Order::OpenAttempt { attempt, address, wait } => {
+                self.close_attempt();
+                self.number = attempt;
+                let request = self.front.open_attempt(wait);
                 let connect = async move { TcpStream::connect(address).await };
                 self.connecting = Some((Box::pin(connect), request));
             }
-            Order::CloseLeg => self.close_leg(),
+            Order::CloseAttempt => self.close_attempt(),
             Order::Hear => {
-                self.hear_acquirer();
-                self.hub.feed(Input::Unasked { auth: self.auth });
+                self.hear_client();
+                self.hub.feed(Input::HandshakeTimedOut { connection: self.id });
             }
             Order::Answer(answer) => {
                 let words = self.front.answer(answer);
-                self.acquirer.out.extend_from_slice(&words);
+                self.client.out.extend_from_slice(&words);
                 self.discard = true;
                 self.finish();
                 if words.is_empty() && answer == Answer::Late {
@@ -331,22 +332,22 @@
         }
     }
 
-    fn close_leg(&mut self) {
+    fn close_attempt(&mut self) {
         self.connecting = None;
-        self.leg = None;
+        self.attempt = None;
         self.written = false;
     }
 
     /// Ends both sides once what is left is written.
     fn finish(&mut self) {
-        self.acquirer.finish = true;
+        self.client.finish = true;
         self.connecting = None;
         if !self.written {
             // Danger: a request that is not written yet must not reach its host any more.
-            self.leg = None;
+            self.attempt = None;
         }
-        if let Some(leg) = &mut self.leg {
-            leg.finish = true;
+        if let Some(attempt) = &mut self.attempt {
+            attempt.finish = true;
         }
         self.quiet = Instant::now();
         self.over.get_or_insert(self.quiet + LINGER);
@@ -358,198 +359,201 @@
             Ok(stream) => {
                 let mut end = End::new(stream);
                 end.out = request;
-                self.leg = Some(end);
+                self.attempt = Some(end);
                 self.written = false;
             }
-            Err(error) if own_fault(&error) => self.leg_ended(LegEnd::NoSocket),
-            Err(_) => self.leg_ended(LegEnd::NoConnection),
+            Err(error) if own_fault(&error) => self.on_attempt_ended(AttemptOutcome::NoSocket),
+            Err(_) => self.on_attempt_ended(AttemptOutcome::NoConnection),
         }
     }
 
-    /// Takes in all that the acquirer side has sent by now, while it is still owed an answer.
-    fn hear_acquirer(&mut self) {
-        while self.over.is_none() && !self.standing && self.read_acquirer(End::read_now) {}
+    /// Takes in all that the client has sent by now, while it is still owed an answer.
+    fn hear_client(&mut self) {
+        while self.over.is_none() && !self.standing && self.read_client(End::read_now) {}
     }
 
     /// Writes what can be written.
     fn flush(&mut self) {
-        if self.leg.is_some() && !self.written {
+        if self.attempt.is_some() && !self.written {
             // Danger: the end of its client may have come with the connection; then it is for nobody.
-            self.hear_acquirer();
+            self.hear_client();
             // Danger: it may be heard of before the timer that gives it up is; then it is too late to write it.
-            if self.hub.overdue(self.auth) {
-                self.leg = None;
+            if self.hub.overdue(self.id) {
+                self.attempt = None;
             }
         }
-        if let Some(leg) = &mut self.leg {
-            if leg.flush().is_err() {
+        if let Some(attempt) = &mut self.attempt {
+            if attempt.flush().is_err() {
                 if !self.written {
-                    return self.leg_broke(true);
+                    return self.attempt_broke(true);
                 }
                 // Danger: its last lines may be there to be read; they are delivered, and then it is over.
-                leg.out.clear();
-                (leg.broke, leg.finished) = (true, true);
+                attempt.out.clear();
+                (attempt.broke, attempt.finished) = (true, true);
             }
-            if !self.written && leg.out.is_empty() {
+            if !self.written && attempt.out.is_empty() {
                 self.written = true;
-                self.hub.feed(Input::LegWritten { auth: self.auth, leg: self.number });
+                self.hub.feed(Input::RequestForwarded { connection: self.id, attempt: self.number });
             }
         }
-        let flushed = self.acquirer.flush();
-        if let Some(sent) = self.acquirer.sent.as_mut().filter(|sent| !sent.is_empty()) {
+        let flushed = self.client.flush();
+        if let Some(sent) = self.client.sent.as_mut().filter(|sent| !sent.is_empty()) {
             let sent = std::mem::take(sent);
-            self.record(|tape, at| tape.data(at, Way::ToAcquirer, &sent));
+            self.record(|tape, at| tape.data(at, Way::ToClient, &sent));
         }
-        if self.acquirer.finished {
-            self.record(|tape, at| tape.close(at, Way::ToAcquirer, Close::InOrder));
+        if self.client.finished {
+            self.record(|tape, at| tape.close(at, Way::ToClient, Close::InOrder));
         }
         if flushed.is_err() {
-            self.acquirer_broke();
+            self.client_broke();
         }
     }
 
     /// Whether there was anything.
-    fn read_acquirer(&mut self, read: fn(&End, &mut [u8]) -> io::Result<Option<usize>>) -> bool {
+    fn read_client(&mut self, read: fn(&End, &mut [u8]) -> io::Result<Option<usize>>) -> bool {
         let mut piece = [0; PIECE];
-        match read(&self.acquirer, &mut piece) {
+        match read(&self.client, &mut piece) {
             Ok(None) => return false,
-            Ok(Some(0)) => self.acquirer_ended(),
+            Ok(Some(0)) => self.client_ended(),
             Ok(Some(n)) if self.over.is_some() => {
                 self.quiet = Instant::now();
                 self.passed_over += n;
             }
             Ok(Some(n)) => {
-                self.record(|tape, at| tape.data(at, Way::FromAcquirer, &piece[..n]));
+                self.record(|tape, at| tape.data(at, Way::FromClient, &piece[..n]));
                 let mut steps = Vec::new();
-                self.front.acquirer_sent(&piece[..n], &mut steps);
+                self.front.client_sent(&piece[..n], &mut steps);
                 self.take(steps);
             }
-            Err(_) => self.acquirer_broke(),
+            Err(_) => self.client_broke(),
         }
         true
     }
 
-    /// The acquirer side sends nothing more: it has left, and the issuer host is ended in the same way.
-    fn acquirer_ended(&mut self) {
-        self.acquirer.ended = true;
-        self.record(|tape, at| tape.close(at, Way::FromAcquirer, Close::InOrder));
+    /// The client sends nothing more: it has left, and the server is ended in the same way.
+    fn client_ended(&mut self) {
+        self.client.ended = true;
+        self.record(|tape, at| tape.close(at, Way::FromClient, Close::InOrder));
         if self.over.is_none() {
-            match self.leg.as_mut().filter(|_| self.standing) {
+            match self.attempt.as_mut().filter(|_| self.standing) {
                 // It may still read: what its host says to the end goes to it, for a while.
-                Some(leg) => {
-                    leg.finish = true;
+                Some(attempt) => {
+                    attempt.finish = true;
                     self.over = Some(Instant::now() + LINGER);
                 }
                 None => self.finish(),
             }
-            self.hub.feed(Input::Left { auth: self.auth });
+            self.hub.feed(Input::ClientDisconnected { connection: self.id });
         }
     }
 
-    fn acquirer_broke(&mut self) {
-        self.acquirer.ended = true;
-        self.record(|tape, at| tape.close(at, Way::FromAcquirer, Close::Broken));
-        if let Some(leg) = self.leg.take().filter(|_| self.standing && !self.acquirer.finish) {
-            leg.reset();
+    fn client_broke(&mut self) {
+        self.client.ended = true;
+        self.record(|tape, at| tape.close(at, Way::FromClient, Close::Broken));
+        if let Some(attempt) = self.attempt.take().filter(|_| self.standing && !self.client.finish) {
+            attempt.reset();
         }
         if self.over.is_none() {
-            self.hub.feed(Input::Left { auth: self.auth });
+            self.hub.feed(Input::ClientDisconnected { connection: self.id });
         }
         self.over = Some(Instant::now());
     }
 
-    fn read_leg(&mut self) {
+    fn read_attempt(&mut self) {
         let mut piece = [0; PIECE];
-        let Some(leg) = &self.leg else { return };
-        match leg.read(&mut piece) {
+        let Some(attempt) = &self.attempt else { return };
+        match attempt.read(&mut piece) {
             Ok(None) => {}
-            Ok(Some(0)) => self.leg_broke(leg.broke),
+            Ok(Some(0)) => self.attempt_broke(attempt.broke),
             Ok(Some(_)) if self.discard => {}
             Ok(Some(n)) => {
                 if self.standing && self.over.is_none() {
-                    self.hub.feed(Input::Heard { auth: self.auth });
+                    self.hub.feed(Input::ServerActivity { connection: self.id });
                 }
                 let mut steps = Vec::new();
-                self.front.issuer_sent(&piece[..n], &mut steps);
+                self.front.server_sent(&piece[..n], &mut steps);
                 self.take(steps);
             }
-            Err(_) => self.leg_broke(true),
+            Err(_) => self.attempt_broke(true),
         }
     }
 
-    /// The issuer host ended its side, or its connection broke.
-    fn leg_broke(&mut self, broken: bool) {
-        let Some(leg) = &mut self.leg else { return };
-        leg.ended = true;
+    /// The server ended its side, or its connection broke.
+    fn attempt_broke(&mut self, broken: bool) {
+        let Some(attempt) = &mut self.attempt else { return };
+        attempt.ended = true;
         if self.over.is_some() {
-            self.leg = None;
+            self.attempt = None;
             let rest = self.front.held_back();
-            self.acquirer.out.extend_from_slice(if self.discard { &[] } else { &rest });
-            self.acquirer.finish = true;
+            self.client.out.extend_from_slice(if self.discard { &[] } else { &rest });
+            self.client.finish = true;
             return;
         }
         if !self.standing {
-            let end = if self.written { self.front.issuer_ended(broken) } else { LegEnd::NoConnection };
-            return self.leg_ended(end);
+            let end =
+                if self.written { self.front.server_ended(broken) } else { AttemptOutcome::NoConnection };
+            return self.on_attempt_ended(end);
         }
-        let end = self.front.issuer_ended(broken);
+        let end = self.front.server_ended(broken);
         let rest = self.front.held_back();
-        self.acquirer.out.extend_from_slice(&rest);
+        self.client.out.extend_from_slice(&rest);
         if broken {
             // What was read before the break still goes out.
-            let _ = self.acquirer.flush();
-            self.acquirer.reset();
-            self.acquirer.ended = true;
-            self.record(|tape, at| tape.close(at, Way::ToAcquirer, Close::Broken));
+            let _ = self.client.flush();
+            self.client.reset();
+            self.client.ended = true;
+            self.record(|tape, at| tape.close(at, Way::ToClient, Close::Broken));
         }
-        self.leg = None;
+        self.attempt = None;
         self.finish();
         if broken {
             self.over = Some(Instant::now());
         }
-        self.hub.feed(Input::LegEnded { auth: self.auth, leg: self.number, end });
+        self.hub.feed(Input::AttemptEnded { connection: self.id, attempt: self.number, end });
     }
 
-    /// A leg came to nothing before its connection stood.
-    fn leg_ended(&mut self, end: LegEnd) {
-        self.close_leg();
-        if end == LegEnd::Verdict {
+    /// An attempt came to nothing before its connection stood.
+    fn on_attempt_ended(&mut self, end: AttemptOutcome) {
+        self.close_attempt();
+        if end == AttemptOutcome::Verdict {
             self.finish();
         }
-        self.hub.feed(Input::LegEnded { auth: self.auth, leg: self.number, end });
+        self.hub.feed(Input::AttemptEnded { connection: self.id, attempt: self.number, end });
     }
 
     fn take(&mut self, steps: Vec<Step>) {
-        let auth = self.auth;
+        let connection = self.id;
         for step in steps {
             match step {
-                Step::ToAcquirer(bytes) => self.acquirer.out.extend_from_slice(&bytes),
-                Step::ToIssuer(bytes) => {
-                    if let Some(leg) = &mut self.leg {
-                        leg.out.extend_from_slice(&bytes);
+                Step::ToClient(bytes) => self.client.out.extend_from_slice(&bytes),
+                Step::ToServer(bytes) => {
+                    if let Some(attempt) = &mut self.attempt {
+                        attempt.out.extend_from_slice(&bytes);
                     }
                     if self.standing {
-                        self.hub.feed(Input::Asked { auth });
+                        self.hub.feed(Input::LineForwarded { connection });
                     }
                 }
                 _ if self.over.is_some() => {}
-                Step::Ping(pong) if self.hub.serves() => self.acquirer.out.extend_from_slice(&pong),
+                Step::Ping(pong) if self.hub.serves() => self.client.out.extend_from_slice(&pong),
                 // Taken in by whoever asks, it could only refuse.
                 Step::Ping(_) => {
                     self.finish();
-                    self.hub.feed(Input::Left { auth });
+                    self.hub.feed(Input::ClientDisconnected { connection });
+                }
+                Step::ConnectionRequested(ask) => {
+                    self.hub.feed(Input::ConnectionRequested { connection, ask })
                 }
-                Step::Authorise(ask) => self.hub.feed(Input::Authorise { auth, ask }),
                 Step::Up => {
                     self.standing = true;
-                    self.hub.feed(Input::LegUp { auth, leg: self.number });
+                    self.hub.feed(Input::AttemptAccepted { connection, attempt: self.number });
                 }
-                Step::Load(load) => self.hub.feed(Input::Load { auth, load }),
-                Step::LegEnded(end) => self.leg_ended(end),
+                Step::Load(load) => self.hub.feed(Input::LoadReported { connection, load }),
+                Step::AttemptEnded(end) => self.on_attempt_ended(end),
                 Step::Close => {
                     self.discard = true;
                     self.finish();
-                    self.hub.feed(Input::Left { auth });
+                    self.hub.feed(Input::ClientDisconnected { connection });
                 }
             }
         }
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery's routing table: asked for by the reducer, renewed as long as it holds.
+//! The watch on discovery's endpoint list: asked for by the reducer, renewed as long as it holds.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -63,7 +63,7 @@
     }
 }
 
-/// Follows a routing table for ever, from this generation on or else from the whole list.
+/// Follows a endpoint list for ever, from this generation on or else from the whole list.
 async fn follow(
     hub: Rc<Hub>,
     pool: usize,
@@ -101,7 +101,7 @@
                 Ok(News { generation: new, whole, hosts }) => {
                     let nothing = hosts.is_empty() && generation == Some(new);
                     (generation, hold, anew) = (Some(new), HOLD, false);
-                    hub.feed(Input::Table { pool, whole, hosts });
+                    hub.feed(Input::EndpointsUpdated { pool, whole, hosts });
                     if nothing && called.elapsed() < PACE {
                         tokio::time::sleep(PACE).await;
                     }
@@ -109,7 +109,7 @@
                 Err(problem) => {
                     crate::log!(warn, "routing table: {problem}");
                     line = None;
-                    break hub.feed(Input::TableLost { pool });
+                    break hub.feed(Input::EndpointWatchLost { pool });
                 }
             }
         }
