--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -18,19 +18,21 @@
 use crate::program::config::PeersAt;
 use crate::protocol::{gossip, peers, Front};
 use crate::routing::store::Gossip;
-use crate::routing::{reduce, Answer, AuthId, CallerId, Effect, Input, LegEnd, Legacy, Reply, State};
+use crate::routing::{
+    reduce, Answer, AttemptOutcome, CallerId, ConnectionId, Effect, Input, Legacy, Reply, State,
+};
 use crate::{Micros, Time};
 
-/// What was seen of an authorisation, for replays.
+/// What was seen of a connection, for replays.
 #[derive(Clone, Debug)]
 pub enum Seen {
-    /// It came to stand, so long after it was met, on this leg.
+    /// It came to stand, so long after it was met, on this attempt.
     Served(Micros, u32),
     /// A host's verdict was passed on.
     Verdict,
     /// It had this answer, so long after it was met.
     Answered(Micros, Answer),
-    /// The acquirer side left.
+    /// The client left.
     Left,
     /// Its host ended it.
     Ended,
@@ -40,7 +42,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ms = |time: &Micros| *time as f64 / 1000.0;
         match self {
-            Seen::Served(after, leg) => write!(f, "served after {:.1} ms on leg {}", ms(after), leg + 1),
+            Seen::Served(after, attempt) => {
+                write!(f, "served after {:.1} ms on leg {}", ms(after), attempt + 1)
+            }
             Seen::Verdict => write!(f, "turned away by its host's own verdict"),
             Seen::Answered(after, Answer::Refused(wait)) => {
                 write!(f, "refused after {:.1} ms, to come again in {:.0} ms", ms(after), ms(wait))
@@ -64,7 +68,7 @@
     pub listener: Rc<TcpListener>,
 }
 
-type Observed = HashMap<AuthId, Vec<Seen>>;
+type Observed = HashMap<ConnectionId, Vec<Seen>>;
 
 /// The reducer's state and those who carry out its effects.
 pub struct Hub {
@@ -72,15 +76,15 @@
     /// The system's clock at the start, and the steady one that goes on from there.
     origin: (Micros, Instant),
     /// Danger: a bounded channel could be full when an order comes; the reducer gives each connection at
-    /// most two orders a leg and one answer, so these stay short by themselves.
-    connections: RefCell<HashMap<AuthId, mpsc::UnboundedSender<Order>>>,
+    /// most two orders an attempt and one answer, so these stay short by themselves.
+    connections: RefCell<HashMap<ConnectionId, mpsc::UnboundedSender<Order>>>,
     datagrams: RefCell<Option<Rc<UdpSocket>>>,
     /// Where the other balancers of the tier are heard, and where all of them hear.
     peers: RefCell<Option<(Rc<UdpSocket>, SocketAddr)>>,
     files: RefCell<Option<Files>>,
-    /// For replays: what is seen, and when each authorisation was met.
+    /// For replays: what is seen, and when each connection was met.
     pub(super) observed: RefCell<Option<Observed>>,
-    met: RefCell<HashMap<AuthId, Time>>,
+    met: RefCell<HashMap<ConnectionId, Time>>,
     pub(super) recorder: RefCell<Option<Recorder>>,
     /// Danger: as with connections, a bounded channel could be full; the reducer asks once for each failure.
     watches: RefCell<Option<mpsc::UnboundedSender<WatchOrder>>>,
@@ -148,55 +152,57 @@
             (effects, state.next_due() != before)
         };
         for effect in effects {
-            if let Effect::Answer { auth, answer } = &effect {
-                self.notice(*auth, |after| Seen::Answered(after, *answer));
+            if let Effect::Answer { connection, answer } = &effect {
+                self.notice(*connection, |after| Seen::Answered(after, *answer));
             }
             match effect {
-                Effect::OpenLeg { auth, leg, address, wait } => {
-                    self.order(auth, Order::OpenLeg { leg, address, wait })
+                Effect::OpenAttempt { connection, attempt, address, wait } => {
+                    self.order(connection, Order::OpenAttempt { attempt, address, wait })
                 }
-                Effect::CloseLeg { auth } => self.order(auth, Order::CloseLeg),
-                Effect::Drop { auth } => self.order(auth, Order::Drop),
-                Effect::Hear { auth } => self.order(auth, Order::Hear),
-                Effect::Doors { open } => drop(self.doors.send_replace(open)),
-                Effect::Answer { auth, answer } => self.order(auth, Order::Answer(answer)),
-                Effect::TellPeers(word) => {
+                Effect::CloseAttempt { connection } => self.order(connection, Order::CloseAttempt),
+                Effect::AbortConnection { connection } => self.order(connection, Order::Drop),
+                Effect::CheckHandshake { connection } => self.order(connection, Order::Hear),
+                Effect::SetAccepting { open } => drop(self.doors.send_replace(open)),
+                Effect::Answer { connection, answer } => self.order(connection, Order::Answer(answer)),
+                Effect::BroadcastGossip(word) => {
                     if let Some((socket, all)) = self.peers.borrow().as_ref() {
                         // Words may be lost on the way, so they may be lost here.
                         let _ = socket.try_send_to(&peers::write(word), *all);
                     }
                 }
-                Effect::Probe { pool, host, address, names, wait } => {
+                Effect::ProbeServer { pool, host, address, names, wait } => {
                     let wait = Duration::from_micros(wait);
                     self.probe(Probe { pool, host, address, names, wait });
                 }
-                Effect::Watch { pool } => self.watch(WatchOrder::Again { pool }),
-                Effect::WatchAt { pool, discovery } => {
+                Effect::WatchEndpoints { pool } => self.watch(WatchOrder::Again { pool }),
+                Effect::WatchEndpointsAt { pool, discovery } => {
                     self.watch(WatchOrder::At { pool, discovery, generation: None })
                 }
-                Effect::Tell((to, gossip)) => self.tell(to, &gossip),
-                Effect::Keep { key, entry } => {
+                Effect::SendReplicaMessage((to, gossip)) => self.tell(to, &gossip),
+                Effect::PersistEntry { key, entry } => {
                     if let Some(files) = self.files.borrow_mut().as_mut() {
                         files.keep(&key, &entry);
                     }
                 }
-                Effect::Bequeath(legacy) => {
+                Effect::ExportState(legacy) => {
                     *self.legacy.borrow_mut() = *legacy;
                     // Danger: two processes that append to one file would spoil it.
                     if let Some(files) = self.files.borrow_mut().as_mut() {
                         files.close();
                     }
                 }
-                Effect::Pass { auth, pool, standing } => {
-                    self.to_partner(Outgoing::Pass { auth, pool, standing: Box::new(standing) })
+                Effect::TransferConnection { connection, pool, standing } => {
+                    self.to_partner(Outgoing::Pass { connection, pool, standing: Box::new(standing) })
+                }
+                Effect::ShareExclusion { caller, host, out } => {
+                    self.to_partner(Outgoing::Share { caller, host, out })
                 }
-                Effect::Share { caller, host, out } => self.to_partner(Outgoing::Share { caller, host, out }),
-                Effect::KeepBans(bans) => {
+                Effect::PersistExclusions(bans) => {
                     if let Some(place) = self.place.borrow().as_deref() {
                         excluded_hosts::keep_bans(place, &bans);
                     }
                 }
-                Effect::Reply { caller, reply } => {
+                Effect::AdminReply { caller, reply } => {
                     if let Some(waits) = self.callers.borrow_mut().remove(&caller) {
                         // One that has gone needs no answer.
                         let _ = waits.send(reply);
@@ -211,30 +217,36 @@
         }
     }
 
-    /// Keeps what is seen of each authorisation from now on.
+    /// Keeps what is seen of each connection from now on.
     pub fn observe(&self) {
         *self.observed.borrow_mut() = Some(Observed::new());
     }
 
     fn notice_input(&self, input: &Input) {
         match *input {
-            Input::Met { auth, .. } if self.observed.borrow().is_some() => {
-                self.met.borrow_mut().insert(auth, self.now());
+            Input::ClientConnected { connection, .. } if self.observed.borrow().is_some() => {
+                self.met.borrow_mut().insert(connection, self.now());
+            }
+            Input::AttemptAccepted { connection, attempt } => {
+                self.notice(connection, |after| Seen::Served(after, attempt))
             }
-            Input::LegUp { auth, leg } => self.notice(auth, |after| Seen::Served(after, leg)),
-            Input::LegEnded { auth, end: LegEnd::Verdict, .. } => self.notice(auth, |_| Seen::Verdict),
-            Input::LegEnded { auth, end: LegEnd::Served | LegEnd::SentAway, .. } => {
-                self.notice(auth, |_| Seen::Ended)
+            Input::AttemptEnded { connection, end: AttemptOutcome::Verdict, .. } => {
+                self.notice(connection, |_| Seen::Verdict)
             }
-            Input::Left { auth } => self.notice(auth, |_| Seen::Left),
+            Input::AttemptEnded {
+                connection,
+                end: AttemptOutcome::Served | AttemptOutcome::SentAway,
+                ..
+            } => self.notice(connection, |_| Seen::Ended),
+            Input::ClientDisconnected { connection } => self.notice(connection, |_| Seen::Left),
             _ => {}
         }
     }
 
-    fn notice(&self, auth: AuthId, seen: impl FnOnce(Micros) -> Seen) {
+    fn notice(&self, connection: ConnectionId, seen: impl FnOnce(Micros) -> Seen) {
         if let Some(observed) = self.observed.borrow_mut().as_mut() {
-            let met = self.met.borrow().get(&auth).copied().unwrap_or_default();
-            observed.entry(auth).or_default().push(seen(self.now().since(met)));
+            let met = self.met.borrow().get(&connection).copied().unwrap_or_default();
+            observed.entry(connection).or_default().push(seen(self.now().since(met)));
         }
     }
 
@@ -264,7 +276,7 @@
                 hub.wait_for_doors(true).await;
                 match socket.recv_from(&mut bytes).await {
                     Ok((n, from)) => match gossip::read(&bytes[..n]) {
-                        Some(gossip) => hub.feed(Input::Gossip { from, gossip }),
+                        Some(gossip) => hub.feed(Input::ReplicaMessage { from, gossip }),
                         None => crate::log!(warn, "a datagram from {from} is none of the store's"),
                     },
                     // Where a peer is down, its machine says so on the next call: nothing to do about it.
@@ -284,7 +296,7 @@
             loop {
                 match socket.recv_from(&mut bytes).await {
                     Ok((n, from)) => match peers::read(&bytes[..n]).filter(|_| known.contains(&from)) {
-                        Some(word) => hub.feed(Input::Peer { pool, word }),
+                        Some(word) => hub.feed(Input::GossipReceived { pool, word }),
                         None => crate::log!(warn, "a datagram from {from} is none of the tier's"),
                     },
                     // As above.
@@ -300,19 +312,19 @@
     }
 
     /// Gives a connection an order.
-    pub fn order(&self, auth: AuthId, order: Order) {
-        if let Some(connection) = self.connections.borrow().get(&auth) {
+    pub fn order(&self, connection: ConnectionId, order: Order) {
+        if let Some(connection) = self.connections.borrow().get(&connection) {
             // One that has just ended needs no orders.
             let _ = connection.send(order);
         }
     }
 
     /// A new connection's number, and where its orders come.
-    pub fn enter(&self) -> (AuthId, mpsc::UnboundedReceiver<Order>) {
-        let auth = AuthId(self.next.replace(self.next.get() + 1));
+    pub fn enter(&self) -> (ConnectionId, mpsc::UnboundedReceiver<Order>) {
+        let connection = ConnectionId(self.next.replace(self.next.get() + 1));
         let (sender, orders) = mpsc::unbounded_channel();
-        self.connections.borrow_mut().insert(auth, sender);
-        (auth, orders)
+        self.connections.borrow_mut().insert(connection, sender);
+        (connection, orders)
     }
 
     /// Hands an operator's call to the reducer and waits for what it says.
@@ -325,9 +337,9 @@
     }
 
     /// A connection's task has ended, and its sockets are closed.
-    pub fn leave(self: &Rc<Self>, auth: AuthId) {
-        self.connections.borrow_mut().remove(&auth);
-        self.feed(Input::Closed { auth });
+    pub fn leave(self: &Rc<Self>, connection: ConnectionId) {
+        self.connections.borrow_mut().remove(&connection);
+        self.feed(Input::SocketsClosed { connection });
     }
 
     /// Bytes that a connection may hold for a side that does not read.
@@ -336,8 +348,8 @@
     }
 
     /// Whether time has come to something of a connection, and the reducer does not know yet.
-    pub fn overdue(&self, auth: AuthId) -> bool {
-        self.state.borrow().overdue_by(self.now(), auth)
+    pub fn overdue(&self, connection: ConnectionId) -> bool {
+        self.state.borrow().overdue_by(self.now(), connection)
     }
 
     /// Whether this process can serve.
@@ -411,8 +423,8 @@
     }
 
     /// Whether a connection is here.
-    pub fn holds(&self, auth: AuthId) -> bool {
-        self.connections.borrow().contains_key(&auth)
+    pub fn holds(&self, connection: ConnectionId) -> bool {
+        self.connections.borrow().contains_key(&connection)
     }
 
     /// The other process is gone: the store's files are this one's again.
@@ -438,7 +450,7 @@
         *self.watches.borrow_mut() = Some(watches);
     }
 
-    /// Has a routing table watched.
+    /// Has a endpoint list watched.
     pub fn watch(&self, order: WatchOrder) {
         if let Some(watches) = self.watches.borrow().as_ref() {
             // It ends only with this process.
@@ -469,7 +481,7 @@
                     let wait = Duration::from_micros(at.since(self.now()));
                     tokio::select! {
                         () = changed => {}
-                        () = tokio::time::sleep(wait) => self.feed(Input::Tick),
+                        () = tokio::time::sleep(wait) => self.feed(Input::TimerFired),
                     }
                 }
             }
--- a/src/transport/hot_restart.rs
+++ b/src/transport/hot_restart.rs
@@ -20,7 +20,7 @@
 use super::driver::Hub;
 use crate::program::config::Config;
 use crate::protocol::hot_restart::{self, Word, LONGEST, MOST_PARTS, MOST_SOCKETS};
-use crate::routing::{AuthId, CallerId, Input, Legacy, PoolId, Standing};
+use crate::routing::{CallerId, ConnectionId, Input, Legacy, PoolId, Standing};
 
 /// A process that is asked answers at once. Danger: it may hang, and a start waits for nobody.
 const SILENT: Duration = Duration::from_millis(1500);
@@ -187,7 +187,7 @@
         talk(&hub, &inherited.link, words).await;
     }
     hub.set_outbox(None);
-    hub.feed(Input::PartnerLost);
+    hub.feed(Input::PeerProcessLost);
 }
 
 /// Offers this process's place to whoever starts, for ever. What cannot be offered is logged.
@@ -227,7 +227,7 @@
     }
     let (outgoing, words) = mpsc::unbounded_channel();
     hub.set_outbox(Some(outgoing));
-    hub.feed(Input::Succession);
+    hub.feed(Input::SuccessorStarted);
     let served = async {
         for (name, socket) in hub.sockets()? {
             link.send(&Word::Socket(name), &[socket.as_fd()]).await?;
@@ -247,7 +247,7 @@
     };
     match timeout(SERVES_IN, served).await {
         Ok(Ok(())) => {
-            hub.feed(Input::Succeeded);
+            hub.feed(Input::SuccessorReady);
             talk(&hub, &link, words).await;
         }
         Ok(Err(error)) => crate::log!(warn, "not handed over: {error}"),
@@ -255,7 +255,7 @@
     }
     drop(link);
     hub.set_outbox(None);
-    hub.feed(Input::PartnerLost);
+    hub.feed(Input::PeerProcessLost);
     hub.keep_again();
 }
 
@@ -272,7 +272,7 @@
                 Outgoing::Share { caller, host, out } => {
                     link.send(&Word::Share { number: caller.0, host, out }, &[]).await
                 }
-                Outgoing::Pass { auth, pool, standing } => pass(hub, link, auth, pool, *standing).await,
+                Outgoing::Pass { connection, pool, standing } => pass(hub, link, connection, pool, *standing).await,
             },
         };
         if let Err(error) = done {
@@ -284,23 +284,23 @@
 async fn hear(hub: &Rc<Hub>, link: &Link, word: Word, sockets: Vec<OwnedFd>) -> io::Result<()> {
     match word {
         Word::Share { number, host, out } => {
-            hub.feed(Input::Shared { host, out });
+            hub.feed(Input::ExclusionShared { host, out });
             link.send(&Word::Shared { number }, &[]).await
         }
         Word::Shared { number } => {
-            hub.feed(Input::ShareTaken { caller: CallerId(number) });
+            hub.feed(Input::ExclusionAcknowledged { caller: CallerId(number) });
             Ok(())
         }
         Word::Standing { front, standing, state } => {
-            let Ok([acquirer, leg]) = <[OwnedFd; 2]>::try_from(sockets) else {
+            let Ok([client, attempt]) = <[OwnedFd; 2]>::try_from(sockets) else {
                 return Err(io::ErrorKind::InvalidData.into());
             };
             let stream = |socket| TcpStream::from_std(std::net::TcpStream::from(socket));
-            let (acquirer, leg) = (stream(acquirer)?, stream(leg)?);
+            let (client, attempt) = (stream(client)?, stream(attempt)?);
             match hub.front(&front) {
                 Some((pool, mut front)) => {
                     front.resume(&state);
-                    connection::adopt(hub, pool, [acquirer, leg], front, standing);
+                    connection::adopt(hub, pool, [client, attempt], front, standing);
                     Ok(())
                 }
                 // There is no such front here any more: its clients find that out by the end.
@@ -312,25 +312,32 @@
 }
 
 /// Passes a connection on, if it is between two lines; or else tries again a little later.
-async fn pass(hub: &Rc<Hub>, link: &Link, auth: AuthId, pool: PoolId, standing: Standing) -> io::Result<()> {
+async fn pass(
+    hub: &Rc<Hub>,
+    link: &Link,
+    connection: ConnectionId,
+    pool: PoolId,
+    standing: Standing,
+) -> io::Result<()> {
     let (sender, passed) = oneshot::channel();
-    hub.order(auth, Order::Pass(sender));
-    let Ok(Passed { acquirer, leg, state, goodbye }) = passed.await else {
-        if hub.holds(auth) {
+    hub.order(connection, Order::Pass(sender));
+    let Ok(Passed { client, attempt, state, goodbye }) = passed.await else {
+        if hub.holds(connection) {
             let hub = hub.clone();
             tokio::task::spawn_local(async move {
                 sleep(REST_GAP).await;
-                hub.to_partner(Outgoing::Pass { auth, pool, standing: Box::new(standing) });
+                hub.to_partner(Outgoing::Pass { connection, pool, standing: Box::new(standing) });
             });
         }
         return Ok(());
     };
     let front = hub.front_name(pool).unwrap_or_default();
-    let sent = link.send(&Word::Standing { front, standing, state }, &[acquirer.as_fd(), leg.as_fd()]).await;
+    let sent =
+        link.send(&Word::Standing { front, standing, state }, &[client.as_fd(), attempt.as_fd()]).await;
     if sent.is_err() {
         // Danger: nobody holds it any more, and it must not be cut off without a word.
-        let _ = std::net::TcpStream::from(acquirer).write(&goodbye);
+        let _ = std::net::TcpStream::from(client).write(&goodbye);
     }
-    hub.feed(Input::Passed { auth });
+    hub.feed(Input::ConnectionTransferred { connection });
     sent
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -101,12 +101,12 @@
         let mut fronts = Fronts { hub, exit, platform: None, irc: None };
         let mut pool = 0;
         if let Some(platform) = platform {
-            fronts.hub.feed(Input::Known { pool, hosts: platform.known.hosts.clone() });
+            fronts.hub.feed(Input::CachedEndpoints { pool, hosts: platform.known.hosts.clone() });
             fronts.platform = Some(pool);
             pool += 1;
         }
         if let Some(irc) = irc {
-            fronts.hub.feed(Input::Table { pool, whole: true, hosts: irc.hosts.clone() });
+            fronts.hub.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts.clone() });
             fronts.irc = Some(pool);
         }
         fronts
@@ -212,7 +212,7 @@
             shop.iter().map(|(p, _)| p.pool.clone()).chain(irc.iter().map(|(irc, _)| irc.pool.clone()));
         let peers = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
         self.store = store;
-        self.hub.feed(Input::Configure { pools: pools.collect(), peers, budget });
+        self.hub.feed(Input::ConfigurationChanged { pools: pools.collect(), peers, budget });
         match door {
             // Callers that are there are not cut off.
             Some((wanted, _)) if self.mgmt.as_ref().is_some_and(|old| old.wanted == wanted) => {}
@@ -233,7 +233,7 @@
             let at = bound(&listener, irc.listen);
             irc.take_port(at);
             crate::log!(info, "{} listens on {at} for IRC, as configured anew", irc.setup.name);
-            self.hub.feed(Input::Table { pool, whole: true, hosts: irc.hosts });
+            self.hub.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts });
             Gate::open(&self.hub, "irc", irc.listen, listener, pool, irc_makes(irc.setup))
                 .replace(&self.hub, &mut self.irc);
         }
@@ -278,7 +278,7 @@
         let opened = store.data.as_deref().map(files::Files::open).transpose()?;
         if let Some((files, entries)) = opened {
             hub.keep_in(files);
-            hub.feed(Input::Kept { entries, bans: Vec::new() });
+            hub.feed(Input::StateRestored { entries, bans: Vec::new() });
         }
         let left = inherited.as_mut().and_then(|inherited| inherited.socket("store")).map(UdpSocket::from);
         let socket = match left {
@@ -292,8 +292,10 @@
     }
     hub.set_place(place.clone());
     match &mut inherited {
-        Some(inherited) => hub.feed(Input::Inherit(Box::new(std::mem::take(&mut inherited.legacy)))),
-        None => hub.feed(Input::Kept { entries: Vec::new(), bans: excluded_hosts::kept_bans(&place) }),
+        Some(inherited) => hub.feed(Input::ImportState(Box::new(std::mem::take(&mut inherited.legacy)))),
+        None => {
+            hub.feed(Input::StateRestored { entries: Vec::new(), bans: excluded_hosts::kept_bans(&place) })
+        }
     }
     if let (Some(pool), Some(shop)) = (shop_pool, &config.platform) {
         if let Some(discovery) = shop.pool.discovery {
@@ -337,8 +339,8 @@
                     crate::log!(error, "the old configuration stays: {problem}");
                 }
             }
-            _ = term.recv() => hub.feed(Input::Leave),
-            _ = interrupt.recv() => hub.feed(Input::Leave),
+            _ = term.recv() => hub.feed(Input::ShutdownRequested),
+            _ = interrupt.recv() => hub.feed(Input::ShutdownRequested),
             _ = exit.recv() => break,
         }
     }
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of issuer hosts: asked for by the reducer, each with one answer to it. A connection that has carried one
+//! Probes of servers: asked for by the reducer, each with one answer to it. A connection that has carried one
 //! is kept for the next, since each new one costs its host more than the probe does.
 
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 use crate::routing::{Input, ProbeEnd, MOST_PROBES};
 use crate::ServerId;
 
-/// A connection that has carried a probe is kept so long for the next: issuer hosts close idle ones sooner or later.
+/// A connection that has carried a probe is kept so long for the next: servers close idle ones sooner or later.
 const KEPT: Duration = Duration::from_secs(4);
 const PIECE: usize = 512;
 
@@ -66,7 +66,7 @@
         }
         _ => (ProbeEnd::Nothing, None),
     };
-    hub.feed(Input::Probed { pool, host, end });
+    hub.feed(Input::ProbeCompleted { pool, host, end });
     stream.map(|stream| ((host, address), stream))
 }
 
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -1,4 +1,4 @@
-//! Replays the acquirer side's flows of a capture into a front, at their recorded spacing.
+//! Replays the client's flows of a capture into a front, at their recorded spacing.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -127,7 +127,7 @@
     let when = |at: u64| begin + Duration::from_micros(at.saturating_sub(first));
     sleep_until(when(flow.start)).await;
     let problem = |e: std::io::Error| format!("not played: {e}");
-    let (stream, auth) = {
+    let (stream, connection) = {
         // One after the other, so that each finds its own other end.
         let gate = gate.lock().await;
         let stream = TcpStream::connect(gate.local_addr().map_err(problem)?).await.map_err(problem)?;
@@ -185,7 +185,7 @@
         }
     }
     let back = timeout(PATIENCE, reading).await.ok().and_then(Result::ok);
-    let mut told = fronts.hub.seen(auth).iter().map(Seen::to_string).collect::<Vec<_>>().join(", ");
+    let mut told = fronts.hub.seen(connection).iter().map(Seen::to_string).collect::<Vec<_>>().join(", ");
     if told.is_empty() {
         told = "never asked".to_owned();
     }
@@ -206,8 +206,8 @@
 }
 
 impl Hub {
-    /// What was seen of an authorisation.
-    fn seen(&self, auth: crate::routing::AuthId) -> Vec<Seen> {
-        self.observed.borrow().as_ref().and_then(|seen| seen.get(&auth).cloned()).unwrap_or_default()
+    /// What was seen of a connection.
+    fn seen(&self, connection: crate::routing::ConnectionId) -> Vec<Seen> {
+        self.observed.borrow().as_ref().and_then(|seen| seen.get(&connection).cloned()).unwrap_or_default()
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -24,9 +24,9 @@
 /// A request for one connection, as numbered by the host. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
-/// One authorisation: a connection of the acquirer side, from its accept to its end. Never used twice.
+/// One connection: a connection of the client, from its accept to its end. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AuthId(pub u64);
+pub struct ConnectionId(pub u64);
 /// A server; the same number at every balancer and across its restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
@@ -270,7 +270,7 @@
     Ok,
     /// The server answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected unseen.
     Full,
     /// No answer in time; it may have run.
     TimedOut,
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -139,7 +139,7 @@
     assert!(off.pool.reports.is_empty());
 }
 
-/// Danger: usual clients alone hold a third of the descriptors, and their legs as many again.
+/// Danger: usual clients alone hold a third of the descriptors, and their attempts as many again.
 #[test]
 fn budgets_follow_from_the_limits() {
     for (sockets, memory_mb) in [(256, 32), (1024, 32), (1024, 192), (64, 8), (65_536, 16)] {
--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -25,7 +25,7 @@
     Silent,
 }
 
-/// A stand-in for an issuer host that speaks IRC (RFC 2812): it keeps every line that it is sent.
+/// A stand-in for an server that speaks IRC (RFC 2812): it keeps every line that it is sent.
 pub struct Server {
     pub address: SocketAddr,
     pub lines: Arc<Mutex<Vec<String>>>,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 use connection_balancer::*;
 
 /// Seen on the bench's days at size: after a restart of most balancers discovery answered nobody for ten seconds.
-/// It serves calls one after another, also those whose callers it has turned away meanwhile, and all who were turned
+/// It serves calls one after another, also those whose callers it has rejected meanwhile, and all who were turned
 /// away asked again within two and a half seconds.
 #[test]
 fn a_hundred_balancers_that_start_together_all_have_the_list_before_long() {
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -2,16 +2,16 @@
 
 use std::rc::Rc;
 
-use connection_balancer::protocol::platform::{greeting, issuer_word, Greeting, Word};
+use connection_balancer::protocol::platform::{greeting, server_reply, Greeting, Word};
 use connection_balancer::protocol::{http, irc, platform, Front, Step};
-use connection_balancer::routing::{Answer, LegEnd, Lifecycle};
+use connection_balancer::routing::{Answer, AttemptOutcome, Lifecycle};
 use proptest::prelude::*;
 
 /// What came out for each side, and what else was said, in order.
 #[derive(Debug, Default, PartialEq)]
 struct Made {
-    to_acquirer: Vec<u8>,
-    to_issuer: Vec<u8>,
+    to_client: Vec<u8>,
+    to_server: Vec<u8>,
     said: Vec<Step>,
 }
 
@@ -20,8 +20,8 @@
         for step in steps {
             match step {
                 // One that can serve.
-                Step::ToAcquirer(bytes) | Step::Ping(bytes) => self.to_acquirer.extend(bytes),
-                Step::ToIssuer(bytes) => self.to_issuer.extend(bytes),
+                Step::ToClient(bytes) | Step::Ping(bytes) => self.to_client.extend(bytes),
+                Step::ToServer(bytes) => self.to_server.extend(bytes),
                 other => self.said.push(other),
             }
         }
@@ -36,24 +36,24 @@
     ends.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect()
 }
 
-fn play(mut front: impl Front, before: &[&[u8]], leg: &[&[u8]], after: &[&[u8]]) -> Made {
+fn play(mut front: impl Front, before: &[&[u8]], attempt: &[&[u8]], after: &[&[u8]]) -> Made {
     let mut made = Made::default();
-    let mut feed = |front: &mut dyn Front, pieces: &[&[u8]], issuer: bool| {
+    let mut feed = |front: &mut dyn Front, pieces: &[&[u8]], server: bool| {
         for piece in pieces {
             let mut steps = Vec::new();
-            match issuer {
-                true => front.issuer_sent(piece, &mut steps),
-                false => front.acquirer_sent(piece, &mut steps),
+            match server {
+                true => front.server_sent(piece, &mut steps),
+                false => front.client_sent(piece, &mut steps),
             }
             made.add(steps);
         }
     };
     feed(&mut front, before, false);
-    front.open_leg(250_000);
-    feed(&mut front, leg, true);
+    front.open_attempt(250_000);
+    feed(&mut front, attempt, true);
     feed(&mut front, after, false);
-    made.to_acquirer.extend(front.held_back());
-    made.to_acquirer.extend(front.answer(Answer::Moved));
+    made.to_client.extend(front.held_back());
+    made.to_client.extend(front.answer(Answer::Moved));
     made
 }
 
@@ -61,7 +61,7 @@
     irc::Connection::new(Rc::new(irc::Setup { name: "f".to_owned(), ..irc::Setup::default() }))
 }
 
-/// A front, what an acquirer side asks it with, and what a host accepts with.
+/// A front, what an client asks it with, and what a host accepts with.
 type Case = (Box<dyn Front>, &'static [u8], &'static [u8]);
 
 const OPEN: &[u8] = b"PING\r\nOPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n";
@@ -75,11 +75,11 @@
         long in 0usize..9000,
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
-        let leg = [b"UP 7\r\nLOAD 8000.5\r\n", &vec![b'x'; long][..], b"\r\nM 1\r\nBYE\r\npart"].concat();
-        let whole = play(platform::Connection::default(), &[OPEN], &[&leg], &[b"M 2\r\nhalf"]);
-        let cut = play(platform::Connection::default(), &pieces(OPEN, &cuts), &pieces(&leg, &cuts), &[b"M 2\r\nhalf"]);
-        prop_assert_eq!(&cut.to_acquirer, &[&b"PONG\r\n"[..], &leg, b"MOVE\r\n"].concat());
-        prop_assert_eq!(&cut.to_issuer, b"M 2\r\nhalf");
+        let attempt = [b"UP 7\r\nLOAD 8000.5\r\n", &vec![b'x'; long][..], b"\r\nM 1\r\nBYE\r\npart"].concat();
+        let whole = play(platform::Connection::default(), &[OPEN], &[&attempt], &[b"M 2\r\nhalf"]);
+        let cut = play(platform::Connection::default(), &pieces(OPEN, &cuts), &pieces(&attempt, &cuts), &[b"M 2\r\nhalf"]);
+        prop_assert_eq!(&cut.to_client, &[&b"PONG\r\n"[..], &attempt, b"MOVE\r\n"].concat());
+        prop_assert_eq!(&cut.to_server, b"M 2\r\nhalf");
         prop_assert_eq!(cut, whole);
     }
 
@@ -89,10 +89,10 @@
         long in 0usize..20_000,
     ) {
         let hello = [b"CAP LS\r\nFOO\r\n", &vec![b'x'; long][..], b"\r\nNICK a\nUSER u 0 * :r r\r\nCAP END\r\nJOIN #a\r\n"].concat();
-        let leg = [b":h NOTICE * :hi\r\nPING :1\r\n:h 001 a :w\r\n@t=1 :x PRIVMSG a :", &vec![b'y'; long][..], b"\r\nend"].concat();
-        let whole = play(irc_front(), &[&hello], &[&leg], &[b"PART #a\r\nhalf"]);
-        let cut = play(irc_front(), &pieces(&hello, &cuts), &pieces(&leg, &cuts), &[b"PART #a\r\nhalf"]);
-        prop_assert_eq!(&cut.to_issuer, b"PONG :1\r\nJOIN #a\r\nPART #a\r\n");
+        let attempt = [b":h NOTICE * :hi\r\nPING :1\r\n:h 001 a :w\r\n@t=1 :x PRIVMSG a :", &vec![b'y'; long][..], b"\r\nend"].concat();
+        let whole = play(irc_front(), &[&hello], &[&attempt], &[b"PART #a\r\nhalf"]);
+        let cut = play(irc_front(), &pieces(&hello, &cuts), &pieces(&attempt, &cuts), &[b"PART #a\r\nhalf"]);
+        prop_assert_eq!(&cut.to_server, b"PONG :1\r\nJOIN #a\r\nPART #a\r\n");
         prop_assert!(cut.said.contains(&Step::Up));
         prop_assert_eq!(cut, whole);
     }
@@ -111,20 +111,20 @@
         for (mut front, hello, up) in fronts {
             let mut out = Vec::new();
             if standing {
-                front.acquirer_sent(hello, &mut out);
-                front.open_leg(1);
-                front.issuer_sent(up, &mut out);
+                front.client_sent(hello, &mut out);
+                front.open_attempt(1);
+                front.server_sent(up, &mut out);
                 prop_assert!(out.contains(&Step::Up));
             }
-            for (issuer, bytes) in &steps {
-                match issuer {
-                    true => front.issuer_sent(bytes, &mut out),
-                    false => front.acquirer_sent(bytes, &mut out),
+            for (server, bytes) in &steps {
+                match server {
+                    true => front.server_sent(bytes, &mut out),
+                    false => front.client_sent(bytes, &mut out),
                 }
                 prop_assert!(front.waiting() <= 9000);
             }
-            prop_assert!(out.iter().filter(|step| matches!(step, Step::Authorise(_))).count() <= 1);
-            front.issuer_ended(true);
+            prop_assert!(out.iter().filter(|step| matches!(step, Step::ConnectionRequested(_))).count() <= 1);
+            front.server_ended(true);
         }
     }
 
@@ -155,16 +155,16 @@
 fn only_the_figure_of_d_changes_on_its_way() {
     let mut front = platform::Connection::default();
     let mut steps = Vec::new();
-    front.acquirer_sent(OPEN, &mut steps);
-    let Some(Step::Authorise(ask)) = steps.last() else { panic!("{steps:?}") };
+    front.client_sent(OPEN, &mut steps);
+    let Some(Step::ConnectionRequested(ask)) = steps.last() else { panic!("{steps:?}") };
     assert_eq!((ask.class.as_str(), ask.tenant.as_deref()), ("chat", Some("acme")));
     assert_eq!((ask.group, ask.wait, ask.load), (Some(0x5c0f_6e1a_2b3d_4c59), Some(2_000_500), Some(1.5)));
-    let line = front.open_leg(734_900);
+    let line = front.open_attempt(734_900);
     assert_eq!(line, b"OPEN 9b1f 7f3a c=chat,t=acme,d=734,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n");
     // Without a `d` nothing is put in.
     let mut front = platform::Connection::default();
-    front.acquirer_sent(b"OPEN a b c=chat,at=s-00000001\r\n", &mut steps);
-    assert_eq!(front.open_leg(5), b"OPEN a b c=chat,at=s-00000001\r\n");
+    front.client_sent(b"OPEN a b c=chat,at=s-00000001\r\n", &mut steps);
+    assert_eq!(front.open_attempt(5), b"OPEN a b c=chat,at=s-00000001\r\n");
 }
 
 #[test]
@@ -181,22 +181,24 @@
         ("", Word::Other),
     ];
     for (line, word) in words {
-        assert_eq!(issuer_word(line.as_bytes()), word, "{line}");
+        assert_eq!(server_reply(line.as_bytes()), word, "{line}");
     }
     assert_eq!(greeting(b"PING"), Some(Greeting::Ping));
 }
 
 #[test]
 fn first_lines_of_a_leg_decide_it() {
-    for (line, end) in
-        [("BUSY\r\n", LegEnd::TurnedAway), ("ERR\r\n", LegEnd::Error), ("SYNTAX\r\n", LegEnd::Error)]
-    {
+    for (line, end) in [
+        ("BUSY\r\n", AttemptOutcome::TurnedAway),
+        ("ERR\r\n", AttemptOutcome::Error),
+        ("SYNTAX\r\n", AttemptOutcome::Error),
+    ] {
         let made = play(platform::Connection::default(), &[OPEN], &[line.as_bytes()], &[]);
-        assert_eq!(made.said.last(), Some(&Step::LegEnded(end)), "{line}");
+        assert_eq!(made.said.last(), Some(&Step::AttemptEnded(end)), "{line}");
     }
 }
 
-/// What an acquirer side of the platform may send first, and what it may not: nothing of that reaches a host.
+/// What an client of the platform may send first, and what it may not: nothing of that reaches a host.
 #[test]
 fn first_lines_that_are_not_sound_are_answered_with_an_error() {
     let long = format!("OPEN a b c=chat,d=1,x={}\r\n", "y".repeat(4100));
@@ -230,19 +232,19 @@
         ("a long line", &long),
         ("commands at once", "OPEN a b c=chat,d=1\r\nOPEN b b c=chat,d=1\r\n"),
     ];
-    let wrong = [Step::ToAcquirer(b"ERR\r\n".to_vec()), Step::Close];
+    let wrong = [Step::ToClient(b"ERR\r\n".to_vec()), Step::Close];
     for (what, text) in bad {
         let mut front = platform::Connection::default();
         let mut steps = Vec::new();
-        front.acquirer_sent(text.as_bytes(), &mut steps);
+        front.client_sent(text.as_bytes(), &mut steps);
         assert_eq!(steps, wrong, "{what}");
         // What comes after the error is for nobody.
-        front.acquirer_sent(b"OPEN a b c=chat,d=1\r\n", &mut steps);
+        front.client_sent(b"OPEN a b c=chat,d=1\r\n", &mut steps);
         assert_eq!(steps.len(), 2, "{what}");
     }
     for text in ["PING\r\n", "OPEN a b c=chat,d=1\r\n", "OPEN a b at=s-00000001,c=chat\r\n"] {
         let mut steps = Vec::new();
-        platform::Connection::default().acquirer_sent(text.as_bytes(), &mut steps);
+        platform::Connection::default().client_sent(text.as_bytes(), &mut steps);
         assert!(!steps.contains(&wrong[1]) && !steps.is_empty(), "{text}");
     }
     // A client that does not wait for its answer, one that only ever asks whether anybody is there, and one
@@ -252,8 +254,8 @@
     let endless = vec![b'x'; 5000];
     let cases: [(&[u8], &[u8], &[u8]); 3] =
         [(&again, b"", b""), (&pings, b"", b""), (OPEN, b"UP 1\r\n", &endless)];
-    for (before, leg, after) in cases {
-        let made = play(platform::Connection::default(), &[before], &[leg].map(|l| l), &[after]);
+    for (before, attempt, after) in cases {
+        let made = play(platform::Connection::default(), &[before], &[attempt].map(|l| l), &[after]);
         assert_eq!(made.said.last(), Some(&Step::Close), "{}", String::from_utf8_lossy(before));
     }
 }
@@ -279,9 +281,9 @@
     ];
     for (text, answer) in cases {
         let mut steps = Vec::new();
-        irc_front().acquirer_sent(text.as_bytes(), &mut steps);
+        irc_front().client_sent(text.as_bytes(), &mut steps);
         let said = match &steps[..] {
-            [Step::ToAcquirer(said)] => String::from_utf8_lossy(said).into_owned(),
+            [Step::ToClient(said)] => String::from_utf8_lossy(said).into_owned(),
             _ => panic!("{text:?}: {steps:?}"),
         };
         assert!(said.contains(answer), "{text:?}: {said}");
@@ -289,7 +291,7 @@
     // Long before its time to register is up, whoever sends what is none is ended.
     for flood in [b"FOO\r\n".repeat(100), vec![b'x'; 200 << 10], b"PING a\r\n".repeat(100)] {
         let (mut front, mut steps) = (irc_front(), Vec::new());
-        flood.chunks(4096).for_each(|piece| front.acquirer_sent(piece, &mut steps));
+        flood.chunks(4096).for_each(|piece| front.client_sent(piece, &mut steps));
         let ends = steps.iter().filter(|step| **step == Step::Close).count();
         assert_eq!(ends, 1, "{} bytes", flood.len());
     }
--- a/tests/irc.rs
+++ b/tests/irc.rs
@@ -24,7 +24,7 @@
     assert_eq!(client.line(), ":front.test CAP anna NAK :unheard-of");
     assert_eq!(server.count(), 0, "nothing reaches a host before CAP END");
     client.say("CAP END\r\nPRIVMSG #a :early");
-    // What the host said before its welcome comes too; its PING was answered by the leg.
+    // What the host said before its welcome comes too; its PING was answered by the attempt.
     assert_eq!(client.line(), ":irc.test NOTICE * :*** Looking up your hostname");
     assert_eq!(client.line(), ":irc.test 001 anna :Welcome");
     assert_eq!(client.line(), ":anna!u@h PRIVMSG #a :early");
@@ -276,7 +276,7 @@
     address
 }
 
-/// The operator's file is the IRC front's routing table: a host that it lists no more is gone.
+/// The operator's file is the IRC front's endpoint list: a host that it lists no more is gone.
 #[test]
 fn sighup_takes_in_another_operators_file_or_keeps_the_old_one() {
     let (old, new) = (Server::start(Manner::Welcome), Server::start(Manner::Welcome));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -15,13 +15,13 @@
 
 fn call(desk: &mut Desk, call: Call) -> Reply {
     match call_with(desk, call).pop() {
-        Some(Effect::Reply { caller: CallerId(77), reply }) => reply,
+        Some(Effect::AdminReply { caller: CallerId(77), reply }) => reply,
         other => panic!("{other:?}"),
     }
 }
 
 fn call_with(desk: &mut Desk, call: Call) -> Vec<Effect> {
-    desk.put(Input::Call { caller: CallerId(77), call })
+    desk.put(Input::AdminRequest { caller: CallerId(77), call })
 }
 
 fn figures(desk: &mut Desk) -> Figures {
@@ -36,62 +36,62 @@
     #[test]
     fn figures_are_true(steps in prop::collection::vec((0u8..12, 0usize..8, 1u64..500_000), 1..200)) {
         let mut desk = Desk::with(Budget { held: 12, ..reducer_harness::BUDGET });
-        let mut auths: Vec<(AuthId, &str)> = Vec::new();
+        let mut connections: Vec<(ConnectionId, &str)> = Vec::new();
         let mut counts: BTreeMap<String, Counts> =
             ["chat", "wallet"].map(|class| (class.to_owned(), Counts::default())).into();
-        // Taken and not ended; with which leg out, and whether that is written; standing.
-        let (mut open, mut legs) = (BTreeSet::new(), BTreeMap::<AuthId, (u32, bool)>::new());
+        // Taken and not ended; with which attempt out, and whether that is written; standing.
+        let (mut open, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, bool)>::new());
         let (mut standing, mut forwards) = (BTreeSet::new(), 0);
         for (what, which, pause) in steps {
             desk.pass(pause);
             for tick in [true, false] {
-                let &(auth, _) = auths.get(which % auths.len().max(1)).unwrap_or(&(AuthId(u64::MAX), ""));
-                let (leg, written) = legs.get(&auth).copied().unwrap_or((9, true));
-                let out = legs.contains_key(&auth);
+                let &(connection, _) = connections.get(which % connections.len().max(1)).unwrap_or(&(ConnectionId(u64::MAX), ""));
+                let (attempt, written) = attempts.get(&connection).copied().unwrap_or((9, true));
+                let out = attempts.contains_key(&connection);
                 let mut ended = |end| {
-                    legs.remove(&auth);
-                    if standing.contains(&auth) {
-                        open.remove(&auth);
+                    attempts.remove(&connection);
+                    if standing.contains(&connection) {
+                        open.remove(&connection);
                     }
-                    Input::LegEnded { auth, leg, end }
+                    Input::AttemptEnded { connection, attempt, end }
                 };
                 let input = match what {
-                    _ if tick => Input::Tick,
+                    _ if tick => Input::TimerFired,
                     0..=3 => {
                         let class = ["chat", "wallet", "unheard-of", "chat"][usize::from(what)];
-                        let auth = desk.met();
-                        auths.push((auth, class));
-                        open.insert(auth);
-                        Input::Authorise { auth, ask: Authorisation { class: class.to_owned(), ..ask() } }
+                        let connection = desk.met();
+                        connections.push((connection, class));
+                        open.insert(connection);
+                        Input::ConnectionRequested { connection, ask: ConnectionRequest { class: class.to_owned(), ..ask() } }
                     }
                     4 | 5 => {
                         forwards += u64::from(out && !written);
-                        legs.entry(auth).and_modify(|leg| leg.1 = true);
-                        Input::LegWritten { auth, leg }
+                        attempts.entry(connection).and_modify(|attempt| attempt.1 = true);
+                        Input::RequestForwarded { connection, attempt }
                     }
                     6 | 7 => {
-                        if out && standing.insert(auth) {
-                            let class = auths.iter().find(|(a, _)| *a == auth).map_or("", |(_, class)| class);
+                        if out && standing.insert(connection) {
+                            let class = connections.iter().find(|(a, _)| *a == connection).map_or("", |(_, class)| class);
                             counts.entry(class.to_owned()).and_modify(|counts| counts.succeeded += 1);
                         }
-                        Input::LegUp { auth, leg }
+                        Input::AttemptAccepted { connection, attempt }
                     }
-                    8 => ended(LegEnd::TurnedAway),
-                    9 => ended(LegEnd::Broken),
+                    8 => ended(AttemptOutcome::TurnedAway),
+                    9 => ended(AttemptOutcome::Broken),
                     10 => {
-                        open.remove(&auth);
-                        Input::Left { auth }
+                        open.remove(&connection);
+                        Input::ClientDisconnected { connection }
                     }
-                    _ if which == 0 => Input::Leave,
-                    _ => Input::TableLost { pool: 0 },
+                    _ if which == 0 => Input::ShutdownRequested,
+                    _ => Input::EndpointWatchLost { pool: 0 },
                 };
                 for effect in desk.put(input) {
                     match effect {
-                        Effect::OpenLeg { auth, leg, .. } => drop(legs.insert(auth, (leg, false))),
-                        Effect::CloseLeg { auth } => drop(legs.remove(&auth)),
-                        Effect::Answer { auth, answer } => {
-                            open.remove(&auth);
-                            let class = auths.iter().find(|(a, _)| *a == auth).map_or("", |(_, class)| class);
+                        Effect::OpenAttempt { connection, attempt, .. } => drop(attempts.insert(connection, (attempt, false))),
+                        Effect::CloseAttempt { connection } => drop(attempts.remove(&connection)),
+                        Effect::Answer { connection, answer } => {
+                            open.remove(&connection);
+                            let class = connections.iter().find(|(a, _)| *a == connection).map_or("", |(_, class)| class);
                             if let Some(counts) = counts.get_mut(class) {
                                 counts.declined += u64::from(matches!(answer, Answer::Refused(_)));
                                 counts.aborted += u64::from(answer == Answer::Failed);
@@ -113,12 +113,12 @@
     #[test]
     fn a_ban_holds_until_the_call_back(steps in prop::collection::vec((0u8..9, 0usize..5, 1u64..400_000), 1..150)) {
         let mut desk = Desk::new();
-        let (mut out, mut legs) = (BTreeSet::new(), BTreeMap::<AuthId, (u32, String, bool)>::new());
+        let (mut out, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, String, bool)>::new());
         for (what, host, pause) in steps {
             desk.pass(pause);
             let name = reducer_harness::HOSTS[host].to_owned();
-            let auth = legs.keys().nth(host).copied().unwrap_or(AuthId(u64::MAX));
-            let leg = legs.get(&auth).map_or(9, |leg| leg.0);
+            let connection = attempts.keys().nth(host).copied().unwrap_or(ConnectionId(u64::MAX));
+            let attempt = attempts.get(&connection).map_or(9, |attempt| attempt.0);
             let effects = match what {
                 0 => {
                     out.insert(desk.address(&name));
@@ -132,32 +132,32 @@
                 3 => desk.list(host, Lifecycle::Ready),
                 4 => {
                     let (pools, peers, budget) = (vec![reducer_harness::setup()], Vec::new(), reducer_harness::BUDGET);
-                    desk.put(Input::Configure { pools, peers, budget })
+                    desk.put(Input::ConfigurationChanged { pools, peers, budget })
                 }
                 5 => {
-                    legs.entry(auth).and_modify(|leg| leg.2 = true);
-                    desk.put(Input::LegWritten { auth, leg })
+                    attempts.entry(connection).and_modify(|attempt| attempt.2 = true);
+                    desk.put(Input::RequestForwarded { connection, attempt })
                 }
                 6 => {
-                    legs.remove(&auth);
-                    desk.put(Input::LegEnded { auth, leg, end: LegEnd::TurnedAway })
+                    attempts.remove(&connection);
+                    desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway })
                 }
                 _ => {
-                    let auth = desk.met();
-                    desk.put(Input::Authorise { auth, ask: ask() })
+                    let connection = desk.met();
+                    desk.put(Input::ConnectionRequested { connection, ask: ask() })
                 }
             };
             for effect in effects {
                 match effect {
-                    Effect::OpenLeg { auth, leg, address, .. } => {
+                    Effect::OpenAttempt { connection, attempt, address, .. } => {
                         prop_assert!(!out.contains(&address), "a leg to {address}, which is out by hand");
-                        legs.insert(auth, (leg, address, false));
+                        attempts.insert(connection, (attempt, address, false));
                     }
-                    Effect::CloseLeg { auth } | Effect::Answer { auth, .. } => drop(legs.remove(&auth)),
+                    Effect::CloseAttempt { connection } | Effect::Answer { connection, .. } => drop(attempts.remove(&connection)),
                     _ => {}
                 }
             }
-            for (_, address, written) in legs.values() {
+            for (_, address, written) in attempts.values() {
                 prop_assert!(*written || !out.contains(address), "a leg to {address} may still be written");
             }
         }
@@ -188,12 +188,12 @@
     assert!(told.contains("edge_node.outstanding:1|g\r\n"), "{told}");
 }
 
-/// A host that breaks legs is avoided for a while, and only so long.
+/// A host that breaks attempts is avoided for a while, and only so long.
 #[test]
 fn ejected_is_what_the_pick_avoids_now() {
     let mut desk = Desk::new();
-    let (auth, _) = desk.written();
-    desk.put(Input::LegEnded { auth, leg: 0, end: LegEnd::Broken });
+    let (connection, _) = desk.written();
+    desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken });
     assert_eq!(figures(&mut desk).ejected, 1);
     desk.pass(60_000_000);
     assert_eq!(figures(&mut desk).ejected, 0);
@@ -206,11 +206,11 @@
     desk.put(Input::Listening);
     // Danger: with discovery down, or crowded, nobody would ever be ready if the list from before did not do.
     assert_eq!(call(&mut desk, Call::Ready), Reply::Yes);
-    desk.put(Input::Known { pool: 0, hosts: Vec::new() });
+    desk.put(Input::CachedEndpoints { pool: 0, hosts: Vec::new() });
     assert!(matches!(call(&mut desk, Call::Ready), Reply::No(_)), "there is no host");
-    desk.put(Input::Table { pool: 0, whole: false, hosts: Vec::new() });
+    desk.put(Input::EndpointsUpdated { pool: 0, whole: false, hosts: Vec::new() });
     assert_eq!(call(&mut desk, Call::Ready), Reply::Yes);
-    desk.put(Input::Leave);
+    desk.put(Input::ShutdownRequested);
     assert!(matches!(call(&mut desk, Call::Ready), Reply::No(_)));
 }
 
@@ -236,28 +236,28 @@
 }
 
 fn reply_yes() -> Effect {
-    Effect::Reply { caller: CallerId(77), reply: Reply::Yes }
+    Effect::AdminReply { caller: CallerId(77), reply: Reply::Yes }
 }
 
 /// Seen on the bench: hosts out by hand start again 1.5 s later, and who is still there is cut off.
 #[test]
 fn clients_of_a_host_out_by_hand_are_moved_in_pace_and_soon() {
     let mut desk = Desk::new();
-    let auths: Vec<AuthId> = (0..60).map(|_| desk.standing()).collect();
+    let connections: Vec<ConnectionId> = (0..60).map(|_| desk.standing()).collect();
     let host = reducer_harness::HOSTS[2].to_owned();
     let (mut moved, mut waves) = (BTreeSet::new(), 0);
     let mut effects = call_with(&mut desk, Call::Exclude(host));
     for _ in 0..15 {
         let before = moved.len();
         moved.extend(effects.iter().filter_map(|effect| match effect {
-            Effect::Answer { auth, answer: Answer::Moved } => Some(*auth),
+            Effect::Answer { connection, answer: Answer::Moved } => Some(*connection),
             _ => None,
         }));
         waves += usize::from(moved.len() > before);
         desk.pass(100_000);
-        effects = desk.put(Input::Tick);
+        effects = desk.put(Input::TimerFired);
     }
-    assert!(moved.len() > 4 && moved.len() < auths.len(), "{} moved", moved.len());
+    assert!(moved.len() > 4 && moved.len() < connections.len(), "{} moved", moved.len());
     assert!(waves > 3, "all in {waves} waves");
 }
 
@@ -270,27 +270,27 @@
         desk.standing();
     }
     let (host, address) = (reducer_harness::HOSTS[2].to_owned(), desk.address(reducer_harness::HOSTS[2]));
-    let legs = |desk: &mut Desk, count: usize| {
+    let attempts = |desk: &mut Desk, count: usize| {
         let mut there = 0;
         for _ in 0..count {
             desk.pass(50_000);
-            let auth = desk.met();
-            let effects = desk.put(Input::Authorise { auth, ask: ask() });
+            let connection = desk.met();
+            let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
             there += effects
                 .iter()
-                .filter(|effect| matches!(effect, Effect::OpenLeg { address: at, .. } if *at == address))
+                .filter(|effect| matches!(effect, Effect::OpenAttempt { address: at, .. } if *at == address))
                 .count();
-            desk.put(Input::LegWritten { auth, leg: 0 });
-            desk.put(Input::LegUp { auth, leg: 0 });
+            desk.put(Input::RequestForwarded { connection, attempt: 0 });
+            desk.put(Input::AttemptAccepted { connection, attempt: 0 });
         }
         there
     };
     call(&mut desk, Call::Exclude(host.clone()));
-    assert_eq!(legs(&mut desk, 40), 0);
+    assert_eq!(attempts(&mut desk, 40), 0);
     call(&mut desk, Call::Include(host));
-    let first = legs(&mut desk, 20);
+    let first = attempts(&mut desk, 20);
     assert!(first <= 8, "{first} of 20 in the first second: it is cold");
-    assert!(first + legs(&mut desk, 80) > 0, "unused for 5 s");
+    assert!(first + attempts(&mut desk, 80) > 0, "unused for 5 s");
 }
 
 fn front(more: &str) -> Daemon {
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -168,15 +168,14 @@
 /// What a tape writes is what any tool would read: numbers that go on, and sums that are right.
 #[test]
 fn a_tape_has_valid_checksums_and_reads_back() {
-    let (acquirer, front) = ends();
-    for (acquirer, front) in [(acquirer, front), ("[::1]:5".parse().unwrap(), "[::1]:6667".parse().unwrap())]
-    {
-        let (mut tape, records) = Tape::start(1_000_000, acquirer, front);
+    let (client, front) = ends();
+    for (client, front) in [(client, front), ("[::1]:5".parse().unwrap(), "[::1]:6667".parse().unwrap())] {
+        let (mut tape, records) = Tape::start(1_000_000, client, front);
         let mut bytes = [pcap::file_head(), records].concat();
-        bytes.extend(tape.data(2_000_000, Way::FromAcquirer, &[b'x'; 3000]));
-        bytes.extend(tape.data(2_000_000, Way::ToAcquirer, b"back"));
-        bytes.extend(tape.close(3_000_000, Way::FromAcquirer, Close::InOrder));
-        assert_eq!(tape.close(3_000_000, Way::FromAcquirer, Close::Broken), Vec::<u8>::new(), "ended twice");
+        bytes.extend(tape.data(2_000_000, Way::FromClient, &[b'x'; 3000]));
+        bytes.extend(tape.data(2_000_000, Way::ToClient, b"back"));
+        bytes.extend(tape.close(3_000_000, Way::FromClient, Close::InOrder));
+        assert_eq!(tape.close(3_000_000, Way::FromClient, Close::Broken), Vec::<u8>::new(), "ended twice");
         let flows = flows::to_port(&pcap::read(&bytes).expect("sound"), 6667);
         let sent: usize = flows[0].pieces.iter().map(|(_, bytes)| bytes.len()).sum();
         assert_eq!((sent, flows[0].end), (3000, Some((3_000_000, Close::InOrder))));
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -365,7 +365,7 @@
 
 /// Whoever cannot be understood has an error or a close soon, and is in nobody's way meanwhile: descriptors
 /// for 160 are less than half of what connects here. Seen on the bench: 500 of 500 descriptors were in use,
-/// and the first leg of usual clients went out after seconds.
+/// and the first attempt of usual clients went out after seconds.
 #[test]
 fn bad_clients_are_answered_or_closed_while_usual_ones_are_served() {
     let (shop, lines) = host("UP 1", false);
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -1,4 +1,4 @@
-//! What issuer hosts say to probes, read without sockets.
+//! What servers say to probes, read without sockets.
 
 use connection_balancer::protocol::platform::probe_answer;
 use connection_balancer::routing::ProbeEnd;
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -69,11 +69,11 @@
 /// One that stands, with its server's end.
 fn stand(daemon: &Daemon, host: &Held) -> (Client, Client) {
     let mut client = open_for(daemon, 9000);
-    let mut leg = host.accept();
-    assert!(leg.line().starts_with("OPEN "));
-    leg.say("UP 1");
+    let mut attempt = host.accept();
+    assert!(attempt.line().starts_with("OPEN "));
+    attempt.say("UP 1");
     assert_eq!(client.line(), "UP 1");
-    (client, leg)
+    (client, attempt)
 }
 
 fn nothing_is_held(daemon: &Daemon) {
@@ -95,9 +95,9 @@
             false => drop(client),
         }
         host.admit();
-        let mut leg = host.accept();
+        let mut attempt = host.accept();
         daemon.go_on();
-        assert_eq!(leg.rest(), "", "sent on for nobody (broken off: {breaks})");
+        assert_eq!(attempt.rest(), "", "sent on for nobody (broken off: {breaks})");
         nothing_is_held(&daemon);
         assert_eq!(daemon.figure("forwards"), 0);
     }
@@ -112,9 +112,9 @@
     host.admit();
     // The next connection is another client's, and its line the first.
     let mut next = open(&daemon);
-    let mut leg = host.accept();
-    assert!(leg.line().starts_with("OPEN "));
-    leg.say("UP 2");
+    let mut attempt = host.accept();
+    assert!(attempt.line().starts_with("OPEN "));
+    attempt.say("UP 2");
     assert_eq!(next.line(), "UP 2");
     assert_eq!(daemon.figure("forwards"), 1);
 }
@@ -124,16 +124,16 @@
     let hosts = [Held::start(), Held::start()];
     let (daemon, _discovery) = Terms::default().start(&[&hosts[0], &hosts[1]]);
     let client = open(&daemon);
-    let mut leg = None;
+    let mut attempt = None;
     until("an attempt is out", || {
-        leg = hosts.iter().find_map(Held::accepted);
-        leg.is_some()
+        attempt = hosts.iter().find_map(Held::accepted);
+        attempt.is_some()
     });
-    let mut leg = leg.expect("one");
-    assert!(leg.line().starts_with("OPEN "));
+    let mut attempt = attempt.expect("one");
+    assert!(attempt.line().starts_with("OPEN "));
     daemon.hold();
     drop(client);
-    reset(leg.into_stream());
+    reset(attempt.into_stream());
     daemon.go_on();
     nothing_is_held(&daemon);
     assert_eq!(daemon.figure("forwards"), 1);
@@ -150,19 +150,19 @@
     let more = format!(r#", "hosts": [{}, {}], "class": {{"give_up_ms": 100000}}"#, host(0), host(1));
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &more), None);
     let mut client = Client::register(&daemon.irc, "ann");
-    let mut leg = None;
+    let mut attempt = None;
     until("it is sent on", || {
-        leg = hosts.iter().find_map(Held::accepted);
-        leg.is_some()
+        attempt = hosts.iter().find_map(Held::accepted);
+        attempt.is_some()
     });
-    let mut leg = leg.expect("one");
-    leg.expect("USER");
+    let mut attempt = attempt.expect("one");
+    attempt.expect("USER");
     let lines = "PRIVMSG #a :b\r\n".repeat(6000);
     // It may be ended before it has said all.
     let _ = client.stream.write_all(lines.as_bytes());
     drop(client);
     nothing_is_held(&daemon);
-    leg.rest();
+    attempt.rest();
     assert!(hosts.iter().all(|host| host.accepted().is_none()), "sent on again for nobody");
 }
 
@@ -172,16 +172,16 @@
     let hosts = [Held::start(), Held::start()];
     let (daemon, _discovery) = Terms::default().start(&[&hosts[0], &hosts[1]]);
     let mut client = open(&daemon);
-    let mut leg = None;
+    let mut attempt = None;
     until("an attempt is out", || {
-        leg = hosts.iter().find_map(Held::accepted);
-        leg.is_some()
+        attempt = hosts.iter().find_map(Held::accepted);
+        attempt.is_some()
     });
     // It may be ended before it has said all.
     let _ = client.stream.write_all(&[b'x'; 1 << 20]);
     drop(client);
     nothing_is_held(&daemon);
-    leg.expect("one").rest();
+    attempt.expect("one").rest();
     assert!(hosts.iter().all(|host| host.accepted().is_none()), "sent on again for nobody");
 }
 
@@ -198,9 +198,9 @@
     client.say("QUIT :bye");
     drop(client);
     host.admit();
-    let mut leg = host.accept();
+    let mut attempt = host.accept();
     daemon.go_on();
-    assert_eq!(leg.rest(), "");
+    assert_eq!(attempt.rest(), "");
     nothing_is_held(&daemon);
 }
 
@@ -217,7 +217,7 @@
             client
         })
         .collect();
-    let (_client, _leg) = stand(&daemon, &host);
+    let (_client, _attempt) = stand(&daemon, &host);
     drop(resting);
 }
 
@@ -234,9 +234,9 @@
     // Its time to ask, 1.5 s from the platform's page, passes meanwhile.
     std::thread::sleep(Duration::from_millis(1700));
     daemon.go_on();
-    let mut leg = host.accept();
-    assert!(leg.line().starts_with("OPEN late "));
-    leg.say("UP 1");
+    let mut attempt = host.accept();
+    assert!(attempt.line().starts_with("OPEN late "));
+    attempt.say("UP 1");
     assert_eq!(client.line(), "UP 1");
 }
 
@@ -249,12 +249,12 @@
     let (first, mut second) = (Held::start(), Held::full());
     let (daemon, discovery) = terms.start(&[&first]);
     let mut client = open(&daemon);
-    let mut leg = first.accept();
-    assert!(leg.line().starts_with("OPEN "));
+    let mut attempt = first.accept();
+    assert!(attempt.line().starts_with("OPEN "));
     answer(&discovery.call().1, &list(2, false, &[named(1, &second, "ready")]));
     // The list is in place when the next watch begins.
     let _watch = discovery.call();
-    reset(leg.into_stream());
+    reset(attempt.into_stream());
     // Its connection to the second host is out, and comes up when its window is over.
     std::thread::sleep(Duration::from_millis(900));
     second.admit();
@@ -262,8 +262,8 @@
     assert_eq!(daemon.figure("forwards"), 1);
     // What comes up there is another request's.
     let mut next = open(&daemon);
-    let mut leg = until_line(&second, &first);
-    leg.say("UP 3");
+    let mut attempt = until_line(&second, &first);
+    attempt.say("UP 3");
     assert_eq!(next.line(), "UP 3");
     assert_eq!(daemon.figure("forwards"), 2);
 }
@@ -272,9 +272,9 @@
 fn until_line(one: &Held, other: &Held) -> Client {
     let mut found = None;
     until("a request comes", || {
-        found = [one, other].into_iter().find_map(Held::accepted).filter(|leg| {
-            let mut leg = Client::over(leg.stream.try_clone().expect("a clone"));
-            leg.line().starts_with("OPEN ")
+        found = [one, other].into_iter().find_map(Held::accepted).filter(|attempt| {
+            let mut attempt = Client::over(attempt.stream.try_clone().expect("a clone"));
+            attempt.line().starts_with("OPEN ")
         });
         found.is_some()
     });
@@ -291,7 +291,7 @@
     assert!(client.rest().starts_with("BUSY"));
     host.admit();
     assert_eq!(daemon.figure("forwards"), 0);
-    assert!(host.accepted().is_none_or(|mut leg| leg.rest().is_empty()));
+    assert!(host.accepted().is_none_or(|mut attempt| attempt.rest().is_empty()));
 }
 
 /// In the wake-up in which it comes up its time is over.
@@ -303,11 +303,11 @@
     until("the request is taken", || daemon.figure("outstanding") == 1);
     daemon.hold();
     host.admit();
-    let mut leg = host.accept();
+    let mut attempt = host.accept();
     std::thread::sleep(Duration::from_millis(1000));
     daemon.go_on();
     assert!(client.rest().starts_with("BUSY"));
-    assert_eq!(leg.rest(), "", "written when its time was over");
+    assert_eq!(attempt.rest(), "", "written when its time was over");
     nothing_is_held(&daemon);
 }
 
@@ -321,10 +321,10 @@
     daemon.hold();
     host.admit();
     answer(&watch, &list(2, false, &[named(0, &host, "draining")]));
-    let mut leg = host.accept();
+    let mut attempt = host.accept();
     daemon.go_on();
-    if leg.line().starts_with("OPEN ") {
-        leg.say("BUSY");
+    if attempt.line().starts_with("OPEN ") {
+        attempt.say("BUSY");
     }
     let answer = client.rest();
     assert!(answer.starts_with("BUSY") && answer.lines().count() == 1, "{answer}");
@@ -353,21 +353,21 @@
         let (daemon, _discovery) = Terms::default().start(&[&host]);
         // Where it is refused, that may be at the end of its time.
         let mut client = open_for(&daemon, if wanted == "BUSY" { 900 } else { 9000 });
-        let mut leg = host.accept();
-        assert!(leg.line().starts_with("OPEN "));
+        let mut attempt = host.accept();
+        assert!(attempt.line().starts_with("OPEN "));
         for piece in pieces {
             // One that has its answer is closed, perhaps before the last piece.
-            let _ = leg.stream.write_all(piece.as_bytes());
+            let _ = attempt.stream.write_all(piece.as_bytes());
         }
         if ends {
-            let _ = leg.stream.shutdown(Shutdown::Both);
+            let _ = attempt.stream.shutdown(Shutdown::Both);
         }
         match wanted {
             "BUSY" => assert!(client.rest().starts_with("BUSY"), "{pieces:?}"),
             _ if ends => assert_eq!(client.rest(), wanted, "{pieces:?}"),
             _ => assert_eq!(format!("{}\r\n", client.line()), wanted, "{pieces:?}"),
         }
-        drop((client, leg));
+        drop((client, attempt));
         nothing_is_held(&daemon);
     }
 }
@@ -378,23 +378,23 @@
     let host = Held::start();
     let (daemon, _discovery) = Terms::default().start(&[&host]);
     let mut client = open_for(&daemon, 900);
-    let mut leg = host.accept();
-    assert!(leg.line().starts_with("OPEN "));
+    let mut attempt = host.accept();
+    assert!(attempt.line().starts_with("OPEN "));
     daemon.hold();
-    leg.say("UP 7");
+    attempt.say("UP 7");
     std::thread::sleep(Duration::from_millis(1000));
     daemon.go_on();
     match &client.line()[..] {
         "UP 7" => {
             client.say("M 1");
-            assert_eq!(leg.line(), "M 1");
+            assert_eq!(attempt.line(), "M 1");
         }
         refused => {
             assert!(refused.starts_with("BUSY"), "{refused}");
-            assert_eq!((client.rest(), leg.rest()), (String::new(), String::new()));
+            assert_eq!((client.rest(), attempt.rest()), (String::new(), String::new()));
         }
     }
-    drop((client, leg));
+    drop((client, attempt));
     nothing_is_held(&daemon);
 }
 
@@ -404,12 +404,12 @@
 fn move_is_put_between_two_lines_and_what_was_whole_is_delivered() {
     let host = Held::start();
     let (daemon, discovery) = Terms::default().start(&[&host]);
-    let (mut client, mut leg) = stand(&daemon, &host);
-    leg.stream.write_all(b"M 1\r\nhal").expect("written");
+    let (mut client, mut attempt) = stand(&daemon, &host);
+    attempt.stream.write_all(b"M 1\r\nhal").expect("written");
     assert_eq!(client.line(), "M 1");
     answer(&discovery.call().1, &list(2, false, &[named(0, &host, "gone")]));
     assert_eq!(client.rest(), "MOVE\r\n");
-    assert_eq!(leg.rest(), "");
+    assert_eq!(attempt.rest(), "");
     nothing_is_held(&daemon);
 }
 
@@ -417,11 +417,11 @@
 fn what_a_host_said_before_it_broke_is_delivered() {
     let host = Held::start();
     let (daemon, _discovery) = Terms::default().start(&[&host]);
-    let (mut client, mut leg) = stand(&daemon, &host);
+    let (mut client, mut attempt) = stand(&daemon, &host);
     client.say("unread");
     daemon.hold();
-    leg.stream.write_all(b"M 1\r\nM 2\r\n").expect("written");
-    reset(leg.into_stream());
+    attempt.stream.write_all(b"M 1\r\nM 2\r\n").expect("written");
+    reset(attempt.into_stream());
     daemon.go_on();
     assert_eq!((client.line(), client.line(), client.rest()), ("M 1".into(), "M 2".into(), String::new()));
     nothing_is_held(&daemon);
@@ -432,7 +432,7 @@
 fn what_a_host_said_before_it_broke_is_delivered_though_nothing_reaches_it_any_more() {
     let host = Held::start();
     let (daemon, _discovery) = Terms::default().start(&[&host]);
-    let (mut client, mut leg) = stand(&daemon, &host);
+    let (mut client, mut attempt) = stand(&daemon, &host);
     // The host reads nothing: some of this stays with the daemon.
     client.stream.set_nonblocking(true).expect("a socket");
     let lines = [&[b'x'; 62][..], b"\r\n"].concat().repeat(8192);
@@ -443,8 +443,8 @@
     });
     client.stream.set_nonblocking(false).expect("a socket");
     daemon.hold();
-    leg.stream.write_all(b"M 1\r\nM 2\r\n").expect("written");
-    reset(leg.into_stream());
+    attempt.stream.write_all(b"M 1\r\nM 2\r\n").expect("written");
+    reset(attempt.into_stream());
     daemon.go_on();
     assert_eq!((client.line(), client.line()), ("M 1".into(), "M 2".into()));
     nothing_is_held(&daemon);
@@ -456,11 +456,11 @@
     for word in ["BYE", "MOVE"] {
         let host = Held::start();
         let (daemon, _discovery) = Terms::default().start(&[&host]);
-        let (mut client, mut leg) = stand(&daemon, &host);
+        let (mut client, mut attempt) = stand(&daemon, &host);
         daemon.hold();
         client.say("M 1");
-        leg.say(word);
-        reset(leg.into_stream());
+        attempt.say(word);
+        reset(attempt.into_stream());
         daemon.go_on();
         assert_eq!(client.line(), word);
         assert_eq!(client.stream.read(&mut [0]).expect("ended in order, not broken off"), 0);
@@ -507,13 +507,13 @@
 fn at_sigterm_each_has_its_word_and_the_exit_is_in_time() {
     let host = Held::start();
     let (mut daemon, _discovery) = Terms::default().start(&[&host]);
-    let (mut standing, _leg) = stand(&daemon, &host);
+    let (mut standing, _attempt) = stand(&daemon, &host);
     let mut waiting = open(&daemon);
-    let mut leg = host.accept();
-    assert!(leg.line().starts_with("OPEN "));
+    let mut attempt = host.accept();
+    assert!(attempt.line().starts_with("OPEN "));
     let since = Instant::now();
     daemon.hold();
-    leg.say("UP 2");
+    attempt.say("UP 2");
     daemon.signal("-TERM");
     daemon.signal("-TERM");
     daemon.go_on();
@@ -572,9 +572,9 @@
     let config = Terms::default().config(&taken.to_string(), discovery.address, &ready(1, &[&host]));
     daemon.reload("config.json", &config);
     daemon.go_on();
-    let mut leg = host.accept();
-    assert!(leg.line().starts_with("OPEN "));
-    leg.say("UP 1");
+    let mut attempt = host.accept();
+    assert!(attempt.line().starts_with("OPEN "));
+    attempt.say("UP 1");
     assert_eq!(client.line(), "UP 1");
 }
 
@@ -586,42 +586,42 @@
     for event in ["client's line", "host's line", "client's end", "host's reset", "SIGTERM"] {
         let host = Held::start();
         let (mut daemon, _discovery) = Terms::default().start(&[&host]);
-        let (client, leg) = stand(&daemon, &host);
-        let (mut client, mut leg) = (Some(client), Some(leg));
+        let (client, attempt) = stand(&daemon, &host);
+        let (mut client, mut attempt) = (Some(client), Some(attempt));
         daemon.hold();
         match event {
             "client's line" => client.as_mut().expect("one").say("M 1"),
-            "host's line" => leg.as_mut().expect("one").say("M 2"),
+            "host's line" => attempt.as_mut().expect("one").say("M 2"),
             "client's end" => drop(client.take()),
-            "host's reset" => reset(leg.take().expect("one").into_stream()),
+            "host's reset" => reset(attempt.take().expect("one").into_stream()),
             _ => daemon.signal("-TERM"),
         }
         let _heir = daemon.go_on_beside_another();
-        let (mut client, mut leg) = match (client, leg) {
-            (Some(client), Some(leg)) => (client, leg),
+        let (mut client, mut attempt) = match (client, attempt) {
+            (Some(client), Some(attempt)) => (client, attempt),
             // The other side is ended in the same way.
-            (client, leg) => {
-                let mut left = client.or(leg).expect("one");
+            (client, attempt) => {
+                let mut left = client.or(attempt).expect("one");
                 assert_eq!(left.rest(), "", "{event}");
                 continue;
             }
         };
         match event {
-            "client's line" => assert_eq!(leg.line(), "M 1"),
+            "client's line" => assert_eq!(attempt.line(), "M 1"),
             "host's line" => assert_eq!(client.line(), "M 2"),
             // Told to go, the old process may move it, or hand it over before that.
             _ => assert!(daemon.exited()),
         }
-        let _ = leg.stream.write_all(b"M 4\r\n");
+        let _ = attempt.stream.write_all(b"M 4\r\n");
         match &client.line()[..] {
             // Whoever has it now, it goes on, and nothing came twice.
             "M 4" => {
                 client.say("M 5");
-                assert_eq!(leg.line(), "M 5", "{event}");
+                assert_eq!(attempt.line(), "M 5", "{event}");
             }
             word => {
                 assert_eq!((word, event, client.rest()), ("MOVE", "SIGTERM", String::new()));
-                assert_eq!(leg.rest(), "");
+                assert_eq!(attempt.rest(), "");
             }
         }
     }
@@ -663,7 +663,7 @@
     assert!(asked.starts_with("GET /v1/servers HTTP"), "{asked}");
     answer(&call, &list(2, true, &[named(1, &new, "ready")]));
     let _watch = after.call();
-    let (_client, _leg) = stand(&daemon, &new);
+    let (_client, _attempt) = stand(&daemon, &new);
     assert!(old.accepted().is_none());
 }
 
@@ -682,7 +682,7 @@
     assert!(asked.starts_with("GET /v1/servers HTTP"), "{asked}");
     answer(&call, &list(3, true, &[named(1, &new, "ready")]));
     let _watch = discovery.call();
-    let (_client, _leg) = stand(&daemon, &new);
+    let (_client, _attempt) = stand(&daemon, &new);
     assert!(old.accepted().is_none());
 }
 
@@ -763,7 +763,7 @@
         assert!(took >= Duration::from_millis(250), "six calls in {took:?} for {nonsense:?}");
     }
     // Through all of that the list that it had stays.
-    let (_client, _leg) = stand(&daemon, &host);
+    let (_client, _attempt) = stand(&daemon, &host);
 }
 
 /// A body without end is given up; the list that it had stays, and discovery is asked again.
@@ -777,5 +777,5 @@
     while call.write_all(&chunk).is_ok() {}
     let (_, call) = discovery.call();
     answer(&call, &list(2, false, &[]));
-    let (_client, _leg) = stand(&daemon, &host);
+    let (_client, _attempt) = stand(&daemon, &host);
 }
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -71,19 +71,19 @@
         self.core.take(self.now, word);
     }
 
-    fn stand(&mut self, host: u32, count: usize, group: Option<u64>) -> Vec<AuthId> {
-        let auths: Vec<AuthId> = (0..count).map(|_| self.one(host, group)).collect();
+    fn stand(&mut self, host: u32, count: usize, group: Option<u64>) -> Vec<ConnectionId> {
+        let connections: Vec<ConnectionId> = (0..count).map(|_| self.one(host, group)).collect();
         self.hosts[host as usize].ceiling = self.hosts[host as usize].held;
-        auths
+        connections
     }
 
-    fn one(&mut self, host: u32, group: Option<u64>) -> AuthId {
+    fn one(&mut self, host: u32, group: Option<u64>) -> ConnectionId {
         self.next += 1;
-        let (auth, key) = (AuthId(self.next), Some(self.next));
+        let (connection, key) = (ConnectionId(self.next), Some(self.next));
         let at = Connection { host: ServerId(host), class: 0, group, load: None, key };
-        self.word(Word::Stood { auth, at, setup: None });
+        self.word(Word::Stood { connection, at, setup: None });
         self.hosts[host as usize].held += 1.0;
-        auth
+        connection
     }
 
     /// Half a second later, with the first host telling each second of messages that take so long.
@@ -93,27 +93,27 @@
             self.word(Word::Delay { host: ServerId(0), took });
         }
         let decision = self.core.evaluate(self.now, self.world, &self.hosts);
-        for &(auth, host) in &decision.moves {
+        for &(connection, host) in &decision.moves {
             self.hosts[host.0 as usize].held -= 1.0;
-            self.word(Word::Ended { auth, natural: false });
+            self.word(Word::Ended { connection, natural: false });
         }
         decision
     }
 
     /// So many seconds of that: who was moved.
-    fn seconds(&mut self, count: u64, slow: Option<u64>) -> Vec<AuthId> {
+    fn seconds(&mut self, count: u64, slow: Option<u64>) -> Vec<ConnectionId> {
         let halves = (0..2 * count).map(|_| self.half(slow)).collect::<Vec<_>>();
-        halves.into_iter().flat_map(|decision| decision.moves).map(|(auth, _)| auth).collect()
+        halves.into_iter().flat_map(|decision| decision.moves).map(|(connection, _)| connection).collect()
     }
 
     /// The client of a moved one comes again and stands at the last host.
-    fn back(&mut self, moved: AuthId, setup: u64) {
+    fn back(&mut self, moved: ConnectionId, setup: u64) {
         self.next += 1;
-        let (auth, key) = (AuthId(self.next + 10_000), Some(moved.0));
-        self.word(Word::Arrived { auth, key, again: true });
+        let (connection, key) = (ConnectionId(self.next + 10_000), Some(moved.0));
+        self.word(Word::Arrived { connection, key, again: true });
         let host = ServerId(self.hosts.len() as u32 - 1);
         let at = Connection { host, class: 0, group: None, load: None, key };
-        self.word(Word::Stood { auth, at, setup: Some(setup) });
+        self.word(Word::Stood { connection, at, setup: Some(setup) });
         self.hosts.last_mut().expect("a host").held += 1.0;
     }
 
@@ -128,7 +128,7 @@
     let moved = rig.seconds(10, Some(80_000));
     assert!(!moved.is_empty(), "nobody moved");
     assert!(moved.len() <= 10, "{} moved in ten seconds, from a rate that begins low", moved.len());
-    assert!(moved.iter().all(|auth| auth.0 <= 40), "only those of the pressed host: {moved:?}");
+    assert!(moved.iter().all(|connection| connection.0 <= 40), "only those of the pressed host: {moved:?}");
 }
 
 #[test]
@@ -208,14 +208,15 @@
 fn a_group_goes_whole_or_not_at_all() {
     for size in [2, 5, 20, 60] {
         let mut rig = Rig::new(setup(), terms(), 4);
-        let groups: Vec<Vec<AuthId>> = (0..120 / size).map(|n| rig.stand(0, size, Some(n as u64))).collect();
+        let groups: Vec<Vec<ConnectionId>> =
+            (0..120 / size).map(|n| rig.stand(0, size, Some(n as u64))).collect();
         rig.stand(1, 20, None);
         rig.stand(2, 20, None);
         rig.hosts[3].started = Some(rig.now);
         for second in 0..60 {
             rig.seconds(1, Some(80_000));
             rig.hosts[3].started = Some(rig.now);
-            let gone = |auth: &&AuthId| rig.core.figures().moved > 0 && !rig.stands(**auth);
+            let gone = |connection: &&ConnectionId| rig.core.figures().moved > 0 && !rig.stands(**connection);
             for group in &groups {
                 let gone = group.iter().filter(gone).count();
                 assert!(gone == 0 || gone == size, "{gone} of {size} gone in second {second}");
@@ -227,8 +228,8 @@
 }
 
 impl Rig {
-    fn stands(&self, auth: AuthId) -> bool {
-        self.core.connection(auth).is_some()
+    fn stands(&self, connection: ConnectionId) -> bool {
+        self.core.connection(connection).is_some()
     }
 }
 
@@ -254,7 +255,7 @@
     rig.stand(2, 1, Some(6));
     let moved = rig.seconds(6, Some(80_000));
     assert!(moved.len() >= 2 && moved[..2] == small[..], "{moved:?}");
-    assert!(moved.iter().all(|auth| !large.contains(auth)), "{moved:?}");
+    assert!(moved.iter().all(|connection| !large.contains(connection)), "{moved:?}");
 }
 
 /// Danger: what a move sent away must not be sent on.
@@ -263,9 +264,9 @@
     let mut rig = Rig::lopsided();
     let mut back = Vec::new();
     for _ in 0..8 {
-        for auth in rig.seconds(1, Some(80_000)) {
-            rig.back(auth, 30_000);
-            back.push(AuthId(rig.next + 10_000));
+        for connection in rig.seconds(1, Some(80_000)) {
+            rig.back(connection, 30_000);
+            back.push(ConnectionId(rig.next + 10_000));
         }
     }
     let figures = rig.core.figures();
@@ -276,7 +277,7 @@
         rig.now = rig.now.plus(SECOND / 2);
         rig.word(Word::Delay { host: ServerId(3), took: 90_000 });
         let decision = rig.core.evaluate(rig.now, rig.world, &rig.hosts);
-        assert!(decision.moves.iter().all(|(auth, _)| !back.contains(auth)));
+        assert!(decision.moves.iter().all(|(connection, _)| !back.contains(connection)));
     }
 }
 
@@ -286,10 +287,10 @@
     let mut rig = Rig::lopsided();
     let set_ups = |rig: &mut Rig, took: u64, host: u32| {
         for _ in 0..20 {
-            let auth = rig.one(host, None);
+            let connection = rig.one(host, None);
             let at = Connection { host: ServerId(host), class: 0, group: None, load: None, key: None };
-            rig.word(Word::Stood { auth, at, setup: Some(took) });
-            rig.word(Word::Ended { auth, natural: true });
+            rig.word(Word::Stood { connection, at, setup: Some(took) });
+            rig.word(Word::Ended { connection, natural: true });
             rig.hosts[host as usize].held -= 1.0;
         }
     };
@@ -315,9 +316,9 @@
     let mut rig = Rig::lopsided();
     rig.seconds(4, Some(80_000));
     for _ in 0..20 {
-        let auth = rig.one(0, None);
+        let connection = rig.one(0, None);
         let at = Connection { host: ServerId(0), class: 0, group: None, load: None, key: None };
-        rig.word(Word::Stood { auth, at, setup: Some(400_000) });
+        rig.word(Word::Stood { connection, at, setup: Some(400_000) });
     }
     rig.seconds(1, Some(80_000));
     assert_eq!(rig.held(), None);
@@ -345,16 +346,16 @@
     rig.core.configure(rig.now, setup(), Terms { balancers: 3, ..terms() });
     let mut count = 0;
     for _ in 0..40 {
-        for auth in rig.seconds(1, Some(80_000)) {
+        for connection in rig.seconds(1, Some(80_000)) {
             count += 1;
             if count % 3 == 0 {
-                rig.back(auth, 30_000);
+                rig.back(connection, 30_000);
             }
             // As many of the others' clients come here.
             if count % 3 == 1 {
                 rig.word(Word::Arrived {
-                    auth: AuthId(50_000 + auth.0),
-                    key: Some(90_000 + auth.0),
+                    connection: ConnectionId(50_000 + connection.0),
+                    key: Some(90_000 + connection.0),
                     again: true,
                 });
             }
@@ -375,15 +376,15 @@
             assert!(rig.now < Time(2_000 * SECOND), "nobody moved");
         }
         rig.hosts[3].started = Some(rig.now);
-        for (n, auth) in moved.into_iter().enumerate() {
+        for (n, connection) in moved.into_iter().enumerate() {
             if n > 0 {
-                rig.back(auth, 30_000);
+                rig.back(connection, 30_000);
                 continue;
             }
-            let again = AuthId(70_000 + auth.0);
-            rig.word(Word::Arrived { auth: again, key: Some(auth.0), again: true });
-            rig.word(Word::Declined { auth: again });
-            rig.word(Word::Ended { auth: again, natural: false });
+            let again = ConnectionId(70_000 + connection.0);
+            rig.word(Word::Arrived { connection: again, key: Some(connection.0), again: true });
+            rig.word(Word::Declined { connection: again });
+            rig.word(Word::Ended { connection: again, natural: false });
         }
         let since = rig.now;
         rig.half(Some(80_000));
@@ -404,8 +405,8 @@
     let mut held = false;
     for _ in 0..60 {
         rig.hosts[3].started = Some(rig.now);
-        for auth in rig.seconds(1, Some(80_000)) {
-            rig.back(auth, 30_000);
+        for connection in rig.seconds(1, Some(80_000)) {
+            rig.back(connection, 30_000);
             // As many come to the pressed host as leave it, and none to the empty one.
             rig.hosts[3].held -= 1.0;
             rig.one(0, None);
@@ -435,7 +436,7 @@
     assert_eq!(held(&|rig| rig.word(Word::Listed { ready: 0 })), Some(Held::ListShrank));
     let storm = |rig: &mut Rig| {
         for n in 0..60 {
-            rig.word(Word::Arrived { auth: AuthId(80_000 + n), key: None, again: false });
+            rig.word(Word::Arrived { connection: ConnectionId(80_000 + n), key: None, again: false });
         }
     };
     assert_eq!(held(&storm), Some(Held::Storm));
@@ -502,7 +503,7 @@
             let mut moves = Vec::new();
             for &(what, n, host) in &steps {
                 rig.now = rig.now.plus(n * 10_000);
-                let auth = AuthId(n);
+                let connection = ConnectionId(n);
                 let at = Connection {
                     host: ServerId(host),
                     class: (n % 3) as u16,
@@ -512,13 +513,13 @@
                 };
                 match what {
                     0..=3 => {
-                        rig.word(Word::Stood { auth, at, setup: Some(n * 5_000) });
+                        rig.word(Word::Stood { connection, at, setup: Some(n * 5_000) });
                         rig.hosts[host as usize].held += 1.0;
                     }
-                    4 => rig.word(Word::Ended { auth, natural: host > 2 }),
-                    5 => rig.word(Word::Arrived { auth, key: Some(n), again: host > 2 }),
-                    6 => rig.word(Word::Declined { auth }),
-                    7 => rig.word(Word::Load { auth, load: n as f64 * 5_000.0 }),
+                    4 => rig.word(Word::Ended { connection, natural: host > 2 }),
+                    5 => rig.word(Word::Arrived { connection, key: Some(n), again: host > 2 }),
+                    6 => rig.word(Word::Declined { connection }),
+                    7 => rig.word(Word::Load { connection, load: n as f64 * 5_000.0 }),
                     8 => rig.word(Word::Listed { ready: host as usize }),
                     9 => rig.word(if host > 2 { Word::ListLost } else { Word::ListTold }),
                     10 => rig.hosts[host as usize].ready ^= true,
@@ -528,15 +529,15 @@
                             rig.now = rig.now.plus(SECOND);
                             rig.word(Word::Delay { host: ServerId(host), took: n * 10_000 });
                         }
-                        let known: Vec<_> = (0..40).filter_map(|n| rig.core.connection(AuthId(n))).collect();
+                        let known: Vec<_> = (0..40).filter_map(|n| rig.core.connection(ConnectionId(n))).collect();
                         let decision = rig.core.evaluate(rig.now, rig.world, &rig.hosts);
                         let mut seen = std::collections::BTreeSet::new();
-                        for &(auth, host) in &decision.moves {
-                            prop_assert!(seen.insert(auth), "{auth:?} twice");
+                        for &(connection, host) in &decision.moves {
+                            prop_assert!(seen.insert(connection), "{connection:?} twice");
                             prop_assert!(rig.hosts[host.0 as usize].ready);
-                            let stood = rig.core.connection(auth).map(|(at, _, _)| at.host);
+                            let stood = rig.core.connection(connection).map(|(at, _, _)| at.host);
                             prop_assert_eq!(stood, Some(host));
-                            rig.word(Word::Ended { auth, natural: false });
+                            rig.word(Word::Ended { connection, natural: false });
                         }
                         prop_assert!(decision.moves.len() <= known.len());
                         prop_assert!(decision.ceilings.iter().all(|(_, to)| to.is_finite() && *to > 0.0));
@@ -563,38 +564,44 @@
 }
 
 /// A reducer that rebalances, with hosts 0 and 1 and so many connections at the first.
-fn crowded() -> (Desk, Vec<AuthId>) {
+fn crowded() -> (Desk, Vec<ConnectionId>) {
     let mut desk = Desk::new();
     let setups = vec![balancing()];
-    desk.put(Input::Configure { pools: setups, peers: Vec::new(), budget: reducer_harness::BUDGET });
-    let mut auths = Vec::new();
+    desk.put(Input::ConfigurationChanged {
+        pools: setups,
+        peers: Vec::new(),
+        budget: reducer_harness::BUDGET,
+    });
+    let mut connections = Vec::new();
     for n in 0..40 {
-        let auth = desk.met();
+        let connection = desk.met();
         let at = HOSTS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
-        let ask = Authorisation { standing_at: Some(at), key: Some(auth.0), ..ask() };
-        desk.put(Input::Authorise { auth, ask });
-        desk.put(Input::LegWritten { auth, leg: 0 });
-        desk.put(Input::LegUp { auth, leg: 0 });
-        desk.put(Input::Load { auth, load: 60_000.0 });
-        auths.push(auth);
+        let ask = ConnectionRequest { standing_at: Some(at), key: Some(connection.0), ..ask() };
+        desk.put(Input::ConnectionRequested { connection, ask });
+        desk.put(Input::RequestForwarded { connection, attempt: 0 });
+        desk.put(Input::AttemptAccepted { connection, attempt: 0 });
+        desk.put(Input::LoadReported { connection, load: 60_000.0 });
+        connections.push(connection);
     }
     // The last host is back: the list says that it started just now.
     desk.restarted(4);
-    (desk, auths)
+    (desk, connections)
 }
 
-fn moved(desk: &mut Desk, auths: &[AuthId], seconds: u32) -> Vec<AuthId> {
+fn moved(desk: &mut Desk, connections: &[ConnectionId], seconds: u32) -> Vec<ConnectionId> {
     let mut moved = Vec::new();
     for _ in 0..seconds {
         for tenth in 0..10 {
             desk.pass(100_000);
-            let mut effects = desk.put(Input::Tick);
-            if let (0, Some(&auth)) = (tenth, auths.iter().find(|auth| !moved.contains(*auth))) {
+            let mut effects = desk.put(Input::TimerFired);
+            if let (0, Some(&connection)) =
+                (tenth, connections.iter().find(|connection| !moved.contains(*connection)))
+            {
                 // A third of the aim: no cause for the module to move anybody by itself.
-                effects.extend(desk.put(Input::Load { auth, load: 45.0 }));
+                effects.extend(desk.put(Input::LoadReported { connection, load: 45.0 }));
             }
             moved.extend(effects.iter().filter_map(|effect| match effect {
-                Effect::Answer { auth, answer: Answer::Moved } => Some(*auth),
+                Effect::Answer { connection, answer: Answer::Moved } => Some(*connection),
                 _ => None,
             }));
         }
@@ -604,51 +611,51 @@
 
 #[test]
 fn the_reducer_moves_clients_of_a_pressed_host_and_tells_how_many() {
-    let (mut desk, auths) = crowded();
-    let gone = moved(&mut desk, &auths, 15);
+    let (mut desk, connections) = crowded();
+    let gone = moved(&mut desk, &connections, 15);
     assert!(!gone.is_empty(), "nobody moved");
-    assert!(gone.iter().all(|auth| auths[..25].contains(auth)));
-    let reply = desk.put(Input::Call { caller: CallerId(1), call: Call::Telemetry });
-    let Some(Effect::Reply { reply: Reply::Figures(figures), .. }) = reply.last() else {
+    assert!(gone.iter().all(|connection| connections[..25].contains(connection)));
+    let reply = desk.put(Input::AdminRequest { caller: CallerId(1), call: Call::Telemetry });
+    let Some(Effect::AdminReply { reply: Reply::Figures(figures), .. }) = reply.last() else {
         panic!("{reply:?}")
     };
     assert_eq!(figures.rebalance["platform"].moved as usize, gone.len());
     // One comes back and is known by its key.
-    let auth = desk.met();
-    desk.put(Input::Authorise {
-        auth,
-        ask: Authorisation { key: gone.last().map(|auth| auth.0), again: true, ..ask() },
+    let connection = desk.met();
+    desk.put(Input::ConnectionRequested {
+        connection,
+        ask: ConnectionRequest { key: gone.last().map(|connection| connection.0), again: true, ..ask() },
     });
     assert_eq!(desk.state.rebalancing(0).map(|figures| figures.returned), Some(1));
 }
 
 #[test]
 fn the_reducer_moves_nobody_for_balance_while_it_leaves_or_hands_over() {
-    let (mut desk, auths) = crowded();
-    desk.put(Input::Succession);
-    assert!(moved(&mut desk, &auths, 15).is_empty());
-    let (mut desk, auths) = crowded();
-    desk.put(Input::Leave);
-    moved(&mut desk, &auths, 3);
+    let (mut desk, connections) = crowded();
+    desk.put(Input::SuccessorStarted);
+    assert!(moved(&mut desk, &connections, 15).is_empty());
+    let (mut desk, connections) = crowded();
+    desk.put(Input::ShutdownRequested);
+    moved(&mut desk, &connections, 3);
     assert_eq!(desk.state.rebalancing(0).map(|figures| figures.moved), Some(0));
 }
 
 #[test]
 fn a_drain_comes_first() {
-    let (mut desk, auths) = crowded();
+    let (mut desk, connections) = crowded();
     desk.drain(1);
-    assert!(moved(&mut desk, &auths, 15).is_empty());
+    assert!(moved(&mut desk, &connections, 15).is_empty());
 }
 
 #[test]
 fn a_reload_that_turns_it_off_ends_it() {
-    let (mut desk, auths) = crowded();
-    desk.put(Input::Configure {
+    let (mut desk, connections) = crowded();
+    desk.put(Input::ConfigurationChanged {
         pools: vec![reducer_harness::setup()],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
-    assert!(moved(&mut desk, &auths, 15).is_empty());
+    assert!(moved(&mut desk, &connections, 15).is_empty());
     assert_eq!(desk.state.rebalancing(0), None);
 }
 
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -5,7 +5,7 @@
 use connection_balancer::*;
 
 pub const HOSTS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
-/// How long the acquirer side waits.
+/// How long the client waits.
 pub const WAIT: Micros = 3_200_000;
 
 pub const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
@@ -16,8 +16,8 @@
     next: u64,
 }
 
-pub fn ask() -> Authorisation {
-    Authorisation { class: "chat".to_owned(), wait: Some(WAIT), ..Authorisation::default() }
+pub fn ask() -> ConnectionRequest {
+    ConnectionRequest { class: "chat".to_owned(), wait: Some(WAIT), ..ConnectionRequest::default() }
 }
 
 pub fn setup() -> PoolSetup {
@@ -58,7 +58,7 @@
     pub fn with(budget: Budget) -> Desk {
         let mut desk = Desk::of(budget);
         let hosts = desk.hosts();
-        desk.put(Input::Table { pool: 0, whole: true, hosts });
+        desk.put(Input::EndpointsUpdated { pool: 0, whole: true, hosts });
         desk.put(Input::Listening);
         desk
     }
@@ -67,7 +67,7 @@
     pub fn unready() -> Desk {
         let mut desk = Desk::of(BUDGET);
         let hosts = desk.hosts();
-        desk.put(Input::Known { pool: 0, hosts });
+        desk.put(Input::CachedEndpoints { pool: 0, hosts });
         desk
     }
 
@@ -76,7 +76,7 @@
         Desk { state: State::new(vec![setup()], StoreSetup::default(), budget, now), now, next: 0 }
     }
 
-    fn hosts(&self) -> Vec<IssuerHost> {
+    fn hosts(&self) -> Vec<Endpoint> {
         (0..HOSTS.len()).map(|host| self.host(host, Lifecycle::Ready)).collect()
     }
 
@@ -84,10 +84,10 @@
         format!("{host}:1")
     }
 
-    fn host(&self, host: usize, lifecycle: Lifecycle) -> IssuerHost {
+    fn host(&self, host: usize, lifecycle: Lifecycle) -> Endpoint {
         let name = HOSTS[host].to_owned();
         let (address, zone) = (self.address(&name), "a".to_owned());
-        IssuerHost { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
+        Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
     }
 
     pub fn put(&mut self, input: Input) -> Vec<Effect> {
@@ -98,31 +98,33 @@
         self.now = self.now.plus(time);
     }
 
-    pub fn met(&mut self) -> AuthId {
+    pub fn met(&mut self) -> ConnectionId {
         self.met_with().0
     }
 
     /// One that connects, and what that leads to.
-    pub fn met_with(&mut self) -> (AuthId, Vec<Effect>) {
+    pub fn met_with(&mut self) -> (ConnectionId, Vec<Effect>) {
         self.next += 1;
-        let auth = AuthId(self.next);
-        (auth, self.put(Input::Met { auth, pool: 0 }))
+        let connection = ConnectionId(self.next);
+        (connection, self.put(Input::ClientConnected { connection, pool: 0 }))
     }
 
-    /// An authorisation whose first leg is written, and where to.
-    pub fn written(&mut self) -> (AuthId, usize) {
-        let auth = self.met();
-        let effects = self.put(Input::Authorise { auth, ask: ask() });
-        let Some(Effect::OpenLeg { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
+    /// A connection whose first attempt is written, and where to.
+    pub fn written(&mut self) -> (ConnectionId, usize) {
+        let connection = self.met();
+        let effects = self.put(Input::ConnectionRequested { connection, ask: ask() });
+        let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
+            panic!("no leg: {effects:?}")
+        };
         let host = HOSTS.iter().position(|h| self.address(h) == *address).expect("a listed host");
-        self.put(Input::LegWritten { auth, leg: 0 });
-        (auth, host)
+        self.put(Input::RequestForwarded { connection, attempt: 0 });
+        (connection, host)
     }
 
-    pub fn standing(&mut self) -> AuthId {
-        let (auth, _) = self.written();
-        self.put(Input::LegUp { auth, leg: 0 });
-        auth
+    pub fn standing(&mut self) -> ConnectionId {
+        let (connection, _) = self.written();
+        self.put(Input::AttemptAccepted { connection, attempt: 0 });
+        connection
     }
 
     pub fn drain(&mut self, host: usize) -> Vec<Effect> {
@@ -131,12 +133,12 @@
 
     /// The list says that a host has started now.
     pub fn restarted(&mut self, host: usize) -> Vec<Effect> {
-        let host = IssuerHost { started: Some(self.now), ..self.host(host, Lifecycle::Ready) };
-        self.put(Input::Table { pool: 0, whole: false, hosts: vec![host] })
+        let host = Endpoint { started: Some(self.now), ..self.host(host, Lifecycle::Ready) };
+        self.put(Input::EndpointsUpdated { pool: 0, whole: false, hosts: vec![host] })
     }
 
     pub fn list(&mut self, host: usize, lifecycle: Lifecycle) -> Vec<Effect> {
         let hosts = vec![self.host(host, lifecycle)];
-        self.put(Input::Table { pool: 0, whole: false, hosts })
+        self.put(Input::EndpointsUpdated { pool: 0, whole: false, hosts })
     }
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -12,15 +12,16 @@
 #[test]
 fn a_small_figure_is_a_message_time_and_no_load() {
     let mut desk = Desk::new();
-    let auths: Vec<AuthId> = (0..12).map(|_| desk.standing()).collect();
-    for &auth in &auths {
-        desk.put(Input::Load { auth, load: 60_000.0 });
+    let connections: Vec<ConnectionId> = (0..12).map(|_| desk.standing()).collect();
+    for &connection in &connections {
+        desk.put(Input::LoadReported { connection, load: 60_000.0 });
     }
     // Aim 100 ms: messages of 99 ms are far too slow, and a connection of this host has to leave.
     let mut moved = 0;
     for second in 0..20 {
         desk.pass(1_000_000);
-        let effects = desk.put(Input::Load { auth: auths[0], load: 99.0 + f64::from(second) });
+        let effects =
+            desk.put(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
         moved += effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Moved, .. })).count();
     }
     assert!(moved > 0, "no connection left a host that is slow");
@@ -33,12 +34,17 @@
     let moved = |tells_load: bool| {
         let mut desk = Desk::new();
         let setup = PoolSetup { tells_load, ..reducer_harness::setup() };
-        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
-        let auths: Vec<AuthId> = (0..12).map(|_| desk.standing()).collect();
+        desk.put(Input::ConfigurationChanged {
+            pools: vec![setup],
+            peers: Vec::new(),
+            budget: reducer_harness::BUDGET,
+        });
+        let connections: Vec<ConnectionId> = (0..12).map(|_| desk.standing()).collect();
         let mut moved = 0;
         for second in 0..20 {
             desk.pass(1_000_000);
-            let effects = desk.put(Input::Load { auth: auths[0], load: 99.0 + f64::from(second) });
+            let effects =
+                desk.put(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
             moved +=
                 effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Moved, .. })).count();
         }
@@ -53,12 +59,17 @@
     let mut desk = Desk::new();
     let mut setup = reducer_harness::setup();
     (setup.settings.probes, setup.settings.probe_reports, setup.reports) = (true, true, vec!["x0"]);
-    desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
+    desk.put(Input::ConfigurationChanged {
+        pools: vec![setup],
+        peers: Vec::new(),
+        budget: reducer_harness::BUDGET,
+    });
     desk
 }
 
 fn probed(effects: &[Effect]) -> Vec<ServerId> {
-    let host = |effect: &Effect| if let Effect::Probe { host, .. } = effect { Some(*host) } else { None };
+    let host =
+        |effect: &Effect| if let Effect::ProbeServer { host, .. } = effect { Some(*host) } else { None };
     effects.iter().filter_map(host).collect()
 }
 
@@ -70,8 +81,8 @@
 fn probed_by(desk: &mut Desk, connections: usize) -> Vec<ServerId> {
     let mut hosts = Vec::new();
     for _ in 0..connections {
-        let (auth, _) = desk.written();
-        hosts.extend(probed(&desk.put(Input::LegUp { auth, leg: 0 })));
+        let (connection, _) = desk.written();
+        hosts.extend(probed(&desk.put(Input::AttemptAccepted { connection, attempt: 0 })));
         desk.pass(60_000_000);
     }
     hosts
@@ -84,8 +95,8 @@
     let mut first = probed_by(&mut desk, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
-    desk.put(Input::Probed { pool: 0, host: ServerId(2), end: ProbeEnd::Nothing });
-    desk.put(Input::Probed { pool: 0, host: ServerId(3), end: ProbeEnd::Nothing });
+    desk.put(Input::ProbeCompleted { pool: 0, host: ServerId(2), end: ProbeEnd::Nothing });
+    desk.put(Input::ProbeCompleted { pool: 0, host: ServerId(3), end: ProbeEnd::Nothing });
     desk.drain(1);
     let again = probed_by(&mut desk, 10);
     assert!(again.contains(&ServerId(3)) && again.iter().all(|host| *host == ServerId(3)), "{again:?}");
@@ -96,7 +107,7 @@
 fn a_host_that_says_no_to_probes_is_not_asked_again() {
     let mut desk = probing();
     for host in probed_by(&mut desk, 10) {
-        desk.put(Input::Probed { pool: 0, host, end: ProbeEnd::Unwanted });
+        desk.put(Input::ProbeCompleted { pool: 0, host, end: ProbeEnd::Unwanted });
     }
     assert_eq!(probed_by(&mut desk, 10), []);
     desk.restarted(0);
@@ -114,34 +125,34 @@
             desk.restarted(0);
         }
         desk.pass(60_000_000);
-        desk.put(Input::Probed { pool: 0, host: ServerId(1), end: report(3.0) });
+        desk.put(Input::ProbeCompleted { pool: 0, host: ServerId(1), end: report(3.0) });
         (0..10).filter(|_| desk.written().1 == 0).count()
     };
     assert_eq!(full(false), 0, "it is asked three times what it can do");
     assert!(full(true) > 0, "that was the process before");
 }
 
-/// Danger: a leg that waits for its connection must not write to a host told to be draining meanwhile.
+/// Danger: an attempt that waits for its connection must not write to a host told to be draining meanwhile.
 #[test]
 fn an_unwritten_leg_is_closed_when_its_host_drains_and_goes_elsewhere() {
     let mut desk = Desk::new();
-    let auth = desk.met();
-    let effects = desk.put(Input::Authorise { auth, ask: ask() });
-    let Some(Effect::OpenLeg { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
+    let connection = desk.met();
+    let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
+    let Some(Effect::OpenAttempt { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
     let host = HOSTS.iter().position(|h| desk.address(h) == *address).expect("a listed host");
     let effects = desk.drain(host);
-    assert!(matches!(effects[0], Effect::CloseLeg { .. }), "{effects:?}");
-    let Effect::OpenLeg { address: next, leg: 1, .. } = &effects[1] else { panic!("{effects:?}") };
+    assert!(matches!(effects[0], Effect::CloseAttempt { .. }), "{effects:?}");
+    let Effect::OpenAttempt { address: next, attempt: 1, .. } = &effects[1] else { panic!("{effects:?}") };
     assert_ne!(next, address);
 }
 
-/// A written leg stays: the host may have it already, and never are two out at once.
+/// A written attempt stays: the host may have it already, and never are two out at once.
 #[test]
 fn a_written_leg_stays_when_its_host_drains() {
     let mut desk = Desk::new();
-    let (auth, host) = desk.written();
+    let (connection, host) = desk.written();
     assert_eq!(desk.drain(host), []);
-    assert_eq!(desk.put(Input::LegUp { auth, leg: 0 }), []);
+    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
 /// Seen on the bench (`split+mass`, seed 1) with an early form of the words of slow set-ups: told before the module knew
@@ -149,10 +160,10 @@
 #[test]
 fn what_stands_at_the_last_moment_is_served() {
     let mut desk = Desk::new();
-    let (auth, _) = desk.written();
+    let (connection, _) = desk.written();
     desk.pass(WAIT);
-    assert_eq!(desk.put(Input::LegUp { auth, leg: 0 }), []);
-    assert_eq!(desk.put(Input::Tick), []);
+    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 0 }), []);
+    assert_eq!(desk.put(Input::TimerFired), []);
 }
 
 /// A host that drops what stood is told of once, one that was about to leave is not; and who hears of it has half of its
@@ -160,42 +171,52 @@
 #[test]
 fn a_drop_is_told_to_the_tier_and_heeded() {
     let words = |effects: &[Effect]| -> Vec<Word> {
-        let word = |effect: &Effect| if let Effect::TellPeers(word) = effect { Some(*word) } else { None };
+        let word =
+            |effect: &Effect| if let Effect::BroadcastGossip(word) = effect { Some(*word) } else { None };
         effects.iter().filter_map(word).collect()
     };
     let fleet = || {
         let mut desk = Desk::new();
         let mut setup = reducer_harness::setup();
         (setup.settings.balancers, setup.peers) = (300, Some(0.0));
-        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
+        desk.put(Input::ConfigurationChanged {
+            pools: vec![setup],
+            peers: Vec::new(),
+            budget: reducer_harness::BUDGET,
+        });
         desk
     };
     let (mut teller, mut hearer) = (fleet(), fleet());
-    let (auth, host) = teller.written();
-    teller.put(Input::LegUp { auth, leg: 0 });
-    let told = words(&teller.put(Input::LegEnded { auth, leg: 0, end: LegEnd::Broken }));
+    let (connection, host) = teller.written();
+    teller.put(Input::AttemptAccepted { connection, attempt: 0 });
+    let told =
+        words(&teller.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken }));
     let [word] = told[..] else { panic!("{told:?}") };
     assert_eq!(word.news, News::Dropped(host_number(HOSTS[host])));
-    hearer.put(Input::Peer { pool: 0, word });
+    hearer.put(Input::GossipReceived { pool: 0, word });
     // Each of the five has four slots at first, that one half of them now.
     let there = (0..18).filter(|_| hearer.written().1 == host).count();
     assert_eq!(there, 2, "of 18 after a word of {host}");
-    let (auth, host) = hearer.written();
-    hearer.put(Input::LegUp { auth, leg: 0 });
+    let (connection, host) = hearer.written();
+    hearer.put(Input::AttemptAccepted { connection, attempt: 0 });
     hearer.drain(host);
-    assert_eq!(words(&hearer.put(Input::LegEnded { auth, leg: 0, end: LegEnd::Broken })), [], "it leaves");
+    assert_eq!(
+        words(&hearer.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken })),
+        [],
+        "it leaves"
+    );
 }
 
-/// Danger: late words of an ended leg must not be taken for the next one's.
+/// Danger: late words of an ended attempt must not be taken for the next one's.
 #[test]
 fn words_of_an_ended_leg_change_nothing() {
     let mut desk = Desk::new();
-    let (auth, _) = desk.written();
-    let effects = desk.put(Input::LegEnded { auth, leg: 0, end: LegEnd::TurnedAway });
-    assert!(matches!(effects[..], [Effect::OpenLeg { leg: 1, .. }]), "{effects:?}");
-    assert_eq!(desk.put(Input::LegEnded { auth, leg: 0, end: LegEnd::Broken }), []);
-    assert_eq!(desk.put(Input::LegUp { auth, leg: 0 }), []);
-    assert_eq!(desk.put(Input::LegUp { auth, leg: 1 }), []);
+    let (connection, _) = desk.written();
+    let effects = desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::TurnedAway });
+    assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
+    assert_eq!(desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken }), []);
+    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 0 }), []);
+    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
 /// Danger: a host that vanished says nothing; a connection is lost after 7 s of that.
@@ -203,12 +224,12 @@
 fn a_silent_host_has_its_clients_moved_but_an_idle_one_has_not() {
     let mut desk = Desk::new();
     let (idle, asked) = (desk.standing(), desk.standing());
-    desk.put(Input::Asked { auth: asked });
+    desk.put(Input::LineForwarded { connection: asked });
     desk.pass(5_000_001);
-    let effects = desk.put(Input::Tick);
-    let moved = Effect::Answer { auth: asked, answer: Answer::Moved };
+    let effects = desk.put(Input::TimerFired);
+    let moved = Effect::Answer { connection: asked, answer: Answer::Moved };
     assert!(effects.contains(&moved), "{effects:?}");
-    assert!(!effects.contains(&Effect::Answer { auth: idle, answer: Answer::Moved }), "{effects:?}");
+    assert!(!effects.contains(&Effect::Answer { connection: idle, answer: Answer::Moved }), "{effects:?}");
 }
 
 /// At SIGTERM everyone is moved, what still arrives is answered at once, and then the balancer may go.
@@ -216,13 +237,13 @@
 fn a_balancer_that_leaves_moves_everyone_and_answers_what_arrives() {
     let mut desk = Desk::new();
     let standing = desk.standing();
-    desk.put(Input::Leave);
+    desk.put(Input::ShutdownRequested);
     let late = desk.met();
-    let effects = desk.put(Input::Authorise { auth: late, ask: ask() });
+    let effects = desk.put(Input::ConnectionRequested { connection: late, ask: ask() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(1..), .. }]), "{effects:?}");
     desk.pass(3_400_000);
-    let effects = desk.put(Input::Tick);
-    assert!(effects.contains(&Effect::Answer { auth: standing, answer: Answer::Moved }), "{effects:?}");
+    let effects = desk.put(Input::TimerFired);
+    assert!(effects.contains(&Effect::Answer { connection: standing, answer: Answer::Moved }), "{effects:?}");
     assert_eq!(effects.last(), Some(&Effect::Exit));
 }
 
@@ -234,11 +255,11 @@
     for _ in 0..30 {
         desk.standing();
     }
-    desk.put(Input::Leave);
+    desk.put(Input::ShutdownRequested);
     let (mut moved, mut late, mut exit) = (0, 0, None);
     for tenth in 1..=37 {
         desk.pass(100_000);
-        for effect in desk.put(Input::Tick) {
+        for effect in desk.put(Input::TimerFired) {
             let moves = matches!(effect, Effect::Answer { answer: Answer::Moved, .. });
             moved += usize::from(moves);
             late += usize::from(moves && tenth > 15);
@@ -254,55 +275,55 @@
 #[test]
 fn a_balancer_that_holds_nothing_still_stays_a_while_when_it_leaves() {
     let mut desk = Desk::new();
-    assert!(!desk.put(Input::Leave).contains(&Effect::Exit));
+    assert!(!desk.put(Input::ShutdownRequested).contains(&Effect::Exit));
     desk.pass(400_000);
-    assert!(!desk.put(Input::Tick).contains(&Effect::Exit));
+    assert!(!desk.put(Input::TimerFired).contains(&Effect::Exit));
     desk.pass(600_000);
-    assert_eq!(desk.put(Input::Tick).last(), Some(&Effect::Exit));
+    assert_eq!(desk.put(Input::TimerFired).last(), Some(&Effect::Exit));
 }
 
 /// A connection that its host has ended must be moved within a second: what is gone answers nobody.
 #[test]
 fn clients_of_a_host_that_is_gone_are_moved_at_once() {
     let mut desk = Desk::new();
-    let (auth, host) = desk.written();
-    desk.put(Input::LegUp { auth, leg: 0 });
+    let (connection, host) = desk.written();
+    desk.put(Input::AttemptAccepted { connection, attempt: 0 });
     let effects = desk.list(host, Lifecycle::Gone);
-    let moved = Effect::Answer { auth, answer: Answer::Moved };
-    assert_eq!(effects, [moved, Effect::CloseLeg { auth }]);
+    let moved = Effect::Answer { connection, answer: Answer::Moved };
+    assert_eq!(effects, [moved, Effect::CloseAttempt { connection }]);
 }
 
 /// A connection that stood before the start is tried again while its host does not take it.
 #[test]
 fn a_standing_connection_is_tried_again_at_its_own_host() {
     let mut desk = Desk::new();
-    let auth = desk.met();
-    let at = Authorisation { standing_at: Some(HOSTS[1].to_owned()), ..ask() };
-    let effects = desk.put(Input::Authorise { auth, ask: at });
-    let Effect::OpenLeg { address, leg: 0, .. } = &effects[0] else { panic!("{effects:?}") };
+    let connection = desk.met();
+    let at = ConnectionRequest { standing_at: Some(HOSTS[1].to_owned()), ..ask() };
+    let effects = desk.put(Input::ConnectionRequested { connection, ask: at });
+    let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
     assert_eq!(*address, desk.address(HOSTS[1]));
-    desk.put(Input::LegEnded { auth, leg: 0, end: LegEnd::NoConnection });
+    desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::NoConnection });
     desk.pass(600_000);
-    let effects = desk.put(Input::Tick);
+    let effects = desk.put(Input::TimerFired);
     assert!(
-        matches!(&effects[..], [Effect::OpenLeg { address: again, leg: 1, .. }] if again == address),
+        matches!(&effects[..], [Effect::OpenAttempt { address: again, attempt: 1, .. }] if again == address),
         "{effects:?}"
     );
-    assert_eq!(desk.put(Input::LegUp { auth, leg: 1 }), []);
+    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
 /// Danger: "at" may name a host that there never was. It was tried six times, at no address, before the error.
 #[test]
 fn one_that_stood_at_no_listed_host_has_its_error_within_three_seconds() {
     let mut desk = Desk::new();
-    let auth = desk.met();
-    let at = Authorisation { standing_at: Some("s-0000dead".to_owned()), ..ask() };
-    let mut effects = desk.put(Input::Authorise { auth, ask: at });
+    let connection = desk.met();
+    let at = ConnectionRequest { standing_at: Some("s-0000dead".to_owned()), ..ask() };
+    let mut effects = desk.put(Input::ConnectionRequested { connection, ask: at });
     for _ in 0..28 {
         desk.pass(100_000);
-        effects.extend(desk.put(Input::Tick));
+        effects.extend(desk.put(Input::TimerFired));
     }
-    assert_eq!(effects.first(), Some(&Effect::Answer { auth, answer: Answer::Failed }));
+    assert_eq!(effects.first(), Some(&Effect::Answer { connection, answer: Answer::Failed }));
 }
 
 /// A request that the module gives up on is answered at once, with when to come back.
@@ -312,8 +333,8 @@
     for host in 0..HOSTS.len() {
         desk.drain(host);
     }
-    let auth = desk.met();
-    let effects = desk.put(Input::Authorise { auth, ask: ask() });
+    let connection = desk.met();
+    let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(1..), .. }]), "{effects:?}");
 }
 
@@ -324,45 +345,51 @@
     let mut desk = Desk::with(Budget { waiting: 3, held: 2, buffer: 8192 });
     let silent = desk.met();
     let answered = desk.met();
-    desk.put(Input::Authorise { auth: answered, ask: Authorisation { class: "none".to_owned(), ..ask() } });
+    desk.put(Input::ConnectionRequested {
+        connection: answered,
+        ask: ConnectionRequest { class: "none".to_owned(), ..ask() },
+    });
     let (third, effects) = desk.met_with();
-    assert_eq!(effects, [Effect::Doors { open: false }], "all may still ask: the next have to wait");
+    assert_eq!(effects, [Effect::SetAccepting { open: false }], "all may still ask: the next have to wait");
     desk.pass(100_000);
-    let effects = desk.put(Input::Tick);
-    assert_eq!(effects, [Effect::Drop { auth: silent }, Effect::Doors { open: true }]);
+    let effects = desk.put(Input::TimerFired);
+    assert_eq!(
+        effects,
+        [Effect::AbortConnection { connection: silent }, Effect::SetAccepting { open: true }]
+    );
     let (_, effects) = desk.met_with();
-    assert_eq!(effects, [Effect::Drop { auth: answered }]);
-    // With a leg it is in nobody's way, and closed ones make room by themselves.
-    desk.put(Input::Authorise { auth: third, ask: ask() });
+    assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
+    // With an attempt it is in nobody's way, and closed ones make room by themselves.
+    desk.put(Input::ConnectionRequested { connection: third, ask: ask() });
     assert_eq!(desk.met_with().1, []);
     let (last, effects) = desk.met_with();
-    assert_eq!(effects, [Effect::Doors { open: false }]);
-    desk.put(Input::Left { auth: last });
-    assert_eq!(desk.put(Input::Closed { auth: last }), [Effect::Doors { open: true }]);
-    // Legs take descriptors too: those over their budget are told to come again.
+    assert_eq!(effects, [Effect::SetAccepting { open: false }]);
+    desk.put(Input::ClientDisconnected { connection: last });
+    assert_eq!(desk.put(Input::SocketsClosed { connection: last }), [Effect::SetAccepting { open: true }]);
+    // Attempts take descriptors too: those over their budget are told to come again.
     let next = desk.met();
-    desk.put(Input::Authorise { auth: next, ask: ask() });
+    desk.put(Input::ConnectionRequested { connection: next, ask: ask() });
     let over = desk.met();
-    let effects = desk.put(Input::Authorise { auth: over, ask: ask() });
+    let effects = desk.put(Input::ConnectionRequested { connection: over, ask: ask() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(1..), .. }]), "{effects:?}");
 }
 
 #[test]
 fn what_names_nothing_configured_or_is_open_already_fails_at_once() {
     let mut desk = Desk::new();
-    let named = |id: &str| Authorisation { id: Some(id.to_owned()), ..ask() };
+    let named = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..ask() };
     let first = desk.met();
-    desk.put(Input::Authorise { auth: first, ask: named("a") });
+    desk.put(Input::ConnectionRequested { connection: first, ask: named("a") });
     let failed = |desk: &mut Desk, ask| {
-        let auth = desk.met();
-        let effects = desk.put(Input::Authorise { auth, ask });
-        effects == [Effect::Answer { auth, answer: Answer::Failed }]
+        let connection = desk.met();
+        let effects = desk.put(Input::ConnectionRequested { connection, ask });
+        effects == [Effect::Answer { connection, answer: Answer::Failed }]
     };
     assert!(failed(&mut desk, named("a")), "another's open id");
-    assert!(failed(&mut desk, Authorisation { class: "news".to_owned(), ..named("b") }));
-    assert!(failed(&mut desk, Authorisation { class: String::new(), ..named("b") }));
+    assert!(failed(&mut desk, ConnectionRequest { class: "news".to_owned(), ..named("b") }));
+    assert!(failed(&mut desk, ConnectionRequest { class: String::new(), ..named("b") }));
     assert!(!failed(&mut desk, named("b")));
-    desk.put(Input::Left { auth: first });
+    desk.put(Input::ClientDisconnected { connection: first });
     assert!(!failed(&mut desk, named("a")), "free again");
 }
 
@@ -371,14 +398,14 @@
 fn a_leg_that_this_machine_had_no_socket_for_tells_nothing_of_its_host() {
     let mut desk = Desk::new();
     for _ in 0..20 {
-        let (auth, _) = desk.written();
-        for leg in 0..6 {
-            desk.put(Input::LegEnded { auth, leg, end: LegEnd::NoSocket });
+        let (connection, _) = desk.written();
+        for attempt in 0..6 {
+            desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::NoSocket });
         }
     }
-    let auth = desk.met();
-    let effects = desk.put(Input::Authorise { auth, ask: ask() });
-    assert!(matches!(effects[..], [Effect::OpenLeg { .. }]), "{effects:?}");
+    let connection = desk.met();
+    let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
+    assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
 }
 
 mod model {
@@ -388,86 +415,86 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever happens in whatever order: one answer for each authorisation and in time, at most six
-        /// legs and never two at once, no new leg to a host that drains, and nothing held in the end.
+        /// Whatever happens in whatever order: one answer for each connection and in time, at most six
+        /// attempts and never two at once, no new attempt to a host that drains, and nothing held in the end.
         #[test]
         fn rules_hold_under_random_steps(steps in prop::collection::vec((0u8..10, 0usize..8, 1u64..400_000), 1..200)) {
             let mut desk = Desk::new();
-            let (mut auths, mut drained) = (Vec::new(), BTreeSet::new());
+            let (mut connections, mut drained) = (Vec::new(), BTreeSet::new());
             let (mut out, mut answered) = (BTreeMap::new(), BTreeMap::new());
-            let mut legs = BTreeMap::<AuthId, u32>::new();
+            let mut attempts = BTreeMap::<ConnectionId, u32>::new();
             for (what, which, pause) in steps {
                 desk.pass(pause);
                 for tick in [true, false] {
-                let auth = auths.get(which % auths.len().max(1)).map_or(AuthId(u64::MAX), |&(auth, _)| auth);
-                let leg = out.get(&auth).copied().unwrap_or(9);
+                let connection = connections.get(which % connections.len().max(1)).map_or(ConnectionId(u64::MAX), |&(connection, _)| connection);
+                let attempt = out.get(&connection).copied().unwrap_or(9);
                 let effects = match what {
-                    _ if tick => desk.put(Input::Tick),
+                    _ if tick => desk.put(Input::TimerFired),
                     0..=2 => {
-                        let auth = desk.met();
-                        auths.push((auth, desk.now));
-                        desk.put(Input::Authorise { auth, ask: ask() })
+                        let connection = desk.met();
+                        connections.push((connection, desk.now));
+                        desk.put(Input::ConnectionRequested { connection, ask: ask() })
                     }
-                    3 => desk.put(Input::LegWritten { auth, leg }),
+                    3 => desk.put(Input::RequestForwarded { connection, attempt }),
                     4 => {
                         // Served: from here on it is the host's.
-                        if out.contains_key(&auth) {
-                            answered.entry(auth).or_insert(desk.now);
+                        if out.contains_key(&connection) {
+                            answered.entry(connection).or_insert(desk.now);
                         }
-                        desk.put(Input::LegUp { auth, leg })
+                        desk.put(Input::AttemptAccepted { connection, attempt })
                     }
                     5 => {
-                        out.remove(&auth);
-                        desk.put(Input::LegEnded { auth, leg, end: LegEnd::TurnedAway })
+                        out.remove(&connection);
+                        desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway })
                     }
                     6 => {
-                        out.remove(&auth);
-                        desk.put(Input::LegEnded { auth, leg, end: LegEnd::Broken })
+                        out.remove(&connection);
+                        desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Broken })
                     }
                     7 => {
-                        out.remove(&auth);
-                        answered.entry(auth).or_insert(desk.now);
-                        desk.put(Input::Left { auth })
+                        out.remove(&connection);
+                        answered.entry(connection).or_insert(desk.now);
+                        desk.put(Input::ClientDisconnected { connection })
                     }
                     8 if which < HOSTS.len() => {
                         drained.insert(desk.address(HOSTS[which]));
                         desk.drain(which)
                     }
-                    9 if which == 0 && pause < 40_000 => desk.put(Input::Leave),
+                    9 if which == 0 && pause < 40_000 => desk.put(Input::ShutdownRequested),
                     // Its time to ask is over, as its first line has come: a late word.
-                    9 => desk.put(Input::Unasked { auth }),
+                    9 => desk.put(Input::HandshakeTimedOut { connection }),
                     _ => Vec::new(),
                 };
                 for effect in effects {
                     match effect {
-                        Effect::OpenLeg { auth, leg, address, .. } => {
-                            prop_assert!(out.insert(auth, leg).is_none(), "two legs at once");
-                            let count = legs.entry(auth).or_default();
+                        Effect::OpenAttempt { connection, attempt, address, .. } => {
+                            prop_assert!(out.insert(connection, attempt).is_none(), "two legs at once");
+                            let count = attempts.entry(connection).or_default();
                             *count += 1;
                             prop_assert!(*count <= 6, "{count} legs");
-                            prop_assert!(!answered.contains_key(&auth), "a leg after the answer");
+                            prop_assert!(!answered.contains_key(&connection), "a leg after the answer");
                             prop_assert!(!drained.contains(&address), "a leg to a drained host");
                         }
-                        Effect::CloseLeg { auth } => drop(out.remove(&auth)),
-                        Effect::Answer { auth, answer: Answer::Refused(_) | Answer::Failed } => {
-                            out.remove(&auth);
-                            prop_assert!(answered.insert(auth, desk.now).is_none(), "answered twice");
+                        Effect::CloseAttempt { connection } => drop(out.remove(&connection)),
+                        Effect::Answer { connection, answer: Answer::Refused(_) | Answer::Failed } => {
+                            out.remove(&connection);
+                            prop_assert!(answered.insert(connection, desk.now).is_none(), "answered twice");
                         }
                         _ => {}
                     }
                 }
                 }
-                for (auth, since) in &auths {
+                for (connection, since) in &connections {
                     let late = desk.now.since(*since) > reducer_harness::WAIT;
-                    prop_assert!(!late || answered.contains_key(auth), "no answer in time");
+                    prop_assert!(!late || answered.contains_key(connection), "no answer in time");
                 }
             }
             // Once all have gone, all slots are what they were.
-            for &(auth, _) in &auths {
-                desk.put(Input::Left { auth });
+            for &(connection, _) in &connections {
+                desk.put(Input::ClientDisconnected { connection });
             }
-            let effects = desk.put(Input::Call { caller: CallerId(0), call: Call::Telemetry });
-            let [Effect::Reply { reply: Reply::Figures(figures), .. }] = &effects[..] else { panic!("{effects:?}") };
+            let effects = desk.put(Input::AdminRequest { caller: CallerId(0), call: Call::Telemetry });
+            let [Effect::AdminReply { reply: Reply::Figures(figures), .. }] = &effects[..] else { panic!("{effects:?}") };
             prop_assert_eq!(figures.outstanding, 0);
         }
     }
@@ -484,19 +511,23 @@
     setup.settings.classes.insert(0, first);
     setup.classes.insert(0, "alerts".to_owned());
     setup.discovery = Some("127.0.0.1:9".parse().expect("an address"));
-    let effects = desk.put(Input::Configure {
+    let effects = desk.put(Input::ConfigurationChanged {
         pools: vec![setup.clone()],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
     let discovery = setup.discovery.expect("set above");
-    assert_eq!(effects, [Effect::WatchAt { pool: 0, discovery }]);
-    let effects =
-        desk.put(Input::Configure { pools: vec![setup], peers: Vec::new(), budget: reducer_harness::BUDGET });
+    assert_eq!(effects, [Effect::WatchEndpointsAt { pool: 0, discovery }]);
+    let effects = desk.put(Input::ConfigurationChanged {
+        pools: vec![setup],
+        peers: Vec::new(),
+        budget: reducer_harness::BUDGET,
+    });
     assert_eq!(effects, [], "the same address needs no new watch");
     // Were it taken for the class that came first, which may not be repeated, it would fail here.
-    let effects = desk.put(Input::LegEnded { auth: placing, leg: 0, end: LegEnd::Broken });
-    assert!(matches!(effects[..], [Effect::OpenLeg { leg: 1, .. }]), "{effects:?}");
+    let effects =
+        desk.put(Input::AttemptEnded { connection: placing, attempt: 0, end: AttemptOutcome::Broken });
+    assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
     assert_eq!(desk.drain(host), [], "it stands or goes elsewhere already");
-    assert_eq!(desk.put(Input::Heard { auth: standing }), []);
+    assert_eq!(desk.put(Input::ServerActivity { connection: standing }), []);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -22,21 +22,21 @@
 const CALLER: CallerId = CallerId(7);
 
 fn call(desk: &mut Desk, call: Call) -> Vec<Effect> {
-    desk.put(Input::Call { caller: CALLER, call })
+    desk.put(Input::AdminRequest { caller: CALLER, call })
 }
 
 fn figures(desk: &mut Desk) -> Figures {
     match call(desk, Call::Telemetry).pop() {
-        Some(Effect::Reply { reply: Reply::Figures(figures), .. }) => figures,
+        Some(Effect::AdminReply { reply: Reply::Figures(figures), .. }) => figures,
         other => panic!("{other:?}"),
     }
 }
 
 /// What a desk leaves, as it comes out of the messages.
 fn legacy(old: &mut Desk) -> Box<Legacy> {
-    let effects = old.put(Input::Succession);
-    let Some(Effect::Bequeath(legacy)) = effects.last() else { panic!("{effects:?}") };
-    assert!(effects.contains(&Effect::Doors { open: false }), "it accepts no more");
+    let effects = old.put(Input::SuccessorStarted);
+    let Some(Effect::ExportState(legacy)) = effects.last() else { panic!("{effects:?}") };
+    assert!(effects.contains(&Effect::SetAccepting { open: false }), "it accepts no more");
     let mut there = Legacy::default();
     for part in parts((**legacy).clone()) {
         let bytes = write(&Word::Part(part)).expect("fits");
@@ -52,31 +52,31 @@
     let mut new = Desk::new();
     new.now = old.now;
     let legacy = legacy(old);
-    new.put(Input::Inherit(legacy));
-    (new, old.put(Input::Succeeded))
+    new.put(Input::ImportState(legacy));
+    (new, old.put(Input::SuccessorReady))
 }
 
 /// The same with the connections that are passed.
-fn heir(old: &mut Desk) -> (Desk, Vec<(AuthId, Standing)>) {
+fn heir(old: &mut Desk) -> (Desk, Vec<(ConnectionId, Standing)>) {
     let (new, effects) = heir_of(old);
     (new, passed(&effects))
 }
 
-fn passed(effects: &[Effect]) -> Vec<(AuthId, Standing)> {
+fn passed(effects: &[Effect]) -> Vec<(ConnectionId, Standing)> {
     let pass = |effect: &Effect| match effect {
-        Effect::Pass { auth, standing, .. } => Some((*auth, standing.clone())),
+        Effect::TransferConnection { connection, standing, .. } => Some((*connection, standing.clone())),
         _ => None,
     };
     effects.iter().filter_map(pass).collect()
 }
 
 /// Connections that were passed stand here.
-fn adopt(new: &mut Desk, old: &mut Desk, passed: Vec<(AuthId, Standing)>) -> Vec<AuthId> {
-    let adopt = |(n, (auth, standing)): (usize, (AuthId, Standing))| {
-        assert_eq!(old.put(Input::Passed { auth }), [], "nothing of it ended");
-        let auth = AuthId(1_000_000 + n as u64);
-        new.put(Input::Adopted { auth, pool: 0, standing });
-        auth
+fn adopt(new: &mut Desk, old: &mut Desk, passed: Vec<(ConnectionId, Standing)>) -> Vec<ConnectionId> {
+    let adopt = |(n, (connection, standing)): (usize, (ConnectionId, Standing))| {
+        assert_eq!(old.put(Input::ConnectionTransferred { connection }), [], "nothing of it ended");
+        let connection = ConnectionId(1_000_000 + n as u64);
+        new.put(Input::ConnectionReceived { connection, pool: 0, standing });
+        connection
     };
     passed.into_iter().enumerate().map(adopt).collect()
 }
@@ -84,9 +84,9 @@
 #[test]
 fn standing_connections_go_over_with_all_that_is_known_of_them() {
     let mut old = Desk::new();
-    let auths: Vec<AuthId> = (0..20).map(|_| old.standing()).collect();
-    old.put(Input::Load { auth: auths[0], load: 50_000.0 });
-    old.put(Input::Asked { auth: auths[0] });
+    let connections: Vec<ConnectionId> = (0..20).map(|_| old.standing()).collect();
+    old.put(Input::LoadReported { connection: connections[0], load: 50_000.0 });
+    old.put(Input::LineForwarded { connection: connections[0] });
     let (mut new, standing) = heir(&mut old);
     assert_eq!(standing.len(), 20);
     assert_eq!(standing[0].1.load, Some(50_000.0));
@@ -94,8 +94,8 @@
     assert_eq!((figures(&mut old).outstanding, figures(&mut new).outstanding), (0, 20));
     // The silence of its host goes on from when it was asked, and others have not asked.
     new.pass(5_000_001);
-    let moved: Vec<_> = new.put(Input::Tick);
-    assert_eq!(moved.first(), Some(&Effect::Answer { auth: there[0], answer: Answer::Moved }));
+    let moved: Vec<_> = new.put(Input::TimerFired);
+    assert_eq!(moved.first(), Some(&Effect::Answer { connection: there[0], answer: Answer::Moved }));
     assert_eq!(moved.len(), 2, "{moved:?}");
     // What holds for a host's clients holds for them.
     let effects: Vec<Effect> = (0..HOSTS.len()).flat_map(|host| new.list(host, Lifecycle::Gone)).collect();
@@ -112,37 +112,44 @@
     let (silent, (placing, _)) = (old.met(), old.written());
     let (mut new, standing) = heir(&mut old);
     assert_eq!(standing, []);
-    old.put(Input::Leave);
-    let effects = old.put(Input::Authorise { auth: silent, ask: ask() });
-    assert!(matches!(effects[..], [Effect::OpenLeg { .. }]), "turned away unheard: {effects:?}");
-    let up = old.put(Input::LegUp { auth: placing, leg: 0 });
+    old.put(Input::ShutdownRequested);
+    let effects = old.put(Input::ConnectionRequested { connection: silent, ask: ask() });
+    assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "turned away unheard: {effects:?}");
+    let up = old.put(Input::AttemptAccepted { connection: placing, attempt: 0 });
     assert_eq!(adopt(&mut new, &mut old, passed(&up)).len(), 1);
-    old.put(Input::LegWritten { auth: silent, leg: 0 });
-    let up = old.put(Input::LegUp { auth: silent, leg: 0 });
+    old.put(Input::RequestForwarded { connection: silent, attempt: 0 });
+    let up = old.put(Input::AttemptAccepted { connection: silent, attempt: 0 });
     let last = passed(&up);
     assert_eq!(last.len(), 1);
-    assert_eq!(old.put(Input::Passed { auth: last[0].0 }), [Effect::Exit], "it may exit early");
+    assert_eq!(
+        old.put(Input::ConnectionTransferred { connection: last[0].0 }),
+        [Effect::Exit],
+        "it may exit early"
+    );
 }
 
 #[test]
 fn bans_health_ceilings_and_open_ids_are_inherited() {
     let mut old = Desk::new();
-    let (auth, _) = old.written();
-    old.put(Input::LegEnded { auth, leg: 0, end: LegEnd::Broken });
+    let (connection, _) = old.written();
+    old.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken });
     call(&mut old, Call::Exclude(HOSTS[3].to_owned()));
     call(&mut old, Call::Exclude(HOSTS[4].to_owned()));
     call(&mut old, Call::Include(HOSTS[4].to_owned()));
     let ejected = figures(&mut old).ejected;
     let open = old.met();
-    old.put(Input::Authorise { auth: open, ask: Authorisation { id: Some("a".to_owned()), ..ask() } });
+    old.put(Input::ConnectionRequested {
+        connection: open,
+        ask: ConnectionRequest { id: Some("a".to_owned()), ..ask() },
+    });
     let mut new = Desk::new();
     new.now = old.now;
     let left = legacy(&mut old);
     assert_eq!(left.pools["platform"].returned.len(), 1);
-    new.put(Input::Inherit(left.clone()));
+    new.put(Input::ImportState(left.clone()));
     assert_eq!(figures(&mut new).ejected, ejected);
     // It leaves the same to the next.
-    new.put(Input::PartnerLost);
+    new.put(Input::PeerProcessLost);
     let mut next = legacy(&mut new);
     let (pool, before) = (next.pools.get_mut("platform").expect("there"), &left.pools["platform"]);
     pool.ids.clone_from(&before.ids);
@@ -151,15 +158,17 @@
     // Another's open id stays another's for as long as that process may have it open.
     let mut third = Desk::new();
     third.now = old.now;
-    third.put(Input::Inherit(left));
+    third.put(Input::ImportState(left));
     for (lost, answered) in [(false, true), (true, false)] {
         if lost {
-            third.put(Input::PartnerLost);
+            third.put(Input::PeerProcessLost);
         }
-        let auth = third.met();
-        let effects =
-            third.put(Input::Authorise { auth, ask: Authorisation { id: Some("a".to_owned()), ..ask() } });
-        assert_eq!(effects == [Effect::Answer { auth, answer: Answer::Failed }], answered);
+        let connection = third.met();
+        let effects = third.put(Input::ConnectionRequested {
+            connection,
+            ask: ConnectionRequest { id: Some("a".to_owned()), ..ask() },
+        });
+        assert_eq!(effects == [Effect::Answer { connection, answer: Answer::Failed }], answered);
     }
 }
 
@@ -176,36 +185,39 @@
     heir(&mut old);
     for _ in 0..200 {
         old.pass(20_000);
-        let auth = old.met();
-        for effect in old.put(Input::Authorise { auth, ask: ask() }) {
-            assert!(!matches!(&effect, Effect::OpenLeg { address: at, .. } if *at == address), "{effect:?}");
+        let connection = old.met();
+        for effect in old.put(Input::ConnectionRequested { connection, ask: ask() }) {
+            assert!(
+                !matches!(&effect, Effect::OpenAttempt { address: at, .. } if *at == address),
+                "{effect:?}"
+            );
         }
     }
 }
 
 #[test]
 fn a_call_at_either_door_is_answered_once_both_have_heard_of_it() {
-    let yes = Effect::Reply { caller: CALLER, reply: Reply::Yes };
+    let yes = Effect::AdminReply { caller: CALLER, reply: Reply::Yes };
     let host = HOSTS[1].to_owned();
     let mut old = Desk::new();
     let (new, _) = heir(&mut old);
     for mut desk in [old, new] {
         let effects = call(&mut desk, Call::Exclude(host.clone()));
-        let share = Effect::Share { caller: CALLER, host: host.clone(), out: true };
+        let share = Effect::ShareExclusion { caller: CALLER, host: host.clone(), out: true };
         assert_eq!(effects.last(), Some(&share));
         assert_eq!(figures(&mut desk).ejected, 1, "it holds here at once");
-        assert_eq!(desk.put(Input::ShareTaken { caller: CALLER }), vec![yes.clone()]);
-        assert_eq!(desk.put(Input::ShareTaken { caller: CALLER }), [], "answered once");
+        assert_eq!(desk.put(Input::ExclusionAcknowledged { caller: CALLER }), vec![yes.clone()]);
+        assert_eq!(desk.put(Input::ExclusionAcknowledged { caller: CALLER }), [], "answered once");
         // One that hangs, or is gone, keeps no operator waiting.
         call(&mut desk, Call::Include(host.clone()));
         desk.pass(500_000);
-        assert_eq!(desk.put(Input::Tick), vec![yes.clone()]);
+        assert_eq!(desk.put(Input::TimerFired), vec![yes.clone()]);
         call(&mut desk, Call::Exclude(host.clone()));
-        assert!(desk.put(Input::PartnerLost).contains(&yes));
+        assert!(desk.put(Input::PeerProcessLost).contains(&yes));
         assert_eq!(call(&mut desk, Call::Include(host.clone())).last(), Some(&yes), "it is alone again");
     }
     let mut other = Desk::new();
-    other.put(Input::Shared { host: host.clone(), out: true });
+    other.put(Input::ExclusionShared { host: host.clone(), out: true });
     assert_eq!(figures(&mut other).ejected, 1);
 }
 
@@ -213,15 +225,18 @@
 fn one_whose_heir_is_lost_accepts_again() {
     for served in [false, true] {
         let mut old = Desk::new();
-        old.put(Input::Succession);
+        old.put(Input::SuccessorStarted);
         if served {
-            old.put(Input::Succeeded);
-            assert!(matches!(call(&mut old, Call::Ready)[..], [Effect::Reply { reply: Reply::No(_), .. }]));
+            old.put(Input::SuccessorReady);
+            assert!(matches!(
+                call(&mut old, Call::Ready)[..],
+                [Effect::AdminReply { reply: Reply::No(_), .. }]
+            ));
         }
-        assert!(old.put(Input::PartnerLost).contains(&Effect::Doors { open: true }));
-        let auth = old.met();
-        let effects = old.put(Input::Authorise { auth, ask: ask() });
-        assert!(matches!(effects[..], [Effect::OpenLeg { .. }]), "{effects:?}");
+        assert!(old.put(Input::PeerProcessLost).contains(&Effect::SetAccepting { open: true }));
+        let connection = old.met();
+        let effects = old.put(Input::ConnectionRequested { connection, ask: ask() });
+        assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
     }
 }
 
@@ -243,7 +258,7 @@
         },
     );
     let host = (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
-        |(name, zone, cell, ready, weight, started)| IssuerHost {
+        |(name, zone, cell, ready, weight, started)| Endpoint {
             address: format!("{name}:1"),
             lifecycle: if ready { Lifecycle::Ready } else { Lifecycle::Draining },
             name,
@@ -255,13 +270,13 @@
     );
     let asked =
         (prop::option::of(name()), name(), prop::option::of(any::<u64>()), prop::option::of(0.0..9.0f64))
-            .prop_map(|(id, class, group, load)| Authorisation {
+            .prop_map(|(id, class, group, load)| ConnectionRequest {
                 tenant: id.clone(),
                 id,
                 class,
                 group,
                 load,
-                ..Authorisation::default()
+                ..ConnectionRequest::default()
             });
     prop_oneof![
         prop::sample::select(vec![Word::Take, Word::Done, Word::Serving]),
@@ -307,7 +322,7 @@
         let _ = read(&bytes);
     }
 
-    /// Through any number of upgrades at any moment each authorisation has one answer or stands, at one
+    /// Through any number of upgrades at any moment each connection has one answer or stands, at one
     /// process, and nothing new goes to a host that is out by hand.
     #[test]
     fn upgrades_lose_nobody(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
@@ -316,7 +331,7 @@
             model.desks.iter_mut().for_each(|desk| desk.pass(pause));
             model.step(what, which)?;
             for at in 0..model.desks.len() {
-                model.put(at, Input::Tick)?;
+                model.put(at, Input::TimerFired)?;
             }
             let held: u64 = model.desks.iter_mut().map(|desk| figures(desk).outstanding).sum();
             prop_assert_eq!(held, model.open.len() as u64);
@@ -325,12 +340,12 @@
     }
 }
 
-/// An authorisation that is open: at which process, its number there, the leg out, and whether it stands.
+/// A connection that is open: at which process, its number there, the attempt out, and whether it stands.
 #[derive(Clone, Copy)]
 struct Open {
     at: usize,
-    auth: AuthId,
-    leg: Option<u32>,
+    connection: ConnectionId,
+    attempt: Option<u32>,
     stands: bool,
 }
 
@@ -350,19 +365,25 @@
         let one = self.open.values().nth(which % self.open.len().max(1)).copied();
         match (what, one) {
             (0..=2, _) => {
-                let auth = self.desks[now].met();
+                let connection = self.desks[now].met();
                 self.next += 1;
-                self.open.insert(self.next, Open { at: now, auth, leg: None, stands: false });
-                self.put(now, Input::Authorise { auth, ask: ask() })
+                self.open.insert(self.next, Open { at: now, connection, attempt: None, stands: false });
+                self.put(now, Input::ConnectionRequested { connection, ask: ask() })
             }
-            (3 | 4, Some(Open { at, auth, leg: Some(leg), stands: false })) => {
-                self.put(at, Input::LegWritten { auth, leg })?;
-                self.open.values_mut().filter(|o| (o.at, o.auth) == (at, auth)).for_each(|o| o.stands = true);
-                self.put(at, Input::LegUp { auth, leg })
+            (3 | 4, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
+                self.put(at, Input::RequestForwarded { connection, attempt })?;
+                self.open
+                    .values_mut()
+                    .filter(|o| (o.at, o.connection) == (at, connection))
+                    .for_each(|o| o.stands = true);
+                self.put(at, Input::AttemptAccepted { connection, attempt })
             }
-            (5, Some(Open { at, auth, leg: Some(leg), stands: false })) => {
-                self.open.values_mut().filter(|o| (o.at, o.auth) == (at, auth)).for_each(|o| o.leg = None);
-                self.put(at, Input::LegEnded { auth, leg, end: LegEnd::TurnedAway })
+            (5, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
+                self.open
+                    .values_mut()
+                    .filter(|o| (o.at, o.connection) == (at, connection))
+                    .for_each(|o| o.attempt = None);
+                self.put(at, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway })
             }
             (6, _) => {
                 let host = HOSTS[which % 2];
@@ -371,11 +392,11 @@
                 self.banned.extend(out.then_some(host));
                 // Whichever door it comes to, the other hears of it.
                 (now.saturating_sub(1)..=now)
-                    .try_for_each(|at| self.put(at, Input::Shared { host: host.to_owned(), out }))
+                    .try_for_each(|at| self.put(at, Input::ExclusionShared { host: host.to_owned(), out }))
             }
             // Not before the one before it has been heard out.
             (7, _) if self.open.values().all(|open| open.at == now) => {
-                self.put(now, Input::PartnerLost)?;
+                self.put(now, Input::PeerProcessLost)?;
                 let (new, effects) = heir_of(&mut self.desks[now]);
                 self.desks.push(new);
                 self.carry_out(now, effects)
@@ -391,42 +412,46 @@
 
     fn carry_out(&mut self, at: usize, effects: Vec<Effect>) -> Result<(), TestCaseError> {
         for effect in effects {
-            let who = |auth| self.open.iter().find(|(_, o)| (o.at, o.auth) == (at, auth)).map(|(&n, _)| n);
+            let who = |connection| {
+                self.open.iter().find(|(_, o)| (o.at, o.connection) == (at, connection)).map(|(&n, _)| n)
+            };
             match effect {
-                Effect::OpenLeg { auth, leg, address, .. } => {
-                    let open = self.open.get_mut(&who(auth).expect("it is open here")).expect("found");
+                Effect::OpenAttempt { connection, attempt, address, .. } => {
+                    let open = self.open.get_mut(&who(connection).expect("it is open here")).expect("found");
                     prop_assert!(
                         !self.banned.iter().any(|host| address.starts_with(host)),
                         "a leg to {address}"
                     );
-                    prop_assert!(open.leg.is_none(), "two legs at once");
-                    open.leg = Some(leg);
+                    prop_assert!(open.attempt.is_none(), "two legs at once");
+                    open.attempt = Some(attempt);
                 }
-                Effect::CloseLeg { auth } => {
-                    who(auth)
+                Effect::CloseAttempt { connection } => {
+                    who(connection)
                         .and_then(|n| self.open.get_mut(&n))
-                        .map(|open| open.leg.take())
+                        .map(|open| open.attempt.take())
                         .unwrap_or_default();
                 }
-                Effect::Answer { auth, .. } => {
-                    self.open.remove(&who(auth).expect("answered here, and once"));
+                Effect::Answer { connection, .. } => {
+                    self.open.remove(&who(connection).expect("answered here, and once"));
                     self.done += 1;
                 }
-                Effect::Pass { auth, standing, .. } => self.pass(at, auth, standing)?,
+                Effect::TransferConnection { connection, standing, .. } => {
+                    self.pass(at, connection, standing)?
+                }
                 _ => {}
             }
         }
         Ok(())
     }
 
-    fn pass(&mut self, at: usize, auth: AuthId, standing: Standing) -> Result<(), TestCaseError> {
-        let found = self.open.iter_mut().find(|(_, o)| (o.at, o.auth) == (at, auth));
+    fn pass(&mut self, at: usize, connection: ConnectionId, standing: Standing) -> Result<(), TestCaseError> {
+        let found = self.open.iter_mut().find(|(_, o)| (o.at, o.connection) == (at, connection));
         let (&n, open) = found.expect("it is open here");
         prop_assert!(open.stands, "only what stands is passed");
-        let there = AuthId(1_000_000 + n);
-        *open = Open { at: at + 1, auth: there, leg: Some(0), stands: true };
-        self.put(at, Input::Passed { auth })?;
-        self.put(at + 1, Input::Adopted { auth: there, pool: 0, standing })
+        let there = ConnectionId(1_000_000 + n);
+        *open = Open { at: at + 1, connection: there, attempt: Some(0), stands: true };
+        self.put(at, Input::ConnectionTransferred { connection })?;
+        self.put(at + 1, Input::ConnectionReceived { connection: there, pool: 0, standing })
     }
 }
 
