--- a/simulation/src/clients.rs
+++ b/simulation/src/clients.rs
@@ -6,7 +6,7 @@
 
 use crate::world::{World, SECOND};
 
-/// Worth a second, message aim, wait, share of arrivals and mean load of each class; the shop's two.
+/// Worth a second, message objective, wait, share of arrivals and mean load of each class; the shop's two.
 pub const CLASSES: [(f64, f64, u64, f64, f64); 2] =
     [(3.0, 100_000.0, 3_200_000, 0.58, 1.3), (2.0, 250_000.0, 1_200_000, 0.42, 0.45)];
 /// Aims for setting a connection up, in microseconds.
--- a/simulation/src/day.rs
+++ b/simulation/src/day.rs
@@ -7,7 +7,7 @@
     reduce, Answer, AttemptOutcome, Budget, ConnectionId, ConnectionRequest, Effect, Endpoint, Input,
     Lifecycle, PoolSetup, State, StoreSetup,
 };
-use connection_balancer::{Class, Repeat, Settings, Time};
+use connection_balancer::{Class, Idempotency, Settings, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Result {
     /// Worth of well-served seconds over the worth of all asked for, less the price of moves.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Moves, by whatever cause, and of those the ones for balance.
     pub moves: u64,
     /// Moves for balance.
@@ -139,10 +139,10 @@
 /// What a balancer of this world is told.
 fn setup(world: &World, seed: u64) -> PoolSetup {
     let class = |n: usize| Class {
-        worth: CLASSES[n].0,
-        setup_aim: SETUP_AIMS[n],
-        message_aim: if world.tells_delay { CLASSES[n].1 as u64 } else { 0 },
-        repeat: Repeat::Safe,
+        priority_weight: CLASSES[n].0,
+        setup_objective: SETUP_AIMS[n],
+        message_objective: if world.tells_delay { CLASSES[n].1 as u64 } else { 0 },
+        idempotency: Idempotency::Idempotent,
     };
     PoolSetup {
         name: "model",
@@ -157,12 +157,12 @@
             retry_after: true,
             max_retry_after: 1_500_000,
             connect_timeout: 250_000,
-            must_ask: true,
-            move_price: MOVE_PRICE,
-            cold_share: 0.34,
-            warm_up: 8_800_000,
-            fall_multiple: 4.0,
-            fall_window: 3_000_000,
+            poll_required: true,
+            migration_cost: MOVE_PRICE,
+            slow_start_share: 0.34,
+            slow_start_duration: 8_800_000,
+            slow_start_overload_factor: 4.0,
+            slow_start_window: 3_000_000,
             ..Settings::default()
         },
         seed,
@@ -690,10 +690,10 @@
             if who.until <= self.now {
                 continue;
             }
-            let (worth, aim, ..) = CLASSES[who.class];
-            self.asked += worth * seconds;
+            let (priority_weight, aim, ..) = CLASSES[who.class];
+            self.asked += priority_weight * seconds;
             if let Place::Standing(_, _, _, host) = self.people[client].place {
-                self.served += worth * seconds * self.hosts[host].in_time(self.now, aim);
+                self.served += priority_weight * seconds * self.hosts[host].in_time(self.now, aim);
                 self.result.minutes += seconds / 60.0;
             }
         }
@@ -783,7 +783,7 @@
     fn finish(mut self) -> Result {
         let comers = self.clients.iter().filter(|client| client.from < self.now).count();
         let moved = self.people.iter().filter(|person| person.moved).count();
-        self.result.worth =
+        self.result.priority_weight =
             self.served / self.asked.max(1e-9) - MOVE_PRICE * moved as f64 / comers.max(1) as f64;
         let figures = self.nodes.iter().filter_map(|node| node.state.rebalancing(0));
         self.result.for_balance = figures.map(|figures| figures.moved).sum();
--- a/simulation/src/grid.rs
+++ b/simulation/src/grid.rs
@@ -44,7 +44,8 @@
     /// Compares days that were played in pairs.
     pub fn of(off: &[Result], on: &[Result]) -> Cell {
         let n = off.len().min(on.len()).max(1) as f64;
-        let gains: Vec<f64> = off.iter().zip(on).map(|(off, on)| on.worth - off.worth).collect();
+        let gains: Vec<f64> =
+            off.iter().zip(on).map(|(off, on)| on.priority_weight - off.priority_weight).collect();
         let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>() / n;
         let gain = mean(&mut gains.iter().copied());
         let variance = gains.iter().map(|g| (g - gain).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
@@ -52,7 +53,7 @@
         let minutes: f64 = on.iter().map(|day| day.minutes).sum();
         let moves: u64 = on.iter().map(|day| day.for_balance).sum();
         Cell {
-            off: mean(&mut off.iter().map(|day| day.worth)),
+            off: mean(&mut off.iter().map(|day| day.priority_weight)),
             gain,
             noise: t * (variance / n).sqrt(),
             moves: moves as f64 / n,
--- a/simulation/src/host.rs
+++ b/simulation/src/host.rs
@@ -128,7 +128,7 @@
         SERVICE / (1.0 - self.used(now).min(0.98)) + self.piled * 1e6
     }
 
-    /// Share of messages within an aim, both in microseconds.
+    /// Share of messages within an objective, both in microseconds.
     pub fn in_time(&self, now: u64, aim: f64) -> f64 {
         1.0 - (-aim / self.message(now)).exp()
     }
--- a/simulation/src/main.rs
+++ b/simulation/src/main.rs
@@ -262,7 +262,10 @@
             result.holds[second]
         );
     }
-    println!("worth {:.4}, {} moves, {} for balance", result.worth, result.moves, result.for_balance);
+    println!(
+        "worth {:.4}, {} moves, {} for balance",
+        result.priority_weight, result.moves, result.for_balance
+    );
     println!("{} declined, broken {:?}", result.declined, result.broken);
     result.broken.is_empty()
 }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -33,7 +33,7 @@
 
     /// Drops the word of a request that the balancer keeps no more.
     fn forget(&mut self, id: RequestId) {
-        if !self.balancer.keeps(id) {
+        if !self.balancer.is_tracked(id) {
             if let Some(word) = self.words.remove(&id) {
                 self.ids.remove(&word);
             }
@@ -44,7 +44,7 @@
 /// An entry of a numbered list; the zone stays a name until an instance is told the list.
 struct Row {
     zone: String,
-    listed: Listed,
+    listed: EndpointEntry,
 }
 
 #[derive(Default)]
@@ -96,16 +96,20 @@
         let mut about = None;
         match message {
             Message::Sync { scope: Scoped::Failed, .. } => {
-                instance.balancer.handle(now, Event::ListFailed, actions)
+                instance.balancer.handle(now, Event::EndpointWatchFailed, actions)
             }
             Message::Sync { set, scope } => {
                 let zones = &instance.config.zones;
                 let zone = |name: &str| zones.iter().position(|z| z == name).unwrap_or(usize::MAX);
                 let rows = self.tables[set].iter();
-                let list: Vec<Listed> =
-                    rows.map(|row| Listed { zone: ZoneId(zone(&row.zone) as u16), ..row.listed }).collect();
-                let event =
-                    if scope == Scoped::Whole { Event::List(&list) } else { Event::ListChanged(&list) };
+                let list: Vec<EndpointEntry> = rows
+                    .map(|row| EndpointEntry { zone: ZoneId(zone(&row.zone) as u16), ..row.listed })
+                    .collect();
+                let event = if scope == Scoped::Whole {
+                    Event::EndpointsReplaced(&list)
+                } else {
+                    Event::EndpointsChanged(&list)
+                };
                 instance.balancer.handle(now, event, actions);
             }
             Message::Request(arrival) => {
@@ -118,10 +122,10 @@
                 about = Some(request);
                 let (group, load) = (arrival.group, arrival.load);
                 let event = match arrival.server {
-                    Some(server) => Event::Open { request, class, tenant, group, load, server },
+                    Some(server) => Event::ConnectionRestored { request, class, tenant, group, load, server },
                     None => {
                         let deadline = arrival.deadline.unwrap_or(now);
-                        Event::Arrived { request, class, tenant, group, load, deadline }
+                        Event::RequestArrived { request, class, tenant, group, load, deadline }
                     }
                 };
                 instance.balancer.handle(now, event, actions);
@@ -130,20 +134,20 @@
                 let Some(&request) = instance.ids.get(request) else { return };
                 about = Some(request);
                 let event = match what {
-                    What::Started { attempt } => Event::Started { request, attempt },
-                    What::Noted(Some(note)) => Event::Noted { request, note },
+                    What::Started { attempt } => Event::ConnectionEstablished { request, attempt },
+                    What::Noted(Some(measurement)) => Event::ConnectionMeasured { request, measurement },
                     What::Noted(None) => return,
                     What::Ended { attempt, outcome, answered } => {
-                        Event::Ended { request, attempt, outcome, answered }
+                        Event::AttemptEnded { request, attempt, outcome, answered }
                     }
-                    What::Left => Event::Left { request },
+                    What::Left => Event::ClientLeft { request },
                 };
                 instance.balancer.handle(now, event, actions);
             }
-            Message::Due => instance.balancer.handle(now, Event::Wake, actions),
+            Message::Due => instance.balancer.handle(now, Event::TimerFired, actions),
             Message::Probed { server, outcome, report } => {
                 let report = wire::report(report, &instance.config.utilisation);
-                instance.balancer.handle(now, Event::Probed { server, outcome, report }, actions);
+                instance.balancer.handle(now, Event::ProbeCompleted { server, outcome, report }, actions);
             }
             _ => {}
         }
@@ -155,7 +159,7 @@
             wire::print(out, action, |id| instance.words.get(&id).map_or("", |word| word));
         }
         for action in self.actions.drain(..) {
-            if let Action::Refuse { request, .. } | Action::Fail { request } = action {
+            if let Action::Reject { request, .. } | Action::Fail { request } = action {
                 instance.forget(request);
             }
         }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -110,7 +110,7 @@
 /// A list entry; its zone is still a name.
 pub struct Item<'a> {
     pub zone: &'a str,
-    pub listed: Listed,
+    pub listed: EndpointEntry,
 }
 
 pub struct Arrival<'a> {
@@ -125,7 +125,7 @@
 
 pub enum What {
     Started { attempt: u32 },
-    Noted(Option<Note>),
+    Noted(Option<Measurement>),
     Ended { attempt: u32, outcome: Outcome, answered: bool },
     Left,
 }
@@ -149,7 +149,7 @@
         },
         "INGRESS" | "INHERITED" => Message::Request(arrival(line)?),
         "ACK_FIRST" => return about(What::Started { attempt: line.must("leg", number)? }),
-        "INTERIM" => return about(What::Noted(note(line)?)),
+        "INTERIM" => return about(What::Noted(measurement(line)?)),
         "RESULT" => {
             return about(What::Ended {
                 attempt: line.must("leg", number)?,
@@ -177,18 +177,18 @@
 
 fn item<'a>(line: &Line<'a>) -> Result<Item<'a>, Malformed> {
     let standing = |value| match value {
-        "in_service" => Some(Standing::Serving),
-        "terminating" => Some(Standing::Draining),
-        "terminated" => Some(Standing::Gone),
+        "in_service" => Some(EndpointState::Serving),
+        "terminating" => Some(EndpointState::Draining),
+        "terminated" => Some(EndpointState::Gone),
         _ => None,
     };
     Ok(Item {
         zone: line.text("site").unwrap_or(""),
-        listed: Listed {
+        listed: EndpointEntry {
             server: line.must("backend", number).map(ServerId)?,
             zone: ZoneId(0),
             cell: CellId(line.maybe("cell", number)?.unwrap_or(0)),
-            standing: line.must("mode", standing)?,
+            state: line.must("mode", standing)?,
             started: line.maybe("launched", time)?.filter(|&at| at > Time(0)),
             weight: line.maybe("units", decimal)?.unwrap_or(0.0),
         },
@@ -209,22 +209,22 @@
 }
 
 /// Notes of a topic that is not known are skipped.
-fn note(line: &Line<'_>) -> Result<Option<Note>, Malformed> {
+fn measurement(line: &Line<'_>) -> Result<Option<Measurement>, Malformed> {
     Ok(match line.must("topic", number::<u32>)? {
-        1 => Some(Note::Load(line.must("amount", decimal)?)),
-        2 => Some(Note::MessageTime(line.must("amount", span)?)),
+        1 => Some(Measurement::Load(line.must("amount", decimal)?)),
+        2 => Some(Measurement::MessageTime(line.must("amount", span)?)),
         _ => None,
     })
 }
 
 /// A load report, if it holds load over capacity under the first known of `names`.
-pub fn report(text: &str, names: &[&str]) -> Option<Report> {
+pub fn report(text: &str, names: &[&str]) -> Option<LoadReport> {
     let value = |name: &str| {
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once(':'));
         pairs.find(|(key, _)| *key == name).and_then(|(_, value)| decimal(value))
     };
     let utilisation = names.iter().find_map(|name| value(name))?;
-    Some(Report { utilisation, connections: value("outstanding") })
+    Some(LoadReport { utilisation, connections: value("outstanding") })
 }
 
 // ---- Settings ----
@@ -275,27 +275,27 @@
     for i in 0..read("classes.count", 0.0)? as usize {
         let key = |name: &str| format!("classes.{i}.{name}");
         let scope = match text(&key("group")) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            Some("cell") | None => Scope::Cell,
+            Some("all") => KeyScope::All,
+            Some("zone") => KeyScope::Zone,
+            Some("cell") | None => KeyScope::Cell,
             Some(_) => return Err(bad(&key("group"))),
         };
-        let repeat = match text(&key("repeat")) {
-            Some("repeatable") => Repeat::Safe,
-            Some("by_key") => Repeat::Keyed { scope, window: time(&key("window"), 0)? },
-            Some("once") | None => Repeat::Unsafe,
+        let idempotency = match text(&key("repeat")) {
+            Some("repeatable") => Idempotency::Idempotent,
+            Some("by_key") => Idempotency::IdempotencyKey { scope, window: time(&key("window"), 0)? },
+            Some("once") | None => Idempotency::NotIdempotent,
             Some(_) => return Err(bad(&key("repeat"))),
         };
-        let message_aim = match aims.get(i).filter(|&aim| aim != ABSENT) {
+        let message_objective = match aims.get(i).filter(|&aim| aim != ABSENT) {
             Some(aim) => span(aim).ok_or_else(|| bad("family-info.message-aim"))?,
             None => 0,
         };
         classes.0.push(text(&key("name")).unwrap_or("").to_owned());
         classes.1.push(Class {
-            worth: read(&key("gain"), 1.0)?,
-            setup_aim: time(&key("objective"), 0)?,
-            message_aim,
-            repeat,
+            priority_weight: read(&key("gain"), 1.0)?,
+            setup_objective: time(&key("objective"), 0)?,
+            message_objective,
+            idempotency,
         });
     }
     let mut tenants = (Vec::new(), Vec::new());
@@ -321,25 +321,25 @@
         zone: ZoneId(zone as u16),
         classes: classes.1,
         tenants: tenants.1,
-        over_share_worth: read("over-share-worth", default.over_share_worth)?,
+        over_quota_weight: read("over-share-worth", default.over_quota_weight)?,
         max_attempts: read("limits.try-limit", default.max_attempts as f64)? as u32,
         cancel: flag("limits.cancel")?,
         retry_after: flag("limits.retry-after")?,
         max_retry_after: time("limits.max-retry-after", default.max_retry_after)?,
         connect_timeout: time("limits.connect-timeout", default.connect_timeout)?,
-        must_ask: text("discovery") == Some("on_request"),
-        must_ask_in: time("invariants.must-ask-in", default.must_ask_in)?,
-        pushed: text("discovery") == Some("pushed"),
+        poll_required: text("discovery") == Some("on_request"),
+        poll_interval: time("invariants.must-ask-in", default.poll_interval)?,
+        endpoints_pushed: text("discovery") == Some("pushed"),
         drain_grace: time("invariants.drain-grace", default.drain_grace)?,
         probes: flag("limits.probing")?,
         probe_reports: told && text("reporting.how") != Some("off"),
-        probe_price: read("charges.probe", 0.0)?,
-        cross_zone_price: read("charges.cross-zone", 0.0)?,
-        move_price: read("charges.moves", 0.0)?,
-        cold_share: read("invariants.cold-share", default.cold_share)?,
-        warm_up: time("invariants.warm-up", default.warm_up)?,
-        fall_multiple: read("invariants.tip-multiple", default.fall_multiple)?,
-        fall_window: time("invariants.overload-for", default.fall_window)?,
+        probe_cost: read("charges.probe", 0.0)?,
+        cross_zone_cost: read("charges.cross-zone", 0.0)?,
+        migration_cost: read("charges.moves", 0.0)?,
+        slow_start_share: read("invariants.cold-share", default.slow_start_share)?,
+        slow_start_duration: time("invariants.warm-up", default.slow_start_duration)?,
+        slow_start_overload_factor: read("invariants.tip-multiple", default.slow_start_overload_factor)?,
+        slow_start_window: time("invariants.overload-for", default.slow_start_window)?,
     };
     Ok(Config { settings, zones, classes: classes.0, tenants: tenants.0, utilisation })
 }
@@ -375,7 +375,7 @@
     Some(match text {
         "0" => Outcome::Error,
         "1" => Outcome::Ok,
-        "2" => Outcome::Full,
+        "2" => Outcome::Rejected,
         "3" => Outcome::TimedOut,
         "4" => Outcome::ConnectFailed,
         "5" => Outcome::Reset,
@@ -401,7 +401,7 @@
 pub fn print<'a>(out: &mut Vec<u8>, action: &Action, word: impl Fn(RequestId) -> &'a str) {
     // Writing to memory cannot fail.
     let _ = match action {
-        Action::Send { request, server, timeout, .. } => {
+        Action::StartAttempt { request, server, timeout, .. } => {
             writeln!(
                 out,
                 "ATTEMPT\txid={}\tbackend={}\tpatience={}",
@@ -410,19 +410,19 @@
                 Millis(*timeout)
             )
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             writeln!(out, "DENY\txid={}\thold-off={}", word(*request), Millis(*retry_after))
         }
         Action::Fail { request } => writeln!(out, "FINISH_ERROR\txid={}", word(*request)),
-        Action::Cancel { request, attempt } => {
+        Action::CancelAttempt { request, attempt } => {
             writeln!(out, "RETRACT\txid={}\tleg={attempt}", word(*request))
         }
-        Action::Move { request } => writeln!(out, "MOVE\txid={}", word(*request)),
-        Action::Probe { server } => writeln!(out, "SOUND_OUT\tbackend={}", server.0),
+        Action::Migrate { request } => writeln!(out, "MOVE\txid={}", word(*request)),
+        Action::ProbeServer { server } => writeln!(out, "SOUND_OUT\tbackend={}", server.0),
         // The adapter tells other instances nothing.
-        Action::SetUpSlow | Action::Dropped { .. } => Ok(()),
-        Action::Subscribe => writeln!(out, "SUBSCRIBE\ton=1"),
-        Action::WakeIn(wait) => writeln!(out, "SLEEP\tfrom-now={}\tname=wake", Millis(*wait)),
+        Action::ReportSlowSetup | Action::ReportDrop { .. } => Ok(()),
+        Action::WatchEndpoints => writeln!(out, "SUBSCRIBE\ton=1"),
+        Action::SetTimer(wait) => writeln!(out, "SLEEP\tfrom-now={}\tname=wake", Millis(*wait)),
         Action::Log(text) => writeln!(out, "RECORD\tnote-text={text}"),
     };
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,11 +13,11 @@
 //! * Events in the order in which they happened, with a clock that never runs backwards. The first is
 //!   the list of servers, as far as it is known.
 //! * A [`RequestId`] that was never used before for each request.
-//! * For each [`Action::Send`] exactly one [`Event::Ended`], at the latest when its time-out or the
-//!   client's deadline has passed; before it one [`Event::Started`] if the connection came to stand.
-//! * [`Event::Wake`] when a wait asked for by [`Action::WakeIn`] is over. Wake-ups may pile up; those
+//! * For each [`Action::StartAttempt`] exactly one [`Event::AttemptEnded`], at the latest when its time-out or the
+//!   client's deadline has passed; before it one [`Event::ConnectionEstablished`] if the connection came to stand.
+//! * [`Event::TimerFired`] when a wait asked for by [`Action::SetTimer`] is over. Wake-ups may pile up; those
 //!   that are needed no more do nothing.
-//! * After [`Action::Subscribe`], one list, change of it, or [`Event::ListFailed`].
+//! * After [`Action::WatchEndpoints`], one list, change of it, or [`Event::EndpointWatchFailed`].
 //!
 //! Where this is broken nothing panics: events on unknown or finished requests are ignored. A missing
 //! `Ended` leaves a slot taken; a missing wake-up leaves a request without its answer.
@@ -42,21 +42,21 @@
 //!     started: None,
 //!     weight: 1.0,
 //! };
-//! balancer.handle(now, Event::List(&[server(1), server(2)]), &mut actions);
+//! balancer.handle(now, Event::EndpointsReplaced(&[server(1), server(2)]), &mut actions);
 //! let (class, tenant, group, load) = (ClassId(0), None, None, None);
-//! let old = Event::Open { request: RequestId(0), class, tenant, group, load, server: ServerId(1) };
+//! let old = Event::ConnectionRestored { request: RequestId(0), class, tenant, group, load, server: ServerId(1) };
 //! balancer.handle(now, old, &mut actions);
 //!
 //! // A client asks for a connection.
 //! let (request, deadline) = (RequestId(1), now.plus(2_000_000));
-//! balancer.handle(now, Event::Arrived { request, class, tenant, group, load, deadline }, &mut actions);
+//! balancer.handle(now, Event::RequestArrived { request, class, tenant, group, load, deadline }, &mut actions);
 //! let mut wake = None;
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { request, server, timeout, .. } => {
+//!         Action::StartAttempt { request, server, timeout, .. } => {
 //!             println!("connect {request:?} to {server:?} within {timeout} microseconds");
 //!         }
-//!         Action::WakeIn(wait) => wake = Some(now.plus(wait)),
+//!         Action::SetTimer(wait) => wake = Some(now.plus(wait)),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
@@ -64,10 +64,10 @@
 //!
 //! // It stands, and later ends.
 //! now = now.plus(20_000);
-//! balancer.handle(now, Event::Started { request, attempt: 0 }, &mut actions);
+//! balancer.handle(now, Event::ConnectionEstablished { request, attempt: 0 }, &mut actions);
 //! assert!(balancer.keeps(request));
 //! now = now.plus(60_000_000);
-//! let end = Event::Ended { request, attempt: 0, outcome: Outcome::Ok, answered: true };
+//! let end = Event::AttemptEnded { request, attempt: 0, outcome: Outcome::Ok, answered: true };
 //! balancer.handle(now, end, &mut actions);
 //! assert!(!balancer.keeps(request));
 //! ```
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -18,7 +18,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::{GroupMark, Micros, ServerId, Time};
+use crate::{GroupHash, Micros, ServerId, Time};
 
 /// Words may cost this share of all worth.
 const SPEND: f64 = 0.01;
@@ -26,7 +26,7 @@
 const LEAST_BYTES: f64 = 16.0;
 /// The price is for so many bytes delivered a request.
 const PRICED_BYTES: f64 = 256.0;
-/// Messages that take this share of their aim are missing it: the host is told of.
+/// Messages that take this share of their objective are missing it: the host is told of.
 const SLOW: f64 = 0.5;
 /// Words saved up for when they are needed.
 const MOST_CREDIT: f64 = 3.0;
@@ -43,7 +43,7 @@
     /// What 256 bytes delivered for each request cost, as a share of all worth; 0 where they cost nothing.
     pub price: f64,
     /// A message is wanted within this time; 0 where unknown.
-    pub message_aim: Micros,
+    pub message_objective: Micros,
     /// So long a host is avoided for one word of it.
     pub holds: Micros,
     /// So long one word of slow set-ups is enough.
@@ -62,7 +62,7 @@
 }
 
 /// Groups of connections that stand at a word's sender, drawn at random; fewer where there are no more.
-pub type Sample = [Option<GroupMark>; SAMPLE];
+pub type Sample = [Option<GroupHash>; SAMPLE];
 
 /// One word.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -109,9 +109,11 @@
 
     /// There is news here: whether the others are to be told.
     pub fn tell(&mut self, now: Time, news: News) -> bool {
-        let Setup { on, balancers, message_aim, .. } = self.setup;
+        let Setup { on, balancers, message_objective, .. } = self.setup;
         let matters = match news {
-            News::SlowHost(_, took) => message_aim > 0 && took as f64 >= SLOW * message_aim as f64,
+            News::SlowHost(_, took) => {
+                message_objective > 0 && took as f64 >= SLOW * message_objective as f64
+            }
             News::Dropped(_) | News::SlowSetUps => true,
         };
         // Danger: all that hold a connection there are told in the same second.
@@ -128,7 +130,7 @@
     }
 
     /// Some of the groups of connections that stand here, to go with a word.
-    pub fn sample(&mut self, standing: impl Iterator<Item = GroupMark>) -> Sample {
+    pub fn sample(&mut self, standing: impl Iterator<Item = GroupHash>) -> Sample {
         let mut sample = [None; SAMPLE];
         standing.map(Some).choose_multiple_fill(&mut self.rng, &mut sample);
         sample
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -24,11 +24,11 @@
 const FEW: f64 = 4.0;
 /// What a ceiling keeps after a refusal or a drop: firm, as the server itself says it is too much.
 const CUT: f64 = 0.8;
-/// Messages that take this share of the tightest aim are word of a server that fills...
+/// Messages that take this share of the tightest objective are word of a server that fills...
 const SLOW: f64 = 1.0 / 3.0;
 /// ...and at this share many of them miss it: connections have to leave.
 const TOO_SLOW: f64 = 0.5;
-/// ...and at so many times the aim none is in time: staying is worth nothing.
+/// ...and at so many times the objective none is in time: staying is worth nothing.
 const HOPELESS: f64 = 2.0;
 /// Reported load over capacity up to which a ceiling lets a server fill: messages slow down before 1.
 const NEAR_FULL: f64 = 0.85;
@@ -70,7 +70,7 @@
 /// One server as this balancer sees it.
 #[derive(Default)]
 struct Server {
-    listed: Listed,
+    listed: EndpointEntry,
     /// Its start, or when that was first heard if it lies ahead.
     since: Option<Time>,
     /// Its process, numbered by this balancer: what an earlier one held is not released from a later.
@@ -84,9 +84,9 @@
     /// Those being set up.
     opening: u32,
     /// Its ceiling, its health and what else was learned.
-    known: Learned,
+    known: LearnedState,
     /// Its last load report, and what was held here when that came.
-    report: Option<Report>,
+    report: Option<LoadReport>,
     then: f64,
     /// Time between sends were it warm, when it was last sent to.
     gap: f64,
@@ -180,10 +180,10 @@
     loads: Mean,
     class_loads: Vec<Mean>,
     hints: Mean,
-    /// The tightest message aim, which word of slow messages is held against.
-    message_aim: Micros,
+    /// The tightest message objective, which word of slow messages is held against.
+    message_objective: Micros,
     /// How many connections of each group were seen to stand, here or in others' samples, and of all.
-    groups: BTreeMap<GroupMark, f64>,
+    groups: BTreeMap<GroupHash, f64>,
     groups_seen: f64,
     /// The share of new connections let in, for what all servers share; as of when, and when it was cut.
     pace: f64,
@@ -203,14 +203,14 @@
             requests: FxHashMap::default(),
             owed: BTreeSet::new(),
             armed: None,
-            subscribe_at: settings.must_ask.then_some(now),
+            subscribe_at: settings.poll_required.then_some(now),
             list_failures: 0,
             probe_credit: 0.0,
             lately: settings.max_retry_after,
             part: 0.0,
             most: (0.0, 0.0),
             picked: now,
-            message_aim: settings.message_aim(),
+            message_objective: settings.message_objective(),
             loads: Mean::default(),
             class_loads: vec![Mean::default(); settings.classes.len()],
             hints: Mean::default(),
@@ -227,45 +227,47 @@
     /// Other settings from now on; what was learned and what is out stays. Classes must keep their numbers.
     pub fn configure(&mut self, settings: Settings) {
         self.class_loads.resize(settings.classes.len(), Mean::default());
-        self.message_aim = settings.message_aim();
+        self.message_objective = settings.message_objective();
         self.settings = settings;
     }
 
     /// Takes in one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::List(entries) => self.follow_list(now, entries, true),
-            Event::ListChanged(entries) => self.follow_list(now, entries, false),
-            Event::ListFailed => self.list_failed(now),
-            Event::Arrived { request, class, group, load, deadline, .. } => {
+            Event::EndpointsReplaced(entries) => self.follow_list(now, entries, true),
+            Event::EndpointsChanged(entries) => self.follow_list(now, entries, false),
+            Event::EndpointWatchFailed => self.list_failed(now),
+            Event::RequestArrived { request, class, group, load, deadline, .. } => {
                 let slots = self.slots(class, load);
                 let due = Time(deadline.0 - deadline.since(now) / ANSWER_SHARE);
                 self.arrived(now, request, Request { due, ..Request::new(class, group, slots) }, actions)
             }
-            Event::Open { request, class, group, load, server, .. } => {
+            Event::ConnectionRestored { request, class, group, load, server, .. } => {
                 let slots = self.slots(class, load);
                 self.adopt(request, Request::new(class, group, slots), server)
             }
-            Event::Started { request, attempt } => {
+            Event::ConnectionEstablished { request, attempt } => {
                 self.started(now, request, attempt, actions);
                 self.spend_probes(now, actions)
             }
-            Event::Noted { request, note } => self.noted(now, request, note, actions),
-            Event::Ended { request, attempt, outcome, answered } => {
+            Event::ConnectionMeasured { request, measurement } => {
+                self.noted(now, request, measurement, actions)
+            }
+            Event::AttemptEnded { request, attempt, outcome, answered } => {
                 self.ended(now, request, attempt, (outcome, answered), actions)
             }
-            Event::Left { request } => self.settle(request),
-            Event::Told { server, took } => self.told(now, server, took),
-            Event::SetUpSlow => self.slow_down(now, 0),
-            Event::Sample(groups) => groups.iter().for_each(|&group| self.see(group)),
-            Event::Wake => {}
-            Event::Probed { server, report, .. } => self.probed(now, server, report, actions),
+            Event::ClientLeft { request } => self.settle(request),
+            Event::PeerObservation { server, took } => self.told(now, server, took),
+            Event::PeerSetupSlow => self.slow_down(now, 0),
+            Event::PeerGroupSample(groups) => groups.iter().for_each(|&group| self.see(group)),
+            Event::TimerFired => {}
+            Event::ProbeCompleted { server, report, .. } => self.probed(now, server, report, actions),
         }
         self.keep_time(now, actions);
     }
 
     /// Whether anything may still come or go for a request; if not, the host can forget it.
-    pub fn keeps(&self, request: RequestId) -> bool {
+    pub fn is_tracked(&self, request: RequestId) -> bool {
         self.requests.contains_key(&request)
     }
 
@@ -275,32 +277,32 @@
     }
 
     /// Groups of the connections that stand here, for other balancers.
-    pub fn standing_groups(&self) -> impl Iterator<Item = GroupMark> + '_ {
+    pub fn established_groups(&self) -> impl Iterator<Item = GroupHash> + '_ {
         let open = self.servers.values().flat_map(|s| &s.open);
-        open.filter_map(|id| Some(self.requests.get(id)?.group?.mark()))
+        open.filter_map(|id| Some(self.requests.get(id)?.group?.short_hash()))
     }
 
     /// What this balancer has learned of a server, for another that takes its place...
-    pub fn learned(&self, server: ServerId) -> Option<Learned> {
+    pub fn learned_state(&self, server: ServerId) -> Option<LearnedState> {
         self.servers.get(&server).map(|s| s.known)
     }
     /// ...which takes that in for each server of its list.
-    pub fn learn(&mut self, server: ServerId, known: Learned) {
+    pub fn restore_learned_state(&mut self, server: ServerId, known: LearnedState) {
         self.servers.entry(server).and_modify(|s| (s.known, s.gap) = (known, 0.0));
     }
 
     /// Whether the pick avoids a listed server now: it failed, or is in trouble and has no room.
-    pub fn avoids(&self, now: Time, server: ServerId) -> bool {
+    pub fn is_avoided(&self, now: Time, server: ServerId) -> bool {
         let hot = |s: &Server| !s.calm(now, self.lately) && s.held >= s.known.ceiling;
         self.servers.get(&server).is_some_and(|s| !s.healthy(now) || hot(s))
     }
 
     // ---- Servers and list following ----
 
-    fn follow_list(&mut self, now: Time, entries: &[Listed], whole: bool) {
+    fn follow_list(&mut self, now: Time, entries: &[EndpointEntry], whole: bool) {
         self.list_failures = 0;
         if whole {
-            self.servers.values_mut().for_each(|s| s.listed.standing = Standing::Gone);
+            self.servers.values_mut().for_each(|s| s.listed.state = EndpointState::Gone);
         }
         for entry in entries {
             self.lives += 1;
@@ -318,7 +320,7 @@
             }
         }
         // What is gone is forgotten once nothing of it is out.
-        self.servers.retain(|_, s| s.listed.standing != Standing::Gone || !s.idle());
+        self.servers.retain(|_, s| s.listed.state != EndpointState::Gone || !s.idle());
         let weights = self.serving().map(Server::weight);
         let mean = weights.sum::<f64>() / self.serving().count().max(1) as f64;
         let gap = self.cold_gap();
@@ -333,7 +335,7 @@
     /// Asks again after a growing, jittered wait, the longer the more balancers may have failed as well.
     /// Danger: calls are served in turn; such as come again before that keep each other waiting, for good.
     fn list_failed(&mut self, now: Time) {
-        if self.settings.must_ask {
+        if self.settings.poll_required {
             let (first, most) = self.settings.list_waits();
             let wait = jitter(&mut self.rng, first.saturating_mul(1 << self.list_failures.min(6)).min(most));
             self.list_failures += 1;
@@ -342,7 +344,7 @@
     }
 
     fn serving(&self) -> impl Iterator<Item = &Server> {
-        self.servers.values().filter(|s| s.listed.standing == Standing::Serving)
+        self.servers.values().filter(|s| s.listed.state == EndpointState::Serving)
     }
 
     // ---- Ceilings ----
@@ -358,11 +360,11 @@
         Some(all).filter(|all| *all > 0.0).map_or(1.0, |all| (class / all).min(MOST_SLOTS))
     }
 
-    fn noted(&mut self, now: Time, id: RequestId, note: Note, actions: &mut Vec<Action>) {
+    fn noted(&mut self, now: Time, id: RequestId, measurement: Measurement, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.out else { return };
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
-        if let Note::Load(load) = note {
+        if let Measurement::Load(load) = measurement {
             // Danger: one senseless figure would spoil the means for good.
             if !(load.is_finite() && load >= 0.0) {
                 return;
@@ -377,15 +379,15 @@
             }
             request.slots = slots;
         }
-        if let (Note::MessageTime(took), true) = (note, self.message_aim > 0) {
+        if let (Measurement::MessageTime(took), true) = (measurement, self.message_objective > 0) {
             // Danger: worth is lost to slow messages long before a server refuses or drops.
-            let late = took as f64 / self.message_aim as f64;
+            let late = took as f64 / self.message_objective as f64;
             // Each word measures what is held now. Danger: cut anew from the last cut, a ceiling would come
             // to nothing while the work that had piled up is done, and stay there when it is.
             let keep = if late >= SLOW { 1.0 / (1.0 + late) } else { 1.0 };
             server.known.ceiling = server.held * keep;
             if late >= SLOW {
-                server.known.troubled = Some(now);
+                server.known.last_fault = Some(now);
             }
             if late >= TOO_SLOW {
                 self.move_some(now, attempt.server, late, actions);
@@ -397,20 +399,20 @@
     /// and takes no more of this one's. Danger: one that dropped has room again, but draws more than it bears
     /// if all of many balancers go on as before. All hear it, and they must not all try it again at once.
     fn told(&mut self, now: Time, id: ServerId, took: Option<Micros>) {
-        let late = took.map(|took| took as f64 / self.message_aim.max(1) as f64);
+        let late = took.map(|took| took as f64 / self.message_objective.max(1) as f64);
         let again = self.settings.word_holds() as f64 * self.rng.random::<f64>();
         let heeded = late.is_none_or(|late| late >= SLOW);
         let Some(server) = self.servers.get_mut(&id).filter(|_| heeded) else { return };
         let free = (server.known.ceiling - server.held).max(0.0);
         let limit = late.map_or(server.held + free * WORD_LEAVES, |late| server.held / (1.0 + late));
         server.known.ceiling = server.known.ceiling.min(limit);
-        server.known.troubled = server.known.troubled.max(Some(now.plus(again as Micros)));
+        server.known.last_fault = server.known.last_fault.max(Some(now.plus(again as Micros)));
     }
 
     /// A report sets the ceiling over what is held here by this balancer's part of the free capacity. Danger:
     /// of many balancers' parts each is next to nothing, against a few slots of a server never asked.
-    fn probed(&mut self, now: Time, id: ServerId, report: Option<Report>, actions: &mut Vec<Action>) {
-        let Some(report) = report.and_then(Report::sound) else { return };
+    fn probed(&mut self, now: Time, id: ServerId, report: Option<LoadReport>, actions: &mut Vec<Action>) {
+        let Some(report) = report.and_then(LoadReport::sound) else { return };
         // Danger: a report is some time old, so what has come since the last one is not taken to be in it;
         // and one that says the same again may be the same.
         let Some(server) = self.servers.get_mut(&id).filter(|s| s.report != Some(report)) else { return };
@@ -436,9 +438,9 @@
 
     /// DEPARTURE: a server that has become too full gives up connections while others have room: those that
     /// free the most slots for their worth, the group's included if it is the last of it here. Where messages
-    /// take many times their aim nothing there is worth its while, and a good part goes at each word of that.
+    /// take many times their objective nothing there is worth its while, and a good part goes at each word of that.
     fn move_some(&mut self, now: Time, from: ServerId, late: f64, actions: &mut Vec<Action>) {
-        let rested = |s: &&Server| s.known.moved.is_none_or(|at| now.since(at) >= MOVE_GAP);
+        let rested = |s: &&Server| s.known.last_migration.is_none_or(|at| now.since(at) >= MOVE_GAP);
         let Some(server) = self.servers.get(&from).filter(rested) else { return };
         // Danger: every balancer is told of a hot server; many that hold little each would empty it. One
         // goes for every few slots held here: as large a part of the whole at any number of balancers.
@@ -447,17 +449,18 @@
         let wanted = f64::max(few, many) + self.rng.random::<f64>();
         // Danger: every hot server may give up some, at every balancer: there must be room for all those.
         let (calm, hot): (Vec<_>, Vec<_>) =
-            self.serving().partition(|s| s.calm(now, self.lately) && s.known.failures == 0);
+            self.serving().partition(|s| s.calm(now, self.lately) && s.known.consecutive_failures == 0);
         let ceiling = |s: &Server| s.known.ceiling * s.warmth(&self.settings, now);
         let most = |s: &&Server| ceiling(s) + s.overflow(now, self.lately, FEW) - s.held;
-        let open = calm.iter().filter(|s| now >= s.known.next_cold_send);
+        let open = calm.iter().filter(|s| now >= s.known.next_slow_start_send);
         let room: f64 = open.map(most).map(|room| room.max(0.0)).sum();
         let relief = |id: &RequestId| {
             let request = self.requests.get(id).filter(|r| !r.moved)?;
             // Worth alone says nothing of the relief: where no loads are told all count alike.
             let class = self.settings.classes.get(request.class.0 as usize);
-            let worth = class.filter(|_| self.loads.count > 0.0).map_or(1.0, |c| c.worth.max(0.01));
-            Some((server.relief(request.group, request.slots) / worth, *id))
+            let priority_weight =
+                class.filter(|_| self.loads.count > 0.0).map_or(1.0, |c| c.priority_weight.max(0.01));
+            Some((server.relief(request.group, request.slots) / priority_weight, *id))
         };
         let mut best: Vec<_> = server.open.iter().filter_map(relief).collect();
         best.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -465,16 +468,16 @@
         let least = if late < HOPELESS { 0.0 } else { few };
         best.truncate(wanted.min(room / hot.len().max(1) as f64).max(least) as usize);
         for (_, request) in best {
-            self.servers.entry(from).and_modify(|s| s.known.moved = Some(now));
+            self.servers.entry(from).and_modify(|s| s.known.last_migration = Some(now));
             self.requests.entry(request).and_modify(|r| r.moved = true);
-            actions.push(Action::Move { request });
+            actions.push(Action::Migrate { request });
         }
     }
 
     // ---- Groups and pace ----
 
     /// A connection stands somewhere, of this group if of any.
-    fn see(&mut self, group: Option<GroupMark>) {
+    fn see(&mut self, group: Option<GroupHash>) {
         let Some(group) = group else { return };
         *self.groups.entry(group).or_insert(0.0) += 1.0;
         self.groups_seen += 1.0;
@@ -487,7 +490,7 @@
 
     /// As many of so many servers as a group fills by its share of all connections.
     fn servers_for(&self, group: GroupId, servers: f64) -> usize {
-        let seen = self.groups.get(&group.mark()).copied().unwrap_or(0.0);
+        let seen = self.groups.get(&group.short_hash()).copied().unwrap_or(0.0);
         (seen / (self.groups_seen + GROUPS_PRIOR) * servers).ceil().max(1.0) as usize
     }
 
@@ -505,7 +508,7 @@
 
     /// It rises evenly within a warm-up. Danger: a queue longer than clients wait stays while more is let in.
     fn speed_up(&mut self, now: Time) {
-        let (all, from) = (self.settings.warm_up.max(1), self.pace_at);
+        let (all, from) = (self.settings.slow_start_duration.max(1), self.pace_at);
         let from = if self.erred.is_some_and(|(_, at)| now.since(at) < all / LONG) { now } else { from };
         self.pace = (self.pace + now.since(from) as f64 / all as f64).min(1.0);
         self.pace_at = self.pace_at.max(now);
@@ -517,41 +520,43 @@
     /// comes back by single trials that far apart, closer by half with each that starts.
     fn failed(&mut self, now: Time, id: ServerId, sent: Time) {
         // What was sent before the last failure says nothing new: many that fail together are one.
-        let news = |s: &&mut Server| s.known.failed_at.is_none_or(|at| sent > at);
+        let news = |s: &&mut Server| s.known.last_failure.is_none_or(|at| sent > at);
         let Some(server) = self.servers.get_mut(&id).filter(news) else { return };
-        server.known.failed_at = Some(now);
-        server.known.failures = (server.known.failures + FAILURE_STEP).min(16);
+        server.known.last_failure = Some(now);
+        server.known.consecutive_failures = (server.known.consecutive_failures + FAILURE_STEP).min(16);
         self.rest(now, id);
     }
 
     /// Keeps a failing server from trials for a while.
     fn rest(&mut self, now: Time, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let most = self.settings.warm_up.max(self.settings.connect_timeout);
-        let wait = self.settings.connect_timeout.saturating_mul(1 << server.known.failures).min(most);
-        server.known.out_until = now.plus(jitter(&mut self.rng, wait));
+        let most = self.settings.slow_start_duration.max(self.settings.connect_timeout);
+        let wait =
+            self.settings.connect_timeout.saturating_mul(1 << server.known.consecutive_failures).min(most);
+        server.known.ejected_until = now.plus(jitter(&mut self.rng, wait));
     }
 
     /// Danger (rule 4): a cold server shows all its slots free and would draw everything. Time between sends
     /// to it, were it warm, such that it stands if every balancer does so: it is filled over its warm-up, and
     /// holds what reports say, or else at least what all have held. By what is held now it fills too late.
     fn cold_gap(&self) -> f64 {
-        let (all, warm_up) = (f64::from(self.settings.balancers.max(1)), self.settings.warm_up as f64);
+        let (all, slow_start_duration) =
+            (f64::from(self.settings.balancers.max(1)), self.settings.slow_start_duration as f64);
         let size = f64::max(1.0 / all, self.most.0 / f64::max(1.0, self.most.1)) * COLD_SAFETY;
         // What all may send it in a window were it warm, and half of the rule's slack, less one from each.
-        let rate = self.settings.fall_multiple / warm_up.max(1.0);
-        let due = (rate * self.settings.fall_window as f64 * self.part * all).max(1.0);
+        let rate = self.settings.slow_start_overload_factor / slow_start_duration.max(1.0);
+        let due = (rate * self.settings.slow_start_window as f64 * self.part * all).max(1.0);
         let slack = (SLACK.0 * due.sqrt() + SLACK.1 - all).max(0.0);
-        1.0 / (rate * size.max(self.part * (1.0 + slack / due))).max(0.01 / warm_up.max(1.0))
+        1.0 / (rate * size.max(self.part * (1.0 + slack / due))).max(0.01 / slow_start_duration.max(1.0))
     }
 
     /// Where a balancer's part of a cold server is less than one connection in its whole warm-up: the chance
     /// by which this one may be that, were the server warm, by the time since the last: from all together it
     /// gets its part on the mean. Danger: a part saved up is mostly not there when it is wanted.
     fn cold_part(&mut self, now: Time) -> Option<f64> {
-        let earned = now.since(std::mem::replace(&mut self.picked, now)).min(self.settings.fall_window);
+        let earned = now.since(std::mem::replace(&mut self.picked, now)).min(self.settings.slow_start_window);
         let (gap, servers) = (self.cold_gap(), self.serving().count());
-        (gap > self.settings.warm_up as f64).then_some(earned as f64 * servers as f64 / gap)
+        (gap > self.settings.slow_start_duration as f64).then_some(earned as f64 * servers as f64 / gap)
     }
 
     // ---- Pick ----
@@ -561,18 +566,19 @@
     fn pick(&mut self, now: Time, id: RequestId) -> Option<ServerId> {
         let (cold_part, gap) = (self.cold_part(now), self.cold_gap());
         let request = self.requests.get(&id)?;
-        let repeat = self.repeat(request.class);
+        let idempotency = self.idempotency(request.class);
         let mut lots = Vec::with_capacity(self.servers.len());
         let (mut all, mut held) = (0.0, 0.0);
-        for s in self.servers.values_mut().filter(|s| s.listed.standing == Standing::Serving) {
+        for s in self.servers.values_mut().filter(|s| s.listed.state == EndpointState::Serving) {
             s.give_back(now, self.lately);
             all += 1.0;
             held += s.held;
             let warmth = s.warmth(&self.settings, now);
             s.shorten(now, gap);
             let chance = cold_part.filter(|_| warmth < 1.0).map(|part| (part * warmth).min(1.0));
-            let ready = chance.map_or(now >= s.known.next_cold_send, |chance| self.rng.random_bool(chance));
-            let elsewhere = request.failed_at != Some(s.listed.server) && request.may_go(repeat, now, s);
+            let ready =
+                chance.map_or(now >= s.known.next_slow_start_send, |chance| self.rng.random_bool(chance));
+            let elsewhere = request.failed_at != Some(s.listed.server) && request.may_go(idempotency, now, s);
             if !(ready && elsewhere && s.healthy(now)) {
                 continue;
             }
@@ -594,7 +600,7 @@
         // Danger: ceilings rise with what is accepted. Were the own zone always first, all that returns at
         // once after a restart would end there; a few connections more than elsewhere are worth a crossing.
         let most = OWN_MORE * held / f64::max(all, 1.0) + FEW;
-        let own_first = self.settings.cross_zone_price > 0.0;
+        let own_first = self.settings.cross_zone_cost > 0.0;
         let few = request.group.map_or(0, |group| self.servers_for(group, all));
         let mut among = |share: fn(&Lot) -> f64, own_first: bool| {
             let mut fit: Vec<_> = lots.iter().filter(|lot| share(lot) > 0.0).collect();
@@ -624,30 +630,30 @@
     fn desperate(&self, now: Time, id: RequestId) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
         // Danger: to press on a fleet that drops and refuses keeps it from ever recovering.
-        let silent = |s: &&Server| s.known.failures > 0 && s.calm(now, self.lately);
+        let silent = |s: &&Server| s.known.consecutive_failures > 0 && s.calm(now, self.lately);
         if self.serving().filter(silent).count() * 2 <= self.serving().count() {
             return None;
         }
         self.serving()
             .filter(silent)
-            .filter(|s| s.opening == 0 && now >= s.known.next_cold_send)
-            .filter(|s| request.may_go(self.repeat(request.class), now, s))
-            .min_by_key(|s| s.known.out_until)
+            .filter(|s| s.opening == 0 && now >= s.known.next_slow_start_send)
+            .filter(|s| request.may_go(self.idempotency(request.class), now, s))
+            .min_by_key(|s| s.known.ejected_until)
             .map(|s| s.listed.server)
     }
 
     /// Rule 2: whether a refusal, which promises that trying again is harmless, would be true.
-    pub fn may_refuse(&self, id: RequestId) -> bool {
+    pub fn may_reject(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        match self.repeat(request.class) {
-            Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+        match self.idempotency(request.class) {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
             _ => request.may_have_run.is_none() && request.out.is_none(),
         }
     }
 
     /// Danger: of a class that was never described, the worst has to be assumed.
-    fn repeat(&self, class: ClassId) -> Repeat {
-        self.settings.classes.get(class.0 as usize).map_or(Repeat::Unsafe, |c| c.repeat)
+    fn idempotency(&self, class: ClassId) -> Idempotency {
+        self.settings.classes.get(class.0 as usize).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
     }
 
     // ---- Life of a request ----
@@ -675,7 +681,7 @@
         server.open.insert(id);
         server.known.ceiling = server.known.ceiling.max(server.held);
         let out = Attempt { open: true, ..server.attempt(0, Time(0)) };
-        self.see(request.group.map(GroupId::mark));
+        self.see(request.group.map(GroupId::short_hash));
         let request = Request { answered: true, attempts: 1, out: Some(out), ..request };
         self.requests.insert(id, request);
     }
@@ -693,21 +699,21 @@
     /// The one place that sends.
     fn send(&mut self, now: Time, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
         let gap = self.cold_gap();
-        let within = self.requests.get(&id).and_then(|r| r.window_left(self.repeat(r.class), now));
+        let within = self.requests.get(&id).and_then(|r| r.window_left(self.idempotency(r.class), now));
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else {
             return;
         };
         server.space_out(&self.settings, now, gap, 1.0);
         server.hold(request.group, request.slots);
         server.opening += 1;
-        let failing = server.known.failures > 0;
+        let failing = server.known.consecutive_failures > 0;
         let filled = server.held >= server.known.ceiling;
         request.out = Some(Attempt { filled, ..server.attempt(request.attempts, now) });
         request.attempts += 1;
         // Danger: given up half way, it is set up all the same, for nobody: twice the work, mostly in vain,
         // for a slow session store. One that is not there is known by the connection that does not come up.
         let timeout = request.due.since(now).max(1);
-        actions.push(Action::Send { request: id, server: to, timeout, within });
+        actions.push(Action::StartAttempt { request: id, server: to, timeout, within });
         if failing {
             self.rest(now, to);
         }
@@ -717,13 +723,13 @@
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.answered) else { return };
         if let Some(attempt) = request.out.map(|a| a.number).filter(|_| self.settings.cancel) {
-            actions.push(Action::Cancel { request: id, attempt });
+            actions.push(Action::CancelAttempt { request: id, attempt });
         }
         // Danger: refused clients that are told one time come back as one wave.
         let most = if self.settings.retry_after { self.settings.max_retry_after } else { 0 };
         let retry_after = jitter(&mut self.rng, most * 2 / 3);
-        actions.push(match self.may_refuse(id) {
-            true => Action::Refuse { request: id, retry_after },
+        actions.push(match self.may_reject(id) {
+            true => Action::Reject { request: id, retry_after },
             false => Action::Fail { request: id },
         });
         self.settle(id);
@@ -743,12 +749,12 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.out.as_mut().filter(|a| a.number == number && !a.open) else { return };
         attempt.open = true;
-        let (took, aim) = (now.since(attempt.sent), self.settings.setup_aim());
-        let group = request.group.map(GroupId::mark);
+        let (took, aim) = (now.since(attempt.sent), self.settings.setup_objective());
+        let group = request.group.map(GroupId::short_hash);
         if let Some(server) = self.servers.get_mut(&attempt.server).filter(|s| s.life == attempt.life) {
             server.opening -= 1;
             server.open.insert(id);
-            server.known.failures = server.known.failures.saturating_sub(1);
+            server.known.consecutive_failures = server.known.consecutive_failures.saturating_sub(1);
             if attempt.filled {
                 server.known.ceiling += 1.0;
             }
@@ -757,7 +763,7 @@
         self.erred = None;
         if aim > 0 && took > aim {
             self.slow_down(now, 0);
-            actions.push(Action::SetUpSlow);
+            actions.push(Action::ReportSlowSetup);
         }
         self.settle(id);
     }
@@ -776,8 +782,9 @@
         // One server that errs or is silent may have its own trouble; two have more in common.
         let failed = !attempt.open && matches!(outcome, Outcome::TimedOut | Outcome::Error);
         let last = if failed { self.erred.replace((attempt.server, now)) } else { None };
-        let alike =
-            last.is_some_and(|(at, when)| at != attempt.server && now.since(when) <= self.settings.warm_up);
+        let alike = last.is_some_and(|(at, when)| {
+            at != attempt.server && now.since(when) <= self.settings.slow_start_duration
+        });
         if !outcome.never_ran() && request.may_have_run.is_none() {
             request.may_have_run = Some((attempt.zone, attempt.cell, attempt.sent));
         }
@@ -786,12 +793,12 @@
             server.open.remove(&id);
             server.release(request.group, request.slots);
             match (attempt.open, outcome) {
-                (_, Outcome::Full) | (true, Outcome::Reset) => server.lower(now, CUT),
+                (_, Outcome::Rejected) | (true, Outcome::Reset) => server.lower(now, CUT),
                 (false, Outcome::TimedOut) => server.lower(now, 1.0),
                 _ => {}
             }
-            if attempt.open && outcome == Outcome::Reset && server.listed.standing == Standing::Serving {
-                actions.push(Action::Dropped { server: attempt.server });
+            if attempt.open && outcome == Outcome::Reset && server.listed.state == EndpointState::Serving {
+                actions.push(Action::ReportDrop { server: attempt.server });
             }
             // Danger: a server that drops what it has accepted always shows free room, and would draw all.
             let lost = match outcome {
@@ -805,7 +812,7 @@
         }
         if alike {
             self.slow_down(now, now.since(attempt.sent));
-            actions.push(Action::SetUpSlow);
+            actions.push(Action::ReportSlowSetup);
         }
         match answered || given_up {
             true => self.settle(id),
@@ -826,13 +833,13 @@
         }
         if self.subscribe_at.is_some_and(|at| at <= now) {
             self.subscribe_at = None;
-            actions.push(Action::Subscribe);
+            actions.push(Action::WatchEndpoints);
         }
         self.armed = self.armed.filter(|&at| at > now);
         let next = self.owed.first().map(|&(due, _)| due).into_iter().chain(self.subscribe_at).min();
         if let Some(next) = next.filter(|&next| self.armed.is_none_or(|armed| next < armed)) {
             self.armed = Some(next);
-            actions.push(Action::WakeIn(next.since(now)));
+            actions.push(Action::SetTimer(next.since(now)));
         }
     }
 
@@ -841,14 +848,14 @@
         if !(self.settings.probes && self.settings.probe_reports) {
             return;
         }
-        let earned = PROBE_SPEND / self.settings.probe_price.max(PROBE_SPEND / 4.0);
+        let earned = PROBE_SPEND / self.settings.probe_cost.max(PROBE_SPEND / 4.0);
         self.probe_credit = (self.probe_credit + earned).min(self.servers.len() as f64);
         while self.probe_credit >= 1.0 {
             self.probe_credit -= 1.0;
-            let serving = self.servers.values_mut().filter(|s| s.listed.standing == Standing::Serving);
+            let serving = self.servers.values_mut().filter(|s| s.listed.state == EndpointState::Serving);
             let Some(server) = serving.min_by_key(|s| s.probed) else { return };
             server.probed = Some(now);
-            actions.push(Action::Probe { server: server.listed.server });
+            actions.push(Action::ProbeServer { server: server.listed.server });
         }
     }
 }
@@ -860,39 +867,39 @@
     }
 
     fn attempt(&self, number: u32, sent: Time) -> Attempt {
-        let Listed { server, zone, cell, .. } = self.listed;
+        let EndpointEntry { server, zone, cell, .. } = self.listed;
         Attempt { number, server, zone, cell, life: self.life, sent, filled: false, open: false }
     }
 
     fn healthy(&self, now: Time) -> bool {
-        self.known.failures == 0 || (self.opening == 0 && now >= self.known.out_until)
+        self.known.consecutive_failures == 0 || (self.opening == 0 && now >= self.known.ejected_until)
     }
 
     /// Share of its capacity that it surely has by now.
     fn warmth(&self, settings: &Settings, now: Time) -> f64 {
         let Some(started) = self.since else { return 1.0 };
-        let grown = now.since(started) as f64 / settings.warm_up.max(1) as f64;
-        (settings.cold_share + (1.0 - settings.cold_share) * grown).clamp(0.01, 1.0)
+        let grown = now.since(started) as f64 / settings.slow_start_duration.max(1) as f64;
+        (settings.slow_start_share + (1.0 - settings.slow_start_share) * grown).clamp(0.01, 1.0)
     }
 
     /// While it is cold: keeps sends apart, the more the colder it is; at first a share of that.
     fn space_out(&mut self, settings: &Settings, now: Time, gap: f64, share: f64) {
         let wait = gap * share / self.warmth(settings, now);
-        let warm = self.since.map_or(now, |at| at.plus(settings.warm_up));
-        (self.gap, self.known.next_cold_send) = (gap, now.plus(wait as Micros).min(warm));
+        let warm = self.since.map_or(now, |at| at.plus(settings.slow_start_duration));
+        (self.gap, self.known.next_slow_start_send) = (gap, now.plus(wait as Micros).min(warm));
     }
 
     /// Danger: a wait from when less was known of what servers hold would keep a cold one empty.
     fn shorten(&mut self, now: Time, gap: f64) {
         if gap < self.gap {
-            let left = self.known.next_cold_send.since(now) as f64 * gap / self.gap;
-            (self.gap, self.known.next_cold_send) = (gap, now.plus(left as Micros));
+            let left = self.known.next_slow_start_send.since(now) as f64 * gap / self.gap;
+            (self.gap, self.known.next_slow_start_send) = (gap, now.plus(left as Micros));
         }
     }
 
     /// Whether it has not lately refused, dropped or been slow.
     fn calm(&self, now: Time, lately: Micros) -> bool {
-        self.known.troubled.is_none_or(|at| now.since(at) > lately)
+        self.known.last_fault.is_none_or(|at| now.since(at) > lately)
     }
 
     /// How far it may go over its ceiling, for a connection that takes so many slots. Danger: "one" of a slot
@@ -949,10 +956,10 @@
         if self.opening == 0 && self.calm(now, LONG * lately) {
             self.known.ceiling = self.known.ceiling.max(self.held);
         } else if self.known.ceiling < self.held.max(1.0)
-            && self.known.troubled.is_some()
+            && self.known.last_fault.is_some()
             && self.calm(now, lately)
         {
-            self.known.troubled = Some(now);
+            self.known.last_fault = Some(now);
             self.known.ceiling = (self.known.ceiling + 1.0).min(self.held.max(1.0));
         }
     }
@@ -961,7 +968,7 @@
     /// with a floor of a slot, one that dropped the last connection held here would have room again at once.
     fn lower(&mut self, now: Time, keep: f64) {
         self.known.ceiling = self.known.ceiling.min(self.held) * keep;
-        self.known.troubled = Some(now);
+        self.known.last_fault = Some(now);
     }
 }
 
@@ -989,22 +996,22 @@
     }
 
     /// How long repeats of what may have run are still dropped.
-    fn window_left(&self, repeat: Repeat, now: Time) -> Option<Micros> {
-        let Repeat::Keyed { window, .. } = repeat else { return None };
+    fn window_left(&self, idempotency: Idempotency, now: Time) -> Option<Micros> {
+        let Idempotency::IdempotencyKey { window, .. } = idempotency else { return None };
         self.may_have_run.map(|(.., since)| window.saturating_sub(now.since(since)))
     }
 
     /// Rule 2: once an attempt may have run, another goes only where it has no second effect.
-    fn may_go(&self, repeat: Repeat, now: Time, server: &Server) -> bool {
+    fn may_go(&self, idempotency: Idempotency, now: Time, server: &Server) -> bool {
         let Some((zone, cell, _)) = self.may_have_run else { return true };
-        let known = match repeat {
-            Repeat::Safe => return true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { scope: Scope::All, .. } => true,
-            Repeat::Keyed { scope: Scope::Zone, .. } => server.listed.zone == zone,
-            Repeat::Keyed { scope: Scope::Cell, .. } => server.listed.cell == cell,
+        let known = match idempotency {
+            Idempotency::Idempotent => return true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
+            Idempotency::IdempotencyKey { scope: KeyScope::Zone, .. } => server.listed.zone == zone,
+            Idempotency::IdempotencyKey { scope: KeyScope::Cell, .. } => server.listed.cell == cell,
         };
-        known && self.window_left(repeat, now) > Some(0)
+        known && self.window_left(idempotency, now) > Some(0)
     }
 }
 
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -12,7 +12,7 @@
 use crate::routing::store::LONGEST_NODE;
 use crate::routing::{stored_host, Budget, Endpoint, Lifecycle, PoolSetup, MOST_PROBES};
 use crate::transport::MOST_CALLERS;
-use crate::{rebalance, Class, Micros, Repeat, Scope, Settings, Tenant, ZoneId};
+use crate::{rebalance, Class, Idempotency, KeyScope, Micros, Settings, Tenant, ZoneId};
 
 /// The client of the platform has so long for its first line, which it sends at once. One that says
 /// nothing is to be closed within 3 s, the wait to be accepted included.
@@ -309,10 +309,10 @@
         balancers: root.at("balancers").count(1)?,
         zone: zone(&root.at("zone"), &zones)?,
         classes: vec![Class {
-            worth: class.at("worth").number(1.0)?,
-            setup_aim: class.at("setup_aim_ms").millis(give_up / 4)?,
-            message_aim: 0,
-            repeat: Repeat::Safe,
+            priority_weight: class.at("worth").number(1.0)?,
+            setup_objective: class.at("setup_aim_ms").millis(give_up / 4)?,
+            message_objective: 0,
+            idempotency: Idempotency::Idempotent,
         }],
         tenants: tenant.iter().map(|_| Tenant::default()).collect(),
         max_attempts: limits.at("legs").count(6)?.min(6),
@@ -320,8 +320,8 @@
         retry_after: true,
         max_retry_after: limits.at("retry_after_ms").millis(10_000_000)?,
         connect_timeout: limits.at("connect_ms").some_millis(1_000_000)?,
-        cold_share: limits.at("cold_share").within(LEAST_SHARE..=1.0, default.cold_share)?,
-        warm_up: limits.at("warm_up_ms").millis(default.warm_up)?,
+        slow_start_share: limits.at("cold_share").within(LEAST_SHARE..=1.0, default.slow_start_share)?,
+        slow_start_duration: limits.at("warm_up_ms").millis(default.slow_start_duration)?,
         ..default
     };
     let irc = Irc {
@@ -505,10 +505,10 @@
         new_name(&mut setup.classes, &class.at("name"))?;
         setup.longest_wait = setup.longest_wait.max(class.at("deadline").some_millis(0)?);
         classes.push(Class {
-            worth: class.at("gain").number(1.0)?,
-            setup_aim: class.at("objective").millis(0)?,
-            message_aim: aims.get(n).map_or(Ok(0), |aim| aim.millis(0))?,
-            repeat: repeat(class)?,
+            priority_weight: class.at("gain").number(1.0)?,
+            setup_objective: class.at("objective").millis(0)?,
+            message_objective: aims.get(n).map_or(Ok(0), |aim| aim.millis(0))?,
+            idempotency: idempotency(class)?,
         });
     }
     let mut tenants = Vec::new();
@@ -525,26 +525,28 @@
         zone: zone(&settings.at("zone"), &setup.zones)?,
         classes,
         tenants,
-        over_share_worth: settings.at("over-share-worth").within(0.0..=1.0, default.over_share_worth)?,
+        over_quota_weight: settings.at("over-share-worth").within(0.0..=1.0, default.over_quota_weight)?,
         max_attempts: limits.at("try-limit").count(default.max_attempts)?,
         cancel: limits.at("cancel").flag(false)?,
         retry_after: limits.at("retry-after").flag(false)?,
         max_retry_after: limits.at("max-retry-after").millis(default.max_retry_after)?,
         connect_timeout: limits.at("connect-timeout").some_millis(default.connect_timeout)?,
         // On sockets a list comes only when it is asked for, whatever the simulator does.
-        must_ask: true,
-        must_ask_in: rules.at("must-ask-in").some_millis(default.must_ask_in)?,
-        pushed: pushed(&settings.at("discovery"))?,
+        poll_required: true,
+        poll_interval: rules.at("must-ask-in").some_millis(default.poll_interval)?,
+        endpoints_pushed: endpoints_pushed(&settings.at("discovery"))?,
         drain_grace: rules.at("drain-grace").some_millis(default.drain_grace)?,
         probes: limits.at("probing").flag(false)?,
         probe_reports: !setup.reports.is_empty(),
-        probe_price: charges.at("probe").number(0.0)?,
-        cross_zone_price: charges.at("cross-zone").number(0.0)?,
-        move_price: charges.at("moves").number(0.0)?,
-        cold_share: rules.at("cold-share").within(LEAST_SHARE..=1.0, default.cold_share)?,
-        warm_up: rules.at("warm-up").millis(default.warm_up)?,
-        fall_multiple: rules.at("tip-multiple").within(1.0..=1e6, default.fall_multiple)?,
-        fall_window: rules.at("overload-for").some_millis(default.fall_window)?,
+        probe_cost: charges.at("probe").number(0.0)?,
+        cross_zone_cost: charges.at("cross-zone").number(0.0)?,
+        migration_cost: charges.at("moves").number(0.0)?,
+        slow_start_share: rules.at("cold-share").within(LEAST_SHARE..=1.0, default.slow_start_share)?,
+        slow_start_duration: rules.at("warm-up").millis(default.slow_start_duration)?,
+        slow_start_overload_factor: rules
+            .at("tip-multiple")
+            .within(1.0..=1e6, default.slow_start_overload_factor)?,
+        slow_start_window: rules.at("overload-for").some_millis(default.slow_start_window)?,
     };
     Ok(setup)
 }
@@ -580,7 +582,7 @@
 }
 
 /// Whether lists are pushed, or have to be asked for.
-fn pushed(place: &Place<'_>) -> Result<bool, Fault> {
+fn endpoints_pushed(place: &Place<'_>) -> Result<bool, Fault> {
     match place.text()?.as_deref() {
         Some("pushed") => Ok(true),
         Some("on_request") | None => Ok(false),
@@ -600,18 +602,18 @@
     Ok(names.into_iter().filter(|(_, told)| *told && !off).map(|(name, _)| name).collect())
 }
 
-fn repeat(class: &Place<'_>) -> Result<Repeat, Fault> {
+fn idempotency(class: &Place<'_>) -> Result<Idempotency, Fault> {
     let (place, group) = (class.at("repeat"), class.at("group"));
     let scope = match group.text()?.as_deref() {
-        Some("all") => Scope::All,
-        Some("zone") => Scope::Zone,
-        Some("cell") | None => Scope::Cell,
+        Some("all") => KeyScope::All,
+        Some("zone") => KeyScope::Zone,
+        Some("cell") | None => KeyScope::Cell,
         Some(_) => return Err(group.fault("all, zone or cell is wanted")),
     };
     match place.text()?.as_deref() {
-        Some("repeatable") => Ok(Repeat::Safe),
-        Some("by_key") => Ok(Repeat::Keyed { scope, window: known_for(class)? }),
-        Some("once") | None => Ok(Repeat::Unsafe),
+        Some("repeatable") => Ok(Idempotency::Idempotent),
+        Some("by_key") => Ok(Idempotency::IdempotencyKey { scope, window: known_for(class)? }),
+        Some("once") | None => Ok(Idempotency::NotIdempotent),
         Some(_) => Err(place.fault("repeatable, by_key or once is wanted")),
     }
 }
--- a/src/protocol/hot_restart.rs
+++ b/src/protocol/hot_restart.rs
@@ -7,7 +7,7 @@
 
 use crate::routing::store::{Entry, Store};
 use crate::routing::{ConnectionRequest, Endpoint, Legacy, Lifecycle, Standing};
-use crate::{Learned, Time};
+use crate::{LearnedState, Time};
 
 /// The longest message.
 pub const LONGEST: usize = 16 << 10;
@@ -46,7 +46,7 @@
     Ban(String),
     EverListed(String),
     Entry(String, Entry),
-    Host { pool: String, host: Endpoint, learned: Option<Learned> },
+    Host { pool: String, host: Endpoint, learned: Option<LearnedState> },
     Returned { pool: String, host: String, since: Time },
     Id { pool: String, id: String },
     Left(u64),
@@ -117,15 +117,15 @@
     be_f64.verify(|number: &f64| number.is_finite()).parse_next(input)
 }
 
-fn learned(input: &mut &[u8]) -> ModalResult<Learned> {
-    Ok(Learned {
+fn learned_state(input: &mut &[u8]) -> ModalResult<LearnedState> {
+    Ok(LearnedState {
         ceiling: number.verify(|ceiling| *ceiling >= 0.0).parse_next(input)?,
-        troubled: maybe(time).parse_next(input)?,
-        failures: be_u32.verify(|failures| *failures <= 16).parse_next(input)?,
-        failed_at: maybe(time).parse_next(input)?,
-        out_until: time(input)?,
-        next_cold_send: time(input)?,
-        moved: maybe(time).parse_next(input)?,
+        last_fault: maybe(time).parse_next(input)?,
+        consecutive_failures: be_u32.verify(|failures| *failures <= 16).parse_next(input)?,
+        last_failure: maybe(time).parse_next(input)?,
+        ejected_until: time(input)?,
+        next_slow_start_send: time(input)?,
+        last_migration: maybe(time).parse_next(input)?,
     })
 }
 
@@ -174,7 +174,7 @@
         b'B' => text.map(Part::Ban),
         b'N' => text.map(Part::EverListed),
         b'E' => entry.verify(|(key, entry)| Store::sound(key, entry)).map(|(key, entry)| Part::Entry(key, entry)),
-        b'H' => (text, host, maybe(learned)).map(|(pool, host, learned)| Part::Host { pool, host, learned }),
+        b'H' => (text, host, maybe(learned_state)).map(|(pool, host, learned)| Part::Host { pool, host, learned }),
         b'R' => (text, text, time).map(|(pool, host, since)| Part::Returned { pool, host, since }),
         b'I' => (text, text).map(|(pool, id)| Part::Id { pool, id }),
         b'L' => be_u64.map(Part::Left),
@@ -247,9 +247,12 @@
         self.0.extend(figure.to_be_bytes());
         self
     }
-    fn learned(&mut self, known: &Learned) -> &mut Out {
-        self.number(known.ceiling).time(&known.troubled).small(known.failures).time(&known.failed_at);
-        self.figure(known.out_until.0).figure(known.next_cold_send.0).time(&known.moved)
+    fn learned_state(&mut self, known: &LearnedState) -> &mut Out {
+        self.number(known.ceiling)
+            .time(&known.last_fault)
+            .small(known.consecutive_failures)
+            .time(&known.last_failure);
+        self.figure(known.ejected_until.0).figure(known.next_slow_start_send.0).time(&known.last_migration)
     }
     fn host(&mut self, host: &Endpoint) -> &mut Out {
         self.text(&host.name).text(&host.address).text(&host.zone).small(host.cell);
@@ -272,7 +275,7 @@
                 self.maybe(&entry.value, |out, value| out.text(value))
             }
             Part::Host { pool, host, learned } => {
-                self.tag(b'H').text(pool).host(host).maybe(learned, |out, known| out.learned(known))
+                self.tag(b'H').text(pool).host(host).maybe(learned, |out, known| out.learned_state(known))
             }
             Part::Returned { pool, host, since } => self.tag(b'R').text(pool).text(host).figure(since.0),
             Part::Id { pool, id } => self.tag(b'I').text(pool).text(id),
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -5,7 +5,7 @@
 use winnow::{ModalResult, Parser};
 
 use crate::peers::{News, Sample, Word, SAMPLE};
-use crate::{GroupMark, Micros, ServerId};
+use crate::{GroupHash, Micros, ServerId};
 
 /// The longest datagram that the platform carries.
 pub const LONGEST: usize = 256;
@@ -41,7 +41,7 @@
 
 fn groups(input: &mut &[u8]) -> ModalResult<Sample> {
     let many = u8.verify(|many| usize::from(*many) <= SAMPLE);
-    let groups: Vec<GroupMark> = length_repeat(many, be_u16.map(GroupMark)).parse_next(input)?;
+    let groups: Vec<GroupHash> = length_repeat(many, be_u16.map(GroupHash)).parse_next(input)?;
     Ok(std::array::from_fn(|n| groups.get(n).copied()))
 }
 
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -10,7 +10,7 @@
 use super::lines::{Cut, Lines, Measure, Relay};
 use super::{hashed, Front, Step, LONGEST_LINE};
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest, ProbeEnd};
-use crate::{Micros, Report};
+use crate::{LoadReport, Micros};
 
 /// The first line of an client.
 #[derive(Debug, PartialEq)]
@@ -123,7 +123,7 @@
 
 /// What a report tells of the load, under the first of these names that it holds. Danger: a figure that makes no
 /// sense, or one told twice, must make no host look better than it is, nor worse.
-fn report(pairs: &[(&[u8], &[u8])], names: &[&str]) -> Option<Report> {
+fn report(pairs: &[(&[u8], &[u8])], names: &[&str]) -> Option<LoadReport> {
     let figure = |name: &str, most: f64| {
         let mut told = pairs.iter().filter(|(key, _)| *key == name.as_bytes());
         let (_, value) = told.next().filter(|_| told.next().is_none())?;
@@ -133,7 +133,7 @@
     let told = |name: &str| pairs.iter().any(|(key, _)| *key == name.as_bytes());
     let name = names.iter().find(|name| told(name))?;
     let utilisation = figure(name, MOST_LOAD)?;
-    Some(Report { utilisation, connections: figure("inflight", f64::MAX) })
+    Some(LoadReport { utilisation, connections: figure("inflight", f64::MAX) })
 }
 
 /// Reads the answer to a probe, without the line's end.
--- a/src/rebalance/gain.rs
+++ b/src/rebalance/gain.rs
@@ -4,7 +4,7 @@
 use super::{HostNow, Setup, Terms, FRESH};
 use crate::{Micros, Time};
 
-/// At this use of a host's capacity messages take a third of a tight aim, which is when hosts begin to tell; the
+/// At this use of a host's capacity messages take a third of a tight objective, which is when hosts begin to tell; the
 /// time grows as 1/(1 - use) (the mean of M/M/1 with shared service; Kleinrock, Queueing Systems, vol. 1).
 const TELLS_AT: f64 = 0.85;
 const THIRD: f64 = 1.0 / 3.0;
@@ -32,7 +32,7 @@
 /// A host that holds more than its part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Press {
-    /// Message time over the tightest aim.
+    /// Message time over the tightest objective.
     pub late: f64,
     /// Slots that it holds over its fair part.
     pub excess: f64,
@@ -41,7 +41,7 @@
 }
 
 impl Press {
-    /// Share of messages that miss the aim: exponential times.
+    /// Share of messages that miss the objective: exponential times.
     pub fn lost(&self) -> f64 {
         (-1.0 / self.late.max(0.01)).exp()
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Message time over the aim at a use of the capacity.
+/// Message time over the objective at a use of the capacity.
 fn late_at(used: f64) -> f64 {
     THIRD * (1.0 - TELLS_AT) / (1.0 - used.min(MOST_INFERRED))
 }
@@ -84,9 +84,9 @@
         return None;
     }
     let pick = |(begin, go_on): (f64, f64)| if going { go_on } else { begin };
-    if terms.tells_delay && terms.message_aim > 0 {
+    if terms.tells_delay && terms.message_objective > 0 {
         // One that could tell of slow messages and does not is not pressed.
-        let late = view.slow(now, host.host).map_or(0.0, |took| took as f64 / terms.message_aim as f64);
+        let late = view.slow(now, host.host).map_or(0.0, |took| took as f64 / terms.message_objective as f64);
         let sure = late > 0.0 && excess >= pick(MEASURED) * noise;
         return Some(Press { late, excess, sure });
     }
@@ -99,7 +99,7 @@
 /// Whether a host has started lately and nothing speaks against it: its low ceiling says only that nothing is known.
 pub fn unknown(view: &View, now: Time, host: &HostNow) -> bool {
     let fresh = host.started.is_some_and(|at| now.since(at) < FRESH);
-    fresh && host.ready && host.troubled.is_none() && !view.ever_slow(now, host.host)
+    fresh && host.ready && host.last_fault.is_none() && !view.ever_slow(now, host.host)
 }
 
 /// Slots that a host surely bears beyond what it holds, for clients that are moved.
@@ -112,12 +112,12 @@
     if fair - host.held < if fresh { ROOM_FRESH } else { ROOM_OLD } * fair.sqrt() {
         return 0.0;
     }
-    match host.troubled {
+    match host.last_fault {
         // Danger: a slow host shows few connections because that is all it bears.
         Some(at) if now.since(at) < LATELY => 0.0,
         Some(_) => host.ceiling.min(fair) * host.warmth - host.held,
         None if host.warmth < 1.0 => {
-            let pace = fair * 1e6 / terms.warm_up.max(1) as f64;
+            let pace = fair * 1e6 / terms.slow_start_duration.max(1) as f64;
             (fair * host.warmth - host.held).min(COLD_AT_ONCE * pace)
         }
         None => fair - host.held,
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -69,17 +69,17 @@
     /// Balancers that share the hosts, this one included.
     pub balancers: u32,
     /// Each class's worth a second.
-    pub worths: Vec<f64>,
-    /// The tightest aim for setting a connection up, in microseconds; 0 where there is none.
-    pub setup_aim: Micros,
-    /// The tightest aim of a message, in microseconds; 0 where unknown.
-    pub message_aim: Micros,
+    pub priority_weights: Vec<f64>,
+    /// The tightest objective for setting a connection up, in microseconds; 0 where there is none.
+    pub setup_objective: Micros,
+    /// The tightest objective of a message, in microseconds; 0 where unknown.
+    pub message_objective: Micros,
     /// Hosts tell how long messages take.
     pub tells_delay: bool,
     /// Price of each client moved once, as a share of all worth.
-    pub move_price: f64,
+    pub migration_cost: f64,
     /// A host that starts is warm after this time.
-    pub warm_up: Micros,
+    pub slow_start_duration: Micros,
 }
 
 /// What happened.
@@ -98,7 +98,7 @@
     /// Nothing is left of it here; `natural` unless it was moved or cut off.
     Ended { connection: ConnectionId, natural: bool },
     /// The list names so many hosts in use.
-    Listed { ready: usize },
+    EndpointEntry { ready: usize },
     /// The list cannot be had.
     ListLost,
     /// The list was told, with or without a change.
@@ -125,7 +125,7 @@
     /// When its process started, if not long ago.
     pub started: Option<Time>,
     /// When it last refused, dropped or was slow, in this life.
-    pub troubled: Option<Time>,
+    pub last_fault: Option<Time>,
 }
 
 /// What is to be done.
@@ -245,7 +245,7 @@
                 }
             }
             Word::Ended { connection, natural } => self.view.ended(now, connection, natural),
-            Word::Listed { ready } => self.precedence.listed(now, ready),
+            Word::EndpointEntry { ready } => self.precedence.listed(now, ready),
             Word::ListLost => self.precedence.list_lost(),
             Word::ListTold => self.precedence.list_told(),
             Word::Reloaded => self.precedence.reloaded(now),
--- a/src/rebalance/order.rs
+++ b/src/rebalance/order.rs
@@ -15,7 +15,7 @@
     /// Slots that the host is rid of: the group's part too.
     pub relief: f64,
     /// Sum of the members' worths, over the mean worth of a class.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// What may be moved off one host.
@@ -35,11 +35,11 @@
 
 /// A host's units. Clients that came back from a move are in none, and a group with such a member neither.
 pub fn units(view: &View, terms: &Terms, host: ServerId) -> Vec<Unit> {
-    let mean = terms.worths.iter().sum::<f64>() / terms.worths.len().max(1) as f64;
-    let worth = |class: u16| {
-        let worth = terms.worths.get(usize::from(class)).copied().unwrap_or(mean);
+    let mean = terms.priority_weights.iter().sum::<f64>() / terms.priority_weights.len().max(1) as f64;
+    let priority_weight = |class: u16| {
+        let priority_weight = terms.priority_weights.get(usize::from(class)).copied().unwrap_or(mean);
         if mean > 0.0 {
-            worth / mean
+            priority_weight / mean
         } else {
             1.0
         }
@@ -47,7 +47,12 @@
     let (singles, groups) = view.units(host);
     let single = |(connection, at, again): &(ConnectionId, super::Connection, bool)| {
         let slots = view.slots(at);
-        (!again).then(|| Unit { members: vec![*connection], slots, relief: slots, worth: worth(at.class) })
+        (!again).then(|| Unit {
+            members: vec![*connection],
+            slots,
+            relief: slots,
+            priority_weight: priority_weight(at.class),
+        })
     };
     let mut units: Vec<Unit> = singles.iter().filter_map(single).collect();
     for (group, members) in groups {
@@ -63,8 +68,8 @@
         }
         let slots: f64 = known.iter().map(|(at, _, _)| view.slots(at)).sum();
         let paid = if members.len() > 1 || view.elsewhere(group, host) > 0 { GROUP_SLOTS } else { 0.0 };
-        let worth = known.iter().map(|(at, _, _)| worth(at.class)).sum();
-        units.push(Unit { members, slots, relief: slots + paid, worth });
+        let priority_weight = known.iter().map(|(at, _, _)| priority_weight(at.class)).sum();
+        units.push(Unit { members, slots, relief: slots + paid, priority_weight });
     }
     units
 }
@@ -73,8 +78,8 @@
 /// connection in seconds: press and mover both last about half of it.
 pub fn choose(units: Vec<Unit>, press: &Press, held: f64, life: f64, limits: Limits) -> Vec<Unit> {
     let horizon = life / 2.0;
-    let gain = |unit: &Unit| (unit.relief * press.relief() + unit.worth * press.lost()) * horizon;
-    let cost = |unit: &Unit| unit.worth * limits.cost;
+    let gain = |unit: &Unit| (unit.relief * press.relief() + unit.priority_weight * press.lost()) * horizon;
+    let cost = |unit: &Unit| unit.priority_weight * limits.cost;
     let pays = |unit: &Unit| gain(unit) > cost(unit) * limits.margin;
     let mut paying: Vec<Unit> = units.into_iter().filter(pays).collect();
     let efficiency = |unit: &Unit| gain(unit) / cost(unit).max(f64::MIN_POSITIVE);
--- a/src/rebalance/precedence.rs
+++ b/src/rebalance/precedence.rs
@@ -42,7 +42,7 @@
     ListLost,
     FewHosts,
     Storm,
-    /// Set-ups take far longer than usual, or too long for their aim.
+    /// Set-ups take far longer than usual, or too long for their objective.
     SlowSetUps,
     /// Moved clients were refused or failed.
     Refused,
--- a/src/rebalance/rate.rs
+++ b/src/rebalance/rate.rs
@@ -22,7 +22,7 @@
 const USUAL: f64 = 1.0 / 128.0;
 /// So many set-ups have to be known before there is a usual.
 const KNOWN: u32 = 16;
-/// Set-ups are slow at so many times the usual, or at this part of the tightest aim; again sound at 0.6 of that.
+/// Set-ups are slow at so many times the usual, or at this part of the tightest objective; again sound at 0.6 of that.
 const SLOW: f64 = 2.0;
 const SLOW_OF_AIM: f64 = 1.0 / 2.0;
 /// Danger: usual times of a millisecond vary by more than that for no reason.
@@ -47,8 +47,8 @@
     at: Time,
     moved_at: Option<Time>,
     balancers: f64,
-    move_price: f64,
-    setup_aim: f64,
+    migration_cost: f64,
+    setup_objective: f64,
     /// Set-up times in microseconds: late, usual, and how many.
     quick: f64,
     usual: f64,
@@ -79,8 +79,8 @@
             at: now,
             moved_at: None,
             balancers: 1.0,
-            move_price: 0.0,
-            setup_aim: 0.0,
+            migration_cost: 0.0,
+            setup_objective: 0.0,
             quick: 0.0,
             usual: 0.0,
             set_ups: 0,
@@ -103,8 +103,8 @@
     pub(super) fn configure(&mut self, setup: &Setup, terms: &Terms) {
         self.most = setup.most_per_s;
         self.balancers = f64::from(terms.balancers.max(1));
-        self.move_price = terms.move_price;
-        self.setup_aim = terms.setup_aim as f64;
+        self.migration_cost = terms.migration_cost;
+        self.setup_objective = terms.setup_objective as f64;
         self.rate = self.rate.min(self.most);
     }
 
@@ -202,7 +202,7 @@
         let counts = took.min(self.usual * SLOW + SLOW_LEAST);
         let weight = (1.0 / f64::from(self.set_ups)).max(USUAL);
         self.usual += (counts - self.usual) * weight;
-        let (least, aim) = (self.usual * SLOW + SLOW_LEAST, self.setup_aim * SLOW_OF_AIM);
+        let (least, aim) = (self.usual * SLOW + SLOW_LEAST, self.setup_objective * SLOW_OF_AIM);
         let usual_known = self.set_ups >= KNOWN;
         let over =
             |part: f64| usual_known && self.quick > least * part || aim > 0.0 && self.quick > aim * part;
@@ -270,7 +270,7 @@
     /// a move, and the chance of a refusal.
     pub(super) fn client_cost(&self, view: &View) -> f64 {
         let refused = self.answers.1 / (self.answers.0 + self.answers.1 + 4.0);
-        let price = self.move_price * view.life(self.at);
+        let price = self.migration_cost * view.life(self.at);
         view.away_for() + self.quick / 1e6 + price + refused * REFUSED_FOR
     }
 }
--- a/src/rebalance/view.rs
+++ b/src/rebalance/view.rs
@@ -77,7 +77,7 @@
     ends: f64,
     /// How long moved clients were away, in microseconds: a running mean.
     away_for: f64,
-    message_aim: Micros,
+    message_objective: Micros,
 }
 
 impl View {
@@ -94,12 +94,12 @@
             exposure: (0.0, now),
             ends: 0.0,
             away_for: 700_000.0,
-            message_aim: terms.message_aim,
+            message_objective: terms.message_objective,
         }
     }
 
     pub(super) fn configure(&mut self, terms: &Terms) {
-        self.message_aim = terms.message_aim;
+        self.message_objective = terms.message_objective;
     }
 
     /// A client asks. Whether it is one that this balancer moved.
@@ -154,7 +154,7 @@
         // Danger: a host that nothing stands at, and that may not be listed, must not fill the map.
         let Some(host) = self.hosts.get_mut(&host) else { return };
         host.slow.retain(|(at, _)| now.since(*at) <= STREAK_OVER);
-        let third = self.message_aim / 3;
+        let third = self.message_objective / 3;
         match host.slow.last() {
             _ if took < third => host.slow.clear(),
             Some((at, _)) if now.since(*at) < 500_000 => {}
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -99,7 +99,8 @@
             figures.outstanding += pool.held as u64;
             figures.discovered += pool.table.hosts().count() as u64;
             let by_hand = |host| pool.table.any(host).is_some_and(|host| pool.out.contains(&host.name));
-            let avoided = pool.table.hosts().filter(|&host| by_hand(host) || pool.balancer.avoids(now, host));
+            let avoided =
+                pool.table.hosts().filter(|&host| by_hand(host) || pool.balancer.is_avoided(now, host));
             figures.ejected += avoided.count() as u64;
             if pool.setup.rebalance.on {
                 figures.rebalance.insert(pool.setup.name.to_owned(), pool.rebalance.figures());
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -74,7 +74,7 @@
         self.stood(now, id, took);
         if placed {
             self.pools[pool].peers.stood();
-            self.tell(now, pool, Event::Started { request: RequestId(id.0), attempt: number });
+            self.tell(now, pool, Event::ConnectionEstablished { request: RequestId(id.0), attempt: number });
         }
         self.pass(id);
     }
@@ -88,7 +88,7 @@
             AttemptOutcome::Served | AttemptOutcome::Verdict => Outcome::Ok,
             AttemptOutcome::SentAway => Outcome::Cancelled,
             AttemptOutcome::Error => Outcome::Error,
-            AttemptOutcome::TurnedAway => Outcome::Full,
+            AttemptOutcome::TurnedAway => Outcome::Rejected,
             AttemptOutcome::NoConnection => Outcome::ConnectFailed,
             AttemptOutcome::NoSocket => Outcome::NotSent,
             AttemptOutcome::Broken => Outcome::Reset,
@@ -120,7 +120,7 @@
         self.drop_attempt(id);
         self.set_due(id, None);
         let (request, attempt, answered) = (RequestId(id.0), attempt.number, false);
-        self.tell(now, pool, Event::Ended { request, attempt, outcome, answered });
+        self.tell(now, pool, Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
     pub(super) fn drop_attempt(&mut self, id: ConnectionId) -> Option<Attempt> {
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -103,12 +103,12 @@
         let Some(name) = ask.standing_at else {
             self.phase(id, Phase::Placing);
             let deadline = ask.wait.map_or(met.plus(greeting), |wait| now.plus(wait));
-            let event = Event::Arrived { request, class, tenant, group, load, deadline };
+            let event = Event::RequestArrived { request, class, tenant, group, load, deadline };
             return self.tell(now, pool_id, event);
         };
         let server = host_number(&name);
         self.phase(id, Phase::Adopting(now.plus(ADOPT_FOR), server));
-        self.tell(now, pool_id, Event::Open { request, class, tenant, group, load, server });
+        self.tell(now, pool_id, Event::ConnectionRestored { request, class, tenant, group, load, server });
         self.adopt_again(now, id, now.plus(ADOPT_FOR), server);
     }
 
@@ -116,7 +116,7 @@
         let Some(connection) = self.connections.get(&id) else { return };
         let (pool, phase) = (connection.pool, connection.phase);
         if phase == Phase::Placing {
-            self.tell(now, pool, Event::Left { request: RequestId(id.0) });
+            self.tell(now, pool, Event::ClientLeft { request: RequestId(id.0) });
         }
         self.end(now, id, Outcome::Cancelled);
     }
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -76,13 +76,14 @@
         // Danger: a host that was out has mostly started again, and the list may not know that yet. Whatever
         // was thought of it before is of no use, and it may not be filled faster than a cold one.
         pool.returned.extend(pool.out.difference(&out).map(|name| (name.clone(), now)));
-        let warm_up = pool.setup.settings.warm_up;
-        pool.returned.retain(|name, at| now.since(*at) < warm_up && !out.contains(name));
+        let slow_start_duration = pool.setup.settings.slow_start_duration;
+        pool.returned.retain(|name, at| now.since(*at) < slow_start_duration && !out.contains(name));
         for (name, &at) in &pool.returned {
             hosts.entry(name.clone()).and_modify(|host| host.started = host.started.max(Some(at)));
         }
         if self.partner == Some(Partner::Successor) {
-            let cold = |host: &&mut Endpoint| host.started.is_some_and(|at| now.since(at) < warm_up);
+            let cold =
+                |host: &&mut Endpoint| host.started.is_some_and(|at| now.since(at) < slow_start_duration);
             hosts.values_mut().filter(cold).for_each(|host| host.lifecycle = Lifecycle::Draining);
         }
         for name in &out {
@@ -95,9 +96,9 @@
         }
         pool.out = out;
         let listed = pool.table.follow(hosts.into_values(), &pool.setup.zones);
-        let ready = listed.iter().filter(|host| host.standing == crate::Standing::Serving).count();
-        pool.rebalance.take(now, Word::Listed { ready });
-        self.tell(now, pool_id, Event::List(&listed));
+        let ready = listed.iter().filter(|host| host.state == crate::EndpointState::Serving).count();
+        pool.rebalance.take(now, Word::EndpointEntry { ready });
+        self.tell(now, pool_id, Event::EndpointsReplaced(&listed));
         let leaving: Vec<_> = self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX))).collect();
         let table = &self.pools[pool_id].table;
         let held = leaving.into_iter().filter(|((_, host), _)| table.ready(*host).is_none());
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{CellId, Listed, ServerId, Standing, Time, ZoneId};
+use crate::{CellId, EndpointEntry, EndpointState, ServerId, Time, ZoneId};
 
 /// Where an server is in its life, as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,16 +57,16 @@
     }
 
     /// Takes in all hosts, and returns them in the module's terms.
-    pub fn follow(&mut self, hosts: impl Iterator<Item = Endpoint>, zones: &[String]) -> Vec<Listed> {
+    pub fn follow(&mut self, hosts: impl Iterator<Item = Endpoint>, zones: &[String]) -> Vec<EndpointEntry> {
         self.hosts = hosts.map(|host| (host_number(&host.name), host)).collect();
-        let listed = |(&server, host): (&ServerId, &Endpoint)| Listed {
+        let listed = |(&server, host): (&ServerId, &Endpoint)| EndpointEntry {
             server,
             zone: ZoneId(zones.iter().position(|z| *z == host.zone).unwrap_or(usize::MAX) as u16),
             cell: CellId(host.cell),
-            standing: match host.lifecycle {
-                Lifecycle::Ready => Standing::Serving,
-                Lifecycle::Draining => Standing::Draining,
-                Lifecycle::Gone => Standing::Gone,
+            state: match host.lifecycle {
+                Lifecycle::Ready => EndpointState::Serving,
+                Lifecycle::Draining => EndpointState::Draining,
+                Lifecycle::Gone => EndpointState::Gone,
             },
             started: host.started,
             weight: host.weight,
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -3,7 +3,7 @@
 use super::{Answer, Attempt, ConnectionId, Effect, Partner, Phase, State};
 use crate::peers::News;
 use crate::rebalance::Word;
-use crate::{Event, Micros, Note, Outcome, RequestId, Time};
+use crate::{Event, Measurement, Micros, Outcome, RequestId, Time};
 
 /// A balancer that is told to leave has the longest wait of its clients for it, at most so long, and
 /// something more, of which a part is kept to be gone in good time.
@@ -49,19 +49,19 @@
         let goes_on =
             last.is_some_and(|&(_, took)| (took / SLOW_FACTOR..took * SLOW_FACTOR).contains(&figure));
         let delay = figure < mean * LEAST_LOAD || goes_on || !pool.setup.tells_load;
-        let note = if pool.setup.tells_delay && delay {
+        let measurement = if pool.setup.tells_delay && delay {
             pool.slow.insert(attempt.host, (now, figure));
             let took = (figure.max(0.0) * 1000.0) as Micros;
             pool.rebalance.take(now, Word::Delay { host: attempt.host, took });
             self.tell_peers(now, pool_id, News::SlowHost(attempt.host, took));
-            Note::MessageTime(took)
+            Measurement::MessageTime(took)
         } else {
             pool.loads = (pool.loads.0 + figure, pool.loads.1 + 1.0);
             pool.rebalance.take(now, Word::Load { connection: id, load: figure });
             self.connections.entry(id).and_modify(|connection| connection.load = Some(figure));
-            Note::Load(figure)
+            Measurement::Load(figure)
         };
-        self.tell(now, pool_id, Event::Noted { request: RequestId(id.0), note });
+        self.tell(now, pool_id, Event::ConnectionMeasured { request: RequestId(id.0), measurement });
     }
 
     /// Ends a connection whose answer was given or is not owed any more, whatever of it is out.
@@ -79,7 +79,7 @@
         if let Some(attempt) = attempt {
             self.effects.push(Effect::CloseAttempt { connection: id });
             let request = RequestId(id.0);
-            self.tell(now, pool, Event::Ended { request, attempt, outcome, answered: true });
+            self.tell(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
         }
     }
 
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -2,7 +2,7 @@
 
 use super::{host_number, Attempt, ClientConnection};
 use super::{ConnectionId, Effect, Legacy, Phase, PoolId, PoolLegacy, Standing, State};
-use crate::{ClassId, Event, GroupId, Note, Outcome, RequestId, TenantId, Time};
+use crate::{ClassId, Event, GroupId, Measurement, Outcome, RequestId, TenantId, Time};
 
 /// The other process, as long as there are two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
             hosts: pool
                 .listed
                 .values()
-                .map(|host| (host.clone(), pool.balancer.learned(host_number(&host.name))))
+                .map(|host| (host.clone(), pool.balancer.learned_state(host_number(&host.name))))
                 .collect(),
             returned: pool.returned.iter().map(|(name, &at)| (name.clone(), at)).collect(),
             ids: pool.ids.iter().cloned().collect(),
@@ -75,7 +75,7 @@
         self.waiting.remove(&id);
         if let Some(attempt) = attempt {
             let (request, attempt, outcome) = (RequestId(id.0), attempt.number, Outcome::Cancelled);
-            self.tell(now, pool, Event::Ended { request, attempt, outcome, answered: true });
+            self.tell(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
         }
     }
 
@@ -100,7 +100,7 @@
             self.refresh(now, id);
             for (host, known) in &left.hosts {
                 let server = host_number(&host.name);
-                known.iter().for_each(|&known| self.pools[id].balancer.learn(server, known));
+                known.iter().for_each(|&known| self.pools[id].balancer.restore_learned_state(server, known));
             }
         }
     }
@@ -139,12 +139,20 @@
         let (request, server) = (RequestId(id.0), host);
         let class = class.unwrap_or_default();
         let known = self.pools[pool_id].table.any(host).is_some();
-        self.tell(now, pool_id, Event::Open { request, class, tenant, group, load: hint, server });
+        self.tell(
+            now,
+            pool_id,
+            Event::ConnectionRestored { request, class, tenant, group, load: hint, server },
+        );
         if let Some(load) = load {
             self.connections.entry(id).and_modify(|connection| connection.load = Some(load));
             let pool = &mut self.pools[pool_id];
             pool.loads = (pool.loads.0 + load, pool.loads.1 + 1.0);
-            self.tell(now, pool_id, Event::Noted { request, note: Note::Load(load) });
+            self.tell(
+                now,
+                pool_id,
+                Event::ConnectionMeasured { request, measurement: Measurement::Load(load) },
+            );
         }
         self.watch_over(now, id);
         self.stood(now, id, None);
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -7,7 +7,7 @@
 use super::{Endpoint, ProbeEnd};
 use crate::peers;
 pub use crate::ConnectionId;
-use crate::{rebalance, Learned, Micros, ServerId, Settings, Time};
+use crate::{rebalance, LearnedState, Micros, ServerId, Settings, Time};
 
 /// Which of the pools of servers, each with its own endpoint list and balancer.
 pub type PoolId = usize;
@@ -155,7 +155,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolLegacy {
     /// The hosts as listed, with what was learned of them.
-    pub hosts: Vec<(Endpoint, Option<Learned>)>,
+    pub hosts: Vec<(Endpoint, Option<LearnedState>)>,
     /// Hosts that were out by hand, and since when they are not any more.
     pub returned: Vec<(String, Time)>,
     /// Ids of connections that are open there.
@@ -338,7 +338,7 @@
             on: self.peers.is_some(),
             price: self.peers.unwrap_or(0.0),
             balancers: self.settings.balancers,
-            message_aim: self.settings.message_aim(),
+            message_objective: self.settings.message_objective(),
             holds: self.settings.word_holds(),
             set_up_holds: self.settings.set_up_holds(),
         }
@@ -346,16 +346,16 @@
 
     /// What of this concerns rebalancing.
     pub(super) fn rebalance_terms(&self) -> rebalance::Terms {
-        let Settings { classes, balancers, move_price, warm_up, .. } = &self.settings;
-        let setup_aims = classes.iter().map(|class| class.setup_aim).filter(|&aim| aim > 0);
+        let Settings { classes, balancers, migration_cost, slow_start_duration, .. } = &self.settings;
+        let setup_objectives = classes.iter().map(|class| class.setup_objective).filter(|&aim| aim > 0);
         rebalance::Terms {
             balancers: *balancers,
-            worths: classes.iter().map(|class| class.worth).collect(),
-            setup_aim: setup_aims.min().unwrap_or(0),
-            message_aim: self.settings.message_aim(),
+            priority_weights: classes.iter().map(|class| class.priority_weight).collect(),
+            setup_objective: setup_objectives.min().unwrap_or(0),
+            message_objective: self.settings.message_objective(),
             tells_delay: self.tells_delay,
-            move_price: *move_price,
-            warm_up: *warm_up,
+            migration_cost: *migration_cost,
+            slow_start_duration: *slow_start_duration,
         }
     }
 
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -3,7 +3,7 @@
 use super::{ConnectionId, PoolId, State};
 use crate::rebalance::view::Connection;
 use crate::rebalance::{Figures, HostNow, Word, World};
-use crate::{Learned, Micros, Outcome, ServerId, Time};
+use crate::{LearnedState, Micros, Outcome, ServerId, Time};
 
 impl State {
     /// Tells a pool's rebalancing.
@@ -65,20 +65,20 @@
         let settings = &pool.setup.settings;
         let host_now = |host| {
             let (held, ceiling) = pool.balancer.occupancy(host)?;
-            let known = pool.balancer.learned(host)?;
+            let known = pool.balancer.learned_state(host)?;
             let listed = pool.table.any(host)?;
-            let warm = |at: Time| now.since(at) as f64 / settings.warm_up.max(1) as f64;
-            let grown = |at| settings.cold_share + (1.0 - settings.cold_share) * warm(at);
+            let warm = |at: Time| now.since(at) as f64 / settings.slow_start_duration.max(1) as f64;
+            let grown = |at| settings.slow_start_share + (1.0 - settings.slow_start_share) * warm(at);
             let weight = Some(listed.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
             Some(HostNow {
                 host,
-                ready: pool.table.ready(host).is_some() && known.failures == 0,
+                ready: pool.table.ready(host).is_some() && known.consecutive_failures == 0,
                 held,
                 ceiling,
                 weight: weight.unwrap_or(1.0),
                 warmth: listed.started.map_or(1.0, grown).clamp(0.01, 1.0),
                 started: listed.started,
-                troubled: known.troubled,
+                last_fault: known.last_fault,
             })
         };
         let hosts: Vec<HostNow> = pool.table.hosts().filter_map(host_now).collect();
@@ -87,23 +87,30 @@
         self.effects.extend(decision.log.map(|text| super::Effect::Log(format!("{name}: {text}"))));
         for (host, ceiling) in decision.ceilings {
             let balancer = &mut self.pools[pool_id].balancer;
-            if let Some(known) = balancer.learned(host) {
-                balancer.learn(host, Learned { ceiling: known.ceiling.max(ceiling), ..known });
+            if let Some(known) = balancer.learned_state(host) {
+                balancer.restore_learned_state(
+                    host,
+                    LearnedState { ceiling: known.ceiling.max(ceiling), ..known },
+                );
             }
         }
         for host in decision.lowered {
             let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned(host)) {
-                balancer.learn(host, Learned { ceiling: known.ceiling.min(held), ..known });
+            if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned_state(host)) {
+                balancer
+                    .restore_learned_state(host, LearnedState { ceiling: known.ceiling.min(held), ..known });
             }
         }
         for (id, host) in decision.moves {
             self.move_away(now, id, Outcome::Cancelled);
             // Danger: the slot that this frees may be the only free one, and would draw the same client again.
             let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned(host)) {
+            if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned_state(host)) {
                 let ceiling = known.ceiling.min(held);
-                balancer.learn(host, Learned { ceiling, moved: Some(now), ..known });
+                balancer.restore_learned_state(
+                    host,
+                    LearnedState { ceiling, last_migration: Some(now), ..known },
+                );
             }
         }
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -281,11 +281,11 @@
                 let table = &self.pools[pool].table;
                 let known = word.news.host().is_none_or(|host| table.any(host).is_some());
                 if known && self.pools[pool].peers.heard(now, word.news) {
-                    self.tell(now, pool, Event::Sample(&word.groups));
+                    self.tell(now, pool, Event::PeerGroupSample(&word.groups));
                     let told = match word.news {
-                        News::SlowHost(server, took) => Event::Told { server, took: Some(took) },
-                        News::Dropped(server) => Event::Told { server, took: None },
-                        News::SlowSetUps => Event::SetUpSlow,
+                        News::SlowHost(server, took) => Event::PeerObservation { server, took: Some(took) },
+                        News::Dropped(server) => Event::PeerObservation { server, took: None },
+                        News::SlowSetUps => Event::PeerSetupSlow,
                     };
                     self.tell(now, pool, told);
                 }
@@ -293,7 +293,7 @@
             Input::ProbeCompleted { pool, host, end } => self.probed(now, pool, host, end),
             Input::EndpointWatchLost { pool } => {
                 self.weigh(now, pool, rebalance::Word::ListLost);
-                self.tell(now, pool, Event::ListFailed);
+                self.tell(now, pool, Event::EndpointWatchFailed);
             }
             Input::ReplicaMessage { from, gossip } => self.gossip(now, from, gossip),
             Input::ConfigurationChanged { pools, peers, budget } => self.configure(now, pools, peers, budget),
@@ -326,7 +326,7 @@
                         continue;
                     }
                     // Its time may go on for longer than this process; elsewhere it can still be served.
-                    Some(Phase::Placing) if self.may_refuse(id) => self.come_again(id, LEAVING_WAIT),
+                    Some(Phase::Placing) if self.may_reject(id) => self.come_again(id, LEAVING_WAIT),
                     _ => Answer::Failed,
                 };
                 self.give(now, id, answer);
@@ -337,10 +337,10 @@
     }
 
     /// Whether the client of a request may be told that to come again is harmless.
-    fn may_refuse(&self, id: ConnectionId) -> bool {
+    fn may_reject(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
-            .is_some_and(|connection| self.pools[connection.pool].balancer.may_refuse(RequestId(id.0)))
+            .is_some_and(|connection| self.pools[connection.pool].balancer.may_reject(RequestId(id.0)))
     }
 
     /// A refusal that says when to come again, as far as the settings allow.
@@ -386,7 +386,7 @@
         for pool in 0..self.pools.len() {
             if self.pools[pool].wake.is_some_and(|at| at <= now) {
                 self.pools[pool].wake = None;
-                self.tell(now, pool, Event::Wake);
+                self.tell(now, pool, Event::TimerFired);
             }
             if self.pools[pool].rebalance.due().is_some_and(|at| at <= now) {
                 self.rebalance(now, pool);
@@ -419,15 +419,15 @@
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Send { request, server, timeout, within } => {
+                Action::StartAttempt { request, server, timeout, within } => {
                     let write_by = within.map(|within| now.plus(within));
                     self.open_attempt(now, ConnectionId(request.0), server, timeout, write_by)
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     self.answer(now, ConnectionId(request.0), Answer::Refused(retry_after))
                 }
                 Action::Fail { request } => self.answer(now, ConnectionId(request.0), Answer::Failed),
-                Action::Cancel { request, attempt } => {
+                Action::CancelAttempt { request, attempt } => {
                     let id = ConnectionId(request.0);
                     if self.attempt(id, attempt).is_some() {
                         self.drop_attempt(id);
@@ -435,20 +435,22 @@
                     }
                     let mut more = Vec::new();
                     let (outcome, answered) = (Outcome::Cancelled, true);
-                    let ended = Event::Ended { request, attempt, outcome, answered };
+                    let ended = Event::AttemptEnded { request, attempt, outcome, answered };
                     self.pools[pool].balancer.handle(now, ended, &mut more);
                     actions.extend(more);
                 }
-                Action::Move { request } => self.move_away(now, ConnectionId(request.0), Outcome::Cancelled),
-                Action::SetUpSlow => self.tell_peers(now, pool, News::SlowSetUps),
-                Action::Dropped { server } => self.tell_peers(now, pool, News::Dropped(server)),
-                Action::Subscribe => self.effects.push(Effect::WatchEndpoints { pool }),
-                Action::WakeIn(wait) => {
+                Action::Migrate { request } => {
+                    self.move_away(now, ConnectionId(request.0), Outcome::Cancelled)
+                }
+                Action::ReportSlowSetup => self.tell_peers(now, pool, News::SlowSetUps),
+                Action::ReportDrop { server } => self.tell_peers(now, pool, News::Dropped(server)),
+                Action::WatchEndpoints => self.effects.push(Effect::WatchEndpoints { pool }),
+                Action::SetTimer(wait) => {
                     let at = now.plus(wait);
                     let wake = &mut self.pools[pool].wake;
                     *wake = Some(wake.map_or(at, |old| old.min(at)));
                 }
-                Action::Probe { server } => self.probe(pool, server),
+                Action::ProbeServer { server } => self.probe(pool, server),
                 Action::Log(text) => self.effects.push(Effect::Log(text)),
             }
         }
@@ -458,7 +460,7 @@
     fn tell_peers(&mut self, now: Time, pool: PoolId, news: News) {
         let Pool { peers, balancer, .. } = &mut self.pools[pool];
         if peers.tell(now, news) {
-            let groups = peers.sample(balancer.standing_groups());
+            let groups = peers.sample(balancer.established_groups());
             self.effects.push(Effect::BroadcastGossip(Word { news, groups }));
         }
     }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -3,20 +3,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Effect, PoolId, State};
-use crate::{Event, Micros, Outcome, Report, ServerId, Time};
+use crate::{Event, LoadReport, Micros, Outcome, ServerId, Time};
 
 /// So many connections for probes, out and kept for the next: descriptors are set aside for them.
 pub const MOST_PROBES: usize = 16;
-/// Where no set-up aim is told, an answer is worth waiting for so many times as long as a connect may take.
+/// Where no set-up objective is told, an answer is worth waiting for so many times as long as a connect may take.
 const ANSWER_WAITS: Micros = 4;
 
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeEnd {
     /// The host answered, with a report that holds its load or without.
-    Answered(Option<Report>),
+    Answered(Option<LoadReport>),
     /// It answered with an error; a report may have come along all the same.
-    Error(Option<Report>),
+    Error(Option<LoadReport>),
     /// It is not to be probed.
     Unwanted,
     /// Nothing that is an answer came in time, or no connection.
@@ -44,7 +44,7 @@
         }
         out.insert(host, listed.started);
         let settings = &pool.setup.settings;
-        let answer = Some(settings.setup_aim()).filter(|&aim| aim > 0);
+        let answer = Some(settings.setup_objective()).filter(|&aim| aim > 0);
         let wait = settings.connect_timeout + answer.unwrap_or(ANSWER_WAITS * settings.connect_timeout);
         let names = pool.setup.reports.clone();
         self.effects.push(Effect::ProbeServer {
@@ -64,7 +64,7 @@
         let (outcome, report) = match end {
             ProbeEnd::Answered(report) => (Outcome::Ok, report),
             ProbeEnd::Error(report) => (Outcome::Error, report),
-            ProbeEnd::Unwanted => (Outcome::Full, None),
+            ProbeEnd::Unwanted => (Outcome::Rejected, None),
             ProbeEnd::Nothing => (Outcome::TimedOut, None),
         };
         if life != Some(asked) {
@@ -77,6 +77,6 @@
             let name = table.any(server).map_or("", |host| &host.name);
             self.effects.push(Effect::Log(format!("{name} is not to be probed, it says")));
         }
-        self.tell(now, pool_id, Event::Probed { server, outcome, report });
+        self.tell(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -48,19 +48,19 @@
 
 /// Stands for a group where few bytes have to do. Two groups may have the same, one pair in 65,536.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GroupMark(pub u16);
+pub struct GroupHash(pub u16);
 
 impl GroupId {
     /// Its mark. It goes between balancers of different versions, so it is written out here: a library's hash may
     /// change with the library. Ids that follow one another have marks far apart (Knuth's multiplicative hash).
-    pub fn mark(self) -> GroupMark {
-        GroupMark((self.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as u16)
+    pub fn short_hash(self) -> GroupHash {
+        GroupHash((self.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48) as u16)
     }
 }
 
 /// Which servers recognise and drop the repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyScope {
     /// Every server.
     All,
     /// Those of the zone where it may have run.
@@ -71,31 +71,31 @@
 
 /// What a second attempt of a request could do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Nothing: repeat at will.
-    Safe,
-    /// Servers of `scope` drop a repeat for `window` after the attempt that may have run was sent.
-    Keyed {
+    Idempotent,
+    /// Servers of `scope` drop a idempotency for `window` after the attempt that may have run was sent.
+    IdempotencyKey {
         /// Who remembers.
-        scope: Scope,
+        scope: KeyScope,
         /// For how long.
         window: Micros,
     },
     /// An effect a second time: repeat or refuse only what is known not to have run.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// What a well-served second is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// A connection set up within this time counts in full.
-    pub setup_aim: Micros,
+    pub setup_objective: Micros,
     /// A message on an open connection is wanted within this time; 0 where unknown.
-    pub message_aim: Micros,
+    pub message_objective: Micros,
     /// What repeating does.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant and its share of the service.
@@ -122,7 +122,7 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its tenant's share is worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Attempts allowed for one request; never are two of them out together.
     pub max_attempts: u32,
     /// The wait on an attempt may be cancelled.
@@ -134,11 +134,11 @@
     /// A connection not established in this time has failed.
     pub connect_timeout: Micros,
     /// The server list must be asked for; otherwise changes come unasked.
-    pub must_ask: bool,
+    pub poll_required: bool,
     /// Without a subscription, ask at least this often.
-    pub must_ask_in: Micros,
+    pub poll_interval: Micros,
     /// It is pushed to an agent beside this balancer, and what that has counts as told.
-    pub pushed: bool,
+    pub endpoints_pushed: bool,
     /// Sends to a server that is told to be leaving have to end within this time.
     pub drain_grace: Micros,
     /// Probes are allowed.
@@ -146,19 +146,19 @@
     /// A probe's answer carries a load report.
     pub probe_reports: bool,
     /// Price of one probe a request, as a fraction of all worth.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     /// Price of each request crossing zones once.
-    pub cross_zone_price: f64,
+    pub cross_zone_cost: f64,
     /// Price of each client moved once.
-    pub move_price: f64,
+    pub migration_cost: f64,
     /// A server starts with at least this share of its capacity...
-    pub cold_share: f64,
+    pub slow_start_share: f64,
     /// ...and is warm after this time at the latest.
-    pub warm_up: Micros,
+    pub slow_start_duration: Micros,
     /// A cold server sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub slow_start_overload_factor: f64,
     /// ...for this long falls over.
-    pub fall_window: Micros,
+    pub slow_start_window: Micros,
 }
 
 impl Settings {
@@ -166,22 +166,22 @@
     /// the balancer's own machine has counts as told, whether or not a watch is open; it has to be had within the
     /// grace. One discovery for all serves calls in turn, and such as come too soon keep each other waiting.
     pub(crate) fn list_waits(&self) -> (Micros, Micros) {
-        if self.pushed {
+        if self.endpoints_pushed {
             return (self.drain_grace / 8, self.drain_grace / 4);
         }
-        let most = self.must_ask_in;
+        let most = self.poll_interval;
         let first = most.saturating_mul(self.balancers.into()) / LIST_CALLS;
         (first.clamp(most / 64, most / 4), most)
     }
 
-    /// The tightest set-up aim of all classes; 0 where none is known.
-    pub(crate) fn setup_aim(&self) -> Micros {
-        self.classes.iter().map(|c| c.setup_aim).filter(|&aim| aim > 0).min().unwrap_or(0)
+    /// The tightest set-up objective of all classes; 0 where none is known.
+    pub(crate) fn setup_objective(&self) -> Micros {
+        self.classes.iter().map(|c| c.setup_objective).filter(|&aim| aim > 0).min().unwrap_or(0)
     }
 
-    /// The set-up aim over the time that a set-up took; 1 where no aim is known.
+    /// The set-up objective over the time that a set-up took; 1 where no objective is known.
     pub(crate) fn aim_over(&self, took: Micros) -> f64 {
-        match self.setup_aim() {
+        match self.setup_objective() {
             0 => 1.0,
             aim => aim as f64 / took.max(1) as f64,
         }
@@ -189,12 +189,12 @@
 
     /// For so long one word of slow set-ups is enough: what was let in before it is still being set up.
     pub(crate) fn set_up_holds(&self) -> Micros {
-        2 * self.setup_aim()
+        2 * self.setup_objective()
     }
 
-    /// The tightest message aim of all classes; 0 where none is known.
-    pub(crate) fn message_aim(&self) -> Micros {
-        self.classes.iter().map(|c| c.message_aim).filter(|&aim| aim > 0).min().unwrap_or(0)
+    /// The tightest message objective of all classes; 0 where none is known.
+    pub(crate) fn message_objective(&self) -> Micros {
+        self.classes.iter().map(|c| c.message_objective).filter(|&aim| aim > 0).min().unwrap_or(0)
     }
 
     /// For about so long a server is avoided that another balancer tells of: twice the time in which the clients
@@ -211,32 +211,32 @@
             zone: ZoneId(0),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             max_attempts: 2,
             cancel: false,
             retry_after: false,
             max_retry_after: 1_000_000,
             connect_timeout: 250_000,
-            must_ask: false,
-            must_ask_in: 10_000_000,
-            pushed: false,
+            poll_required: false,
+            poll_interval: 10_000_000,
+            endpoints_pushed: false,
             drain_grace: 250_000,
             probes: false,
             probe_reports: false,
-            probe_price: 0.0,
-            cross_zone_price: 0.0,
-            move_price: 0.0,
-            cold_share: 0.3,
-            warm_up: 10_000_000,
-            fall_multiple: 2.0,
-            fall_window: 2_000_000,
+            probe_cost: 0.0,
+            cross_zone_cost: 0.0,
+            migration_cost: 0.0,
+            slow_start_share: 0.3,
+            slow_start_duration: 10_000_000,
+            slow_start_overload_factor: 2.0,
+            slow_start_window: 2_000_000,
         }
     }
 }
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     /// Its process runs.
     Serving,
     /// It wraps up: nothing new may go there.
@@ -248,7 +248,7 @@
 
 /// One entry of the server list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listed {
+pub struct EndpointEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone.
@@ -256,7 +256,7 @@
     /// Its cell.
     pub cell: CellId,
     /// What the list says of it.
-    pub standing: Standing,
+    pub state: EndpointState,
     /// Its latest start, if not long ago.
     pub started: Option<Time>,
     /// Its size against the other servers'; anything not above 0, or of 1e9 and more, counts as unknown.
@@ -271,7 +271,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Rejected unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection could be opened.
@@ -287,13 +287,13 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// What an open connection tells about itself or its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Measurement {
     /// The connection's load now, in microseconds of work a second.
     Load(f64),
     /// How long a message takes at its server now.
@@ -302,52 +302,52 @@
 
 /// What a server says of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Load asked of it over what it can do.
     pub utilisation: f64,
     /// Connections it holds, where told.
     pub connections: Option<f64>,
 }
 
-impl Report {
+impl LoadReport {
     /// Itself, if it makes sense; without its connections where only those make none.
-    pub(crate) fn sound(self) -> Option<Report> {
+    pub(crate) fn sound(self) -> Option<LoadReport> {
         let sound = |figure: &f64| figure.is_finite() && *figure >= 0.0;
         let connections = self.connections.filter(sound);
-        sound(&self.utilisation).then_some(Report { connections, ..self })
+        sound(&self.utilisation).then_some(LoadReport { connections, ..self })
     }
 }
 
 /// What a balancer has learned of a server, apart from what it holds there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// y: the ceiling.
     pub ceiling: f64,
     /// When it last refused, dropped or was slow.
-    pub troubled: Option<Time>,
+    pub last_fault: Option<Time>,
     /// Failures in a row; while there are any it gets single trials.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// When it last failed.
-    pub failed_at: Option<Time>,
+    pub last_failure: Option<Time>,
     /// With failures: no trial before this.
-    pub out_until: Time,
+    pub ejected_until: Time,
     /// While cold: no send before this.
-    pub next_cold_send: Time,
+    pub next_slow_start_send: Time,
     /// When a connection was last asked to leave it.
-    pub moved: Option<Time>,
+    pub last_migration: Option<Time>,
 }
 
 /// What happened, as told by the host. Events come in the order in which they happened.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The whole list, at the start perhaps a stale one; a server missing from it is gone.
-    List(&'a [Listed]),
+    EndpointsReplaced(&'a [EndpointEntry]),
     /// Changed entries of the list.
-    ListChanged(&'a [Listed]),
+    EndpointsChanged(&'a [EndpointEntry]),
     /// The list could not be had, or a subscription broke off. The old list remains.
-    ListFailed,
+    EndpointWatchFailed,
     /// A client asks for a connection: exactly one final answer is owed from now on.
-    Arrived {
+    RequestArrived {
         /// The request.
         request: RequestId,
         /// Its class.
@@ -362,7 +362,7 @@
         deadline: Time,
     },
     /// A connection that was open at the start; its attempt 0 counts as sent.
-    Open {
+    ConnectionRestored {
         /// The request it came from.
         request: RequestId,
         /// Its class.
@@ -377,21 +377,21 @@
         server: ServerId,
     },
     /// The connection of this attempt stands: that answers the request.
-    Started {
+    ConnectionEstablished {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// A word on a connection that stands.
-    Noted {
+    ConnectionMeasured {
         /// The request.
         request: RequestId,
         /// What it tells.
-        note: Note,
+        measurement: Measurement,
     },
     /// An attempt ended; exactly one such event comes for each attempt.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
@@ -402,31 +402,31 @@
         answered: bool,
     },
     /// The client left: no answer is owed any more.
-    Left {
+    ClientLeft {
         /// The request.
         request: RequestId,
     },
     /// Another balancer's word of trouble at a server.
-    Told {
+    PeerObservation {
         /// The server.
         server: ServerId,
         /// How long a message takes there; none where it dropped a connection.
         took: Option<Micros>,
     },
     /// Another balancer found that connections take long to set up for what all servers share.
-    SetUpSlow,
+    PeerSetupSlow,
     /// Groups of some connections that stand at another balancer, drawn at random.
-    Sample(&'a [Option<GroupMark>]),
+    PeerGroupSample(&'a [Option<GroupHash>]),
     /// A wake-up that was asked for is due.
-    Wake,
+    TimerFired,
     /// A probe came back.
-    Probed {
+    ProbeCompleted {
         /// The server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Its load report, if one came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
@@ -434,7 +434,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a server. Attempts of a request are numbered from 0 in the order sent.
-    Send {
+    StartAttempt {
         /// The request.
         request: RequestId,
         /// Where to.
@@ -446,7 +446,7 @@
         within: Option<Micros>,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 for no advice.
@@ -458,33 +458,33 @@
         request: RequestId,
     },
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// Ask a client politely to reconnect.
-    Move {
+    Migrate {
         /// Its request.
         request: RequestId,
     },
     /// Probe a server.
-    Probe {
+    ProbeServer {
         /// The server.
         server: ServerId,
     },
     /// Connections take long to set up for what all servers share: the other balancers may be told.
-    SetUpSlow,
+    ReportSlowSetup,
     /// A server dropped a connection that stood: the other balancers may be told.
-    Dropped {
+    ReportDrop {
         /// The server.
         server: ServerId,
     },
     /// Subscribe to changes of the list; what was missed comes first.
-    Subscribe,
-    /// Hand in [`Event::Wake`] after this time.
-    WakeIn(Micros),
+    WatchEndpoints,
+    /// Hand in [`Event::TimerFired`] after this time.
+    SetTimer(Micros),
     /// A line for the log.
     Log(String),
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,13 +7,13 @@
 pub const SECOND: u64 = 1_000_000;
 pub const START: Time = Time(1_000 * SECOND);
 
-pub fn class(repeat: Repeat) -> Class {
-    Class { worth: 1.0, setup_aim: 300 * MS, message_aim: 100 * MS, repeat }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { priority_weight: 1.0, setup_objective: 300 * MS, message_objective: 100 * MS, idempotency }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Repeat::Safe)],
+        classes: vec![class(Idempotency::Idempotent)],
         max_attempts: 4,
         cancel: true,
         retry_after: true,
@@ -21,18 +21,18 @@
     }
 }
 
-pub fn listed(server: u32) -> Listed {
-    Listed {
+pub fn listed(server: u32) -> EndpointEntry {
+    EndpointEntry {
         server: ServerId(server),
         zone: ZoneId(0),
         cell: CellId(0),
-        standing: Standing::Serving,
+        state: EndpointState::Serving,
         started: None,
         weight: 1.0,
     }
 }
 
-pub fn servers(count: u32) -> Vec<Listed> {
+pub fn servers(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(listed).collect()
 }
 
@@ -45,14 +45,14 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, list: &[Listed]) -> Bench {
+    pub fn new(settings: Settings, list: &[EndpointEntry]) -> Bench {
         Bench::seeded(settings, list, 7)
     }
 
-    pub fn seeded(settings: Settings, list: &[Listed], seed: u64) -> Bench {
+    pub fn seeded(settings: Settings, list: &[EndpointEntry], seed: u64) -> Bench {
         let balancer = Balancer::new(settings, seed, START);
         let mut bench = Bench { balancer, now: START, actions: Vec::new(), next: 0 };
-        bench.event(Event::List(list));
+        bench.event(Event::EndpointsReplaced(list));
         bench
     }
 
@@ -75,7 +75,7 @@
         let deadline = self.now.plus(3 * SECOND);
         let group = group.map(GroupId);
         let class = ClassId(0);
-        self.event(Event::Arrived { request, class, tenant: None, group, load: None, deadline });
+        self.event(Event::RequestArrived { request, class, tenant: None, group, load: None, deadline });
         request
     }
 
@@ -88,26 +88,33 @@
     pub fn open(&mut self, server: u32, group: Option<u64>) -> RequestId {
         let request = self.fresh();
         let (group, server) = (group.map(GroupId), ServerId(server));
-        self.event(Event::Open { request, class: ClassId(0), tenant: None, group, load: None, server });
+        self.event(Event::ConnectionRestored {
+            request,
+            class: ClassId(0),
+            tenant: None,
+            group,
+            load: None,
+            server,
+        });
         request
     }
 
     pub fn start(&mut self, request: RequestId, attempt: u32) {
-        self.event(Event::Started { request, attempt });
+        self.event(Event::ConnectionEstablished { request, attempt });
     }
 
     pub fn end(&mut self, request: RequestId, attempt: u32, outcome: Outcome, answered: bool) {
-        self.event(Event::Ended { request, attempt, outcome, answered });
+        self.event(Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
-    pub fn note(&mut self, request: RequestId, note: Note) {
-        self.event(Event::Noted { request, note });
+    pub fn measurement(&mut self, request: RequestId, measurement: Measurement) {
+        self.event(Event::ConnectionMeasured { request, measurement });
     }
 
     /// A load report of a server that holds twenty connections.
     pub fn report(&mut self, server: u32, utilisation: f64) {
-        let report = Some(Report { utilisation, connections: Some(20.0) });
-        self.event(Event::Probed { server: ServerId(server), outcome: Outcome::Ok, report });
+        let report = Some(LoadReport { utilisation, connections: Some(20.0) });
+        self.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
     }
 
     /// A request that comes and is gone again; gives where it was sent.
@@ -129,7 +136,7 @@
     /// Where the last event's send went, if there was one.
     pub fn sent_to(&self) -> Option<u32> {
         self.actions.iter().find_map(|action| match action {
-            Action::Send { server, .. } => Some(server.0),
+            Action::StartAttempt { server, .. } => Some(server.0),
             _ => None,
         })
     }
@@ -137,7 +144,7 @@
     /// The retry-after of the last event's refusal, if there was one.
     pub fn refused(&self) -> Option<u64> {
         self.actions.iter().find_map(|action| match action {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -115,7 +115,10 @@
     );
     assert!(shop.peers.is_some() && shop.pool.tells_load && shop.pool.reports.is_empty());
     assert!(!shop.pool.settings.probes && !shop.pool.settings.probe_reports);
-    assert_eq!((shop.pool.settings.fall_multiple, shop.pool.settings.fall_window), (4.0, 3_000_000));
+    assert_eq!(
+        (shop.pool.settings.slow_start_overload_factor, shop.pool.settings.slow_start_window),
+        (4.0, 3_000_000)
+    );
     let meters = platform(
         r#""balancers": 3, "family-info": {"message-aim": [100, 50, 100, 150], "tells-delay": true, "tells-load": false,
            "report-x0": "load asked of the server over what it can do"},
@@ -128,8 +131,8 @@
     assert_eq!(meters.pool.reports, ["x0", "utilization", "util"]);
     let settings = &meters.pool.settings;
     assert!(settings.probes && settings.probe_reports);
-    assert_eq!((settings.probe_price, settings.connect_timeout), (0.0021, 100_000));
-    assert_eq!((settings.cold_share, settings.warm_up), (0.17, 24_000_000));
+    assert_eq!((settings.probe_cost, settings.connect_timeout), (0.0021, 100_000));
+    assert_eq!((settings.slow_start_share, settings.slow_start_duration), (0.17, 24_000_000));
     // Without the word for it a report's `x0` is of something else.
     let untold =
         platform(r#""reporting": {"fields": ["x0"], "how": "on_probe"}, "limits": {"probing": true}"#);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -5,16 +5,16 @@
 use common::*;
 use connection_balancer::*;
 
-// Of an aim of 100 ms: word of a server that fills, and of one that connections have to leave.
-const SLOW: Note = Note::MessageTime(40 * MS);
-const HOT: Note = Note::MessageTime(90 * MS);
+// Of an objective of 100 ms: word of a server that fills, and of one that connections have to leave.
+const SLOW: Measurement = Measurement::MessageTime(40 * MS);
+const HOT: Measurement = Measurement::MessageTime(90 * MS);
 
 fn moved(bench: &Bench) -> bool {
-    bench.actions.iter().any(|action| matches!(action, Action::Move { .. }))
+    bench.actions.iter().any(|action| matches!(action, Action::Migrate { .. }))
 }
 
 fn probes(bench: &Bench) -> usize {
-    bench.actions.iter().filter(|action| matches!(action, Action::Probe { .. })).count()
+    bench.actions.iter().filter(|action| matches!(action, Action::ProbeServer { .. })).count()
 }
 
 // ---- The ordinary path ----
@@ -23,7 +23,7 @@
 fn picks_follow_free_room() {
     // Weights 1 and 3 make rooms of 2 and 6 slots. Over 4,000 seeds the share of the smaller is within
     // 0.03 of a quarter: more than four standard deviations.
-    let list = [Listed { weight: 1.0, ..listed(1) }, Listed { weight: 3.0, ..listed(2) }];
+    let list = [EndpointEntry { weight: 1.0, ..listed(1) }, EndpointEntry { weight: 3.0, ..listed(2) }];
     let small = (0..4_000)
         .filter(|&seed| {
             let mut bench = Bench::seeded(settings(), &list, seed);
@@ -82,7 +82,7 @@
             true => bench.end(last, 0, Outcome::Reset, true),
             false => {
                 let request = bench.arrive();
-                bench.end(request, 0, Outcome::Full, false);
+                bench.end(request, 0, Outcome::Rejected, false);
             }
         }
         assert!(bench.ceiling(1) < 4.0);
@@ -106,14 +106,14 @@
 }
 
 /// Seen on the second site (`upgrade+hand`, seed 8): reports are a second old, and each that came again set the ceiling
-/// over what was held by then, so that a host at 0.61 took ten more within 1.2 s, and was at ten times its aim.
+/// over what was held by then, so that a host at 0.61 took ten more within 1.2 s, and was at ten times its objective.
 #[test]
 fn a_report_counts_what_was_held_when_it_was_made() {
     let mut bench = Bench::new(settings(), &servers(1));
     (0..8).for_each(|_| _ = bench.open(1, None));
     let report = |bench: &mut Bench, utilisation: f64| {
-        let report = Some(Report { utilisation, connections: None });
-        bench.event(Event::Probed { server: ServerId(1), outcome: Outcome::Ok, report });
+        let report = Some(LoadReport { utilisation, connections: None });
+        bench.event(Event::ProbeCompleted { server: ServerId(1), outcome: Outcome::Ok, report });
         bench.ceiling(1)
     };
     report(&mut bench, 0.4);
@@ -129,10 +129,10 @@
 /// Seen there too: the wait that a balancer drew before it held anything kept it from a cold host for twenty seconds.
 #[test]
 fn a_wait_from_before_much_was_known_is_shortened() {
-    let cold = Listed { started: Some(START), ..listed(2) };
-    let settings = Settings { warm_up: 24 * SECOND, ..settings() };
+    let cold = EndpointEntry { started: Some(START), ..listed(2) };
+    let settings = Settings { slow_start_duration: 24 * SECOND, ..settings() };
     let mut bench = Bench::new(settings, &[cold]);
-    bench.event(Event::ListChanged(&servers(1)));
+    bench.event(Event::EndpointsChanged(&servers(1)));
     (0..24).for_each(|_| _ = bench.open(1, None));
     let sent = (0..60).filter(|_| {
         bench.wait(50 * MS);
@@ -147,14 +147,14 @@
 fn nobody_is_moved_for_room_that_may_not_be_used_yet() {
     let moves = |cold: bool| {
         let started = cold.then_some(START);
-        let mut bench = Bench::new(settings(), &[listed(1), Listed { started, ..listed(2) }]);
+        let mut bench = Bench::new(settings(), &[listed(1), EndpointEntry { started, ..listed(2) }]);
         let held: Vec<_> = (0..16).map(|_| bench.open(1, None)).collect();
         bench.visit();
         let took = 90 * MS;
         (0..10)
             .map(|_| {
                 bench.wait(SECOND / 2);
-                bench.note(held[0], Note::MessageTime(took));
+                bench.measurement(held[0], Measurement::MessageTime(took));
                 usize::from(moved(&bench))
             })
             .sum::<usize>()
@@ -180,7 +180,7 @@
 fn word_of_slow_messages_takes_the_room_away() {
     let mut bench = Bench::new(settings(), &servers(1));
     let request = bench.open(1, None);
-    bench.note(request, SLOW);
+    bench.measurement(request, SLOW);
     bench.arrive();
     assert_eq!(bench.sent_to(), None);
     assert!(bench.ceiling(1) < 1.0);
@@ -209,7 +209,7 @@
     let mut bench = Bench::new(settings(), &servers(2));
     let (light, heavy) = (bench.open(1, None), bench.open(2, None));
     for (request, load) in [(light, 10_000.0), (heavy, 70_000.0)] {
-        bench.note(request, Note::Load(load));
+        bench.measurement(request, Measurement::Load(load));
     }
     assert!(bench.held(2) > bench.held(1));
     bench.end(heavy, 0, Outcome::Ok, true);
@@ -220,8 +220,8 @@
 
 #[test]
 fn the_own_zone_comes_first_where_crossing_costs() {
-    let list = [Listed { zone: ZoneId(1), ..listed(1) }, listed(2)];
-    let mut bench = Bench::new(Settings { cross_zone_price: 0.05, ..settings() }, &list);
+    let list = [EndpointEntry { zone: ZoneId(1), ..listed(1) }, listed(2)];
+    let mut bench = Bench::new(Settings { cross_zone_cost: 0.05, ..settings() }, &list);
     let picks: Vec<_> = (0..5)
         .map(|_| {
             bench.arrive();
@@ -240,7 +240,7 @@
             bench.open(2 + i % 7, None);
         }
         let request = bench.open(1, None);
-        bench.note(request, SLOW);
+        bench.measurement(request, SLOW);
         bench.visit();
         bench.wait(2 * settings().max_retry_after);
         let before = bench.ceiling(1);
@@ -303,28 +303,35 @@
     let alone = bench.open(1, Some(1));
     let other = bench.open(1, Some(2));
     bench.open(1, Some(2));
-    bench.note(other, HOT);
-    assert!(bench.actions.contains(&Action::Move { request: alone }));
+    bench.measurement(other, HOT);
+    assert!(bench.actions.contains(&Action::Migrate { request: alone }));
 }
 
 #[test]
 fn a_heavy_connection_needs_all_its_slots() {
     // Incident i885c77: heavy connections took the last crumbs of room, and light ones were refused.
     let mut settings = settings();
-    settings.classes.push(class(Repeat::Safe));
+    settings.classes.push(class(Idempotency::Idempotent));
     let mut bench = Bench::new(settings, &servers(1));
     let (light, heavy) = (bench.open(1, None), bench.fresh());
     let (tenant, group, load, class) = (None, None, None, ClassId(1));
-    bench.event(Event::Open { request: heavy, class, tenant, group, load, server: ServerId(1) });
+    bench.event(Event::ConnectionRestored {
+        request: heavy,
+        class,
+        tenant,
+        group,
+        load,
+        server: ServerId(1),
+    });
     for _ in 0..20 {
-        bench.note(light, Note::Load(1.0));
-        bench.note(heavy, Note::Load(9.0));
+        bench.measurement(light, Measurement::Load(1.0));
+        bench.measurement(heavy, Measurement::Load(9.0));
     }
     bench.end(heavy, 0, Outcome::Ok, true);
     let mut sent = |class| {
         let request = bench.fresh();
         let deadline = bench.now.plus(SECOND);
-        bench.event(Event::Arrived { request, class, tenant, group, load, deadline });
+        bench.event(Event::RequestArrived { request, class, tenant, group, load, deadline });
         bench.sent_to().is_some()
     };
     let light_sent = (0..16).filter(|_| sent(ClassId(0))).count();
@@ -333,14 +340,14 @@
 
 #[test]
 fn a_hot_server_gives_up_a_connection_only_if_others_have_room() {
-    let hot_with_others_at = |connections: u32, last: Option<Note>| {
+    let hot_with_others_at = |connections: u32, last: Option<Measurement>| {
         let mut bench = Bench::new(settings(), &servers(2));
         let held: Vec<_> = (0..8).map(|_| bench.open(1, None)).collect();
         for _ in 0..connections {
             let other = bench.open(2, None);
-            last.into_iter().for_each(|note| bench.note(other, note));
+            last.into_iter().for_each(|measurement| bench.measurement(other, measurement));
         }
-        bench.note(held[0], HOT);
+        bench.measurement(held[0], HOT);
         moved(&bench)
     };
     assert!(hot_with_others_at(2, None));
@@ -350,7 +357,7 @@
     assert!(!hot_with_others_at(4, Some(SLOW)));
 }
 
-/// Seen on the bench: messages of an ageing host took 5 to 18 times their aim for ten seconds, and of its
+/// Seen on the bench: messages of an ageing host took 5 to 18 times their objective for ten seconds, and of its
 /// fourteen connections one left every other second.
 #[test]
 fn a_server_whose_messages_are_all_late_is_left_within_seconds() {
@@ -361,16 +368,16 @@
         let mut there = held.clone();
         for other in (2..=4).skip(calm as usize) {
             let id = bench.open(other, None);
-            bench.note(id, HOT);
+            bench.measurement(id, HOT);
         }
         for _ in 0..seconds {
             bench.wait(SECOND);
-            bench.note(there[0], Note::MessageTime(900 * MS));
+            bench.measurement(there[0], Measurement::MessageTime(900 * MS));
             let moved: Vec<_> = bench
                 .actions
                 .iter()
                 .filter_map(|action| match action {
-                    Action::Move { request } => Some(*request),
+                    Action::Migrate { request } => Some(*request),
                     _ => None,
                 })
                 .collect();
@@ -397,13 +404,13 @@
     let mut bench = Bench::new(settings(), &servers(1));
     let held: Vec<_> = (0..12).map(|_| bench.open(1, None)).collect();
     for late in [900, 400, 150, 60] {
-        bench.note(held[0], Note::MessageTime(late * MS));
+        bench.measurement(held[0], Measurement::MessageTime(late * MS));
         let wanted = 12.0 / (1.0 + late as f64 / 100.0);
         assert!((bench.ceiling(1) - wanted).abs() < 1e-9, "{} at {late} ms", bench.ceiling(1));
         bench.wait(SECOND);
     }
     // Fast again with all that it holds: it carries that well, and after a while one more.
-    bench.note(held[0], Note::MessageTime(9 * MS));
+    bench.measurement(held[0], Measurement::MessageTime(9 * MS));
     assert_eq!(bench.ceiling(1), 12.0);
     bench.arrive();
     assert_eq!(bench.sent_to(), None, "a moment ago it was slow");
@@ -416,7 +423,7 @@
 /// cold ones that took their places were sent a connection only every 1 to 4 seconds.
 #[test]
 fn a_cold_server_is_filled_by_what_servers_have_held_not_by_what_is_left() {
-    let settings = Settings { fall_multiple: 8.0, ..settings() };
+    let settings = Settings { slow_start_overload_factor: 8.0, ..settings() };
     let sent_when_left = |left: usize| {
         let mut bench = Bench::new(settings.clone(), &servers(4));
         let held: Vec<_> = (0..40).map(|n| bench.open(1 + n % 4, None)).collect();
@@ -424,8 +431,8 @@
         for &id in &held[left..] {
             bench.end(id, 0, Outcome::Ok, true);
         }
-        let cold = Listed { started: Some(bench.now), ..listed(5) };
-        bench.event(Event::List(&[cold]));
+        let cold = EndpointEntry { started: Some(bench.now), ..listed(5) };
+        bench.event(Event::EndpointsReplaced(&[cold]));
         let mut sent = 0;
         for _ in 0..50 {
             bench.wait(100 * MS);
@@ -443,7 +450,7 @@
 /// one a connection every nine seconds, while what hosts reported said that twenty-eight fill one.
 #[test]
 fn a_cold_server_is_filled_by_what_reports_say_fills_one() {
-    let settings = Settings { fall_multiple: 3.0, ..settings() };
+    let settings = Settings { slow_start_overload_factor: 3.0, ..settings() };
     let sends = |reported: bool| {
         let mut bench = Bench::new(settings.clone(), &servers(4));
         for n in 0..12 {
@@ -451,15 +458,15 @@
         }
         for server in 1..=4 {
             // Three connections make an eighth of what it can do: twenty-four fill it.
-            let report = reported.then_some(Report { utilisation: 0.125, connections: None });
-            bench.event(Event::Probed { server: ServerId(server), outcome: Outcome::Ok, report });
+            let report = reported.then_some(LoadReport { utilisation: 0.125, connections: None });
+            bench.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
         }
         bench.visit();
-        let draining = servers(4).into_iter().map(|s| Listed { standing: Standing::Draining, ..s });
-        let cold = Listed { started: Some(START), ..listed(5) };
-        bench.event(Event::ListChanged(&draining.chain([cold]).collect::<Vec<_>>()));
+        let draining = servers(4).into_iter().map(|s| EndpointEntry { state: EndpointState::Draining, ..s });
+        let cold = EndpointEntry { started: Some(START), ..listed(5) };
+        bench.event(Event::EndpointsChanged(&draining.chain([cold]).collect::<Vec<_>>()));
         let mut sent = Vec::new();
-        while bench.now.since(START) < settings.warm_up {
+        while bench.now.since(START) < settings.slow_start_duration {
             bench.wait(50 * MS);
             let request = bench.arrive();
             if bench.sent_to() == Some(5) {
@@ -472,11 +479,12 @@
     let (told, untold) = (sends(true), sends(false));
     assert!(told.len() > 3 * untold.len(), "{} sent with reports, {} without", told.len(), untold.len());
     for first in &told {
-        let window = settings.fall_window;
+        let window = settings.slow_start_window;
         let sent = told.iter().filter(|at| *at >= first && at.since(*first) < window).count();
-        let age = first.plus(window).since(START) as f64 / settings.warm_up as f64;
-        let warmth = (settings.cold_share + (1.0 - settings.cold_share) * age).min(1.0);
-        let bears = settings.fall_multiple * warmth * 24.0 * window as f64 / settings.warm_up as f64;
+        let age = first.plus(window).since(START) as f64 / settings.slow_start_duration as f64;
+        let warmth = (settings.slow_start_share + (1.0 - settings.slow_start_share) * age).min(1.0);
+        let bears = settings.slow_start_overload_factor * warmth * 24.0 * window as f64
+            / settings.slow_start_duration as f64;
         // Half of the slack that the rule leaves to chance, which is three roots and three.
         let most = bears + 1.5 * bears.sqrt() + 3.0;
         assert!(sent as f64 <= most, "{sent} in a window in which it bears {bears:.1}");
@@ -487,9 +495,9 @@
 /// own zone, which then dropped 21 of them at once.
 #[test]
 fn a_wave_after_a_restart_spreads_over_all_zones() {
-    let settings = Settings { cross_zone_price: 0.03, ..settings() };
-    let list: Vec<Listed> =
-        (1..=4).map(|id| Listed { zone: ZoneId(u16::from(id > 1)), ..listed(id) }).collect();
+    let settings = Settings { cross_zone_cost: 0.03, ..settings() };
+    let list: Vec<EndpointEntry> =
+        (1..=4).map(|id| EndpointEntry { zone: ZoneId(u16::from(id > 1)), ..listed(id) }).collect();
     let mut bench = Bench::new(settings, &list);
     let own = (0..64).filter(|_| bench.place().1 == 1).count();
     assert!((8..=28).contains(&own), "{own} of 64 in the own zone");
@@ -508,14 +516,14 @@
     bench.start(request, 0);
     // Loads that grow past the ceiling say nothing against the server.
     for (n, &id) in held.iter().enumerate() {
-        bench.note(id, Note::Load(1.0 + 9.0 * n as f64));
+        bench.measurement(id, Measurement::Load(1.0 + 9.0 * n as f64));
     }
     bench.arrive();
     assert_eq!(bench.sent_to(), Some(1));
     // But the next has to wait until that one has been taken, and after trouble it holds what it has.
     bench.arrive();
     assert_eq!(bench.sent_to(), None);
-    bench.note(held[0], SLOW);
+    bench.measurement(held[0], SLOW);
     bench.wait(2 * SECOND);
     bench.arrive();
     assert_eq!(bench.sent_to(), None);
@@ -529,7 +537,7 @@
         .filter(|&seed| {
             let mut bench = Bench::seeded(settings(), &servers(2), seed);
             let request = bench.open(1, None);
-            bench.note(request, HOT);
+            bench.measurement(request, HOT);
             moved(&bench)
         })
         .count();
@@ -569,7 +577,7 @@
     let hot: Vec<_> = (0..4).map(|_| bench.open(2, None)).collect();
     let heat = |bench: &mut Bench| {
         for &request in &hot {
-            bench.note(request, SLOW);
+            bench.measurement(request, SLOW);
         }
     };
     heat(&mut bench);
@@ -632,7 +640,7 @@
     let mut bench = Bench::new(settings(), &servers(2));
     bench.arrive();
     let timeout = bench.actions.iter().find_map(|action| match action {
-        Action::Send { timeout, .. } => Some(*timeout),
+        Action::StartAttempt { timeout, .. } => Some(*timeout),
         _ => None,
     });
     assert!(timeout.is_some_and(|t| t > 3 * SECOND * 9 / 10 && t < 3 * SECOND));
@@ -650,14 +658,16 @@
     let mut bench = Bench::new(settings(), &servers(1));
     let request = bench.arrive();
     let wake = bench.actions.iter().find_map(|action| match action {
-        Action::WakeIn(wait) => Some(*wait),
+        Action::SetTimer(wait) => Some(*wait),
         _ => None,
     });
     let wait = wake.expect("a timer guards the request");
     assert!(wait < 3 * SECOND);
     bench.wait(wait);
-    bench.event(Event::Wake);
-    assert!(bench.refused().is_some() && bench.actions.contains(&Action::Cancel { request, attempt: 0 }));
+    bench.event(Event::TimerFired);
+    assert!(
+        bench.refused().is_some() && bench.actions.contains(&Action::CancelAttempt { request, attempt: 0 })
+    );
     bench.end(request, 0, Outcome::Cancelled, true);
     assert_eq!(bench.held(1), 0.0);
 }
@@ -669,7 +679,7 @@
     bench.place();
     for _ in 0..3 {
         bench.end(first, 0, Outcome::Ok, true);
-        bench.event(Event::Left { request: first });
+        bench.event(Event::ClientLeft { request: first });
         bench.start(first, 0);
     }
     assert_eq!(bench.held(1), 1.0);
@@ -679,14 +689,14 @@
 
 #[test]
 fn sends_stop_with_the_word_of_a_drain() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for standing in [EndpointState::Draining, EndpointState::Gone] {
         let mut bench = Bench::new(settings(), &servers(1));
-        bench.event(Event::ListChanged(&[Listed { standing, ..listed(1) }]));
+        bench.event(Event::EndpointsChanged(&[EndpointEntry { standing, ..listed(1) }]));
         bench.arrive();
         assert_eq!(bench.sent_to(), None);
     }
     let mut bench = Bench::new(settings(), &servers(2));
-    bench.event(Event::List(&[listed(2)]));
+    bench.event(Event::EndpointsReplaced(&[listed(2)]));
     bench.arrive();
     assert_eq!(bench.sent_to(), Some(2), "what a whole list does not name is gone");
 }
@@ -695,8 +705,8 @@
 fn a_restarted_server_has_nothing_of_the_old_one() {
     let mut bench = Bench::new(settings(), &servers(1));
     let (request, _) = bench.place();
-    let restarted = Listed { started: Some(bench.now), ..listed(1) };
-    bench.event(Event::ListChanged(&[restarted]));
+    let restarted = EndpointEntry { started: Some(bench.now), ..listed(1) };
+    bench.event(Event::EndpointsChanged(&[restarted]));
     assert_eq!(bench.held(1), 0.0);
     bench.end(request, 0, Outcome::Reset, true);
     assert_eq!((bench.held(1), bench.ceiling(1)), (0.0, 4.0), "nor its late outcomes");
@@ -704,27 +714,27 @@
 
 #[test]
 fn a_list_that_must_be_asked_is_asked_again_after_failures() {
-    let settings = Settings { must_ask: true, must_ask_in: 8 * SECOND, ..settings() };
+    let settings = Settings { poll_required: true, poll_interval: 8 * SECOND, ..settings() };
     let mut bench = Bench::new(settings, &servers(1));
-    assert!(bench.actions.contains(&Action::Subscribe));
+    assert!(bench.actions.contains(&Action::WatchEndpoints));
     for _ in 0..10 {
-        bench.event(Event::ListFailed);
+        bench.event(Event::EndpointWatchFailed);
         let wait = bench.actions.iter().find_map(|action| match action {
-            Action::WakeIn(wait) => Some(*wait),
+            Action::SetTimer(wait) => Some(*wait),
             _ => None,
         });
         let wait = wait.expect("it will be asked again");
         assert!(wait > 0 && wait <= 12 * SECOND, "{wait}");
         bench.wait(wait);
-        bench.event(Event::Wake);
-        assert!(bench.actions.contains(&Action::Subscribe));
+        bench.event(Event::TimerFired);
+        assert!(bench.actions.contains(&Action::WatchEndpoints));
     }
 }
 
 #[test]
 fn weights_that_make_no_sense_count_as_unknown() {
     for weight in [0.0, -3.0, f64::NAN, f64::INFINITY, 1e308] {
-        let mut bench = Bench::new(settings(), &[Listed { weight, ..listed(1) }, listed(2)]);
+        let mut bench = Bench::new(settings(), &[EndpointEntry { weight, ..listed(1) }, listed(2)]);
         bench.arrive();
         assert_eq!((bench.ceiling(1), bench.ceiling(2)), (4.0, 4.0));
     }
@@ -736,10 +746,10 @@
 fn a_cold_server_is_filled_no_faster_than_it_warms() {
     // All balancers restarted with it: each sends at most its part, whatever the others hold.
     let settings = Settings { balancers: 5, ..settings() };
-    let cold = Listed { started: Some(START), ..listed(1) };
+    let cold = EndpointEntry { started: Some(START), ..listed(1) };
     let mut bench = Bench::new(settings.clone(), &[cold]);
     let mut sends = 0.0;
-    let end = START.plus(settings.fall_window);
+    let end = START.plus(settings.slow_start_window);
     while bench.now < end {
         let request = bench.arrive();
         if bench.sent_to().is_some() {
@@ -749,8 +759,8 @@
         }
         bench.wait(5 * MS);
     }
-    let part = settings.fall_window as f64 / settings.warm_up as f64;
-    assert!(sends <= 1.0 + settings.fall_multiple * part, "{sends}");
+    let part = settings.slow_start_window as f64 / settings.slow_start_duration as f64;
+    assert!(sends <= 1.0 + settings.slow_start_overload_factor * part, "{sends}");
 }
 
 /// Incident of the grown fleet: ninety balancers heard of a new server together and each sent one at once.
@@ -761,8 +771,9 @@
     for seed in 0..100 {
         let mut bench = Bench::seeded(settings.clone(), &servers(2), seed);
         bench.open(2, None);
-        bench.event(Event::ListChanged(&[Listed { started: Some(START), ..listed(1) }]));
-        bench.event(Event::ListChanged(&[Listed { standing: Standing::Draining, ..listed(2) }]));
+        bench.event(Event::EndpointsChanged(&[EndpointEntry { started: Some(START), ..listed(1) }]));
+        bench
+            .event(Event::EndpointsChanged(&[EndpointEntry { state: EndpointState::Draining, ..listed(2) }]));
         bench.arrive();
         sends += u32::from(bench.sent_to() == Some(1));
     }
@@ -772,7 +783,7 @@
 #[test]
 fn probes_cost_a_bounded_part_of_all_worth() {
     let settings =
-        Settings { probes: true, probe_reports: true, probe_price: 0.01, must_ask: false, ..settings() };
+        Settings { probes: true, probe_reports: true, probe_cost: 0.01, poll_required: false, ..settings() };
     let mut bench = Bench::new(settings, &servers(4));
     let mut sent = 0;
     for _ in 0..1000 {
@@ -786,7 +797,7 @@
     for _ in 0..10 {
         let request = bench.arrive();
         assert_eq!(probes(&bench), 0);
-        bench.end(request, 0, Outcome::Full, true);
+        bench.end(request, 0, Outcome::Rejected, true);
         assert_eq!(probes(&bench), 0);
     }
 }
--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -191,8 +191,8 @@
         };
         while daemon.irc.is_empty() {
             let line = daemon.log_line("");
-            let word = |mark: &str| {
-                let (_, rest) = line.split_once(mark)?;
+            let word = |short_hash: &str| {
+                let (_, rest) = line.split_once(short_hash)?;
                 rest.split(' ').next().map(str::to_owned)
             };
             if let Some(at) = word("hears stores on ") {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,7 +15,7 @@
     const SERVICE: u64 = 50 * MS;
     const PATIENCE: u64 = 2 * SECOND;
     const QUEUE: usize = 100;
-    let settings = Settings { must_ask: true, balancers: 100, ..settings() };
+    let settings = Settings { poll_required: true, balancers: 100, ..settings() };
     let list = servers(10);
     let mut fleet: Vec<Bench> = (0..100).map(|n| Bench::seeded(settings.clone(), &list, n)).collect();
     // Calls in turn: whose, and when they came. Wake-ups that balancers wait for.
@@ -36,8 +36,8 @@
         while let Some((&(at, n), ())) = wakes.first_key_value().filter(|((at, _), ())| *at <= now) {
             wakes.remove(&(at, n));
             fleet[n].now = now;
-            fleet[n].event(Event::Wake);
-            if fleet[n].actions.contains(&Action::Subscribe) {
+            fleet[n].event(Event::TimerFired);
+            if fleet[n].actions.contains(&Action::WatchEndpoints) {
                 if queue.len() < QUEUE {
                     queue.push_back((n, now));
                 } else {
@@ -47,9 +47,9 @@
         }
         for n in failed {
             fleet[n].now = now;
-            fleet[n].event(Event::ListFailed);
+            fleet[n].event(Event::EndpointWatchFailed);
             let waits = fleet[n].actions.iter().filter_map(|action| match action {
-                Action::WakeIn(wait) => Some(now.plus(*wait)),
+                Action::SetTimer(wait) => Some(now.plus(*wait)),
                 _ => None,
             });
             wakes.extend(waits.map(|at| ((at, n), ())));
@@ -97,7 +97,7 @@
         self.fleet[n].event(event);
         for action in self.fleet[n].actions.clone() {
             match action {
-                Action::Send { request, timeout, .. } => {
+                Action::StartAttempt { request, timeout, .. } => {
                     let sent = self.attempts.entry((n, request)).or_insert(0);
                     let attempt = std::mem::replace(sent, *sent + 1);
                     if self.queue.len() < self.most {
@@ -105,13 +105,13 @@
                         self.out.insert((n, request, attempt), self.now.plus(timeout));
                     } else {
                         let outcome = Outcome::Error;
-                        self.event(n, Event::Ended { request, attempt, outcome, answered: false });
+                        self.event(n, Event::AttemptEnded { request, attempt, outcome, answered: false });
                     }
                 }
-                Action::SetUpSlow if self.word.is_some_and(|at| self.now.since(at) >= 600 * MS) => {
+                Action::ReportSlowSetup if self.word.is_some_and(|at| self.now.since(at) >= 600 * MS) => {
                     self.word = Some(self.now);
                     (0..self.fleet.len()).filter(|&other| other != n).for_each(|other| {
-                        self.event(other, Event::SetUpSlow);
+                        self.event(other, Event::PeerSetupSlow);
                     });
                 }
                 _ => {}
@@ -127,7 +127,7 @@
             let (class, tenant, group, load) = (ClassId(0), None, None, None);
             self.attempts.insert((n, request), 0);
             let deadline = self.now.plus(wait);
-            self.event(n, Event::Arrived { request, class, tenant, group, load, deadline });
+            self.event(n, Event::RequestArrived { request, class, tenant, group, load, deadline });
         }
         while let Some(key @ (n, request, attempt)) =
             self.queue.front().copied().filter(|_| self.free <= self.now)
@@ -137,7 +137,7 @@
             match self.out.remove(&key) {
                 Some(_) => {
                     self.stood += 1;
-                    self.event(n, Event::Started { request, attempt });
+                    self.event(n, Event::ConnectionEstablished { request, attempt });
                 }
                 None => self.vain += 1,
             }
@@ -147,7 +147,7 @@
         for key @ (n, request, attempt) in late {
             self.out.remove(&key);
             let outcome = Outcome::TimedOut;
-            self.event(n, Event::Ended { request, attempt, outcome, answered: false });
+            self.event(n, Event::AttemptEnded { request, attempt, outcome, answered: false });
         }
         self.now = self.now.plus(MS);
     }
@@ -193,7 +193,7 @@
 #[test]
 fn a_queue_longer_than_clients_wait_empties_though_they_come_again_without_end() {
     let mut settings = Settings { balancers: 300, max_attempts: 1, ..settings() };
-    settings.classes.iter_mut().for_each(|class| class.setup_aim = 150 * MS);
+    settings.classes.iter_mut().for_each(|class| class.setup_objective = 150 * MS);
     let mut days = SharedStore::of(settings, 30, 5 * MS, usize::MAX, false);
     let pass = |days: &mut SharedStore, ms: usize| (0..ms).for_each(|ms| days.pass(1 + ms % 2, 500 * MS));
     pass(&mut days, 1000);
@@ -202,13 +202,13 @@
     assert!(days.stood > 600, "{} of the 4800 that the store bears", days.stood);
 }
 
-/// Danger: without an aim how late a set-up is cannot be told; then nobody at all would be let in.
+/// Danger: without an objective how late a set-up is cannot be told; then nobody at all would be let in.
 #[test]
 fn where_no_aim_for_set_ups_is_known_a_word_of_slow_ones_lets_half_in() {
     let mut settings = Settings { max_attempts: 1, ..settings() };
-    settings.classes.iter_mut().for_each(|class| class.setup_aim = 0);
+    settings.classes.iter_mut().for_each(|class| class.setup_objective = 0);
     let mut days = SharedStore::of(settings, 30, MS, usize::MAX, false);
-    days.event(0, Event::SetUpSlow);
+    days.event(0, Event::PeerSetupSlow);
     days.pass(40, 500 * MS);
     let sent: u32 = days.attempts.values().sum();
     assert!((8..=32).contains(&sent), "{sent} of 40 were sent on");
@@ -218,15 +218,15 @@
 /// or a refusal.
 #[test]
 fn odd_lists_and_numbers_of_balancers_get_a_definite_answer() {
-    let odd = |change: fn(&mut Listed)| -> Vec<Listed> {
+    let odd = |change: fn(&mut EndpointEntry)| -> Vec<EndpointEntry> {
         let mut list = servers(3);
         list.iter_mut().for_each(change);
         list
     };
     let lists = [
         (false, Vec::new()),
-        (false, odd(|host| host.standing = Standing::Draining)),
-        (false, odd(|host| host.standing = Standing::Gone)),
+        (false, odd(|host| host.state = EndpointState::Draining)),
+        (false, odd(|host| host.state = EndpointState::Gone)),
         (true, odd(|host| host.started = Some(Time(START.0 - MS)))),
         (true, odd(|host| host.started = Some(START))),
         (true, odd(|host| host.started = Some(START.plus(3600 * SECOND)))),
@@ -235,24 +235,26 @@
     ];
     for balancers in [0, 1, 100, u32::MAX] {
         for (n, (served, list)) in lists.iter().enumerate() {
-            let settings = Settings { balancers, must_ask: true, ..settings() };
+            let settings = Settings { balancers, poll_required: true, ..settings() };
             let mut bench = Bench::new(settings, list);
             for _ in 0..30 {
-                bench.event(Event::ListFailed);
+                bench.event(Event::EndpointWatchFailed);
             }
             let mut placed = 0;
             for _ in 0..200 {
                 let request = bench.arrive();
                 match bench.sent_to() {
                     Some(server) => {
-                        assert!(list.iter().any(|l| l.server.0 == server && l.standing == Standing::Serving));
+                        assert!(list
+                            .iter()
+                            .any(|l| l.server.0 == server && l.state == EndpointState::Serving));
                         placed += 1;
                         bench.end(request, 0, Outcome::Ok, true);
                     }
                     None => assert!(bench.refused().is_some(), "list {n}, {balancers} balancers"),
                 }
                 bench.wait(SECOND);
-                bench.event(Event::Wake);
+                bench.event(Event::TimerFired);
             }
             // A cold server may be kept for others for a while, but not for ever.
             assert_eq!(placed > 0, *served, "list {n}, {balancers} balancers: {placed}");
@@ -276,10 +278,12 @@
     }
     // What a tenth of them say of their groups is heard by all, and that a fifth of the hosts are slow.
     let samples: Vec<Vec<_>> =
-        fleet.iter().step_by(10).map(|b| b.balancer.standing_groups().map(Some).collect()).collect();
+        fleet.iter().step_by(10).map(|b| b.balancer.established_groups().map(Some).collect()).collect();
     for bench in &mut fleet {
-        samples.iter().for_each(|sample| bench.event(Event::Sample(sample)));
-        (1..=12).for_each(|host| bench.event(Event::Told { server: ServerId(host), took: Some(60 * MS) }));
+        samples.iter().for_each(|sample| bench.event(Event::PeerGroupSample(sample)));
+        (1..=12).for_each(|host| {
+            bench.event(Event::PeerObservation { server: ServerId(host), took: Some(60 * MS) })
+        });
     }
     let mut hosts_of: BTreeMap<u64, BTreeMap<u32, u32>> = BTreeMap::new();
     for n in 0..600 {
@@ -309,12 +313,12 @@
         fleet[n as usize * 7 % balancers].open(1 + n * 11 % hosts, None);
     }
     let start = START.plus(SECOND);
-    let replaced: Vec<Listed> = (1..=hosts)
+    let replaced: Vec<EndpointEntry> = (1..=hosts)
         .flat_map(|host| match host % 2 {
             0 => vec![],
             _ => vec![
-                Listed { standing: Standing::Gone, ..listed(host) },
-                Listed { started: Some(start), ..listed(host + hosts) },
+                EndpointEntry { state: EndpointState::Gone, ..listed(host) },
+                EndpointEntry { started: Some(start), ..listed(host + hosts) },
             ],
         })
         .collect();
@@ -323,7 +327,7 @@
         let request = bench.arrive();
         bench.end(request, 0, Outcome::Ok, true);
         bench.now = start;
-        bench.event(Event::ListChanged(&replaced));
+        bench.event(Event::EndpointsChanged(&replaced));
     }
     let mut to_cold = vec![vec![0; hosts as usize]; seconds];
     for n in 0..come * seconds {
@@ -345,7 +349,8 @@
 /// get no more than their budgets, all balancers together, however many come.
 #[test]
 fn three_hundred_balancers_use_the_budgets_of_cold_hosts_and_not_more() {
-    let settings = Settings { balancers: 300, max_retry_after: SECOND, fall_multiple: 4.0, ..settings() };
+    let settings =
+        Settings { balancers: 300, max_retry_after: SECOND, slow_start_overload_factor: 4.0, ..settings() };
     for (come, least) in [(100, 60), (400, 120)] {
         let to_cold = sent_to_cold(&settings, 60, 900, come, 6);
         let all: usize = to_cold.iter().flatten().sum();
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -133,7 +133,7 @@
             }
         });
     }
-    // A third of the aim and a little: the module by itself moves nobody for that.
+    // A third of the objective and a little: the module by itself moves nobody for that.
     let mut moved = None;
     for _ in 0..20 {
         pressed.slow(45);
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -15,7 +15,7 @@
 }
 
 fn setup(balancers: u32, price: f64) -> Setup {
-    Setup { on: true, balancers, price, message_aim: 100 * MS, holds: HOLDS, set_up_holds: 600 * MS }
+    Setup { on: true, balancers, price, message_objective: 100 * MS, holds: HOLDS, set_up_holds: 600 * MS }
 }
 
 #[test]
@@ -77,7 +77,7 @@
             let mut placed = 0;
             for bench in &mut fleet {
                 if told && second == 0 {
-                    bench.event(Event::Told { server: ServerId(1), took: Some(300 * MS) });
+                    bench.event(Event::PeerObservation { server: ServerId(1), took: Some(300 * MS) });
                 }
                 let (request, server) = bench.place();
                 placed += usize::from(server == 1);
@@ -107,7 +107,7 @@
         let mut count = 0;
         for bench in &mut fleet {
             if word {
-                bench.event(Event::Told { server: ServerId(1), took: None });
+                bench.event(Event::PeerObservation { server: ServerId(1), took: None });
             }
             for _ in 0..10 {
                 let (request, server) = bench.place();
@@ -131,15 +131,15 @@
     for _ in 0..3 {
         bench.place();
     }
-    bench.event(Event::Told { server: ServerId(1), took: None });
+    bench.event(Event::PeerObservation { server: ServerId(1), took: None });
     assert_eq!((bench.held(1), bench.ceiling(1)), (3.0, 3.5));
 }
 
 #[test]
 fn a_word_that_makes_no_sense_changes_nothing() {
     let mut bench = Bench::new(settings(), &servers(2));
-    bench.event(Event::Told { server: ServerId(77), took: Some(300 * MS) });
-    bench.event(Event::Told { server: ServerId(1), took: Some(0) });
+    bench.event(Event::PeerObservation { server: ServerId(77), took: Some(300 * MS) });
+    bench.event(Event::PeerObservation { server: ServerId(1), took: Some(0) });
     assert_eq!((bench.ceiling(1), bench.ceiling(2)), (4.0, 4.0));
 }
 
@@ -157,7 +157,7 @@
                 true => News::Dropped(ServerId(host)),
                 false => slow(host, ms),
             }),
-            groups: std::array::from_fn(|n| marks.get(n).copied().map(GroupMark)),
+            groups: std::array::from_fn(|n| marks.get(n).copied().map(GroupHash)),
         };
         let bytes = write(word(ms));
         prop_assert!(bytes.len() <= 16 && bytes.len() <= LONGEST, "longer ones cost more");
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -2,7 +2,7 @@
 
 use connection_balancer::protocol::platform::probe_answer;
 use connection_balancer::routing::ProbeEnd;
-use connection_balancer::Report;
+use connection_balancer::LoadReport;
 use proptest::prelude::*;
 
 const NAMES: [&str; 2] = ["x0", "util"];
@@ -10,7 +10,7 @@
 /// Told twice, or badly under the better name: the other name does not help it.
 #[test]
 fn answers_tell_the_load_by_the_first_known_name_or_nothing() {
-    let report = |utilisation, connections| Some(Report { utilisation, connections });
+    let report = |utilisation, connections| Some(LoadReport { utilisation, connections });
     let table = [
         ("PONG x0=0.551,errors_per_s=0,utilization=0.499", ProbeEnd::Answered(report(0.551, None))),
         ("PONG util=0.61,inflight=7,x0=1.5", ProbeEnd::Answered(report(1.5, Some(7.0)))),
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -15,12 +15,12 @@
 fn terms() -> Terms {
     Terms {
         balancers: 1,
-        worths: vec![3.0, 2.0],
-        setup_aim: 300_000,
-        message_aim: 100_000,
+        priority_weights: vec![3.0, 2.0],
+        setup_objective: 300_000,
+        message_objective: 100_000,
         tells_delay: true,
-        move_price: 0.025,
-        warm_up: 8_800_000,
+        migration_cost: 0.025,
+        slow_start_duration: 8_800_000,
     }
 }
 
@@ -48,12 +48,12 @@
             weight: 1.0,
             warmth: 1.0,
             started: None,
-            troubled: None,
+            last_fault: None,
         };
         let hosts = (0..hosts as u32).map(host).collect();
         let mut rig =
             Rig { core: Rebalance::new(setup, terms, 7, now), now, hosts, next: 0, world: World::default() };
-        rig.word(Word::Listed { ready: rig.hosts.len() });
+        rig.word(Word::EndpointEntry { ready: rig.hosts.len() });
         rig
     }
 
@@ -161,7 +161,7 @@
     let mut rig = Rig::lopsided();
     rig.stand(3, 8, None);
     rig.hosts[3].started = None;
-    rig.hosts[3].troubled = Some(rig.now);
+    rig.hosts[3].last_fault = Some(rig.now);
     rig.hosts[3].ceiling = 8.0;
     rig.now = rig.now.plus(30 * SECOND);
     assert!(rig.seconds(20, Some(80_000)).is_empty());
@@ -173,7 +173,8 @@
 #[test]
 fn chance_moves_nobody() {
     for tells_delay in [true, false] {
-        let terms = Terms { tells_delay, message_aim: if tells_delay { 100_000 } else { 0 }, ..terms() };
+        let terms =
+            Terms { tells_delay, message_objective: if tells_delay { 100_000 } else { 0 }, ..terms() };
         let mut rig = Rig::new(setup(), terms, 4);
         for (host, count) in [(0, 24), (1, 16), (2, 20), (3, 20)] {
             rig.stand(host, count, None);
@@ -184,7 +185,7 @@
 
 #[test]
 fn where_hosts_tell_nothing_only_what_chance_does_not_explain_moves_anybody() {
-    let mut rig = Rig::new(setup(), Terms { tells_delay: false, message_aim: 0, ..terms() }, 4);
+    let mut rig = Rig::new(setup(), Terms { tells_delay: false, message_objective: 0, ..terms() }, 4);
     for host in 0..3 {
         rig.stand(host, 200, None);
     }
@@ -303,7 +304,7 @@
     set_ups(&mut rig, 40_000, 1);
     rig.seconds(8, Some(80_000));
     assert_eq!(rig.held(), None);
-    // From the start there is no usual; the aim tells.
+    // From the start there is no usual; the objective tells.
     let mut rig = Rig::lopsided();
     set_ups(&mut rig, 200_000, 1);
     assert!(rig.seconds(1, Some(80_000)).is_empty());
@@ -432,8 +433,8 @@
     assert_eq!(world(World { draining: 1, ..World::default() }), Some(Held::Draining));
     assert_eq!(held(&|rig| rig.word(Word::Reloaded)), Some(Held::Reload));
     assert_eq!(held(&|rig| rig.word(Word::ListLost)), Some(Held::ListLost));
-    assert_eq!(held(&|rig| rig.word(Word::Listed { ready: 2 })), Some(Held::ListShrank));
-    assert_eq!(held(&|rig| rig.word(Word::Listed { ready: 0 })), Some(Held::ListShrank));
+    assert_eq!(held(&|rig| rig.word(Word::EndpointEntry { ready: 2 })), Some(Held::ListShrank));
+    assert_eq!(held(&|rig| rig.word(Word::EndpointEntry { ready: 0 })), Some(Held::ListShrank));
     let storm = |rig: &mut Rig| {
         for n in 0..60 {
             rig.word(Word::Arrived { connection: ConnectionId(80_000 + n), key: None, again: false });
@@ -458,10 +459,10 @@
     assert_eq!(rig.held(), None);
 }
 
-/// A reload may bring another aim, by which words of slow messages are then judged.
+/// A reload may bring another objective, by which words of slow messages are then judged.
 #[test]
 fn another_message_aim_holds_from_the_reload_on() {
-    let mut rig = Rig::new(setup(), Terms { message_aim: 1_000_000, ..terms() }, 4);
+    let mut rig = Rig::new(setup(), Terms { message_objective: 1_000_000, ..terms() }, 4);
     (0..3).for_each(|host| drop(rig.stand(host, if host == 0 { 40 } else { 20 }, None)));
     rig.hosts[3].started = Some(rig.now);
     assert!(rig.seconds(10, Some(80_000)).is_empty(), "80 ms are fast where 1 s is wanted");
@@ -520,7 +521,7 @@
                     5 => rig.word(Word::Arrived { connection, key: Some(n), again: host > 2 }),
                     6 => rig.word(Word::Declined { connection }),
                     7 => rig.word(Word::Load { connection, load: n as f64 * 5_000.0 }),
-                    8 => rig.word(Word::Listed { ready: host as usize }),
+                    8 => rig.word(Word::EndpointEntry { ready: host as usize }),
                     9 => rig.word(if host > 2 { Word::ListLost } else { Word::ListTold }),
                     10 => rig.hosts[host as usize].ready ^= true,
                     11 => rig.hosts[host as usize].started = Some(rig.now),
@@ -597,7 +598,7 @@
             if let (0, Some(&connection)) =
                 (tenth, connections.iter().find(|connection| !moved.contains(*connection)))
             {
-                // A third of the aim: no cause for the module to move anybody by itself.
+                // A third of the objective: no cause for the module to move anybody by itself.
                 effects.extend(desk.put(Input::LoadReported { connection, load: 45.0 }));
             }
             moved.extend(effects.iter().filter_map(|effect| match effect {
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -21,7 +21,12 @@
 }
 
 pub fn setup() -> PoolSetup {
-    let class = Class { worth: 1.0, setup_aim: 300_000, message_aim: 100_000, repeat: Repeat::Safe };
+    let class = Class {
+        priority_weight: 1.0,
+        setup_objective: 300_000,
+        message_objective: 100_000,
+        idempotency: Idempotency::Idempotent,
+    };
     PoolSetup {
         name: "platform",
         classes: vec!["chat".to_owned(), "wallet".to_owned()],
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use connection_balancer::peers::{News, Word};
 use connection_balancer::routing::*;
-use connection_balancer::{Class, Repeat, Report, ServerId};
+use connection_balancer::{Class, Idempotency, LoadReport, ServerId};
 use reducer_harness::{ask, Desk, HOSTS, WAIT};
 
 /// Seen on the bench: hosts tell a message's time by the same word as a load. Taken for a load it made the
@@ -74,7 +74,7 @@
 }
 
 fn report(utilisation: f64) -> ProbeEnd {
-    ProbeEnd::Answered(Some(Report { utilisation, connections: None }))
+    ProbeEnd::Answered(Some(LoadReport { utilisation, connections: None }))
 }
 
 /// Has this many connections come to stand, each with a minute after it, and tells which hosts were probed.
@@ -507,7 +507,12 @@
     let mut desk = Desk::new();
     let (standing, (placing, host)) = (desk.standing(), desk.written());
     let mut setup = reducer_harness::setup();
-    let first = Class { worth: 9.0, setup_aim: 1, message_aim: 7, repeat: Repeat::Unsafe };
+    let first = Class {
+        priority_weight: 9.0,
+        setup_objective: 1,
+        message_objective: 7,
+        idempotency: Idempotency::NotIdempotent,
+    };
     setup.settings.classes.insert(0, first);
     setup.classes.insert(0, "alerts".to_owned());
     setup.discovery = Some("127.0.0.1:9".parse().expect("an address"));
