--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,7 +18,7 @@
     Leave { which: usize },
     Slow { which: usize, ms: u64 },
     Load { which: usize, load: f64 },
-    Report { server: u32, utilisation: f64 },
+    LoadReport { server: u32, utilisation: f64 },
     Listing { server: u32, standing: usize, restarted: bool, whole: bool, weight: f64 },
     ListFailed,
     Stray { request: u64, attempt: u32 },
@@ -37,7 +37,7 @@
         1 => which.clone().prop_map(|which| Step::Leave { which }),
         2 => (which.clone(), 0..500u64).prop_map(|(which, ms)| Step::Slow { which, ms }),
         2 => (which, odd.clone()).prop_map(|(which, load)| Step::Load { which, load }),
-        1 => (0..8u32, odd.clone()).prop_map(|(server, utilisation)| Step::Report { server, utilisation }),
+        1 => (0..8u32, odd.clone()).prop_map(|(server, utilisation)| Step::LoadReport { server, utilisation }),
         3 => (0..8u32, 0..3usize, any::<bool>(), any::<bool>(), odd).prop_map(
             |(server, standing, restarted, whole, weight)| Step::Listing {
                 server, standing, restarted, whole, weight
@@ -51,7 +51,7 @@
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
     Outcome::Reset,
@@ -82,7 +82,7 @@
 struct Host {
     bench: Bench,
     settings: Settings,
-    list: BTreeMap<ServerId, Listed>,
+    list: BTreeMap<ServerId, EndpointEntry>,
     requests: BTreeMap<RequestId, Owed>,
     wakes: Vec<Time>,
     log: Vec<Action>,
@@ -90,20 +90,25 @@
 
 impl Host {
     fn new(seed: u64) -> Host {
-        let keyed = |scope| Repeat::Keyed { scope, window: 700 * MS };
-        let repeats =
-            [Repeat::Safe, keyed(Scope::All), keyed(Scope::Zone), keyed(Scope::Cell), Repeat::Unsafe];
+        let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 700 * MS };
+        let repeats = [
+            Idempotency::Idempotent,
+            keyed(KeyScope::All),
+            keyed(KeyScope::Zone),
+            keyed(KeyScope::Cell),
+            Idempotency::NotIdempotent,
+        ];
         let settings = Settings {
             classes: repeats.into_iter().map(class).collect(),
             balancers: 2,
-            cross_zone_price: 0.1,
-            must_ask: true,
+            cross_zone_cost: 0.1,
+            poll_required: true,
             probes: true,
             probe_reports: true,
-            probe_price: 0.001,
+            probe_cost: 0.001,
             ..settings()
         };
-        let list: Vec<Listed> = (0..6).map(Host::listed).collect();
+        let list: Vec<EndpointEntry> = (0..6).map(Host::listed).collect();
         let mut host = Host {
             bench: Bench::seeded(settings.clone(), &list, seed),
             settings,
@@ -116,8 +121,8 @@
         host
     }
 
-    fn listed(server: u32) -> Listed {
-        Listed { zone: ZoneId(server as u16 % 2), cell: CellId(server / 2), ..listed(server) }
+    fn listed(server: u32) -> EndpointEntry {
+        EndpointEntry { zone: ZoneId(server as u16 % 2), cell: CellId(server / 2), ..listed(server) }
     }
 
     fn event(&mut self, event: Event<'_>) {
@@ -129,29 +134,31 @@
     fn carry_out(&mut self) {
         let now = self.bench.now;
         let classes = &self.settings.classes;
-        let repeat = |class: ClassId| classes.get(class.0 as usize).map_or(Repeat::Unsafe, |c| c.repeat);
+        let idempotency = |class: ClassId| {
+            classes.get(class.0 as usize).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
+        };
         for action in std::mem::take(&mut self.bench.actions) {
             self.log.push(action.clone());
             match action {
-                Action::Send { request, server, timeout, .. } => {
+                Action::StartAttempt { request, server, timeout, .. } => {
                     let owed = self.requests.get_mut(&request).expect("a request that was handed in");
                     assert!(!owed.answered, "rule 1: nothing is sent after the answer");
                     assert!(owed.out.is_none(), "never two attempts out");
                     assert!(owed.attempts < self.settings.max_attempts, "attempt limit");
                     let at = self.list[&server];
-                    assert_eq!(at.standing, Standing::Serving, "rule 3: drains are kept");
-                    let repeat = repeat(owed.class);
+                    assert_eq!(at.state, EndpointState::Serving, "rule 3: drains are kept");
+                    let idempotency = idempotency(owed.class);
                     for (ran, sent) in &owed.may_have_run {
                         let ran = self.list[ran];
-                        let harmless = match repeat {
-                            Repeat::Safe => true,
-                            Repeat::Unsafe => false,
-                            Repeat::Keyed { scope, window } => {
+                        let harmless = match idempotency {
+                            Idempotency::Idempotent => true,
+                            Idempotency::NotIdempotent => false,
+                            Idempotency::IdempotencyKey { scope, window } => {
                                 now.since(*sent) < window
                                     && match scope {
-                                        Scope::All => true,
-                                        Scope::Zone => at.zone == ran.zone,
-                                        Scope::Cell => at.cell == ran.cell,
+                                        KeyScope::All => true,
+                                        KeyScope::Zone => at.zone == ran.zone,
+                                        KeyScope::Cell => at.cell == ran.cell,
                                     }
                             }
                         };
@@ -161,14 +168,17 @@
                     owed.out = Some(Out { number: owed.attempts, server, sent: now, expires, open: false });
                     owed.attempts += 1;
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let owed = self.requests.get_mut(&request).expect("a request that was handed in");
                     assert!(!owed.answered, "rule 1: one answer");
                     assert!(now <= owed.deadline, "rule 1: in time");
                     owed.answered = true;
-                    let repeat = repeat(owed.class);
+                    let idempotency = idempotency(owed.class);
                     let ran = !owed.may_have_run.is_empty() || owed.out.is_some();
-                    let harmless = matches!(repeat, Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. });
+                    let harmless = matches!(
+                        idempotency,
+                        Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+                    );
                     assert!(harmless || !ran, "rule 2: a refusal is true");
                 }
                 Action::Fail { request } => {
@@ -177,18 +187,21 @@
                     assert!(now <= owed.deadline, "rule 1: in time");
                     owed.answered = true;
                 }
-                Action::Cancel { request, attempt } => {
+                Action::CancelAttempt { request, attempt } => {
                     assert!(attempt < self.requests[&request].attempts, "an attempt that was made");
                 }
-                Action::Move { request } => {
+                Action::Migrate { request } => {
                     assert!(
                         self.requests[&request].out.is_some_and(|out| out.open),
                         "a connection that stands"
                     );
                 }
-                Action::Probe { server } => assert!(self.list.contains_key(&server)),
-                Action::WakeIn(wait) => self.wakes.push(now.plus(wait)),
-                Action::SetUpSlow | Action::Dropped { .. } | Action::Subscribe | Action::Log(_) => {}
+                Action::ProbeServer { server } => assert!(self.list.contains_key(&server)),
+                Action::SetTimer(wait) => self.wakes.push(now.plus(wait)),
+                Action::ReportSlowSetup
+                | Action::ReportDrop { .. }
+                | Action::WatchEndpoints
+                | Action::Log(_) => {}
             }
         }
     }
@@ -203,7 +216,7 @@
         }
         owed.answered |= outcome == Outcome::Ok || now >= owed.deadline.plus(20 * MS);
         let answered = owed.answered;
-        self.event(Event::Ended { request, attempt: out.number, outcome, answered });
+        self.event(Event::AttemptEnded { request, attempt: out.number, outcome, answered });
     }
 
     /// Lets time pass, with its wake-ups and time-outs in order.
@@ -223,7 +236,7 @@
                 None => {
                     let place = self.wakes.iter().position(|&wake| wake == at).expect("just found");
                     self.wakes.remove(place);
-                    self.event(Event::Wake);
+                    self.event(Event::TimerFired);
                 }
             }
         }
@@ -247,7 +260,14 @@
                 let owed =
                     Owed { class, deadline, answered: false, attempts: 0, out: None, may_have_run: vec![] };
                 self.requests.insert(request, owed);
-                self.event(Event::Arrived { request, class, tenant: None, group, load: None, deadline });
+                self.event(Event::RequestArrived {
+                    request,
+                    class,
+                    tenant: None,
+                    group,
+                    load: None,
+                    deadline,
+                });
             }
             Step::Open { server } => {
                 let (request, server, class) = (self.bench.fresh(), ServerId(server), ClassId(0));
@@ -264,7 +284,7 @@
                     self.requests.insert(request, owed);
                 }
                 let (tenant, group, load) = (None, Some(GroupId(1)), Some(3.0));
-                self.event(Event::Open { request, class, tenant, group, load, server });
+                self.event(Event::ConnectionRestored { request, class, tenant, group, load, server });
             }
             Step::Start { which } => {
                 let waiting = |owed: &Owed| !owed.answered && owed.out.is_some_and(|out| !out.open);
@@ -274,7 +294,7 @@
                 let Some(out) = owed.out.as_mut() else { return };
                 out.open = true;
                 let attempt = out.number;
-                self.event(Event::Started { request, attempt });
+                self.event(Event::ConnectionEstablished { request, attempt });
             }
             Step::End { which, outcome } => {
                 if let Some(request) = self.nth(which, |owed| owed.out.is_some()) {
@@ -284,42 +304,57 @@
             Step::Leave { which } => {
                 let Some(request) = self.nth(which, |owed| !owed.answered) else { return };
                 self.requests.get_mut(&request).expect("just found").answered = true;
-                self.event(Event::Left { request });
+                self.event(Event::ClientLeft { request });
             }
             Step::Slow { which, ms } => {
                 if let Some(request) = self.nth(which, |owed| owed.out.is_some_and(|out| out.open)) {
-                    self.event(Event::Noted { request, note: Note::MessageTime(ms * MS) });
+                    self.event(Event::ConnectionMeasured {
+                        request,
+                        measurement: Measurement::MessageTime(ms * MS),
+                    });
                 }
             }
             Step::Load { which, load } => {
                 if let Some(request) = self.nth(which, |owed| owed.out.is_some_and(|out| out.open)) {
-                    self.event(Event::Noted { request, note: Note::Load(load) });
+                    self.event(Event::ConnectionMeasured { request, measurement: Measurement::Load(load) });
                 }
             }
-            Step::Report { server, utilisation } => {
-                let report = Some(Report { utilisation, connections: Some(utilisation) });
-                self.event(Event::Probed { server: ServerId(server), outcome: Outcome::Ok, report });
+            Step::LoadReport { server, utilisation } => {
+                let report = Some(LoadReport { utilisation, connections: Some(utilisation) });
+                self.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
             }
             Step::Listing { server, standing, restarted, whole, weight } => {
-                let standing = [Standing::Serving, Standing::Draining, Standing::Gone][standing];
+                let standing =
+                    [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][standing];
                 let old = self.list.get(&ServerId(server)).and_then(|l| l.started);
                 let started = if restarted { Some(now) } else { old };
-                let entry = Listed { standing, started, weight, ..Host::listed(server) };
+                let entry = EndpointEntry { state: standing, started, weight, ..Host::listed(server) };
                 self.list.insert(entry.server, entry);
-                let entries: Vec<Listed> = self.list.values().copied().collect();
+                let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
                 let twice = [entry, entry];
-                self.event(if whole { Event::List(&entries) } else { Event::ListChanged(&twice) });
+                self.event(if whole {
+                    Event::EndpointsReplaced(&entries)
+                } else {
+                    Event::EndpointsChanged(&twice)
+                });
             }
-            Step::ListFailed => self.event(Event::ListFailed),
+            Step::ListFailed => self.event(Event::EndpointWatchFailed),
             Step::Stray { request, attempt } => {
                 // Repeated and unknown outcomes: only for what has no attempt of that number out.
                 let request = RequestId(request);
                 let out = self.requests.get(&request).and_then(|owed| owed.out);
                 if out.is_none_or(|out| out.number != attempt) {
                     let answered = self.requests.get(&request).is_none_or(|owed| owed.answered);
-                    self.event(Event::Ended { request, attempt, outcome: Outcome::Reset, answered });
-                    self.event(Event::Noted { request: RequestId(9_999), note: Note::Load(1.0) });
-                    self.event(Event::Probed { server: ServerId(999), outcome: Outcome::Ok, report: None });
+                    self.event(Event::AttemptEnded { request, attempt, outcome: Outcome::Reset, answered });
+                    self.event(Event::ConnectionMeasured {
+                        request: RequestId(9_999),
+                        measurement: Measurement::Load(1.0),
+                    });
+                    self.event(Event::ProbeCompleted {
+                        server: ServerId(999),
+                        outcome: Outcome::Ok,
+                        report: None,
+                    });
                 }
             }
             Step::Wait { ms } => self.wait(ms * MS),
@@ -337,7 +372,7 @@
             assert_eq!(self.bench.held(server.0), 0.0, "occupancy is conserved");
         }
         for request in self.requests.keys() {
-            assert!(!self.bench.balancer.keeps(*request), "nothing is kept of what has ended");
+            assert!(!self.bench.balancer.is_tracked(*request), "nothing is kept of what has ended");
         }
     }
 }
@@ -389,17 +424,17 @@
             if bench.sent_to() == Some(1) {
                 sends.push(bench.now);
             }
-            bench.end(request, 0, Outcome::Full, true);
+            bench.end(request, 0, Outcome::Rejected, true);
         }
         // Held on the mean by the fleet: what a server can surely carry, here of this balancer.
         let size = (f64::from(held + 4) / 4.0).max(1.0);
         for (i, first) in sends.iter().enumerate() {
-            let cold = sends[i..].iter().filter(|at| at.since(START) < settings.warm_up);
-            let window = cold.take_while(|at| at.since(*first) < settings.fall_window);
-            let age = first.plus(settings.fall_window).since(START) as f64 / settings.warm_up as f64;
-            let warmth = (settings.cold_share + (1.0 - settings.cold_share) * age).min(1.0);
-            let part = settings.fall_window as f64 / settings.warm_up as f64;
-            let most = 1.0 + settings.fall_multiple * warmth * size * part;
+            let cold = sends[i..].iter().filter(|at| at.since(START) < settings.slow_start_duration);
+            let window = cold.take_while(|at| at.since(*first) < settings.slow_start_window);
+            let age = first.plus(settings.slow_start_window).since(START) as f64 / settings.slow_start_duration as f64;
+            let warmth = (settings.slow_start_share + (1.0 - settings.slow_start_share) * age).min(1.0);
+            let part = settings.slow_start_window as f64 / settings.slow_start_duration as f64;
+            let most = 1.0 + settings.slow_start_overload_factor * warmth * size * part;
             prop_assert!(window.count() as f64 <= most);
         }
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use connection_balancer::protocol::hot_restart::{add, parts, read, write, Part, Word};
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
-use connection_balancer::{Learned, Time};
+use connection_balancer::{LearnedState, Time};
 use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
 use reducer_harness::{ask, Desk, HOSTS};
@@ -247,14 +247,14 @@
 fn words() -> impl Strategy<Value = Word> {
     let name = || "[ -~]{0,40}";
     let learned = (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
-        |(ceiling, at, failures, failed_at, until)| Learned {
+        |(ceiling, at, failures, failed_at, until)| LearnedState {
             ceiling,
-            failures,
-            failed_at,
-            out_until: Time(until),
-            next_cold_send: Time(until / 2),
-            troubled: at,
-            moved: at,
+            consecutive_failures: failures,
+            last_failure: failed_at,
+            ejected_until: Time(until),
+            next_slow_start_send: Time(until / 2),
+            last_fault: at,
+            last_migration: at,
         },
     );
     let host = (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
