--- a/simulation/src/day.rs
+++ b/simulation/src/day.rs
@@ -5,7 +5,7 @@
 
 use connection_balancer::routing::{
     reduce, Answer, AttemptOutcome, Budget, ConnectionId, ConnectionRequest, Effect, Endpoint, Input,
-    Lifecycle, PoolSetup, State, StoreSetup,
+    Lifecycle, PoolConfig, ReplicationConfig, State,
 };
 use connection_balancer::{Class, Idempotency, Settings, Time};
 use rand::{Rng, SeedableRng};
@@ -137,14 +137,14 @@
 }
 
 /// What a balancer of this world is told.
-fn setup(world: &World, seed: u64) -> PoolSetup {
+fn setup(world: &World, seed: u64) -> PoolConfig {
     let class = |n: usize| Class {
         priority_weight: CLASSES[n].0,
         setup_objective: SETUP_AIMS[n],
         message_objective: if world.tells_delay { CLASSES[n].1 as u64 } else { 0 },
         idempotency: Idempotency::Idempotent,
     };
-    PoolSetup {
+    PoolConfig {
         name: "model",
         classes: vec!["stock-feed".to_owned(), "wallet".to_owned()],
         tenants: Vec::new(),
@@ -205,12 +205,12 @@
         let world = World {
             hosts: 20,
             balancers: 1,
-            rebalance: connection_balancer::rebalance::Setup { on, ..Default::default() },
+            rebalance: connection_balancer::rebalance::RebalanceConfig { on, ..Default::default() },
             ..World::default()
         };
         let setup = setup(&world, 1);
         let budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
-        let mut state = State::new(vec![setup], StoreSetup::default(), budget, Time(ORIGIN));
+        let mut state = State::new(vec![setup], ReplicationConfig::default(), budget, Time(ORIGIN));
         let mut feed = |input| drop(reduce(&mut state, Time(ORIGIN), input));
         feed(Input::EndpointsUpdated {
             pool: 0,
@@ -223,7 +223,7 @@
             let host = if n % 20 == 19 && n % 3 == 0 { 0 } else { n % 20 };
             let ask = ConnectionRequest {
                 class: "stock-feed".to_owned(),
-                standing_at: Some(format!("s-{:08x}", host + 1)),
+                established_at: Some(format!("s-{:08x}", host + 1)),
                 key: Some(n as u64),
                 ..ConnectionRequest::default()
             };
@@ -313,7 +313,7 @@
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(n as u64 * 101 + life);
         let setup = setup(self.world, seed);
         let budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
-        let state = State::new(vec![setup], StoreSetup::default(), budget, self.clock());
+        let state = State::new(vec![setup], ReplicationConfig::default(), budget, self.clock());
         Node { state, up: true, life, connections: BTreeMap::new(), next: 0, due: None, died: 0 }
     }
 
@@ -362,7 +362,7 @@
         }
     }
 
-    fn ask(&mut self, client: usize, n: usize, standing_at: Option<String>) {
+    fn ask(&mut self, client: usize, n: usize, established_at: Option<String>) {
         let who = &self.clients[client];
         let node = &mut self.nodes[n];
         node.next += 1;
@@ -377,7 +377,7 @@
             wait: Some(CLASSES[who.class].2),
             key: Some(client as u64),
             again: self.people[client].again,
-            standing_at,
+            established_at,
             ..ConnectionRequest::default()
         };
         self.feed(n, Input::ClientConnected { connection, pool: 0 });
@@ -415,7 +415,7 @@
                 self.nodes[n].connections.remove(&connection);
                 let who = (n, life, connection.0);
                 match answer {
-                    Answer::Moved => {
+                    Answer::Migrated => {
                         self.result.moves += 1;
                         self.people[client].moved = true;
                         let gone = self.rng.random::<f64>() >= self.world.come_back;
@@ -425,11 +425,11 @@
                             self.breaks(client);
                         }
                     }
-                    Answer::Refused(wait) => {
+                    Answer::Rejected(wait) => {
                         self.rules.answer(self.now, who);
                         self.declined(client, wait);
                     }
-                    Answer::Failed | Answer::Late => {
+                    Answer::Failed | Answer::HandshakeTimedOut => {
                         self.rules.answer(self.now, who);
                         self.declined(client, 0);
                     }
@@ -560,13 +560,12 @@
         if !here {
             self.rules.over((n, life, connection.0));
             return self
-                .feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::NoConnection });
+                .feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::ConnectFailed });
         }
         self.feed(n, Input::RequestForwarded { connection, attempt });
         if self.hosts[host].full() {
             self.rules.over((n, life, connection.0));
-            return self
-                .feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway });
+            return self.feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected });
         }
         let who = &self.clients[client];
         let warmth = self.hosts[host].warmth(self.now);
@@ -623,18 +622,12 @@
                     let attempt = self.attempts(n, life, connection);
                     if standing {
                         self.nodes[n].connections.remove(&connection);
-                        self.feed(
-                            n,
-                            Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Broken },
-                        );
+                        self.feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Reset });
                         self.feed(n, Input::SocketsClosed { connection });
                         self.breaks(client);
                     } else {
                         self.rules.over((n, life, connection.0));
-                        self.feed(
-                            n,
-                            Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Broken },
-                        );
+                        self.feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Reset });
                     }
                 }
                 if !self.unlisted {
@@ -715,11 +708,11 @@
     }
 
     fn dropped(&mut self, client: usize) {
-        self.ended_by_host(client, AttemptOutcome::Broken);
+        self.ended_by_host(client, AttemptOutcome::Reset);
     }
 
     fn sent_away(&mut self, client: usize) {
-        self.ended_by_host(client, AttemptOutcome::SentAway);
+        self.ended_by_host(client, AttemptOutcome::RedirectedByServer);
     }
 
     fn ended_by_host(&mut self, client: usize, end: AttemptOutcome) {
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -29,7 +29,7 @@
     /// Hosts tell how long messages take.
     pub tells_delay: bool,
     /// How standing connections are moved for balance.
-    pub rebalance: rebalance::Setup,
+    pub rebalance: rebalance::RebalanceConfig,
     /// Length of the day in seconds.
     pub seconds: u64,
 }
@@ -48,7 +48,7 @@
             list_delay: 1_500_000,
             come_back: 1.0,
             tells_delay: true,
-            rebalance: rebalance::Setup::default(),
+            rebalance: rebalance::RebalanceConfig::default(),
             seconds: 80,
         }
     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -35,7 +35,7 @@
 
 /// How a pool's balancers may tell each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Setup {
+pub struct GossipConfig {
     /// They may at all, and are reached.
     pub on: bool,
     /// How many there are, this one included.
@@ -52,7 +52,7 @@
 
 /// What a word tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum Observation {
     /// Messages at this host take so long.
     SlowHost(ServerId, Micros),
     /// This host dropped a connection that stood.
@@ -66,16 +66,16 @@
 
 /// One word.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct GossipMessage {
     /// What it tells.
-    pub news: News,
+    pub observation: Observation,
     /// What goes with it.
     pub groups: Sample,
 }
 
 /// Who was told of, and what may still be spent.
 pub struct Peers {
-    setup: Setup,
+    config: GossipConfig,
     rng: Pcg64Mcg,
     /// Words that may still be sent. Part of one buys a word with that chance: where each of many balancers serves
     /// few, none would ever have saved up a whole one.
@@ -86,45 +86,45 @@
 
 impl Peers {
     /// Balancers that have told each other nothing so far.
-    pub fn new(setup: Setup, seed: u64) -> Peers {
+    pub fn new(config: GossipConfig, seed: u64) -> Peers {
         // Its chance must not be the decision module's, which has the same seed.
         let rng = Pcg64Mcg::seed_from_u64(seed ^ u64::from_be_bytes(*b"the tier"));
-        let mut peers = Peers { setup, rng, credit: 0.0, told: BTreeMap::new() };
+        let mut peers = Peers { config, rng, credit: 0.0, told: BTreeMap::new() };
         peers.stood();
         peers
     }
 
     /// Another setup from now on.
-    pub fn configure(&mut self, setup: Setup) {
-        self.setup = setup;
+    pub fn configure(&mut self, config: GossipConfig) {
+        self.config = config;
     }
 
     /// A connection came to stand here: it pays for words.
     pub fn stood(&mut self) {
-        let others = f64::from(self.setup.balancers.saturating_sub(1));
-        let cost = self.setup.price * LEAST_BYTES / PRICED_BYTES * others;
+        let others = f64::from(self.config.balancers.saturating_sub(1));
+        let cost = self.config.price * LEAST_BYTES / PRICED_BYTES * others;
         let earned = if cost > 0.0 { SPEND / cost } else { MOST_CREDIT };
         self.credit = (self.credit + earned).min(MOST_CREDIT);
     }
 
     /// There is news here: whether the others are to be told.
-    pub fn tell(&mut self, now: Time, news: News) -> bool {
-        let Setup { on, balancers, message_objective, .. } = self.setup;
-        let matters = match news {
-            News::SlowHost(_, took) => {
+    pub fn tell(&mut self, now: Time, observation: Observation) -> bool {
+        let GossipConfig { on, balancers, message_objective, .. } = self.config;
+        let matters = match observation {
+            Observation::SlowHost(_, took) => {
                 message_objective > 0 && took as f64 >= SLOW * message_objective as f64
             }
-            News::Dropped(_) | News::SlowSetUps => true,
+            Observation::Dropped(_) | Observation::SlowSetUps => true,
         };
         // Danger: all that hold a connection there are told in the same second.
-        if !(on && balancers > 1 && matters) || self.fresh(now, news) {
+        if !(on && balancers > 1 && matters) || self.fresh(now, observation) {
             return false;
         }
         let chance = self.credit.min(1.0);
         self.credit -= chance;
         let tell = self.rng.random_bool(chance);
         if tell {
-            self.note(now, news);
+            self.note(now, observation);
         }
         tell
     }
@@ -137,36 +137,36 @@
     }
 
     /// Another balancer's word came: whether it counts.
-    pub fn heard(&mut self, now: Time, news: News) -> bool {
-        if self.setup.on {
-            self.note(now, news);
+    pub fn heard(&mut self, now: Time, observation: Observation) -> bool {
+        if self.config.on {
+            self.note(now, observation);
         }
-        self.setup.on
+        self.config.on
     }
 
     /// Whether a word of the same still holds.
-    fn fresh(&self, now: Time, news: News) -> bool {
-        let holds = match news {
-            News::SlowHost(..) | News::Dropped(_) => self.setup.holds,
-            News::SlowSetUps => self.setup.set_up_holds,
+    fn fresh(&self, now: Time, observation: Observation) -> bool {
+        let holds = match observation {
+            Observation::SlowHost(..) | Observation::Dropped(_) => self.config.holds,
+            Observation::SlowSetUps => self.config.set_up_holds,
         };
-        self.told.get(&news.host()).is_some_and(|at| now.since(*at) < holds)
+        self.told.get(&observation.host()).is_some_and(|at| now.since(*at) < holds)
     }
 
     /// Danger: hosts come and go under ever new numbers; what holds no more is forgotten.
-    fn note(&mut self, now: Time, news: News) {
-        let longest = self.setup.holds.max(self.setup.set_up_holds);
+    fn note(&mut self, now: Time, observation: Observation) {
+        let longest = self.config.holds.max(self.config.set_up_holds);
         self.told.retain(|_, at| now.since(*at) < longest);
-        self.told.insert(news.host(), now);
+        self.told.insert(observation.host(), now);
     }
 }
 
-impl News {
+impl Observation {
     /// The host that it is of, if it is of one.
     pub fn host(self) -> Option<ServerId> {
         match self {
-            News::SlowHost(host, _) | News::Dropped(host) => Some(host),
-            News::SlowSetUps => None,
+            Observation::SlowHost(host, _) | Observation::Dropped(host) => Some(host),
+            Observation::SlowSetUps => None,
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -578,8 +578,9 @@
             let chance = cold_part.filter(|_| warmth < 1.0).map(|part| (part * warmth).min(1.0));
             let ready =
                 chance.map_or(now >= s.known.next_slow_start_send, |chance| self.rng.random_bool(chance));
-            let elsewhere = request.failed_at != Some(s.listed.server) && request.may_go(idempotency, now, s);
-            if !(ready && elsewhere && s.healthy(now)) {
+            let held_by_predecessor =
+                request.failed_at != Some(s.listed.server) && request.may_go(idempotency, now, s);
+            if !(ready && held_by_predecessor && s.healthy(now)) {
                 continue;
             }
             let slots = s.price(request.group, request.slots);
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -215,7 +215,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
             // Where nothing was read yet that says how.
-            super::log::start(&super::log::LogSetup::default());
+            super::log::start(&super::log::LogConfig::default());
             crate::log!(error, "{problem}");
             ExitCode::FAILURE
         }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use super::log::LogSetup;
-use crate::protocol::http::{self, News};
+use super::log::LogConfig;
+use crate::protocol::http::{self, EndpointListUpdate};
 use crate::protocol::irc;
 use crate::protocol::json::{self, Fault, Place};
 use crate::routing::store::LONGEST_NODE;
-use crate::routing::{stored_host, Budget, Endpoint, Lifecycle, PoolSetup, MOST_PROBES};
+use crate::routing::{stored_host, Budget, Endpoint, Lifecycle, PoolConfig, MOST_PROBES};
 use crate::transport::MOST_CALLERS;
 use crate::{rebalance, Class, Idempotency, KeyScope, Micros, Settings, Tenant, ZoneId};
 
@@ -35,7 +35,7 @@
     /// What both fronts together may hold.
     pub budget: Budget,
     /// How the log is written.
-    pub log: LogSetup,
+    pub log: LogConfig,
 }
 
 /// What this machine gives the process.
@@ -121,9 +121,9 @@
     /// Where the platform's client connects.
     pub listen: SocketAddr,
     /// The endpoint list as last held.
-    pub known: News,
+    pub known: EndpointListUpdate,
     /// The platform's pool.
-    pub pool: PoolSetup,
+    pub pool: PoolConfig,
     /// What the platform gives the process.
     pub limits: Limits,
     /// The operators' door.
@@ -225,7 +225,7 @@
     Ok(Platform {
         name: root.at("name").text()?.unwrap_or_else(|| "sagemount".to_owned()),
         listen,
-        known: http::news(&known)?,
+        known: http::endpoint_list_update(&known)?,
         pool,
         limits: Limits::read(&root.at("limits"))?,
         mgmt: maybe_address(&root.at("mgmt"))?,
@@ -239,11 +239,11 @@
     /// Where its client connects.
     pub listen: SocketAddr,
     /// How it speaks.
-    pub setup: irc::Setup,
+    pub setup: irc::IrcConfig,
     /// Its servers.
     pub hosts: Vec<Endpoint>,
     /// Its pool.
-    pub pool: PoolSetup,
+    pub pool: PoolConfig,
 }
 
 impl Irc {
@@ -267,7 +267,7 @@
     /// The operators' door.
     pub mgmt: Option<SocketAddr>,
     /// How the log is written.
-    pub log: LogSetup,
+    pub log: LogConfig,
 }
 
 /// Reads and checks the text of an operator's file.
@@ -326,7 +326,7 @@
     };
     let irc = Irc {
         listen,
-        setup: irc::Setup {
+        setup: irc::IrcConfig {
             name: root.at("name").text()?.unwrap_or_else(|| "irc.sagemount".to_owned()),
             address: (public.ip().to_string(), public.port()),
             class: name.clone(),
@@ -334,7 +334,7 @@
             capabilities: root.at("capabilities").texts()?,
         },
         hosts: root.at("hosts").items()?.iter().map(irc_host).collect::<Result<_, _>>()?,
-        pool: PoolSetup {
+        pool: PoolConfig {
             name: "irc",
             classes: vec![name],
             tenants: tenant.into_iter().collect(),
@@ -351,7 +351,7 @@
             tells_load: true,
             reports: Vec::new(),
             longest_wait: give_up,
-            rebalance: rebalance::Setup::default(),
+            rebalance: rebalance::RebalanceConfig::default(),
             peers: None,
         },
     };
@@ -360,12 +360,12 @@
     Ok(Operator { irc, store, limits: Limits::read(&limits)?, mgmt, log })
 }
 
-fn log(place: &Place<'_>) -> Result<LogSetup, Fault> {
+fn log(place: &Place<'_>) -> Result<LogConfig, Fault> {
     place.only(&["levels", "format"])?;
-    let default = LogSetup::default();
+    let default = LogConfig::default();
     let (levels, format) = (place.at("levels"), place.at("format"));
     // Danger: to the library a level that is misspelt is a module's name, all of which is written.
-    let parsed = levels.text()?.map(|text| LogSetup::levels(&text).ok_or(()));
+    let parsed = levels.text()?.map(|text| LogConfig::levels(&text).ok_or(()));
     let wanted = "levels are wanted, such as info or warn,connection_balancer::transport=debug";
     let json = match format.text()?.as_deref() {
         None | Some("text") => false,
@@ -373,26 +373,30 @@
         Some(_) => return Err(format.fault("text or json is wanted")),
     };
     let levels = parsed.transpose().map_err(|()| levels.fault(wanted))?.unwrap_or(default.levels);
-    Ok(LogSetup { levels, json })
+    Ok(LogConfig { levels, json })
 }
 
 /// Reads and checks the text of an operator's file on rebalancing: a part for each front, by its name.
-pub fn parse_rebalance(text: &[u8]) -> Result<BTreeMap<&'static str, rebalance::Setup>, Fault> {
+pub fn parse_rebalance(text: &[u8]) -> Result<BTreeMap<&'static str, rebalance::RebalanceConfig>, Fault> {
     let document = json::document(text)?;
     let root = Place::root(&document);
     let fronts = ["platform", "irc"];
     root.only(&fronts)?;
     let setup = |place: &Place<'_>| {
         place.only(&["on", "most_per_s", "margin", "assumed_use"])?;
-        let default = rebalance::Setup::default();
-        let setup = rebalance::Setup {
+        let default = rebalance::RebalanceConfig::default();
+        let setup = rebalance::RebalanceConfig {
             on: place.at("on").flag(default.on)?,
-            most_per_s: place.at("most_per_s").number(default.most_per_s)?,
+            max_moves_per_s: place.at("most_per_s").number(default.max_moves_per_s)?,
             margin: place.at("margin").number(default.margin)?,
             assumed_use: place.at("assumed_use").number(default.assumed_use)?,
         };
         let sound = [
-            ("most_per_s", setup.most_per_s > 0.0, "more than 0 is wanted; to move nobody set on to false"),
+            (
+                "most_per_s",
+                setup.max_moves_per_s > 0.0,
+                "more than 0 is wanted; to move nobody set on to false",
+            ),
             ("margin", setup.margin >= 1.0, "at least 1 is wanted: less moves clients at a loss"),
             ("assumed_use", (0.1..=0.9).contains(&setup.assumed_use), "a share from 0.1 to 0.9 is wanted"),
         ];
@@ -472,11 +476,11 @@
 }
 
 /// The platform's settings, in the module's terms.
-pub fn pool(settings: &Place<'_>, seed: u64) -> Result<PoolSetup, Fault> {
+pub fn pool(settings: &Place<'_>, seed: u64) -> Result<PoolConfig, Fault> {
     let default = Settings::default();
     let (info, limits) = (settings.at("family-info"), settings.at("limits"));
     let (charges, rules) = (settings.at("charges"), settings.at("invariants"));
-    let mut setup = PoolSetup {
+    let mut setup = PoolConfig {
         name: "platform",
         classes: Vec::new(),
         tenants: Vec::new(),
@@ -493,7 +497,7 @@
         tells_load: info.at("tells-load").flag(true)?,
         reports: reports(settings)?,
         longest_wait: 0,
-        rebalance: rebalance::Setup::default(),
+        rebalance: rebalance::RebalanceConfig::default(),
         peers: None,
     };
     if limits.at("peers").flag(false)? {
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -27,21 +27,21 @@
 
 /// How the log is written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LogSetup {
+pub struct LogConfig {
     /// The least level that is written, for each module.
     pub levels: Targets,
     /// JSON lines, or else text.
     pub json: bool,
 }
 
-impl Default for LogSetup {
+impl Default for LogConfig {
     /// Text, from info on.
-    fn default() -> LogSetup {
-        LogSetup { levels: Targets::new().with_default(tracing::Level::INFO), json: false }
+    fn default() -> LogConfig {
+        LogConfig { levels: Targets::new().with_default(tracing::Level::INFO), json: false }
     }
 }
 
-impl LogSetup {
+impl LogConfig {
     /// Reads levels: one for all, and after that `MODULE=LEVEL` for modules of this program. None if that is not so.
     /// Modules may be written under the program's earlier name, `sagemount::…`.
     pub fn levels(text: &str) -> Option<Targets> {
@@ -137,7 +137,7 @@
 }
 
 /// Writes the log like this from now on. The first call of a process counts; before it nothing is written.
-pub fn start(setup: &LogSetup) {
+pub fn start(setup: &LogConfig) {
     let to = Limited { json: setup.json };
     let layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(to);
     let layer = match setup.json {
@@ -167,7 +167,7 @@
         for sound in
             ["info", "off", "warn,connection_balancer::transport=debug", "warn,sagemount::transport=debug"]
         {
-            assert!(LogSetup::levels(sound).is_some(), "{sound}");
+            assert!(LogConfig::levels(sound).is_some(), "{sound}");
         }
         for faulty in [
             "loud",
@@ -177,7 +177,7 @@
             "sagemount::transport=loud",
             "info,",
         ] {
-            assert!(LogSetup::levels(faulty).is_none(), "{faulty}");
+            assert!(LogConfig::levels(faulty).is_none(), "{faulty}");
         }
     }
 
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -8,7 +8,7 @@
 use winnow::token::take_while;
 use winnow::Parser;
 
-use crate::routing::{Call, Figures, Reply};
+use crate::routing::{AdminCall, AdminResponse, Metrics};
 
 /// The longest call, its end included.
 pub const LONGEST_CALL: usize = 256;
@@ -17,14 +17,14 @@
 const LONGEST_NAME: usize = 128;
 
 /// Reads a call, without its line's end; or else says what is wrong with it.
-pub fn call(line: &[u8]) -> Result<Call, &'static str> {
+pub fn call(line: &[u8]) -> Result<AdminCall, &'static str> {
     let name = || take_while(1..=LONGEST_NAME, |b: u8| b.is_ascii_graphic());
     let name = || name().verify_map(|name: &[u8]| String::from_utf8(name.to_vec()).ok());
     let mut call = alt((
-        b"readyz".value(Call::Ready),
-        b"telemetry".value(Call::Telemetry),
-        preceded((b"exclude", space1), name()).map(Call::Exclude),
-        preceded((b"include", space1), name()).map(Call::Include),
+        b"readyz".value(AdminCall::Ready),
+        b"telemetry".value(AdminCall::Telemetry),
+        preceded((b"exclude", space1), name()).map(AdminCall::Exclude),
+        preceded((b"include", space1), name()).map(AdminCall::Include),
     ));
     let parsed = Parser::<_, _, ContextError>::parse(&mut call, line);
     parsed.map_err(|_| "readyz, telemetry, exclude ID or include ID is wanted")
@@ -35,23 +35,23 @@
     name.chars().map(|c| if c.is_ascii_graphic() && !":|@#".contains(c) { c } else { '_' }).collect()
 }
 
-fn figures(figures: &Figures) -> String {
+fn metrics(metrics: &Metrics) -> String {
     let mut out = String::new();
     let mut line = |name: &str, value: u64, kind: &str| {
         // A string takes all that is written to it.
         let _ = write!(out, "edge_node.{name}:{value}|{kind}\r\n");
     };
-    for (class, counts) in &figures.classes {
+    for (class, counts) in &metrics.classes {
         let class = part(class);
         line(&format!("results.{class}.succeeded"), counts.succeeded, "c");
         line(&format!("results.{class}.declined"), counts.declined, "c");
         line(&format!("results.{class}.aborted"), counts.aborted, "c");
     }
-    line("forwards", figures.forwards, "c");
-    line("outstanding", figures.outstanding, "g");
-    line("discovered", figures.discovered, "g");
-    line("ejected", figures.ejected, "g");
-    for (front, moves) in &figures.rebalance {
+    line("forwards", metrics.forwards, "c");
+    line("outstanding", metrics.outstanding, "g");
+    line("discovered", metrics.discovered, "g");
+    line("ejected", metrics.ejected, "g");
+    for (front, moves) in &metrics.rebalance {
         let front = part(front);
         line(&format!("rebalance.{front}.moved"), moves.moved, "c");
         line(&format!("rebalance.{front}.returned"), moves.returned, "c");
@@ -63,10 +63,10 @@
 }
 
 /// Writes an answer.
-pub fn reply(reply: &Reply) -> Vec<u8> {
+pub fn reply(reply: &AdminResponse) -> Vec<u8> {
     match reply {
-        Reply::Yes => b"YES\r\n".to_vec(),
-        Reply::No(reason) => format!("NO {reason}\r\n").into_bytes(),
-        Reply::Figures(all) => figures(all).into_bytes(),
+        AdminResponse::Yes => b"YES\r\n".to_vec(),
+        AdminResponse::No(reason) => format!("NO {reason}\r\n").into_bytes(),
+        AdminResponse::Metrics(all) => metrics(all).into_bytes(),
     }
 }
--- a/src/protocol/hot_restart.rs
+++ b/src/protocol/hot_restart.rs
@@ -6,7 +6,7 @@
 use winnow::{ModalResult, Parser};
 
 use crate::routing::store::{Entry, Store};
-use crate::routing::{ConnectionRequest, Endpoint, Legacy, Lifecycle, Standing};
+use crate::routing::{ConnectionRequest, Endpoint, EstablishedConnection, HandoverState, Lifecycle};
 use crate::{LearnedState, Time};
 
 /// The longest message.
@@ -20,7 +20,7 @@
 
 /// One message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum HandoverMessage {
     /// The process that starts asks for all there is.
     Take,
     /// Beside this comes the socket of that name: a front's listener, or the store's.
@@ -33,7 +33,7 @@
     Serving,
     /// Beside this come the client's socket and its attempt's, of a connection that stands at that front;
     /// and what the front itself has to know of it.
-    Standing { front: String, standing: Standing, state: Vec<u8> },
+    EstablishedConnection { front: String, established: EstablishedConnection, state: Vec<u8> },
     /// A host is out by hand, or is not any more; the answer has the same number.
     Share { number: u64, host: String, out: bool },
     /// That was taken in.
@@ -53,39 +53,39 @@
 }
 
 /// A legacy in parts.
-pub fn parts(legacy: Legacy) -> Vec<Part> {
-    let mut parts: Vec<Part> = legacy.bans.into_iter().map(Part::Ban).collect();
-    parts.extend(legacy.ever_listed.into_iter().map(Part::EverListed));
-    parts.extend(legacy.entries.into_iter().map(|(key, entry)| Part::Entry(key, entry)));
-    for (pool, left) in legacy.pools {
+pub fn parts(handover_state: HandoverState) -> Vec<Part> {
+    let mut parts: Vec<Part> = handover_state.excluded_by_operator.into_iter().map(Part::Ban).collect();
+    parts.extend(handover_state.ever_listed.into_iter().map(Part::EverListed));
+    parts.extend(handover_state.entries.into_iter().map(|(key, entry)| Part::Entry(key, entry)));
+    for (pool, left) in handover_state.pools {
         let name = || pool.clone();
         parts.extend(left.hosts.into_iter().map(|(host, learned)| Part::Host {
             pool: name(),
             host,
             learned,
         }));
-        let returned = left.returned.into_iter();
-        parts.extend(returned.map(|(host, since)| Part::Returned { pool: name(), host, since }));
+        let readmitted = left.readmitted.into_iter();
+        parts.extend(readmitted.map(|(host, since)| Part::Returned { pool: name(), host, since }));
         parts.extend(left.ids.into_iter().map(|id| Part::Id { pool: name(), id }));
     }
-    parts.push(Part::Left(legacy.left as u64));
+    parts.push(Part::Left(handover_state.left as u64));
     parts
 }
 
 /// Adds a part to what has come of a legacy.
-pub fn add(legacy: &mut Legacy, part: Part) {
+pub fn add(handover_state: &mut HandoverState, part: Part) {
     match part {
-        Part::Ban(host) => legacy.bans.push(host),
-        Part::EverListed(host) => legacy.ever_listed.push(host),
-        Part::Entry(key, entry) => legacy.entries.push((key, entry)),
+        Part::Ban(host) => handover_state.excluded_by_operator.push(host),
+        Part::EverListed(host) => handover_state.ever_listed.push(host),
+        Part::Entry(key, entry) => handover_state.entries.push((key, entry)),
         Part::Host { pool, host, learned } => {
-            legacy.pools.entry(pool).or_default().hosts.push((host, learned))
+            handover_state.pools.entry(pool).or_default().hosts.push((host, learned))
         }
         Part::Returned { pool, host, since } => {
-            legacy.pools.entry(pool).or_default().returned.push((host, since))
+            handover_state.pools.entry(pool).or_default().readmitted.push((host, since))
         }
-        Part::Id { pool, id } => legacy.pools.entry(pool).or_default().ids.push(id),
-        Part::Left(left) => legacy.left = left as usize,
+        Part::Id { pool, id } => handover_state.pools.entry(pool).or_default().ids.push(id),
+        Part::Left(left) => handover_state.left = left as usize,
     }
 }
 
@@ -151,7 +151,7 @@
         group: maybe(be_u64).parse_next(input)?,
         load: maybe(number).parse_next(input)?,
         wait: None,
-        standing_at: None,
+        established_at: None,
         // Not passed on, since the version before knows nothing of them: such a client is moved without being
         // known again.
         key: None,
@@ -159,10 +159,10 @@
     })
 }
 
-fn standing(input: &mut &[u8]) -> ModalResult<Standing> {
-    let (ask, host, load, asked) =
+fn established(input: &mut &[u8]) -> ModalResult<EstablishedConnection> {
+    let (ask, host, load, awaiting_server_since) =
         (connection_request, text, maybe(number), maybe(time)).parse_next(input)?;
-    Ok(Standing { ask, host, load, asked })
+    Ok(EstablishedConnection { ask, host, load, awaiting_server_since })
 }
 
 fn part(input: &mut &[u8]) -> ModalResult<Part> {
@@ -183,23 +183,23 @@
     .parse_next(input)
 }
 
-fn word(input: &mut &[u8]) -> ModalResult<Word> {
+fn word(input: &mut &[u8]) -> ModalResult<HandoverMessage> {
     let body = dispatch! {u8;
-        b'T' => ().value(Word::Take),
-        b'S' => text.map(Word::Socket),
-        b'P' => part.map(Word::Part),
-        b'D' => ().value(Word::Done),
-        b'V' => ().value(Word::Serving),
-        b'C' => (text, standing, bytes).map(|(front, standing, state)| Word::Standing { front, standing, state }),
-        b'B' => (be_u64, text, flag).map(|(number, host, out)| Word::Share { number, host, out }),
-        b'A' => be_u64.map(|number| Word::Shared { number }),
+        b'T' => ().value(HandoverMessage::Take),
+        b'S' => text.map(HandoverMessage::Socket),
+        b'P' => part.map(HandoverMessage::Part),
+        b'D' => ().value(HandoverMessage::Done),
+        b'V' => ().value(HandoverMessage::Serving),
+        b'C' => (text, established, bytes).map(|(front, established, state)| HandoverMessage::EstablishedConnection { front, established, state }),
+        b'B' => (be_u64, text, flag).map(|(number, host, out)| HandoverMessage::Share { number, host, out }),
+        b'A' => be_u64.map(|number| HandoverMessage::Shared { number }),
         _ => fail,
     };
     preceded(MAGIC, body).parse_next(input)
 }
 
 /// Reads a message. Whatever is not one is nothing.
-pub fn read(bytes: &[u8]) -> Option<Word> {
+pub fn read(bytes: &[u8]) -> Option<HandoverMessage> {
     word.parse(bytes).ok()
 }
 
@@ -258,13 +258,13 @@
         self.text(&host.name).text(&host.address).text(&host.zone).small(host.cell);
         self.tag(u8::from(host.lifecycle != Lifecycle::Ready)).number(host.weight).time(&host.started)
     }
-    fn standing(&mut self, standing: &Standing) -> &mut Out {
-        let ask = &standing.ask;
+    fn established(&mut self, established: &EstablishedConnection) -> &mut Out {
+        let ask = &established.ask;
         self.maybe(&ask.id, |out, id| out.text(id)).text(&ask.class);
         self.maybe(&ask.tenant, |out, tenant| out.text(tenant));
         self.maybe(&ask.group, |out, group| out.figure(*group));
-        self.maybe(&ask.load, |out, load| out.number(*load)).text(&standing.host);
-        self.maybe(&standing.load, |out, load| out.number(*load)).time(&standing.asked)
+        self.maybe(&ask.load, |out, load| out.number(*load)).text(&established.host);
+        self.maybe(&established.load, |out, load| out.number(*load)).time(&established.awaiting_server_since)
     }
     fn part(&mut self, part: &Part) -> &mut Out {
         match part {
@@ -285,21 +285,21 @@
 }
 
 /// Writes a message; none if it would be too long.
-pub fn write(word: &Word) -> Option<Vec<u8>> {
+pub fn write(word: &HandoverMessage) -> Option<Vec<u8>> {
     let mut out = Out(MAGIC.to_vec());
     match word {
-        Word::Take => out.tag(b'T'),
-        Word::Socket(name) => out.tag(b'S').text(name),
-        Word::Part(part) => out.tag(b'P').part(part),
-        Word::Done => out.tag(b'D'),
-        Word::Serving => out.tag(b'V'),
-        Word::Standing { front, standing, state } => {
-            out.tag(b'C').text(front).standing(standing).bytes(state)
+        HandoverMessage::Take => out.tag(b'T'),
+        HandoverMessage::Socket(name) => out.tag(b'S').text(name),
+        HandoverMessage::Part(part) => out.tag(b'P').part(part),
+        HandoverMessage::Done => out.tag(b'D'),
+        HandoverMessage::Serving => out.tag(b'V'),
+        HandoverMessage::EstablishedConnection { front, established, state } => {
+            out.tag(b'C').text(front).established(established).bytes(state)
         }
-        Word::Share { number, host, out: is_out } => {
+        HandoverMessage::Share { number, host, out: is_out } => {
             out.tag(b'B').figure(*number).text(host).tag(u8::from(*is_out))
         }
-        Word::Shared { number } => out.tag(b'A').figure(*number),
+        HandoverMessage::Shared { number } => out.tag(b'A').figure(*number),
     };
     Some(out.0).filter(|bytes| bytes.len() <= LONGEST)
 }
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -123,7 +123,7 @@
 
 /// A endpoint list, or changes of it.
 #[derive(Debug, PartialEq)]
-pub struct News {
+pub struct EndpointListUpdate {
     /// Its version.
     pub generation: u64,
     /// All of it, not changes only.
@@ -133,7 +133,7 @@
 }
 
 /// Reads a list.
-pub fn news(place: &Place<'_>) -> Result<News, Fault> {
+pub fn endpoint_list_update(place: &Place<'_>) -> Result<EndpointListUpdate, Fault> {
     let host = |item: &Place<'_>| -> Result<Endpoint, Fault> {
         let state = item.at("lifecycle");
         Ok(Endpoint {
@@ -151,7 +151,7 @@
             started: Some(item.at("startedAtMs").millis(0)?).filter(|&at| at > 0).map(Time),
         })
     };
-    Ok(News {
+    Ok(EndpointListUpdate {
         generation: place.at("generation").number(0.0)? as u64,
         whole: place.at("reset").flag(false)?,
         hosts: place.at("instances").items()?.iter().map(host).collect::<Result<_, _>>()?,
@@ -159,7 +159,7 @@
 }
 
 /// Reads the body of an answer.
-pub fn news_text(body: &[u8]) -> Result<News, Fault> {
+pub fn parse_endpoint_list(body: &[u8]) -> Result<EndpointListUpdate, Fault> {
     let document = json::document(body)?;
     let root = Place::root(&document);
     // Danger: taken for a list, an answer of something else would be an empty one.
@@ -168,5 +168,5 @@
             return Err(root.at(key).fault("is missing"));
         }
     }
-    news(&root)
+    endpoint_list_update(&root)
 }
--- a/src/protocol/irc.rs
+++ b/src/protocol/irc.rs
@@ -27,7 +27,7 @@
 
 /// What the front is set up with.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Setup {
+pub struct IrcConfig {
     /// Its name, as it stands before its own lines.
     pub name: String,
     /// Where the client is told to come again.
@@ -87,7 +87,7 @@
     #[default]
     Registering,
     Placing,
-    Standing,
+    Established,
     /// Nothing that comes is read any more.
     Over,
 }
@@ -106,7 +106,7 @@
 /// One connection.
 #[derive(Debug, Default)]
 pub struct Connection {
-    setup: Rc<Setup>,
+    setup: Rc<IrcConfig>,
     phase: Phase,
     registration: Registration,
     lines: u32,
@@ -124,7 +124,7 @@
 
 impl Connection {
     /// A connection of a front.
-    pub fn new(setup: Rc<Setup>) -> Connection {
+    pub fn new(setup: Rc<IrcConfig>) -> Connection {
         Connection { setup, ..Connection::default() }
     }
 
@@ -321,7 +321,7 @@
                 return false;
             }
             b"001" => {
-                self.phase = Phase::Standing;
+                self.phase = Phase::Established;
                 let mut first = std::mem::take(&mut self.notices);
                 first.extend_from_slice(&whole);
                 steps.push(Step::ToClient(first));
@@ -333,12 +333,12 @@
             b"CAP" => return false,
             b"ERROR" => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
             // The host is full, or wants its clients elsewhere.
-            b"263" | b"010" => steps.push(Step::AttemptEnded(AttemptOutcome::TurnedAway)),
+            b"263" | b"010" => steps.push(Step::AttemptEnded(AttemptOutcome::Rejected)),
             // What it thinks of the nickname or the password no other host decides.
             b"431" | b"432" | b"433" | b"436" | b"437" | b"464" | b"465" => {
                 let error = self.error("Registration refused");
                 steps.push(Step::ToClient([whole, error].concat()));
-                steps.push(Step::AttemptEnded(AttemptOutcome::Verdict));
+                steps.push(Step::AttemptEnded(AttemptOutcome::VerdictForwarded));
             }
             _ => {
                 if self.notices.len() + whole.len() <= MOST_NOTICES {
@@ -372,7 +372,7 @@
         if self.phase == Phase::Placing {
             self.flood(steps);
         }
-        if self.phase == Phase::Standing {
+        if self.phase == Phase::Established {
             self.relay_lines(steps);
         }
     }
@@ -401,7 +401,7 @@
     fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         let most = LONGEST_TAGS + LONGEST_LINE;
         let mut bytes = bytes.to_vec();
-        if self.phase != Phase::Standing {
+        if self.phase != Phase::Established {
             self.server.push(&bytes);
             loop {
                 match self.server.next(most) {
@@ -411,7 +411,7 @@
                     Cut::Line(_) => {}
                 }
             }
-            if self.phase != Phase::Standing {
+            if self.phase != Phase::Established {
                 return;
             }
             bytes = self.server.take();
@@ -428,22 +428,22 @@
         if self.quit {
             AttemptOutcome::Served
         } else {
-            AttemptOutcome::Broken
+            AttemptOutcome::Reset
         }
     }
 
     fn answer(&mut self, answer: Answer) -> Vec<u8> {
         match answer {
-            Answer::Refused(wait) => {
+            Answer::Rejected(wait) => {
                 let wait = wait.div_ceil(1_000_000).max(1);
                 let text = format!("USER :Server load is too heavy. Please wait {wait} s and try again.");
                 let error = self.error(&format!("Try again in {wait} s"));
                 [self.numeric(263, &text), error].concat()
             }
             Answer::Failed => self.error("No server could be reached"),
-            Answer::Late => self.error("Registration timed out"),
-            Answer::Moved if self.relay.mid_line() => Vec::new(),
-            Answer::Moved => {
+            Answer::HandshakeTimedOut => self.error("Registration timed out"),
+            Answer::Migrated if self.relay.mid_line() => Vec::new(),
+            Answer::Migrated => {
                 let (name, nick) = (&self.setup.name, self.nick());
                 let (host, port) = &self.setup.address;
                 let notice = format!(":{name} NOTICE {nick} :Your server is leaving; please reconnect\r\n");
@@ -460,11 +460,11 @@
     fn at_rest(&self) -> Option<Vec<u8>> {
         let rest = self.client.is_empty() && !self.skipping && self.relay.at_start() && !self.quit;
         let nick = self.registration.nick.clone().unwrap_or_default();
-        (self.phase == Phase::Standing && rest).then_some(nick)
+        (self.phase == Phase::Established && rest).then_some(nick)
     }
 
     fn resume(&mut self, nick: &[u8]) {
-        self.phase = Phase::Standing;
+        self.phase = Phase::Established;
         self.registration.nick = Some(nick.to_vec());
     }
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -4,7 +4,7 @@
 use winnow::combinator::{alt, preceded};
 use winnow::{ModalResult, Parser};
 
-use crate::peers::{News, Sample, Word, SAMPLE};
+use crate::peers::{GossipMessage, Observation, Sample, SAMPLE};
 use crate::{GroupHash, Micros, ServerId};
 
 /// The longest datagram that the platform carries.
@@ -20,23 +20,23 @@
 const MILLISECOND: Micros = 1000;
 
 /// Writes a word; a time that is too long for it is told as the longest, of about a minute.
-pub fn write(word: Word) -> Vec<u8> {
-    let mut bytes = match word.news {
-        News::SlowHost(host, took) => {
+pub fn write(message: GossipMessage) -> Vec<u8> {
+    let mut bytes = match message.observation {
+        Observation::SlowHost(host, took) => {
             let took = u16::try_from(took / MILLISECOND).unwrap_or(u16::MAX);
             [SLOW_HOST_2, &host.0.to_be_bytes(), &took.to_be_bytes()].concat()
         }
-        News::Dropped(host) => [DROPPED_1, &host.0.to_be_bytes()].concat(),
-        News::SlowSetUps => SLOW_SET_UPS_1.to_vec(),
+        Observation::Dropped(host) => [DROPPED_1, &host.0.to_be_bytes()].concat(),
+        Observation::SlowSetUps => SLOW_SET_UPS_1.to_vec(),
     };
-    bytes.push(word.groups.iter().flatten().count() as u8);
-    bytes.extend(word.groups.iter().flatten().flat_map(|group| group.0.to_be_bytes()));
+    bytes.push(message.groups.iter().flatten().count() as u8);
+    bytes.extend(message.groups.iter().flatten().flat_map(|group| group.0.to_be_bytes()));
     bytes
 }
 
-fn slow_host(input: &mut &[u8]) -> ModalResult<News> {
+fn slow_host(input: &mut &[u8]) -> ModalResult<Observation> {
     let took = be_u16.map(|took| Micros::from(took) * MILLISECOND);
-    (be_u32.map(ServerId), took).map(|(host, took)| News::SlowHost(host, took)).parse_next(input)
+    (be_u32.map(ServerId), took).map(|(host, took)| Observation::SlowHost(host, took)).parse_next(input)
 }
 
 fn groups(input: &mut &[u8]) -> ModalResult<Sample> {
@@ -45,18 +45,18 @@
     Ok(std::array::from_fn(|n| groups.get(n).copied()))
 }
 
-fn word(input: &mut &[u8]) -> ModalResult<Word> {
-    let (news, groups) = alt((
+fn message(input: &mut &[u8]) -> ModalResult<GossipMessage> {
+    let (observation, groups) = alt((
         (preceded(SLOW_HOST_2, slow_host), groups),
-        (SLOW_SET_UPS_1.value(News::SlowSetUps), groups),
-        (preceded(DROPPED_1, be_u32.map(|host| News::Dropped(ServerId(host)))), groups),
+        (SLOW_SET_UPS_1.value(Observation::SlowSetUps), groups),
+        (preceded(DROPPED_1, be_u32.map(|host| Observation::Dropped(ServerId(host)))), groups),
         (preceded(SLOW_HOST_1, slow_host), |_: &mut &[u8]| Ok(Sample::default())),
     ))
     .parse_next(input)?;
-    Ok(Word { news, groups })
+    Ok(GossipMessage { observation, groups })
 }
 
 /// Reads a datagram. Whatever is not one is nothing.
-pub fn read(bytes: &[u8]) -> Option<Word> {
-    word.parse(bytes).ok()
+pub fn read(bytes: &[u8]) -> Option<GossipMessage> {
+    message.parse(bytes).ok()
 }
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -23,7 +23,7 @@
 
 /// A line of an server.
 #[derive(Debug, PartialEq)]
-pub enum Word {
+pub enum ServerReply {
     Up,
     Bye,
     Move,
@@ -84,7 +84,7 @@
             b"g" => ask.group = Some(hex_uint::<_, u64, ContextError>.parse(value).ok()?),
             b"h" => ask.load = Some(number(value)?),
             b"again" => ask.again = value == b"1",
-            b"at" => ask.standing_at = Some(text(value)).filter(|name| !name.is_empty()),
+            b"at" => ask.established_at = Some(text(value)).filter(|name| !name.is_empty()),
             b"d" => {
                 let from = at + name.len() + 1;
                 before = line[..from].to_vec();
@@ -97,23 +97,23 @@
         at += name.len() + value.len() + 2;
     }
     // Only one that stood already needs not say how long it waits.
-    let waits = ask.wait.is_some() || ask.standing_at.is_some();
+    let waits = ask.wait.is_some() || ask.established_at.is_some();
     (waits && !ask.class.is_empty()).then_some(Greeting::Open { ask: Box::new(ask), before, after })
 }
 
 /// Reads a line of an server.
-pub fn server_reply(line: &[u8]) -> Word {
+pub fn server_reply(line: &[u8]) -> ServerReply {
     let tail = || opt(preceded(b' ', rest));
     let parsed = alt((
-        (b"UP", tail()).value(()).map(|()| Word::Up),
-        (b"BYE", tail()).map(|_| Word::Bye),
-        (b"MOVE", tail()).map(|_| Word::Move),
-        (b"ERR", tail()).map(|_| Word::Error),
-        (b"BUSY", opt(preceded(b' ', dec_uint::<_, u64, _>))).map(|_| Word::Busy),
-        preceded(b"LOAD ", float::<_, f64, ContextError>).map(Word::Load),
+        (b"UP", tail()).value(()).map(|()| ServerReply::Up),
+        (b"BYE", tail()).map(|_| ServerReply::Bye),
+        (b"MOVE", tail()).map(|_| ServerReply::Move),
+        (b"ERR", tail()).map(|_| ServerReply::Error),
+        (b"BUSY", opt(preceded(b' ', dec_uint::<_, u64, _>))).map(|_| ServerReply::Busy),
+        preceded(b"LOAD ", float::<_, f64, ContextError>).map(ServerReply::Load),
     ))
     .parse(line);
-    parsed.unwrap_or(Word::Other)
+    parsed.unwrap_or(ServerReply::Other)
 }
 
 /// What asks an server for its load.
@@ -154,7 +154,7 @@
     #[default]
     Greeting,
     Placing,
-    Standing,
+    Established,
     /// Nothing that comes is read any more.
     Over,
 }
@@ -217,12 +217,12 @@
             Cut::TooLong => return steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
         };
         match server_reply(&line) {
-            Word::Up => {
-                self.phase = Phase::Standing;
+            ServerReply::Up => {
+                self.phase = Phase::Established;
                 steps.push(Step::ToClient([&line[..], b"\r\n"].concat()));
                 steps.push(Step::Up);
             }
-            Word::Busy => steps.push(Step::AttemptEnded(AttemptOutcome::TurnedAway)),
+            ServerReply::Busy => steps.push(Step::AttemptEnded(AttemptOutcome::Rejected)),
             _ => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
         }
     }
@@ -231,9 +231,9 @@
         let (rest, lines) = self.relay.pass(bytes, LONGEST_LINE);
         for line in lines.split_inclusive(|&b| b == b'\n') {
             match server_reply(line.trim_ascii_end()) {
-                Word::Load(load) => steps.push(Step::Load(load)),
-                Word::Bye => self.ended = Some(AttemptOutcome::Served),
-                Word::Move => self.ended = Some(AttemptOutcome::SentAway),
+                ServerReply::Load(load) => steps.push(Step::Load(load)),
+                ServerReply::Bye => self.ended = Some(AttemptOutcome::Served),
+                ServerReply::Move => self.ended = Some(AttemptOutcome::RedirectedByServer),
                 _ => {}
             }
         }
@@ -248,11 +248,11 @@
     fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         match self.phase {
             Phase::Over => return,
-            Phase::Standing if self.line.fits(bytes, LONGEST_LINE) => {
+            Phase::Established if self.line.fits(bytes, LONGEST_LINE) => {
                 return steps.push(Step::ToServer(bytes.to_vec()));
             }
             // Danger: a line without end would keep this balancer and a host busy for ever.
-            Phase::Standing => return self.wrong(steps),
+            Phase::Established => return self.wrong(steps),
             _ => self.client.push(bytes),
         }
         self.greet(steps);
@@ -271,30 +271,30 @@
     }
 
     fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
-        if self.phase == Phase::Standing {
+        if self.phase == Phase::Established {
             return self.relay(bytes, steps);
         }
         self.server.push(bytes);
         self.verdict(steps);
-        if self.phase == Phase::Standing {
+        if self.phase == Phase::Established {
             let more = self.server.take();
             self.relay(&more, steps);
         }
     }
 
     fn server_ended(&mut self, _broken: bool) -> AttemptOutcome {
-        self.ended.unwrap_or(AttemptOutcome::Broken)
+        self.ended.unwrap_or(AttemptOutcome::Reset)
     }
 
     fn answer(&mut self, answer: Answer) -> Vec<u8> {
         match answer {
-            Answer::Refused(0) => b"BUSY\r\n".to_vec(),
-            Answer::Refused(wait) => format!("BUSY {}\r\n", wait.div_ceil(1000)).into_bytes(),
+            Answer::Rejected(0) => b"BUSY\r\n".to_vec(),
+            Answer::Rejected(wait) => format!("BUSY {}\r\n", wait.div_ceil(1000)).into_bytes(),
             Answer::Failed => b"ERR\r\n".to_vec(),
-            Answer::Late => Vec::new(),
+            Answer::HandshakeTimedOut => Vec::new(),
             // Danger: put inside a line it would be read as part of it.
-            Answer::Moved if self.relay.mid_line() => Vec::new(),
-            Answer::Moved => b"MOVE\r\n".to_vec(),
+            Answer::Migrated if self.relay.mid_line() => Vec::new(),
+            Answer::Migrated => b"MOVE\r\n".to_vec(),
         }
     }
 
@@ -304,11 +304,11 @@
 
     fn at_rest(&self) -> Option<Vec<u8>> {
         let rest = self.line.at_start() && self.relay.at_start() && self.ended.is_none();
-        (self.phase == Phase::Standing && rest).then(Vec::new)
+        (self.phase == Phase::Established && rest).then(Vec::new)
     }
 
     fn resume(&mut self, _state: &[u8]) {
-        self.phase = Phase::Standing;
+        self.phase = Phase::Established;
     }
 
     fn waiting(&self) -> usize {
--- a/src/rebalance/gain.rs
+++ b/src/rebalance/gain.rs
@@ -1,7 +1,7 @@
 //! What a move gains: which hosts are pressed, by how much, and where there is room. Pure functions.
 
 use super::view::View;
-use super::{HostNow, Setup, Terms, FRESH};
+use super::{RebalanceConfig, RebalanceContext, ServerSnapshot, FRESH};
 use crate::{Micros, Time};
 
 /// At this use of a host's capacity messages take a third of a tight objective, which is when hosts begin to tell; the
@@ -58,18 +58,18 @@
 }
 
 /// Weights and slots held of all hosts in use.
-pub fn fleet(hosts: &[HostNow]) -> (f64, f64) {
+pub fn fleet(hosts: &[ServerSnapshot]) -> (f64, f64) {
     let ready = hosts.iter().filter(|host| host.ready);
     ready.fold((0.0, 0.0), |(weights, slots), host| (weights + host.weight, slots + host.held))
 }
 
 /// Whether a host holds more than its `fair` part, and is pressed beyond what chance explains.
 pub fn press(
-    terms: &Terms,
-    setup: &Setup,
+    terms: &RebalanceContext,
+    config: &RebalanceConfig,
     view: &View,
     now: Time,
-    host: &HostNow,
+    host: &ServerSnapshot,
     fair: f64,
     going: bool,
 ) -> Option<Press> {
@@ -92,18 +92,18 @@
     }
     // Only what chance does not explain counts towards the use that is inferred.
     let certain = host.held - pick(INFERRED) * noise * 0.5;
-    let late = late_at(setup.assumed_use * certain / fair.max(1.0));
+    let late = late_at(config.assumed_use * certain / fair.max(1.0));
     Some(Press { late, excess, sure: excess >= pick(INFERRED) * noise })
 }
 
 /// Whether a host has started lately and nothing speaks against it: its low ceiling says only that nothing is known.
-pub fn unknown(view: &View, now: Time, host: &HostNow) -> bool {
+pub fn unknown(view: &View, now: Time, host: &ServerSnapshot) -> bool {
     let fresh = host.started.is_some_and(|at| now.since(at) < FRESH);
     fresh && host.ready && host.last_fault.is_none() && !view.ever_slow(now, host.host)
 }
 
 /// Slots that a host surely bears beyond what it holds, for clients that are moved.
-pub fn room(terms: &Terms, view: &View, now: Time, host: &HostNow, fair: f64) -> f64 {
+pub fn room(terms: &RebalanceContext, view: &View, now: Time, host: &ServerSnapshot, fair: f64) -> f64 {
     if view.ever_slow(now, host.host) {
         return 0.0;
     }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -8,7 +8,7 @@
 //! started. Where connections go is decided by the module, by its own draw.
 //!
 //! **What it promises.** It moves nobody unless a host is pressed while another has room, unless the gain is a
-//! margin over the cost; no group is split; nothing is moved while something of [`World`] takes precedence, while
+//! margin over the cost; no group is split; nothing is moved while something of [`SystemConditions`] takes precedence, while
 //! set-ups are slow, or while earlier moves turn out badly. No client that came back from a move is moved
 //! again. Its maps are bounded by what stands, by the list, and by [`view::MOST_AWAY`].
 //!
@@ -28,7 +28,7 @@
 
 use crate::{ConnectionId, Micros, ServerId, Time};
 
-pub use precedence::{Held, World};
+pub use precedence::{Held, SystemConditions};
 use rate::Rate;
 use view::{Connection, View};
 
@@ -45,27 +45,27 @@
 
 /// What the operator sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setup {
+pub struct RebalanceConfig {
     /// Whether anything is moved for balance.
     pub on: bool,
     /// Clients a second that this balancer moves at the most; infinite for as many as the learned rate allows.
-    pub most_per_s: f64,
+    pub max_moves_per_s: f64,
     /// A move's gain has to be so many times its cost.
     pub margin: f64,
     /// Where hosts do not tell how long messages take: the share of their capacity that hosts use on the mean.
     pub assumed_use: f64,
 }
 
-impl Default for Setup {
+impl Default for RebalanceConfig {
     /// Off; when it is on, at most 2 moves a second that gain twice their cost.
-    fn default() -> Setup {
-        Setup { on: false, most_per_s: 2.0, margin: 2.0, assumed_use: 0.7 }
+    fn default() -> RebalanceConfig {
+        RebalanceConfig { on: false, max_moves_per_s: 2.0, margin: 2.0, assumed_use: 0.7 }
     }
 }
 
 /// What the pool's settings say that concerns moves.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct RebalanceContext {
     /// Balancers that share the hosts, this one included.
     pub balancers: u32,
     /// Each class's worth a second.
@@ -84,7 +84,7 @@
 
 /// What happened.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum RebalanceEvent {
     /// A client asks: by which flow's key, if it has one, and whether it says that it was moved or cut off.
     Arrived { connection: ConnectionId, key: Option<u64>, again: bool },
     /// Its connection stands, so long after it was asked for at the host; none for one that stood before.
@@ -109,7 +109,7 @@
 
 /// A host, as the decision module and the list have it now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HostNow {
+pub struct ServerSnapshot {
     /// Which.
     pub host: ServerId,
     /// It is listed for use and has not just failed.
@@ -143,7 +143,7 @@
 
 /// Figures, since the start of the process but for the rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct RebalanceMetrics {
     /// Clients moved for balance.
     pub moved: u64,
     /// Of those, the ones that came back to this balancer.
@@ -159,8 +159,8 @@
 /// Decides for one pool of one balancer. Same setup, seed, words and times: same moves.
 #[derive(Debug)]
 pub struct Rebalance {
-    setup: Setup,
-    terms: Terms,
+    config: RebalanceConfig,
+    terms: RebalanceContext,
     view: View,
     rate: Rate,
     precedence: precedence::Precedence,
@@ -170,35 +170,35 @@
     going: BTreeMap<ServerId, Time>,
     /// Hosts that moves were meant for, by when.
     filled: BTreeMap<ServerId, Time>,
-    figures: Figures,
+    metrics: RebalanceMetrics,
     was_held: Option<Held>,
 }
 
 impl Rebalance {
     /// One that knows its setup and nothing else.
-    pub fn new(setup: Setup, terms: Terms, seed: u64, now: Time) -> Rebalance {
+    pub fn new(config: RebalanceConfig, terms: RebalanceContext, seed: u64, now: Time) -> Rebalance {
         Rebalance {
-            setup,
+            config,
             view: View::new(now, &terms),
-            rate: Rate::new(now, &setup, &terms),
+            rate: Rate::new(now, &config, &terms),
             precedence: precedence::Precedence::new(now),
-            next: setup.on.then_some(now.plus(EVALUATE)),
+            next: config.on.then_some(now.plus(EVALUATE)),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x6d6f_7665),
             going: BTreeMap::new(),
             filled: BTreeMap::new(),
-            figures: Figures::default(),
+            metrics: RebalanceMetrics::default(),
             was_held: None,
             terms,
         }
     }
 
     /// Other settings from now on; what was seen stays.
-    pub fn configure(&mut self, now: Time, setup: Setup, terms: Terms) {
-        self.rate.configure(&setup, &terms);
+    pub fn configure(&mut self, now: Time, config: RebalanceConfig, terms: RebalanceContext) {
+        self.rate.configure(&config, &terms);
         self.view.configure(&terms);
-        (self.setup, self.terms) = (setup, terms);
-        self.next = setup.on.then(|| self.next.unwrap_or(now.plus(EVALUATE)));
-        self.take(now, Word::Reloaded);
+        (self.config, self.terms) = (config, terms);
+        self.next = config.on.then(|| self.next.unwrap_or(now.plus(EVALUATE)));
+        self.take(now, RebalanceEvent::Reloaded);
     }
 
     /// When [`Rebalance::evaluate`] is wanted next; never while it is off.
@@ -207,8 +207,8 @@
     }
 
     /// The figures now.
-    pub fn figures(&self) -> Figures {
-        Figures { rate: if self.setup.on { self.rate.now() } else { 0.0 }, ..self.figures }
+    pub fn metrics(&self) -> RebalanceMetrics {
+        RebalanceMetrics { rate: if self.config.on { self.rate.now() } else { 0.0 }, ..self.metrics }
     }
 
     /// A standing connection, since when, and whether it came back from a move: for tests.
@@ -217,44 +217,44 @@
     }
 
     /// Takes in what happened.
-    pub fn take(&mut self, now: Time, word: Word) {
+    pub fn take(&mut self, now: Time, word: RebalanceEvent) {
         match word {
-            Word::Arrived { connection, key, again } => {
+            RebalanceEvent::Arrived { connection, key, again } => {
                 self.precedence.arrived(now);
                 if self.view.arrived(now, connection, key, again) {
-                    self.figures.returned += 1;
+                    self.metrics.returned += 1;
                     self.rate.returned();
                 } else if again {
                     self.rate.others_returned();
                 }
             }
-            Word::Stood { connection, at, setup } => {
+            RebalanceEvent::Stood { connection, at, setup } => {
                 // Danger: at a slow host a set-up is slow too, which says nothing of the session store.
                 if let Some(took) = setup.filter(|_| !self.view.ever_slow(now, at.host)) {
                     self.rate.set_up(now, took);
                 }
                 self.view.stood(now, connection, at);
             }
-            Word::Load { connection, load } => self.view.load(connection, load),
-            Word::Delay { host, took } => self.view.delay(now, host, took),
-            Word::Declined { connection } => {
+            RebalanceEvent::Load { connection, load } => self.view.load(connection, load),
+            RebalanceEvent::Delay { host, took } => self.view.delay(now, host, took),
+            RebalanceEvent::Declined { connection } => {
                 self.rate.declined();
                 if self.view.declined(connection) {
-                    self.figures.refused += 1;
+                    self.metrics.refused += 1;
                     self.rate.refused(now);
                 }
             }
-            Word::Ended { connection, natural } => self.view.ended(now, connection, natural),
-            Word::EndpointEntry { ready } => self.precedence.listed(now, ready),
-            Word::ListLost => self.precedence.list_lost(),
-            Word::ListTold => self.precedence.list_told(),
-            Word::Reloaded => self.precedence.reloaded(now),
+            RebalanceEvent::Ended { connection, natural } => self.view.ended(now, connection, natural),
+            RebalanceEvent::EndpointEntry { ready } => self.precedence.listed(now, ready),
+            RebalanceEvent::ListLost => self.precedence.list_lost(),
+            RebalanceEvent::ListTold => self.precedence.list_told(),
+            RebalanceEvent::Reloaded => self.precedence.reloaded(now),
         }
     }
 
     /// Says who is to move now. Each of the moves counts as made.
-    pub fn evaluate(&mut self, now: Time, world: World, hosts: &[HostNow]) -> Decision {
-        if !self.setup.on {
+    pub fn evaluate(&mut self, now: Time, world: SystemConditions, hosts: &[ServerSnapshot]) -> Decision {
+        if !self.config.on {
             self.next = None;
             return Decision::default();
         }
@@ -271,43 +271,47 @@
             (decision.moves, decision.lowered) = self.choose(now, hosts);
         }
         // Only what keeps moves from being made is worth a line.
-        if self.was_held != held && (self.figures.moved > 0 || self.was_held.is_some()) {
+        if self.was_held != held && (self.metrics.moved > 0 || self.was_held.is_some()) {
             decision.log = Some(match held {
                 Some(held) => format!("rebalancing held: {held}"),
                 None => "rebalancing may go on".to_owned(),
             });
         }
         self.was_held = held;
-        self.figures.held = held;
+        self.metrics.held = held;
         decision
     }
 
     /// What is not known yet is taken to be as the rest: the few slots that a host begins with would else keep it
     /// nearly empty for long after it is warm, and moved clients would go anywhere but there.
-    fn raise(&self, now: Time, hosts: &[HostNow]) -> Vec<(ServerId, f64)> {
+    fn raise(&self, now: Time, hosts: &[ServerSnapshot]) -> Vec<(ServerId, f64)> {
         let (weights, slots) = gain::fleet(hosts);
-        let known = |host: &HostNow| slots * host.weight / weights * KNOWN;
+        let known = |host: &ServerSnapshot| slots * host.weight / weights * KNOWN;
         let unknown = hosts.iter().filter(|host| gain::unknown(&self.view, now, host));
         unknown.filter(|host| host.ceiling < known(host)).map(|host| (host.host, known(host))).collect()
     }
 
     /// Who is moved, and whose ceilings are lowered to what they hold.
-    fn choose(&mut self, now: Time, hosts: &[HostNow]) -> (Vec<(ConnectionId, ServerId)>, Vec<ServerId>) {
+    fn choose(
+        &mut self,
+        now: Time,
+        hosts: &[ServerSnapshot],
+    ) -> (Vec<(ConnectionId, ServerId)>, Vec<ServerId>) {
         let ready = || hosts.iter().filter(|host| host.ready);
         let (weights, slots) = gain::fleet(hosts);
         if weights <= 0.0 || slots <= 0.0 {
             return Default::default();
         }
-        let fair = |host: &HostNow| slots * host.weight / weights;
+        let fair = |host: &ServerSnapshot| slots * host.weight / weights;
         let mut pressed = Vec::new();
         for host in ready() {
             let going = self.going.contains_key(&host.host);
-            let press = gain::press(&self.terms, &self.setup, &self.view, now, host, fair(host), going);
+            let press = gain::press(&self.terms, &self.config, &self.view, now, host, fair(host), going);
             pressed.extend(press.map(|press| (host, press)));
         }
         let lowered = pressed.iter().map(|(host, _)| host.host).collect();
         // Danger: what was just filled must not send the same clients on, unless it tells of too much.
-        let swings = |host: &HostNow| self.filled.contains_key(&host.host) && !self.terms.tells_delay;
+        let swings = |host: &ServerSnapshot| self.filled.contains_key(&host.host) && !self.terms.tells_delay;
         pressed.retain(|(host, press)| press.sure && !swings(host));
         let worst = pressed.iter().map(|(_, press)| press.excess).fold(0.0, f64::max);
         self.rate.excess(now, worst);
@@ -331,7 +335,7 @@
                 saved: self.rate.saved(),
                 slots: free.min(press.excess * PART).max(0.0),
                 cost: self.rate.client_cost(&self.view),
-                margin: self.setup.margin,
+                margin: self.config.margin,
             };
             let units = order::units(&self.view, &self.terms, host.host);
             for unit in order::choose(units, &press, host.held, self.view.life(now), limits) {
@@ -344,7 +348,7 @@
         if let (false, Some(&(to, _))) = (moves.is_empty(), room.iter().max_by(|a, b| a.1.total_cmp(&b.1))) {
             self.filled.insert(to, now);
         }
-        self.figures.moved += moves.len() as u64;
+        self.metrics.moved += moves.len() as u64;
         for &(connection, _) in &moves {
             self.view.sent_away(now, connection);
         }
--- a/src/rebalance/order.rs
+++ b/src/rebalance/order.rs
@@ -2,7 +2,7 @@
 
 use super::gain::Press;
 use super::view::{View, GROUP_SLOTS};
-use super::Terms;
+use super::RebalanceContext;
 use crate::{ConnectionId, ServerId};
 
 /// What moves together.
@@ -34,7 +34,7 @@
 }
 
 /// A host's units. Clients that came back from a move are in none, and a group with such a member neither.
-pub fn units(view: &View, terms: &Terms, host: ServerId) -> Vec<Unit> {
+pub fn units(view: &View, terms: &RebalanceContext, host: ServerId) -> Vec<Unit> {
     let mean = terms.priority_weights.iter().sum::<f64>() / terms.priority_weights.len().max(1) as f64;
     let priority_weight = |class: u16| {
         let priority_weight = terms.priority_weights.get(usize::from(class)).copied().unwrap_or(mean);
@@ -61,13 +61,14 @@
             continue;
         }
         // Danger: the larger part of a split group would draw the rest after it, and then be drawn back.
-        if view.elsewhere(group, host) > members.len() {
+        if view.held_by_predecessor(group, host) > members.len() {
             // The smaller part: where the others are it is paid for already.
-        } else if view.elsewhere(group, host) > 0 {
+        } else if view.held_by_predecessor(group, host) > 0 {
             continue;
         }
         let slots: f64 = known.iter().map(|(at, _, _)| view.slots(at)).sum();
-        let paid = if members.len() > 1 || view.elsewhere(group, host) > 0 { GROUP_SLOTS } else { 0.0 };
+        let paid =
+            if members.len() > 1 || view.held_by_predecessor(group, host) > 0 { GROUP_SLOTS } else { 0.0 };
         let priority_weight = known.iter().map(|(at, _, _)| priority_weight(at.class)).sum();
         units.push(Unit { members, slots, relief: slots + paid, priority_weight });
     }
--- a/src/rebalance/precedence.rs
+++ b/src/rebalance/precedence.rs
@@ -22,7 +22,7 @@
 
 /// What else is going on, that the reducer knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct World {
+pub struct SystemConditions {
     /// This balancer leaves.
     pub leaving: bool,
     /// Another process takes this one's place, or the other way round.
@@ -153,7 +153,7 @@
     }
 
     /// Why nothing may be moved now, if so: the first reason that holds.
-    pub(super) fn held(&mut self, now: Time, world: World, ready: usize) -> Option<Held> {
+    pub(super) fn held(&mut self, now: Time, world: SystemConditions, ready: usize) -> Option<Held> {
         self.roll(now);
         self.draining = (world.draining > 0).then(|| self.draining.unwrap_or(now));
         let within = |at: Option<Time>, span| at.is_some_and(|at| now.since(at) < span);
--- a/src/rebalance/rate.rs
+++ b/src/rebalance/rate.rs
@@ -4,7 +4,7 @@
 //! each other come to a fair and stable rate that way.
 
 use super::view::View;
-use super::{Held, Setup, Terms};
+use super::{Held, RebalanceConfig, RebalanceContext};
 use crate::{Micros, Time};
 
 /// Where the rate begins and what it is cut to, and by how much it rises in a second with sound moves.
@@ -71,7 +71,7 @@
 }
 
 impl Rate {
-    pub(super) fn new(now: Time, setup: &Setup, terms: &Terms) -> Rate {
+    pub(super) fn new(now: Time, config: &RebalanceConfig, terms: &RebalanceContext) -> Rate {
         let mut rate = Rate {
             most: 0.0,
             rate: FLOOR,
@@ -96,12 +96,12 @@
             hold_for: HOLD,
             last_hold: now,
         };
-        rate.configure(setup, terms);
+        rate.configure(config, terms);
         rate
     }
 
-    pub(super) fn configure(&mut self, setup: &Setup, terms: &Terms) {
-        self.most = setup.most_per_s;
+    pub(super) fn configure(&mut self, config: &RebalanceConfig, terms: &RebalanceContext) {
+        self.most = config.max_moves_per_s;
         self.balancers = f64::from(terms.balancers.max(1));
         self.migration_cost = terms.migration_cost;
         self.setup_objective = terms.setup_objective as f64;
--- a/src/rebalance/view.rs
+++ b/src/rebalance/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::Terms;
+use super::RebalanceContext;
 use crate::{ConnectionId, Micros, ServerId, Time};
 
 /// Clients that were moved and have not come back: more than these are not remembered.
@@ -81,7 +81,7 @@
 }
 
 impl View {
-    pub(super) fn new(now: Time, terms: &Terms) -> View {
+    pub(super) fn new(now: Time, terms: &RebalanceContext) -> View {
         View {
             standing: BTreeMap::new(),
             hosts: BTreeMap::new(),
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(super) fn configure(&mut self, terms: &Terms) {
+    pub(super) fn configure(&mut self, terms: &RebalanceContext) {
         self.message_objective = terms.message_objective;
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// How many of a group stand at other hosts.
-    pub fn elsewhere(&self, group: u64, host: ServerId) -> usize {
+    pub fn held_by_predecessor(&self, group: u64, host: ServerId) -> usize {
         let hosts = self.groups.get(&group).into_iter().flatten();
         hosts.filter(|(other, _)| **other != host).map(|(_, count)| count).sum()
     }
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,60 +1,68 @@
 //! What operators ask for, and the figures that they are told.
 
-use super::{Call, CallerId, ConnectionId, Counts, Effect, Figures, Partner, Reply, State};
+use super::{
+    AdminCall, AdminClientId, AdminResponse, ClassCounters, ConnectionId, Effect, Metrics, PeerProcess, State,
+};
 use crate::{Micros, Time};
 
 /// The other process has so long to take in an operator's word: the answer is due within 1 s.
 const SHARE_WAIT: Micros = 500_000;
 
 impl State {
-    pub(super) fn call(&mut self, now: Time, caller: CallerId, call: Call) {
+    pub(super) fn on_admin_request(&mut self, now: Time, admin_client: AdminClientId, call: AdminCall) {
         let reply = match call {
-            Call::Ready => self.readiness().map_or_else(|why| Reply::No(why.to_owned()), |()| Reply::Yes),
-            Call::Telemetry => Reply::Figures(self.figures(now)),
-            Call::Exclude(host) => return self.ban(now, caller, host, true),
-            Call::Include(host) => return self.ban(now, caller, host, false),
+            AdminCall::Ready => {
+                self.readiness().map_or_else(|why| AdminResponse::No(why.to_owned()), |()| AdminResponse::Yes)
+            }
+            AdminCall::Telemetry => AdminResponse::Metrics(self.metrics(now)),
+            AdminCall::Exclude(host) => return self.exclude_or_include(now, admin_client, host, true),
+            AdminCall::Include(host) => return self.exclude_or_include(now, admin_client, host, false),
         };
-        self.effects.push(Effect::AdminReply { caller, reply });
+        self.effects.push(Effect::AdminReply { admin_client, reply });
     }
 
     /// Takes a host out by hand, or back into use. Where another process serves beside this one, it has to hear
     /// of that before the answer.
-    fn ban(&mut self, now: Time, caller: CallerId, host: String, out: bool) {
+    fn exclude_or_include(&mut self, now: Time, admin_client: AdminClientId, host: String, out: bool) {
         let known =
             self.ever_listed.contains(&host) || self.pools.iter().any(|pool| pool.out.contains(&host));
         let reply = match () {
-            () if !self.listening => Reply::No("not ready yet".to_owned()),
-            () if !known => Reply::No(format!("no host {host} was ever listed")),
-            () if !self.set_ban(now, &host, out) => Reply::No("the store is full".to_owned()),
-            () if self.partner.is_some() => {
-                self.shared.insert(caller, now.plus(SHARE_WAIT));
-                return self.effects.push(Effect::ShareExclusion { caller, host, out });
+            () if !self.listening => AdminResponse::No("not ready yet".to_owned()),
+            () if !known => AdminResponse::No(format!("no host {host} was ever listed")),
+            () if !self.set_exclusion(now, &host, out) => AdminResponse::No("the store is full".to_owned()),
+            () if self.peer_process.is_some() => {
+                self.pending_acknowledgements.insert(admin_client, now.plus(SHARE_WAIT));
+                return self.effects.push(Effect::ShareExclusion { admin_client, host, out });
             }
-            () => Reply::Yes,
+            () => AdminResponse::Yes,
         };
-        self.effects.push(Effect::AdminReply { caller, reply });
+        self.effects.push(Effect::AdminReply { admin_client, reply });
     }
 
     /// Whether it could be noted.
-    pub(super) fn set_ban(&mut self, now: Time, host: &str, out: bool) -> bool {
+    pub(super) fn set_exclusion(&mut self, now: Time, host: &str, out: bool) -> bool {
         let key = format!("life/{host}");
         if self.store.is_on() {
             return out == self.store.get(&key).is_some() || self.write(now, &key, out.then_some("draining"));
         }
-        let changed = if out { self.bans.insert(host.to_owned()) } else { self.bans.remove(host) };
+        let changed = if out {
+            self.excluded_by_operator.insert(host.to_owned())
+        } else {
+            self.excluded_by_operator.remove(host)
+        };
         if changed {
             let does = if out { "is out by hand" } else { "is in use again" };
             self.effects.push(Effect::Log(format!("{host} {does}")));
-            self.effects.push(Effect::PersistExclusions(self.bans.iter().cloned().collect()));
+            self.effects.push(Effect::PersistExclusions(self.excluded_by_operator.iter().cloned().collect()));
             (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
         }
         true
     }
 
     /// The other process has heard of it, or will not.
-    pub(super) fn share_taken(&mut self, caller: CallerId) {
-        if self.shared.remove(&caller).is_some() {
-            self.effects.push(Effect::AdminReply { caller, reply: Reply::Yes });
+    pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
+        if self.pending_acknowledgements.remove(&admin_client).is_some() {
+            self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
         }
     }
 
@@ -68,8 +76,10 @@
         // Danger: with discovery down nobody would ever be ready, though the list from before the start may do.
         let listed = |pool: &super::Pool| pool.told || !pool.listed.is_empty();
         match () {
-            () if self.leaving.is_some() => Err("leaving"),
-            () if self.partner == Some(Partner::Successor) => Err("another process serves in its place"),
+            () if self.shutdown_window.is_some() => Err("leaving"),
+            () if self.peer_process == Some(PeerProcess::Successor) => {
+                Err("another process serves in its place")
+            }
             () if !self.listening => Err("not listening yet"),
             () if !self.pools.iter().all(listed) => Err("no routing table yet"),
             () => Ok(()),
@@ -77,7 +87,7 @@
     }
 
     /// Counts an outcome in its connection's class, if it has told one that is configured.
-    pub(super) fn count(&mut self, id: ConnectionId, add: impl FnOnce(&mut Counts)) {
+    pub(super) fn count(&mut self, id: ConnectionId, add: impl FnOnce(&mut ClassCounters)) {
         let Some((pool, class)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.class?))) else {
             return;
         };
@@ -85,27 +95,27 @@
     }
 
     /// The figures, as they are now.
-    fn figures(&self, now: Time) -> Figures {
-        let mut figures = Figures { forwards: self.forwards, ..Figures::default() };
+    fn metrics(&self, now: Time) -> Metrics {
+        let mut metrics = Metrics { forwards: self.forwards, ..Metrics::default() };
         for pool in &self.pools {
             // One that is no longer configured is there by no name.
-            let named = pool.setup.classes.iter().zip(&pool.counts).filter(|(class, _)| !class.is_empty());
+            let named = pool.config.classes.iter().zip(&pool.counts).filter(|(class, _)| !class.is_empty());
             for (class, counts) in named {
-                let all = figures.classes.entry(class.clone()).or_default();
+                let all = metrics.classes.entry(class.clone()).or_default();
                 all.succeeded += counts.succeeded;
                 all.declined += counts.declined;
                 all.aborted += counts.aborted;
             }
-            figures.outstanding += pool.held as u64;
-            figures.discovered += pool.table.hosts().count() as u64;
+            metrics.outstanding += pool.held as u64;
+            metrics.discovered += pool.table.hosts().count() as u64;
             let by_hand = |host| pool.table.any(host).is_some_and(|host| pool.out.contains(&host.name));
             let avoided =
                 pool.table.hosts().filter(|&host| by_hand(host) || pool.balancer.is_avoided(now, host));
-            figures.ejected += avoided.count() as u64;
-            if pool.setup.rebalance.on {
-                figures.rebalance.insert(pool.setup.name.to_owned(), pool.rebalance.figures());
+            metrics.ejected += avoided.count() as u64;
+            if pool.config.rebalance.on {
+                metrics.rebalance.insert(pool.config.name.to_owned(), pool.rebalance.metrics());
             }
         }
-        figures
+        metrics
     }
 }
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -20,7 +20,7 @@
     ) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let pool = &self.pools[connection.pool];
-        let (number, connect) = (connection.attempts, pool.setup.settings.connect_timeout);
+        let (number, connect) = (connection.attempts, pool.config.settings.connect_timeout);
         connection.attempts += 1;
         let until = now.plus(wait);
         connection.attempt = Some(Attempt { number, host, written: false, since: now, until, write_by });
@@ -46,7 +46,7 @@
     }
 
     fn time_attempt(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get(&id).filter(|a| a.phase != Phase::Standing) else {
+        let Some(connection) = self.connections.get(&id).filter(|a| a.phase != Phase::Established) else {
             return;
         };
         if let Some(until) = connection.attempt.filter(|attempt| attempt.written).map(|attempt| attempt.until)
@@ -59,24 +59,28 @@
         if self.attempt(id, number).is_none() {
             return;
         }
-        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase != Phase::Standing) else {
+        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase != Phase::Established) else {
             return;
         };
-        let (pool, placed) = (connection.pool, connection.phase == Phase::Placing);
+        let (pool, placed) = (connection.pool, connection.phase == Phase::Connecting);
         let took = connection
             .attempt
             .filter(|attempt| placed && attempt.written)
             .map(|attempt| now.since(attempt.since));
-        connection.phase = Phase::Standing;
-        connection.move_at = self.leaving.map(|(_, at)| at.min(now.plus(LEAVING_FROM)));
+        connection.phase = Phase::Established;
+        connection.migrate_at = self.shutdown_window.map(|(_, at)| at.min(now.plus(LEAVING_FROM)));
         self.count(id, |counts| counts.succeeded += 1);
-        self.watch_over(now, id);
-        self.stood(now, id, took);
+        self.schedule_established_timer(now, id);
+        self.on_established(now, id, took);
         if placed {
             self.pools[pool].peers.stood();
-            self.tell(now, pool, Event::ConnectionEstablished { request: RequestId(id.0), attempt: number });
+            self.dispatch(
+                now,
+                pool,
+                Event::ConnectionEstablished { request: RequestId(id.0), attempt: number },
+            );
         }
-        self.pass(id);
+        self.transfer_connection(id);
     }
 
     pub(super) fn on_attempt_ended(&mut self, now: Time, id: ConnectionId, number: u32, end: AttemptOutcome) {
@@ -85,25 +89,27 @@
         }
         let outcome = match end {
             // A verdict is an answer as good as any: the host is sound.
-            AttemptOutcome::Served | AttemptOutcome::Verdict => Outcome::Ok,
-            AttemptOutcome::SentAway => Outcome::Cancelled,
+            AttemptOutcome::Served | AttemptOutcome::VerdictForwarded => Outcome::Ok,
+            AttemptOutcome::RedirectedByServer => Outcome::Cancelled,
             AttemptOutcome::Error => Outcome::Error,
-            AttemptOutcome::TurnedAway => Outcome::Rejected,
-            AttemptOutcome::NoConnection => Outcome::ConnectFailed,
-            AttemptOutcome::NoSocket => Outcome::NotSent,
-            AttemptOutcome::Broken => Outcome::Reset,
+            AttemptOutcome::Rejected => Outcome::Rejected,
+            AttemptOutcome::ConnectFailed => Outcome::ConnectFailed,
+            AttemptOutcome::OutOfSockets => Outcome::NotSent,
+            AttemptOutcome::Reset => Outcome::Reset,
         };
         match self.connections.get(&id).map(|a| a.phase) {
-            Some(Phase::Adopting(until, _)) if now < until => {
+            Some(Phase::Restoring(until, _)) if now < until => {
                 self.drop_attempt(id);
                 self.set_due(id, Some(now.plus(ADOPT_GAP)));
             }
-            Some(Phase::Placing) if end != AttemptOutcome::Verdict => self.attempt_failed(now, id, outcome),
+            Some(Phase::Connecting) if end != AttemptOutcome::VerdictForwarded => {
+                self.attempt_failed(now, id, outcome)
+            }
             Some(phase) => {
-                if phase != Phase::Standing && end == AttemptOutcome::Verdict {
+                if phase != Phase::Established && end == AttemptOutcome::VerdictForwarded {
                     self.count(id, |counts| counts.declined += 1);
                 }
-                if end == AttemptOutcome::SentAway {
+                if end == AttemptOutcome::RedirectedByServer {
                     self.cut_short(now, id);
                 }
                 self.end(now, id, outcome)
@@ -120,7 +126,7 @@
         self.drop_attempt(id);
         self.set_due(id, None);
         let (request, attempt, answered) = (RequestId(id.0), attempt.number, false);
-        self.tell(now, pool, Event::AttemptEnded { request, attempt, outcome, answered });
+        self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
     pub(super) fn drop_attempt(&mut self, id: ConnectionId) -> Option<Attempt> {
@@ -139,9 +145,11 @@
     pub(super) fn adopt_again(&mut self, now: Time, id: ConnectionId, until: Time, host: ServerId) {
         let Some(connection) = self.connections.get(&id) else { return };
         let pool = &self.pools[connection.pool];
-        let (most, listed) = (pool.setup.settings.max_attempts, pool.table.any(host).is_some());
+        let (most, listed) = (pool.config.settings.max_attempts, pool.table.any(host).is_some());
         // Danger: a client may name a host that there never was; it is owed its error soon.
-        if now < until && connection.attempts < most && (listed || now.since(connection.met) < ADOPT_UNLISTED)
+        if now < until
+            && connection.attempts < most
+            && (listed || now.since(connection.connected_at) < ADOPT_UNLISTED)
         {
             if self.drop_attempt(id).is_some() {
                 self.effects.push(Effect::CloseAttempt { connection: id });
@@ -151,7 +159,7 @@
                 false => self.set_due(id, Some(now.plus(ADOPT_GAP))),
             }
         } else {
-            self.give(now, id, Answer::Failed);
+            self.send_answer(now, id, Answer::Failed);
             self.end(now, id, Outcome::Reset);
         }
     }
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -3,11 +3,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::hot_restart::Partner;
+use super::hot_restart::PeerProcess;
 use super::{
-    stored_host, Budget, ConnectionId, Counts, Effect, Endpoint, Lifecycle, Phase, PoolId, PoolSetup, State,
+    stored_host, Budget, ClassCounters, ConnectionId, Effect, Endpoint, Lifecycle, Phase, PoolConfig, PoolId,
+    State,
 };
-use crate::rebalance::Word;
+use crate::rebalance::RebalanceEvent;
 use crate::{Event, Micros, Outcome, ServerId, Time};
 
 /// Where hosts that drain send their clients away by themselves, those of one that is out by hand are moved
@@ -22,30 +23,36 @@
     pub(super) fn configure(
         &mut self,
         now: Time,
-        setups: Vec<PoolSetup>,
+        setups: Vec<PoolConfig>,
         peers: Vec<SocketAddr>,
         budget: Budget,
     ) {
         self.budget = budget;
-        for (id, setup) in setups.into_iter().enumerate().take(self.pools.len()) {
+        for (id, config) in setups.into_iter().enumerate().take(self.pools.len()) {
             let pool = &mut self.pools[id];
-            let setup = setup.after(&pool.setup);
-            let moved = setup.discovery.filter(|_| setup.discovery != pool.setup.discovery);
-            pool.balancer.configure(setup.settings.clone());
-            pool.peers.configure(setup.peer_setup());
-            pool.rebalance.configure(now, setup.rebalance, setup.rebalance_terms());
-            pool.setup = setup;
-            pool.counts.resize(pool.setup.classes.len(), Counts::default());
+            let config = config.after(&pool.config);
+            let moved = config.discovery.filter(|_| config.discovery != pool.config.discovery);
+            pool.balancer.configure(config.settings.clone());
+            pool.peers.configure(config.gossip_config());
+            pool.rebalance.configure(now, config.rebalance, config.rebalance_context());
+            pool.config = config;
+            pool.counts.resize(pool.config.classes.len(), ClassCounters::default());
             self.refresh(now, id);
             self.effects.extend(moved.map(|discovery| Effect::WatchEndpointsAt { pool: id, discovery }));
         }
         if self.peers != peers {
-            self.gossip_at = (!peers.is_empty()).then_some(now);
+            self.next_gossip_at = (!peers.is_empty()).then_some(now);
             self.peers = peers;
         }
     }
 
-    pub(super) fn follow(&mut self, now: Time, pool_id: PoolId, whole: bool, hosts: Vec<Endpoint>) {
+    pub(super) fn on_endpoints_updated(
+        &mut self,
+        now: Time,
+        pool_id: PoolId,
+        whole: bool,
+        hosts: Vec<Endpoint>,
+    ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         if whole {
             pool.listed.clear();
@@ -63,7 +70,7 @@
     pub(super) fn refresh(&mut self, now: Time, pool_id: PoolId) {
         let pool = &mut self.pools[pool_id];
         let mut hosts = pool.listed.clone();
-        if pool.setup.from_store {
+        if pool.config.from_store {
             let added = self.store.under("host/").filter_map(|(name, text)| stored_host(name, text));
             hosts.extend(added.map(|host| (host.name.clone(), host)));
         }
@@ -71,17 +78,17 @@
             self.ever_listed.clear();
         }
         self.ever_listed.extend(hosts.keys().cloned());
-        let mut out = self.bans.clone();
+        let mut out = self.excluded_by_operator.clone();
         out.extend(self.store.under("life/").map(|(name, _)| name.to_owned()));
         // Danger: a host that was out has mostly started again, and the list may not know that yet. Whatever
         // was thought of it before is of no use, and it may not be filled faster than a cold one.
-        pool.returned.extend(pool.out.difference(&out).map(|name| (name.clone(), now)));
-        let slow_start_duration = pool.setup.settings.slow_start_duration;
-        pool.returned.retain(|name, at| now.since(*at) < slow_start_duration && !out.contains(name));
-        for (name, &at) in &pool.returned {
+        pool.readmitted.extend(pool.out.difference(&out).map(|name| (name.clone(), now)));
+        let slow_start_duration = pool.config.settings.slow_start_duration;
+        pool.readmitted.retain(|name, at| now.since(*at) < slow_start_duration && !out.contains(name));
+        for (name, &at) in &pool.readmitted {
             hosts.entry(name.clone()).and_modify(|host| host.started = host.started.max(Some(at)));
         }
-        if self.partner == Some(Partner::Successor) {
+        if self.peer_process == Some(PeerProcess::Successor) {
             let cold =
                 |host: &&mut Endpoint| host.started.is_some_and(|at| now.since(at) < slow_start_duration);
             hosts.values_mut().filter(cold).for_each(|host| host.lifecycle = Lifecycle::Draining);
@@ -95,13 +102,14 @@
             }
         }
         pool.out = out;
-        let listed = pool.table.follow(hosts.into_values(), &pool.setup.zones);
+        let listed = pool.table.follow(hosts.into_values(), &pool.config.zones);
         let ready = listed.iter().filter(|host| host.state == crate::EndpointState::Serving).count();
-        pool.rebalance.take(now, Word::EndpointEntry { ready });
-        self.tell(now, pool_id, Event::EndpointsReplaced(&listed));
-        let leaving: Vec<_> = self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX))).collect();
+        pool.rebalance.take(now, RebalanceEvent::EndpointEntry { ready });
+        self.dispatch(now, pool_id, Event::EndpointsReplaced(&listed));
+        let shutdown_window: Vec<_> =
+            self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX))).collect();
         let table = &self.pools[pool_id].table;
-        let held = leaving.into_iter().filter(|((_, host), _)| table.ready(*host).is_none());
+        let held = shutdown_window.into_iter().filter(|((_, host), _)| table.ready(*host).is_none());
         let held: Vec<(ServerId, ConnectionId)> = held
             .flat_map(|((_, host), connections)| connections.iter().map(|&connection| (*host, connection)))
             .collect();
@@ -110,24 +118,24 @@
             let pool = &self.pools[pool_id];
             let gone = pool.table.any(host).is_none();
             let by_hand = pool.table.any(host).is_some_and(|host| pool.out.contains(&host.name));
-            let over = pool.setup.drain_over;
+            let over = pool.config.drain_over;
             let over = if by_hand && over == 0 { OUT_OVER } else { over };
             let Some(connection) = self.connections.get(&id) else { continue };
             match (connection.phase, connection.attempt) {
                 // Danger (drains): what is not written yet must not reach a host told to be leaving.
-                (Phase::Placing, Some(attempt)) if !attempt.written => {
+                (Phase::Connecting, Some(attempt)) if !attempt.written => {
                     self.effects.push(Effect::CloseAttempt { connection: id });
                     self.attempt_failed(now, id, Outcome::NotSent);
                 }
-                (Phase::Standing, _) if gone => self.move_away(now, id, Outcome::Reset),
-                (Phase::Standing, _) if over > 0 && connection.move_at.is_none() => {
+                (Phase::Established, _) if gone => self.migrate(now, id, Outcome::Reset),
+                (Phase::Established, _) if over > 0 && connection.migrate_at.is_none() => {
                     draining.entry((host, over)).or_default().push(id)
                 }
                 _ => {}
             }
         }
-        for ((_, over), standing) in draining {
-            self.move_over(now, &standing, 0, over);
+        for ((_, over), established) in draining {
+            self.migrate_gradually(now, &established, 0, over);
         }
     }
 }
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,8 +1,8 @@
 //! Connections that stand, their moves and their ends.
 
-use super::{Answer, Attempt, ConnectionId, Effect, Partner, Phase, State};
-use crate::peers::News;
-use crate::rebalance::Word;
+use super::{Answer, Attempt, ConnectionId, Effect, PeerProcess, Phase, State};
+use crate::peers::Observation;
+use crate::rebalance::RebalanceEvent;
 use crate::{Event, Measurement, Micros, Outcome, RequestId, Time};
 
 /// A balancer that is told to leave has the longest wait of its clients for it, at most so long, and
@@ -24,17 +24,17 @@
 const SLOW_GAP: Micros = 1_300_000;
 
 impl State {
-    pub(super) fn heard(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase == Phase::Standing) else {
+    pub(super) fn on_server_activity(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase == Phase::Established) else {
             return;
         };
-        connection.asked = None;
+        connection.awaiting_server_since = None;
     }
 
     /// Danger: servers may tell two figures by the same word, a connection's load and, every second while it
     /// is long, the time that a message takes; the settings say which are told. Taken for a load, that time makes
     /// the heaviest host look empty, and more is sent there.
-    pub(super) fn told(&mut self, now: Time, id: ConnectionId, figure: f64) {
+    pub(super) fn on_load_reported(&mut self, now: Time, id: ConnectionId, figure: f64) {
         let Some((pool_id, attempt)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.attempt?)))
         else {
             return;
@@ -48,20 +48,20 @@
         let last = pool.slow.get(&attempt.host).filter(|(at, _)| now.since(*at) <= SLOW_GAP);
         let goes_on =
             last.is_some_and(|&(_, took)| (took / SLOW_FACTOR..took * SLOW_FACTOR).contains(&figure));
-        let delay = figure < mean * LEAST_LOAD || goes_on || !pool.setup.tells_load;
-        let measurement = if pool.setup.tells_delay && delay {
+        let delay = figure < mean * LEAST_LOAD || goes_on || !pool.config.tells_load;
+        let measurement = if pool.config.tells_delay && delay {
             pool.slow.insert(attempt.host, (now, figure));
             let took = (figure.max(0.0) * 1000.0) as Micros;
-            pool.rebalance.take(now, Word::Delay { host: attempt.host, took });
-            self.tell_peers(now, pool_id, News::SlowHost(attempt.host, took));
+            pool.rebalance.take(now, RebalanceEvent::Delay { host: attempt.host, took });
+            self.broadcast_observation(now, pool_id, Observation::SlowHost(attempt.host, took));
             Measurement::MessageTime(took)
         } else {
             pool.loads = (pool.loads.0 + figure, pool.loads.1 + 1.0);
-            pool.rebalance.take(now, Word::Load { connection: id, load: figure });
+            pool.rebalance.take(now, RebalanceEvent::Load { connection: id, load: figure });
             self.connections.entry(id).and_modify(|connection| connection.load = Some(figure));
             Measurement::Load(figure)
         };
-        self.tell(now, pool_id, Event::ConnectionMeasured { request: RequestId(id.0), measurement });
+        self.dispatch(now, pool_id, Event::ConnectionMeasured { request: RequestId(id.0), measurement });
     }
 
     /// Ends a connection whose answer was given or is not owed any more, whatever of it is out.
@@ -69,88 +69,98 @@
         let Some((pool, phase)) = self.connections.get(&id).map(|a| (a.pool, a.phase)) else { return };
         // Whoever is moved or cut off has told so before: of these nothing is known any more.
         let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        self.weigh(now, pool, Word::Ended { connection: id, natural });
-        let attempt = self.forget(now, id);
+        self.notify_rebalancer(now, pool, RebalanceEvent::Ended { connection: id, natural });
+        let attempt = self.release(now, id);
         let attempt = match (phase, attempt) {
             // To the module an adopted connection stands by its attempt 0, however often it was tried.
-            (Phase::Adopting(..), _) => Some(0),
+            (Phase::Restoring(..), _) => Some(0),
             (_, attempt) => attempt.map(|attempt| attempt.number),
         };
         if let Some(attempt) = attempt {
             self.effects.push(Effect::CloseAttempt { connection: id });
             let request = RequestId(id.0);
-            self.tell(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
+            self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
         }
     }
 
     /// Its sockets stay for a while: it waits to be closed.
-    pub(super) fn forget(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
+    pub(super) fn release(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let attempt = self.drop_attempt(id);
         self.set_due(id, None);
         if let Some(connection) = self.connections.remove(&id) {
             self.waiting.insert(id, now);
             let pool = &mut self.pools[connection.pool];
-            pool.rebalance.take(now, Word::Ended { connection: id, natural: false });
-            pool.held -= usize::from(connection.phase != Phase::Greeting);
+            pool.rebalance.take(now, RebalanceEvent::Ended { connection: id, natural: false });
+            pool.held -= usize::from(connection.phase != Phase::Handshaking);
             connection.ask.id.map(|id| pool.ids.remove(&id));
         }
         attempt
     }
 
     /// The client is told to come again, and both sides are closed.
-    pub(super) fn move_away(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
-        self.give(now, id, Answer::Moved);
+    pub(super) fn migrate(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
+        self.send_answer(now, id, Answer::Migrated);
         self.cut_short(now, id);
         self.end(now, id, outcome);
     }
 
     /// Sets a standing connection's timer: for its move, or for the silence of its host.
-    pub(super) fn watch_over(&mut self, now: Time, id: ConnectionId) {
+    pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else { return };
-        let silence = self.pools[connection.pool].setup.silence;
-        let silent = (silence > 0).then(|| connection.asked.unwrap_or(now).plus(silence));
-        self.set_due(id, connection.move_at.into_iter().chain(silent).min());
+        let silence = self.pools[connection.pool].config.silence;
+        let silent = (silence > 0).then(|| connection.awaiting_server_since.unwrap_or(now).plus(silence));
+        self.set_due(id, connection.migrate_at.into_iter().chain(silent).min());
     }
 
     /// A standing connection's timer is due.
-    pub(super) fn overdue(&mut self, now: Time, id: ConnectionId) {
+    pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else { return };
-        let silence = self.pools[connection.pool].setup.silence;
+        let silence = self.pools[connection.pool].config.silence;
         // Danger: a host that vanished says nothing; its clients would wait for ever.
-        if silence > 0 && connection.asked.is_some_and(|at| at.plus(silence) <= now) {
-            self.move_away(now, id, Outcome::Reset);
-        } else if connection.move_at.is_some_and(|at| at <= now) {
-            self.move_away(now, id, Outcome::Cancelled);
+        if silence > 0 && connection.awaiting_server_since.is_some_and(|at| at.plus(silence) <= now) {
+            self.migrate(now, id, Outcome::Reset);
+        } else if connection.migrate_at.is_some_and(|at| at <= now) {
+            self.migrate(now, id, Outcome::Cancelled);
         } else {
-            self.watch_over(now, id);
+            self.schedule_established_timer(now, id);
         }
     }
 
     /// Has standing connections moved one by one: all in one wave would hit the others at once.
-    pub(super) fn move_over(&mut self, now: Time, standing: &[ConnectionId], from: Micros, over: Micros) {
-        let gap = over / standing.len().max(1) as u64;
-        for (n, &id) in standing.iter().enumerate() {
+    pub(super) fn migrate_gradually(
+        &mut self,
+        now: Time,
+        established: &[ConnectionId],
+        from: Micros,
+        over: Micros,
+    ) {
+        let gap = over / established.len().max(1) as u64;
+        for (n, &id) in established.iter().enumerate() {
             let at = now.plus(from + gap * n as u64 + gap / 2);
             let Some(connection) = self.connections.get_mut(&id) else { continue };
-            connection.move_at = Some(connection.move_at.map_or(at, |old| old.min(at)));
-            self.watch_over(now, id);
+            connection.migrate_at = Some(connection.migrate_at.map_or(at, |old| old.min(at)));
+            self.schedule_established_timer(now, id);
         }
     }
 
-    pub(super) fn leave(&mut self, now: Time) {
-        if self.leaving.is_some() {
+    pub(super) fn begin_shutdown(&mut self, now: Time) {
+        if self.shutdown_window.is_some() {
             return;
         }
-        let longest = self.pools.iter().map(|p| p.setup.longest_wait).max().unwrap_or(0);
+        let longest = self.pools.iter().map(|p| p.config.longest_wait).max().unwrap_or(0);
         let stay = longest.min(LEAVING_WAITS) + LEAVING_MORE;
         // Where another process has taken its place nothing new comes here.
-        let succeeded = self.partner == Some(Partner::Successor);
+        let succeeded = self.peer_process == Some(PeerProcess::Successor);
         let least = if succeeded { 0 } else { LEAVING_STAY.min(stay) };
-        self.leaving = Some((now.plus(least), now.plus(stay)));
-        let standing: Vec<ConnectionId> =
-            self.connections.iter().filter(|(_, a)| a.phase == Phase::Standing).map(|(&id, _)| id).collect();
+        self.shutdown_window = Some((now.plus(least), now.plus(stay)));
+        let established: Vec<ConnectionId> = self
+            .connections
+            .iter()
+            .filter(|(_, a)| a.phase == Phase::Established)
+            .map(|(&id, _)| id)
+            .collect();
         let over = stay.saturating_sub(LEAVING_FROM + LEAVING_REST);
-        self.move_over(now, &standing, LEAVING_FROM, over);
+        self.migrate_gradually(now, &established, LEAVING_FROM, over);
         self.effects.push(Effect::Log(format!("leaving: {} connections to move", self.connections.len())));
     }
 }
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -10,7 +10,7 @@
 const GOSSIP_GAP: Micros = 500_000;
 
 impl State {
-    pub(super) fn gossip(&mut self, now: Time, from: SocketAddr, gossip: Gossip) {
+    pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, gossip: Gossip) {
         // Danger: what holds for all nodes is taken from the nodes only.
         if !matches!(gossip, Gossip::Write { .. }) && !self.peers.contains(&from) {
             return self.effects.push(Effect::Log(format!("word from {from}, which is no peer, not taken")));
@@ -27,7 +27,7 @@
             }
             Gossip::Entry { key, entry } => {
                 if let Some(entry) = self.store.hear(&key, entry) {
-                    self.stored(now, key, entry);
+                    self.on_entry_stored(now, key, entry);
                 }
             }
             // Danger: an operator's word is taken from this machine only.
@@ -43,8 +43,13 @@
     }
 
     /// What was kept of an earlier life takes effect.
-    pub(super) fn kept(&mut self, now: Time, entries: Vec<(String, Entry)>, bans: Vec<String>) {
-        self.bans.extend(bans);
+    pub(super) fn on_state_restored(
+        &mut self,
+        now: Time,
+        entries: Vec<(String, Entry)>,
+        excluded_by_operator: Vec<String>,
+    ) {
+        self.excluded_by_operator.extend(excluded_by_operator);
         for (key, entry) in entries {
             self.store.take(&key, entry);
         }
@@ -55,14 +60,14 @@
     pub(super) fn write(&mut self, now: Time, key: &str, value: Option<&str>) -> bool {
         let Some(entry) = self.store.write(key, value) else { return false };
         let told = Gossip::Entry { key: key.to_owned(), entry: entry.clone() };
-        self.stored(now, key.to_owned(), entry);
+        self.on_entry_stored(now, key.to_owned(), entry);
         // Others hear of it at once; where that is lost, digests find it out.
         self.effects.extend(self.peers.iter().map(|&peer| Effect::SendReplicaMessage((peer, told.clone()))));
         true
     }
 
     /// The store has news: they are kept, and take effect.
-    pub(super) fn stored(&mut self, now: Time, key: String, entry: Entry) {
+    pub(super) fn on_entry_stored(&mut self, now: Time, key: String, entry: Entry) {
         let value = entry.value.as_deref().unwrap_or("nothing");
         self.effects.push(Effect::Log(format!("store: {key} is {value}, says {}", entry.node)));
         let host = key.starts_with("life/") || key.starts_with("host/");
@@ -73,10 +78,10 @@
     }
 
     /// One of the others is sent a digest each time.
-    pub(super) fn keep_gossiping(&mut self, now: Time) {
+    pub(super) fn send_digest(&mut self, now: Time) {
         let Some(&peer) = self.peers.get(self.next_peer % self.peers.len().max(1)) else { return };
         self.next_peer += 1;
-        self.gossip_at = Some(now.plus(GOSSIP_GAP));
+        self.next_gossip_at = Some(now.plus(GOSSIP_GAP));
         let digest = Gossip::Digest { wanted: true, buckets: self.store.digest() };
         self.effects.push(Effect::SendReplicaMessage((peer, digest)));
     }
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -29,7 +29,7 @@
     /// had to ask.
     pub wait: Option<Micros>,
     /// It stood already, at this server.
-    pub standing_at: Option<String>,
+    pub established_at: Option<String>,
     /// By what its client is known when it comes again: a hash of the flow's key, where there is one.
     pub key: Option<u64>,
     /// It says that its connection broke or was moved.
@@ -42,24 +42,24 @@
     /// Served to its end, in order.
     Served,
     /// The host sent the client away.
-    SentAway,
+    RedirectedByServer,
     /// The host answered with an error.
     Error,
     /// Rejected unseen.
-    TurnedAway,
+    Rejected,
     /// No connection, or it broke before the request was written in full.
-    NoConnection,
+    ConnectFailed,
     /// It broke or ended without a word after that.
-    Broken,
+    Reset,
     /// This machine had no socket left for it: the host had no part in that.
-    NoSocket,
+    OutOfSockets,
     /// The host's own verdict was passed on to the client: nothing more is to be done.
-    Verdict,
+    VerdictForwarded,
 }
 
 /// What an operator asks for at the door.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum AdminCall {
     /// Whether this process can serve.
     Ready,
     /// The figures.
@@ -72,16 +72,16 @@
 
 /// What an operator is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum AdminResponse {
     Yes,
     /// No, and why.
     No(String),
-    Figures(Figures),
+    Metrics(Metrics),
 }
 
 /// How connections of a class came out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ClassCounters {
     /// Brought up.
     pub succeeded: u64,
     /// Refused.
@@ -92,9 +92,9 @@
 
 /// What the balancer reports: counts since the start of the process, and what holds now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Metrics {
     /// Every configured class, by name.
-    pub classes: BTreeMap<String, Counts>,
+    pub classes: BTreeMap<String, ClassCounters>,
     /// Attempts written in full.
     pub forwards: u64,
     /// Connections taken and not yet ended, those that stand included.
@@ -104,29 +104,29 @@
     /// Of those, the ones avoided now.
     pub ejected: u64,
     /// Of each front that rebalances, by its name.
-    pub rebalance: BTreeMap<String, rebalance::Figures>,
+    pub rebalance: BTreeMap<String, rebalance::RebalanceMetrics>,
 }
 
 /// One caller at the operators' door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallerId(pub u64);
+pub struct AdminClientId(pub u64);
 
 /// A final answer, or the one notice that a standing connection is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Refused: come again after this time, 0 for no advice.
-    Refused(Micros),
+    Rejected(Micros),
     /// Failed.
     Failed,
     /// It never came to ask before its time was up.
-    Late,
+    HandshakeTimedOut,
     /// Come again at once: the host leaves, or this balancer does.
-    Moved,
+    Migrated,
 }
 
 /// What a connection that stands takes along to the process that goes on with it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct EstablishedConnection {
     /// What it asked for.
     pub ask: ConnectionRequest,
     /// Its server.
@@ -134,30 +134,30 @@
     /// The load that its host told last.
     pub load: Option<f64>,
     /// When the first line went to the host that has had no answer since.
-    pub asked: Option<Time>,
+    pub awaiting_server_since: Option<Time>,
 }
 
 /// What a process leaves to the one that takes its place.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Legacy {
+pub struct HandoverState {
     /// Hosts out by hand, and names of all that were ever listed.
-    pub bans: Vec<String>,
+    pub excluded_by_operator: Vec<String>,
     pub ever_listed: Vec<String>,
     /// The store's entries.
     pub entries: Vec<(String, Entry)>,
     /// Of each pool, by its name.
-    pub pools: BTreeMap<String, PoolLegacy>,
+    pub pools: BTreeMap<String, PoolHandoverState>,
     /// Descriptors that the process before goes on holding for a while.
     pub left: usize,
 }
 
 /// What it leaves of one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PoolLegacy {
+pub struct PoolHandoverState {
     /// The hosts as listed, with what was learned of them.
     pub hosts: Vec<(Endpoint, Option<LearnedState>)>,
     /// Hosts that were out by hand, and since when they are not any more.
-    pub returned: Vec<(String, Time)>,
+    pub readmitted: Vec<(String, Time)>,
     /// Ids of connections that are open there.
     pub ids: Vec<String>,
 }
@@ -189,13 +189,13 @@
     /// say that hosts tell it, the milliseconds that a message takes there.
     LoadReported { connection: ConnectionId, load: f64 },
     /// What was kept of an earlier life: the store's entries, and hosts out by hand where no store says so.
-    StateRestored { entries: Vec<(String, Entry)>, bans: Vec<String> },
+    StateRestored { entries: Vec<(String, Entry)>, excluded_by_operator: Vec<String> },
     /// A endpoint list as it was last held, which may be old.
     CachedEndpoints { pool: PoolId, hosts: Vec<Endpoint> },
     /// News of a endpoint list: all of it, or what changed.
     EndpointsUpdated { pool: PoolId, whole: bool, hosts: Vec<Endpoint> },
     /// Another balancer of the tier says what is slow.
-    GossipReceived { pool: PoolId, word: peers::Word },
+    GossipReceived { pool: PoolId, message: peers::GossipMessage },
     /// A probe of an server is over.
     ProbeCompleted { pool: PoolId, host: ServerId, end: ProbeEnd },
     /// The watch on it broke, or could not be had.
@@ -203,7 +203,7 @@
     /// Another node's store, or an operator's command, sent this.
     ReplicaMessage { from: SocketAddr, gossip: Gossip },
     /// The configuration was read again: its pools in the old order, and the other stores.
-    ConfigurationChanged { pools: Vec<PoolSetup>, peers: Vec<SocketAddr>, budget: Budget },
+    ConfigurationChanged { pools: Vec<PoolConfig>, peers: Vec<SocketAddr>, budget: Budget },
     /// The fronts listen.
     Listening,
     /// Another process starts in this one's place, and asks for what there is to know.
@@ -213,17 +213,17 @@
     /// The sockets of a standing connection are with it.
     ConnectionTransferred { connection: ConnectionId },
     /// This process has what the one before it knew.
-    ImportState(Box<Legacy>),
+    ImportState(Box<HandoverState>),
     /// A standing connection came from the process before.
-    ConnectionReceived { connection: ConnectionId, pool: PoolId, standing: Standing },
+    ConnectionReceived { connection: ConnectionId, pool: PoolId, established: EstablishedConnection },
     /// The other process is gone.
     PeerProcessLost,
     /// An operator's word came to the other process...
     ExclusionShared { host: String, out: bool },
     /// ...or has arrived there.
-    ExclusionAcknowledged { caller: CallerId },
+    ExclusionAcknowledged { admin_client: AdminClientId },
     /// An operator calls.
-    AdminRequest { caller: CallerId, call: Call },
+    AdminRequest { admin_client: AdminClientId, call: AdminCall },
     /// This balancer is to leave.
     ShutdownRequested,
     /// Time has come to something.
@@ -246,7 +246,7 @@
     /// The fronts may accept connections, or have to leave them waiting.
     SetAccepting { open: bool },
     /// Tell the other balancers of the tier what is slow.
-    BroadcastGossip(peers::Word),
+    BroadcastGossip(peers::GossipMessage),
     /// Ask a host for its load, which its report has under the first of these names that it holds, and wait so
     /// long for the answer. It is to be told once, by [`Input::ProbeCompleted`].
     ProbeServer { pool: PoolId, host: ServerId, address: String, names: Vec<&'static str>, wait: Micros },
@@ -259,15 +259,15 @@
     /// Put an entry of the store where it outlives the process.
     PersistEntry { key: String, entry: Entry },
     /// Leave this to the process that starts.
-    ExportState(Box<Legacy>),
+    ExportState(Box<HandoverState>),
     /// Pass a standing connection on to it, as soon as it is between two lines.
-    TransferConnection { connection: ConnectionId, pool: PoolId, standing: Standing },
+    TransferConnection { connection: ConnectionId, pool: PoolId, established: EstablishedConnection },
     /// Tell the other process of a host out by hand or back, for this caller.
-    ShareExclusion { caller: CallerId, host: String, out: bool },
+    ShareExclusion { admin_client: AdminClientId, host: String, out: bool },
     /// Put the hosts out by hand where they outlive the process.
     PersistExclusions(Vec<String>),
     /// Answer an operator's call.
-    AdminReply { caller: CallerId, reply: Reply },
+    AdminReply { admin_client: AdminClientId, reply: AdminResponse },
     /// A line for the log.
     Log(String),
     /// Nothing is held any more: the balancer may go.
@@ -276,7 +276,7 @@
 
 /// What the store is set up with.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct StoreSetup {
+pub struct ReplicationConfig {
     /// Name of this node, which no other may have.
     pub node: String,
     /// The others' stores.
@@ -296,7 +296,7 @@
 
 /// What a pool is set up with.
 #[derive(Clone, Debug)]
-pub struct PoolSetup {
+pub struct PoolConfig {
     /// Name of its front.
     pub name: &'static str,
     /// Names that index the module's classes, tenants and zones.
@@ -326,15 +326,15 @@
     /// The longest that an client waits for its answer.
     pub longest_wait: Micros,
     /// How standing connections are moved towards balance.
-    pub rebalance: rebalance::Setup,
+    pub rebalance: rebalance::RebalanceConfig,
     /// The balancers of the tier may tell each other of slow hosts, at this price for 256 bytes a request.
     pub peers: Option<f64>,
 }
 
-impl PoolSetup {
+impl PoolConfig {
     /// How its balancers may tell each other.
-    pub(super) fn peer_setup(&self) -> peers::Setup {
-        peers::Setup {
+    pub(super) fn gossip_config(&self) -> peers::GossipConfig {
+        peers::GossipConfig {
             on: self.peers.is_some(),
             price: self.peers.unwrap_or(0.0),
             balancers: self.settings.balancers,
@@ -345,10 +345,10 @@
     }
 
     /// What of this concerns rebalancing.
-    pub(super) fn rebalance_terms(&self) -> rebalance::Terms {
+    pub(super) fn rebalance_context(&self) -> rebalance::RebalanceContext {
         let Settings { classes, balancers, migration_cost, slow_start_duration, .. } = &self.settings;
         let setup_objectives = classes.iter().map(|class| class.setup_objective).filter(|&aim| aim > 0);
-        rebalance::Terms {
+        rebalance::RebalanceContext {
             balancers: *balancers,
             priority_weights: classes.iter().map(|class| class.priority_weight).collect(),
             setup_objective: setup_objectives.min().unwrap_or(0),
@@ -361,7 +361,7 @@
 
     /// This setup in the place of another. Danger: connections that are out know their class, tenant and
     /// zone by number, so names keep theirs; one that is no longer configured is there by no name.
-    pub(super) fn after(mut self, old: &PoolSetup) -> PoolSetup {
+    pub(super) fn after(mut self, old: &PoolConfig) -> PoolConfig {
         let now = &mut self.settings;
         let own = self.zones.get(now.zone.0 as usize).cloned();
         self.classes = renumber(&old.classes, &old.settings.classes, &self.classes, &mut now.classes);
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -2,12 +2,12 @@
 
 use super::{ConnectionId, PoolId, State};
 use crate::rebalance::view::Connection;
-use crate::rebalance::{Figures, HostNow, Word, World};
+use crate::rebalance::{RebalanceEvent, RebalanceMetrics, ServerSnapshot, SystemConditions};
 use crate::{LearnedState, Micros, Outcome, ServerId, Time};
 
 impl State {
     /// Tells a pool's rebalancing.
-    pub(super) fn weigh(&mut self, now: Time, pool: PoolId, word: Word) {
+    pub(super) fn notify_rebalancer(&mut self, now: Time, pool: PoolId, word: RebalanceEvent) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.rebalance.take(now, word);
         }
@@ -16,25 +16,25 @@
     /// A connection was refused or failed.
     pub(super) fn declined(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) {
-            self.weigh(now, pool, Word::Declined { connection: id });
+            self.notify_rebalancer(now, pool, RebalanceEvent::Declined { connection: id });
         }
     }
 
     /// What a pool's rebalancing did, where it is on: for models and tests.
-    pub fn rebalancing(&self, pool: PoolId) -> Option<Figures> {
-        let pool = self.pools.get(pool).filter(|pool| pool.setup.rebalance.on)?;
-        Some(pool.rebalance.figures())
+    pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
+        let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.on)?;
+        Some(pool.rebalance.metrics())
     }
 
     /// A standing connection ends before its own end.
     pub(super) fn cut_short(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) {
-            self.weigh(now, pool, Word::Ended { connection: id, natural: false });
+            self.notify_rebalancer(now, pool, RebalanceEvent::Ended { connection: id, natural: false });
         }
     }
 
     /// A connection's connection stands, so long after its attempt was written.
-    pub(super) fn stood(&mut self, now: Time, id: ConnectionId, setup: Option<Micros>) {
+    pub(super) fn on_established(&mut self, now: Time, id: ConnectionId, setup: Option<Micros>) {
         let Some((connection, attempt)) =
             self.connections.get(&id).and_then(|connection| Some((connection, connection.attempt?)))
         else {
@@ -48,29 +48,29 @@
             load: connection.load,
             key: connection.ask.key,
         };
-        self.weigh(now, pool, Word::Stood { connection: id, at, setup });
+        self.notify_rebalancer(now, pool, RebalanceEvent::Stood { connection: id, at, setup });
     }
 
     /// Its time has come to look whether anybody should be moved.
     pub(super) fn rebalance(&mut self, now: Time, pool_id: PoolId) {
         let table = &self.pools[pool_id].table;
         let there = self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX)));
-        let leaving = there.filter(|((_, host), _)| table.ready(*host).is_none());
-        let world = World {
-            leaving: self.leaving.is_some(),
-            handover: self.partner.is_some(),
-            draining: leaving.map(|(_, connections)| connections.len()).sum(),
+        let shutdown_window = there.filter(|((_, host), _)| table.ready(*host).is_none());
+        let world = SystemConditions {
+            leaving: self.shutdown_window.is_some(),
+            handover: self.peer_process.is_some(),
+            draining: shutdown_window.map(|(_, connections)| connections.len()).sum(),
         };
         let pool = &mut self.pools[pool_id];
-        let settings = &pool.setup.settings;
-        let host_now = |host| {
+        let settings = &pool.config.settings;
+        let server_snapshot = |host| {
             let (held, ceiling) = pool.balancer.occupancy(host)?;
             let known = pool.balancer.learned_state(host)?;
             let listed = pool.table.any(host)?;
             let warm = |at: Time| now.since(at) as f64 / settings.slow_start_duration.max(1) as f64;
             let grown = |at| settings.slow_start_share + (1.0 - settings.slow_start_share) * warm(at);
             let weight = Some(listed.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
-            Some(HostNow {
+            Some(ServerSnapshot {
                 host,
                 ready: pool.table.ready(host).is_some() && known.consecutive_failures == 0,
                 held,
@@ -81,9 +81,9 @@
                 last_fault: known.last_fault,
             })
         };
-        let hosts: Vec<HostNow> = pool.table.hosts().filter_map(host_now).collect();
+        let hosts: Vec<ServerSnapshot> = pool.table.hosts().filter_map(server_snapshot).collect();
         let decision = pool.rebalance.evaluate(now, world, &hosts);
-        let name = pool.setup.name;
+        let name = pool.config.name;
         self.effects.extend(decision.log.map(|text| super::Effect::Log(format!("{name}: {text}"))));
         for (host, ceiling) in decision.ceilings {
             let balancer = &mut self.pools[pool_id].balancer;
@@ -102,7 +102,7 @@
             }
         }
         for (id, host) in decision.moves {
-            self.move_away(now, id, Outcome::Cancelled);
+            self.migrate(now, id, Outcome::Cancelled);
             // Danger: the slot that this frees may be the only free one, and would draw the same client again.
             let balancer = &mut self.pools[pool_id].balancer;
             if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned_state(host)) {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -23,26 +23,26 @@
 
 use client::LEAVING_WAIT;
 pub use endpoints::{host_number, stored_host, Endpoint, EndpointList, Lifecycle};
-use hot_restart::Partner;
+use hot_restart::PeerProcess;
 pub use input::*;
 use probes::Probes;
 pub use probes::{ProbeEnd, MOST_PROBES};
 use store::Store;
 
-use crate::peers::{News, Peers, Word};
+use crate::peers::{GossipMessage, Observation, Peers};
 use crate::rebalance::{self, Rebalance};
 use crate::{Action, Balancer, ClassId, Event, Micros, Outcome, RequestId, ServerId, Time};
 
 struct Pool {
-    setup: PoolSetup,
+    config: PoolConfig,
     /// How connections came out, by class.
-    counts: Vec<Counts>,
+    counts: Vec<ClassCounters>,
     /// The endpoint list has been told since the start.
     told: bool,
     /// Hosts that are out by hand, or by the store's word.
     out: BTreeSet<String>,
     /// Hosts that were, and since when they are not any more.
-    returned: BTreeMap<String, Time>,
+    readmitted: BTreeMap<String, Time>,
     balancer: Balancer,
     /// Who is moved for balance.
     rebalance: Rebalance,
@@ -56,7 +56,7 @@
     held: usize,
     ids: BTreeSet<String>,
     /// Such as are open at the process before this one.
-    elsewhere: BTreeSet<String>,
+    held_by_predecessor: BTreeSet<String>,
     wake: Option<Time>,
     /// Sum and number of the loads told so far.
     loads: (f64, f64),
@@ -67,13 +67,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     /// Connected, has not asked.
-    Greeting,
+    Handshaking,
     /// An answer is owed.
-    Placing,
+    Connecting,
     /// It stood at this host before the start and is set up again until then.
-    Adopting(Time, ServerId),
+    Restoring(Time, ServerId),
     /// Served.
-    Standing,
+    Established,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -101,10 +101,10 @@
     /// Its one timer.
     due: Option<Time>,
     /// When it connected, and when it is to be moved.
-    met: Time,
-    move_at: Option<Time>,
+    connected_at: Time,
+    migrate_at: Option<Time>,
     /// When the first line went to the host that has had no answer since.
-    asked: Option<Time>,
+    awaiting_server_since: Option<Time>,
 }
 
 /// All that the balancer knows.
@@ -117,11 +117,11 @@
     /// Attempts written in full.
     forwards: u64,
     /// Hosts out by hand, whatever any list says, where no store holds that.
-    bans: BTreeSet<String>,
+    excluded_by_operator: BTreeSet<String>,
     /// The other process, while a new version takes the place of an old one.
-    partner: Option<Partner>,
+    peer_process: Option<PeerProcess>,
     /// Calls that it has to hear of before they are answered, and by when they are all the same.
-    shared: BTreeMap<CallerId, Time>,
+    pending_acknowledgements: BTreeMap<AdminClientId, Time>,
     /// Names of all hosts that were ever listed.
     ever_listed: BTreeSet<String>,
     budget: Budget,
@@ -132,7 +132,7 @@
     /// Connections with an attempt at a host.
     at: BTreeMap<(PoolId, ServerId), BTreeSet<ConnectionId>>,
     /// From when it may go, and when it goes at the latest, once it leaves.
-    leaving: Option<(Time, Time)>,
+    shutdown_window: Option<(Time, Time)>,
     /// That has come.
     left: bool,
     effects: Vec<Effect>,
@@ -140,37 +140,37 @@
     peers: Vec<SocketAddr>,
     /// Whose turn it is to be sent a digest, and when.
     next_peer: usize,
-    gossip_at: Option<Time>,
+    next_gossip_at: Option<Time>,
 }
 
 /// Takes in what happened and returns what is to be done. The only way in which the state changes.
 pub fn reduce(state: &mut State, now: Time, input: Input) -> Vec<Effect> {
-    state.take(now, input);
+    state.handle_input(now, input);
     std::mem::take(&mut state.effects)
 }
 
 impl State {
     /// A balancer that has been told its pools and nothing else.
-    pub fn new(pools: Vec<PoolSetup>, store: StoreSetup, budget: Budget, now: Time) -> State {
+    pub fn new(pools: Vec<PoolConfig>, store: ReplicationConfig, budget: Budget, now: Time) -> State {
         let map = Store::new(&store.node);
-        let pool = |setup: PoolSetup| Pool {
-            balancer: Balancer::new(setup.settings.clone(), setup.seed, now),
-            peers: Peers::new(setup.peer_setup(), setup.seed),
-            rebalance: Rebalance::new(setup.rebalance, setup.rebalance_terms(), setup.seed, now),
+        let pool = |config: PoolConfig| Pool {
+            balancer: Balancer::new(config.settings.clone(), config.seed, now),
+            peers: Peers::new(config.gossip_config(), config.seed),
+            rebalance: Rebalance::new(config.rebalance, config.rebalance_context(), config.seed, now),
             probes: Probes::default(),
             table: EndpointList::default(),
             listed: BTreeMap::new(),
-            counts: vec![Counts::default(); setup.classes.len()],
+            counts: vec![ClassCounters::default(); config.classes.len()],
             told: false,
             out: BTreeSet::new(),
-            returned: BTreeMap::new(),
+            readmitted: BTreeMap::new(),
             held: 0,
             ids: BTreeSet::new(),
-            elsewhere: BTreeSet::new(),
+            held_by_predecessor: BTreeSet::new(),
             wake: None,
             loads: (0.0, 0.0),
             slow: BTreeMap::new(),
-            setup,
+            config,
         };
         State {
             pools: pools.into_iter().map(pool).collect(),
@@ -178,19 +178,19 @@
             timers: BTreeSet::new(),
             listening: false,
             forwards: 0,
-            bans: BTreeSet::new(),
-            partner: None,
-            shared: BTreeMap::new(),
+            excluded_by_operator: BTreeSet::new(),
+            peer_process: None,
+            pending_acknowledgements: BTreeMap::new(),
             ever_listed: BTreeSet::new(),
             budget,
             waiting: BTreeMap::new(),
             shut: None,
             at: BTreeMap::new(),
-            leaving: None,
+            shutdown_window: None,
             left: false,
             effects: Vec::new(),
             store: map,
-            gossip_at: (!store.peers.is_empty()).then_some(now),
+            next_gossip_at: (!store.peers.is_empty()).then_some(now),
             peers: store.peers,
             next_peer: 0,
         }
@@ -205,18 +205,21 @@
     pub fn next_due(&self) -> Option<Time> {
         let wakes = self.pools.iter().filter_map(|pool| pool.wake);
         let timers = self.timers.first().map(|&(at, _)| at);
-        let leaving =
-            self.leaving
-                .filter(|_| !self.left)
-                .map(|(from, to)| if self.connections.is_empty() { from } else { to });
-        let shared = self.shared.values().copied();
+        let shutdown_window = self.shutdown_window.filter(|_| !self.left).map(|(from, to)| {
+            if self.connections.is_empty() {
+                from
+            } else {
+                to
+            }
+        });
+        let pending_acknowledgements = self.pending_acknowledgements.values().copied();
         let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.due());
         wakes
             .chain(timers)
             .chain(rebalancing)
-            .chain(shared)
-            .chain(leaving)
-            .chain(self.gossip_at)
+            .chain(pending_acknowledgements)
+            .chain(shutdown_window)
+            .chain(self.next_gossip_at)
             .chain(self.shut)
             .min()
     }
@@ -231,20 +234,20 @@
         &self.store
     }
 
-    fn take(&mut self, now: Time, input: Input) {
+    fn handle_input(&mut self, now: Time, input: Input) {
         match input {
-            Input::ClientConnected { connection, pool } => self.met(now, connection, pool),
+            Input::ClientConnected { connection, pool } => self.on_client_connected(now, connection, pool),
             Input::ConnectionRequested { connection, ask } => {
                 self.on_connection_requested(now, connection, ask)
             }
-            Input::ClientDisconnected { connection } => self.left(now, connection),
+            Input::ClientDisconnected { connection } => self.on_client_disconnected(now, connection),
             Input::HandshakeTimedOut { connection } => {
                 if self
                     .connections
                     .get(&connection)
-                    .is_some_and(|connection| connection.phase == Phase::Greeting)
+                    .is_some_and(|connection| connection.phase == Phase::Handshaking)
                 {
-                    self.answer(now, connection, Answer::Late);
+                    self.answer(now, connection, Answer::HandshakeTimedOut);
                 }
             }
             Input::SocketsClosed { connection } => {
@@ -262,74 +265,81 @@
             }
             Input::LineForwarded { connection } => {
                 if let Some(connection) = self.connections.get_mut(&connection) {
-                    connection.asked.get_or_insert(now);
+                    connection.awaiting_server_since.get_or_insert(now);
                 }
             }
-            Input::ServerActivity { connection } => self.heard(connection),
-            Input::LoadReported { connection, load } => self.told(now, connection, load),
-            Input::StateRestored { entries, bans } => self.kept(now, entries, bans),
-            Input::CachedEndpoints { pool, hosts } => self.follow(now, pool, true, hosts),
+            Input::ServerActivity { connection } => self.on_server_activity(connection),
+            Input::LoadReported { connection, load } => self.on_load_reported(now, connection, load),
+            Input::StateRestored { entries, excluded_by_operator } => {
+                self.on_state_restored(now, entries, excluded_by_operator)
+            }
+            Input::CachedEndpoints { pool, hosts } => self.on_endpoints_updated(now, pool, true, hosts),
             Input::EndpointsUpdated { pool, whole, hosts } => {
-                self.follow(now, pool, whole, hosts);
+                self.on_endpoints_updated(now, pool, whole, hosts);
                 if let Some(pool) = self.pools.get_mut(pool) {
                     pool.told = true;
-                    pool.rebalance.take(now, rebalance::Word::ListTold);
+                    pool.rebalance.take(now, rebalance::RebalanceEvent::ListTold);
                 }
             }
-            Input::GossipReceived { pool, word } => {
+            Input::GossipReceived { pool, message } => {
                 // Danger: words of hosts that are not listed would fill the memory, and say nothing here.
                 let table = &self.pools[pool].table;
-                let known = word.news.host().is_none_or(|host| table.any(host).is_some());
-                if known && self.pools[pool].peers.heard(now, word.news) {
-                    self.tell(now, pool, Event::PeerGroupSample(&word.groups));
-                    let told = match word.news {
-                        News::SlowHost(server, took) => Event::PeerObservation { server, took: Some(took) },
-                        News::Dropped(server) => Event::PeerObservation { server, took: None },
-                        News::SlowSetUps => Event::PeerSetupSlow,
+                let known = message.observation.host().is_none_or(|host| table.any(host).is_some());
+                if known && self.pools[pool].peers.heard(now, message.observation) {
+                    self.dispatch(now, pool, Event::PeerGroupSample(&message.groups));
+                    let told = match message.observation {
+                        Observation::SlowHost(server, took) => {
+                            Event::PeerObservation { server, took: Some(took) }
+                        }
+                        Observation::Dropped(server) => Event::PeerObservation { server, took: None },
+                        Observation::SlowSetUps => Event::PeerSetupSlow,
                     };
-                    self.tell(now, pool, told);
+                    self.dispatch(now, pool, told);
                 }
             }
-            Input::ProbeCompleted { pool, host, end } => self.probed(now, pool, host, end),
+            Input::ProbeCompleted { pool, host, end } => self.on_probe_completed(now, pool, host, end),
             Input::EndpointWatchLost { pool } => {
-                self.weigh(now, pool, rebalance::Word::ListLost);
-                self.tell(now, pool, Event::EndpointWatchFailed);
+                self.notify_rebalancer(now, pool, rebalance::RebalanceEvent::ListLost);
+                self.dispatch(now, pool, Event::EndpointWatchFailed);
             }
-            Input::ReplicaMessage { from, gossip } => self.gossip(now, from, gossip),
+            Input::ReplicaMessage { from, gossip } => self.on_replica_message(now, from, gossip),
             Input::ConfigurationChanged { pools, peers, budget } => self.configure(now, pools, peers, budget),
-            Input::SuccessorStarted => self.bequeath(),
-            Input::SuccessorReady => self.succeeded(now),
-            Input::ConnectionTransferred { connection } => self.passed(now, connection),
-            Input::ImportState(legacy) => self.inherit(now, *legacy),
-            Input::ConnectionReceived { connection, pool, standing } => {
-                self.adopted(now, connection, pool, standing)
+            Input::SuccessorStarted => self.export_state(),
+            Input::SuccessorReady => self.on_successor_ready(now),
+            Input::ConnectionTransferred { connection } => self.on_connection_transferred(now, connection),
+            Input::ImportState(handover_state) => self.import_state(now, *handover_state),
+            Input::ConnectionReceived { connection, pool, established } => {
+                self.on_connection_received(now, connection, pool, established)
             }
-            Input::PeerProcessLost => self.partner_lost(now),
-            Input::ExclusionShared { host, out } => drop(self.set_ban(now, &host, out)),
-            Input::ExclusionAcknowledged { caller } => self.share_taken(caller),
+            Input::PeerProcessLost => self.on_peer_process_lost(now),
+            Input::ExclusionShared { host, out } => drop(self.set_exclusion(now, &host, out)),
+            Input::ExclusionAcknowledged { admin_client } => self.on_exclusion_acknowledged(admin_client),
             Input::Listening => self.listening = true,
-            Input::AdminRequest { caller, call } => self.call(now, caller, call),
-            Input::ShutdownRequested => self.leave(now),
+            Input::AdminRequest { admin_client, call } => self.on_admin_request(now, admin_client, call),
+            Input::ShutdownRequested => self.begin_shutdown(now),
             Input::TimerFired => self.tick(now),
         }
-        let over =
-            self.leaving.is_some_and(|(from, to)| now >= to || now >= from && self.connections.is_empty());
+        let over = self
+            .shutdown_window
+            .is_some_and(|(from, to)| now >= to || now >= from && self.connections.is_empty());
         if over && !self.left {
             // Danger: who comes in until the process is gone is refused like those before.
             self.left = true;
             // Whoever is still here is owed a word.
             for id in self.connections.keys().copied().collect::<Vec<_>>() {
                 let answer = match self.connections.get(&id).map(|connection| connection.phase) {
-                    Some(Phase::Standing) => Answer::Moved,
-                    Some(Phase::Greeting) => {
+                    Some(Phase::Established) => Answer::Migrated,
+                    Some(Phase::Handshaking) => {
                         self.effects.push(Effect::CheckHandshake { connection: id });
                         continue;
                     }
                     // Its time may go on for longer than this process; elsewhere it can still be served.
-                    Some(Phase::Placing) if self.may_reject(id) => self.come_again(id, LEAVING_WAIT),
+                    Some(Phase::Connecting) if self.may_reject(id) => {
+                        self.reject_with_retry_after(id, LEAVING_WAIT)
+                    }
                     _ => Answer::Failed,
                 };
-                self.give(now, id, answer);
+                self.send_answer(now, id, answer);
                 self.end(now, id, Outcome::Cancelled);
             }
             self.effects.push(Effect::Exit);
@@ -344,11 +354,11 @@
     }
 
     /// A refusal that says when to come again, as far as the settings allow.
-    fn come_again(&self, id: ConnectionId, wait: Micros) -> Answer {
+    fn reject_with_retry_after(&self, id: ConnectionId, wait: Micros) -> Answer {
         let settings =
-            self.connections.get(&id).map(|connection| &self.pools[connection.pool].setup.settings);
+            self.connections.get(&id).map(|connection| &self.pools[connection.pool].config.settings);
         let most = settings.filter(|settings| settings.retry_after).map_or(0, |s| s.max_retry_after);
-        Answer::Refused(wait.min(most))
+        Answer::Rejected(wait.min(most))
     }
 
     // ---- Time ----
@@ -358,8 +368,8 @@
             self.set_due(id, None);
             let Some(connection) = self.connections.get(&id) else { continue };
             match (connection.phase, connection.attempt) {
-                (Phase::Greeting, _) => self.effects.push(Effect::CheckHandshake { connection: id }),
-                (Phase::Placing, attempt) => {
+                (Phase::Handshaking, _) => self.effects.push(Effect::CheckHandshake { connection: id }),
+                (Phase::Connecting, attempt) => {
                     let written = attempt.is_some_and(|attempt| attempt.written);
                     let over = attempt.and_then(|attempt| attempt.write_by).is_some_and(|by| by <= now);
                     self.effects.push(Effect::CloseAttempt { connection: id });
@@ -370,23 +380,29 @@
                     };
                     self.attempt_failed(now, id, outcome);
                 }
-                (Phase::Adopting(until, host), _) => self.adopt_again(now, id, until, host),
-                (Phase::Standing, _) => self.overdue(now, id),
+                (Phase::Restoring(until, host), _) => self.adopt_again(now, id, until, host),
+                (Phase::Established, _) => self.on_established_timer(now, id),
             }
         }
         if self.shut.is_some_and(|at| at <= now) {
             self.make_room(now);
         }
         // Danger: an operator is owed an answer in time, whether the other process has heard of it or not.
-        let late = self.shared.iter().filter(|(_, at)| **at <= now).map(|(&caller, _)| caller);
-        late.collect::<Vec<_>>().into_iter().for_each(|caller| self.share_taken(caller));
-        if self.gossip_at.is_some_and(|at| at <= now) {
-            self.keep_gossiping(now);
+        let late = self
+            .pending_acknowledgements
+            .iter()
+            .filter(|(_, at)| **at <= now)
+            .map(|(&admin_client, _)| admin_client);
+        late.collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|admin_client| self.on_exclusion_acknowledged(admin_client));
+        if self.next_gossip_at.is_some_and(|at| at <= now) {
+            self.send_digest(now);
         }
         for pool in 0..self.pools.len() {
             if self.pools[pool].wake.is_some_and(|at| at <= now) {
                 self.pools[pool].wake = None;
-                self.tell(now, pool, Event::TimerFired);
+                self.dispatch(now, pool, Event::TimerFired);
             }
             if self.pools[pool].rebalance.due().is_some_and(|at| at <= now) {
                 self.rebalance(now, pool);
@@ -413,7 +429,7 @@
     // ---- The module ----
 
     /// Hands an event to a pool's balancer and carries out what it decides.
-    fn tell(&mut self, now: Time, pool: PoolId, event: Event<'_>) {
+    fn dispatch(&mut self, now: Time, pool: PoolId, event: Event<'_>) {
         let mut actions = Vec::new();
         self.pools[pool].balancer.handle(now, event, &mut actions);
         let mut actions = VecDeque::from(actions);
@@ -424,7 +440,7 @@
                     self.open_attempt(now, ConnectionId(request.0), server, timeout, write_by)
                 }
                 Action::Reject { request, retry_after } => {
-                    self.answer(now, ConnectionId(request.0), Answer::Refused(retry_after))
+                    self.answer(now, ConnectionId(request.0), Answer::Rejected(retry_after))
                 }
                 Action::Fail { request } => self.answer(now, ConnectionId(request.0), Answer::Failed),
                 Action::CancelAttempt { request, attempt } => {
@@ -439,11 +455,11 @@
                     self.pools[pool].balancer.handle(now, ended, &mut more);
                     actions.extend(more);
                 }
-                Action::Migrate { request } => {
-                    self.move_away(now, ConnectionId(request.0), Outcome::Cancelled)
+                Action::Migrate { request } => self.migrate(now, ConnectionId(request.0), Outcome::Cancelled),
+                Action::ReportSlowSetup => self.broadcast_observation(now, pool, Observation::SlowSetUps),
+                Action::ReportDrop { server } => {
+                    self.broadcast_observation(now, pool, Observation::Dropped(server))
                 }
-                Action::ReportSlowSetup => self.tell_peers(now, pool, News::SlowSetUps),
-                Action::ReportDrop { server } => self.tell_peers(now, pool, News::Dropped(server)),
                 Action::WatchEndpoints => self.effects.push(Effect::WatchEndpoints { pool }),
                 Action::SetTimer(wait) => {
                     let at = now.plus(wait);
@@ -457,26 +473,26 @@
     }
 
     /// Tells the tier's other balancers if it is worth it, with a sample of the groups that stand here.
-    fn tell_peers(&mut self, now: Time, pool: PoolId, news: News) {
+    fn broadcast_observation(&mut self, now: Time, pool: PoolId, observation: Observation) {
         let Pool { peers, balancer, .. } = &mut self.pools[pool];
-        if peers.tell(now, news) {
+        if peers.tell(now, observation) {
             let groups = peers.sample(balancer.established_groups());
-            self.effects.push(Effect::BroadcastGossip(Word { news, groups }));
+            self.effects.push(Effect::BroadcastGossip(GossipMessage { observation, groups }));
         }
     }
 
     fn answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         // Danger: a connection that has ended in the meantime must not be answered a second time.
         if self.connections.contains_key(&id) {
-            self.give(now, id, answer);
-            self.forget(now, id);
+            self.send_answer(now, id, answer);
+            self.release(now, id);
         }
     }
 
     /// The one place that gives an answer, and counts it.
-    fn give(&mut self, now: Time, id: ConnectionId, answer: Answer) {
+    fn send_answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         match answer {
-            Answer::Refused(_) => {
+            Answer::Rejected(_) => {
                 self.count(id, |counts| counts.declined += 1);
                 self.declined(now, id);
             }
@@ -485,7 +501,7 @@
                 self.declined(now, id);
             }
             // What stood was counted when it came to stand, and what never asked has no class.
-            Answer::Moved | Answer::Late => {}
+            Answer::Migrated | Answer::HandshakeTimedOut => {}
         }
         self.effects.push(Effect::Answer { connection: id, answer });
     }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -43,10 +43,10 @@
             return;
         }
         out.insert(host, listed.started);
-        let settings = &pool.setup.settings;
+        let settings = &pool.config.settings;
         let answer = Some(settings.setup_objective()).filter(|&aim| aim > 0);
         let wait = settings.connect_timeout + answer.unwrap_or(ANSWER_WAITS * settings.connect_timeout);
-        let names = pool.setup.reports.clone();
+        let names = pool.config.reports.clone();
         self.effects.push(Effect::ProbeServer {
             pool: pool_id,
             host,
@@ -57,7 +57,7 @@
     }
 
     /// A probe is over. Danger: what a host told of itself before it started again holds no more.
-    pub(super) fn probed(&mut self, now: Time, pool_id: PoolId, server: ServerId, end: ProbeEnd) {
+    pub(super) fn on_probe_completed(&mut self, now: Time, pool_id: PoolId, server: ServerId, end: ProbeEnd) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let Some(asked) = pool.probes.out.remove(&server) else { return };
         let life = pool.table.ready(server).map(|host| host.started);
@@ -77,6 +77,6 @@
             let name = table.any(server).map_or("", |host| &host.name);
             self.effects.push(Effect::Log(format!("{name} is not to be probed, it says")));
         }
-        self.tell(now, pool_id, Event::ProbeCompleted { server, outcome, report });
+        self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
 }
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -10,10 +10,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::driver::Hub;
+use super::driver::Driver;
 use crate::protocol::admin;
 use crate::protocol::lines::{Cut, Lines};
-use crate::routing::{Input, Reply};
+use crate::routing::{AdminResponse, Input};
 
 /// Callers at a time: their descriptors are set aside for them.
 pub const MOST_CALLERS: usize = 10;
@@ -35,16 +35,16 @@
 
 impl Callers {
     /// Takes a caller in. Where all places are taken, the oldest that has said nothing goes.
-    pub fn enter(&mut self, hub: &Rc<Hub>, stream: TcpStream) {
-        self.0.retain(|caller| !caller.task.is_finished());
+    pub fn enter(&mut self, driver: &Rc<Driver>, stream: TcpStream) {
+        self.0.retain(|admin_client| !admin_client.task.is_finished());
         if self.0.len() >= MOST_CALLERS {
-            let oldest = self.0.iter().position(|caller| !caller.heard.get()).unwrap_or(0);
-            if let Some(caller) = self.0.remove(oldest) {
-                caller.task.abort();
+            let oldest = self.0.iter().position(|admin_client| !admin_client.heard.get()).unwrap_or(0);
+            if let Some(admin_client) = self.0.remove(oldest) {
+                admin_client.task.abort();
             }
         }
         let heard = Rc::new(Cell::new(false));
-        let task = tokio::task::spawn_local(serve(hub.clone(), stream, heard.clone()));
+        let task = tokio::task::spawn_local(serve(driver.clone(), stream, heard.clone()));
         self.0.push_back(Caller { task, heard });
     }
 }
@@ -69,7 +69,7 @@
     }
 }
 
-async fn serve(hub: Rc<Hub>, mut stream: TcpStream, heard: Rc<Cell<bool>>) {
+async fn serve(driver: Rc<Driver>, mut stream: TcpStream, heard: Rc<Cell<bool>>) {
     let line = match timeout(HEARD, hear(&mut stream)).await {
         Ok(Some(line)) => line,
         Ok(None) => return,
@@ -77,8 +77,8 @@
     };
     heard.set(true);
     let reply = match line.and_then(|line| admin::call(&line)) {
-        Ok(call) => hub.call(|caller| Input::AdminRequest { caller, call }).await,
-        Err(reason) => Reply::No(reason.to_owned()),
+        Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
+        Err(reason) => AdminResponse::No(reason.to_owned()),
     };
     let answered = async {
         stream.write_all(&admin::reply(&reply)).await?;
@@ -91,12 +91,12 @@
 }
 
 /// Takes callers for ever.
-pub async fn accept(hub: Rc<Hub>, listener: Rc<TcpListener>) {
+pub async fn accept(driver: Rc<Driver>, listener: Rc<TcpListener>) {
     let mut callers = Callers::default();
     let always = async |open: bool| {
         if !open {
             std::future::pending::<()>().await;
         }
     };
-    super::accept_each(&listener, always, async |stream| callers.enter(&hub, stream)).await;
+    super::accept_each(&listener, always, async |stream| callers.enter(&driver, stream)).await;
 }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -7,12 +7,12 @@
 
 use tokio::sync::oneshot;
 
-use crate::routing::{Answer, CallerId, ConnectionId, PoolId, Standing};
+use crate::routing::{AdminClientId, Answer, ConnectionId, EstablishedConnection, PoolId};
 use crate::{Micros, ServerId};
 
 /// What a connection's task is to do.
 #[derive(Debug)]
-pub enum Order {
+pub enum ConnectionCommand {
     /// Open an attempt.
     OpenAttempt { attempt: u32, address: String, wait: Micros },
     /// Close the attempt.
@@ -24,12 +24,12 @@
     /// End at once, whatever is left to write.
     Drop,
     /// Leave it to another process, if it is between two lines.
-    Pass(oneshot::Sender<Passed>),
+    Pass(oneshot::Sender<TransferredConnection>),
 }
 
 /// A connection on its way to another process.
 #[derive(Debug)]
-pub struct Passed {
+pub struct TransferredConnection {
     pub client: OwnedFd,
     pub attempt: OwnedFd,
     /// What its front has to know there.
@@ -40,8 +40,8 @@
 
 /// What is for the other process.
 pub enum Outgoing {
-    Share { caller: CallerId, host: String, out: bool },
-    Pass { connection: ConnectionId, pool: PoolId, standing: Box<Standing> },
+    Share { admin_client: AdminClientId, host: String, out: bool },
+    Pass { connection: ConnectionId, pool: PoolId, established: Box<EstablishedConnection> },
 }
 
 /// A host is to be asked for its load.
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -11,11 +11,11 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, Instant};
 
-use super::commands::{Order, Passed};
-use super::driver::Hub;
+use super::commands::{ConnectionCommand, TransferredConnection};
+use super::driver::Driver;
 use crate::protocol::pcap::{Close, Tape, Way};
 use crate::protocol::{Front, Step};
-use crate::routing::{Answer, AttemptOutcome, ConnectionId, Input, Standing};
+use crate::routing::{Answer, AttemptOutcome, ConnectionId, EstablishedConnection, Input};
 use crate::Micros;
 
 /// Bytes read at once.
@@ -142,7 +142,7 @@
 }
 
 struct Connection {
-    hub: Rc<Hub>,
+    driver: Rc<Driver>,
     id: ConnectionId,
     front: Box<dyn Front>,
     client: End,
@@ -152,7 +152,7 @@
     number: u32,
     /// The attempt's request is written in full.
     written: bool,
-    standing: bool,
+    established: bool,
     /// The reducer holds nothing of it any more: what is left to write has so long.
     over: Option<Instant>,
     /// Since then its client has sent nothing, and how much it has sent for nobody.
@@ -165,48 +165,48 @@
     /// It is recorded.
     tape: Option<Tape>,
     /// Another process goes on with it.
-    heir: Option<oneshot::Sender<Passed>>,
+    successor: Option<oneshot::Sender<TransferredConnection>>,
 }
 
 /// Takes a connection in.
-pub fn start(hub: &Rc<Hub>, pool: usize, stream: TcpStream, front: Box<dyn Front>) -> ConnectionId {
-    let (id, orders) = hub.enter();
+pub fn start(driver: &Rc<Driver>, pool: usize, stream: TcpStream, front: Box<dyn Front>) -> ConnectionId {
+    let (id, orders) = driver.enter();
     let ends = stream.peer_addr().ok().zip(stream.local_addr().ok());
     let mut tape = None;
-    hub.record(|at| {
+    driver.record(|at| {
         let Some((client, front)) = ends else { return Vec::new() };
         let (begun, records) = Tape::start(at, client, front);
         tape = Some(begun);
         records
     });
-    let mut connection = Connection::new(hub, id, front, stream);
+    let mut connection = Connection::new(driver, id, front, stream);
     connection.client.sent = tape.is_some().then(Vec::new);
     connection.tape = tape;
-    hub.feed(Input::ClientConnected { connection: id, pool });
+    driver.feed(Input::ClientConnected { connection: id, pool });
     connection.go(orders);
     id
 }
 
 /// Goes on with a connection that stood at another process, and with its attempt.
 pub fn adopt(
-    hub: &Rc<Hub>,
+    driver: &Rc<Driver>,
     pool: usize,
     [client, attempt]: [TcpStream; 2],
     front: Box<dyn Front>,
-    standing: Standing,
+    established: EstablishedConnection,
 ) {
-    let (id, orders) = hub.enter();
-    let mut connection = Connection::new(hub, id, front, client);
+    let (id, orders) = driver.enter();
+    let mut connection = Connection::new(driver, id, front, client);
     connection.attempt = Some(End::new(attempt));
-    (connection.written, connection.standing) = (true, true);
-    hub.feed(Input::ConnectionReceived { connection: id, pool, standing });
+    (connection.written, connection.established) = (true, true);
+    driver.feed(Input::ConnectionReceived { connection: id, pool, established });
     connection.go(orders);
 }
 
 impl Connection {
-    fn new(hub: &Rc<Hub>, id: ConnectionId, front: Box<dyn Front>, stream: TcpStream) -> Connection {
+    fn new(driver: &Rc<Driver>, id: ConnectionId, front: Box<dyn Front>, stream: TcpStream) -> Connection {
         Connection {
-            hub: hub.clone(),
+            driver: driver.clone(),
             id,
             front,
             client: End::new(stream),
@@ -214,26 +214,26 @@
             attempt: None,
             number: 0,
             written: false,
-            standing: false,
+            established: false,
             over: None,
             quiet: Instant::now(),
             passed_over: 0,
             discard: false,
-            buffer: hub.buffer(),
+            buffer: driver.buffer(),
             tape: None,
-            heir: None,
+            successor: None,
         }
     }
 
-    fn go(mut self, orders: UnboundedReceiver<Order>) {
+    fn go(mut self, orders: UnboundedReceiver<ConnectionCommand>) {
         tokio::task::spawn_local(async move {
             self.run(orders).await;
-            let (hub, connection) = (self.hub.clone(), self.id);
-            match self.heir.take() {
-                Some(heir) => self.pass(heir),
+            let (driver, connection) = (self.driver.clone(), self.id);
+            match self.successor.take() {
+                Some(successor) => self.pass(successor),
                 None => self.record(|tape, at| tape.close(at, Way::ToClient, Close::InOrder)),
             }
-            hub.leave(connection);
+            driver.leave(connection);
         });
     }
 
@@ -241,20 +241,25 @@
     fn at_rest(&self) -> bool {
         let written = |end: &End| end.out.is_empty() && !end.ended && !end.finish;
         let ends = written(&self.client) && self.attempt.as_ref().is_some_and(written);
-        self.standing && self.over.is_none() && ends && self.front.at_rest().is_some()
+        self.established && self.over.is_none() && ends && self.front.at_rest().is_some()
     }
 
-    fn pass(mut self, heir: oneshot::Sender<Passed>) {
+    fn pass(mut self, successor: oneshot::Sender<TransferredConnection>) {
         let (Some(state), Some(attempt)) = (self.front.at_rest(), self.attempt) else { return };
-        let goodbye = self.front.answer(Answer::Moved);
+        let goodbye = self.front.answer(Answer::Migrated);
         let (Ok(client), Ok(attempt)) = (self.client.stream.into_std(), attempt.stream.into_std()) else {
             return;
         };
         // Whoever asked for it waits for nothing else.
-        let _ = heir.send(Passed { client: client.into(), attempt: attempt.into(), state, goodbye });
+        let _ = successor.send(TransferredConnection {
+            client: client.into(),
+            attempt: attempt.into(),
+            state,
+            goodbye,
+        });
     }
 
-    async fn run(&mut self, mut orders: UnboundedReceiver<Order>) {
+    async fn run(&mut self, mut orders: UnboundedReceiver<ConnectionCommand>) {
         loop {
             self.flush();
             let attempt_over = self.attempt.as_ref().is_none_or(|attempt| attempt.finished);
@@ -268,13 +273,13 @@
                     over
                 }
             });
-            if end.is_some_and(|end| closed || Instant::now() >= end) || self.heir.is_some() {
+            if end.is_some_and(|end| closed || Instant::now() >= end) || self.successor.is_some() {
                 return;
             }
             let attempt_held =
                 self.attempt.as_ref().map_or(0, |attempt| attempt.out.len()) + self.front.waiting();
             // One that waits is heard whatever it sends: its front ends it when that is too much.
-            let room = attempt_held < self.buffer || !self.standing;
+            let room = attempt_held < self.buffer || !self.established;
             let from_client = room && self.passed_over < PASSED_OVER;
             let from_attempt = self.client.out.len() < self.buffer;
             tokio::select! {
@@ -297,35 +302,35 @@
 
     fn record(&mut self, records: impl FnOnce(&mut Tape, Micros) -> Vec<u8>) {
         if let Some(tape) = &mut self.tape {
-            self.hub.record(|at| records(tape, at));
+            self.driver.record(|at| records(tape, at));
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn obey(&mut self, order: ConnectionCommand) {
         match order {
-            Order::Drop => self.over = Some(Instant::now()),
-            Order::Pass(heir) if self.at_rest() => self.heir = Some(heir),
+            ConnectionCommand::Drop => self.over = Some(Instant::now()),
+            ConnectionCommand::Pass(successor) if self.at_rest() => self.successor = Some(successor),
             // Dropped, it says that this is no moment for it.
-            Order::Pass(_) => {}
+            ConnectionCommand::Pass(_) => {}
             _ if self.over.is_some() => {}
-            Order::OpenAttempt { attempt, address, wait } => {
+            ConnectionCommand::OpenAttempt { attempt, address, wait } => {
                 self.close_attempt();
                 self.number = attempt;
                 let request = self.front.open_attempt(wait);
                 let connect = async move { TcpStream::connect(address).await };
                 self.connecting = Some((Box::pin(connect), request));
             }
-            Order::CloseAttempt => self.close_attempt(),
-            Order::Hear => {
+            ConnectionCommand::CloseAttempt => self.close_attempt(),
+            ConnectionCommand::Hear => {
                 self.hear_client();
-                self.hub.feed(Input::HandshakeTimedOut { connection: self.id });
+                self.driver.feed(Input::HandshakeTimedOut { connection: self.id });
             }
-            Order::Answer(answer) => {
+            ConnectionCommand::Answer(answer) => {
                 let words = self.front.answer(answer);
                 self.client.out.extend_from_slice(&words);
                 self.discard = true;
                 self.finish();
-                if words.is_empty() && answer == Answer::Late {
+                if words.is_empty() && answer == Answer::HandshakeTimedOut {
                     self.over = Some(Instant::now());
                 }
             }
@@ -362,14 +367,14 @@
                 self.attempt = Some(end);
                 self.written = false;
             }
-            Err(error) if own_fault(&error) => self.on_attempt_ended(AttemptOutcome::NoSocket),
-            Err(_) => self.on_attempt_ended(AttemptOutcome::NoConnection),
+            Err(error) if own_fault(&error) => self.on_attempt_ended(AttemptOutcome::OutOfSockets),
+            Err(_) => self.on_attempt_ended(AttemptOutcome::ConnectFailed),
         }
     }
 
     /// Takes in all that the client has sent by now, while it is still owed an answer.
     fn hear_client(&mut self) {
-        while self.over.is_none() && !self.standing && self.read_client(End::read_now) {}
+        while self.over.is_none() && !self.established && self.read_client(End::read_now) {}
     }
 
     /// Writes what can be written.
@@ -378,7 +383,7 @@
             // Danger: the end of its client may have come with the connection; then it is for nobody.
             self.hear_client();
             // Danger: it may be heard of before the timer that gives it up is; then it is too late to write it.
-            if self.hub.overdue(self.id) {
+            if self.driver.overdue(self.id) {
                 self.attempt = None;
             }
         }
@@ -393,7 +398,7 @@
             }
             if !self.written && attempt.out.is_empty() {
                 self.written = true;
-                self.hub.feed(Input::RequestForwarded { connection: self.id, attempt: self.number });
+                self.driver.feed(Input::RequestForwarded { connection: self.id, attempt: self.number });
             }
         }
         let flushed = self.client.flush();
@@ -435,7 +440,7 @@
         self.client.ended = true;
         self.record(|tape, at| tape.close(at, Way::FromClient, Close::InOrder));
         if self.over.is_none() {
-            match self.attempt.as_mut().filter(|_| self.standing) {
+            match self.attempt.as_mut().filter(|_| self.established) {
                 // It may still read: what its host says to the end goes to it, for a while.
                 Some(attempt) => {
                     attempt.finish = true;
@@ -443,18 +448,18 @@
                 }
                 None => self.finish(),
             }
-            self.hub.feed(Input::ClientDisconnected { connection: self.id });
+            self.driver.feed(Input::ClientDisconnected { connection: self.id });
         }
     }
 
     fn client_broke(&mut self) {
         self.client.ended = true;
         self.record(|tape, at| tape.close(at, Way::FromClient, Close::Broken));
-        if let Some(attempt) = self.attempt.take().filter(|_| self.standing && !self.client.finish) {
+        if let Some(attempt) = self.attempt.take().filter(|_| self.established && !self.client.finish) {
             attempt.reset();
         }
         if self.over.is_none() {
-            self.hub.feed(Input::ClientDisconnected { connection: self.id });
+            self.driver.feed(Input::ClientDisconnected { connection: self.id });
         }
         self.over = Some(Instant::now());
     }
@@ -467,8 +472,8 @@
             Ok(Some(0)) => self.attempt_broke(attempt.broke),
             Ok(Some(_)) if self.discard => {}
             Ok(Some(n)) => {
-                if self.standing && self.over.is_none() {
-                    self.hub.feed(Input::ServerActivity { connection: self.id });
+                if self.established && self.over.is_none() {
+                    self.driver.feed(Input::ServerActivity { connection: self.id });
                 }
                 let mut steps = Vec::new();
                 self.front.server_sent(&piece[..n], &mut steps);
@@ -489,9 +494,9 @@
             self.client.finish = true;
             return;
         }
-        if !self.standing {
+        if !self.established {
             let end =
-                if self.written { self.front.server_ended(broken) } else { AttemptOutcome::NoConnection };
+                if self.written { self.front.server_ended(broken) } else { AttemptOutcome::ConnectFailed };
             return self.on_attempt_ended(end);
         }
         let end = self.front.server_ended(broken);
@@ -509,16 +514,16 @@
         if broken {
             self.over = Some(Instant::now());
         }
-        self.hub.feed(Input::AttemptEnded { connection: self.id, attempt: self.number, end });
+        self.driver.feed(Input::AttemptEnded { connection: self.id, attempt: self.number, end });
     }
 
     /// An attempt came to nothing before its connection stood.
     fn on_attempt_ended(&mut self, end: AttemptOutcome) {
         self.close_attempt();
-        if end == AttemptOutcome::Verdict {
+        if end == AttemptOutcome::VerdictForwarded {
             self.finish();
         }
-        self.hub.feed(Input::AttemptEnded { connection: self.id, attempt: self.number, end });
+        self.driver.feed(Input::AttemptEnded { connection: self.id, attempt: self.number, end });
     }
 
     fn take(&mut self, steps: Vec<Step>) {
@@ -530,30 +535,30 @@
                     if let Some(attempt) = &mut self.attempt {
                         attempt.out.extend_from_slice(&bytes);
                     }
-                    if self.standing {
-                        self.hub.feed(Input::LineForwarded { connection });
+                    if self.established {
+                        self.driver.feed(Input::LineForwarded { connection });
                     }
                 }
                 _ if self.over.is_some() => {}
-                Step::Ping(pong) if self.hub.serves() => self.client.out.extend_from_slice(&pong),
+                Step::Ping(pong) if self.driver.serves() => self.client.out.extend_from_slice(&pong),
                 // Taken in by whoever asks, it could only refuse.
                 Step::Ping(_) => {
                     self.finish();
-                    self.hub.feed(Input::ClientDisconnected { connection });
+                    self.driver.feed(Input::ClientDisconnected { connection });
                 }
                 Step::ConnectionRequested(ask) => {
-                    self.hub.feed(Input::ConnectionRequested { connection, ask })
+                    self.driver.feed(Input::ConnectionRequested { connection, ask })
                 }
                 Step::Up => {
-                    self.standing = true;
-                    self.hub.feed(Input::AttemptAccepted { connection, attempt: self.number });
+                    self.established = true;
+                    self.driver.feed(Input::AttemptAccepted { connection, attempt: self.number });
                 }
-                Step::Load(load) => self.hub.feed(Input::LoadReported { connection, load }),
+                Step::Load(load) => self.driver.feed(Input::LoadReported { connection, load }),
                 Step::AttemptEnded(end) => self.on_attempt_ended(end),
                 Step::Close => {
                     self.discard = true;
                     self.finish();
-                    self.hub.feed(Input::ClientDisconnected { connection });
+                    self.driver.feed(Input::ClientDisconnected { connection });
                 }
             }
         }
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -13,8 +13,8 @@
 use tokio::time::{timeout, Instant};
 
 use super::commands::WatchOrder;
-use super::driver::Hub;
-use crate::protocol::http::{self, News};
+use super::driver::Driver;
+use crate::protocol::http::{self, EndpointListUpdate};
 use crate::routing::Input;
 
 /// A call waits so long for something new. Danger: what discovery has to tell counts as told 6 s later at the
@@ -39,7 +39,7 @@
 }
 
 /// Keeps a watch for each pool, as the hub asks for them.
-pub async fn keep(hub: Rc<Hub>, mut orders: mpsc::UnboundedReceiver<WatchOrder>) {
+pub async fn keep(driver: Rc<Driver>, mut orders: mpsc::UnboundedReceiver<WatchOrder>) {
     let mut watches: HashMap<usize, (mpsc::Sender<()>, JoinHandle<()>)> = HashMap::new();
     while let Some(order) = orders.recv().await {
         match order {
@@ -53,7 +53,7 @@
                 let (sender, wanted) = mpsc::channel(1);
                 // The reducer asked for it with the first list, before there was anyone to ask.
                 let _ = sender.try_send(());
-                let following = follow(hub.clone(), pool, discovery, generation, wanted);
+                let following = follow(driver.clone(), pool, discovery, generation, wanted);
                 let watch = (sender, tokio::task::spawn_local(following));
                 if let Some((_, old)) = watches.insert(pool, watch) {
                     old.abort();
@@ -65,7 +65,7 @@
 
 /// Follows a endpoint list for ever, from this generation on or else from the whole list.
 async fn follow(
-    hub: Rc<Hub>,
+    driver: Rc<Driver>,
     pool: usize,
     discovery: SocketAddr,
     mut generation: Option<u64>,
@@ -91,17 +91,19 @@
             }
             match answered.unwrap_or_else(|_| Err("no answer in time".to_owned())) {
                 // Danger: changes of a list older than the one that is held are of another life of discovery.
-                Ok(News { generation: new, whole: false, .. }) if generation.is_some_and(|old| new < old) => {
+                Ok(EndpointListUpdate { generation: new, whole: false, .. })
+                    if generation.is_some_and(|old| new < old) =>
+                {
                     crate::log!(
                         warn,
                         "routing table: generation {new} after a later one, asked for as a whole"
                     );
                     (generation, hold) = (None, Duration::ZERO);
                 }
-                Ok(News { generation: new, whole, hosts }) => {
+                Ok(EndpointListUpdate { generation: new, whole, hosts }) => {
                     let nothing = hosts.is_empty() && generation == Some(new);
                     (generation, hold, anew) = (Some(new), HOLD, false);
-                    hub.feed(Input::EndpointsUpdated { pool, whole, hosts });
+                    driver.feed(Input::EndpointsUpdated { pool, whole, hosts });
                     if nothing && called.elapsed() < PACE {
                         tokio::time::sleep(PACE).await;
                     }
@@ -109,7 +111,7 @@
                 Err(problem) => {
                     crate::log!(warn, "routing table: {problem}");
                     line = None;
-                    break hub.feed(Input::EndpointWatchLost { pool });
+                    break driver.feed(Input::EndpointWatchLost { pool });
                 }
             }
         }
@@ -125,7 +127,7 @@
     line: &mut Option<Line>,
     discovery: SocketAddr,
     from: Option<(u64, Duration)>,
-) -> Result<News, String> {
+) -> Result<EndpointListUpdate, String> {
     let fresh = line.is_none();
     let answer = match exchange(line, discovery, from).await {
         // Danger: a kept connection may have been closed by discovery between two calls. But where it answered,
@@ -140,11 +142,11 @@
         200 => {}
         status => return Err(format!("discovery answered {status}")),
     }
-    match http::news_text(&answer.body) {
-        Ok(News { whole: false, .. }) if from.is_none() => {
+    match http::parse_endpoint_list(&answer.body) {
+        Ok(EndpointListUpdate { whole: false, .. }) if from.is_none() => {
             Err("discovery: changes where the whole list was asked for".to_owned())
         }
-        news => news.map_err(|fault| fault.to_string()),
+        endpoint_list_update => endpoint_list_update.map_err(|fault| fault.to_string()),
     }
 }
 
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, oneshot, watch as watch_channel, Notify};
 
-use super::commands::{Order, Outgoing, Probe, WatchOrder};
+use super::commands::{ConnectionCommand, Outgoing, Probe, WatchOrder};
 use super::excluded_hosts;
 use super::files::Files;
 use super::record::Recorder;
@@ -19,7 +19,8 @@
 use crate::protocol::{gossip, peers, Front};
 use crate::routing::store::Gossip;
 use crate::routing::{
-    reduce, Answer, AttemptOutcome, CallerId, ConnectionId, Effect, Input, Legacy, Reply, State,
+    reduce, AdminClientId, AdminResponse, Answer, AttemptOutcome, ConnectionId, Effect, HandoverState, Input,
+    State,
 };
 use crate::{Micros, Time};
 
@@ -46,12 +47,12 @@
                 write!(f, "served after {:.1} ms on leg {}", ms(after), attempt + 1)
             }
             Seen::Verdict => write!(f, "turned away by its host's own verdict"),
-            Seen::Answered(after, Answer::Refused(wait)) => {
+            Seen::Answered(after, Answer::Rejected(wait)) => {
                 write!(f, "refused after {:.1} ms, to come again in {:.0} ms", ms(after), ms(wait))
             }
             Seen::Answered(after, Answer::Failed) => write!(f, "failed after {:.1} ms", ms(after)),
-            Seen::Answered(_, Answer::Late) => write!(f, "too late to ask"),
-            Seen::Answered(_, Answer::Moved) => write!(f, "moved"),
+            Seen::Answered(_, Answer::HandshakeTimedOut) => write!(f, "too late to ask"),
+            Seen::Answered(_, Answer::Migrated) => write!(f, "moved"),
             Seen::Left => write!(f, "left"),
             Seen::Ended => write!(f, "ended by its host"),
         }
@@ -59,25 +60,25 @@
 }
 
 /// Makes the connections of a front.
-pub type Makes = Rc<dyn Fn() -> Box<dyn Front>>;
+pub type ConnectionFactory = Rc<dyn Fn() -> Box<dyn Front>>;
 
 /// A front: its pool, what makes its connections, and where they come in.
 pub struct FrontAt {
     pub pool: usize,
-    pub makes: Makes,
+    pub factory: ConnectionFactory,
     pub listener: Rc<TcpListener>,
 }
 
 type Observed = HashMap<ConnectionId, Vec<Seen>>;
 
 /// The reducer's state and those who carry out its effects.
-pub struct Hub {
+pub struct Driver {
     state: RefCell<State>,
     /// The system's clock at the start, and the steady one that goes on from there.
     origin: (Micros, Instant),
     /// Danger: a bounded channel could be full when an order comes; the reducer gives each connection at
     /// most two orders an attempt and one answer, so these stay short by themselves.
-    connections: RefCell<HashMap<ConnectionId, mpsc::UnboundedSender<Order>>>,
+    connections: RefCell<HashMap<ConnectionId, mpsc::UnboundedSender<ConnectionCommand>>>,
     datagrams: RefCell<Option<Rc<UdpSocket>>>,
     /// Where the other balancers of the tier are heard, and where all of them hear.
     peers: RefCell<Option<(Rc<UdpSocket>, SocketAddr)>>,
@@ -91,28 +92,28 @@
     /// Where probes are ordered; the reducer has only so many out.
     probes: RefCell<Option<mpsc::UnboundedSender<Probe>>>,
     /// Whether the fronts may accept.
-    doors: watch_channel::Sender<bool>,
+    accepting: watch_channel::Sender<bool>,
     next: Cell<u64>,
     /// Operators who wait for their answers.
-    callers: RefCell<HashMap<CallerId, oneshot::Sender<Reply>>>,
+    callers: RefCell<HashMap<AdminClientId, oneshot::Sender<AdminResponse>>>,
     /// The fronts, by name.
     fronts: RefCell<BTreeMap<&'static str, FrontAt>>,
     /// Where the process that takes this one's place asks, what is left to it, and what is for the other
     /// process while there is one.
     place: RefCell<Option<PathBuf>>,
-    legacy: RefCell<Legacy>,
+    handover_state: RefCell<HandoverState>,
     outbox: RefCell<Option<mpsc::UnboundedSender<Outgoing>>>,
     exit: mpsc::UnboundedSender<()>,
     timer: Notify,
 }
 
-impl Hub {
+impl Driver {
     /// A hub, and what tells that the balancer may go.
-    pub fn new(state: impl FnOnce(Time) -> State) -> (Rc<Hub>, mpsc::UnboundedReceiver<()>) {
+    pub fn new(state: impl FnOnce(Time) -> State) -> (Rc<Driver>, mpsc::UnboundedReceiver<()>) {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let origin = (since.as_micros() as Micros, Instant::now());
         let (exit, exited) = mpsc::unbounded_channel();
-        let hub = Hub {
+        let driver = Driver {
             state: RefCell::new(state(Time(origin.0))),
             origin,
             connections: RefCell::default(),
@@ -124,17 +125,17 @@
             recorder: RefCell::default(),
             watches: RefCell::default(),
             probes: RefCell::default(),
-            doors: watch_channel::Sender::new(true),
+            accepting: watch_channel::Sender::new(true),
             next: Cell::new(0),
             callers: RefCell::default(),
             fronts: RefCell::default(),
             place: RefCell::default(),
-            legacy: RefCell::default(),
+            handover_state: RefCell::default(),
             outbox: RefCell::default(),
             exit,
             timer: Notify::new(),
         };
-        (Rc::new(hub), exited)
+        (Rc::new(driver), exited)
     }
 
     /// The time, which all machines share and which never runs backwards here.
@@ -157,17 +158,21 @@
             }
             match effect {
                 Effect::OpenAttempt { connection, attempt, address, wait } => {
-                    self.order(connection, Order::OpenAttempt { attempt, address, wait })
+                    self.order(connection, ConnectionCommand::OpenAttempt { attempt, address, wait })
                 }
-                Effect::CloseAttempt { connection } => self.order(connection, Order::CloseAttempt),
-                Effect::AbortConnection { connection } => self.order(connection, Order::Drop),
-                Effect::CheckHandshake { connection } => self.order(connection, Order::Hear),
-                Effect::SetAccepting { open } => drop(self.doors.send_replace(open)),
-                Effect::Answer { connection, answer } => self.order(connection, Order::Answer(answer)),
-                Effect::BroadcastGossip(word) => {
+                Effect::CloseAttempt { connection } => {
+                    self.order(connection, ConnectionCommand::CloseAttempt)
+                }
+                Effect::AbortConnection { connection } => self.order(connection, ConnectionCommand::Drop),
+                Effect::CheckHandshake { connection } => self.order(connection, ConnectionCommand::Hear),
+                Effect::SetAccepting { open } => drop(self.accepting.send_replace(open)),
+                Effect::Answer { connection, answer } => {
+                    self.order(connection, ConnectionCommand::Answer(answer))
+                }
+                Effect::BroadcastGossip(message) => {
                     if let Some((socket, all)) = self.peers.borrow().as_ref() {
                         // Words may be lost on the way, so they may be lost here.
-                        let _ = socket.try_send_to(&peers::write(word), *all);
+                        let _ = socket.try_send_to(&peers::write(message), *all);
                     }
                 }
                 Effect::ProbeServer { pool, host, address, names, wait } => {
@@ -184,26 +189,30 @@
                         files.keep(&key, &entry);
                     }
                 }
-                Effect::ExportState(legacy) => {
-                    *self.legacy.borrow_mut() = *legacy;
+                Effect::ExportState(handover_state) => {
+                    *self.handover_state.borrow_mut() = *handover_state;
                     // Danger: two processes that append to one file would spoil it.
                     if let Some(files) = self.files.borrow_mut().as_mut() {
                         files.close();
                     }
                 }
-                Effect::TransferConnection { connection, pool, standing } => {
-                    self.to_partner(Outgoing::Pass { connection, pool, standing: Box::new(standing) })
+                Effect::TransferConnection { connection, pool, established } => {
+                    self.send_to_peer_process(Outgoing::Pass {
+                        connection,
+                        pool,
+                        established: Box::new(established),
+                    })
                 }
-                Effect::ShareExclusion { caller, host, out } => {
-                    self.to_partner(Outgoing::Share { caller, host, out })
+                Effect::ShareExclusion { admin_client, host, out } => {
+                    self.send_to_peer_process(Outgoing::Share { admin_client, host, out })
                 }
-                Effect::PersistExclusions(bans) => {
+                Effect::PersistExclusions(excluded) => {
                     if let Some(place) = self.place.borrow().as_deref() {
-                        excluded_hosts::keep_bans(place, &bans);
+                        excluded_hosts::persist_excluded(place, &excluded);
                     }
                 }
-                Effect::AdminReply { caller, reply } => {
-                    if let Some(waits) = self.callers.borrow_mut().remove(&caller) {
+                Effect::AdminReply { admin_client, reply } => {
+                    if let Some(waits) = self.callers.borrow_mut().remove(&admin_client) {
                         // One that has gone needs no answer.
                         let _ = waits.send(reply);
                     }
@@ -230,12 +239,12 @@
             Input::AttemptAccepted { connection, attempt } => {
                 self.notice(connection, |after| Seen::Served(after, attempt))
             }
-            Input::AttemptEnded { connection, end: AttemptOutcome::Verdict, .. } => {
+            Input::AttemptEnded { connection, end: AttemptOutcome::VerdictForwarded, .. } => {
                 self.notice(connection, |_| Seen::Verdict)
             }
             Input::AttemptEnded {
                 connection,
-                end: AttemptOutcome::Served | AttemptOutcome::SentAway,
+                end: AttemptOutcome::Served | AttemptOutcome::RedirectedByServer,
                 ..
             } => self.notice(connection, |_| Seen::Ended),
             Input::ClientDisconnected { connection } => self.notice(connection, |_| Seen::Left),
@@ -268,15 +277,15 @@
     pub fn hear(self: &Rc<Self>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         *self.datagrams.borrow_mut() = Some(socket.clone());
-        let hub = self.clone();
+        let driver = self.clone();
         tokio::task::spawn_local(async move {
             let mut bytes = [0; gossip::LONGEST + 1];
             loop {
                 // While another process serves, what comes is for that one.
-                hub.wait_for_doors(true).await;
+                driver.wait_until_accepting(true).await;
                 match socket.recv_from(&mut bytes).await {
                     Ok((n, from)) => match gossip::read(&bytes[..n]) {
-                        Some(gossip) => hub.feed(Input::ReplicaMessage { from, gossip }),
+                        Some(gossip) => driver.feed(Input::ReplicaMessage { from, gossip }),
                         None => crate::log!(warn, "a datagram from {from} is none of the store's"),
                     },
                     // Where a peer is down, its machine says so on the next call: nothing to do about it.
@@ -290,13 +299,13 @@
     pub fn hear_peers(self: &Rc<Self>, pool: usize, socket: UdpSocket, at: &PeersAt) {
         let socket = Rc::new(socket);
         *self.peers.borrow_mut() = Some((socket.clone(), at.all));
-        let (hub, known) = (self.clone(), at.from.clone());
+        let (driver, known) = (self.clone(), at.from.clone());
         tokio::task::spawn_local(async move {
             let mut bytes = [0; peers::LONGEST + 1];
             loop {
                 match socket.recv_from(&mut bytes).await {
                     Ok((n, from)) => match peers::read(&bytes[..n]).filter(|_| known.contains(&from)) {
-                        Some(word) => hub.feed(Input::GossipReceived { pool, word }),
+                        Some(message) => driver.feed(Input::GossipReceived { pool, message }),
                         None => crate::log!(warn, "a datagram from {from} is none of the tier's"),
                     },
                     // As above.
@@ -312,7 +321,7 @@
     }
 
     /// Gives a connection an order.
-    pub fn order(&self, connection: ConnectionId, order: Order) {
+    pub fn order(&self, connection: ConnectionId, order: ConnectionCommand) {
         if let Some(connection) = self.connections.borrow().get(&connection) {
             // One that has just ended needs no orders.
             let _ = connection.send(order);
@@ -320,7 +329,7 @@
     }
 
     /// A new connection's number, and where its orders come.
-    pub fn enter(&self) -> (ConnectionId, mpsc::UnboundedReceiver<Order>) {
+    pub fn enter(&self) -> (ConnectionId, mpsc::UnboundedReceiver<ConnectionCommand>) {
         let connection = ConnectionId(self.next.replace(self.next.get() + 1));
         let (sender, orders) = mpsc::unbounded_channel();
         self.connections.borrow_mut().insert(connection, sender);
@@ -328,12 +337,12 @@
     }
 
     /// Hands an operator's call to the reducer and waits for what it says.
-    pub async fn call(self: &Rc<Self>, input: impl FnOnce(CallerId) -> Input) -> Reply {
-        let caller = CallerId(self.next.replace(self.next.get() + 1));
+    pub async fn call(self: &Rc<Self>, input: impl FnOnce(AdminClientId) -> Input) -> AdminResponse {
+        let admin_client = AdminClientId(self.next.replace(self.next.get() + 1));
         let (sender, reply) = oneshot::channel();
-        self.callers.borrow_mut().insert(caller, sender);
-        self.feed(input(caller));
-        reply.await.unwrap_or_else(|_| Reply::No("no answer".to_owned()))
+        self.callers.borrow_mut().insert(admin_client, sender);
+        self.feed(input(admin_client));
+        reply.await.unwrap_or_else(|_| AdminResponse::No("no answer".to_owned()))
     }
 
     /// A connection's task has ended, and its sockets are closed.
@@ -358,14 +367,14 @@
     }
 
     /// Whether the fronts may accept now.
-    pub fn doors_open(&self) -> bool {
-        *self.doors.borrow()
+    pub fn is_accepting(&self) -> bool {
+        *self.accepting.borrow()
     }
 
     /// Waits until the fronts may accept, or must not any more.
-    pub async fn wait_for_doors(&self, wanted: bool) {
+    pub async fn wait_until_accepting(&self, wanted: bool) {
         // It fails only when the sender is gone, which is this hub's own.
-        let _ = self.doors.subscribe().wait_for(|open| *open == wanted).await;
+        let _ = self.accepting.subscribe().wait_for(|open| *open == wanted).await;
     }
 
     /// Notes a front, in the place of one of that name.
@@ -376,7 +385,7 @@
     /// A front's pool, and a new connection of it.
     pub fn front(&self, name: &str) -> Option<(usize, Box<dyn Front>)> {
         let fronts = self.fronts.borrow();
-        fronts.get(name).map(|front| (front.pool, (front.makes)()))
+        fronts.get(name).map(|front| (front.pool, (front.factory)()))
     }
 
     /// The name of a pool's front.
@@ -395,17 +404,17 @@
     }
 
     /// Where the process that takes this one's place asks.
-    pub fn set_place(&self, place: PathBuf) {
+    pub fn set_handover_socket(&self, place: PathBuf) {
         *self.place.borrow_mut() = Some(place);
     }
 
     /// What is left to it.
-    pub fn legacy(&self) -> Legacy {
-        std::mem::take(&mut self.legacy.borrow_mut())
+    pub fn handover_state(&self) -> HandoverState {
+        std::mem::take(&mut self.handover_state.borrow_mut())
     }
 
     /// Whether there is another process beside this one.
-    pub fn has_partner(&self) -> bool {
+    pub fn has_peer_process(&self) -> bool {
         self.outbox.borrow().is_some()
     }
 
@@ -415,10 +424,10 @@
     }
 
     /// Tells the other process, if there is one.
-    pub fn to_partner(&self, word: Outgoing) {
+    pub fn send_to_peer_process(&self, message: Outgoing) {
         if let Some(outbox) = self.outbox.borrow().as_ref() {
             // One that is gone needs no word; the reducer hears of it.
-            let _ = outbox.send(word);
+            let _ = outbox.send(message);
         }
     }
 
--- a/src/transport/excluded_hosts.rs
+++ b/src/transport/excluded_hosts.rs
@@ -4,24 +4,24 @@
 use std::path::{Path, PathBuf};
 
 /// The file of hosts out by hand beside the socket.
-fn bans_file(place: &Path) -> PathBuf {
+fn excluded_file(place: &Path) -> PathBuf {
     place.with_extension("bans")
 }
 
 /// Puts the hosts out by hand where the next process finds them if nobody can tell it. Danger: a crash
 /// halfway must leave the old list or the new.
-pub fn keep_bans(place: &Path, bans: &[String]) {
-    let file = bans_file(place);
+pub fn persist_excluded(place: &Path, excluded: &[String]) {
+    let file = excluded_file(place);
     let new = file.with_extension(format!("{}.new", std::process::id()));
-    let text: String = bans.iter().map(|host| format!("{host}\n")).collect();
+    let text: String = excluded.iter().map(|host| format!("{host}\n")).collect();
     if let Err(error) = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &file)) {
         crate::log!(error, "{}: hosts out by hand are not kept: {error}", file.display());
     }
 }
 
 /// The hosts that were out by hand when a process here last said so.
-pub fn kept_bans(place: &Path) -> Vec<String> {
-    let file = bans_file(place);
+pub fn load_excluded(place: &Path) -> Vec<String> {
+    let file = excluded_file(place);
     match std::fs::read(&file) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).lines().map(str::to_owned).collect(),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
