--- a/src/transport/hot_restart.rs
+++ b/src/transport/hot_restart.rs
@@ -15,12 +15,12 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout, Instant};
 
-use super::commands::{Order, Outgoing, Passed};
+use super::commands::{ConnectionCommand, Outgoing, TransferredConnection};
 use super::connection;
-use super::driver::Hub;
+use super::driver::Driver;
 use crate::program::config::Config;
-use crate::protocol::hot_restart::{self, Word, LONGEST, MOST_PARTS, MOST_SOCKETS};
-use crate::routing::{CallerId, ConnectionId, Input, Legacy, PoolId, Standing};
+use crate::protocol::hot_restart::{self, HandoverMessage, LONGEST, MOST_PARTS, MOST_SOCKETS};
+use crate::routing::{AdminClientId, ConnectionId, EstablishedConnection, HandoverState, Input, PoolId};
 
 /// A process that is asked answers at once. Danger: it may hang, and a start waits for nobody.
 const SILENT: Duration = Duration::from_millis(1500);
@@ -45,7 +45,7 @@
         Ok(Link(socket))
     }
 
-    async fn send(&self, word: &Word, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
+    async fn send(&self, word: &HandoverMessage, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
         let bytes = hot_restart::write(word).ok_or(io::ErrorKind::InvalidInput)?;
         let send = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
@@ -69,7 +69,7 @@
     }
 
     /// The next message with the sockets beside it; none at the end. What is no message is an error.
-    async fn receive(&self) -> io::Result<Option<(Word, Vec<OwnedFd>)>> {
+    async fn receive(&self) -> io::Result<Option<(HandoverMessage, Vec<OwnedFd>)>> {
         let receive = || {
             let mut bytes = vec![0; LONGEST];
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
@@ -114,13 +114,13 @@
 }
 
 /// What the process before left, and the link to it.
-pub struct Inherited {
+pub struct ReceivedState {
     link: Link,
     sockets: HashMap<String, OwnedFd>,
-    pub legacy: Legacy,
+    pub handover_state: HandoverState,
 }
 
-impl Inherited {
+impl ReceivedState {
     /// The socket of that name.
     pub fn socket(&mut self, name: &str) -> Option<OwnedFd> {
         self.sockets.remove(name)
@@ -128,7 +128,7 @@
 }
 
 /// Asks whoever serves to hand over. None where nobody does, or nobody who answers.
-pub async fn take(path: &Path) -> Option<Inherited> {
+pub async fn take(path: &Path) -> Option<ReceivedState> {
     let since = Instant::now();
     loop {
         let taken = match timeout(SILENT, ask(path)).await {
@@ -156,18 +156,20 @@
 }
 
 /// Asks once. None where it is busy with another that starts.
-async fn ask(path: &Path) -> io::Result<Option<Inherited>> {
+async fn ask(path: &Path) -> io::Result<Option<ReceivedState>> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = net::socket_with(net::AddressFamily::UNIX, net::SocketType::SEQPACKET, flags, None)?;
     net::connect(&socket, &net::SocketAddrUnix::new(path)?)?;
     let link = Link::new(UnixStream::from_std(socket.into())?)?;
-    link.send(&Word::Take, &[]).await?;
-    let (mut legacy, mut sockets) = (Legacy::default(), HashMap::new());
+    link.send(&HandoverMessage::Take, &[]).await?;
+    let (mut handover_state, mut sockets) = (HandoverState::default(), HashMap::new());
     for heard in 0..MOST_PARTS {
         match link.receive().await {
-            Ok(Some((Word::Done, _))) => return Ok(Some(Inherited { link, sockets, legacy })),
-            Ok(Some((Word::Part(part), _))) => hot_restart::add(&mut legacy, part),
-            Ok(Some((Word::Socket(name), beside))) => {
+            Ok(Some((HandoverMessage::Done, _))) => {
+                return Ok(Some(ReceivedState { link, sockets, handover_state }))
+            }
+            Ok(Some((HandoverMessage::Part(part), _))) => hot_restart::add(&mut handover_state, part),
+            Ok(Some((HandoverMessage::Socket(name), beside))) => {
                 sockets.extend(beside.into_iter().map(|s| (name.clone(), s)))
             }
             Ok(Some(_)) => return Err(io::ErrorKind::InvalidData.into()),
@@ -180,20 +182,20 @@
 }
 
 /// This process serves in the place of the one before: it is told so, and its connections come over.
-pub async fn succeed(hub: Rc<Hub>, inherited: Inherited) {
+pub async fn succeed(driver: Rc<Driver>, received: ReceivedState) {
     let (outgoing, words) = mpsc::unbounded_channel();
-    hub.set_outbox(Some(outgoing));
-    if inherited.link.send(&Word::Serving, &[]).await.is_ok() {
-        talk(&hub, &inherited.link, words).await;
+    driver.set_outbox(Some(outgoing));
+    if received.link.send(&HandoverMessage::Serving, &[]).await.is_ok() {
+        talk(&driver, &received.link, words).await;
     }
-    hub.set_outbox(None);
-    hub.feed(Input::PeerProcessLost);
+    driver.set_outbox(None);
+    driver.feed(Input::PeerProcessLost);
 }
 
 /// Offers this process's place to whoever starts, for ever. What cannot be offered is logged.
-pub fn offer(hub: Rc<Hub>, path: &Path) {
+pub fn offer(driver: Rc<Driver>, path: &Path) {
     match listen(path) {
-        Ok(listener) => drop(tokio::task::spawn_local(accept(hub, listener))),
+        Ok(listener) => drop(tokio::task::spawn_local(accept(driver, listener))),
         Err(error) => crate::log!(warn, "{}: cannot be handed over: {error}", path.display()),
     }
 }
@@ -211,68 +213,70 @@
     UnixListener::from_std(socket.into())
 }
 
-async fn accept(hub: Rc<Hub>, listener: UnixListener) {
+async fn accept(driver: Rc<Driver>, listener: UnixListener) {
     loop {
         match listener.accept().await.and_then(|(socket, _)| Link::new(socket)) {
-            Ok(link) => drop(tokio::task::spawn_local(bequeath(hub.clone(), link))),
+            Ok(link) => drop(tokio::task::spawn_local(export_state(driver.clone(), link))),
             Err(_) => sleep(REST_GAP).await,
         }
     }
 }
 
 /// Hands over to a process that starts, and goes on if it comes to nothing.
-async fn bequeath(hub: Rc<Hub>, link: Link) {
-    if !matches!(timeout(SILENT, link.receive()).await, Ok(Ok(Some((Word::Take, _))))) || hub.has_partner() {
+async fn export_state(driver: Rc<Driver>, link: Link) {
+    if !matches!(timeout(SILENT, link.receive()).await, Ok(Ok(Some((HandoverMessage::Take, _)))))
+        || driver.has_peer_process()
+    {
         return;
     }
     let (outgoing, words) = mpsc::unbounded_channel();
-    hub.set_outbox(Some(outgoing));
-    hub.feed(Input::SuccessorStarted);
+    driver.set_outbox(Some(outgoing));
+    driver.feed(Input::SuccessorStarted);
     let served = async {
-        for (name, socket) in hub.sockets()? {
-            link.send(&Word::Socket(name), &[socket.as_fd()]).await?;
+        for (name, socket) in driver.sockets()? {
+            link.send(&HandoverMessage::Socket(name), &[socket.as_fd()]).await?;
         }
-        for part in hot_restart::parts(hub.legacy()) {
+        for part in hot_restart::parts(driver.handover_state()) {
             // What does not fit a message is left out: no sound name or id is so long.
-            let word = Word::Part(part);
+            let word = HandoverMessage::Part(part);
             if hot_restart::write(&word).is_some() {
                 link.send(&word, &[]).await?;
             }
         }
-        link.send(&Word::Done, &[]).await?;
+        link.send(&HandoverMessage::Done, &[]).await?;
         match link.receive().await? {
-            Some((Word::Serving, _)) => Ok(()),
+            Some((HandoverMessage::Serving, _)) => Ok(()),
             _ => Err(io::Error::from(io::ErrorKind::UnexpectedEof)),
         }
     };
     match timeout(SERVES_IN, served).await {
         Ok(Ok(())) => {
-            hub.feed(Input::SuccessorReady);
-            talk(&hub, &link, words).await;
+            driver.feed(Input::SuccessorReady);
+            talk(&driver, &link, words).await;
         }
         Ok(Err(error)) => crate::log!(warn, "not handed over: {error}"),
         Err(_) => crate::log!(warn, "not handed over: nobody serves in time"),
     }
     drop(link);
-    hub.set_outbox(None);
-    hub.feed(Input::PeerProcessLost);
-    hub.keep_again();
+    driver.set_outbox(None);
+    driver.feed(Input::PeerProcessLost);
+    driver.keep_again();
 }
 
 /// Talks with the other process until it is gone, or says what cannot be read.
-async fn talk(hub: &Rc<Hub>, link: &Link, mut outgoing: mpsc::UnboundedReceiver<Outgoing>) {
+async fn talk(driver: &Rc<Driver>, link: &Link, mut outgoing: mpsc::UnboundedReceiver<Outgoing>) {
     loop {
         let done = tokio::select! {
             word = link.receive() => match word {
-                Ok(Some((word, sockets))) => hear(hub, link, word, sockets).await,
+                Ok(Some((word, sockets))) => hear(driver, link, word, sockets).await,
                 Ok(None) => return,
                 Err(error) => Err(error),
             },
             Some(word) = outgoing.recv() => match word {
-                Outgoing::Share { caller, host, out } => {
-                    link.send(&Word::Share { number: caller.0, host, out }, &[]).await
+                Outgoing::Share { admin_client, host, out } => {
+                    link.send(&HandoverMessage::Share { number: admin_client.0, host, out }, &[]).await
                 }
-                Outgoing::Pass { connection, pool, standing } => pass(hub, link, connection, pool, *standing).await,
+                Outgoing::Pass { connection, pool, established } => pass(driver, link, connection, pool, *established).await,
             },
         };
         if let Err(error) = done {
@@ -281,26 +285,31 @@
     }
 }
 
-async fn hear(hub: &Rc<Hub>, link: &Link, word: Word, sockets: Vec<OwnedFd>) -> io::Result<()> {
+async fn hear(
+    driver: &Rc<Driver>,
+    link: &Link,
+    word: HandoverMessage,
+    sockets: Vec<OwnedFd>,
+) -> io::Result<()> {
     match word {
-        Word::Share { number, host, out } => {
-            hub.feed(Input::ExclusionShared { host, out });
-            link.send(&Word::Shared { number }, &[]).await
+        HandoverMessage::Share { number, host, out } => {
+            driver.feed(Input::ExclusionShared { host, out });
+            link.send(&HandoverMessage::Shared { number }, &[]).await
         }
-        Word::Shared { number } => {
-            hub.feed(Input::ExclusionAcknowledged { caller: CallerId(number) });
+        HandoverMessage::Shared { number } => {
+            driver.feed(Input::ExclusionAcknowledged { admin_client: AdminClientId(number) });
             Ok(())
         }
-        Word::Standing { front, standing, state } => {
+        HandoverMessage::EstablishedConnection { front, established, state } => {
             let Ok([client, attempt]) = <[OwnedFd; 2]>::try_from(sockets) else {
                 return Err(io::ErrorKind::InvalidData.into());
             };
             let stream = |socket| TcpStream::from_std(std::net::TcpStream::from(socket));
             let (client, attempt) = (stream(client)?, stream(attempt)?);
-            match hub.front(&front) {
+            match driver.front(&front) {
                 Some((pool, mut front)) => {
                     front.resume(&state);
-                    connection::adopt(hub, pool, [client, attempt], front, standing);
+                    connection::adopt(driver, pool, [client, attempt], front, established);
                     Ok(())
                 }
                 // There is no such front here any more: its clients find that out by the end.
@@ -313,31 +322,39 @@
 
 /// Passes a connection on, if it is between two lines; or else tries again a little later.
 async fn pass(
-    hub: &Rc<Hub>,
+    driver: &Rc<Driver>,
     link: &Link,
     connection: ConnectionId,
     pool: PoolId,
-    standing: Standing,
+    established: EstablishedConnection,
 ) -> io::Result<()> {
     let (sender, passed) = oneshot::channel();
-    hub.order(connection, Order::Pass(sender));
-    let Ok(Passed { client, attempt, state, goodbye }) = passed.await else {
-        if hub.holds(connection) {
-            let hub = hub.clone();
+    driver.order(connection, ConnectionCommand::Pass(sender));
+    let Ok(TransferredConnection { client, attempt, state, goodbye }) = passed.await else {
+        if driver.holds(connection) {
+            let driver = driver.clone();
             tokio::task::spawn_local(async move {
                 sleep(REST_GAP).await;
-                hub.to_partner(Outgoing::Pass { connection, pool, standing: Box::new(standing) });
+                driver.send_to_peer_process(Outgoing::Pass {
+                    connection,
+                    pool,
+                    established: Box::new(established),
+                });
             });
         }
         return Ok(());
     };
-    let front = hub.front_name(pool).unwrap_or_default();
-    let sent =
-        link.send(&Word::Standing { front, standing, state }, &[client.as_fd(), attempt.as_fd()]).await;
+    let front = driver.front_name(pool).unwrap_or_default();
+    let sent = link
+        .send(
+            &HandoverMessage::EstablishedConnection { front, established, state },
+            &[client.as_fd(), attempt.as_fd()],
+        )
+        .await;
     if sent.is_err() {
         // Danger: nobody holds it any more, and it must not be cut off without a word.
         let _ = std::net::TcpStream::from(client).write(&goodbye);
     }
-    hub.feed(Input::ConnectionTransferred { connection });
+    driver.feed(Input::ConnectionTransferred { connection });
     sent
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -28,10 +28,10 @@
 use crate::program::config::{Config, Sources, StoreConfig};
 use crate::protocol::{gossip, irc, platform};
 use crate::routing::store::{Entry, Gossip};
-use crate::routing::{Input, State, StoreSetup};
+use crate::routing::{Input, ReplicationConfig, State};
 pub use admin_server::MOST_CALLERS;
 use commands::WatchOrder;
-use driver::{FrontAt, Hub, Makes};
+use driver::{ConnectionFactory, Driver, FrontAt};
 use record::Recorder;
 pub use replay::{replay, Which};
 
@@ -71,18 +71,18 @@
 const LEAST_PAUSE: Duration = Duration::from_millis(5);
 const MOST_PAUSE: Duration = Duration::from_millis(250);
 
-fn platform_makes() -> Makes {
+fn platform_factory() -> ConnectionFactory {
     Rc::new(|| Box::<platform::Connection>::default())
 }
 
-fn irc_makes(setup: irc::Setup) -> Makes {
+fn irc_factory(setup: irc::IrcConfig) -> ConnectionFactory {
     let setup = Rc::new(setup);
     Rc::new(move || Box::new(irc::Connection::new(setup.clone())))
 }
 
 /// The reducer with the pools of the fronts that feed it.
 struct Fronts {
-    hub: Rc<Hub>,
+    driver: Rc<Driver>,
     exit: tokio::sync::mpsc::UnboundedReceiver<()>,
     platform: Option<usize>,
     irc: Option<usize>,
@@ -92,21 +92,21 @@
     /// Sets the pools up and tells the reducer of their hosts; nothing listens yet.
     fn open(config: &Config) -> Fronts {
         let Config { platform, irc, store, budget, .. } = config;
-        let mut setup = StoreSetup::default();
+        let mut setup = ReplicationConfig::default();
         if let Some(store) = store {
             (setup.node, setup.peers) = (store.node.clone(), store.peers.clone());
         }
         let pools = platform.iter().map(|p| p.pool.clone()).chain(irc.iter().map(|irc| irc.pool.clone()));
-        let (hub, exit) = Hub::new(|now| State::new(pools.collect(), setup, *budget, now));
-        let mut fronts = Fronts { hub, exit, platform: None, irc: None };
+        let (driver, exit) = Driver::new(|now| State::new(pools.collect(), setup, *budget, now));
+        let mut fronts = Fronts { driver, exit, platform: None, irc: None };
         let mut pool = 0;
         if let Some(platform) = platform {
-            fronts.hub.feed(Input::CachedEndpoints { pool, hosts: platform.known.hosts.clone() });
+            fronts.driver.feed(Input::CachedEndpoints { pool, hosts: platform.known.hosts.clone() });
             fronts.platform = Some(pool);
             pool += 1;
         }
         if let Some(irc) = irc {
-            fronts.hub.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts.clone() });
+            fronts.driver.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts.clone() });
             fronts.irc = Some(pool);
         }
         fronts
@@ -114,39 +114,39 @@
 }
 
 /// Where a front takes its connections.
-struct Gate {
+struct AcceptGate {
     /// As configured, perhaps without a port of its own.
     wanted: SocketAddr,
     listener: Rc<TcpListener>,
     accepting: JoinHandle<()>,
     /// What a front makes of its connections, and for which pool.
-    front: Option<(usize, Makes)>,
+    front: Option<(usize, ConnectionFactory)>,
 }
 
-impl Gate {
+impl AcceptGate {
     fn open(
-        hub: &Rc<Hub>,
+        driver: &Rc<Driver>,
         name: &'static str,
         wanted: SocketAddr,
         listener: Rc<TcpListener>,
         pool: usize,
-        makes: Makes,
-    ) -> Gate {
-        hub.set_front(name, FrontAt { pool, makes: makes.clone(), listener: listener.clone() });
-        let front = Some((pool, makes.clone()));
-        let accepting = tokio::task::spawn_local(accept(hub.clone(), listener.clone(), pool, makes));
-        Gate { wanted, listener, accepting, front }
+        factory: ConnectionFactory,
+    ) -> AcceptGate {
+        driver.set_front(name, FrontAt { pool, factory: factory.clone(), listener: listener.clone() });
+        let front = Some((pool, factory.clone()));
+        let accepting = tokio::task::spawn_local(accept(driver.clone(), listener.clone(), pool, factory));
+        AcceptGate { wanted, listener, accepting, front }
     }
 
     /// The operators' door.
-    fn door(hub: &Rc<Hub>, wanted: SocketAddr, listener: Rc<TcpListener>) -> Gate {
+    fn door(driver: &Rc<Driver>, wanted: SocketAddr, listener: Rc<TcpListener>) -> AcceptGate {
         crate::log!(info, "operators are heard on {}", bound(&listener, wanted));
-        let accepting = tokio::task::spawn_local(admin_server::accept(hub.clone(), listener.clone()));
-        Gate { wanted, listener, accepting, front: None }
+        let accepting = tokio::task::spawn_local(admin_server::accept(driver.clone(), listener.clone()));
+        AcceptGate { wanted, listener, accepting, front: None }
     }
 
     /// A listener at this address: that of an old gate where it is the same.
-    fn listener(old: Option<&Gate>, wanted: SocketAddr) -> Result<Rc<TcpListener>, String> {
+    fn listener(old: Option<&AcceptGate>, wanted: SocketAddr) -> Result<Rc<TcpListener>, String> {
         match old.filter(|gate| gate.wanted == wanted) {
             Some(gate) => Ok(gate.listener.clone()),
             None => listen(wanted).map(Rc::new),
@@ -154,25 +154,25 @@
     }
 
     /// Takes the place of an old gate, which accepts nothing more.
-    fn replace(self, hub: &Rc<Hub>, old: &mut Option<Gate>) {
+    fn replace(self, driver: &Rc<Driver>, old: &mut Option<AcceptGate>) {
         let listener = self.listener.clone();
         if let Some(old) = old.replace(self) {
             old.accepting.abort();
             if !Rc::ptr_eq(&old.listener, &listener) {
-                old.empty(hub);
+                old.empty(driver);
             }
         }
     }
 
     /// Takes in what waits in the queue. Danger: closed with its listener, it would be reset without a word. But where
     /// another process listens on the same socket, it is for that one.
-    fn empty(&self, hub: &Rc<Hub>) {
-        let Some((pool, makes)) = self.front.as_ref().filter(|_| hub.doors_open()) else { return };
+    fn empty(&self, driver: &Rc<Driver>) {
+        let Some((pool, factory)) = self.front.as_ref().filter(|_| driver.is_accepting()) else { return };
         // Danger: the runtime may not have heard of them yet, so the system itself is asked.
         while let Ok((socket, _)) = socket2::SockRef::from(&*self.listener).accept() {
             let stream = socket.set_nonblocking(true).map(|()| std::net::TcpStream::from(socket));
             if let Ok(stream) = stream.and_then(tokio::net::TcpStream::from_std) {
-                connection::start(hub, *pool, stream, makes());
+                connection::start(driver, *pool, stream, factory());
             }
         }
     }
@@ -184,12 +184,12 @@
 
 /// The daemon with what may change while it runs.
 struct Daemon {
-    hub: Rc<Hub>,
+    driver: Rc<Driver>,
     sources: Sources,
     store: Option<StoreConfig>,
-    platform: Option<Gate>,
-    irc: Option<Gate>,
-    mgmt: Option<Gate>,
+    platform: Option<AcceptGate>,
+    irc: Option<AcceptGate>,
+    mgmt: Option<AcceptGate>,
 }
 
 impl Daemon {
@@ -203,7 +203,7 @@
         if fixed(&store) != fixed(&self.store) {
             return Err("store: only its peers may change without a restart".to_owned());
         }
-        let bind = |old: &Option<Gate>, wanted| Gate::listener(old.as_ref(), wanted);
+        let bind = |old: &Option<AcceptGate>, wanted| AcceptGate::listener(old.as_ref(), wanted);
         let shop = platform.map(|p| bind(&self.platform, p.listen).map(|at| (p, at))).transpose()?;
         let irc = irc.map(|irc| bind(&self.irc, irc.listen).map(|at| (irc, at))).transpose()?;
         let door = mgmt.map(|mgmt| bind(&self.mgmt, mgmt).map(|at| (mgmt, at))).transpose()?;
@@ -212,12 +212,12 @@
             shop.iter().map(|(p, _)| p.pool.clone()).chain(irc.iter().map(|(irc, _)| irc.pool.clone()));
         let peers = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
         self.store = store;
-        self.hub.feed(Input::ConfigurationChanged { pools: pools.collect(), peers, budget });
+        self.driver.feed(Input::ConfigurationChanged { pools: pools.collect(), peers, budget });
         match door {
             // Callers that are there are not cut off.
             Some((wanted, _)) if self.mgmt.as_ref().is_some_and(|old| old.wanted == wanted) => {}
             Some((wanted, listener)) => {
-                Gate::door(&self.hub, wanted, listener).replace(&self.hub, &mut self.mgmt)
+                AcceptGate::door(&self.driver, wanted, listener).replace(&self.driver, &mut self.mgmt)
             }
             None => self.mgmt.take().map(|old| old.accepting.abort()).unwrap_or_default(),
         }
@@ -225,17 +225,17 @@
         if let Some((platform, listener)) = shop {
             let at = bound(&listener, platform.listen);
             crate::log!(info, "{} listens on {at}, as configured anew", platform.name);
-            Gate::open(&self.hub, "platform", platform.listen, listener, pool, platform_makes())
-                .replace(&self.hub, &mut self.platform);
+            AcceptGate::open(&self.driver, "platform", platform.listen, listener, pool, platform_factory())
+                .replace(&self.driver, &mut self.platform);
             pool += 1;
         }
         if let Some((mut irc, listener)) = irc {
             let at = bound(&listener, irc.listen);
             irc.take_port(at);
             crate::log!(info, "{} listens on {at} for IRC, as configured anew", irc.setup.name);
-            self.hub.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts });
-            Gate::open(&self.hub, "irc", irc.listen, listener, pool, irc_makes(irc.setup))
-                .replace(&self.hub, &mut self.irc);
+            self.driver.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts });
+            AcceptGate::open(&self.driver, "irc", irc.listen, listener, pool, irc_factory(irc.setup))
+                .replace(&self.driver, &mut self.irc);
         }
         Ok(())
     }
@@ -243,11 +243,11 @@
 
 /// The listener that the process before left for a front, or else one of its own.
 fn taken(
-    inherited: &mut Option<hot_restart::Inherited>,
+    received: &mut Option<hot_restart::ReceivedState>,
     name: &str,
     wanted: SocketAddr,
 ) -> Result<Rc<TcpListener>, String> {
-    let left = inherited.as_mut().and_then(|inherited| inherited.socket(name));
+    let left = received.as_mut().and_then(|received| received.socket(name));
     let left = left.and_then(|socket| TcpListener::from_std(std::net::TcpListener::from(socket)).ok());
     let same = |at: SocketAddr| at.ip() == wanted.ip() && (wanted.port() == 0 || at.port() == wanted.port());
     match left.filter(|listener| listener.local_addr().is_ok_and(same)) {
@@ -263,24 +263,24 @@
     let (mut term, mut interrupt) = (catch(SignalKind::terminate())?, catch(SignalKind::interrupt())?);
     let mut config = sources.read()?;
     crate::program::log::start(&config.log);
-    let door = config.mgmt.map(|mgmt| Gate::listener(None, mgmt).map(|at| (mgmt, at))).transpose()?;
-    let Fronts { hub, mut exit, platform: shop_pool, irc: irc_pool } = Fronts::open(&config);
+    let door = config.mgmt.map(|mgmt| AcceptGate::listener(None, mgmt).map(|at| (mgmt, at))).transpose()?;
+    let Fronts { driver, mut exit, platform: shop_pool, irc: irc_pool } = Fronts::open(&config);
     // The door is open from the start: it tells that this process is not ready yet.
-    let mgmt = door.map(|(wanted, listener)| Gate::door(&hub, wanted, listener));
+    let mgmt = door.map(|(wanted, listener)| AcceptGate::door(&driver, wanted, listener));
     let store = config.store.take();
-    let mut daemon = Daemon { hub: hub.clone(), sources, store, platform: None, irc: None, mgmt };
+    let mut daemon = Daemon { driver: driver.clone(), sources, store, platform: None, irc: None, mgmt };
 
     let place = hot_restart::place(&config);
-    let mut inherited = hot_restart::take(&place).await;
-    *hub.recorder.borrow_mut() = recorder;
+    let mut received = hot_restart::take(&place).await;
+    *driver.recorder.borrow_mut() = recorder;
     if let Some(store) = &daemon.store {
         // Danger: only now does nobody else write to the files.
         let opened = store.data.as_deref().map(files::Files::open).transpose()?;
         if let Some((files, entries)) = opened {
-            hub.keep_in(files);
-            hub.feed(Input::StateRestored { entries, bans: Vec::new() });
+            driver.keep_in(files);
+            driver.feed(Input::StateRestored { entries, excluded_by_operator: Vec::new() });
         }
-        let left = inherited.as_mut().and_then(|inherited| inherited.socket("store")).map(UdpSocket::from);
+        let left = received.as_mut().and_then(|received| received.socket("store")).map(UdpSocket::from);
         let socket = match left {
             Some(socket) => tokio::net::UdpSocket::from_std(socket),
             None => tokio::net::UdpSocket::bind(store.listen).await,
@@ -288,50 +288,54 @@
         let socket = socket.map_err(|e| format!("cannot listen on {}: {e}", store.listen))?;
         let at = socket.local_addr().unwrap_or(store.listen);
         crate::log!(info, "{} hears stores on {at}", store.node);
-        hub.hear(socket);
+        driver.hear(socket);
     }
-    hub.set_place(place.clone());
-    match &mut inherited {
-        Some(inherited) => hub.feed(Input::ImportState(Box::new(std::mem::take(&mut inherited.legacy)))),
-        None => {
-            hub.feed(Input::StateRestored { entries: Vec::new(), bans: excluded_hosts::kept_bans(&place) })
+    driver.set_handover_socket(place.clone());
+    match &mut received {
+        Some(received) => {
+            driver.feed(Input::ImportState(Box::new(std::mem::take(&mut received.handover_state))))
         }
+        None => driver.feed(Input::StateRestored {
+            entries: Vec::new(),
+            excluded_by_operator: excluded_hosts::load_excluded(&place),
+        }),
     }
     if let (Some(pool), Some(shop)) = (shop_pool, &config.platform) {
         if let Some(discovery) = shop.pool.discovery {
             let (probes, orders) = mpsc::unbounded_channel();
-            hub.set_probes(probes);
-            tokio::task::spawn_local(probes::keep(hub.clone(), orders));
+            driver.set_probes(probes);
+            tokio::task::spawn_local(probes::keep(driver.clone(), orders));
             let (watches, orders) = mpsc::unbounded_channel();
-            hub.set_watches(watches);
-            tokio::task::spawn_local(discovery_watch::keep(hub.clone(), orders));
+            driver.set_watches(watches);
+            tokio::task::spawn_local(discovery_watch::keep(driver.clone(), orders));
             let generation = Some(shop.known.generation);
-            hub.watch(WatchOrder::At { pool, discovery, generation });
+            driver.watch(WatchOrder::At { pool, discovery, generation });
         }
         if let Some(at) = &shop.peers {
             match hear_at(at.listen) {
-                Ok(socket) => hub.hear_peers(pool, socket, at),
+                Ok(socket) => driver.hear_peers(pool, socket, at),
                 // The others are a help; without them each learns by itself.
                 Err(problem) => crate::log!(warn, "the tier's other balancers are not heard: {problem}"),
             }
         }
-        let listener = taken(&mut inherited, "platform", shop.listen)?;
+        let listener = taken(&mut received, "platform", shop.listen)?;
         crate::log!(info, "{} listens on {}", shop.name, bound(&listener, shop.listen));
-        let gate = Gate::open(&hub, "platform", shop.listen, listener, pool, platform_makes());
+        let gate = AcceptGate::open(&driver, "platform", shop.listen, listener, pool, platform_factory());
         daemon.platform = Some(gate);
     }
     if let (Some(pool), Some(mut irc)) = (irc_pool, config.irc) {
-        let listener = taken(&mut inherited, "irc", irc.listen)?;
+        let listener = taken(&mut received, "irc", irc.listen)?;
         irc.take_port(bound(&listener, irc.listen));
         crate::log!(info, "{} listens on {} for IRC", irc.setup.name, bound(&listener, irc.listen));
-        daemon.irc = Some(Gate::open(&hub, "irc", irc.listen, listener, pool, irc_makes(irc.setup)));
+        daemon.irc =
+            Some(AcceptGate::open(&driver, "irc", irc.listen, listener, pool, irc_factory(irc.setup)));
     }
-    hub.feed(Input::Listening);
-    if let Some(inherited) = inherited {
-        tokio::task::spawn_local(hot_restart::succeed(hub.clone(), inherited));
+    driver.feed(Input::Listening);
+    if let Some(received) = received {
+        tokio::task::spawn_local(hot_restart::succeed(driver.clone(), received));
     }
-    hot_restart::offer(hub.clone(), &place);
-    tokio::task::spawn_local(hub.clone().keep_time());
+    hot_restart::offer(driver.clone(), &place);
+    tokio::task::spawn_local(driver.clone().keep_time());
     loop {
         tokio::select! {
             _ = hangup.recv() => {
@@ -339,24 +343,24 @@
                     crate::log!(error, "the old configuration stays: {problem}");
                 }
             }
-            _ = term.recv() => hub.feed(Input::ShutdownRequested),
-            _ = interrupt.recv() => hub.feed(Input::ShutdownRequested),
+            _ = term.recv() => driver.feed(Input::ShutdownRequested),
+            _ = interrupt.recv() => driver.feed(Input::ShutdownRequested),
             _ = exit.recv() => break,
         }
     }
     let gates = [&daemon.platform, &daemon.irc];
-    hub.settle(|| gates.into_iter().flatten().for_each(|gate| gate.empty(&hub))).await;
+    driver.settle(|| gates.into_iter().flatten().for_each(|gate| gate.empty(&driver))).await;
     crate::log!(info, "left");
     Ok(())
 }
 
-async fn accept(hub: Rc<Hub>, listener: Rc<TcpListener>, pool: usize, makes: Makes) {
+async fn accept(driver: Rc<Driver>, listener: Rc<TcpListener>, pool: usize, factory: ConnectionFactory) {
     let take = async |stream| {
-        connection::start(&hub, pool, stream, makes());
+        connection::start(&driver, pool, stream, factory());
         // Danger: where many come at once, none may be judged before its first line could be read.
         tokio::task::yield_now().await;
     };
-    accept_each(&listener, async |open| hub.wait_for_doors(open).await, take).await;
+    accept_each(&listener, async |open| driver.wait_until_accepting(open).await, take).await;
 }
 
 /// Takes connections for ever, each when the gate is open.
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -12,7 +12,7 @@
 use tokio::time::{timeout, Instant};
 
 use super::commands::Probe;
-use super::driver::Hub;
+use super::driver::Driver;
 use crate::protocol::lines::{Cut, Lines};
 use crate::protocol::{platform, LONGEST_LINE};
 use crate::routing::{Input, ProbeEnd, MOST_PROBES};
@@ -27,7 +27,7 @@
 type Kept = HashMap<Place, (TcpStream, Instant)>;
 
 /// Carries out probes as the hub asks for them.
-pub async fn keep(hub: Rc<Hub>, mut orders: mpsc::UnboundedReceiver<Probe>) {
+pub async fn keep(driver: Rc<Driver>, mut orders: mpsc::UnboundedReceiver<Probe>) {
     let mut kept = Kept::new();
     let mut out = JoinSet::new();
     loop {
@@ -42,7 +42,7 @@
             order = orders.recv() => {
                 let Some(order) = order else { return };
                 let before = kept.remove(&(order.host, order.address.clone())).map(|(stream, _)| stream);
-                out.spawn_local(carry_out(hub.clone(), order, before));
+                out.spawn_local(carry_out(driver.clone(), order, before));
             }
             Some(done) = out.join_next() => {
                 let room = kept.len() + out.len() < MOST_PROBES;
@@ -56,17 +56,17 @@
 }
 
 /// One probe; its connection can be kept if it was answered in full.
-async fn carry_out(hub: Rc<Hub>, order: Probe, kept: Option<TcpStream>) -> Option<(Place, TcpStream)> {
+async fn carry_out(driver: Rc<Driver>, order: Probe, kept: Option<TcpStream>) -> Option<(Place, TcpStream)> {
     let Probe { pool, host, address, names, wait } = order;
-    let asked = timeout(wait, ask(&address, kept)).await;
-    let (end, stream) = match asked {
+    let answered = timeout(wait, ask(&address, kept)).await;
+    let (end, stream) = match answered {
         Ok(Some((line, stream))) => {
             let end = platform::probe_answer(&line, &names);
             (end, Some(stream).filter(|_| matches!(end, ProbeEnd::Answered(_))))
         }
         _ => (ProbeEnd::Nothing, None),
     };
-    hub.feed(Input::ProbeCompleted { pool, host, end });
+    driver.feed(Input::ProbeCompleted { pool, host, end });
     stream.map(|stream| ((host, address), stream))
 }
 
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -11,8 +11,8 @@
 use tokio::sync::Mutex;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use super::driver::{Hub, Makes, Seen};
-use super::{connection, irc_makes, platform_makes, Fronts};
+use super::driver::{ConnectionFactory, Driver, Seen};
+use super::{connection, irc_factory, platform_factory, Fronts};
 use crate::program::config::{read_file, Config};
 use crate::protocol::flows::{self, Flow};
 use crate::protocol::pcap::{self, Close};
@@ -80,12 +80,12 @@
 
 async fn run(flows: Vec<Flow>, config: Config, which: Which) -> Result<(), String> {
     let fronts = Fronts::open(&config);
-    let makes = match (which, config.irc) {
-        (Which::Irc, Some(irc)) => irc_makes(irc.setup),
-        _ => platform_makes(),
+    let factory = match (which, config.irc) {
+        (Which::Irc, Some(irc)) => irc_factory(irc.setup),
+        _ => platform_factory(),
     };
-    fronts.hub.observe();
-    tokio::task::spawn_local(fronts.hub.clone().keep_time());
+    fronts.driver.observe();
+    tokio::task::spawn_local(fronts.driver.clone().keep_time());
     let gate = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("no loopback: {e}"))?;
     let gate = Rc::new(Mutex::new(gate));
     let (first, begin) = (flows.iter().map(|flow| flow.start).min().unwrap_or(0), Instant::now());
@@ -94,9 +94,10 @@
     let tasks: Vec<_> = flows
         .into_iter()
         .map(|flow| {
-            let (fronts, gate, tally, makes) = (fronts.clone(), gate.clone(), tally.clone(), makes.clone());
+            let (fronts, gate, tally, factory) =
+                (fronts.clone(), gate.clone(), tally.clone(), factory.clone());
             tokio::task::spawn_local(async move {
-                let told = play(&fronts, &gate, &flow, which, &makes, begin, first).await;
+                let told = play(&fronts, &gate, &flow, which, &factory, begin, first).await;
                 let mut tally = tally.borrow_mut();
                 tally.flows += 1;
                 tally.served += usize::from(told.as_ref().is_ok_and(|told| told.contains("served")));
@@ -120,7 +121,7 @@
     gate: &Mutex<TcpListener>,
     flow: &Flow,
     which: Which,
-    makes: &Makes,
+    factory: &ConnectionFactory,
     begin: Instant,
     first: u64,
 ) -> Result<String, String> {
@@ -136,7 +137,7 @@
             Which::Platform => fronts.platform,
             Which::Irc => fronts.irc,
         };
-        (stream, connection::start(&fronts.hub, pool.ok_or("no such front")?, other, makes()))
+        (stream, connection::start(&fronts.driver, pool.ok_or("no such front")?, other, factory()))
     };
     let (mut reader, mut writer) = stream.into_split();
     let (lines, mut told) = tokio::sync::watch::channel(0);
@@ -185,7 +186,7 @@
         }
     }
     let back = timeout(PATIENCE, reading).await.ok().and_then(Result::ok);
-    let mut told = fronts.hub.seen(connection).iter().map(Seen::to_string).collect::<Vec<_>>().join(", ");
+    let mut told = fronts.driver.seen(connection).iter().map(Seen::to_string).collect::<Vec<_>>().join(", ");
     if told.is_empty() {
         told = "never asked".to_owned();
     }
@@ -205,7 +206,7 @@
     Ok(told)
 }
 
-impl Hub {
+impl Driver {
     /// What was seen of a connection.
     fn seen(&self, connection: crate::routing::ConnectionId) -> Vec<Seen> {
         self.observed.borrow().as_ref().and_then(|seen| seen.get(&connection).cloned()).unwrap_or_default()
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -691,7 +691,7 @@
 fn sends_stop_with_the_word_of_a_drain() {
     for standing in [EndpointState::Draining, EndpointState::Gone] {
         let mut bench = Bench::new(settings(), &servers(1));
-        bench.event(Event::EndpointsChanged(&[EndpointEntry { standing, ..listed(1) }]));
+        bench.event(Event::EndpointsChanged(&[EndpointEntry { state: standing, ..listed(1) }]));
         bench.arrive();
         assert_eq!(bench.sent_to(), None);
     }
--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -225,10 +225,10 @@
     }
 
     /// What is answered at its operators' door.
-    pub fn asked(&self, call: &str) -> String {
-        let mut caller = Client::connect(&self.mgmt);
-        caller.say(call);
-        caller.rest()
+    pub fn admin_call(&self, call: &str) -> String {
+        let mut admin_client = Client::connect(&self.mgmt);
+        admin_client.say(call);
+        admin_client.rest()
     }
 
     pub fn exclude(&self, host: &str) {
@@ -264,7 +264,7 @@
 
     /// A figure that it reports, of all its classes together.
     pub fn figure(&self, name: &str) -> u64 {
-        let lines = self.asked("telemetry");
+        let lines = self.admin_call("telemetry");
         let of = |line: &str| {
             let (key, value) = line.split_once(':')?;
             key.split('.').any(|part| part == name).then(|| value.split('|').next()?.parse::<f64>().ok())?
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use connection_balancer::protocol::platform::{greeting, server_reply, Greeting, Word};
+use connection_balancer::protocol::platform::{greeting, server_reply, Greeting, ServerReply};
 use connection_balancer::protocol::{http, irc, platform, Front, Step};
 use connection_balancer::routing::{Answer, AttemptOutcome, Lifecycle};
 use proptest::prelude::*;
@@ -53,12 +53,12 @@
     feed(&mut front, attempt, true);
     feed(&mut front, after, false);
     made.to_client.extend(front.held_back());
-    made.to_client.extend(front.answer(Answer::Moved));
+    made.to_client.extend(front.answer(Answer::Migrated));
     made
 }
 
 fn irc_front() -> irc::Connection {
-    irc::Connection::new(Rc::new(irc::Setup { name: "f".to_owned(), ..irc::Setup::default() }))
+    irc::Connection::new(Rc::new(irc::IrcConfig { name: "f".to_owned(), ..irc::IrcConfig::default() }))
 }
 
 /// A front, what an client asks it with, and what a host accepts with.
@@ -143,10 +143,10 @@
         prop_assert_eq!(http::answer(&bytes[..part], false).unwrap(), None);
         let answer = http::answer(&bytes, false).unwrap().unwrap();
         prop_assert_eq!((answer.status, answer.close, answer.taken), (200, false, bytes.len()));
-        let news = http::news_text(&answer.body).unwrap();
-        prop_assert_eq!((news.generation, news.whole, news.hosts.len()), (41, true, 1));
-        prop_assert_eq!(news.hosts[0].lifecycle, Lifecycle::Draining);
-        prop_assert_eq!(news.hosts[0].started.unwrap().0, 1_700_000_000_123_000);
+        let endpoint_list_update = http::parse_endpoint_list(&answer.body).unwrap();
+        prop_assert_eq!((endpoint_list_update.generation, endpoint_list_update.whole, endpoint_list_update.hosts.len()), (41, true, 1));
+        prop_assert_eq!(endpoint_list_update.hosts[0].lifecycle, Lifecycle::Draining);
+        prop_assert_eq!(endpoint_list_update.hosts[0].started.unwrap().0, 1_700_000_000_123_000);
     }
 }
 
@@ -170,15 +170,15 @@
 #[test]
 fn words_of_issuer_hosts_are_told_apart() {
     let words = [
-        ("UP 7f", Word::Up),
-        ("BYE", Word::Bye),
-        ("MOVE", Word::Move),
-        ("ERR", Word::Error),
-        ("BUSY 200", Word::Busy),
-        ("LOAD 99.25", Word::Load(99.25)),
-        ("M 1 x", Word::Other),
-        ("UPPER", Word::Other),
-        ("", Word::Other),
+        ("UP 7f", ServerReply::Up),
+        ("BYE", ServerReply::Bye),
+        ("MOVE", ServerReply::Move),
+        ("ERR", ServerReply::Error),
+        ("BUSY 200", ServerReply::Busy),
+        ("LOAD 99.25", ServerReply::Load(99.25)),
+        ("M 1 x", ServerReply::Other),
+        ("UPPER", ServerReply::Other),
+        ("", ServerReply::Other),
     ];
     for (line, word) in words {
         assert_eq!(server_reply(line.as_bytes()), word, "{line}");
@@ -189,7 +189,7 @@
 #[test]
 fn first_lines_of_a_leg_decide_it() {
     for (line, end) in [
-        ("BUSY\r\n", AttemptOutcome::TurnedAway),
+        ("BUSY\r\n", AttemptOutcome::Rejected),
         ("ERR\r\n", AttemptOutcome::Error),
         ("SYNTAX\r\n", AttemptOutcome::Error),
     ] {
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -147,7 +147,7 @@
     assert_eq!(up, "UP fresh");
     client.say("hello");
     client.expect("hello");
-    let told = daemon.asked("telemetry");
+    let told = daemon.admin_call("telemetry");
     assert!(told.contains("edge_node.rebalance.platform.returned:1|c"), "{told}");
     let _ = std::fs::remove_file(file);
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -3,30 +3,37 @@
 mod common;
 
 use common::*;
-use connection_balancer::peers::{News, Peers, Setup, Word, SAMPLE};
+use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, SAMPLE};
 use connection_balancer::protocol::peers::{read, write, LONGEST};
 use connection_balancer::*;
 use proptest::prelude::*;
 
 const HOLDS: Micros = 2 * SECOND;
 
-fn slow(host: u32, ms: u64) -> News {
-    News::SlowHost(ServerId(host), ms * MS)
+fn slow(host: u32, ms: u64) -> Observation {
+    Observation::SlowHost(ServerId(host), ms * MS)
 }
 
-fn setup(balancers: u32, price: f64) -> Setup {
-    Setup { on: true, balancers, price, message_objective: 100 * MS, holds: HOLDS, set_up_holds: 600 * MS }
+fn setup(balancers: u32, price: f64) -> GossipConfig {
+    GossipConfig {
+        on: true,
+        balancers,
+        price,
+        message_objective: 100 * MS,
+        holds: HOLDS,
+        set_up_holds: 600 * MS,
+    }
 }
 
 #[test]
 fn each_is_told_of_once_while_the_word_holds_and_not_after_another_balancer_did() {
-    let dropped = |host| News::Dropped(ServerId(host));
-    let news = [
+    let dropped = |host| Observation::Dropped(ServerId(host));
+    let observation = [
         (slow(1, 50), slow(2, 60), HOLDS),
         (dropped(1), dropped(2), HOLDS),
-        (News::SlowSetUps, News::SlowSetUps, 600 * MS),
+        (Observation::SlowSetUps, Observation::SlowSetUps, 600 * MS),
     ];
-    for (own, others, holds) in news {
+    for (own, others, holds) in observation {
         let mut peers = Peers::new(setup(3, 0.0), 7);
         assert!(!peers.tell(START, slow(1, 49)), "under half of the aim messages are in time");
         assert!(peers.tell(START, own));
@@ -36,7 +43,7 @@
         peers.stood();
         assert!(peers.heard(START.plus(2 * holds), others));
         assert!(!peers.tell(START.plus(3 * holds - 1), others));
-        for alone in [setup(1, 0.0), Setup { on: false, ..setup(3, 0.0) }] {
+        for alone in [setup(1, 0.0), GossipConfig { on: false, ..setup(3, 0.0) }] {
             assert!(!Peers::new(alone, 7).tell(START, own), "there is nobody to tell, or it may not be");
         }
     }
@@ -103,10 +110,10 @@
     let settings = Settings { balancers: 300, max_retry_after: SECOND, ..settings() };
     let list = servers(10);
     let mut fleet: Vec<Bench> = (0..300).map(|n| Bench::seeded(settings.clone(), &list, n)).collect();
-    let mut sent_there = |word: bool| {
+    let mut sent_there = |message: bool| {
         let mut count = 0;
         for bench in &mut fleet {
-            if word {
+            if message {
                 bench.event(Event::PeerObservation { server: ServerId(1), took: None });
             }
             for _ in 0..10 {
@@ -152,16 +159,16 @@
         marks in proptest::collection::vec(any::<u16>(), 0..=SAMPLE),
         junk: Vec<u8>,
     ) {
-        let word = |ms| Word {
-            news: host.map_or(News::SlowSetUps, |host| match dropped {
-                true => News::Dropped(ServerId(host)),
+        let message = |ms| GossipMessage {
+            observation: host.map_or(Observation::SlowSetUps, |host| match dropped {
+                true => Observation::Dropped(ServerId(host)),
                 false => slow(host, ms),
             }),
             groups: std::array::from_fn(|n| marks.get(n).copied().map(GroupHash)),
         };
-        let bytes = write(word(ms));
+        let bytes = write(message(ms));
         prop_assert!(bytes.len() <= 16 && bytes.len() <= LONGEST, "longer ones cost more");
-        prop_assert_eq!(read(&bytes), Some(word(ms.min(65_535))));
+        prop_assert_eq!(read(&bytes), Some(message(ms.min(65_535))));
         for cut in 0..bytes.len() {
             prop_assert_eq!(read(&bytes[..cut]), None);
         }
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -4,16 +4,19 @@
 
 use connection_balancer::program::config;
 use connection_balancer::rebalance::view::Connection;
-use connection_balancer::rebalance::{Decision, Held, HostNow, Rebalance, Setup, Terms, Word, World};
+use connection_balancer::rebalance::{
+    Decision, Held, Rebalance, RebalanceConfig, RebalanceContext, RebalanceEvent, ServerSnapshot,
+    SystemConditions,
+};
 use connection_balancer::routing::*;
 use connection_balancer::{ServerId, Time};
 use proptest::prelude::*;
-use reducer_harness::{ask, Desk, HOSTS};
+use reducer_harness::{connection_request, ReducerHarness, HOSTS};
 
 const SECOND: u64 = 1_000_000;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> RebalanceContext {
+    RebalanceContext {
         balancers: 1,
         priority_weights: vec![3.0, 2.0],
         setup_objective: 300_000,
@@ -24,23 +27,23 @@
     }
 }
 
-fn setup() -> Setup {
-    Setup { on: true, most_per_s: 20.0, ..Setup::default() }
+fn setup() -> RebalanceConfig {
+    RebalanceConfig { on: true, max_moves_per_s: 20.0, ..RebalanceConfig::default() }
 }
 
 /// A rebalancing with hosts and a clock.
 struct Rig {
     core: Rebalance,
     now: Time,
-    hosts: Vec<HostNow>,
+    hosts: Vec<ServerSnapshot>,
     next: u64,
-    world: World,
+    world: SystemConditions,
 }
 
 impl Rig {
-    fn new(setup: Setup, terms: Terms, hosts: usize) -> Rig {
+    fn new(setup: RebalanceConfig, terms: RebalanceContext, hosts: usize) -> Rig {
         let now = Time(1_000 * SECOND);
-        let host = |n| HostNow {
+        let host = |n| ServerSnapshot {
             host: ServerId(n),
             ready: true,
             held: 0.0,
@@ -51,9 +54,14 @@
             last_fault: None,
         };
         let hosts = (0..hosts as u32).map(host).collect();
-        let mut rig =
-            Rig { core: Rebalance::new(setup, terms, 7, now), now, hosts, next: 0, world: World::default() };
-        rig.word(Word::EndpointEntry { ready: rig.hosts.len() });
+        let mut rig = Rig {
+            core: Rebalance::new(setup, terms, 7, now),
+            now,
+            hosts,
+            next: 0,
+            world: SystemConditions::default(),
+        };
+        rig.word(RebalanceEvent::EndpointEntry { ready: rig.hosts.len() });
         rig
     }
 
@@ -67,7 +75,7 @@
         rig
     }
 
-    fn word(&mut self, word: Word) {
+    fn word(&mut self, word: RebalanceEvent) {
         self.core.take(self.now, word);
     }
 
@@ -81,7 +89,7 @@
         self.next += 1;
         let (connection, key) = (ConnectionId(self.next), Some(self.next));
         let at = Connection { host: ServerId(host), class: 0, group, load: None, key };
-        self.word(Word::Stood { connection, at, setup: None });
+        self.word(RebalanceEvent::Stood { connection, at, setup: None });
         self.hosts[host as usize].held += 1.0;
         connection
     }
@@ -90,12 +98,12 @@
     fn half(&mut self, slow: Option<u64>) -> Decision {
         self.now = self.now.plus(SECOND / 2);
         if let Some(took) = slow.filter(|_| self.now.0.is_multiple_of(SECOND)) {
-            self.word(Word::Delay { host: ServerId(0), took });
+            self.word(RebalanceEvent::Delay { host: ServerId(0), took });
         }
         let decision = self.core.evaluate(self.now, self.world, &self.hosts);
         for &(connection, host) in &decision.moves {
             self.hosts[host.0 as usize].held -= 1.0;
-            self.word(Word::Ended { connection, natural: false });
+            self.word(RebalanceEvent::Ended { connection, natural: false });
         }
         decision
     }
@@ -110,15 +118,15 @@
     fn back(&mut self, moved: ConnectionId, setup: u64) {
         self.next += 1;
         let (connection, key) = (ConnectionId(self.next + 10_000), Some(moved.0));
-        self.word(Word::Arrived { connection, key, again: true });
+        self.word(RebalanceEvent::Arrived { connection, key, again: true });
         let host = ServerId(self.hosts.len() as u32 - 1);
         let at = Connection { host, class: 0, group: None, load: None, key };
-        self.word(Word::Stood { connection, at, setup: Some(setup) });
+        self.word(RebalanceEvent::Stood { connection, at, setup: Some(setup) });
         self.hosts.last_mut().expect("a host").held += 1.0;
     }
 
     fn held(&self) -> Option<Held> {
-        self.core.figures().held
+        self.core.metrics().held
     }
 }
 
@@ -134,7 +142,7 @@
 #[test]
 fn off_means_off() {
     let mut rig = Rig::lopsided();
-    rig.core.configure(rig.now, Setup { on: false, ..setup() }, terms());
+    rig.core.configure(rig.now, RebalanceConfig { on: false, ..setup() }, terms());
     assert_eq!(rig.core.due(), None);
     assert!(rig.seconds(10, Some(80_000)).is_empty());
 }
@@ -173,8 +181,11 @@
 #[test]
 fn chance_moves_nobody() {
     for tells_delay in [true, false] {
-        let terms =
-            Terms { tells_delay, message_objective: if tells_delay { 100_000 } else { 0 }, ..terms() };
+        let terms = RebalanceContext {
+            tells_delay,
+            message_objective: if tells_delay { 100_000 } else { 0 },
+            ..terms()
+        };
         let mut rig = Rig::new(setup(), terms, 4);
         for (host, count) in [(0, 24), (1, 16), (2, 20), (3, 20)] {
             rig.stand(host, count, None);
@@ -185,7 +196,8 @@
 
 #[test]
 fn where_hosts_tell_nothing_only_what_chance_does_not_explain_moves_anybody() {
-    let mut rig = Rig::new(setup(), Terms { tells_delay: false, message_objective: 0, ..terms() }, 4);
+    let mut rig =
+        Rig::new(setup(), RebalanceContext { tells_delay: false, message_objective: 0, ..terms() }, 4);
     for host in 0..3 {
         rig.stand(host, 200, None);
     }
@@ -217,14 +229,14 @@
         for second in 0..60 {
             rig.seconds(1, Some(80_000));
             rig.hosts[3].started = Some(rig.now);
-            let gone = |connection: &&ConnectionId| rig.core.figures().moved > 0 && !rig.stands(**connection);
+            let gone = |connection: &&ConnectionId| rig.core.metrics().moved > 0 && !rig.stands(**connection);
             for group in &groups {
                 let gone = group.iter().filter(gone).count();
                 assert!(gone == 0 || gone == size, "{gone} of {size} gone in second {second}");
             }
         }
         // Larger ones take more tokens than a low rate saves, or are within their own chance.
-        assert!(size > 2 || rig.core.figures().moved > 0, "no group of {size} ever went");
+        assert!(size > 2 || rig.core.metrics().moved > 0, "no group of {size} ever went");
     }
 }
 
@@ -270,13 +282,13 @@
             back.push(ConnectionId(rig.next + 10_000));
         }
     }
-    let figures = rig.core.figures();
-    assert!(figures.moved > 0 && figures.returned == figures.moved, "{figures:?}");
+    let metrics = rig.core.metrics();
+    assert!(metrics.moved > 0 && metrics.returned == metrics.moved, "{metrics:?}");
     // Now the last host is the one that is full.
     rig.hosts[3].held = 60.0;
     for _ in 0..40 {
         rig.now = rig.now.plus(SECOND / 2);
-        rig.word(Word::Delay { host: ServerId(3), took: 90_000 });
+        rig.word(RebalanceEvent::Delay { host: ServerId(3), took: 90_000 });
         let decision = rig.core.evaluate(rig.now, rig.world, &rig.hosts);
         assert!(decision.moves.iter().all(|(connection, _)| !back.contains(connection)));
     }
@@ -290,8 +302,8 @@
         for _ in 0..20 {
             let connection = rig.one(host, None);
             let at = Connection { host: ServerId(host), class: 0, group: None, load: None, key: None };
-            rig.word(Word::Stood { connection, at, setup: Some(took) });
-            rig.word(Word::Ended { connection, natural: true });
+            rig.word(RebalanceEvent::Stood { connection, at, setup: Some(took) });
+            rig.word(RebalanceEvent::Ended { connection, natural: true });
             rig.hosts[host as usize].held -= 1.0;
         }
     };
@@ -300,7 +312,7 @@
     set_ups(&mut rig, 200_000, 1);
     assert!(rig.seconds(1, Some(80_000)).is_empty());
     assert_eq!(rig.held(), Some(Held::SlowSetUps));
-    assert_eq!(rig.core.figures().rate, 0.0);
+    assert_eq!(rig.core.metrics().rate, 0.0);
     set_ups(&mut rig, 40_000, 1);
     rig.seconds(8, Some(80_000));
     assert_eq!(rig.held(), None);
@@ -319,7 +331,7 @@
     for _ in 0..20 {
         let connection = rig.one(0, None);
         let at = Connection { host: ServerId(0), class: 0, group: None, load: None, key: None };
-        rig.word(Word::Stood { connection, at, setup: Some(400_000) });
+        rig.word(RebalanceEvent::Stood { connection, at, setup: Some(400_000) });
     }
     rig.seconds(1, Some(80_000));
     assert_eq!(rig.held(), None);
@@ -335,8 +347,8 @@
         rig.hosts[3].started = Some(rig.now);
         held |= rig.held() == Some(Held::NotBack);
     }
-    assert!(held, "{:?}", rig.core.figures());
-    let moved = rig.core.figures().moved;
+    assert!(held, "{:?}", rig.core.metrics());
+    let moved = rig.core.metrics().moved;
     assert!(moved <= 16, "{moved} moved, though none came back");
 }
 
@@ -344,7 +356,7 @@
 #[test]
 fn clients_that_come_back_to_another_balancer_do_not_stop_it() {
     let mut rig = Rig::lopsided();
-    rig.core.configure(rig.now, setup(), Terms { balancers: 3, ..terms() });
+    rig.core.configure(rig.now, setup(), RebalanceContext { balancers: 3, ..terms() });
     let mut count = 0;
     for _ in 0..40 {
         for connection in rig.seconds(1, Some(80_000)) {
@@ -354,7 +366,7 @@
             }
             // As many of the others' clients come here.
             if count % 3 == 1 {
-                rig.word(Word::Arrived {
+                rig.word(RebalanceEvent::Arrived {
                     connection: ConnectionId(50_000 + connection.0),
                     key: Some(90_000 + connection.0),
                     again: true,
@@ -383,9 +395,9 @@
                 continue;
             }
             let again = ConnectionId(70_000 + connection.0);
-            rig.word(Word::Arrived { connection: again, key: Some(connection.0), again: true });
-            rig.word(Word::Declined { connection: again });
-            rig.word(Word::Ended { connection: again, natural: false });
+            rig.word(RebalanceEvent::Arrived { connection: again, key: Some(connection.0), again: true });
+            rig.word(RebalanceEvent::Declined { connection: again });
+            rig.word(RebalanceEvent::Ended { connection: again, natural: false });
         }
         let since = rig.now;
         rig.half(Some(80_000));
@@ -395,7 +407,7 @@
         }
         waits.push(rig.now.since(since));
     }
-    assert_eq!(rig.core.figures().refused, 3);
+    assert_eq!(rig.core.metrics().refused, 3);
     assert!(waits[0] >= 2 * SECOND && waits[1] > waits[0] && waits[2] > waits[1], "{waits:?}");
 }
 
@@ -414,7 +426,7 @@
         }
         held |= rig.held() == Some(Held::NoUse);
     }
-    assert!(held, "{:?}", rig.core.figures());
+    assert!(held, "{:?}", rig.core.metrics());
 }
 
 #[test]
@@ -427,17 +439,24 @@
         assert_eq!(moved, 0);
         rig.held()
     };
-    let world = |world: World| held(&move |rig: &mut Rig| rig.world = world);
-    assert_eq!(world(World { leaving: true, ..World::default() }), Some(Held::Leaving));
-    assert_eq!(world(World { handover: true, ..World::default() }), Some(Held::HandOver));
-    assert_eq!(world(World { draining: 1, ..World::default() }), Some(Held::Draining));
-    assert_eq!(held(&|rig| rig.word(Word::Reloaded)), Some(Held::Reload));
-    assert_eq!(held(&|rig| rig.word(Word::ListLost)), Some(Held::ListLost));
-    assert_eq!(held(&|rig| rig.word(Word::EndpointEntry { ready: 2 })), Some(Held::ListShrank));
-    assert_eq!(held(&|rig| rig.word(Word::EndpointEntry { ready: 0 })), Some(Held::ListShrank));
+    let world = |world: SystemConditions| held(&move |rig: &mut Rig| rig.world = world);
+    assert_eq!(world(SystemConditions { leaving: true, ..SystemConditions::default() }), Some(Held::Leaving));
+    assert_eq!(
+        world(SystemConditions { handover: true, ..SystemConditions::default() }),
+        Some(Held::HandOver)
+    );
+    assert_eq!(world(SystemConditions { draining: 1, ..SystemConditions::default() }), Some(Held::Draining));
+    assert_eq!(held(&|rig| rig.word(RebalanceEvent::Reloaded)), Some(Held::Reload));
+    assert_eq!(held(&|rig| rig.word(RebalanceEvent::ListLost)), Some(Held::ListLost));
+    assert_eq!(held(&|rig| rig.word(RebalanceEvent::EndpointEntry { ready: 2 })), Some(Held::ListShrank));
+    assert_eq!(held(&|rig| rig.word(RebalanceEvent::EndpointEntry { ready: 0 })), Some(Held::ListShrank));
     let storm = |rig: &mut Rig| {
         for n in 0..60 {
-            rig.word(Word::Arrived { connection: ConnectionId(80_000 + n), key: None, again: false });
+            rig.word(RebalanceEvent::Arrived {
+                connection: ConnectionId(80_000 + n),
+                key: None,
+                again: false,
+            });
         }
     };
     assert_eq!(held(&storm), Some(Held::Storm));
@@ -449,10 +468,10 @@
 #[test]
 fn holds_end_by_themselves() {
     let mut rig = Rig::lopsided();
-    rig.word(Word::Reloaded);
-    rig.word(Word::ListLost);
+    rig.word(RebalanceEvent::Reloaded);
+    rig.word(RebalanceEvent::ListLost);
     rig.world.draining = 3;
-    rig.word(Word::ListTold);
+    rig.word(RebalanceEvent::ListTold);
     rig.seconds(29, None);
     assert_eq!(rig.held(), Some(Held::Draining));
     rig.seconds(3, None);
@@ -462,7 +481,7 @@
 /// A reload may bring another objective, by which words of slow messages are then judged.
 #[test]
 fn another_message_aim_holds_from_the_reload_on() {
-    let mut rig = Rig::new(setup(), Terms { message_objective: 1_000_000, ..terms() }, 4);
+    let mut rig = Rig::new(setup(), RebalanceContext { message_objective: 1_000_000, ..terms() }, 4);
     (0..3).for_each(|host| drop(rig.stand(host, if host == 0 { 40 } else { 20 }, None)));
     rig.hosts[3].started = Some(rig.now);
     assert!(rig.seconds(10, Some(80_000)).is_empty(), "80 ms are fast where 1 s is wanted");
@@ -514,21 +533,21 @@
                 };
                 match what {
                     0..=3 => {
-                        rig.word(Word::Stood { connection, at, setup: Some(n * 5_000) });
+                        rig.word(RebalanceEvent::Stood { connection, at, setup: Some(n * 5_000) });
                         rig.hosts[host as usize].held += 1.0;
                     }
-                    4 => rig.word(Word::Ended { connection, natural: host > 2 }),
-                    5 => rig.word(Word::Arrived { connection, key: Some(n), again: host > 2 }),
-                    6 => rig.word(Word::Declined { connection }),
-                    7 => rig.word(Word::Load { connection, load: n as f64 * 5_000.0 }),
-                    8 => rig.word(Word::EndpointEntry { ready: host as usize }),
-                    9 => rig.word(if host > 2 { Word::ListLost } else { Word::ListTold }),
+                    4 => rig.word(RebalanceEvent::Ended { connection, natural: host > 2 }),
+                    5 => rig.word(RebalanceEvent::Arrived { connection, key: Some(n), again: host > 2 }),
+                    6 => rig.word(RebalanceEvent::Declined { connection }),
+                    7 => rig.word(RebalanceEvent::Load { connection, load: n as f64 * 5_000.0 }),
+                    8 => rig.word(RebalanceEvent::EndpointEntry { ready: host as usize }),
+                    9 => rig.word(if host > 2 { RebalanceEvent::ListLost } else { RebalanceEvent::ListTold }),
                     10 => rig.hosts[host as usize].ready ^= true,
                     11 => rig.hosts[host as usize].started = Some(rig.now),
                     _ => {
                         for _ in 0..3 {
                             rig.now = rig.now.plus(SECOND);
-                            rig.word(Word::Delay { host: ServerId(host), took: n * 10_000 });
+                            rig.word(RebalanceEvent::Delay { host: ServerId(host), took: n * 10_000 });
                         }
                         let known: Vec<_> = (0..40).filter_map(|n| rig.core.connection(ConnectionId(n))).collect();
                         let decision = rig.core.evaluate(rig.now, rig.world, &rig.hosts);
@@ -538,16 +557,16 @@
                             prop_assert!(rig.hosts[host.0 as usize].ready);
                             let stood = rig.core.connection(connection).map(|(at, _, _)| at.host);
                             prop_assert_eq!(stood, Some(host));
-                            rig.word(Word::Ended { connection, natural: false });
+                            rig.word(RebalanceEvent::Ended { connection, natural: false });
                         }
                         prop_assert!(decision.moves.len() <= known.len());
                         prop_assert!(decision.ceilings.iter().all(|(_, to)| to.is_finite() && *to > 0.0));
                         moves.push(decision);
                     }
                 }
-                let figures = rig.core.figures();
-                prop_assert!(figures.rate.is_finite() && (0.0..=20.0).contains(&figures.rate));
-                prop_assert!(figures.returned <= figures.moved && figures.refused <= figures.returned);
+                let metrics = rig.core.metrics();
+                prop_assert!(metrics.rate.is_finite() && (0.0..=20.0).contains(&metrics.rate));
+                prop_assert!(metrics.returned <= metrics.moved && metrics.refused <= metrics.returned);
             }
             Ok(moves)
         };
@@ -557,52 +576,53 @@
 
 // ---- In the reducer ----
 
-fn balancing() -> PoolSetup {
-    PoolSetup {
-        rebalance: Setup { on: true, most_per_s: 20.0, ..Setup::default() },
+fn balancing() -> PoolConfig {
+    PoolConfig {
+        rebalance: RebalanceConfig { on: true, max_moves_per_s: 20.0, ..RebalanceConfig::default() },
         ..reducer_harness::setup()
     }
 }
 
 /// A reducer that rebalances, with hosts 0 and 1 and so many connections at the first.
-fn crowded() -> (Desk, Vec<ConnectionId>) {
-    let mut desk = Desk::new();
+fn crowded() -> (ReducerHarness, Vec<ConnectionId>) {
+    let mut harness = ReducerHarness::new();
     let setups = vec![balancing()];
-    desk.put(Input::ConfigurationChanged {
+    harness.feed(Input::ConfigurationChanged {
         pools: setups,
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
     let mut connections = Vec::new();
     for n in 0..40 {
-        let connection = desk.met();
+        let connection = harness.connect_client();
         let at = HOSTS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
-        let ask = ConnectionRequest { standing_at: Some(at), key: Some(connection.0), ..ask() };
-        desk.put(Input::ConnectionRequested { connection, ask });
-        desk.put(Input::RequestForwarded { connection, attempt: 0 });
-        desk.put(Input::AttemptAccepted { connection, attempt: 0 });
-        desk.put(Input::LoadReported { connection, load: 60_000.0 });
+        let ask =
+            ConnectionRequest { established_at: Some(at), key: Some(connection.0), ..connection_request() };
+        harness.feed(Input::ConnectionRequested { connection, ask });
+        harness.feed(Input::RequestForwarded { connection, attempt: 0 });
+        harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
+        harness.feed(Input::LoadReported { connection, load: 60_000.0 });
         connections.push(connection);
     }
     // The last host is back: the list says that it started just now.
-    desk.restarted(4);
-    (desk, connections)
+    harness.restarted(4);
+    (harness, connections)
 }
 
-fn moved(desk: &mut Desk, connections: &[ConnectionId], seconds: u32) -> Vec<ConnectionId> {
+fn moved(harness: &mut ReducerHarness, connections: &[ConnectionId], seconds: u32) -> Vec<ConnectionId> {
     let mut moved = Vec::new();
     for _ in 0..seconds {
         for tenth in 0..10 {
-            desk.pass(100_000);
-            let mut effects = desk.put(Input::TimerFired);
+            harness.advance(100_000);
+            let mut effects = harness.feed(Input::TimerFired);
             if let (0, Some(&connection)) =
                 (tenth, connections.iter().find(|connection| !moved.contains(*connection)))
             {
                 // A third of the objective: no cause for the module to move anybody by itself.
-                effects.extend(desk.put(Input::LoadReported { connection, load: 45.0 }));
+                effects.extend(harness.feed(Input::LoadReported { connection, load: 45.0 }));
             }
             moved.extend(effects.iter().filter_map(|effect| match effect {
-                Effect::Answer { connection, answer: Answer::Moved } => Some(*connection),
+                Effect::Answer { connection, answer: Answer::Migrated } => Some(*connection),
                 _ => None,
             }));
         }
@@ -612,52 +632,57 @@
 
 #[test]
 fn the_reducer_moves_clients_of_a_pressed_host_and_tells_how_many() {
-    let (mut desk, connections) = crowded();
-    let gone = moved(&mut desk, &connections, 15);
+    let (mut harness, connections) = crowded();
+    let gone = moved(&mut harness, &connections, 15);
     assert!(!gone.is_empty(), "nobody moved");
     assert!(gone.iter().all(|connection| connections[..25].contains(connection)));
-    let reply = desk.put(Input::AdminRequest { caller: CallerId(1), call: Call::Telemetry });
-    let Some(Effect::AdminReply { reply: Reply::Figures(figures), .. }) = reply.last() else {
+    let reply =
+        harness.feed(Input::AdminRequest { admin_client: AdminClientId(1), call: AdminCall::Telemetry });
+    let Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) = reply.last() else {
         panic!("{reply:?}")
     };
-    assert_eq!(figures.rebalance["platform"].moved as usize, gone.len());
+    assert_eq!(metrics.rebalance["platform"].moved as usize, gone.len());
     // One comes back and is known by its key.
-    let connection = desk.met();
-    desk.put(Input::ConnectionRequested {
+    let connection = harness.connect_client();
+    harness.feed(Input::ConnectionRequested {
         connection,
-        ask: ConnectionRequest { key: gone.last().map(|connection| connection.0), again: true, ..ask() },
+        ask: ConnectionRequest {
+            key: gone.last().map(|connection| connection.0),
+            again: true,
+            ..connection_request()
+        },
     });
-    assert_eq!(desk.state.rebalancing(0).map(|figures| figures.returned), Some(1));
+    assert_eq!(harness.state.rebalancing(0).map(|metrics| metrics.returned), Some(1));
 }
 
 #[test]
 fn the_reducer_moves_nobody_for_balance_while_it_leaves_or_hands_over() {
-    let (mut desk, connections) = crowded();
-    desk.put(Input::SuccessorStarted);
-    assert!(moved(&mut desk, &connections, 15).is_empty());
-    let (mut desk, connections) = crowded();
-    desk.put(Input::ShutdownRequested);
-    moved(&mut desk, &connections, 3);
-    assert_eq!(desk.state.rebalancing(0).map(|figures| figures.moved), Some(0));
+    let (mut harness, connections) = crowded();
+    harness.feed(Input::SuccessorStarted);
+    assert!(moved(&mut harness, &connections, 15).is_empty());
+    let (mut harness, connections) = crowded();
+    harness.feed(Input::ShutdownRequested);
+    moved(&mut harness, &connections, 3);
+    assert_eq!(harness.state.rebalancing(0).map(|metrics| metrics.moved), Some(0));
 }
 
 #[test]
 fn a_drain_comes_first() {
-    let (mut desk, connections) = crowded();
-    desk.drain(1);
-    assert!(moved(&mut desk, &connections, 15).is_empty());
+    let (mut harness, connections) = crowded();
+    harness.drain(1);
+    assert!(moved(&mut harness, &connections, 15).is_empty());
 }
 
 #[test]
 fn a_reload_that_turns_it_off_ends_it() {
-    let (mut desk, connections) = crowded();
-    desk.put(Input::ConfigurationChanged {
+    let (mut harness, connections) = crowded();
+    harness.feed(Input::ConfigurationChanged {
         pools: vec![reducer_harness::setup()],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
-    assert!(moved(&mut desk, &connections, 15).is_empty());
-    assert_eq!(desk.state.rebalancing(0), None);
+    assert!(moved(&mut harness, &connections, 15).is_empty());
+    assert_eq!(harness.state.rebalancing(0), None);
 }
 
 // ---- Settings ----
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -10,24 +10,24 @@
 
 pub const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
 
-pub struct Desk {
+pub struct ReducerHarness {
     pub state: State,
     pub now: Time,
     next: u64,
 }
 
-pub fn ask() -> ConnectionRequest {
+pub fn connection_request() -> ConnectionRequest {
     ConnectionRequest { class: "chat".to_owned(), wait: Some(WAIT), ..ConnectionRequest::default() }
 }
 
-pub fn setup() -> PoolSetup {
+pub fn setup() -> PoolConfig {
     let class = Class {
         priority_weight: 1.0,
         setup_objective: 300_000,
         message_objective: 100_000,
         idempotency: Idempotency::Idempotent,
     };
-    PoolSetup {
+    PoolConfig {
         name: "platform",
         classes: vec!["chat".to_owned(), "wallet".to_owned()],
         tenants: Vec::new(),
@@ -50,35 +50,39 @@
         tells_load: true,
         reports: Vec::new(),
         longest_wait: WAIT,
-        rebalance: rebalance::Setup::default(),
+        rebalance: rebalance::RebalanceConfig::default(),
         peers: None,
     }
 }
 
-impl Desk {
-    pub fn new() -> Desk {
-        Desk::with(BUDGET)
+impl ReducerHarness {
+    pub fn new() -> ReducerHarness {
+        ReducerHarness::with(BUDGET)
     }
 
-    pub fn with(budget: Budget) -> Desk {
-        let mut desk = Desk::of(budget);
-        let hosts = desk.hosts();
-        desk.put(Input::EndpointsUpdated { pool: 0, whole: true, hosts });
-        desk.put(Input::Listening);
-        desk
+    pub fn with(budget: Budget) -> ReducerHarness {
+        let mut harness = ReducerHarness::of(budget);
+        let hosts = harness.hosts();
+        harness.feed(Input::EndpointsUpdated { pool: 0, whole: true, hosts });
+        harness.feed(Input::Listening);
+        harness
     }
 
     /// One that has heard of its hosts before its start only.
-    pub fn unready() -> Desk {
-        let mut desk = Desk::of(BUDGET);
-        let hosts = desk.hosts();
-        desk.put(Input::CachedEndpoints { pool: 0, hosts });
-        desk
+    pub fn unready() -> ReducerHarness {
+        let mut harness = ReducerHarness::of(BUDGET);
+        let hosts = harness.hosts();
+        harness.feed(Input::CachedEndpoints { pool: 0, hosts });
+        harness
     }
 
-    fn of(budget: Budget) -> Desk {
+    fn of(budget: Budget) -> ReducerHarness {
         let now = Time(1_000_000_000);
-        Desk { state: State::new(vec![setup()], StoreSetup::default(), budget, now), now, next: 0 }
+        ReducerHarness {
+            state: State::new(vec![setup()], ReplicationConfig::default(), budget, now),
+            now,
+            next: 0,
+        }
     }
 
     fn hosts(&self) -> Vec<Endpoint> {
@@ -95,40 +99,40 @@
         Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
     }
 
-    pub fn put(&mut self, input: Input) -> Vec<Effect> {
+    pub fn feed(&mut self, input: Input) -> Vec<Effect> {
         reduce(&mut self.state, self.now, input)
     }
 
-    pub fn pass(&mut self, time: Micros) {
+    pub fn advance(&mut self, time: Micros) {
         self.now = self.now.plus(time);
     }
 
-    pub fn met(&mut self) -> ConnectionId {
-        self.met_with().0
+    pub fn connect_client(&mut self) -> ConnectionId {
+        self.connect_client_with_effects().0
     }
 
     /// One that connects, and what that leads to.
-    pub fn met_with(&mut self) -> (ConnectionId, Vec<Effect>) {
+    pub fn connect_client_with_effects(&mut self) -> (ConnectionId, Vec<Effect>) {
         self.next += 1;
         let connection = ConnectionId(self.next);
-        (connection, self.put(Input::ClientConnected { connection, pool: 0 }))
+        (connection, self.feed(Input::ClientConnected { connection, pool: 0 }))
     }
 
     /// A connection whose first attempt is written, and where to.
-    pub fn written(&mut self) -> (ConnectionId, usize) {
-        let connection = self.met();
-        let effects = self.put(Input::ConnectionRequested { connection, ask: ask() });
+    pub fn forward_request(&mut self) -> (ConnectionId, usize) {
+        let connection = self.connect_client();
+        let effects = self.feed(Input::ConnectionRequested { connection, ask: connection_request() });
         let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
             panic!("no leg: {effects:?}")
         };
         let host = HOSTS.iter().position(|h| self.address(h) == *address).expect("a listed host");
-        self.put(Input::RequestForwarded { connection, attempt: 0 });
+        self.feed(Input::RequestForwarded { connection, attempt: 0 });
         (connection, host)
     }
 
-    pub fn standing(&mut self) -> ConnectionId {
-        let (connection, _) = self.written();
-        self.put(Input::AttemptAccepted { connection, attempt: 0 });
+    pub fn established(&mut self) -> ConnectionId {
+        let (connection, _) = self.forward_request();
+        self.feed(Input::AttemptAccepted { connection, attempt: 0 });
         connection
     }
 
@@ -139,11 +143,11 @@
     /// The list says that a host has started now.
     pub fn restarted(&mut self, host: usize) -> Vec<Effect> {
         let host = Endpoint { started: Some(self.now), ..self.host(host, Lifecycle::Ready) };
-        self.put(Input::EndpointsUpdated { pool: 0, whole: false, hosts: vec![host] })
+        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, hosts: vec![host] })
     }
 
     pub fn list(&mut self, host: usize, lifecycle: Lifecycle) -> Vec<Effect> {
         let hosts = vec![self.host(host, lifecycle)];
-        self.put(Input::EndpointsUpdated { pool: 0, whole: false, hosts })
+        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, hosts })
     }
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -2,27 +2,28 @@
 
 mod reducer_harness;
 
-use connection_balancer::peers::{News, Word};
+use connection_balancer::peers::{GossipMessage, Observation};
 use connection_balancer::routing::*;
 use connection_balancer::{Class, Idempotency, LoadReport, ServerId};
-use reducer_harness::{ask, Desk, HOSTS, WAIT};
+use reducer_harness::{connection_request, ReducerHarness, HOSTS, WAIT};
 
 /// Seen on the bench: hosts tell a message's time by the same word as a load. Taken for a load it made the
 /// slowest host look empty (a calm day kept 0.68 of the simulator's result, 0.99 since).
 #[test]
 fn a_small_figure_is_a_message_time_and_no_load() {
-    let mut desk = Desk::new();
-    let connections: Vec<ConnectionId> = (0..12).map(|_| desk.standing()).collect();
+    let mut harness = ReducerHarness::new();
+    let connections: Vec<ConnectionId> = (0..12).map(|_| harness.established()).collect();
     for &connection in &connections {
-        desk.put(Input::LoadReported { connection, load: 60_000.0 });
+        harness.feed(Input::LoadReported { connection, load: 60_000.0 });
     }
     // Aim 100 ms: messages of 99 ms are far too slow, and a connection of this host has to leave.
     let mut moved = 0;
     for second in 0..20 {
-        desk.pass(1_000_000);
+        harness.advance(1_000_000);
         let effects =
-            desk.put(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
-        moved += effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Moved, .. })).count();
+            harness.feed(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
+        moved +=
+            effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. })).count();
     }
     assert!(moved > 0, "no connection left a host that is slow");
 }
@@ -32,21 +33,23 @@
 #[test]
 fn where_no_loads_are_told_every_figure_is_a_message_time() {
     let moved = |tells_load: bool| {
-        let mut desk = Desk::new();
-        let setup = PoolSetup { tells_load, ..reducer_harness::setup() };
-        desk.put(Input::ConfigurationChanged {
+        let mut harness = ReducerHarness::new();
+        let setup = PoolConfig { tells_load, ..reducer_harness::setup() };
+        harness.feed(Input::ConfigurationChanged {
             pools: vec![setup],
             peers: Vec::new(),
             budget: reducer_harness::BUDGET,
         });
-        let connections: Vec<ConnectionId> = (0..12).map(|_| desk.standing()).collect();
+        let connections: Vec<ConnectionId> = (0..12).map(|_| harness.established()).collect();
         let mut moved = 0;
         for second in 0..20 {
-            desk.pass(1_000_000);
-            let effects =
-                desk.put(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
-            moved +=
-                effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Moved, .. })).count();
+            harness.advance(1_000_000);
+            let effects = harness
+                .feed(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
+            moved += effects
+                .iter()
+                .filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. }))
+                .count();
         }
         moved
     };
@@ -55,16 +58,16 @@
 }
 
 /// A desk whose hosts may be probed, and the probes among effects.
-fn probing() -> Desk {
-    let mut desk = Desk::new();
+fn probing() -> ReducerHarness {
+    let mut harness = ReducerHarness::new();
     let mut setup = reducer_harness::setup();
     (setup.settings.probes, setup.settings.probe_reports, setup.reports) = (true, true, vec!["x0"]);
-    desk.put(Input::ConfigurationChanged {
+    harness.feed(Input::ConfigurationChanged {
         pools: vec![setup],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
-    desk
+    harness
 }
 
 fn probed(effects: &[Effect]) -> Vec<ServerId> {
@@ -78,12 +81,12 @@
 }
 
 /// Has this many connections come to stand, each with a minute after it, and tells which hosts were probed.
-fn probed_by(desk: &mut Desk, connections: usize) -> Vec<ServerId> {
+fn probed_by(harness: &mut ReducerHarness, connections: usize) -> Vec<ServerId> {
     let mut hosts = Vec::new();
     for _ in 0..connections {
-        let (connection, _) = desk.written();
-        hosts.extend(probed(&desk.put(Input::AttemptAccepted { connection, attempt: 0 })));
-        desk.pass(60_000_000);
+        let (connection, _) = harness.forward_request();
+        hosts.extend(probed(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
+        harness.advance(60_000_000);
     }
     hosts
 }
@@ -91,27 +94,27 @@
 /// Danger: a host that does not answer has enough to do, and one that leaves may be sent nothing new.
 #[test]
 fn a_host_is_probed_once_at_a_time_and_not_when_it_leaves() {
-    let mut desk = probing();
-    let mut first = probed_by(&mut desk, 30);
+    let mut harness = probing();
+    let mut first = probed_by(&mut harness, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
-    desk.put(Input::ProbeCompleted { pool: 0, host: ServerId(2), end: ProbeEnd::Nothing });
-    desk.put(Input::ProbeCompleted { pool: 0, host: ServerId(3), end: ProbeEnd::Nothing });
-    desk.drain(1);
-    let again = probed_by(&mut desk, 10);
+    harness.feed(Input::ProbeCompleted { pool: 0, host: ServerId(2), end: ProbeEnd::Nothing });
+    harness.feed(Input::ProbeCompleted { pool: 0, host: ServerId(3), end: ProbeEnd::Nothing });
+    harness.drain(1);
+    let again = probed_by(&mut harness, 10);
     assert!(again.contains(&ServerId(3)) && again.iter().all(|host| *host == ServerId(3)), "{again:?}");
 }
 
 /// A host that does not want to be probed is left alone until it has started again.
 #[test]
 fn a_host_that_says_no_to_probes_is_not_asked_again() {
-    let mut desk = probing();
-    for host in probed_by(&mut desk, 10) {
-        desk.put(Input::ProbeCompleted { pool: 0, host, end: ProbeEnd::Unwanted });
+    let mut harness = probing();
+    for host in probed_by(&mut harness, 10) {
+        harness.feed(Input::ProbeCompleted { pool: 0, host, end: ProbeEnd::Unwanted });
     }
-    assert_eq!(probed_by(&mut desk, 10), []);
-    desk.restarted(0);
-    assert_eq!(probed_by(&mut desk, 10), [ServerId(1)]);
+    assert_eq!(probed_by(&mut harness, 10), []);
+    harness.restarted(0);
+    assert_eq!(probed_by(&mut harness, 10), [ServerId(1)]);
 }
 
 /// Danger: a host that has started again is cold, and what it told before would make it look idle; and one that is
@@ -119,14 +122,14 @@
 #[test]
 fn a_report_counts_for_the_process_that_gave_it() {
     let full = |restarts: bool| {
-        let mut desk = probing();
-        probed_by(&mut desk, 10);
+        let mut harness = probing();
+        probed_by(&mut harness, 10);
         if restarts {
-            desk.restarted(0);
+            harness.restarted(0);
         }
-        desk.pass(60_000_000);
-        desk.put(Input::ProbeCompleted { pool: 0, host: ServerId(1), end: report(3.0) });
-        (0..10).filter(|_| desk.written().1 == 0).count()
+        harness.advance(60_000_000);
+        harness.feed(Input::ProbeCompleted { pool: 0, host: ServerId(1), end: report(3.0) });
+        (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
     assert_eq!(full(false), 0, "it is asked three times what it can do");
     assert!(full(true) > 0, "that was the process before");
@@ -135,12 +138,12 @@
 /// Danger: an attempt that waits for its connection must not write to a host told to be draining meanwhile.
 #[test]
 fn an_unwritten_leg_is_closed_when_its_host_drains_and_goes_elsewhere() {
-    let mut desk = Desk::new();
-    let connection = desk.met();
-    let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
+    let mut harness = ReducerHarness::new();
+    let connection = harness.connect_client();
+    let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
     let Some(Effect::OpenAttempt { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
-    let host = HOSTS.iter().position(|h| desk.address(h) == *address).expect("a listed host");
-    let effects = desk.drain(host);
+    let host = HOSTS.iter().position(|h| harness.address(h) == *address).expect("a listed host");
+    let effects = harness.drain(host);
     assert!(matches!(effects[0], Effect::CloseAttempt { .. }), "{effects:?}");
     let Effect::OpenAttempt { address: next, attempt: 1, .. } = &effects[1] else { panic!("{effects:?}") };
     assert_ne!(next, address);
@@ -149,59 +152,64 @@
 /// A written attempt stays: the host may have it already, and never are two out at once.
 #[test]
 fn a_written_leg_stays_when_its_host_drains() {
-    let mut desk = Desk::new();
-    let (connection, host) = desk.written();
-    assert_eq!(desk.drain(host), []);
-    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 0 }), []);
+    let mut harness = ReducerHarness::new();
+    let (connection, host) = harness.forward_request();
+    assert_eq!(harness.drain(host), []);
+    assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
 /// Seen on the bench (`split+mass`, seed 1) with an early form of the words of slow set-ups: told before the module knew
 /// that the connection stands, they let it find the request overdue, and refuse what its host had accepted.
 #[test]
 fn what_stands_at_the_last_moment_is_served() {
-    let mut desk = Desk::new();
-    let (connection, _) = desk.written();
-    desk.pass(WAIT);
-    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 0 }), []);
-    assert_eq!(desk.put(Input::TimerFired), []);
+    let mut harness = ReducerHarness::new();
+    let (connection, _) = harness.forward_request();
+    harness.advance(WAIT);
+    assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
+    assert_eq!(harness.feed(Input::TimerFired), []);
 }
 
 /// A host that drops what stood is told of once, one that was about to leave is not; and who hears of it has half of its
 /// free room there.
 #[test]
 fn a_drop_is_told_to_the_tier_and_heeded() {
-    let words = |effects: &[Effect]| -> Vec<Word> {
-        let word =
-            |effect: &Effect| if let Effect::BroadcastGossip(word) = effect { Some(*word) } else { None };
-        effects.iter().filter_map(word).collect()
+    let words = |effects: &[Effect]| -> Vec<GossipMessage> {
+        let message = |effect: &Effect| {
+            if let Effect::BroadcastGossip(message) = effect {
+                Some(*message)
+            } else {
+                None
+            }
+        };
+        effects.iter().filter_map(message).collect()
     };
     let fleet = || {
-        let mut desk = Desk::new();
+        let mut harness = ReducerHarness::new();
         let mut setup = reducer_harness::setup();
         (setup.settings.balancers, setup.peers) = (300, Some(0.0));
-        desk.put(Input::ConfigurationChanged {
+        harness.feed(Input::ConfigurationChanged {
             pools: vec![setup],
             peers: Vec::new(),
             budget: reducer_harness::BUDGET,
         });
-        desk
+        harness
     };
     let (mut teller, mut hearer) = (fleet(), fleet());
-    let (connection, host) = teller.written();
-    teller.put(Input::AttemptAccepted { connection, attempt: 0 });
+    let (connection, host) = teller.forward_request();
+    teller.feed(Input::AttemptAccepted { connection, attempt: 0 });
     let told =
-        words(&teller.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken }));
-    let [word] = told[..] else { panic!("{told:?}") };
-    assert_eq!(word.news, News::Dropped(host_number(HOSTS[host])));
-    hearer.put(Input::GossipReceived { pool: 0, word });
+        words(&teller.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }));
+    let [message] = told[..] else { panic!("{told:?}") };
+    assert_eq!(message.observation, Observation::Dropped(host_number(HOSTS[host])));
+    hearer.feed(Input::GossipReceived { pool: 0, message });
     // Each of the five has four slots at first, that one half of them now.
-    let there = (0..18).filter(|_| hearer.written().1 == host).count();
+    let there = (0..18).filter(|_| hearer.forward_request().1 == host).count();
     assert_eq!(there, 2, "of 18 after a word of {host}");
-    let (connection, host) = hearer.written();
-    hearer.put(Input::AttemptAccepted { connection, attempt: 0 });
+    let (connection, host) = hearer.forward_request();
+    hearer.feed(Input::AttemptAccepted { connection, attempt: 0 });
     hearer.drain(host);
     assert_eq!(
-        words(&hearer.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken })),
+        words(&hearer.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset })),
         [],
         "it leaves"
     );
@@ -210,40 +218,43 @@
 /// Danger: late words of an ended attempt must not be taken for the next one's.
 #[test]
 fn words_of_an_ended_leg_change_nothing() {
-    let mut desk = Desk::new();
-    let (connection, _) = desk.written();
-    let effects = desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::TurnedAway });
+    let mut harness = ReducerHarness::new();
+    let (connection, _) = harness.forward_request();
+    let effects = harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Rejected });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
-    assert_eq!(desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken }), []);
-    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 0 }), []);
-    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 1 }), []);
+    assert_eq!(harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }), []);
+    assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
+    assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
 /// Danger: a host that vanished says nothing; a connection is lost after 7 s of that.
 #[test]
 fn a_silent_host_has_its_clients_moved_but_an_idle_one_has_not() {
-    let mut desk = Desk::new();
-    let (idle, asked) = (desk.standing(), desk.standing());
-    desk.put(Input::LineForwarded { connection: asked });
-    desk.pass(5_000_001);
-    let effects = desk.put(Input::TimerFired);
-    let moved = Effect::Answer { connection: asked, answer: Answer::Moved };
+    let mut harness = ReducerHarness::new();
+    let (idle, waiting) = (harness.established(), harness.established());
+    harness.feed(Input::LineForwarded { connection: waiting });
+    harness.advance(5_000_001);
+    let effects = harness.feed(Input::TimerFired);
+    let moved = Effect::Answer { connection: waiting, answer: Answer::Migrated };
     assert!(effects.contains(&moved), "{effects:?}");
-    assert!(!effects.contains(&Effect::Answer { connection: idle, answer: Answer::Moved }), "{effects:?}");
+    assert!(!effects.contains(&Effect::Answer { connection: idle, answer: Answer::Migrated }), "{effects:?}");
 }
 
 /// At SIGTERM everyone is moved, what still arrives is answered at once, and then the balancer may go.
 #[test]
 fn a_balancer_that_leaves_moves_everyone_and_answers_what_arrives() {
-    let mut desk = Desk::new();
-    let standing = desk.standing();
-    desk.put(Input::ShutdownRequested);
-    let late = desk.met();
-    let effects = desk.put(Input::ConnectionRequested { connection: late, ask: ask() });
-    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(1..), .. }]), "{effects:?}");
-    desk.pass(3_400_000);
-    let effects = desk.put(Input::TimerFired);
-    assert!(effects.contains(&Effect::Answer { connection: standing, answer: Answer::Moved }), "{effects:?}");
+    let mut harness = ReducerHarness::new();
+    let standing = harness.established();
+    harness.feed(Input::ShutdownRequested);
+    let late = harness.connect_client();
+    let effects = harness.feed(Input::ConnectionRequested { connection: late, ask: connection_request() });
+    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
+    harness.advance(3_400_000);
+    let effects = harness.feed(Input::TimerFired);
+    assert!(
+        effects.contains(&Effect::Answer { connection: standing, answer: Answer::Migrated }),
+        "{effects:?}"
+    );
     assert_eq!(effects.last(), Some(&Effect::Exit));
 }
 
@@ -251,16 +262,16 @@
 /// here as well as anywhere, and better than by a balancer that has only just started.
 #[test]
 fn a_balancer_that_leaves_uses_its_time_and_no_more() {
-    let mut desk = Desk::new();
+    let mut harness = ReducerHarness::new();
     for _ in 0..30 {
-        desk.standing();
+        harness.established();
     }
-    desk.put(Input::ShutdownRequested);
+    harness.feed(Input::ShutdownRequested);
     let (mut moved, mut late, mut exit) = (0, 0, None);
     for tenth in 1..=37 {
-        desk.pass(100_000);
-        for effect in desk.put(Input::TimerFired) {
-            let moves = matches!(effect, Effect::Answer { answer: Answer::Moved, .. });
+        harness.advance(100_000);
+        for effect in harness.feed(Input::TimerFired) {
+            let moves = matches!(effect, Effect::Answer { answer: Answer::Migrated, .. });
             moved += usize::from(moves);
             late += usize::from(moves && tenth > 15);
             exit = exit.or((effect == Effect::Exit).then_some(tenth));
@@ -274,54 +285,54 @@
 /// Danger: the front goes on sending for 0.4 s; what comes then must still find somebody.
 #[test]
 fn a_balancer_that_holds_nothing_still_stays_a_while_when_it_leaves() {
-    let mut desk = Desk::new();
-    assert!(!desk.put(Input::ShutdownRequested).contains(&Effect::Exit));
-    desk.pass(400_000);
-    assert!(!desk.put(Input::TimerFired).contains(&Effect::Exit));
-    desk.pass(600_000);
-    assert_eq!(desk.put(Input::TimerFired).last(), Some(&Effect::Exit));
+    let mut harness = ReducerHarness::new();
+    assert!(!harness.feed(Input::ShutdownRequested).contains(&Effect::Exit));
+    harness.advance(400_000);
+    assert!(!harness.feed(Input::TimerFired).contains(&Effect::Exit));
+    harness.advance(600_000);
+    assert_eq!(harness.feed(Input::TimerFired).last(), Some(&Effect::Exit));
 }
 
 /// A connection that its host has ended must be moved within a second: what is gone answers nobody.
 #[test]
 fn clients_of_a_host_that_is_gone_are_moved_at_once() {
-    let mut desk = Desk::new();
-    let (connection, host) = desk.written();
-    desk.put(Input::AttemptAccepted { connection, attempt: 0 });
-    let effects = desk.list(host, Lifecycle::Gone);
-    let moved = Effect::Answer { connection, answer: Answer::Moved };
+    let mut harness = ReducerHarness::new();
+    let (connection, host) = harness.forward_request();
+    harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
+    let effects = harness.list(host, Lifecycle::Gone);
+    let moved = Effect::Answer { connection, answer: Answer::Migrated };
     assert_eq!(effects, [moved, Effect::CloseAttempt { connection }]);
 }
 
 /// A connection that stood before the start is tried again while its host does not take it.
 #[test]
 fn a_standing_connection_is_tried_again_at_its_own_host() {
-    let mut desk = Desk::new();
-    let connection = desk.met();
-    let at = ConnectionRequest { standing_at: Some(HOSTS[1].to_owned()), ..ask() };
-    let effects = desk.put(Input::ConnectionRequested { connection, ask: at });
+    let mut harness = ReducerHarness::new();
+    let connection = harness.connect_client();
+    let at = ConnectionRequest { established_at: Some(HOSTS[1].to_owned()), ..connection_request() };
+    let effects = harness.feed(Input::ConnectionRequested { connection, ask: at });
     let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
-    assert_eq!(*address, desk.address(HOSTS[1]));
-    desk.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::NoConnection });
-    desk.pass(600_000);
-    let effects = desk.put(Input::TimerFired);
+    assert_eq!(*address, harness.address(HOSTS[1]));
+    harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::ConnectFailed });
+    harness.advance(600_000);
+    let effects = harness.feed(Input::TimerFired);
     assert!(
         matches!(&effects[..], [Effect::OpenAttempt { address: again, attempt: 1, .. }] if again == address),
         "{effects:?}"
     );
-    assert_eq!(desk.put(Input::AttemptAccepted { connection, attempt: 1 }), []);
+    assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
 /// Danger: "at" may name a host that there never was. It was tried six times, at no address, before the error.
 #[test]
 fn one_that_stood_at_no_listed_host_has_its_error_within_three_seconds() {
-    let mut desk = Desk::new();
-    let connection = desk.met();
-    let at = ConnectionRequest { standing_at: Some("s-0000dead".to_owned()), ..ask() };
-    let mut effects = desk.put(Input::ConnectionRequested { connection, ask: at });
+    let mut harness = ReducerHarness::new();
+    let connection = harness.connect_client();
+    let at = ConnectionRequest { established_at: Some("s-0000dead".to_owned()), ..connection_request() };
+    let mut effects = harness.feed(Input::ConnectionRequested { connection, ask: at });
     for _ in 0..28 {
-        desk.pass(100_000);
-        effects.extend(desk.put(Input::TimerFired));
+        harness.advance(100_000);
+        effects.extend(harness.feed(Input::TimerFired));
     }
     assert_eq!(effects.first(), Some(&Effect::Answer { connection, answer: Answer::Failed }));
 }
@@ -329,82 +340,85 @@
 /// A request that the module gives up on is answered at once, with when to come back.
 #[test]
 fn a_refusal_comes_at_once_and_says_when_to_come_back() {
-    let mut desk = Desk::new();
+    let mut harness = ReducerHarness::new();
     for host in 0..HOSTS.len() {
-        desk.drain(host);
+        harness.drain(host);
     }
-    let connection = desk.met();
-    let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
-    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(1..), .. }]), "{effects:?}");
+    let connection = harness.connect_client();
+    let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
 }
 
 /// Danger: silent connections by the hundred, and such as do not go when they are answered, would use up the
 /// descriptors. The oldest makes room, but none that may still have its line on the way.
 #[test]
 fn connections_without_a_leg_make_room_for_those_who_ask() {
-    let mut desk = Desk::with(Budget { waiting: 3, held: 2, buffer: 8192 });
-    let silent = desk.met();
-    let answered = desk.met();
-    desk.put(Input::ConnectionRequested {
+    let mut harness = ReducerHarness::with(Budget { waiting: 3, held: 2, buffer: 8192 });
+    let silent = harness.connect_client();
+    let answered = harness.connect_client();
+    harness.feed(Input::ConnectionRequested {
         connection: answered,
-        ask: ConnectionRequest { class: "none".to_owned(), ..ask() },
+        ask: ConnectionRequest { class: "none".to_owned(), ..connection_request() },
     });
-    let (third, effects) = desk.met_with();
+    let (third, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::SetAccepting { open: false }], "all may still ask: the next have to wait");
-    desk.pass(100_000);
-    let effects = desk.put(Input::TimerFired);
+    harness.advance(100_000);
+    let effects = harness.feed(Input::TimerFired);
     assert_eq!(
         effects,
         [Effect::AbortConnection { connection: silent }, Effect::SetAccepting { open: true }]
     );
-    let (_, effects) = desk.met_with();
+    let (_, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
     // With an attempt it is in nobody's way, and closed ones make room by themselves.
-    desk.put(Input::ConnectionRequested { connection: third, ask: ask() });
-    assert_eq!(desk.met_with().1, []);
-    let (last, effects) = desk.met_with();
+    harness.feed(Input::ConnectionRequested { connection: third, ask: connection_request() });
+    assert_eq!(harness.connect_client_with_effects().1, []);
+    let (last, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::SetAccepting { open: false }]);
-    desk.put(Input::ClientDisconnected { connection: last });
-    assert_eq!(desk.put(Input::SocketsClosed { connection: last }), [Effect::SetAccepting { open: true }]);
+    harness.feed(Input::ClientDisconnected { connection: last });
+    assert_eq!(
+        harness.feed(Input::SocketsClosed { connection: last }),
+        [Effect::SetAccepting { open: true }]
+    );
     // Attempts take descriptors too: those over their budget are told to come again.
-    let next = desk.met();
-    desk.put(Input::ConnectionRequested { connection: next, ask: ask() });
-    let over = desk.met();
-    let effects = desk.put(Input::ConnectionRequested { connection: over, ask: ask() });
-    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(1..), .. }]), "{effects:?}");
+    let next = harness.connect_client();
+    harness.feed(Input::ConnectionRequested { connection: next, ask: connection_request() });
+    let over = harness.connect_client();
+    let effects = harness.feed(Input::ConnectionRequested { connection: over, ask: connection_request() });
+    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
 }
 
 #[test]
 fn what_names_nothing_configured_or_is_open_already_fails_at_once() {
-    let mut desk = Desk::new();
-    let named = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..ask() };
-    let first = desk.met();
-    desk.put(Input::ConnectionRequested { connection: first, ask: named("a") });
-    let failed = |desk: &mut Desk, ask| {
-        let connection = desk.met();
-        let effects = desk.put(Input::ConnectionRequested { connection, ask });
+    let mut harness = ReducerHarness::new();
+    let named = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..connection_request() };
+    let first = harness.connect_client();
+    harness.feed(Input::ConnectionRequested { connection: first, ask: named("a") });
+    let failed = |harness: &mut ReducerHarness, ask| {
+        let connection = harness.connect_client();
+        let effects = harness.feed(Input::ConnectionRequested { connection, ask });
         effects == [Effect::Answer { connection, answer: Answer::Failed }]
     };
-    assert!(failed(&mut desk, named("a")), "another's open id");
-    assert!(failed(&mut desk, ConnectionRequest { class: "news".to_owned(), ..named("b") }));
-    assert!(failed(&mut desk, ConnectionRequest { class: String::new(), ..named("b") }));
-    assert!(!failed(&mut desk, named("b")));
-    desk.put(Input::ClientDisconnected { connection: first });
-    assert!(!failed(&mut desk, named("a")), "free again");
+    assert!(failed(&mut harness, named("a")), "another's open id");
+    assert!(failed(&mut harness, ConnectionRequest { class: "news".to_owned(), ..named("b") }));
+    assert!(failed(&mut harness, ConnectionRequest { class: String::new(), ..named("b") }));
+    assert!(!failed(&mut harness, named("b")));
+    harness.feed(Input::ClientDisconnected { connection: first });
+    assert!(!failed(&mut harness, named("a")), "free again");
 }
 
 /// Danger: a machine out of descriptors would take every host to be down.
 #[test]
 fn a_leg_that_this_machine_had_no_socket_for_tells_nothing_of_its_host() {
-    let mut desk = Desk::new();
+    let mut harness = ReducerHarness::new();
     for _ in 0..20 {
-        let (connection, _) = desk.written();
+        let (connection, _) = harness.forward_request();
         for attempt in 0..6 {
-            desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::NoSocket });
+            harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::OutOfSockets });
         }
     }
-    let connection = desk.met();
-    let effects = desk.put(Input::ConnectionRequested { connection, ask: ask() });
+    let connection = harness.connect_client();
+    let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
     assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
 }
 
@@ -419,50 +433,50 @@
         /// attempts and never two at once, no new attempt to a host that drains, and nothing held in the end.
         #[test]
         fn rules_hold_under_random_steps(steps in prop::collection::vec((0u8..10, 0usize..8, 1u64..400_000), 1..200)) {
-            let mut desk = Desk::new();
+            let mut harness = ReducerHarness::new();
             let (mut connections, mut drained) = (Vec::new(), BTreeSet::new());
             let (mut out, mut answered) = (BTreeMap::new(), BTreeMap::new());
             let mut attempts = BTreeMap::<ConnectionId, u32>::new();
             for (what, which, pause) in steps {
-                desk.pass(pause);
+                harness.advance(pause);
                 for tick in [true, false] {
                 let connection = connections.get(which % connections.len().max(1)).map_or(ConnectionId(u64::MAX), |&(connection, _)| connection);
                 let attempt = out.get(&connection).copied().unwrap_or(9);
                 let effects = match what {
-                    _ if tick => desk.put(Input::TimerFired),
+                    _ if tick => harness.feed(Input::TimerFired),
                     0..=2 => {
-                        let connection = desk.met();
-                        connections.push((connection, desk.now));
-                        desk.put(Input::ConnectionRequested { connection, ask: ask() })
+                        let connection = harness.connect_client();
+                        connections.push((connection, harness.now));
+                        harness.feed(Input::ConnectionRequested { connection, ask: connection_request() })
                     }
-                    3 => desk.put(Input::RequestForwarded { connection, attempt }),
+                    3 => harness.feed(Input::RequestForwarded { connection, attempt }),
                     4 => {
                         // Served: from here on it is the host's.
                         if out.contains_key(&connection) {
-                            answered.entry(connection).or_insert(desk.now);
+                            answered.entry(connection).or_insert(harness.now);
                         }
-                        desk.put(Input::AttemptAccepted { connection, attempt })
+                        harness.feed(Input::AttemptAccepted { connection, attempt })
                     }
                     5 => {
                         out.remove(&connection);
-                        desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway })
+                        harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
                     }
                     6 => {
                         out.remove(&connection);
-                        desk.put(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Broken })
+                        harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Reset })
                     }
                     7 => {
                         out.remove(&connection);
-                        answered.entry(connection).or_insert(desk.now);
-                        desk.put(Input::ClientDisconnected { connection })
+                        answered.entry(connection).or_insert(harness.now);
+                        harness.feed(Input::ClientDisconnected { connection })
                     }
                     8 if which < HOSTS.len() => {
-                        drained.insert(desk.address(HOSTS[which]));
-                        desk.drain(which)
+                        drained.insert(harness.address(HOSTS[which]));
+                        harness.drain(which)
                     }
-                    9 if which == 0 && pause < 40_000 => desk.put(Input::ShutdownRequested),
+                    9 if which == 0 && pause < 40_000 => harness.feed(Input::ShutdownRequested),
                     // Its time to ask is over, as its first line has come: a late word.
-                    9 => desk.put(Input::HandshakeTimedOut { connection }),
+                    9 => harness.feed(Input::HandshakeTimedOut { connection }),
                     _ => Vec::new(),
                 };
                 for effect in effects {
@@ -476,26 +490,26 @@
                             prop_assert!(!drained.contains(&address), "a leg to a drained host");
                         }
                         Effect::CloseAttempt { connection } => drop(out.remove(&connection)),
-                        Effect::Answer { connection, answer: Answer::Refused(_) | Answer::Failed } => {
+                        Effect::Answer { connection, answer: Answer::Rejected(_) | Answer::Failed } => {
                             out.remove(&connection);
-                            prop_assert!(answered.insert(connection, desk.now).is_none(), "answered twice");
+                            prop_assert!(answered.insert(connection, harness.now).is_none(), "answered twice");
                         }
                         _ => {}
                     }
                 }
                 }
                 for (connection, since) in &connections {
-                    let late = desk.now.since(*since) > reducer_harness::WAIT;
+                    let late = harness.now.since(*since) > reducer_harness::WAIT;
                     prop_assert!(!late || answered.contains_key(connection), "no answer in time");
                 }
             }
             // Once all have gone, all slots are what they were.
             for &(connection, _) in &connections {
-                desk.put(Input::ClientDisconnected { connection });
+                harness.feed(Input::ClientDisconnected { connection });
             }
-            let effects = desk.put(Input::AdminRequest { caller: CallerId(0), call: Call::Telemetry });
-            let [Effect::AdminReply { reply: Reply::Figures(figures), .. }] = &effects[..] else { panic!("{effects:?}") };
-            prop_assert_eq!(figures.outstanding, 0);
+            let effects = harness.feed(Input::AdminRequest { admin_client: AdminClientId(0), call: AdminCall::Telemetry });
+            let [Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }] = &effects[..] else { panic!("{effects:?}") };
+            prop_assert_eq!(metrics.outstanding, 0);
         }
     }
 }
@@ -504,8 +518,8 @@
 /// file, and the watch goes to the new address.
 #[test]
 fn another_configuration_keeps_what_is_out_and_moves_the_watch() {
-    let mut desk = Desk::new();
-    let (standing, (placing, host)) = (desk.standing(), desk.written());
+    let mut harness = ReducerHarness::new();
+    let (standing, (placing, host)) = (harness.established(), harness.forward_request());
     let mut setup = reducer_harness::setup();
     let first = Class {
         priority_weight: 9.0,
@@ -516,14 +530,14 @@
     setup.settings.classes.insert(0, first);
     setup.classes.insert(0, "alerts".to_owned());
     setup.discovery = Some("127.0.0.1:9".parse().expect("an address"));
-    let effects = desk.put(Input::ConfigurationChanged {
+    let effects = harness.feed(Input::ConfigurationChanged {
         pools: vec![setup.clone()],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
     let discovery = setup.discovery.expect("set above");
     assert_eq!(effects, [Effect::WatchEndpointsAt { pool: 0, discovery }]);
-    let effects = desk.put(Input::ConfigurationChanged {
+    let effects = harness.feed(Input::ConfigurationChanged {
         pools: vec![setup],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
@@ -531,8 +545,8 @@
     assert_eq!(effects, [], "the same address needs no new watch");
     // Were it taken for the class that came first, which may not be repeated, it would fail here.
     let effects =
-        desk.put(Input::AttemptEnded { connection: placing, attempt: 0, end: AttemptOutcome::Broken });
+        harness.feed(Input::AttemptEnded { connection: placing, attempt: 0, end: AttemptOutcome::Reset });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
-    assert_eq!(desk.drain(host), [], "it stands or goes elsewhere already");
-    assert_eq!(desk.put(Input::ServerActivity { connection: standing }), []);
+    assert_eq!(harness.drain(host), [], "it stands or goes elsewhere already");
+    assert_eq!(harness.feed(Input::ServerActivity { connection: standing }), []);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,37 +10,37 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-use connection_balancer::protocol::hot_restart::{add, parts, read, write, Part, Word};
+use connection_balancer::protocol::hot_restart::{add, parts, read, write, HandoverMessage, Part};
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
 use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
-use reducer_harness::{ask, Desk, HOSTS};
+use reducer_harness::{connection_request, ReducerHarness, HOSTS};
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
 
-const CALLER: CallerId = CallerId(7);
+const CALLER: AdminClientId = AdminClientId(7);
 
-fn call(desk: &mut Desk, call: Call) -> Vec<Effect> {
-    desk.put(Input::AdminRequest { caller: CALLER, call })
+fn call(harness: &mut ReducerHarness, call: AdminCall) -> Vec<Effect> {
+    harness.feed(Input::AdminRequest { admin_client: CALLER, call })
 }
 
-fn figures(desk: &mut Desk) -> Figures {
-    match call(desk, Call::Telemetry).pop() {
-        Some(Effect::AdminReply { reply: Reply::Figures(figures), .. }) => figures,
+fn metrics(harness: &mut ReducerHarness) -> Metrics {
+    match call(harness, AdminCall::Telemetry).pop() {
+        Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) => metrics,
         other => panic!("{other:?}"),
     }
 }
 
 /// What a desk leaves, as it comes out of the messages.
-fn legacy(old: &mut Desk) -> Box<Legacy> {
-    let effects = old.put(Input::SuccessorStarted);
+fn legacy(old: &mut ReducerHarness) -> Box<HandoverState> {
+    let effects = old.feed(Input::SuccessorStarted);
     let Some(Effect::ExportState(legacy)) = effects.last() else { panic!("{effects:?}") };
     assert!(effects.contains(&Effect::SetAccepting { open: false }), "it accepts no more");
-    let mut there = Legacy::default();
+    let mut there = HandoverState::default();
     for part in parts((**legacy).clone()) {
-        let bytes = write(&Word::Part(part)).expect("fits");
-        let Some(Word::Part(part)) = read(&bytes) else { panic!("{bytes:?}") };
+        let bytes = write(&HandoverMessage::Part(part)).expect("fits");
+        let Some(HandoverMessage::Part(part)) = read(&bytes) else { panic!("{bytes:?}") };
         add(&mut there, part);
     }
     assert_eq!(there, **legacy);
@@ -48,34 +48,40 @@
 }
 
 /// A desk that takes the place of another; and what the other has to do about that.
-fn heir_of(old: &mut Desk) -> (Desk, Vec<Effect>) {
-    let mut new = Desk::new();
+fn heir_of(old: &mut ReducerHarness) -> (ReducerHarness, Vec<Effect>) {
+    let mut new = ReducerHarness::new();
     new.now = old.now;
     let legacy = legacy(old);
-    new.put(Input::ImportState(legacy));
-    (new, old.put(Input::SuccessorReady))
+    new.feed(Input::ImportState(legacy));
+    (new, old.feed(Input::SuccessorReady))
 }
 
 /// The same with the connections that are passed.
-fn heir(old: &mut Desk) -> (Desk, Vec<(ConnectionId, Standing)>) {
+fn heir(old: &mut ReducerHarness) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
     let (new, effects) = heir_of(old);
     (new, passed(&effects))
 }
 
-fn passed(effects: &[Effect]) -> Vec<(ConnectionId, Standing)> {
+fn passed(effects: &[Effect]) -> Vec<(ConnectionId, EstablishedConnection)> {
     let pass = |effect: &Effect| match effect {
-        Effect::TransferConnection { connection, standing, .. } => Some((*connection, standing.clone())),
+        Effect::TransferConnection { connection, established, .. } => {
+            Some((*connection, established.clone()))
+        }
         _ => None,
     };
     effects.iter().filter_map(pass).collect()
 }
 
 /// Connections that were passed stand here.
-fn adopt(new: &mut Desk, old: &mut Desk, passed: Vec<(ConnectionId, Standing)>) -> Vec<ConnectionId> {
-    let adopt = |(n, (connection, standing)): (usize, (ConnectionId, Standing))| {
-        assert_eq!(old.put(Input::ConnectionTransferred { connection }), [], "nothing of it ended");
+fn adopt(
+    new: &mut ReducerHarness,
+    old: &mut ReducerHarness,
+    passed: Vec<(ConnectionId, EstablishedConnection)>,
+) -> Vec<ConnectionId> {
+    let adopt = |(n, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
+        assert_eq!(old.feed(Input::ConnectionTransferred { connection }), [], "nothing of it ended");
         let connection = ConnectionId(1_000_000 + n as u64);
-        new.put(Input::ConnectionReceived { connection, pool: 0, standing });
+        new.feed(Input::ConnectionReceived { connection, pool: 0, established });
         connection
     };
     passed.into_iter().enumerate().map(adopt).collect()
@@ -83,24 +89,24 @@
 
 #[test]
 fn standing_connections_go_over_with_all_that_is_known_of_them() {
-    let mut old = Desk::new();
-    let connections: Vec<ConnectionId> = (0..20).map(|_| old.standing()).collect();
-    old.put(Input::LoadReported { connection: connections[0], load: 50_000.0 });
-    old.put(Input::LineForwarded { connection: connections[0] });
-    let (mut new, standing) = heir(&mut old);
-    assert_eq!(standing.len(), 20);
-    assert_eq!(standing[0].1.load, Some(50_000.0));
-    let there = adopt(&mut new, &mut old, standing);
-    assert_eq!((figures(&mut old).outstanding, figures(&mut new).outstanding), (0, 20));
+    let mut old = ReducerHarness::new();
+    let connections: Vec<ConnectionId> = (0..20).map(|_| old.established()).collect();
+    old.feed(Input::LoadReported { connection: connections[0], load: 50_000.0 });
+    old.feed(Input::LineForwarded { connection: connections[0] });
+    let (mut new, established) = heir(&mut old);
+    assert_eq!(established.len(), 20);
+    assert_eq!(established[0].1.load, Some(50_000.0));
+    let there = adopt(&mut new, &mut old, established);
+    assert_eq!((metrics(&mut old).outstanding, metrics(&mut new).outstanding), (0, 20));
     // The silence of its host goes on from when it was asked, and others have not asked.
-    new.pass(5_000_001);
-    let moved: Vec<_> = new.put(Input::TimerFired);
-    assert_eq!(moved.first(), Some(&Effect::Answer { connection: there[0], answer: Answer::Moved }));
+    new.advance(5_000_001);
+    let moved: Vec<_> = new.feed(Input::TimerFired);
+    assert_eq!(moved.first(), Some(&Effect::Answer { connection: there[0], answer: Answer::Migrated }));
     assert_eq!(moved.len(), 2, "{moved:?}");
     // What holds for a host's clients holds for them.
     let effects: Vec<Effect> = (0..HOSTS.len()).flat_map(|host| new.list(host, Lifecycle::Gone)).collect();
     assert_eq!(
-        effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Moved, .. })).count(),
+        effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. })).count(),
         19
     );
 }
@@ -108,21 +114,21 @@
 /// Who came to the old process is heard out there, and follows when it stands.
 #[test]
 fn what_the_old_process_took_is_placed_by_it_and_passed_on() {
-    let mut old = Desk::new();
-    let (silent, (placing, _)) = (old.met(), old.written());
-    let (mut new, standing) = heir(&mut old);
-    assert_eq!(standing, []);
-    old.put(Input::ShutdownRequested);
-    let effects = old.put(Input::ConnectionRequested { connection: silent, ask: ask() });
+    let mut old = ReducerHarness::new();
+    let (silent, (placing, _)) = (old.connect_client(), old.forward_request());
+    let (mut new, established) = heir(&mut old);
+    assert_eq!(established, []);
+    old.feed(Input::ShutdownRequested);
+    let effects = old.feed(Input::ConnectionRequested { connection: silent, ask: connection_request() });
     assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "turned away unheard: {effects:?}");
-    let up = old.put(Input::AttemptAccepted { connection: placing, attempt: 0 });
+    let up = old.feed(Input::AttemptAccepted { connection: placing, attempt: 0 });
     assert_eq!(adopt(&mut new, &mut old, passed(&up)).len(), 1);
-    old.put(Input::RequestForwarded { connection: silent, attempt: 0 });
-    let up = old.put(Input::AttemptAccepted { connection: silent, attempt: 0 });
+    old.feed(Input::RequestForwarded { connection: silent, attempt: 0 });
+    let up = old.feed(Input::AttemptAccepted { connection: silent, attempt: 0 });
     let last = passed(&up);
     assert_eq!(last.len(), 1);
     assert_eq!(
-        old.put(Input::ConnectionTransferred { connection: last[0].0 }),
+        old.feed(Input::ConnectionTransferred { connection: last[0].0 }),
         [Effect::Exit],
         "it may exit early"
     );
@@ -130,43 +136,43 @@
 
 #[test]
 fn bans_health_ceilings_and_open_ids_are_inherited() {
-    let mut old = Desk::new();
-    let (connection, _) = old.written();
-    old.put(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Broken });
-    call(&mut old, Call::Exclude(HOSTS[3].to_owned()));
-    call(&mut old, Call::Exclude(HOSTS[4].to_owned()));
-    call(&mut old, Call::Include(HOSTS[4].to_owned()));
-    let ejected = figures(&mut old).ejected;
-    let open = old.met();
-    old.put(Input::ConnectionRequested {
+    let mut old = ReducerHarness::new();
+    let (connection, _) = old.forward_request();
+    old.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
+    call(&mut old, AdminCall::Exclude(HOSTS[3].to_owned()));
+    call(&mut old, AdminCall::Exclude(HOSTS[4].to_owned()));
+    call(&mut old, AdminCall::Include(HOSTS[4].to_owned()));
+    let ejected = metrics(&mut old).ejected;
+    let open = old.connect_client();
+    old.feed(Input::ConnectionRequested {
         connection: open,
-        ask: ConnectionRequest { id: Some("a".to_owned()), ..ask() },
+        ask: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
     });
-    let mut new = Desk::new();
+    let mut new = ReducerHarness::new();
     new.now = old.now;
     let left = legacy(&mut old);
-    assert_eq!(left.pools["platform"].returned.len(), 1);
-    new.put(Input::ImportState(left.clone()));
-    assert_eq!(figures(&mut new).ejected, ejected);
+    assert_eq!(left.pools["platform"].readmitted.len(), 1);
+    new.feed(Input::ImportState(left.clone()));
+    assert_eq!(metrics(&mut new).ejected, ejected);
     // It leaves the same to the next.
-    new.put(Input::PeerProcessLost);
+    new.feed(Input::PeerProcessLost);
     let mut next = legacy(&mut new);
     let (pool, before) = (next.pools.get_mut("platform").expect("there"), &left.pools["platform"]);
     pool.ids.clone_from(&before.ids);
     next.left = left.left;
     assert_eq!(next, left);
     // Another's open id stays another's for as long as that process may have it open.
-    let mut third = Desk::new();
+    let mut third = ReducerHarness::new();
     third.now = old.now;
-    third.put(Input::ImportState(left));
+    third.feed(Input::ImportState(left));
     for (lost, answered) in [(false, true), (true, false)] {
         if lost {
-            third.put(Input::PeerProcessLost);
+            third.feed(Input::PeerProcessLost);
         }
-        let connection = third.met();
-        let effects = third.put(Input::ConnectionRequested {
+        let connection = third.connect_client();
+        let effects = third.feed(Input::ConnectionRequested {
             connection,
-            ask: ConnectionRequest { id: Some("a".to_owned()), ..ask() },
+            ask: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
         });
         assert_eq!(effects == [Effect::Answer { connection, answer: Answer::Failed }], answered);
     }
@@ -175,18 +181,18 @@
 /// Danger: two processes that each fill a cold host as fast as it stands would push it over.
 #[test]
 fn cold_hosts_are_the_new_process_to_fill() {
-    let mut old = Desk::new();
+    let mut old = ReducerHarness::new();
     for _ in 0..20 {
-        old.standing();
+        old.established();
     }
-    call(&mut old, Call::Exclude(HOSTS[2].to_owned()));
-    call(&mut old, Call::Include(HOSTS[2].to_owned()));
+    call(&mut old, AdminCall::Exclude(HOSTS[2].to_owned()));
+    call(&mut old, AdminCall::Include(HOSTS[2].to_owned()));
     let address = old.address(HOSTS[2]);
     heir(&mut old);
     for _ in 0..200 {
-        old.pass(20_000);
-        let connection = old.met();
-        for effect in old.put(Input::ConnectionRequested { connection, ask: ask() }) {
+        old.advance(20_000);
+        let connection = old.connect_client();
+        for effect in old.feed(Input::ConnectionRequested { connection, ask: connection_request() }) {
             assert!(
                 !matches!(&effect, Effect::OpenAttempt { address: at, .. } if *at == address),
                 "{effect:?}"
@@ -197,45 +203,49 @@
 
 #[test]
 fn a_call_at_either_door_is_answered_once_both_have_heard_of_it() {
-    let yes = Effect::AdminReply { caller: CALLER, reply: Reply::Yes };
+    let yes = Effect::AdminReply { admin_client: CALLER, reply: AdminResponse::Yes };
     let host = HOSTS[1].to_owned();
-    let mut old = Desk::new();
+    let mut old = ReducerHarness::new();
     let (new, _) = heir(&mut old);
-    for mut desk in [old, new] {
-        let effects = call(&mut desk, Call::Exclude(host.clone()));
-        let share = Effect::ShareExclusion { caller: CALLER, host: host.clone(), out: true };
+    for mut harness in [old, new] {
+        let effects = call(&mut harness, AdminCall::Exclude(host.clone()));
+        let share = Effect::ShareExclusion { admin_client: CALLER, host: host.clone(), out: true };
         assert_eq!(effects.last(), Some(&share));
-        assert_eq!(figures(&mut desk).ejected, 1, "it holds here at once");
-        assert_eq!(desk.put(Input::ExclusionAcknowledged { caller: CALLER }), vec![yes.clone()]);
-        assert_eq!(desk.put(Input::ExclusionAcknowledged { caller: CALLER }), [], "answered once");
+        assert_eq!(metrics(&mut harness).ejected, 1, "it holds here at once");
+        assert_eq!(harness.feed(Input::ExclusionAcknowledged { admin_client: CALLER }), vec![yes.clone()]);
+        assert_eq!(harness.feed(Input::ExclusionAcknowledged { admin_client: CALLER }), [], "answered once");
         // One that hangs, or is gone, keeps no operator waiting.
-        call(&mut desk, Call::Include(host.clone()));
-        desk.pass(500_000);
-        assert_eq!(desk.put(Input::TimerFired), vec![yes.clone()]);
-        call(&mut desk, Call::Exclude(host.clone()));
-        assert!(desk.put(Input::PeerProcessLost).contains(&yes));
-        assert_eq!(call(&mut desk, Call::Include(host.clone())).last(), Some(&yes), "it is alone again");
+        call(&mut harness, AdminCall::Include(host.clone()));
+        harness.advance(500_000);
+        assert_eq!(harness.feed(Input::TimerFired), vec![yes.clone()]);
+        call(&mut harness, AdminCall::Exclude(host.clone()));
+        assert!(harness.feed(Input::PeerProcessLost).contains(&yes));
+        assert_eq!(
+            call(&mut harness, AdminCall::Include(host.clone())).last(),
+            Some(&yes),
+            "it is alone again"
+        );
     }
-    let mut other = Desk::new();
-    other.put(Input::ExclusionShared { host: host.clone(), out: true });
-    assert_eq!(figures(&mut other).ejected, 1);
+    let mut other = ReducerHarness::new();
+    other.feed(Input::ExclusionShared { host: host.clone(), out: true });
+    assert_eq!(metrics(&mut other).ejected, 1);
 }
 
 #[test]
 fn one_whose_heir_is_lost_accepts_again() {
     for served in [false, true] {
-        let mut old = Desk::new();
-        old.put(Input::SuccessorStarted);
+        let mut old = ReducerHarness::new();
+        old.feed(Input::SuccessorStarted);
         if served {
-            old.put(Input::SuccessorReady);
+            old.feed(Input::SuccessorReady);
             assert!(matches!(
-                call(&mut old, Call::Ready)[..],
-                [Effect::AdminReply { reply: Reply::No(_), .. }]
+                call(&mut old, AdminCall::Ready)[..],
+                [Effect::AdminReply { reply: AdminResponse::No(_), .. }]
             ));
         }
-        assert!(old.put(Input::PeerProcessLost).contains(&Effect::SetAccepting { open: true }));
-        let connection = old.met();
-        let effects = old.put(Input::ConnectionRequested { connection, ask: ask() });
+        assert!(old.feed(Input::PeerProcessLost).contains(&Effect::SetAccepting { open: true }));
+        let connection = old.connect_client();
+        let effects = old.feed(Input::ConnectionRequested { connection, ask: connection_request() });
         assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
     }
 }
@@ -244,7 +254,7 @@
     prop::option::of(any::<u64>().prop_map(Time))
 }
 
-fn words() -> impl Strategy<Value = Word> {
+fn words() -> impl Strategy<Value = HandoverMessage> {
     let name = || "[ -~]{0,40}";
     let learned = (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
         |(ceiling, at, failures, failed_at, until)| LearnedState {
@@ -268,7 +278,7 @@
             started,
         },
     );
-    let asked =
+    let request =
         (prop::option::of(name()), name(), prop::option::of(any::<u64>()), prop::option::of(0.0..9.0f64))
             .prop_map(|(id, class, group, load)| ConnectionRequest {
                 tenant: id.clone(),
@@ -279,23 +289,20 @@
                 ..ConnectionRequest::default()
             });
     prop_oneof![
-        prop::sample::select(vec![Word::Take, Word::Done, Word::Serving]),
-        name().prop_map(Word::Socket),
-        (name(), host, prop::option::of(learned)).prop_map(|(pool, host, learned)| Word::Part(Part::Host {
-            pool,
-            host,
-            learned
-        })),
+        prop::sample::select(vec![HandoverMessage::Take, HandoverMessage::Done, HandoverMessage::Serving]),
+        name().prop_map(HandoverMessage::Socket),
+        (name(), host, prop::option::of(learned))
+            .prop_map(|(pool, host, learned)| HandoverMessage::Part(Part::Host { pool, host, learned })),
         ("[a-z]{1,40}", 1u64..99, prop::option::of(name())).prop_map(|(key, counter, value)| {
-            Word::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
+            HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
         }),
-        (name(), asked, maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
-            |(host, ask, asked, state)| {
-                let standing = Standing { load: ask.load, ask, host, asked };
-                Word::Standing { front: "irc".to_owned(), standing, state }
+        (name(), request, maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
+            |(host, ask, awaiting_server_since, state)| {
+                let established = EstablishedConnection { load: ask.load, ask, host, awaiting_server_since };
+                HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
             }
         ),
-        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, host, out)| Word::Share {
+        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, host, out)| HandoverMessage::Share {
             number,
             host,
             out
@@ -326,14 +333,14 @@
     /// process, and nothing new goes to a host that is out by hand.
     #[test]
     fn upgrades_lose_nobody(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
-        let mut model = Model { desks: vec![Desk::new()], ..Model::default() };
+        let mut model = Model { harnesses: vec![ReducerHarness::new()], ..Model::default() };
         for (what, which, pause) in steps {
-            model.desks.iter_mut().for_each(|desk| desk.pass(pause));
+            model.harnesses.iter_mut().for_each(|harness| harness.advance(pause));
             model.step(what, which)?;
-            for at in 0..model.desks.len() {
-                model.put(at, Input::TimerFired)?;
+            for at in 0..model.harnesses.len() {
+                model.feed(at, Input::TimerFired)?;
             }
-            let held: u64 = model.desks.iter_mut().map(|desk| figures(desk).outstanding).sum();
+            let held: u64 = model.harnesses.iter_mut().map(|harness| metrics(harness).outstanding).sum();
             prop_assert_eq!(held, model.open.len() as u64);
             prop_assert_eq!(model.open.len() + model.done, model.next as usize);
         }
@@ -352,7 +359,7 @@
 /// One process after the other, the last of which serves.
 #[derive(Default)]
 struct Model {
-    desks: Vec<Desk>,
+    harnesses: Vec<ReducerHarness>,
     open: BTreeMap<u64, Open>,
     done: usize,
     next: u64,
@@ -361,29 +368,29 @@
 
 impl Model {
     fn step(&mut self, what: u8, which: usize) -> Result<(), TestCaseError> {
-        let now = self.desks.len() - 1;
+        let now = self.harnesses.len() - 1;
         let one = self.open.values().nth(which % self.open.len().max(1)).copied();
         match (what, one) {
             (0..=2, _) => {
-                let connection = self.desks[now].met();
+                let connection = self.harnesses[now].connect_client();
                 self.next += 1;
                 self.open.insert(self.next, Open { at: now, connection, attempt: None, stands: false });
-                self.put(now, Input::ConnectionRequested { connection, ask: ask() })
+                self.feed(now, Input::ConnectionRequested { connection, ask: connection_request() })
             }
             (3 | 4, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
-                self.put(at, Input::RequestForwarded { connection, attempt })?;
+                self.feed(at, Input::RequestForwarded { connection, attempt })?;
                 self.open
                     .values_mut()
                     .filter(|o| (o.at, o.connection) == (at, connection))
                     .for_each(|o| o.stands = true);
-                self.put(at, Input::AttemptAccepted { connection, attempt })
+                self.feed(at, Input::AttemptAccepted { connection, attempt })
             }
             (5, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
                 self.open
                     .values_mut()
                     .filter(|o| (o.at, o.connection) == (at, connection))
                     .for_each(|o| o.attempt = None);
-                self.put(at, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::TurnedAway })
+                self.feed(at, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
             }
             (6, _) => {
                 let host = HOSTS[which % 2];
@@ -392,21 +399,21 @@
                 self.banned.extend(out.then_some(host));
                 // Whichever door it comes to, the other hears of it.
                 (now.saturating_sub(1)..=now)
-                    .try_for_each(|at| self.put(at, Input::ExclusionShared { host: host.to_owned(), out }))
+                    .try_for_each(|at| self.feed(at, Input::ExclusionShared { host: host.to_owned(), out }))
             }
             // Not before the one before it has been heard out.
             (7, _) if self.open.values().all(|open| open.at == now) => {
-                self.put(now, Input::PeerProcessLost)?;
-                let (new, effects) = heir_of(&mut self.desks[now]);
-                self.desks.push(new);
+                self.feed(now, Input::PeerProcessLost)?;
+                let (new, effects) = heir_of(&mut self.harnesses[now]);
+                self.harnesses.push(new);
                 self.carry_out(now, effects)
             }
             _ => Ok(()),
         }
     }
 
-    fn put(&mut self, at: usize, input: Input) -> Result<(), TestCaseError> {
-        let effects = self.desks[at].put(input);
+    fn feed(&mut self, at: usize, input: Input) -> Result<(), TestCaseError> {
+        let effects = self.harnesses[at].feed(input);
         self.carry_out(at, effects)
     }
 
@@ -435,8 +442,8 @@
                     self.open.remove(&who(connection).expect("answered here, and once"));
                     self.done += 1;
                 }
-                Effect::TransferConnection { connection, standing, .. } => {
-                    self.pass(at, connection, standing)?
+                Effect::TransferConnection { connection, established, .. } => {
+                    self.advance(at, connection, established)?
                 }
                 _ => {}
             }
@@ -444,14 +451,19 @@
         Ok(())
     }
 
-    fn pass(&mut self, at: usize, connection: ConnectionId, standing: Standing) -> Result<(), TestCaseError> {
+    fn advance(
+        &mut self,
+        at: usize,
+        connection: ConnectionId,
+        established: EstablishedConnection,
+    ) -> Result<(), TestCaseError> {
         let found = self.open.iter_mut().find(|(_, o)| (o.at, o.connection) == (at, connection));
         let (&n, open) = found.expect("it is open here");
         prop_assert!(open.stands, "only what stands is passed");
         let there = ConnectionId(1_000_000 + n);
         *open = Open { at: at + 1, connection: there, attempt: Some(0), stands: true };
-        self.put(at, Input::ConnectionTransferred { connection })?;
-        self.put(at + 1, Input::ConnectionReceived { connection: there, pool: 0, standing })
+        self.feed(at, Input::ConnectionTransferred { connection })?;
+        self.feed(at + 1, Input::ConnectionReceived { connection: there, pool: 0, established })
     }
 }
 
@@ -494,7 +506,7 @@
 }
 
 fn outstanding(daemon: &Daemon) -> usize {
-    let told = daemon.asked("telemetry");
+    let told = daemon.admin_call("telemetry");
     let line = told.lines().find_map(|line| line.strip_prefix("edge_node.outstanding:"));
     line.and_then(|line| line.strip_suffix("|g")?.parse().ok()).unwrap_or_else(|| panic!("{told}"))
 }
@@ -504,8 +516,8 @@
 fn clients_of_both_fronts_notice_nothing_of_two_upgrades() {
     let irc = Server::start(Manner::Welcome);
     let mut old = Daemon::start(&irc_config(&[&irc], ""), Some(&platform()));
-    until("the old one is ready", || old.asked("readyz") == "YES\r\n");
-    assert_eq!(old.asked("exclude s-00000002"), "YES\r\n");
+    until("the old one is ready", || old.admin_call("readyz") == "YES\r\n");
+    assert_eq!(old.admin_call("exclude s-00000002"), "YES\r\n");
     let mut players: Vec<Client> = Vec::new();
     for n in 0..8 {
         // One after the other: what a host holds without trouble makes room for the next.
@@ -521,7 +533,7 @@
     for round in 1..3 {
         let new = old.beside();
         assert_eq!((&new.platform, &new.irc), (&old.platform, &old.irc), "one queue");
-        until("the new one is ready", || new.asked("readyz") == "YES\r\n");
+        until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
         if round == 1 {
             until("all but one are there", || outstanding(&new) == 8);
             players[0].say(" and half");
@@ -529,10 +541,10 @@
         }
         until("all are there", || outstanding(&new) == 9);
         // While both live a call at either door holds at both.
-        assert_eq!(old.asked("include s-00000002"), "YES\r\n");
-        assert!(new.asked("telemetry").contains("ejected:0|g"));
-        assert_eq!(new.asked("exclude s-00000002"), "YES\r\n");
-        assert!(old.asked("telemetry").contains("ejected:1|g"));
+        assert_eq!(old.admin_call("include s-00000002"), "YES\r\n");
+        assert!(new.admin_call("telemetry").contains("ejected:0|g"));
+        assert_eq!(new.admin_call("exclude s-00000002"), "YES\r\n");
+        assert!(old.admin_call("telemetry").contains("ejected:1|g"));
         let since = Instant::now();
         old.signal("-TERM");
         assert!(old.exited());
@@ -547,7 +559,7 @@
         tool.expect("still there");
         assert_eq!(player(&old, 100 + round).line(), "UP 1");
     }
-    assert!(old.asked("telemetry").contains("ejected:1|g"), "the ban is there after two upgrades");
+    assert!(old.admin_call("telemetry").contains("ejected:1|g"), "the ban is there after two upgrades");
     old.signal("-TERM");
     players.iter_mut().for_each(|player| assert_eq!(player.rest(), "MOVE\r\n"));
     tool.expect(" 010 olga ");
@@ -560,14 +572,14 @@
         // With a store, which hosts are out is the store's to keep.
         let store = r#""store": {"node": "n1", "listen": "127.0.0.1:0"}, "#;
         let old = Daemon::start(&irc_config(&[], "").replace(store, ""), Some(&platform()));
-        until("it is ready", || old.asked("readyz") == "YES\r\n");
-        assert_eq!(old.asked("exclude s-00000001"), "YES\r\n");
+        until("it is ready", || old.admin_call("readyz") == "YES\r\n");
+        assert_eq!(old.admin_call("exclude s-00000001"), "YES\r\n");
         old.signal(signal);
         let since = Instant::now();
         let new = old.beside();
-        until("the new one is ready", || new.asked("readyz") == "YES\r\n");
+        until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
         assert!(since.elapsed() < Duration::from_secs(6), "{signal}: ready after {:?}", since.elapsed());
-        assert!(new.asked("telemetry").contains("ejected:1|g"), "{signal}: the ban is lost");
+        assert!(new.admin_call("telemetry").contains("ejected:1|g"), "{signal}: the ban is lost");
         assert_eq!(player(&new, 1).line(), "UP 1");
         if signal == "-STOP" {
             old.signal("-CONT");
@@ -587,15 +599,15 @@
 #[test]
 fn an_heir_that_goes_hangs_or_talks_nonsense_changes_nothing() {
     let old = Daemon::start(&irc_config(&[], ""), Some(&platform()));
-    until("it is ready", || old.asked("readyz") == "YES\r\n");
-    let mut standing = player(&old, 0);
-    assert_eq!(standing.line(), "UP 1");
+    until("it is ready", || old.admin_call("readyz") == "YES\r\n");
+    let mut established = player(&old, 0);
+    assert_eq!(established.line(), "UP 1");
     let said: [&[Vec<u8>]; 5] = [
         &[],
         &[b"GET / HTTP/1.1\r\n\r\n".to_vec()],
-        &[write(&Word::Take).expect("fits")],
-        &[write(&Word::Take).expect("fits"), b"nonsense".to_vec()],
-        &[write(&Word::Take).expect("fits"), write(&Word::Done).expect("fits")],
+        &[write(&HandoverMessage::Take).expect("fits")],
+        &[write(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
+        &[write(&HandoverMessage::Take).expect("fits"), write(&HandoverMessage::Done).expect("fits")],
     ];
     for (n, words) in said.iter().enumerate() {
         let heir = heir_socket(&old);
@@ -609,13 +621,13 @@
         drop(heir);
         assert_eq!(player(&old, 1 + n as u32).line(), "UP 1", "after {n}");
     }
-    standing.say("M 1");
-    assert_eq!(standing.line(), "M 1");
+    established.say("M 1");
+    assert_eq!(established.line(), "M 1");
     // And then a real one comes.
     let new = old.beside();
-    until("it is ready", || new.asked("readyz") == "YES\r\n");
-    standing.say("M 2");
-    assert_eq!(standing.line(), "M 2");
+    until("it is ready", || new.admin_call("readyz") == "YES\r\n");
+    established.say("M 2");
+    assert_eq!(established.line(), "M 2");
     drop(new);
     // Killed, it takes its clients along; who comes then is served by the one before.
     old.log_line("the process that was to take this one's place is gone");
