--- a/benches/restart.rs
+++ b/benches/restart.rs
@@ -1,4 +1,4 @@
-//! A restart over real sockets, with rebalancing off and on side by side in one run: how a host that comes back is
+//! A restart over real sockets, with rebalancing off and on side by side in one run: how a server that comes back is
 //! filled, and how long messages take meanwhile. `cargo bench --bench restart`, 45 s.
 
 use std::io::{BufRead, BufReader, Write};
@@ -102,8 +102,8 @@
             n + 1
         ))
     };
-    let hosts: Vec<String> = shops.iter().enumerate().filter_map(entry).collect();
-    format!(r#"{{"generation": {generation}, "reset": true, "instances": [{}]}}"#, hosts.join(","))
+    let servers: Vec<String> = shops.iter().enumerate().filter_map(entry).collect();
+    format!(r#"{{"generation": {generation}, "reset": true, "instances": [{}]}}"#, servers.join(","))
 }
 
 /// Discovery: the whole list, a second late each time.
--- a/simulation/src/clients.rs
+++ b/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, drawn before the day: when they come, how long they want their connection, what it asks of a host.
+//! Clients, drawn before the day: when they come, how long they want their connection, what it asks of a server.
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -36,12 +36,12 @@
     let life = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).expect("a finite deviation");
     let load = LogNormal::new(-0.08, 0.4).expect("a finite deviation");
     let mean_load: f64 = CLASSES.iter().map(|(_, _, _, share, load)| share * load).sum();
-    // Groups add to the load of hosts: about two mean connections and a half for each group there is, since they
-    // mostly stand together, and split over some hosts.
+    // Groups add to the load of servers: about two mean connections and a half for each group there is, since they
+    // mostly stand together, and split over some servers.
     let size = (world.groups.0 + world.groups.1) as f64 / 2.0;
     let per_connection =
-        mean_load + if world.groups.1 > 1 { 1.5 * crate::host::GROUP_LOADS / size } else { 0.0 };
-    let standing = world.hosts as f64 * world.capacity * world.used / per_connection;
+        mean_load + if world.groups.1 > 1 { 1.5 * crate::server::GROUP_LOADS / size } else { 0.0 };
+    let standing = world.servers as f64 * world.capacity * world.used / per_connection;
     let rate = standing / mean;
     let gap = Exp::new(rate / size).expect("a positive rate");
     let end = world.seconds * SECOND;
--- a/simulation/src/day.rs
+++ b/simulation/src/day.rs
@@ -12,16 +12,16 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::clients::{self, Client, CLASSES, SETUP_AIMS};
-use crate::host::Host;
 use crate::rules::Rules;
+use crate::server::Host;
 use crate::session::Store;
 use crate::world::{Blow, Session, Trouble, World, SECOND};
 
-/// Hosts are looked at so often.
+/// Servers are looked at so often.
 const STEP: u64 = 100_000;
 /// One way over the network.
 const HOP: u64 = 600;
-/// A set-up takes a host so many messages' time beside the session store's call.
+/// A set-up takes a server so many messages' time beside the session store's call.
 const SETUP_MESSAGES: f64 = 2.0;
 /// The front goes on sending to a dead balancer for so long.
 const FRONT_NOTICES: u64 = 2 * SECOND;
@@ -49,15 +49,15 @@
     pub minutes: f64,
     /// Share of the worth asked for that was served, each second.
     pub quality: Vec<f64>,
-    /// Worst host's use over the mean of hosts that run, each second.
+    /// Worst server's use over the mean of servers that run, each second.
     pub spread: Vec<f64>,
-    /// What each host holds, each second, and the message time there in milliseconds.
-    pub hosts: Vec<Vec<(usize, f64)>>,
+    /// What each server holds, each second, and the message time there in milliseconds.
+    pub servers: Vec<Vec<(usize, f64)>>,
     /// Rate of moves that the first balancer allows, each second.
     pub rates: Vec<f64>,
     /// Why its moves are held, each second.
     pub holds: Vec<String>,
-    /// Mean number of hosts that a group of three or more stands on, over the day.
+    /// Mean number of servers that a group of three or more stands on, over the day.
     pub split: f64,
     /// What rules were broken.
     pub broken: Vec<String>,
@@ -73,7 +73,7 @@
     Leaves(usize),
     /// An attempt's first line arrives: of a balancer in this life.
     Attempt(usize, u64, ConnectionId, u32, usize),
-    /// A host has set it up: at this life of the host.
+    /// A server has set it up: at this life of the server.
     Up(usize, u64, ConnectionId, u32, usize, u64),
     /// Time comes to something at a balancer.
     Due(usize, u64),
@@ -105,7 +105,7 @@
     state: State,
     up: bool,
     life: u64,
-    /// Who its connections are, and the host of each one's attempt.
+    /// Who its connections are, and the server of each one's attempt.
     connections: BTreeMap<ConnectionId, (usize, Option<usize>)>,
     next: u64,
     due: Option<u64>,
@@ -119,7 +119,7 @@
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
     nodes: Vec<Node>,
-    hosts: Vec<Host>,
+    servers: Vec<Host>,
     /// What the list says, and since when.
     listed: Vec<Lifecycle>,
     store: Store,
@@ -181,7 +181,7 @@
     }
 }
 
-fn host_entry(n: usize, lifecycle: Lifecycle, started: Option<u64>) -> Endpoint {
+fn server_entry(n: usize, lifecycle: Lifecycle, started: Option<u64>) -> Endpoint {
     Endpoint {
         name: format!("s-{:08x}", n + 1),
         address: n.to_string(),
@@ -193,7 +193,7 @@
     }
 }
 
-/// One reducer that holds connections at twenty hosts, a little lopsided, and hears nothing but time.
+/// One reducer that holds connections at twenty servers, a little lopsided, and hears nothing but time.
 pub struct Held {
     state: State,
     now: u64,
@@ -203,7 +203,7 @@
     /// So many connections, with rebalancing on or off.
     pub fn new(standing: usize, on: bool) -> Held {
         let world = World {
-            hosts: 20,
+            servers: 20,
             balancers: 1,
             rebalance: connection_balancer::rebalance::RebalanceConfig { on, ..Default::default() },
             ..World::default()
@@ -215,15 +215,15 @@
         feed(Input::EndpointsUpdated {
             pool: 0,
             whole: true,
-            hosts: (0..20).map(|n| host_entry(n, Lifecycle::Ready, None)).collect(),
+            endpoints: (0..20).map(|n| server_entry(n, Lifecycle::Ready, None)).collect(),
         });
         for n in 0..standing {
             let connection = ConnectionId(n as u64);
-            // One host more in twenty at the first: over its part, so that the whole of it is looked at.
-            let host = if n % 20 == 19 && n % 3 == 0 { 0 } else { n % 20 };
+            // One server more in twenty at the first: over its part, so that the whole of it is looked at.
+            let server = if n % 20 == 19 && n % 3 == 0 { 0 } else { n % 20 };
             let ask = ConnectionRequest {
                 class: "stock-feed".to_owned(),
-                established_at: Some(format!("s-{:08x}", host + 1)),
+                established_at: Some(format!("s-{:08x}", server + 1)),
                 key: Some(n as u64),
                 ..ConnectionRequest::default()
             };
@@ -253,20 +253,20 @@
 pub fn play(world: &World, trouble: Trouble, session: Session, seed: u64) -> Result {
     let clients = clients::draw(world, seed);
     let rate = clients::rate(&clients, world).max(0.5);
-    let slow = |n: usize| if trouble == Trouble::SlowHost && n == 0 { 0.7 } else { 1.0 };
+    let slow = |n: usize| if trouble == Trouble::SlowServer && n == 0 { 0.7 } else { 1.0 };
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
-    // Hosts are of different sizes, which nobody is told.
+    // Servers are of different sizes, which nobody is told.
     let capacity = world.capacity;
-    let hosts =
-        (0..world.hosts).map(|n| Host::new(capacity * slow(n) * rng.random_range(0.9..1.1))).collect();
+    let servers =
+        (0..world.servers).map(|n| Host::new(capacity * slow(n) * rng.random_range(0.9..1.1))).collect();
     let person = || Now { place: Place::Away, tries: 0, left: RETRIES, again: false, moved: false };
     let mut day = Day {
         now: 0,
         queue: BinaryHeap::new(),
         count: 0,
         nodes: Vec::new(),
-        hosts,
-        listed: vec![Lifecycle::Ready; world.hosts],
+        servers,
+        listed: vec![Lifecycle::Ready; world.servers],
         store: Store::new(rate * world.session_rate, session),
         people: clients.iter().map(|_| person()).collect(),
         rng,
@@ -318,18 +318,19 @@
     }
 
     fn list(&self) -> Vec<Endpoint> {
-        let host = |(n, lifecycle): (usize, &Lifecycle)| host_entry(n, *lifecycle, self.hosts[n].started);
+        let server =
+            |(n, lifecycle): (usize, &Lifecycle)| server_entry(n, *lifecycle, self.servers[n].started);
         let listed = self.listed.iter().enumerate().filter(|(_, state)| **state != Lifecycle::Gone);
-        listed.map(host).collect()
+        listed.map(server).collect()
     }
 
     /// A balancer hears the whole list.
     fn tell(&mut self, n: usize) {
-        for host in 0..self.hosts.len() {
-            self.rules.told(self.now, n, host, self.listed[host] != Lifecycle::Ready);
+        for server in 0..self.servers.len() {
+            self.rules.told(self.now, n, server, self.listed[server] != Lifecycle::Ready);
         }
-        let hosts = self.list();
-        self.feed(n, Input::EndpointsUpdated { pool: 0, whole: true, hosts });
+        let servers = self.list();
+        self.feed(n, Input::EndpointsUpdated { pool: 0, whole: true, endpoints: servers });
     }
 
     /// All hear of a change, late.
@@ -350,13 +351,13 @@
                 self.at(from, Event::Comes(client, 0));
                 continue;
             }
-            let free = self.rng.random_range(0..self.hosts.len());
-            let host = match self.clients[client].group {
+            let free = self.rng.random_range(0..self.servers.len());
+            let server = match self.clients[client].group {
                 Some(group) => *homes.entry(group).or_insert(free),
                 None => free,
             };
             let n = self.rng.random_range(0..self.nodes.len());
-            let name = format!("s-{:08x}", host + 1);
+            let name = format!("s-{:08x}", server + 1);
             self.ask(client, n, Some(name));
             self.at(self.clients[client].until, Event::Leaves(client));
         }
@@ -404,9 +405,9 @@
         let life = self.nodes[n].life;
         match effect {
             Effect::OpenAttempt { connection, attempt, address, .. } => {
-                let host = address.parse().unwrap_or(usize::MAX);
-                self.rules.attempt(self.now, (n, life, connection.0), host);
-                self.at(self.now + HOP, Event::Attempt(n, life, connection, attempt, host));
+                let server = address.parse().unwrap_or(usize::MAX);
+                self.rules.attempt(self.now, (n, life, connection.0), server);
+                self.at(self.now + HOP, Event::Attempt(n, life, connection, attempt, server));
             }
             Effect::CloseAttempt { connection } => self.close_attempt(n, connection),
             Effect::Answer { connection, answer } => {
@@ -444,10 +445,10 @@
     fn close_attempt(&mut self, n: usize, connection: ConnectionId) {
         let life = self.nodes[n].life;
         self.rules.over((n, life, connection.0));
-        let Some((client, host)) = self.nodes[n].connections.get_mut(&connection) else { return };
-        if let Some(host) = host.take() {
+        let Some((client, server)) = self.nodes[n].connections.get_mut(&connection) else { return };
+        if let Some(server) = server.take() {
             let client = *client;
-            self.hosts[host].release(client);
+            self.servers[server].release(client);
         }
     }
 
@@ -505,11 +506,11 @@
                 }
                 _ => {}
             },
-            Event::Attempt(n, life, connection, attempt, host) => {
-                self.attempt(n, life, connection, attempt, host)
+            Event::Attempt(n, life, connection, attempt, server) => {
+                self.attempt(n, life, connection, attempt, server)
             }
-            Event::Up(n, life, connection, attempt, host, process) => {
-                self.up(n, life, connection, attempt, host, process)
+            Event::Up(n, life, connection, attempt, server, process) => {
+                self.up(n, life, connection, attempt, server, process)
             }
             Event::Due(n, life) => {
                 let node = &self.nodes[n];
@@ -551,50 +552,58 @@
         self.at(self.now + wait + 2 * HOP, Event::GivesUp(client, tries));
     }
 
-    fn attempt(&mut self, n: usize, life: u64, connection: ConnectionId, attempt: u32, host: usize) {
+    fn attempt(&mut self, n: usize, life: u64, connection: ConnectionId, attempt: u32, server: usize) {
         if !self.nodes[n].up || self.nodes[n].life != life {
             return;
         }
         let Some(&(client, _)) = self.nodes[n].connections.get(&connection) else { return };
-        let here = self.hosts.get(host).is_some_and(|host| host.up);
+        let here = self.servers.get(server).is_some_and(|server| server.up);
         if !here {
             self.rules.over((n, life, connection.0));
             return self
                 .feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::ConnectFailed });
         }
         self.feed(n, Input::RequestForwarded { connection, attempt });
-        if self.hosts[host].full() {
+        if self.servers[server].full() {
             self.rules.over((n, life, connection.0));
             return self.feed(n, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected });
         }
         let who = &self.clients[client];
-        let warmth = self.hosts[host].warmth(self.now);
+        let warmth = self.servers[server].warmth(self.now);
         if warmth < 1.0 {
-            self.rules.cold(self.now, host, warmth, self.hosts[host].capacity, who.load);
+            self.rules.cold(self.now, server, warmth, self.servers[server].capacity, who.load);
         }
-        self.hosts[host].take(self.now, client, who.load, who.group);
+        self.servers[server].take(self.now, client, who.load, who.group);
         if let Some((_, at)) = self.nodes[n].connections.get_mut(&connection) {
-            *at = Some(host);
+            *at = Some(server);
         }
         // What stood before the day is in the session store already.
         let called = if self.now <= HOP { self.now } else { self.store.call(self.now) };
-        let takes = self.hosts[host].message(self.now) * SETUP_MESSAGES;
-        let process = self.hosts[host].life;
-        self.at(called + takes as u64, Event::Up(n, life, connection, attempt, host, process));
+        let takes = self.servers[server].message(self.now) * SETUP_MESSAGES;
+        let process = self.servers[server].life;
+        self.at(called + takes as u64, Event::Up(n, life, connection, attempt, server, process));
     }
 
-    fn up(&mut self, n: usize, life: u64, connection: ConnectionId, attempt: u32, host: usize, process: u64) {
-        if !self.nodes[n].up || self.nodes[n].life != life || self.hosts[host].life != process {
+    fn up(
+        &mut self,
+        n: usize,
+        life: u64,
+        connection: ConnectionId,
+        attempt: u32,
+        server: usize,
+        process: u64,
+    ) {
+        if !self.nodes[n].up || self.nodes[n].life != life || self.servers[server].life != process {
             return;
         }
         let Some(&(client, Some(at))) = self.nodes[n].connections.get(&connection) else { return };
         let asking = self.people[client].place == Place::Asking(n, life, connection);
-        // An attempt that was closed and one that followed it may be at the same host.
+        // An attempt that was closed and one that followed it may be at the same server.
         let latest = self.attempts(n, life, connection) == attempt;
-        if at != host || !asking || !latest || !self.hosts[host].up {
+        if at != server || !asking || !latest || !self.servers[server].up {
             return;
         }
-        self.people[client].place = Place::Standing(n, life, connection, host);
+        self.people[client].place = Place::Standing(n, life, connection, server);
         self.rules.over((n, life, connection.0));
         self.rules.answer(self.now, (n, life, connection.0));
         self.feed(n, Input::AttemptAccepted { connection, attempt });
@@ -604,8 +613,8 @@
 
     fn blow(&mut self, blow: Blow) {
         match blow {
-            Blow::HostDies(host) => {
-                let held = self.hosts[host].die();
+            Blow::ServerDies(server) => {
+                let held = self.servers[server].die();
                 for client in held {
                     let (Place::Standing(n, life, connection, _) | Place::Asking(n, life, connection)) =
                         self.people[client].place
@@ -631,27 +640,27 @@
                     }
                 }
                 if !self.unlisted {
-                    self.listed[host] = Lifecycle::Gone;
+                    self.listed[server] = Lifecycle::Gone;
                     self.news();
                 }
             }
-            Blow::HostStarts(host) => {
-                self.hosts[host].start(self.now);
-                self.listed[host] = Lifecycle::Ready;
+            Blow::ServerStarts(server) => {
+                self.servers[server].start(self.now);
+                self.listed[server] = Lifecycle::Ready;
                 self.news();
             }
-            Blow::HostDrains(host) => {
-                self.hosts[host].draining = true;
-                self.listed[host] = Lifecycle::Draining;
+            Blow::ServerDrains(server) => {
+                self.servers[server].draining = true;
+                self.listed[server] = Lifecycle::Draining;
                 self.news();
             }
             Blow::BalancerDies(n) => {
                 let connections = std::mem::take(&mut self.nodes[n].connections);
                 self.nodes[n].up = false;
                 self.nodes[n].died = self.now;
-                for (_, (client, host)) in connections {
-                    if let Some(host) = host {
-                        self.hosts[host].release(client);
+                for (_, (client, server)) in connections {
+                    if let Some(server) = server {
+                        self.servers[server].release(client);
                     }
                     self.breaks(client);
                 }
@@ -670,11 +679,11 @@
         self.rules.attempts((n, life, connection.0)).saturating_sub(1)
     }
 
-    /// Hosts go on for a step, and what it was worth.
+    /// Servers go on for a step, and what it was worth.
     fn step(&mut self) {
         let seconds = STEP as f64 / 1e6;
-        for host in &mut self.hosts {
-            host.pass(self.now, seconds);
+        for server in &mut self.servers {
+            server.pass(self.now, seconds);
         }
         for (client, who) in self.clients.iter().enumerate() {
             if who.from >= self.now {
@@ -685,22 +694,22 @@
             }
             let (priority_weight, aim, ..) = CLASSES[who.class];
             self.asked += priority_weight * seconds;
-            if let Place::Standing(_, _, _, host) = self.people[client].place {
-                self.served += priority_weight * seconds * self.hosts[host].in_time(self.now, aim);
+            if let Place::Standing(_, _, _, server) = self.people[client].place {
+                self.served += priority_weight * seconds * self.servers[server].in_time(self.now, aim);
                 self.result.minutes += seconds / 60.0;
             }
         }
         if self.now.is_multiple_of(SECOND) {
             self.each_second();
         }
-        for host in 0..self.hosts.len() {
-            if self.hosts[host].drops() {
-                let first = self.hosts[host].held.keys().next().copied();
+        for server in 0..self.servers.len() {
+            if self.servers[server].drops() {
+                let first = self.servers[server].held.keys().next().copied();
                 first.into_iter().for_each(|client| self.dropped(client));
             }
-            // Over some seconds a draining host sends its clients away.
-            if self.hosts[host].draining && self.hosts[host].up && self.now.is_multiple_of(2 * STEP) {
-                let first = self.hosts[host].held.keys().next().copied();
+            // Over some seconds a draining server sends its clients away.
+            if self.servers[server].draining && self.servers[server].up && self.now.is_multiple_of(2 * STEP) {
+                let first = self.servers[server].held.keys().next().copied();
                 first.into_iter().for_each(|client| self.sent_away(client));
             }
         }
@@ -708,14 +717,14 @@
     }
 
     fn dropped(&mut self, client: usize) {
-        self.ended_by_host(client, AttemptOutcome::Reset);
+        self.ended_by_server(client, AttemptOutcome::Reset);
     }
 
     fn sent_away(&mut self, client: usize) {
-        self.ended_by_host(client, AttemptOutcome::RedirectedByServer);
+        self.ended_by_server(client, AttemptOutcome::RedirectedByServer);
     }
 
-    fn ended_by_host(&mut self, client: usize, end: AttemptOutcome) {
+    fn ended_by_server(&mut self, client: usize, end: AttemptOutcome) {
         let Place::Standing(n, life, connection, _) = self.people[client].place else { return };
         let attempt = self.attempts(n, life, connection);
         self.close_attempt(n, connection);
@@ -730,10 +739,10 @@
         self.before = (self.asked, self.served);
         self.result.quality.push(served / asked.max(1e-9));
         let used: Vec<f64> =
-            self.hosts.iter().filter(|host| host.up).map(|host| host.held.len() as f64).collect();
+            self.servers.iter().filter(|server| server.up).map(|server| server.held.len() as f64).collect();
         let now = self.now;
-        let hosts = self.hosts.iter().map(|host| (host.held.len(), host.message(now) / 1000.0));
-        self.result.hosts.push(hosts.collect());
+        let servers = self.servers.iter().map(|server| (server.held.len(), server.message(now) / 1000.0));
+        self.result.servers.push(servers.collect());
         let mean = used.iter().sum::<f64>() / used.len().max(1) as f64;
         self.result.spread.push(used.iter().copied().fold(0.0, f64::max) / mean.max(0.01));
         let figures = self.nodes[0].state.rebalancing(0).unwrap_or_default();
@@ -741,29 +750,30 @@
         self.result.holds.push(figures.held.map_or(String::new(), |held| held.to_string()));
         let mut groups: BTreeMap<u64, (usize, std::collections::BTreeSet<usize>)> = BTreeMap::new();
         for (client, person) in self.people.iter().enumerate() {
-            if let (Place::Standing(_, _, _, host), Some(group)) = (person.place, self.clients[client].group)
+            if let (Place::Standing(_, _, _, server), Some(group)) =
+                (person.place, self.clients[client].group)
             {
                 let of = groups.entry(group).or_default();
                 of.0 += 1;
-                of.1.insert(host);
+                of.1.insert(server);
             }
         }
-        for (_, hosts) in groups.values().filter(|(count, _)| *count >= 3) {
-            self.splits.0 += hosts.len() as f64;
+        for (_, servers) in groups.values().filter(|(count, _)| *count >= 3) {
+            self.splits.0 += servers.len() as f64;
             self.splits.1 += 1.0;
         }
         if !self.world.tells_delay {
             return;
         }
-        for host in 0..self.hosts.len() {
-            let took = self.hosts[host].message(self.now);
+        for server in 0..self.servers.len() {
+            let took = self.servers[server].message(self.now);
             let third = CLASSES.iter().map(|class| class.1).fold(f64::INFINITY, f64::min) / 3.0;
-            if !self.hosts[host].up || took <= third {
+            if !self.servers[server].up || took <= third {
                 continue;
             }
             // To one connection of each balancer.
             let mut told = vec![false; self.nodes.len()];
-            for client in self.hosts[host].held.keys().copied().collect::<Vec<_>>() {
+            for client in self.servers[server].held.keys().copied().collect::<Vec<_>>() {
                 if let Place::Standing(n, life, connection, _) = self.people[client].place {
                     if !std::mem::replace(&mut told[n], true) && self.nodes[n].life == life {
                         self.feed(n, Input::LoadReported { connection, load: (took / 1000.0).round() });
--- a/simulation/src/grid.rs
+++ b/simulation/src/grid.rs
@@ -10,12 +10,17 @@
 /// Its stores.
 pub const SESSIONS: [Session; 3] = [Session::Normal, Session::Slow, Session::SlowMidway];
 /// Its troubles.
-pub const TROUBLES: [Trouble; 5] =
-    [Trouble::None, Trouble::HostRestart, Trouble::RestartWave, Trouble::BalancerRestart, Trouble::SlowHost];
+pub const TROUBLES: [Trouble; 5] = [
+    Trouble::None,
+    Trouble::ServerRestart,
+    Trouble::RestartWave,
+    Trouble::BalancerRestart,
+    Trouble::SlowServer,
+];
 /// Its groups.
 pub const GROUPS: [(usize, usize); 2] = [(1, 1), (5, 60)];
 
-/// A grid's world: hosts on which its largest group finds room, at a load at which lopsidedness shows.
+/// A grid's world: servers on which its largest group finds room, at a load at which lopsidedness shows.
 pub fn world(groups: (usize, usize)) -> World {
     let capacity = if groups.1 > 1 { 120.0 } else { 30.0 };
     // Groups that stand split cost more than what clients ask for.
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! **What it may touch.** Nothing outside: no sockets, files, clocks or environment.
 //!
-//! It is a stand-in. Its hosts are queues with a mean, its network has one delay, and its figures are its own: it
+//! It is a stand-in. Its servers are queues with a mean, its network has one delay, and its figures are its own: it
 //! compares designs, it does not predict a deployment.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,7 +17,7 @@
 pub mod clients;
 pub mod day;
 pub mod grid;
-pub mod host;
 pub mod rules;
+pub mod server;
 pub mod session;
 pub mod world;
--- a/simulation/src/main.rs
+++ b/simulation/src/main.rs
@@ -52,7 +52,7 @@
     /// mean life of a connection in seconds (default: 40)
     #[argh(option, default = "40.0")]
     life: f64,
-    /// hosts do not tell how long messages take
+    /// servers do not tell how long messages take
     #[argh(switch)]
     silent: bool,
     /// share of capacity that clients ask for (default: 0.72)
@@ -78,7 +78,7 @@
     most: f64,
 }
 
-/// Seconds from the last return of a host until load is even again, off and on.
+/// Seconds from the last return of a server until load is even again, off and on.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settle")]
 struct Settle {
@@ -99,7 +99,7 @@
 fn settle(line: &Settle) -> bool {
     println!("| trouble | worst over mean as before, off | on | lightest at half the mean, off | on |");
     println!("| --- | --- | --- | --- | --- |");
-    let jobs = [(Trouble::HostRestart, 24), (Trouble::TwoHosts, 24), (Trouble::RestartWave, 45)];
+    let jobs = [(Trouble::ServerRestart, 24), (Trouble::TwoServers, 24), (Trouble::RestartWave, 45)];
     for (trouble, back) in jobs {
         let sides = [world_of((1, 1)), moving(&world_of((1, 1)), line.most)];
         let seconds = all(&sides, |world| {
@@ -109,11 +109,11 @@
                 let usual = day.spread[10..19].iter().sum::<f64>() / 9.0;
                 even += first(back, day.spread.len(), |at| day.spread[at] <= usual);
                 let share = |at: usize| {
-                    let held = day.hosts[at].iter().map(|(held, _)| *held as f64);
-                    let mean = held.clone().sum::<f64>() / day.hosts[at].len() as f64;
+                    let held = day.servers[at].iter().map(|(held, _)| *held as f64);
+                    let mean = held.clone().sum::<f64>() / day.servers[at].len() as f64;
                     held.fold(f64::INFINITY, f64::min) / mean.max(1.0)
                 };
-                filled += first(back, day.hosts.len(), |at| share(at) >= 0.5);
+                filled += first(back, day.servers.len(), |at| share(at) >= 0.5);
             }
             (even / line.seeds as f64, filled / line.seeds as f64)
         });
@@ -254,9 +254,9 @@
     let result = play(&world, trouble, Session::Normal, line.seed);
     for (second, (spread, rate)) in result.spread.iter().zip(&result.rates).enumerate() {
         let quality = result.quality[second];
-        let hosts = result.hosts[second].iter().map(|(held, took)| format!("{held}/{took:.0}"));
-        let hosts = hosts.collect::<Vec<_>>().join(" ");
-        println!("{hosts}");
+        let servers = result.servers[second].iter().map(|(held, took)| format!("{held}/{took:.0}"));
+        let servers = servers.collect::<Vec<_>>().join(" ");
+        println!("{servers}");
         println!(
             "{second:3} s  served {quality:.3}  spread {spread:.2}  rate {rate:.2}  {}",
             result.holds[second]
--- a/simulation/src/rules.rs
+++ b/simulation/src/rules.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Nothing new to a host this long after its balancer was told, in microseconds.
+/// Nothing new to a server this long after its balancer was told, in microseconds.
 const GRACE: u64 = 250_000;
-/// A cold host stands so many times what it can take, over so long, and a little by chance.
+/// A cold server stands so many times what it can take, over so long, and a little by chance.
 const MULTIPLE: f64 = 4.0;
 const WINDOW: u64 = 3_000_000;
 const SLACK: f64 = 3.0;
@@ -23,21 +23,21 @@
 #[derive(Debug, Default)]
 pub struct Rules {
     taken: BTreeMap<(usize, u64, u64), Taken>,
-    /// When each balancer was told that a host is leaving.
+    /// When each balancer was told that a server is leaving.
     told: BTreeMap<(usize, usize), u64>,
-    /// What was sent lately to hosts that are cold: when, and its load.
+    /// What was sent lately to servers that are cold: when, and its load.
     cold: BTreeMap<usize, VecDeque<(u64, f64)>>,
     /// What was broken, in words.
     pub broken: Vec<String>,
 }
 
 impl Rules {
-    /// A balancer of this life was told that a host is leaving, or is in use again.
-    pub fn told(&mut self, now: u64, balancer: usize, host: usize, leaving: bool) {
+    /// A balancer of this life was told that a server is leaving, or is in use again.
+    pub fn told(&mut self, now: u64, balancer: usize, server: usize, leaving: bool) {
         if leaving {
-            self.told.entry((balancer, host)).or_insert(now);
+            self.told.entry((balancer, server)).or_insert(now);
         } else {
-            self.told.remove(&(balancer, host));
+            self.told.remove(&(balancer, server));
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// An attempt is opened.
-    pub fn attempt(&mut self, now: u64, who: (usize, u64, u64), host: usize) {
+    pub fn attempt(&mut self, now: u64, who: (usize, u64, u64), server: usize) {
         let taken = self.taken.entry(who).or_default();
         taken.attempts += 1;
         if taken.out {
@@ -60,14 +60,14 @@
         if taken.answers > 0 {
             self.broken.push(format!("{now}: a leg for {who:?} after its answer"));
         }
-        if self.told.get(&(who.0, host)).is_some_and(|at| now - at > GRACE) {
-            self.broken.push(format!("{now}: {who:?} sent to host {host}, told to be leaving"));
+        if self.told.get(&(who.0, server)).is_some_and(|at| now - at > GRACE) {
+            self.broken.push(format!("{now}: {who:?} sent to host {server}, told to be leaving"));
         }
     }
 
-    /// Something comes to a cold host that has this share of its capacity (in mean connections).
-    pub fn cold(&mut self, now: u64, host: usize, warmth: f64, capacity: f64, load: f64) {
-        let sent = self.cold.entry(host).or_default();
+    /// Something comes to a cold server that has this share of its capacity (in mean connections).
+    pub fn cold(&mut self, now: u64, server: usize, warmth: f64, capacity: f64, load: f64) {
+        let sent = self.cold.entry(server).or_default();
         sent.push_back((now, load));
         while sent.front().is_some_and(|(at, _)| now - at > WINDOW) {
             sent.pop_front();
@@ -75,7 +75,7 @@
         let sum: f64 = sent.iter().map(|(_, load)| load).sum();
         let most = MULTIPLE * warmth * capacity / WARM_UP * (WINDOW as f64 / 1e6) + SLACK;
         if sum > most {
-            self.broken.push(format!("{now}: host {host} pushed over, {sum:.1} of {most:.1}"));
+            self.broken.push(format!("{now}: host {server} pushed over, {sum:.1} of {most:.1}"));
         }
     }
 
--- a/simulation/src/host.rs
+++ b/simulation/src/server.rs
@@ -1,21 +1,21 @@
-//! An server: a processor shared by what stands there.
+//! A server: a processor shared by what stands there.
 
 use std::collections::BTreeMap;
 
-/// Time of a message on an idle host, in microseconds.
+/// Time of a message on an idle server, in microseconds.
 const SERVICE: f64 = 5_000.0;
-/// Work of one set-up, in seconds of the host's whole capacity over the connections that fill it.
+/// Work of one set-up, in seconds of the server's whole capacity over the connections that fill it.
 const SETUP_WORK: f64 = 0.4;
-/// A host pays for a group that it holds as for so many mean connections.
+/// A server pays for a group that it holds as for so many mean connections.
 pub const GROUP_LOADS: f64 = 3.0;
-/// A host turns new connections away when so many seconds of work are piled up...
+/// A server turns new connections away when so many seconds of work are piled up...
 const FULL_AT: f64 = 0.5;
 /// ...and drops standing ones when so many are.
 const DROPS_AT: f64 = 3.0;
 /// It holds so many times the connections that fill it.
 const MOST: f64 = 2.5;
 
-/// One host.
+/// One server.
 #[derive(Debug)]
 pub struct Host {
     /// Mean connections that fill it when it is warm.
@@ -37,7 +37,7 @@
 }
 
 impl Host {
-    /// A warm host without connections.
+    /// A warm server without connections.
     pub fn new(capacity: f64) -> Host {
         Host {
             capacity,
@@ -108,7 +108,7 @@
         (self.load + groups) / (self.capacity * self.warmth(now))
     }
 
-    /// How many hosts' worth of group costs it pays: for tests.
+    /// How many servers' worth of group costs it pays: for tests.
     pub fn groups(&self) -> usize {
         self.groups.len()
     }
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -8,9 +8,9 @@
 /// The deployment.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// Issuer hosts.
-    pub hosts: usize,
-    /// Mean connections that fill a host's cores, warm.
+    /// Issuer servers.
+    pub servers: usize,
+    /// Mean connections that fill a server's cores, warm.
     pub capacity: f64,
     /// Share of all capacity that clients ask for, on the mean.
     pub used: f64,
@@ -26,7 +26,7 @@
     pub list_delay: u64,
     /// Clients come back after a move with this chance.
     pub come_back: f64,
-    /// Hosts tell how long messages take.
+    /// Servers tell how long messages take.
     pub tells_delay: bool,
     /// How standing connections are moved for balance.
     pub rebalance: rebalance::RebalanceConfig,
@@ -35,10 +35,10 @@
 }
 
 impl Default for World {
-    /// About the size of the shop: 10 hosts, 3 balancers, 300 connections that live 40 s.
+    /// About the size of the shop: 10 servers, 3 balancers, 300 connections that live 40 s.
     fn default() -> World {
         World {
-            hosts: 10,
+            servers: 10,
             capacity: 30.0,
             used: 0.72,
             balancers: 3,
@@ -70,49 +70,49 @@
 pub enum Trouble {
     /// Nothing.
     None,
-    /// One host dies in the 20th second and is back, cold, 4 s later.
-    HostRestart,
+    /// One server dies in the 20th second and is back, cold, 4 s later.
+    ServerRestart,
     /// The same, and it dies again 5 s after that for 4 s.
-    HostRestartsTwice,
-    /// Two hosts die together and are back together.
-    TwoHosts,
-    /// All hosts but one restart within 30 s, a quarter at a time.
+    ServerRestartsTwice,
+    /// Two servers die together and are back together.
+    TwoServers,
+    /// All servers but one restart within 30 s, a quarter at a time.
     RestartWave,
     /// One balancer dies in the 20th second and is back 4 s later with nothing but its list.
     BalancerRestart,
     /// All balancers but one restart within 30 s, a quarter at a time.
     BalancerWave,
-    /// One host has 0.7 of the others' speed, all day.
-    SlowHost,
-    /// One host is listed as draining in the 20th second, sends its clients away over 8 s and goes.
+    /// One server has 0.7 of the others' speed, all day.
+    SlowServer,
+    /// One server is listed as draining in the 20th second, sends its clients away over 8 s and goes.
     Drain,
-    /// One host dies in the 20th second and the list never says so.
+    /// One server dies in the 20th second and the list never says so.
     GoneUnlisted,
 }
 
 /// Every trouble.
 pub const TROUBLES: [Trouble; 10] = [
     Trouble::None,
-    Trouble::HostRestart,
-    Trouble::HostRestartsTwice,
-    Trouble::TwoHosts,
+    Trouble::ServerRestart,
+    Trouble::ServerRestartsTwice,
+    Trouble::TwoServers,
     Trouble::RestartWave,
     Trouble::BalancerRestart,
     Trouble::BalancerWave,
-    Trouble::SlowHost,
+    Trouble::SlowServer,
     Trouble::Drain,
     Trouble::GoneUnlisted,
 ];
 
-/// What happens to hosts and balancers, and when (microseconds from the start).
+/// What happens to servers and balancers, and when (microseconds from the start).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Blow {
-    /// This host's process dies.
-    HostDies(usize),
+    /// This server's process dies.
+    ServerDies(usize),
     /// It starts again, cold.
-    HostStarts(usize),
+    ServerStarts(usize),
     /// It drains.
-    HostDrains(usize),
+    ServerDrains(usize),
     /// This balancer dies.
     BalancerDies(usize),
     /// It starts again.
@@ -123,17 +123,17 @@
     /// The blows of a day of this trouble.
     pub fn blows(self, world: &World) -> Vec<(u64, Blow)> {
         let at = |second: f64| (second * 1e6) as u64;
-        let down = |n, from: f64, to: f64| [(at(from), Blow::HostDies(n)), (at(to), Blow::HostStarts(n))];
+        let down = |n, from: f64, to: f64| [(at(from), Blow::ServerDies(n)), (at(to), Blow::ServerStarts(n))];
         let off =
             |n, from: f64, to: f64| [(at(from), Blow::BalancerDies(n)), (at(to), Blow::BalancerStarts(n))];
         match self {
-            Trouble::None | Trouble::SlowHost => Vec::new(),
-            Trouble::HostRestart => down(0, 20.0, 24.0).to_vec(),
-            Trouble::HostRestartsTwice => [down(0, 20.0, 24.0), down(0, 29.0, 33.0)].concat(),
-            Trouble::TwoHosts => [down(0, 20.0, 24.0), down(1, 20.0, 24.0)].concat(),
+            Trouble::None | Trouble::SlowServer => Vec::new(),
+            Trouble::ServerRestart => down(0, 20.0, 24.0).to_vec(),
+            Trouble::ServerRestartsTwice => [down(0, 20.0, 24.0), down(0, 29.0, 33.0)].concat(),
+            Trouble::TwoServers => [down(0, 20.0, 24.0), down(1, 20.0, 24.0)].concat(),
             Trouble::RestartWave => {
-                let most = world.hosts - 1;
-                let batch = world.hosts.div_ceil(4);
+                let most = world.servers - 1;
+                let batch = world.servers.div_ceil(4);
                 let begin = |n: usize| 20.0 + 7.0 * (n / batch) as f64;
                 (0..most).flat_map(|n| down(n, begin(n), begin(n) + 4.0)).collect()
             }
@@ -143,8 +143,8 @@
                 let begin = |n: usize| 20.0 + 7.0 * (n / batch) as f64;
                 (0..world.balancers - 1).flat_map(|n| off(n, begin(n), begin(n) + 4.0)).collect()
             }
-            Trouble::Drain => vec![(at(20.0), Blow::HostDrains(0)), (at(29.0), Blow::HostDies(0))],
-            Trouble::GoneUnlisted => vec![(at(20.0), Blow::HostDies(0))],
+            Trouble::Drain => vec![(at(20.0), Blow::ServerDrains(0)), (at(29.0), Blow::ServerDies(0))],
+            Trouble::GoneUnlisted => vec![(at(20.0), Blow::ServerDies(0))],
         }
     }
 }
--- a/simulation/tests/grid.rs
+++ b/simulation/tests/grid.rs
@@ -48,10 +48,10 @@
     assert!(of("None, Normal").expect("played").per_minute < 0.001);
 }
 
-/// The margin that is promised where one host restarts. Twenty pairs are too few to show it.
+/// The margin that is promised where one server restarts. Twenty pairs are too few to show it.
 #[test]
 fn a_restart_is_got_over_sooner() {
-    let cell = |moving: &World| days(moving, Trouble::HostRestart, Session::Normal, 0..120);
+    let cell = |moving: &World| days(moving, Trouble::ServerRestart, Session::Normal, 0..120);
     let world = world((1, 1));
     let restart = std::thread::scope(|scope| {
         let off = scope.spawn(|| cell(&world));
@@ -75,13 +75,14 @@
     let gone = World { come_back: 0.5, ..world((1, 1)) };
     let silent = World { tells_delay: false, ..world((1, 1)) };
     let mut jobs =
-        [lists, gone, silent].map(|world| (world, Trouble::TwoHosts, Session::Normal, 5.0)).to_vec();
+        [lists, gone, silent].map(|world| (world, Trouble::TwoServers, Session::Normal, 5.0)).to_vec();
     // 97% of 32 balancers, a quarter at a time, each with a small part of everything.
     let many = World { balancers: 32, ..world((1, 1)) };
     jobs.push((many, Trouble::BalancerWave, Session::Normal, 5.0));
     let small = World { groups: (2, 6), used: 0.5, ..world((1, 1)) };
     jobs.extend(
-        [Trouble::HostRestart, Trouble::Drain].map(|trouble| (small.clone(), trouble, Session::Normal, 5.0)),
+        [Trouble::ServerRestart, Trouble::Drain]
+            .map(|trouble| (small.clone(), trouble, Session::Normal, 5.0)),
     );
     sound(&cells(jobs));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -88,6 +88,7 @@
 pub mod transport;
 
 mod policy;
+mod running_mean;
 mod types;
 
 pub use policy::Balancer;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,15 +1,15 @@
-//! What the balancers of one tier tell each other: which host's messages take long, which dropped what stood, that set-ups
-//! take long at all hosts, and, along with each such word, of which groups some connections are that stand at its sender.
+//! What the balancers of one tier tell each other: which server's messages take long, which dropped what stood, that set-ups
+//! take long at all servers, and, along with each such word, of which groups some connections are that stand at its sender.
 //!
-//! One of a hundred balancers holds a connection or two at few hosts. It learns that a host is slow by placing somebody
-//! there, and all the others would learn it in the same way. So the first to be told by a host passes it on, in one
+//! One of a hundred balancers holds a connection or two at few servers. It learns that a server is slow by placing somebody
+//! there, and all the others would learn it in the same way. So the first to be told by a server passes it on, in one
 //! datagram to all. Words may be lost or late, and nothing waits for one: without them each learns by itself.
-//! Not every host tells of messages: one that drops shows by that alone that it was sent too much.
-//! So it is with set-ups, which slow down everywhere when what all hosts share is slow. The groups are a sample that costs
-//! nothing, in bytes that are paid for anyway: from it all know alike how large each group is, and so on how many hosts.
+//! Not every server tells of messages: one that drops shows by that alone that it was sent too much.
+//! So it is with set-ups, which slow down everywhere when what all servers share is slow. The groups are a sample that costs
+//! nothing, in bytes that are paid for anyway: from it all know alike how large each group is, and so on how many servers.
 //!
 //! It promises that what is spent on words stays a small fixed share of all worth, whatever the price and the number
-//! of balancers, and that one host is told of no more often than a word holds. It is pure, has its clock handed in, and
+//! of balancers, and that one server is told of no more often than a word holds. It is pure, has its clock handed in, and
 //! is owned by the reducer, a field of each pool. Where a new connection goes stays the decision module's choice.
 
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 const LEAST_BYTES: f64 = 16.0;
 /// The price is for so many bytes delivered a request.
 const PRICED_BYTES: f64 = 256.0;
-/// Messages that take this share of their objective are missing it: the host is told of.
+/// Messages that take this share of their objective are missing it: the server is told of.
 const SLOW: f64 = 0.5;
 /// Words saved up for when they are needed.
 const MOST_CREDIT: f64 = 3.0;
@@ -44,7 +44,7 @@
     pub price: f64,
     /// A message is wanted within this time; 0 where unknown.
     pub message_objective: Micros,
-    /// So long a host is avoided for one word of it.
+    /// So long a server is avoided for one word of it.
     pub holds: Micros,
     /// So long one word of slow set-ups is enough.
     pub set_up_holds: Micros,
@@ -53,11 +53,11 @@
 /// What a word tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// Messages at this host take so long.
-    SlowHost(ServerId, Micros),
-    /// This host dropped a connection that stood.
+    /// Messages at this server take so long.
+    SlowServer(ServerId, Micros),
+    /// This server dropped a connection that stood.
     Dropped(ServerId),
-    /// Set-ups take long, or fail, for what all hosts share.
+    /// Set-ups take long, or fail, for what all servers share.
     SlowSetUps,
 }
 
@@ -80,7 +80,7 @@
     /// Words that may still be sent. Part of one buys a word with that chance: where each of many balancers serves
     /// few, none would ever have saved up a whole one.
     credit: f64,
-    /// Hosts that were told of, and when; under none, set-ups.
+    /// Servers that were told of, and when; under none, set-ups.
     told: BTreeMap<Option<ServerId>, Time>,
 }
 
@@ -111,7 +111,7 @@
     pub fn tell(&mut self, now: Time, observation: Observation) -> bool {
         let GossipConfig { on, balancers, message_objective, .. } = self.config;
         let matters = match observation {
-            Observation::SlowHost(_, took) => {
+            Observation::SlowServer(_, took) => {
                 message_objective > 0 && took as f64 >= SLOW * message_objective as f64
             }
             Observation::Dropped(_) | Observation::SlowSetUps => true,
@@ -147,25 +147,25 @@
     /// Whether a word of the same still holds.
     fn fresh(&self, now: Time, observation: Observation) -> bool {
         let holds = match observation {
-            Observation::SlowHost(..) | Observation::Dropped(_) => self.config.holds,
+            Observation::SlowServer(..) | Observation::Dropped(_) => self.config.holds,
             Observation::SlowSetUps => self.config.set_up_holds,
         };
-        self.told.get(&observation.host()).is_some_and(|at| now.since(*at) < holds)
+        self.told.get(&observation.server()).is_some_and(|at| now.since(*at) < holds)
     }
 
-    /// Danger: hosts come and go under ever new numbers; what holds no more is forgotten.
+    /// Danger: servers come and go under ever new numbers; what holds no more is forgotten.
     fn note(&mut self, now: Time, observation: Observation) {
         let longest = self.config.holds.max(self.config.set_up_holds);
         self.told.retain(|_, at| now.since(*at) < longest);
-        self.told.insert(observation.host(), now);
+        self.told.insert(observation.server(), now);
     }
 }
 
 impl Observation {
-    /// The host that it is of, if it is of one.
-    pub fn host(self) -> Option<ServerId> {
+    /// The server that it is of, if it is of one.
+    pub fn server(self) -> Option<ServerId> {
         match self {
-            Observation::SlowHost(host, _) | Observation::Dropped(host) => Some(host),
+            Observation::SlowServer(server, _) | Observation::Dropped(server) => Some(server),
             Observation::SlowSetUps => None,
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,6 +16,7 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::{FxBuildHasher, FxHashMap};
 
+use crate::running_mean::RunningMean;
 use crate::types::*;
 
 // ---- Constants: scale-free numbers, each with its reason ----
@@ -34,8 +35,6 @@
 const NEAR_FULL: f64 = 0.85;
 /// The most slots one connection takes: a wild figure must not close a server for good.
 const MOST_SLOTS: f64 = 32.0;
-/// A class's mean load counts against the mean of all as so many values.
-const MEAN_PRIOR: f64 = 3.0;
 /// A server pays for a group that it holds about as for so many mean connections.
 const GROUP_SLOTS: f64 = 2.0;
 /// A server of the own zone comes first while it holds less than so many times the mean, and a few.
@@ -129,13 +128,6 @@
     may_have_run: Option<(ZoneId, CellId, Time)>,
 }
 
-/// A running mean.
-#[derive(Clone, Default)]
-struct Mean {
-    sum: f64,
-    count: f64,
-}
-
 /// A server in the draw.
 struct Lot {
     server: ServerId,
@@ -177,9 +169,9 @@
     /// When a server was last looked for.
     picked: Time,
     /// Loads as noted on open connections, of all and by class, and as hinted at arrivals.
-    loads: Mean,
-    class_loads: Vec<Mean>,
-    hints: Mean,
+    loads: RunningMean,
+    class_loads: Vec<RunningMean>,
+    hints: RunningMean,
     /// The tightest message objective, which word of slow messages is held against.
     message_objective: Micros,
     /// How many connections of each group were seen to stand, here or in others' samples, and of all.
@@ -211,9 +203,9 @@
             most: (0.0, 0.0),
             picked: now,
             message_objective: settings.message_objective(),
-            loads: Mean::default(),
-            class_loads: vec![Mean::default(); settings.classes.len()],
-            hints: Mean::default(),
+            loads: RunningMean::default(),
+            class_loads: vec![RunningMean::default(); settings.classes.len()],
+            hints: RunningMean::default(),
             groups: BTreeMap::new(),
             groups_seen: 0.0,
             pace: 1.0,
@@ -226,7 +218,7 @@
 
     /// Other settings from now on; what was learned and what is out stays. Classes must keep their numbers.
     pub fn configure(&mut self, settings: Settings) {
-        self.class_loads.resize(settings.classes.len(), Mean::default());
+        self.class_loads.resize(settings.classes.len(), RunningMean::default());
         self.message_objective = settings.message_objective();
         self.settings = settings;
     }
@@ -356,7 +348,7 @@
             return (load / self.hints.add(load)).min(MOST_SLOTS);
         }
         let all = self.loads.mean();
-        let class = self.class_loads.get(class.0 as usize).map_or(all, |c| c.toward(all));
+        let class = self.class_loads.get(class.0 as usize).map_or(all, |c| c.shrunk_towards(all));
         Some(all).filter(|all| *all > 0.0).map_or(1.0, |all| (class / all).min(MOST_SLOTS))
     }
 
@@ -973,24 +965,6 @@
     }
 }
 
-impl Mean {
-    /// Takes in a value and returns the mean so far.
-    fn add(&mut self, value: f64) -> f64 {
-        self.sum += value;
-        self.count += 1.0;
-        self.mean()
-    }
-
-    fn mean(&self) -> f64 {
-        self.sum / self.count.max(1.0)
-    }
-
-    /// Between `usual` and the mean, the nearer to the mean the more values it rests on.
-    fn toward(&self, usual: f64) -> f64 {
-        (self.sum + MEAN_PRIOR * usual) / (self.count + MEAN_PRIOR)
-    }
-}
-
 impl Request {
     fn new(class: ClassId, group: Option<GroupId>, slots: f64) -> Request {
         Request { class, group, slots, ..Request::default() }
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -65,7 +65,7 @@
     rebalance: Option<PathBuf>,
 }
 
-/// Play the client's flows of a pcap file into a front, with loopback hosts only.
+/// Play the client's flows of a pcap file into a front, with loopback servers only.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct Replay {
@@ -83,25 +83,25 @@
     port: Option<u16>,
 }
 
-/// Take an server out, whatever any list says, until it is included again.
+/// Take a server out, whatever any list says, until it is included again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "exclude")]
 struct Exclude {
     /// name of the server
-    #[argh(positional)]
-    host: String,
+    #[argh(positional, arg_name = "host")]
+    server: String,
     /// address of a balancer's operators' door (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
 
-/// Use an server again that was excluded.
+/// Use a server again that was excluded.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "include")]
 struct Include {
     /// name of the server
-    #[argh(positional)]
-    host: String,
+    #[argh(positional, arg_name = "host")]
+    server: String,
     /// address of a balancer's operators' door (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
@@ -182,16 +182,16 @@
         Command::Check(check) => {
             let config = sources(check.config, check.irc, check.rebalance).read()?;
             if let Some(platform) = config.platform {
-                let hosts = platform.known.hosts.len();
-                println!("platform: sound; {} on {}, {hosts} hosts known", platform.name, platform.listen);
+                let servers = platform.known.endpoints.len();
+                println!("platform: sound; {} on {}, {servers} hosts known", platform.name, platform.listen);
             }
             if let Some(irc) = config.irc {
-                println!("irc: sound; {} on {}, {} hosts", irc.setup.name, irc.listen, irc.hosts.len());
+                println!("irc: sound; {} on {}, {} hosts", irc.setup.name, irc.listen, irc.endpoints.len());
             }
             Ok(())
         }
-        Command::Exclude(Exclude { host, mgmt }) => ask(mgmt, &format!("exclude {host}")),
-        Command::Include(Include { host, mgmt }) => ask(mgmt, &format!("include {host}")),
+        Command::Exclude(Exclude { server, mgmt }) => ask(mgmt, &format!("exclude {server}")),
+        Command::Include(Include { server, mgmt }) => ask(mgmt, &format!("include {server}")),
         Command::Readyz(Readyz { mgmt }) => ask(mgmt, "readyz"),
         Command::Telemetry(Telemetry { mgmt }) => ask(mgmt, "telemetry"),
         Command::Set(set) => {
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -10,7 +10,7 @@
 use crate::protocol::irc;
 use crate::protocol::json::{self, Fault, Place};
 use crate::routing::store::LONGEST_NODE;
-use crate::routing::{stored_host, Budget, Endpoint, Lifecycle, PoolConfig, MOST_PROBES};
+use crate::routing::{stored_endpoint, Budget, Endpoint, Lifecycle, PoolConfig, MOST_PROBES};
 use crate::transport::MOST_CALLERS;
 use crate::{rebalance, Class, Idempotency, KeyScope, Micros, Settings, Tenant, ZoneId};
 
@@ -18,7 +18,7 @@
 /// nothing is to be closed within 3 s, the wait to be accepted included.
 const PLATFORM_GREETING: Micros = 1_500_000;
 /// The platform's clients send a line every 2 s and have one back at once: after this long without, a
-/// standing connection's host is taken to be lost. 7 s are allowed.
+/// standing connection's server is taken to be lost. 7 s are allowed.
 const PLATFORM_SILENCE: Micros = 5_000_000;
 
 /// All that a daemon is told: at least one front.
@@ -87,7 +87,7 @@
 
     /// About a quarter of the descriptors is for connections without an attempt, the rest for those with one, who
     /// take two each. Half of the memory is for the buffers of all of them: one each, two with an attempt. The
-    /// operators' door and probes of hosts, where there are any, have their own set aside.
+    /// operators' door and probes of servers, where there are any, have their own set aside.
     pub fn budget(self, door: bool, probes: bool) -> Budget {
         let own = Limits::OWN + if door { Limits::DOOR } else { 0 } + if probes { MOST_PROBES } else { 0 };
         let (free, memory) = (self.sockets - own, (self.memory_mb << 20) / 2);
@@ -241,7 +241,7 @@
     /// How it speaks.
     pub setup: irc::IrcConfig,
     /// Its servers.
-    pub hosts: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// Its pool.
     pub pool: PoolConfig,
 }
@@ -333,7 +333,7 @@
             tenant: tenant.clone(),
             capabilities: root.at("capabilities").texts()?,
         },
-        hosts: root.at("hosts").items()?.iter().map(irc_host).collect::<Result<_, _>>()?,
+        endpoints: root.at("hosts").items()?.iter().map(irc_server).collect::<Result<_, _>>()?,
         pool: PoolConfig {
             name: "irc",
             classes: vec![name],
@@ -422,15 +422,15 @@
     Ok(Some(StoreConfig { node, listen: address(&place.at("listen"))?, peers, data }))
 }
 
-fn irc_host(host: &Place<'_>) -> Result<Endpoint, Fault> {
-    host.only(&["name", "address", "zone", "weight"])?;
+fn irc_server(endpoint: &Place<'_>) -> Result<Endpoint, Fault> {
+    endpoint.only(&["name", "address", "zone", "weight"])?;
     Ok(Endpoint {
-        name: host.at("name").must_text()?,
-        address: address(&host.at("address"))?.to_string(),
-        zone: host.at("zone").text()?.unwrap_or_default(),
+        name: endpoint.at("name").must_text()?,
+        address: address(&endpoint.at("address"))?.to_string(),
+        zone: endpoint.at("zone").text()?.unwrap_or_default(),
         cell: 0,
         lifecycle: Lifecycle::Ready,
-        weight: host.at("weight").number(1.0)?,
+        weight: endpoint.at("weight").number(1.0)?,
         started: None,
     })
 }
@@ -456,7 +456,7 @@
 pub fn store_entry(key: &str, value: Option<&str>) -> Result<(), String> {
     let (sound, wanted) = match (key.split_once('/'), value) {
         (Some(("host", name)), value) => {
-            let sound = value.is_none_or(|text| stored_host(name, text).is_some());
+            let sound = value.is_none_or(|text| stored_endpoint(name, text).is_some());
             (sound && !name.is_empty(), "ADDRESS [ZONE [WEIGHT]] is wanted")
         }
         (Some(("life", name)), value) => {
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -13,7 +13,7 @@
 /// The longest call, its end included.
 pub const LONGEST_CALL: usize = 256;
 
-/// The longest name of a host.
+/// The longest name of a server.
 const LONGEST_NAME: usize = 128;
 
 /// Reads a call, without its line's end; or else says what is wrong with it.
--- a/src/protocol/hot_restart.rs
+++ b/src/protocol/hot_restart.rs
@@ -34,8 +34,8 @@
     /// Beside this come the client's socket and its attempt's, of a connection that stands at that front;
     /// and what the front itself has to know of it.
     EstablishedConnection { front: String, established: EstablishedConnection, state: Vec<u8> },
-    /// A host is out by hand, or is not any more; the answer has the same number.
-    Share { number: u64, host: String, out: bool },
+    /// A server is out by hand, or is not any more; the answer has the same number.
+    Share { number: u64, server: String, out: bool },
     /// That was taken in.
     Shared { number: u64 },
 }
@@ -43,29 +43,29 @@
 /// A part of a legacy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    Ban(String),
+    Excluded(String),
     EverListed(String),
     Entry(String, Entry),
-    Host { pool: String, host: Endpoint, learned: Option<LearnedState> },
-    Returned { pool: String, host: String, since: Time },
+    Endpoint { pool: String, endpoint: Endpoint, learned: Option<LearnedState> },
+    Readmitted { pool: String, server: String, since: Time },
     Id { pool: String, id: String },
     Left(u64),
 }
 
 /// A legacy in parts.
 pub fn parts(handover_state: HandoverState) -> Vec<Part> {
-    let mut parts: Vec<Part> = handover_state.excluded_by_operator.into_iter().map(Part::Ban).collect();
+    let mut parts: Vec<Part> = handover_state.excluded_by_operator.into_iter().map(Part::Excluded).collect();
     parts.extend(handover_state.ever_listed.into_iter().map(Part::EverListed));
     parts.extend(handover_state.entries.into_iter().map(|(key, entry)| Part::Entry(key, entry)));
     for (pool, left) in handover_state.pools {
         let name = || pool.clone();
-        parts.extend(left.hosts.into_iter().map(|(host, learned)| Part::Host {
+        parts.extend(left.endpoints.into_iter().map(|(endpoint, learned)| Part::Endpoint {
             pool: name(),
-            host,
+            endpoint,
             learned,
         }));
         let readmitted = left.readmitted.into_iter();
-        parts.extend(readmitted.map(|(host, since)| Part::Returned { pool: name(), host, since }));
+        parts.extend(readmitted.map(|(server, since)| Part::Readmitted { pool: name(), server, since }));
         parts.extend(left.ids.into_iter().map(|id| Part::Id { pool: name(), id }));
     }
     parts.push(Part::Left(handover_state.left as u64));
@@ -75,14 +75,14 @@
 /// Adds a part to what has come of a legacy.
 pub fn add(handover_state: &mut HandoverState, part: Part) {
     match part {
-        Part::Ban(host) => handover_state.excluded_by_operator.push(host),
-        Part::EverListed(host) => handover_state.ever_listed.push(host),
+        Part::Excluded(server) => handover_state.excluded_by_operator.push(server),
+        Part::EverListed(server) => handover_state.ever_listed.push(server),
         Part::Entry(key, entry) => handover_state.entries.push((key, entry)),
-        Part::Host { pool, host, learned } => {
-            handover_state.pools.entry(pool).or_default().hosts.push((host, learned))
+        Part::Endpoint { pool, endpoint, learned } => {
+            handover_state.pools.entry(pool).or_default().endpoints.push((endpoint, learned))
         }
-        Part::Returned { pool, host, since } => {
-            handover_state.pools.entry(pool).or_default().readmitted.push((host, since))
+        Part::Readmitted { pool, server, since } => {
+            handover_state.pools.entry(pool).or_default().readmitted.push((server, since))
         }
         Part::Id { pool, id } => handover_state.pools.entry(pool).or_default().ids.push(id),
         Part::Left(left) => handover_state.left = left as usize,
@@ -129,7 +129,7 @@
     })
 }
 
-fn host(input: &mut &[u8]) -> ModalResult<Endpoint> {
+fn endpoint(input: &mut &[u8]) -> ModalResult<Endpoint> {
     Ok(Endpoint {
         name: text(input)?,
         address: text(input)?,
@@ -160,9 +160,9 @@
 }
 
 fn established(input: &mut &[u8]) -> ModalResult<EstablishedConnection> {
-    let (ask, host, load, awaiting_server_since) =
+    let (ask, server, load, awaiting_server_since) =
         (connection_request, text, maybe(number), maybe(time)).parse_next(input)?;
-    Ok(EstablishedConnection { ask, host, load, awaiting_server_since })
+    Ok(EstablishedConnection { ask, server, load, awaiting_server_since })
 }
 
 fn part(input: &mut &[u8]) -> ModalResult<Part> {
@@ -171,11 +171,11 @@
         Ok((key, Entry { counter, node, value }))
     };
     dispatch! {u8;
-        b'B' => text.map(Part::Ban),
+        b'B' => text.map(Part::Excluded),
         b'N' => text.map(Part::EverListed),
         b'E' => entry.verify(|(key, entry)| Store::sound(key, entry)).map(|(key, entry)| Part::Entry(key, entry)),
-        b'H' => (text, host, maybe(learned_state)).map(|(pool, host, learned)| Part::Host { pool, host, learned }),
-        b'R' => (text, text, time).map(|(pool, host, since)| Part::Returned { pool, host, since }),
+        b'H' => (text, endpoint, maybe(learned_state)).map(|(pool, endpoint, learned)| Part::Endpoint { pool, endpoint, learned }),
+        b'R' => (text, text, time).map(|(pool, server, since)| Part::Readmitted { pool, server, since }),
         b'I' => (text, text).map(|(pool, id)| Part::Id { pool, id }),
         b'L' => be_u64.map(Part::Left),
         _ => fail,
@@ -191,7 +191,7 @@
         b'D' => ().value(HandoverMessage::Done),
         b'V' => ().value(HandoverMessage::Serving),
         b'C' => (text, established, bytes).map(|(front, established, state)| HandoverMessage::EstablishedConnection { front, established, state }),
-        b'B' => (be_u64, text, flag).map(|(number, host, out)| HandoverMessage::Share { number, host, out }),
+        b'B' => (be_u64, text, flag).map(|(number, server, out)| HandoverMessage::Share { number, server, out }),
         b'A' => be_u64.map(|number| HandoverMessage::Shared { number }),
         _ => fail,
     };
@@ -254,30 +254,36 @@
             .time(&known.last_failure);
         self.figure(known.ejected_until.0).figure(known.next_slow_start_send.0).time(&known.last_migration)
     }
-    fn host(&mut self, host: &Endpoint) -> &mut Out {
-        self.text(&host.name).text(&host.address).text(&host.zone).small(host.cell);
-        self.tag(u8::from(host.lifecycle != Lifecycle::Ready)).number(host.weight).time(&host.started)
+    fn endpoint(&mut self, endpoint: &Endpoint) -> &mut Out {
+        self.text(&endpoint.name).text(&endpoint.address).text(&endpoint.zone).small(endpoint.cell);
+        self.tag(u8::from(endpoint.lifecycle != Lifecycle::Ready))
+            .number(endpoint.weight)
+            .time(&endpoint.started)
     }
     fn established(&mut self, established: &EstablishedConnection) -> &mut Out {
         let ask = &established.ask;
         self.maybe(&ask.id, |out, id| out.text(id)).text(&ask.class);
         self.maybe(&ask.tenant, |out, tenant| out.text(tenant));
         self.maybe(&ask.group, |out, group| out.figure(*group));
-        self.maybe(&ask.load, |out, load| out.number(*load)).text(&established.host);
+        self.maybe(&ask.load, |out, load| out.number(*load)).text(&established.server);
         self.maybe(&established.load, |out, load| out.number(*load)).time(&established.awaiting_server_since)
     }
     fn part(&mut self, part: &Part) -> &mut Out {
         match part {
-            Part::Ban(host) => self.tag(b'B').text(host),
-            Part::EverListed(host) => self.tag(b'N').text(host),
+            Part::Excluded(server) => self.tag(b'B').text(server),
+            Part::EverListed(server) => self.tag(b'N').text(server),
             Part::Entry(key, entry) => {
                 self.tag(b'E').text(key).figure(entry.counter).text(&entry.node);
                 self.maybe(&entry.value, |out, value| out.text(value))
             }
-            Part::Host { pool, host, learned } => {
-                self.tag(b'H').text(pool).host(host).maybe(learned, |out, known| out.learned_state(known))
+            Part::Endpoint { pool, endpoint, learned } => self
+                .tag(b'H')
+                .text(pool)
+                .endpoint(endpoint)
+                .maybe(learned, |out, known| out.learned_state(known)),
+            Part::Readmitted { pool, server, since } => {
+                self.tag(b'R').text(pool).text(server).figure(since.0)
             }
-            Part::Returned { pool, host, since } => self.tag(b'R').text(pool).text(host).figure(since.0),
             Part::Id { pool, id } => self.tag(b'I').text(pool).text(id),
             Part::Left(left) => self.tag(b'L').figure(*left),
         }
@@ -296,8 +302,8 @@
         HandoverMessage::EstablishedConnection { front, established, state } => {
             out.tag(b'C').text(front).established(established).bytes(state)
         }
-        HandoverMessage::Share { number, host, out: is_out } => {
-            out.tag(b'B').figure(*number).text(host).tag(u8::from(*is_out))
+        HandoverMessage::Share { number, server, out: is_out } => {
+            out.tag(b'B').figure(*number).text(server).tag(u8::from(*is_out))
         }
         HandoverMessage::Shared { number } => out.tag(b'A').figure(*number),
     };
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -129,7 +129,7 @@
     /// All of it, not changes only.
     pub whole: bool,
     /// Its entries.
-    pub hosts: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// Reads a list.
@@ -154,7 +154,7 @@
     Ok(EndpointListUpdate {
         generation: place.at("generation").number(0.0)? as u64,
         whole: place.at("reset").flag(false)?,
-        hosts: place.at("instances").items()?.iter().map(host).collect::<Result<_, _>>()?,
+        endpoints: place.at("instances").items()?.iter().map(host).collect::<Result<_, _>>()?,
     })
 }
 
--- a/src/protocol/irc.rs
+++ b/src/protocol/irc.rs
@@ -1,5 +1,5 @@
 //! The IRC front: RFC 1459 and 2812 with IRCv3's `CAP`. A registration that is complete is what the
-//! client asks; the attempt repeats it to an server, and `001` there is its acceptance.
+//! client asks; the attempt repeats it to a server, and `001` there is its acceptance.
 
 use std::rc::Rc;
 
@@ -20,9 +20,9 @@
 const MOST_LINES: u32 = 64;
 /// Bytes that may come before that, the passed over ones included.
 const MOST_BYTES: usize = 64 << 10;
-/// Bytes of a host's notices before its welcome that are kept for the client.
+/// Bytes of a server's notices before its welcome that are kept for the client.
 const MOST_NOTICES: usize = 4096;
-/// Bytes that a client may send ahead while it waits for its host.
+/// Bytes that a client may send ahead while it waits for its server.
 const MOST_AHEAD: usize = 8 << 10;
 
 /// What the front is set up with.
@@ -35,7 +35,7 @@
     /// The class and tenant of what is asked here.
     pub class: String,
     pub tenant: Option<String>,
-    /// Capabilities that may be asked for; each host has to have them.
+    /// Capabilities that may be asked for; each server has to have them.
     pub capabilities: Vec<String>,
 }
 
@@ -115,7 +115,7 @@
     /// The rest of a line that was too long is passed over up to its end.
     skipping: bool,
     server: Lines,
-    /// What the host said before its welcome.
+    /// What the server said before its welcome.
     notices: Vec<u8>,
     relay: Relay,
     /// The client has said that it goes.
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Lines of the client for the host it has been placed at.
+    /// Lines of the client for the server it has been placed at.
     fn relay_lines(&mut self, steps: &mut Vec<Step>) {
         let mut pass = Vec::new();
         while let Some(line) = self.next_line(steps) {
@@ -310,7 +310,7 @@
         }
     }
 
-    /// A line of the host before its welcome; whether it decided the attempt.
+    /// A line of the server before its welcome; whether it decided the attempt.
     fn verdict(&mut self, line: &[u8], steps: &mut Vec<Step>) -> bool {
         let whole = [line, b"\r\n"].concat();
         let Some(message) = message(line) else { return false };
@@ -332,9 +332,9 @@
             }
             b"CAP" => return false,
             b"ERROR" => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
-            // The host is full, or wants its clients elsewhere.
+            // The server is full, or wants its clients elsewhere.
             b"263" | b"010" => steps.push(Step::AttemptEnded(AttemptOutcome::Rejected)),
-            // What it thinks of the nickname or the password no other host decides.
+            // What it thinks of the nickname or the password no other server decides.
             b"431" | b"432" | b"433" | b"436" | b"437" | b"464" | b"465" => {
                 let error = self.error("Registration refused");
                 steps.push(Step::ToClient([whole, error].concat()));
@@ -351,7 +351,7 @@
     }
 }
 
-/// Nicknames as hosts of today take them: no longer than a line allows, and nothing that would change the
+/// Nicknames as servers of today take them: no longer than a line allows, and nothing that would change the
 /// meaning of a line.
 fn sound_nick(nick: &[u8]) -> bool {
     let first = nick.first().is_some_and(|b| !b.is_ascii_digit() && !b"-:#&+!@$".contains(b));
@@ -445,9 +445,10 @@
             Answer::Migrated if self.relay.mid_line() => Vec::new(),
             Answer::Migrated => {
                 let (name, nick) = (&self.setup.name, self.nick());
-                let (host, port) = &self.setup.address;
+                let (server, port) = &self.setup.address;
                 let notice = format!(":{name} NOTICE {nick} :Your server is leaving; please reconnect\r\n");
-                let bounce = self.numeric(10, &format!("{host} {port} :Please use this Server/Port instead"));
+                let bounce =
+                    self.numeric(10, &format!("{server} {port} :Please use this Server/Port instead"));
                 [notice.into_bytes(), bounce].concat()
             }
         }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -51,7 +51,7 @@
 pub trait Front {
     /// Bytes came from the client.
     fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
-    /// An attempt is opened, and the host has so long: what is to be written first.
+    /// An attempt is opened, and the server has so long: what is to be written first.
     fn open_attempt(&mut self, wait: Micros) -> Vec<u8>;
     /// Bytes came from the server.
     fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -12,7 +12,7 @@
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest, ProbeEnd};
 use crate::{LoadReport, Micros};
 
-/// The first line of an client.
+/// The first line of a client.
 #[derive(Debug, PartialEq)]
 pub enum Greeting {
     /// The front asks whether this balancer is there.
@@ -21,7 +21,7 @@
     Open { ask: Box<ConnectionRequest>, before: Vec<u8>, after: Option<Vec<u8>> },
 }
 
-/// A line of an server.
+/// A line of a server.
 #[derive(Debug, PartialEq)]
 pub enum ServerReply {
     Up,
@@ -60,7 +60,7 @@
     Ok((id, key, list, separated(1.., pair, b',').parse_next(input)?))
 }
 
-/// Reads a first line, without its end. Danger: what is not sound in all of its parts must reach no host.
+/// Reads a first line, without its end. Danger: what is not sound in all of its parts must reach no server.
 pub fn greeting(line: &[u8]) -> Option<Greeting> {
     let (id, key, list, pairs) = match alt((b"PING".value(None), open.map(Some))).parse(line).ok()? {
         None => return Some(Greeting::Ping),
@@ -101,7 +101,7 @@
     (waits && !ask.class.is_empty()).then_some(Greeting::Open { ask: Box::new(ask), before, after })
 }
 
-/// Reads a line of an server.
+/// Reads a line of a server.
 pub fn server_reply(line: &[u8]) -> ServerReply {
     let tail = || opt(preceded(b' ', rest));
     let parsed = alt((
@@ -116,13 +116,13 @@
     parsed.unwrap_or(ServerReply::Other)
 }
 
-/// What asks an server for its load.
+/// What asks a server for its load.
 pub const PROBE: &[u8] = b"STATS\r\n";
-/// A host asked for so many times what it can do is believed; anything beyond is no figure.
+/// A server asked for so many times what it can do is believed; anything beyond is no figure.
 const MOST_LOAD: f64 = 1000.0;
 
 /// What a report tells of the load, under the first of these names that it holds. Danger: a figure that makes no
-/// sense, or one told twice, must make no host look better than it is, nor worse.
+/// sense, or one told twice, must make no server look better than it is, nor worse.
 fn report(pairs: &[(&[u8], &[u8])], names: &[&str]) -> Option<LoadReport> {
     let figure = |name: &str, most: f64| {
         let mut told = pairs.iter().filter(|(key, _)| *key == name.as_bytes());
@@ -251,7 +251,7 @@
             Phase::Established if self.line.fits(bytes, LONGEST_LINE) => {
                 return steps.push(Step::ToServer(bytes.to_vec()));
             }
-            // Danger: a line without end would keep this balancer and a host busy for ever.
+            // Danger: a line without end would keep this balancer and a server busy for ever.
             Phase::Established => return self.wrong(steps),
             _ => self.client.push(bytes),
         }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -1,13 +1,13 @@
 //! Slow rebalancing: which standing connections are asked to come again so that load evens out, when, and how
 //! many. `docs/rebalancing.md` tells why.
 //!
-//! **What it does.** It is told what happens to connections and hosts ([`Rebalance::take`]) and, when its time has
-//! come ([`Rebalance::due`]), what the decision module knows of each host ([`Rebalance::evaluate`]). It answers with
-//! connections to move, and with ceilings that what it sees calls for: lower where a host holds more than its part,
-//! so that new connections go elsewhere at no cost, and higher where nothing is known of a host that has just
+//! **What it does.** It is told what happens to connections and servers ([`Rebalance::take`]) and, when its time has
+//! come ([`Rebalance::due`]), what the decision module knows of each server ([`Rebalance::evaluate`]). It answers with
+//! connections to move, and with ceilings that what it sees calls for: lower where a server holds more than its part,
+//! so that new connections go elsewhere at no cost, and higher where nothing is known of a server that has just
 //! started. Where connections go is decided by the module, by its own draw.
 //!
-//! **What it promises.** It moves nobody unless a host is pressed while another has room, unless the gain is a
+//! **What it promises.** It moves nobody unless a server is pressed while another has room, unless the gain is a
 //! margin over the cost; no group is split; nothing is moved while something of [`SystemConditions`] takes precedence, while
 //! set-ups are slow, or while earlier moves turn out badly. No client that came back from a move is moved
 //! again. Its maps are bounded by what stands, by the list, and by [`view::MOST_AWAY`].
@@ -34,9 +34,9 @@
 
 /// Between two evaluations, give or take a fifth: balancers must not act in step.
 const EVALUATE: Micros = 500_000;
-/// A host that was filled by moves so lately gives up nothing unless it is pressed by measurement.
+/// A server that was filled by moves so lately gives up nothing unless it is pressed by measurement.
 const FILLED: Micros = 10_000_000;
-/// A host that started longer ago than this has shown what it bears.
+/// A server that started longer ago than this has shown what it bears.
 const FRESH: Micros = 60_000_000;
 /// A ceiling of which nothing is known is raised to this share of the fair part.
 const KNOWN: f64 = 0.9;
@@ -52,7 +52,7 @@
     pub max_moves_per_s: f64,
     /// A move's gain has to be so many times its cost.
     pub margin: f64,
-    /// Where hosts do not tell how long messages take: the share of their capacity that hosts use on the mean.
+    /// Where servers do not tell how long messages take: the share of their capacity that servers use on the mean.
     pub assumed_use: f64,
 }
 
@@ -66,7 +66,7 @@
 /// What the pool's settings say that concerns moves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RebalanceContext {
-    /// Balancers that share the hosts, this one included.
+    /// Balancers that share the servers, this one included.
     pub balancers: u32,
     /// Each class's worth a second.
     pub priority_weights: Vec<f64>,
@@ -74,11 +74,11 @@
     pub setup_objective: Micros,
     /// The tightest objective of a message, in microseconds; 0 where unknown.
     pub message_objective: Micros,
-    /// Hosts tell how long messages take.
+    /// Servers tell how long messages take.
     pub tells_delay: bool,
     /// Price of each client moved once, as a share of all worth.
     pub migration_cost: f64,
-    /// A host that starts is warm after this time.
+    /// A server that starts is warm after this time.
     pub slow_start_duration: Micros,
 }
 
@@ -87,17 +87,17 @@
 pub enum RebalanceEvent {
     /// A client asks: by which flow's key, if it has one, and whether it says that it was moved or cut off.
     Arrived { connection: ConnectionId, key: Option<u64>, again: bool },
-    /// Its connection stands, so long after it was asked for at the host; none for one that stood before.
+    /// Its connection stands, so long after it was asked for at the server; none for one that stood before.
     Stood { connection: ConnectionId, at: Connection, setup: Option<Micros> },
     /// It told its load, in microseconds of work a second.
     Load { connection: ConnectionId, load: f64 },
-    /// A host told how long a message takes there.
-    Delay { host: ServerId, took: Micros },
+    /// A server told how long a message takes there.
+    Delay { server: ServerId, took: Micros },
     /// A client that asked was refused or failed.
     Declined { connection: ConnectionId },
     /// Nothing is left of it here; `natural` unless it was moved or cut off.
     Ended { connection: ConnectionId, natural: bool },
-    /// The list names so many hosts in use.
+    /// The list names so many servers in use.
     EndpointEntry { ready: usize },
     /// The list cannot be had.
     ListLost,
@@ -107,11 +107,11 @@
     Reloaded,
 }
 
-/// A host, as the decision module and the list have it now.
+/// A server, as the decision module and the list have it now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSnapshot {
     /// Which.
-    pub host: ServerId,
+    pub server: ServerId,
     /// It is listed for use and has not just failed.
     pub ready: bool,
     /// Slots held here, and the ceiling.
@@ -131,11 +131,11 @@
 /// What is to be done.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
-    /// Move these, off these hosts.
+    /// Move these, off these servers.
     pub moves: Vec<(ConnectionId, ServerId)>,
-    /// Raise the ceilings of these hosts to so many slots.
+    /// Raise the ceilings of these servers to so many slots.
     pub ceilings: Vec<(ServerId, f64)>,
-    /// Lower the ceilings of these hosts to what they hold.
+    /// Lower the ceilings of these servers to what they hold.
     pub lowered: Vec<ServerId>,
     /// For the log: why it starts or stops.
     pub log: Option<String>,
@@ -166,9 +166,9 @@
     precedence: precedence::Precedence,
     next: Option<Time>,
     rng: Pcg64Mcg,
-    /// Hosts being relieved: for them the lower threshold holds.
+    /// Servers being relieved: for them the lower threshold holds.
     going: BTreeMap<ServerId, Time>,
-    /// Hosts that moves were meant for, by when.
+    /// Servers that moves were meant for, by when.
     filled: BTreeMap<ServerId, Time>,
     metrics: RebalanceMetrics,
     was_held: Option<Held>,
@@ -229,14 +229,14 @@
                 }
             }
             RebalanceEvent::Stood { connection, at, setup } => {
-                // Danger: at a slow host a set-up is slow too, which says nothing of the session store.
-                if let Some(took) = setup.filter(|_| !self.view.ever_slow(now, at.host)) {
+                // Danger: at a slow server a set-up is slow too, which says nothing of the session store.
+                if let Some(took) = setup.filter(|_| !self.view.ever_slow(now, at.server)) {
                     self.rate.set_up(now, took);
                 }
                 self.view.stood(now, connection, at);
             }
             RebalanceEvent::Load { connection, load } => self.view.load(connection, load),
-            RebalanceEvent::Delay { host, took } => self.view.delay(now, host, took),
+            RebalanceEvent::Delay { server, took } => self.view.delay(now, server, took),
             RebalanceEvent::Declined { connection } => {
                 self.rate.declined();
                 if self.view.declined(connection) {
@@ -253,7 +253,7 @@
     }
 
     /// Says who is to move now. Each of the moves counts as made.
-    pub fn evaluate(&mut self, now: Time, world: SystemConditions, hosts: &[ServerSnapshot]) -> Decision {
+    pub fn evaluate(&mut self, now: Time, world: SystemConditions, servers: &[ServerSnapshot]) -> Decision {
         if !self.config.on {
             self.next = None;
             return Decision::default();
@@ -263,12 +263,12 @@
         self.filled.retain(|_, at| now.since(*at) < FILLED);
         let gone = self.view.give_up_on(now);
         self.rate.pass(now, self.view.standing(), gone);
-        let ready = hosts.iter().filter(|host| host.ready).count();
+        let ready = servers.iter().filter(|server| server.ready).count();
         let held = self.precedence.held(now, world, ready).or_else(|| self.rate.held(now));
         let mut decision = Decision::default();
         if held.is_none() {
-            decision.ceilings = self.raise(now, hosts);
-            (decision.moves, decision.lowered) = self.choose(now, hosts);
+            decision.ceilings = self.raise(now, servers);
+            (decision.moves, decision.lowered) = self.choose(now, servers);
         }
         // Only what keeps moves from being made is worth a line.
         if self.was_held != held && (self.metrics.moved > 0 || self.was_held.is_some()) {
@@ -282,54 +282,59 @@
         decision
     }
 
-    /// What is not known yet is taken to be as the rest: the few slots that a host begins with would else keep it
+    /// What is not known yet is taken to be as the rest: the few slots that a server begins with would else keep it
     /// nearly empty for long after it is warm, and moved clients would go anywhere but there.
-    fn raise(&self, now: Time, hosts: &[ServerSnapshot]) -> Vec<(ServerId, f64)> {
-        let (weights, slots) = gain::fleet(hosts);
-        let known = |host: &ServerSnapshot| slots * host.weight / weights * KNOWN;
-        let unknown = hosts.iter().filter(|host| gain::unknown(&self.view, now, host));
-        unknown.filter(|host| host.ceiling < known(host)).map(|host| (host.host, known(host))).collect()
+    fn raise(&self, now: Time, servers: &[ServerSnapshot]) -> Vec<(ServerId, f64)> {
+        let (weights, slots) = gain::fleet(servers);
+        let known = |server: &ServerSnapshot| slots * server.weight / weights * KNOWN;
+        let unknown = servers.iter().filter(|server| gain::unknown(&self.view, now, server));
+        unknown
+            .filter(|server| server.ceiling < known(server))
+            .map(|server| (server.server, known(server)))
+            .collect()
     }
 
     /// Who is moved, and whose ceilings are lowered to what they hold.
     fn choose(
         &mut self,
         now: Time,
-        hosts: &[ServerSnapshot],
+        servers: &[ServerSnapshot],
     ) -> (Vec<(ConnectionId, ServerId)>, Vec<ServerId>) {
-        let ready = || hosts.iter().filter(|host| host.ready);
-        let (weights, slots) = gain::fleet(hosts);
+        let ready = || servers.iter().filter(|server| server.ready);
+        let (weights, slots) = gain::fleet(servers);
         if weights <= 0.0 || slots <= 0.0 {
             return Default::default();
         }
-        let fair = |host: &ServerSnapshot| slots * host.weight / weights;
+        let fair = |server: &ServerSnapshot| slots * server.weight / weights;
         let mut pressed = Vec::new();
-        for host in ready() {
-            let going = self.going.contains_key(&host.host);
-            let press = gain::press(&self.terms, &self.config, &self.view, now, host, fair(host), going);
-            pressed.extend(press.map(|press| (host, press)));
+        for server in ready() {
+            let going = self.going.contains_key(&server.server);
+            let press = gain::press(&self.terms, &self.config, &self.view, now, server, fair(server), going);
+            pressed.extend(press.map(|press| (server, press)));
         }
-        let lowered = pressed.iter().map(|(host, _)| host.host).collect();
+        let lowered = pressed.iter().map(|(server, _)| server.server).collect();
         // Danger: what was just filled must not send the same clients on, unless it tells of too much.
-        let swings = |host: &ServerSnapshot| self.filled.contains_key(&host.host) && !self.terms.tells_delay;
-        pressed.retain(|(host, press)| press.sure && !swings(host));
+        let swings =
+            |server: &ServerSnapshot| self.filled.contains_key(&server.server) && !self.terms.tells_delay;
+        pressed.retain(|(server, press)| press.sure && !swings(server));
         let worst = pressed.iter().map(|(_, press)| press.excess).fold(0.0, f64::max);
         self.rate.excess(now, worst);
         if pressed.is_empty() || self.rate.tokens() < 1.0 {
             return (Vec::new(), lowered);
         }
         let mut room: Vec<(ServerId, f64)> = Vec::new();
-        for host in ready().filter(|host| pressed.iter().all(|(donor, _)| donor.host != host.host)) {
-            let free = gain::room(&self.terms, &self.view, now, host, fair(host));
+        for server in ready().filter(|server| pressed.iter().all(|(donor, _)| donor.server != server.server))
+        {
+            let free = gain::room(&self.terms, &self.view, now, server, fair(server));
             if free > 0.0 {
-                room.push((host.host, free));
+                room.push((server.server, free));
             }
         }
         let away = self.view.slots_away();
         let mut free = room.iter().map(|(_, free)| free).sum::<f64>() * PART - away;
         pressed.sort_by(|a, b| b.1.late.total_cmp(&a.1.late).then(b.1.excess.total_cmp(&a.1.excess)));
         let mut moves = Vec::new();
-        for (host, press) in pressed {
+        for (server, press) in pressed {
             let limits = order::Limits {
                 tokens: self.rate.tokens(),
                 saved: self.rate.saved(),
@@ -337,12 +342,12 @@
                 cost: self.rate.client_cost(&self.view),
                 margin: self.config.margin,
             };
-            let units = order::units(&self.view, &self.terms, host.host);
-            for unit in order::choose(units, &press, host.held, self.view.life(now), limits) {
+            let units = order::units(&self.view, &self.terms, server.server);
+            for unit in order::choose(units, &press, server.held, self.view.life(now), limits) {
                 self.rate.spend(unit.members.len());
                 free -= unit.slots;
-                self.going.entry(host.host).or_insert(now);
-                moves.extend(unit.members.into_iter().map(|connection| (connection, host.host)));
+                self.going.entry(server.server).or_insert(now);
+                moves.extend(unit.members.into_iter().map(|connection| (connection, server.server)));
             }
         }
         if let (false, Some(&(to, _))) = (moves.is_empty(), room.iter().max_by(|a, b| a.1.total_cmp(&b.1))) {
--- a/src/rebalance/order.rs
+++ b/src/rebalance/order.rs
@@ -12,13 +12,13 @@
     pub members: Vec<ConnectionId>,
     /// Slots that they take.
     pub slots: f64,
-    /// Slots that the host is rid of: the group's part too.
+    /// Slots that the server is rid of: the group's part too.
     pub relief: f64,
     /// Sum of the members' worths, over the mean worth of a class.
     pub priority_weight: f64,
 }
 
-/// What may be moved off one host.
+/// What may be moved off one server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Clients, now and once the bucket is full.
@@ -33,8 +33,8 @@
     pub margin: f64,
 }
 
-/// A host's units. Clients that came back from a move are in none, and a group with such a member neither.
-pub fn units(view: &View, terms: &RebalanceContext, host: ServerId) -> Vec<Unit> {
+/// A server's units. Clients that came back from a move are in none, and a group with such a member neither.
+pub fn units(view: &View, terms: &RebalanceContext, server: ServerId) -> Vec<Unit> {
     let mean = terms.priority_weights.iter().sum::<f64>() / terms.priority_weights.len().max(1) as f64;
     let priority_weight = |class: u16| {
         let priority_weight = terms.priority_weights.get(usize::from(class)).copied().unwrap_or(mean);
@@ -44,7 +44,7 @@
             1.0
         }
     };
-    let (singles, groups) = view.units(host);
+    let (singles, groups) = view.units(server);
     let single = |(connection, at, again): &(ConnectionId, super::Connection, bool)| {
         let slots = view.slots(at);
         (!again).then(|| Unit {
@@ -61,21 +61,21 @@
             continue;
         }
         // Danger: the larger part of a split group would draw the rest after it, and then be drawn back.
-        if view.held_by_predecessor(group, host) > members.len() {
+        if view.held_by_predecessor(group, server) > members.len() {
             // The smaller part: where the others are it is paid for already.
-        } else if view.held_by_predecessor(group, host) > 0 {
+        } else if view.held_by_predecessor(group, server) > 0 {
             continue;
         }
         let slots: f64 = known.iter().map(|(at, _, _)| view.slots(at)).sum();
         let paid =
-            if members.len() > 1 || view.held_by_predecessor(group, host) > 0 { GROUP_SLOTS } else { 0.0 };
+            if members.len() > 1 || view.held_by_predecessor(group, server) > 0 { GROUP_SLOTS } else { 0.0 };
         let priority_weight = known.iter().map(|(at, _, _)| priority_weight(at.class)).sum();
         units.push(Unit { members, slots, relief: slots + paid, priority_weight });
     }
     units
 }
 
-/// Of these units of a host that holds so many slots, the ones that are moved now. `life` is the mean life of a
+/// Of these units of a server that holds so many slots, the ones that are moved now. `life` is the mean life of a
 /// connection in seconds: press and mover both last about half of it.
 pub fn choose(units: Vec<Unit>, press: &Press, held: f64, life: f64, limits: Limits) -> Vec<Unit> {
     let horizon = life / 2.0;
--- a/src/rebalance/precedence.rs
+++ b/src/rebalance/precedence.rs
@@ -6,11 +6,11 @@
 
 /// After a reload the list may be another's.
 const AFTER_RELOAD: Micros = 2_000_000;
-/// After the list shrank: those hosts' clients are on their way, and it may be wrong.
+/// After the list shrank: those servers' clients are on their way, and it may be wrong.
 const AFTER_SHRINKING: Micros = 3_000_000;
-/// Danger: a host may go on draining for hours, with clients that never leave it.
+/// Danger: a server may go on draining for hours, with clients that never leave it.
 const DRAINING_MOST: Micros = 30_000_000;
-/// Of the hosts in use, a loss of so many parts is a shrinking list.
+/// Of the servers in use, a loss of so many parts is a shrinking list.
 const SHRUNK: f64 = 0.75;
 /// Arrivals are counted over this time; the usual is learned over about so many of them.
 const WINDOW: Micros = 2_000_000;
@@ -27,7 +27,7 @@
     pub leaving: bool,
     /// Another process takes this one's place, or the other way round.
     pub handover: bool,
-    /// Connections at hosts that drain, are out by hand, or are gone.
+    /// Connections at servers that drain, are out by hand, or are gone.
     pub draining: usize,
 }
 
@@ -40,7 +40,7 @@
     Reload,
     ListShrank,
     ListLost,
-    FewHosts,
+    FewServers,
     Storm,
     /// Set-ups take far longer than usual, or too long for their objective.
     SlowSetUps,
@@ -61,7 +61,7 @@
             Held::Reload => "the configuration was read again",
             Held::ListShrank => "the list has lost a good part of its hosts",
             Held::ListLost => "the list cannot be had",
-            Held::FewHosts => "fewer than two hosts are in use",
+            Held::FewServers => "fewer than two hosts are in use",
             Held::Storm => "many arrive at once",
             Held::SlowSetUps => "set-ups are slow",
             Held::Refused => "moved clients were refused",
@@ -85,7 +85,7 @@
     shrunk: Option<Time>,
     lost: bool,
     reloaded: Option<Time>,
-    /// Since when there are connections at hosts that leave.
+    /// Since when there are connections at servers that leave.
     draining: Option<Time>,
     /// The window that is counted now, and how many arrived in it.
     window: (Time, u32),
@@ -164,7 +164,7 @@
             (within(self.reloaded, AFTER_RELOAD), Held::Reload),
             (within(self.shrunk, AFTER_SHRINKING), Held::ListShrank),
             (self.lost, Held::ListLost),
-            (ready < 2, Held::FewHosts),
+            (ready < 2, Held::FewServers),
             (within(self.storm, AFTER_STORM), Held::Storm),
         ];
         rules.into_iter().find(|(holds, _)| *holds).map(|(_, held)| held)
--- a/src/rebalance/rate.rs
+++ b/src/rebalance/rate.rs
@@ -1,6 +1,6 @@
 //! How fast clients may be moved: a token bucket whose rate is learned from how moves turn out.
 //!
-//! Additive rise, multiplicative fall (Chiu and Jain, 1989): balancers that share hosts and a store and cannot see
+//! Additive rise, multiplicative fall (Chiu and Jain, 1989): balancers that share servers and a store and cannot see
 //! each other come to a fair and stable rate that way.
 
 use super::view::View;
--- a/src/rebalance/view.rs
+++ b/src/rebalance/view.rs
@@ -1,4 +1,4 @@
-//! What this balancer knows of hosts and of standing connections, for rebalancing.
+//! What this balancer knows of servers and of standing connections, for rebalancing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,12 +9,12 @@
 pub const MOST_AWAY: usize = 4096;
 /// Who was moved and has not come back after so long has left, or is with another balancer.
 pub const AWAY: Micros = 5_000_000;
-/// A host that is slow says so every second; after so long without a word it is not.
+/// A server that is slow says so every second; after so long without a word it is not.
 pub const SILENT: Micros = 2_500_000;
-/// So many of the last seconds a host has to have been slow.
+/// So many of the last seconds a server has to have been slow.
 const STREAK: usize = 3;
 const STREAK_OVER: Micros = 4_000_000;
-/// A host pays for a group that it holds as for so many mean connections.
+/// A server pays for a group that it holds as for so many mean connections.
 pub const GROUP_SLOTS: f64 = 3.0;
 /// The most slots that one connection counts for: a wild figure must not rule the rest.
 const MOST_SLOTS: f64 = 32.0;
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Connection {
     /// Where it stands.
-    pub host: ServerId,
+    pub server: ServerId,
     /// Its class's number.
     pub class: u16,
     /// Its group.
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct View {
     standing: BTreeMap<ConnectionId, Standing>,
-    hosts: BTreeMap<ServerId, Host>,
+    servers: BTreeMap<ServerId, Host>,
     /// Where each group stands, with how many.
     groups: BTreeMap<u64, BTreeMap<ServerId, usize>>,
     /// Sum and number of the loads of connections that stand.
@@ -84,7 +84,7 @@
     pub(super) fn new(now: Time, terms: &RebalanceContext) -> View {
         View {
             standing: BTreeMap::new(),
-            hosts: BTreeMap::new(),
+            servers: BTreeMap::new(),
             groups: BTreeMap::new(),
             loads: (0.0, 0),
             away: BTreeMap::new(),
@@ -133,9 +133,9 @@
         if let Some(load) = at.load {
             self.loads = (self.loads.0 + load, self.loads.1 + 1);
         }
-        self.hosts.entry(at.host).or_default().standing.insert(connection);
+        self.servers.entry(at.server).or_default().standing.insert(connection);
         if let Some(group) = at.group {
-            *self.groups.entry(group).or_default().entry(at.host).or_default() += 1;
+            *self.groups.entry(group).or_default().entry(at.server).or_default() += 1;
         }
         let again = self.again.contains(&connection);
         self.standing.insert(connection, Standing { at, since: now, again });
@@ -150,15 +150,15 @@
         }
     }
 
-    pub(super) fn delay(&mut self, now: Time, host: ServerId, took: Micros) {
-        // Danger: a host that nothing stands at, and that may not be listed, must not fill the map.
-        let Some(host) = self.hosts.get_mut(&host) else { return };
-        host.slow.retain(|(at, _)| now.since(*at) <= STREAK_OVER);
+    pub(super) fn delay(&mut self, now: Time, server: ServerId, took: Micros) {
+        // Danger: a server that nothing stands at, and that may not be listed, must not fill the map.
+        let Some(server) = self.servers.get_mut(&server) else { return };
+        server.slow.retain(|(at, _)| now.since(*at) <= STREAK_OVER);
         let third = self.message_objective / 3;
-        match host.slow.last() {
-            _ if took < third => host.slow.clear(),
+        match server.slow.last() {
+            _ if took < third => server.slow.clear(),
             Some((at, _)) if now.since(*at) < 500_000 => {}
-            _ => host.slow.push((now, took)),
+            _ => server.slow.push((now, took)),
         }
     }
 
@@ -176,17 +176,17 @@
         if let Some(load) = at.load {
             self.loads = (self.loads.0 - load, self.loads.1 - 1);
         }
-        if let Some(host) = self.hosts.get_mut(&at.host) {
-            host.standing.remove(&connection);
-            if host.standing.is_empty() {
-                self.hosts.remove(&at.host);
+        if let Some(server) = self.servers.get_mut(&at.server) {
+            server.standing.remove(&connection);
+            if server.standing.is_empty() {
+                self.servers.remove(&at.server);
             }
         }
-        if let Some(hosts) = at.group.and_then(|group| self.groups.get_mut(&group)) {
-            if let Some(count) = hosts.get_mut(&at.host) {
+        if let Some(servers) = at.group.and_then(|group| self.groups.get_mut(&group)) {
+            if let Some(count) = servers.get_mut(&at.server) {
                 *count -= 1;
             }
-            hosts.retain(|_, count| *count > 0);
+            servers.retain(|_, count| *count > 0);
         }
         if let Some(group) = at.group.filter(|group| self.groups.get(group).is_some_and(BTreeMap::is_empty)) {
             self.groups.remove(&group);
@@ -252,24 +252,24 @@
         }
     }
 
-    /// How long messages take at a host that has been slow for a while, in microseconds.
-    pub fn slow(&self, now: Time, host: ServerId) -> Option<Micros> {
-        let slow = &self.hosts.get(&host)?.slow;
+    /// How long messages take at a server that has been slow for a while, in microseconds.
+    pub fn slow(&self, now: Time, server: ServerId) -> Option<Micros> {
+        let slow = &self.servers.get(&server)?.slow;
         let lately = slow.iter().filter(|(at, _)| now.since(*at) <= STREAK_OVER);
         let (last, took) = slow.last()?;
         (lately.count() >= STREAK && now.since(*last) <= SILENT).then_some(*took)
     }
 
-    /// Whether a host told lately that it is slow, for however short a while.
-    pub fn ever_slow(&self, now: Time, host: ServerId) -> bool {
-        let last = self.hosts.get(&host).and_then(|host| host.slow.last());
+    /// Whether a server told lately that it is slow, for however short a while.
+    pub fn ever_slow(&self, now: Time, server: ServerId) -> bool {
+        let last = self.servers.get(&server).and_then(|server| server.slow.last());
         last.is_some_and(|(at, _)| now.since(*at) <= STREAK_OVER)
     }
 
-    /// A host's single connections, and its groups with their members.
-    pub fn units(&self, host: ServerId) -> (Vec<Single>, BTreeMap<u64, Vec<ConnectionId>>) {
+    /// A server's single connections, and its groups with their members.
+    pub fn units(&self, server: ServerId) -> (Vec<Single>, BTreeMap<u64, Vec<ConnectionId>>) {
         let (mut singles, mut groups) = (Vec::new(), BTreeMap::<u64, Vec<ConnectionId>>::new());
-        for connection in self.hosts.get(&host).into_iter().flat_map(|host| &host.standing) {
+        for connection in self.servers.get(&server).into_iter().flat_map(|server| &server.standing) {
             let Some(standing) = self.standing.get(connection) else { continue };
             match standing.at.group {
                 Some(group) => groups.entry(group).or_default().push(*connection),
@@ -284,17 +284,17 @@
         self.standing.get(&connection).map(|standing| (standing.at, standing.since, standing.again))
     }
 
-    /// How many of a group stand at other hosts.
-    pub fn held_by_predecessor(&self, group: u64, host: ServerId) -> usize {
-        let hosts = self.groups.get(&group).into_iter().flatten();
-        hosts.filter(|(other, _)| **other != host).map(|(_, count)| count).sum()
+    /// How many of a group stand at other servers.
+    pub fn held_by_predecessor(&self, group: u64, server: ServerId) -> usize {
+        let servers = self.groups.get(&group).into_iter().flatten();
+        servers.filter(|(other, _)| **other != server).map(|(_, count)| count).sum()
     }
 
-    /// The standard deviation, in slots, of what stands at a host if it came there by chance, and the share of it
+    /// The standard deviation, in slots, of what stands at a server if it came there by chance, and the share of it
     /// that stands with others of its group. Units are single connections and groups: a compound Poisson sum has
     /// the variance of its units' squares.
-    pub fn chance(&self, host: ServerId) -> (f64, f64) {
-        let (singles, groups) = self.units(host);
+    pub fn chance(&self, server: ServerId) -> (f64, f64) {
+        let (singles, groups) = self.units(server);
         let (mut squares, mut all, mut together) = (0.0, singles.len(), 0);
         squares += singles.iter().map(|(_, at, _)| self.slots(at).powi(2)).sum::<f64>();
         for members in groups.values() {
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -15,24 +15,24 @@
                 self.readiness().map_or_else(|why| AdminResponse::No(why.to_owned()), |()| AdminResponse::Yes)
             }
             AdminCall::Telemetry => AdminResponse::Metrics(self.metrics(now)),
-            AdminCall::Exclude(host) => return self.exclude_or_include(now, admin_client, host, true),
-            AdminCall::Include(host) => return self.exclude_or_include(now, admin_client, host, false),
+            AdminCall::Exclude(server) => return self.exclude_or_include(now, admin_client, server, true),
+            AdminCall::Include(server) => return self.exclude_or_include(now, admin_client, server, false),
         };
         self.effects.push(Effect::AdminReply { admin_client, reply });
     }
 
-    /// Takes a host out by hand, or back into use. Where another process serves beside this one, it has to hear
+    /// Takes a server out by hand, or back into use. Where another process serves beside this one, it has to hear
     /// of that before the answer.
-    fn exclude_or_include(&mut self, now: Time, admin_client: AdminClientId, host: String, out: bool) {
+    fn exclude_or_include(&mut self, now: Time, admin_client: AdminClientId, server: String, out: bool) {
         let known =
-            self.ever_listed.contains(&host) || self.pools.iter().any(|pool| pool.out.contains(&host));
+            self.ever_listed.contains(&server) || self.pools.iter().any(|pool| pool.out.contains(&server));
         let reply = match () {
             () if !self.listening => AdminResponse::No("not ready yet".to_owned()),
-            () if !known => AdminResponse::No(format!("no host {host} was ever listed")),
-            () if !self.set_exclusion(now, &host, out) => AdminResponse::No("the store is full".to_owned()),
+            () if !known => AdminResponse::No(format!("no host {server} was ever listed")),
+            () if !self.set_exclusion(now, &server, out) => AdminResponse::No("the store is full".to_owned()),
             () if self.peer_process.is_some() => {
                 self.pending_acknowledgements.insert(admin_client, now.plus(SHARE_WAIT));
-                return self.effects.push(Effect::ShareExclusion { admin_client, host, out });
+                return self.effects.push(Effect::ShareExclusion { admin_client, server, out });
             }
             () => AdminResponse::Yes,
         };
@@ -40,19 +40,19 @@
     }
 
     /// Whether it could be noted.
-    pub(super) fn set_exclusion(&mut self, now: Time, host: &str, out: bool) -> bool {
-        let key = format!("life/{host}");
+    pub(super) fn set_exclusion(&mut self, now: Time, server: &str, out: bool) -> bool {
+        let key = format!("life/{server}");
         if self.store.is_on() {
             return out == self.store.get(&key).is_some() || self.write(now, &key, out.then_some("draining"));
         }
         let changed = if out {
-            self.excluded_by_operator.insert(host.to_owned())
+            self.excluded_by_operator.insert(server.to_owned())
         } else {
-            self.excluded_by_operator.remove(host)
+            self.excluded_by_operator.remove(server)
         };
         if changed {
             let does = if out { "is out by hand" } else { "is in use again" };
-            self.effects.push(Effect::Log(format!("{host} {does}")));
+            self.effects.push(Effect::Log(format!("{server} {does}")));
             self.effects.push(Effect::PersistExclusions(self.excluded_by_operator.iter().cloned().collect()));
             (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
         }
@@ -107,10 +107,11 @@
                 all.aborted += counts.aborted;
             }
             metrics.outstanding += pool.held as u64;
-            metrics.discovered += pool.table.hosts().count() as u64;
-            let by_hand = |host| pool.table.any(host).is_some_and(|host| pool.out.contains(&host.name));
+            metrics.discovered += pool.table.ids().count() as u64;
+            let by_hand =
+                |server| pool.table.any(server).is_some_and(|server| pool.out.contains(&server.name));
             let avoided =
-                pool.table.hosts().filter(|&host| by_hand(host) || pool.balancer.is_avoided(now, host));
+                pool.table.ids().filter(|&server| by_hand(server) || pool.balancer.is_avoided(now, server));
             metrics.ejected += avoided.count() as u64;
             if pool.config.rebalance.on {
                 metrics.rebalance.insert(pool.config.name.to_owned(), pool.rebalance.metrics());
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -6,7 +6,7 @@
 
 /// A connection that stood before the start is tried again after so long.
 const ADOPT_GAP: Micros = 500_000;
-/// The list from before the start may be old: a host that it does not name may be listed within this time.
+/// The list from before the start may be old: a server that it does not name may be listed within this time.
 const ADOPT_UNLISTED: Micros = 2_000_000;
 
 impl State {
@@ -14,7 +14,7 @@
         &mut self,
         now: Time,
         id: ConnectionId,
-        host: ServerId,
+        server: ServerId,
         wait: Micros,
         write_by: Option<Time>,
     ) {
@@ -23,9 +23,9 @@
         let (number, connect) = (connection.attempts, pool.config.settings.connect_timeout);
         connection.attempts += 1;
         let until = now.plus(wait);
-        connection.attempt = Some(Attempt { number, host, written: false, since: now, until, write_by });
-        self.at.entry((connection.pool, host)).or_default().insert(id);
-        let address = pool.table.any(host).map_or(String::new(), |host| host.address.clone());
+        connection.attempt = Some(Attempt { number, server, written: false, since: now, until, write_by });
+        self.at.entry((connection.pool, server)).or_default().insert(id);
+        let address = pool.table.any(server).map_or(String::new(), |server| server.address.clone());
         self.effects.push(Effect::OpenAttempt { connection: id, attempt: number, address, wait });
         let due = until.min(now.plus(connect));
         self.set_due(id, Some(write_by.map_or(due, |by| by.min(due))));
@@ -88,7 +88,7 @@
             return;
         }
         let outcome = match end {
-            // A verdict is an answer as good as any: the host is sound.
+            // A verdict is an answer as good as any: the server is sound.
             AttemptOutcome::Served | AttemptOutcome::VerdictForwarded => Outcome::Ok,
             AttemptOutcome::RedirectedByServer => Outcome::Cancelled,
             AttemptOutcome::Error => Outcome::Error,
@@ -132,21 +132,21 @@
     pub(super) fn drop_attempt(&mut self, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.get_mut(&id)?;
         let attempt = connection.attempt.take()?;
-        if let Some(there) = self.at.get_mut(&(connection.pool, attempt.host)) {
+        if let Some(there) = self.at.get_mut(&(connection.pool, attempt.server)) {
             there.remove(&id);
             if there.is_empty() {
-                self.at.remove(&(connection.pool, attempt.host));
+                self.at.remove(&(connection.pool, attempt.server));
             }
         }
         Some(attempt)
     }
 
     /// The attempt of a connection that stood before the start is over, or the pause after it is.
-    pub(super) fn adopt_again(&mut self, now: Time, id: ConnectionId, until: Time, host: ServerId) {
+    pub(super) fn adopt_again(&mut self, now: Time, id: ConnectionId, until: Time, server: ServerId) {
         let Some(connection) = self.connections.get(&id) else { return };
         let pool = &self.pools[connection.pool];
-        let (most, listed) = (pool.config.settings.max_attempts, pool.table.any(host).is_some());
-        // Danger: a client may name a host that there never was; it is owed its error soon.
+        let (most, listed) = (pool.config.settings.max_attempts, pool.table.any(server).is_some());
+        // Danger: a client may name a server that there never was; it is owed its error soon.
         if now < until
             && connection.attempts < most
             && (listed || now.since(connection.connected_at) < ADOPT_UNLISTED)
@@ -155,7 +155,7 @@
                 self.effects.push(Effect::CloseAttempt { connection: id });
             }
             match listed {
-                true => self.open_attempt(now, id, host, until.since(now), None),
+                true => self.open_attempt(now, id, server, until.since(now), None),
                 false => self.set_due(id, Some(now.plus(ADOPT_GAP))),
             }
         } else {
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,8 +1,8 @@
 //! The client: who connects, who asks, and how many may.
 
 use super::{
-    host_number, Answer, ClientConnection, ConnectionId, ConnectionRequest, Effect, PeerProcess, Phase,
-    PoolId, State,
+    server_id, Answer, ClientConnection, ConnectionId, ConnectionRequest, Effect, PeerProcess, Phase, PoolId,
+    State,
 };
 use crate::rebalance::RebalanceEvent;
 use crate::{ClassId, Event, GroupId, Micros, Outcome, RequestId, TenantId, Time};
@@ -12,7 +12,7 @@
 /// A connection that stood before the start is tried this long.
 const ADOPT_FOR: Micros = 30_000_000;
 /// Where connections without an attempt are as many as they may be, one that has been there so long makes room.
-/// An client that means to ask does so at once; its line has to arrive.
+/// A client that means to ask does so at once; its line has to arrive.
 const ROOM_AFTER: Micros = 100_000;
 
 impl State {
@@ -70,7 +70,7 @@
         self.connections.entry(id).and_modify(|connection| connection.class = class);
         if self.shutdown_window.is_some() && self.peer_process != Some(PeerProcess::Successor) {
             // What still arrives at a balancer that leaves is answered, and told to come again. Where another
-            // process has taken its place, hosts are served by that one just the same.
+            // process has taken its place, servers are served by that one just the same.
             return self.answer(now, id, self.reject_with_retry_after(id, LEAVING_WAIT));
         }
         let held: usize = self.pools.iter().map(|pool| pool.held).sum();
@@ -83,7 +83,7 @@
         }
         let tenants = &pool.config.tenants;
         let tenant = ask.tenant.as_deref().map(|name| index(tenants, name).map(|n| TenantId(n as u16)));
-        // Danger: what names nothing that is configured is no request; hosts could only turn it away. And
+        // Danger: what names nothing that is configured is no request; servers could only turn it away. And
         // two that pass for one would have their answers mixed up by whoever counts them.
         let taken =
             ask.id.as_ref().is_some_and(|id| pool.ids.contains(id) || pool.held_by_predecessor.contains(id));
@@ -107,7 +107,7 @@
             let event = Event::RequestArrived { request, class, tenant, group, load, deadline };
             return self.dispatch(now, pool_id, event);
         };
-        let server = host_number(&name);
+        let server = server_id(&name);
         self.phase(id, Phase::Restoring(now.plus(ADOPT_FOR), server));
         self.dispatch(
             now,
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -5,21 +5,21 @@
 
 use super::hot_restart::PeerProcess;
 use super::{
-    stored_host, Budget, ClassCounters, ConnectionId, Effect, Endpoint, Lifecycle, Phase, PoolConfig, PoolId,
-    State,
+    stored_endpoint, Budget, ClassCounters, ConnectionId, Effect, Endpoint, Lifecycle, Phase, PoolConfig,
+    PoolId, State,
 };
 use crate::rebalance::RebalanceEvent;
 use crate::{Event, Micros, Outcome, ServerId, Time};
 
-/// Where hosts that drain send their clients away by themselves, those of one that is out by hand are moved
+/// Where servers that drain send their clients away by themselves, those of one that is out by hand are moved
 /// over this time: it does not know that it is about to go.
 const OUT_OVER: Micros = 1_200_000;
-/// Danger: where hosts come and go under ever new names, all that were ever listed would fill the memory.
+/// Danger: where servers come and go under ever new names, all that were ever listed would fill the memory.
 const MOST_NAMES: usize = 20_000;
 
 impl State {
     /// Another configuration takes the place of the old at one go. What is out, what stands and what was
-    /// learned of hosts stays, and so does the endpoint list, until the new discovery tells another.
+    /// learned of servers stays, and so does the endpoint list, until the new discovery tells another.
     pub(super) fn configure(
         &mut self,
         now: Time,
@@ -51,16 +51,16 @@
         now: Time,
         pool_id: PoolId,
         whole: bool,
-        hosts: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
     ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         if whole {
             pool.listed.clear();
         }
-        for host in hosts {
-            match host.lifecycle {
-                Lifecycle::Gone => drop(pool.listed.remove(&host.name)),
-                _ => drop(pool.listed.insert(host.name.clone(), host)),
+        for endpoint in endpoints {
+            match endpoint.lifecycle {
+                Lifecycle::Gone => drop(pool.listed.remove(&endpoint.name)),
+                _ => drop(pool.listed.insert(endpoint.name.clone(), endpoint)),
             }
         }
         self.refresh(now, pool_id);
@@ -69,67 +69,72 @@
     /// Makes the endpoint list anew from what is listed, what is out by hand and what the store says of it.
     pub(super) fn refresh(&mut self, now: Time, pool_id: PoolId) {
         let pool = &mut self.pools[pool_id];
-        let mut hosts = pool.listed.clone();
+        let mut endpoints = pool.listed.clone();
         if pool.config.from_store {
-            let added = self.store.under("host/").filter_map(|(name, text)| stored_host(name, text));
-            hosts.extend(added.map(|host| (host.name.clone(), host)));
+            let added = self.store.under("host/").filter_map(|(name, text)| stored_endpoint(name, text));
+            endpoints.extend(added.map(|endpoint| (endpoint.name.clone(), endpoint)));
         }
         if self.ever_listed.len() > MOST_NAMES {
             self.ever_listed.clear();
         }
-        self.ever_listed.extend(hosts.keys().cloned());
+        self.ever_listed.extend(endpoints.keys().cloned());
         let mut out = self.excluded_by_operator.clone();
         out.extend(self.store.under("life/").map(|(name, _)| name.to_owned()));
-        // Danger: a host that was out has mostly started again, and the list may not know that yet. Whatever
+        // Danger: a server that was out has mostly started again, and the list may not know that yet. Whatever
         // was thought of it before is of no use, and it may not be filled faster than a cold one.
         pool.readmitted.extend(pool.out.difference(&out).map(|name| (name.clone(), now)));
         let slow_start_duration = pool.config.settings.slow_start_duration;
         pool.readmitted.retain(|name, at| now.since(*at) < slow_start_duration && !out.contains(name));
         for (name, &at) in &pool.readmitted {
-            hosts.entry(name.clone()).and_modify(|host| host.started = host.started.max(Some(at)));
+            endpoints
+                .entry(name.clone())
+                .and_modify(|endpoint| endpoint.started = endpoint.started.max(Some(at)));
         }
         if self.peer_process == Some(PeerProcess::Successor) {
-            let cold =
-                |host: &&mut Endpoint| host.started.is_some_and(|at| now.since(at) < slow_start_duration);
-            hosts.values_mut().filter(cold).for_each(|host| host.lifecycle = Lifecycle::Draining);
+            let cold = |endpoint: &&mut Endpoint| {
+                endpoint.started.is_some_and(|at| now.since(at) < slow_start_duration)
+            };
+            endpoints.values_mut().filter(cold).for_each(|endpoint| endpoint.lifecycle = Lifecycle::Draining);
         }
         for name in &out {
-            // Only hosts of this balancer's own list may be used, and none that this list has leaving.
-            match (hosts.get_mut(name), self.store.get(&format!("life/{name}"))) {
-                (Some(_), Some("gone")) => drop(hosts.remove(name)),
-                (Some(host), _) => host.lifecycle = Lifecycle::Draining,
+            // Only servers of this balancer's own list may be used, and none that this list has leaving.
+            match (endpoints.get_mut(name), self.store.get(&format!("life/{name}"))) {
+                (Some(_), Some("gone")) => drop(endpoints.remove(name)),
+                (Some(endpoint), _) => endpoint.lifecycle = Lifecycle::Draining,
                 _ => {}
             }
         }
         pool.out = out;
-        let listed = pool.table.follow(hosts.into_values(), &pool.config.zones);
-        let ready = listed.iter().filter(|host| host.state == crate::EndpointState::Serving).count();
+        let listed = pool.table.follow(endpoints.into_values(), &pool.config.zones);
+        let ready = listed.iter().filter(|endpoint| endpoint.state == crate::EndpointState::Serving).count();
         pool.rebalance.take(now, RebalanceEvent::EndpointEntry { ready });
         self.dispatch(now, pool_id, Event::EndpointsReplaced(&listed));
         let shutdown_window: Vec<_> =
             self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX))).collect();
         let table = &self.pools[pool_id].table;
-        let held = shutdown_window.into_iter().filter(|((_, host), _)| table.ready(*host).is_none());
+        let held = shutdown_window.into_iter().filter(|((_, server), _)| table.ready(*server).is_none());
         let held: Vec<(ServerId, ConnectionId)> = held
-            .flat_map(|((_, host), connections)| connections.iter().map(|&connection| (*host, connection)))
+            .flat_map(|((_, server), connections)| {
+                connections.iter().map(|&connection| (*server, connection))
+            })
             .collect();
         let mut draining: BTreeMap<(ServerId, Micros), Vec<ConnectionId>> = BTreeMap::new();
-        for (host, id) in held {
+        for (server, id) in held {
             let pool = &self.pools[pool_id];
-            let gone = pool.table.any(host).is_none();
-            let by_hand = pool.table.any(host).is_some_and(|host| pool.out.contains(&host.name));
+            let gone = pool.table.any(server).is_none();
+            let by_hand = pool.table.any(server).is_some_and(|endpoint| pool.out.contains(&endpoint.name));
             let over = pool.config.drain_over;
             let over = if by_hand && over == 0 { OUT_OVER } else { over };
             let Some(connection) = self.connections.get(&id) else { continue };
             match (connection.phase, connection.attempt) {
-                // Danger (drains): what is not written yet must not reach a host told to be leaving.
+                // Danger (drains): what is not written yet must not reach a server told to be leaving.
                 (Phase::Connecting, Some(attempt)) if !attempt.written => {
                     self.effects.push(Effect::CloseAttempt { connection: id });
                     self.attempt_failed(now, id, Outcome::NotSent);
                 }
                 (Phase::Established, _) if gone => self.migrate(now, id, Outcome::Reset),
                 (Phase::Established, _) if over > 0 && connection.migrate_at.is_none() => {
-                    draining.entry((host, over)).or_default().push(id)
+                    draining.entry((server, over)).or_default().push(id)
                 }
                 _ => {}
             }
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -19,7 +19,7 @@
 /// A figure under this share of the mean load is no load: the least load seen over 5,000 of them, of an
 /// idle connection, was 1/52 of the mean.
 const LEAST_LOAD: f64 = 1.0 / 64.0;
-/// A host that is slow says so every second; a figure this near its last, after at most so long, is the next.
+/// A server that is slow says so every second; a figure this near its last, after at most so long, is the next.
 const SLOW_FACTOR: f64 = 2.5;
 const SLOW_GAP: Micros = 1_300_000;
 
@@ -33,7 +33,7 @@
 
     /// Danger: servers may tell two figures by the same word, a connection's load and, every second while it
     /// is long, the time that a message takes; the settings say which are told. Taken for a load, that time makes
-    /// the heaviest host look empty, and more is sent there.
+    /// the heaviest server look empty, and more is sent there.
     pub(super) fn on_load_reported(&mut self, now: Time, id: ConnectionId, figure: f64) {
         let Some((pool_id, attempt)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.attempt?)))
         else {
@@ -45,15 +45,15 @@
         }
         let pool = &mut self.pools[pool_id];
         let mean = pool.loads.0 / f64::max(pool.loads.1, 1.0);
-        let last = pool.slow.get(&attempt.host).filter(|(at, _)| now.since(*at) <= SLOW_GAP);
+        let last = pool.slow.get(&attempt.server).filter(|(at, _)| now.since(*at) <= SLOW_GAP);
         let goes_on =
             last.is_some_and(|&(_, took)| (took / SLOW_FACTOR..took * SLOW_FACTOR).contains(&figure));
         let delay = figure < mean * LEAST_LOAD || goes_on || !pool.config.tells_load;
         let measurement = if pool.config.tells_delay && delay {
-            pool.slow.insert(attempt.host, (now, figure));
+            pool.slow.insert(attempt.server, (now, figure));
             let took = (figure.max(0.0) * 1000.0) as Micros;
-            pool.rebalance.take(now, RebalanceEvent::Delay { host: attempt.host, took });
-            self.broadcast_observation(now, pool_id, Observation::SlowHost(attempt.host, took));
+            pool.rebalance.take(now, RebalanceEvent::Delay { server: attempt.server, took });
+            self.broadcast_observation(now, pool_id, Observation::SlowServer(attempt.server, took));
             Measurement::MessageTime(took)
         } else {
             pool.loads = (pool.loads.0 + figure, pool.loads.1 + 1.0);
@@ -104,7 +104,7 @@
         self.end(now, id, outcome);
     }
 
-    /// Sets a standing connection's timer: for its move, or for the silence of its host.
+    /// Sets a standing connection's timer: for its move, or for the silence of its server.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else { return };
         let silence = self.pools[connection.pool].config.silence;
@@ -116,7 +116,7 @@
     pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else { return };
         let silence = self.pools[connection.pool].config.silence;
-        // Danger: a host that vanished says nothing; its clients would wait for ever.
+        // Danger: a server that vanished says nothing; its clients would wait for ever.
         if silence > 0 && connection.awaiting_server_since.is_some_and(|at| at.plus(silence) <= now) {
             self.migrate(now, id, Outcome::Reset);
         } else if connection.migrate_at.is_some_and(|at| at <= now) {
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -70,9 +70,9 @@
     pub(super) fn on_entry_stored(&mut self, now: Time, key: String, entry: Entry) {
         let value = entry.value.as_deref().unwrap_or("nothing");
         self.effects.push(Effect::Log(format!("store: {key} is {value}, says {}", entry.node)));
-        let host = key.starts_with("life/") || key.starts_with("host/");
+        let server = key.starts_with("life/") || key.starts_with("host/");
         self.effects.push(Effect::PersistEntry { key, entry });
-        for pool in (0..self.pools.len()).filter(|_| host) {
+        for pool in (0..self.pools.len()).filter(|_| server) {
             self.refresh(now, pool);
         }
     }
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -1,6 +1,6 @@
 //! A new version in the place of an old one: what is left to it, and what both have to hear of meanwhile.
 
-use super::{host_number, Attempt, ClientConnection};
+use super::{server_id, Attempt, ClientConnection};
 use super::{
     ConnectionId, Effect, EstablishedConnection, HandoverState, Phase, PoolHandoverState, PoolId, State,
 };
@@ -23,10 +23,10 @@
     pub(super) fn export_state(&mut self) {
         self.peer_process = Some(PeerProcess::StartingSuccessor);
         let pool_left = |pool: &super::Pool| PoolHandoverState {
-            hosts: pool
+            endpoints: pool
                 .listed
                 .values()
-                .map(|host| (host.clone(), pool.balancer.learned_state(host_number(&host.name))))
+                .map(|server| (server.clone(), pool.balancer.learned_state(server_id(&server.name))))
                 .collect(),
             readmitted: pool.readmitted.iter().map(|(name, &at)| (name.clone(), at)).collect(),
             ids: pool.ids.iter().cloned().collect(),
@@ -49,7 +49,7 @@
         }
         self.peer_process = Some(PeerProcess::Successor);
         self.effects.push(Effect::Log("another process serves in this one's place".to_owned()));
-        // Danger (cold hosts): what may be sent there is the other's to spend.
+        // Danger (cold servers): what may be sent there is the other's to spend.
         (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
         for id in self.connections.keys().copied().collect::<Vec<_>>() {
             self.transfer_connection(id);
@@ -66,11 +66,11 @@
         let (Some(PeerProcess::Successor), Some(attempt)) = (self.peer_process, connection.attempt) else {
             return;
         };
-        let Some(host) = self.pools[connection.pool].table.any(attempt.host) else { return };
-        let (ask, host) = (connection.ask.clone(), host.name.clone());
+        let Some(server) = self.pools[connection.pool].table.any(attempt.server) else { return };
+        let (ask, server) = (connection.ask.clone(), server.name.clone());
         let established = EstablishedConnection {
             ask,
-            host,
+            server,
             load: connection.load,
             awaiting_server_since: connection.awaiting_server_since,
         };
@@ -102,13 +102,13 @@
             let Some(left) = handover_state.pools.get(pool.config.name) else { continue };
             pool.readmitted.extend(left.readmitted.iter().cloned());
             pool.held_by_predecessor.extend(left.ids.iter().cloned());
-            if pool.config.discovery.is_some() && !left.hosts.is_empty() {
-                let named = left.hosts.iter().map(|(host, _)| (host.name.clone(), host.clone()));
+            if pool.config.discovery.is_some() && !left.endpoints.is_empty() {
+                let named = left.endpoints.iter().map(|(server, _)| (server.name.clone(), server.clone()));
                 pool.listed = named.collect();
             }
             self.refresh(now, id);
-            for (host, known) in &left.hosts {
-                let server = host_number(&host.name);
+            for (server, known) in &left.endpoints {
+                let server = server_id(&server.name);
                 known.iter().for_each(|&known| self.pools[id].balancer.restore_learned_state(server, known));
             }
         }
@@ -123,8 +123,8 @@
         established: EstablishedConnection,
     ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
-        let EstablishedConnection { ask, host, load, awaiting_server_since } = established;
-        let host = host_number(&host);
+        let EstablishedConnection { ask, server, load, awaiting_server_since } = established;
+        let server = server_id(&server);
         let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let class = index(&pool.config.classes, &ask.class).map(|n| ClassId(n as u16));
         let tenant = ask.tenant.as_deref().and_then(|name| index(&pool.config.tenants, name));
@@ -135,7 +135,7 @@
             pool.ids.insert(id.clone());
         }
         let attempt =
-            Some(Attempt { number: 0, host, written: true, since: now, until: now, write_by: None });
+            Some(Attempt { number: 0, server, written: true, since: now, until: now, write_by: None });
         let connection = ClientConnection {
             pool: pool_id,
             class,
@@ -150,10 +150,10 @@
             awaiting_server_since,
         };
         self.connections.insert(id, connection);
-        self.at.entry((pool_id, host)).or_default().insert(id);
-        let (request, server) = (RequestId(id.0), host);
+        self.at.entry((pool_id, server)).or_default().insert(id);
+        let (request, server) = (RequestId(id.0), server);
         let class = class.unwrap_or_default();
-        let known = self.pools[pool_id].table.any(host).is_some();
+        let known = self.pools[pool_id].table.any(server).is_some();
         self.dispatch(
             now,
             pool_id,
@@ -171,8 +171,8 @@
         }
         self.schedule_established_timer(now, id);
         self.on_established(now, id, None);
-        // What holds for its host's other clients holds for it.
-        if !known || self.pools[pool_id].table.ready(host).is_none() {
+        // What holds for its server's other clients holds for it.
+        if !known || self.pools[pool_id].table.ready(server).is_none() {
             self.refresh(now, pool_id);
         }
     }
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -41,9 +41,9 @@
 pub enum AttemptOutcome {
     /// Served to its end, in order.
     Served,
-    /// The host sent the client away.
+    /// The server sent the client away.
     RedirectedByServer,
-    /// The host answered with an error.
+    /// The server answered with an error.
     Error,
     /// Rejected unseen.
     Rejected,
@@ -51,9 +51,9 @@
     ConnectFailed,
     /// It broke or ended without a word after that.
     Reset,
-    /// This machine had no socket left for it: the host had no part in that.
+    /// This machine had no socket left for it: the server had no part in that.
     OutOfSockets,
-    /// The host's own verdict was passed on to the client: nothing more is to be done.
+    /// The server's own verdict was passed on to the client: nothing more is to be done.
     VerdictForwarded,
 }
 
@@ -99,7 +99,7 @@
     pub forwards: u64,
     /// Connections taken and not yet ended, those that stand included.
     pub outstanding: u64,
-    /// Issuer hosts listed.
+    /// Issuer servers listed.
     pub discovered: u64,
     /// Of those, the ones avoided now.
     pub ejected: u64,
@@ -120,7 +120,7 @@
     Failed,
     /// It never came to ask before its time was up.
     HandshakeTimedOut,
-    /// Come again at once: the host leaves, or this balancer does.
+    /// Come again at once: the server leaves, or this balancer does.
     Migrated,
 }
 
@@ -130,17 +130,17 @@
     /// What it asked for.
     pub ask: ConnectionRequest,
     /// Its server.
-    pub host: String,
-    /// The load that its host told last.
+    pub server: String,
+    /// The load that its server told last.
     pub load: Option<f64>,
-    /// When the first line went to the host that has had no answer since.
+    /// When the first line went to the server that has had no answer since.
     pub awaiting_server_since: Option<Time>,
 }
 
 /// What a process leaves to the one that takes its place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// Hosts out by hand, and names of all that were ever listed.
+    /// Servers out by hand, and names of all that were ever listed.
     pub excluded_by_operator: Vec<String>,
     pub ever_listed: Vec<String>,
     /// The store's entries.
@@ -154,9 +154,9 @@
 /// What it leaves of one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolHandoverState {
-    /// The hosts as listed, with what was learned of them.
-    pub hosts: Vec<(Endpoint, Option<LearnedState>)>,
-    /// Hosts that were out by hand, and since when they are not any more.
+    /// The servers as listed, with what was learned of them.
+    pub endpoints: Vec<(Endpoint, Option<LearnedState>)>,
+    /// Servers that were out by hand, and since when they are not any more.
     pub readmitted: Vec<(String, Time)>,
     /// Ids of connections that are open there.
     pub ids: Vec<String>,
@@ -186,18 +186,18 @@
     /// Something came from it.
     ServerActivity { connection: ConnectionId },
     /// It told a figure: the connection's load in microseconds of work a second, or, where the settings
-    /// say that hosts tell it, the milliseconds that a message takes there.
+    /// say that servers tell it, the milliseconds that a message takes there.
     LoadReported { connection: ConnectionId, load: f64 },
-    /// What was kept of an earlier life: the store's entries, and hosts out by hand where no store says so.
+    /// What was kept of an earlier life: the store's entries, and servers out by hand where no store says so.
     StateRestored { entries: Vec<(String, Entry)>, excluded_by_operator: Vec<String> },
     /// A endpoint list as it was last held, which may be old.
-    CachedEndpoints { pool: PoolId, hosts: Vec<Endpoint> },
+    CachedEndpoints { pool: PoolId, endpoints: Vec<Endpoint> },
     /// News of a endpoint list: all of it, or what changed.
-    EndpointsUpdated { pool: PoolId, whole: bool, hosts: Vec<Endpoint> },
+    EndpointsUpdated { pool: PoolId, whole: bool, endpoints: Vec<Endpoint> },
     /// Another balancer of the tier says what is slow.
     GossipReceived { pool: PoolId, message: peers::GossipMessage },
-    /// A probe of an server is over.
-    ProbeCompleted { pool: PoolId, host: ServerId, end: ProbeEnd },
+    /// A probe of a server is over.
+    ProbeCompleted { pool: PoolId, server: ServerId, end: ProbeEnd },
     /// The watch on it broke, or could not be had.
     EndpointWatchLost { pool: PoolId },
     /// Another node's store, or an operator's command, sent this.
@@ -219,7 +219,7 @@
     /// The other process is gone.
     PeerProcessLost,
     /// An operator's word came to the other process...
-    ExclusionShared { host: String, out: bool },
+    ExclusionShared { server: String, out: bool },
     /// ...or has arrived there.
     ExclusionAcknowledged { admin_client: AdminClientId },
     /// An operator calls.
@@ -233,7 +233,7 @@
 /// What is to be done outside, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Connect to this address and send the request; the host is told that it has so long.
+    /// Connect to this address and send the request; the server is told that it has so long.
     OpenAttempt { connection: ConnectionId, attempt: u32, address: String, wait: Micros },
     /// Close the attempt that is out.
     CloseAttempt { connection: ConnectionId },
@@ -247,9 +247,9 @@
     SetAccepting { open: bool },
     /// Tell the other balancers of the tier what is slow.
     BroadcastGossip(peers::GossipMessage),
-    /// Ask a host for its load, which its report has under the first of these names that it holds, and wait so
+    /// Ask a server for its load, which its report has under the first of these names that it holds, and wait so
     /// long for the answer. It is to be told once, by [`Input::ProbeCompleted`].
-    ProbeServer { pool: PoolId, host: ServerId, address: String, names: Vec<&'static str>, wait: Micros },
+    ProbeServer { pool: PoolId, server: ServerId, address: String, names: Vec<&'static str>, wait: Micros },
     /// Watch a endpoint list, telling what was missed first.
     WatchEndpoints { pool: PoolId },
     /// Let the old watch go and watch at this address, which tells the whole list first.
@@ -262,9 +262,9 @@
     ExportState(Box<HandoverState>),
     /// Pass a standing connection on to it, as soon as it is between two lines.
     TransferConnection { connection: ConnectionId, pool: PoolId, established: EstablishedConnection },
-    /// Tell the other process of a host out by hand or back, for this caller.
-    ShareExclusion { admin_client: AdminClientId, host: String, out: bool },
-    /// Put the hosts out by hand where they outlive the process.
+    /// Tell the other process of a server out by hand or back, for this caller.
+    ShareExclusion { admin_client: AdminClientId, server: String, out: bool },
+    /// Put the servers out by hand where they outlive the process.
     PersistExclusions(Vec<String>),
     /// Answer an operator's call.
     AdminReply { admin_client: AdminClientId, reply: AdminResponse },
@@ -314,20 +314,20 @@
     /// The store may add servers, and says how many connections may be held; where it does not, so many.
     pub from_store: bool,
     pub most_held: usize,
-    /// Clients of a draining host are moved over this time; 0 where hosts send them away by themselves.
+    /// Clients of a draining server are moved over this time; 0 where servers send them away by themselves.
     pub drain_over: Micros,
-    /// A standing connection whose host stays silent so long after a line is moved; 0 for never.
+    /// A standing connection whose server stays silent so long after a line is moved; 0 for never.
     pub silence: Micros,
-    /// Hosts tell how long messages take, and by the same word what load a connection is.
+    /// Servers tell how long messages take, and by the same word what load a connection is.
     pub tells_delay: bool,
     pub tells_load: bool,
-    /// Names under which a probe's answer may carry a host's load over its capacity, the best first.
+    /// Names under which a probe's answer may carry a server's load over its capacity, the best first.
     pub reports: Vec<&'static str>,
-    /// The longest that an client waits for its answer.
+    /// The longest that a client waits for its answer.
     pub longest_wait: Micros,
     /// How standing connections are moved towards balance.
     pub rebalance: rebalance::RebalanceConfig,
-    /// The balancers of the tier may tell each other of slow hosts, at this price for 256 bytes a request.
+    /// The balancers of the tier may tell each other of slow servers, at this price for 256 bytes a request.
     pub peers: Option<f64>,
 }
 
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -42,7 +42,7 @@
         };
         let (pool, class) = (connection.pool, connection.class.unwrap_or_default().0);
         let at = Connection {
-            host: attempt.host,
+            server: attempt.server,
             class,
             group: connection.ask.group,
             load: connection.load,
@@ -55,7 +55,7 @@
     pub(super) fn rebalance(&mut self, now: Time, pool_id: PoolId) {
         let table = &self.pools[pool_id].table;
         let there = self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX)));
-        let shutdown_window = there.filter(|((_, host), _)| table.ready(*host).is_none());
+        let shutdown_window = there.filter(|((_, server), _)| table.ready(*server).is_none());
         let world = SystemConditions {
             leaving: self.shutdown_window.is_some(),
             handover: self.peer_process.is_some(),
@@ -63,16 +63,16 @@
         };
         let pool = &mut self.pools[pool_id];
         let settings = &pool.config.settings;
-        let server_snapshot = |host| {
-            let (held, ceiling) = pool.balancer.occupancy(host)?;
-            let known = pool.balancer.learned_state(host)?;
-            let listed = pool.table.any(host)?;
+        let server_snapshot = |server| {
+            let (held, ceiling) = pool.balancer.occupancy(server)?;
+            let known = pool.balancer.learned_state(server)?;
+            let listed = pool.table.any(server)?;
             let warm = |at: Time| now.since(at) as f64 / settings.slow_start_duration.max(1) as f64;
             let grown = |at| settings.slow_start_share + (1.0 - settings.slow_start_share) * warm(at);
             let weight = Some(listed.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
             Some(ServerSnapshot {
-                host,
-                ready: pool.table.ready(host).is_some() && known.consecutive_failures == 0,
+                server,
+                ready: pool.table.ready(server).is_some() && known.consecutive_failures == 0,
                 held,
                 ceiling,
                 weight: weight.unwrap_or(1.0),
@@ -81,34 +81,40 @@
                 last_fault: known.last_fault,
             })
         };
-        let hosts: Vec<ServerSnapshot> = pool.table.hosts().filter_map(server_snapshot).collect();
-        let decision = pool.rebalance.evaluate(now, world, &hosts);
+        let servers: Vec<ServerSnapshot> = pool.table.ids().filter_map(server_snapshot).collect();
+        let decision = pool.rebalance.evaluate(now, world, &servers);
         let name = pool.config.name;
         self.effects.extend(decision.log.map(|text| super::Effect::Log(format!("{name}: {text}"))));
-        for (host, ceiling) in decision.ceilings {
+        for (server, ceiling) in decision.ceilings {
             let balancer = &mut self.pools[pool_id].balancer;
-            if let Some(known) = balancer.learned_state(host) {
+            if let Some(known) = balancer.learned_state(server) {
                 balancer.restore_learned_state(
-                    host,
+                    server,
                     LearnedState { ceiling: known.ceiling.max(ceiling), ..known },
                 );
             }
         }
-        for host in decision.lowered {
+        for server in decision.lowered {
             let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned_state(host)) {
-                balancer
-                    .restore_learned_state(host, LearnedState { ceiling: known.ceiling.min(held), ..known });
+            if let (Some((held, _)), Some(known)) =
+                (balancer.occupancy(server), balancer.learned_state(server))
+            {
+                balancer.restore_learned_state(
+                    server,
+                    LearnedState { ceiling: known.ceiling.min(held), ..known },
+                );
             }
         }
-        for (id, host) in decision.moves {
+        for (id, server) in decision.moves {
             self.migrate(now, id, Outcome::Cancelled);
             // Danger: the slot that this frees may be the only free one, and would draw the same client again.
             let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) = (balancer.occupancy(host), balancer.learned_state(host)) {
+            if let (Some((held, _)), Some(known)) =
+                (balancer.occupancy(server), balancer.learned_state(server))
+            {
                 let ceiling = known.ceiling.min(held);
                 balancer.restore_learned_state(
-                    host,
+                    server,
                     LearnedState { ceiling, last_migration: Some(now), ..known },
                 );
             }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -2,7 +2,7 @@
 //! writes nothing and knows no wire. Reading and writing are [`Effect`]s that it asks for.
 //!
 //! It owns the decision module's balancers, one for each pool of servers, and only here do the
-//! shop's terms meet the module's: a connection is its request, an attempt its attempt, an server
+//! shop's terms meet the module's: a connection is its request, an attempt its attempt, a server
 //! its server.
 
 mod admin;
@@ -22,7 +22,7 @@
 use std::net::SocketAddr;
 
 use client::LEAVING_WAIT;
-pub use endpoints::{host_number, stored_host, Endpoint, EndpointList, Lifecycle};
+pub use endpoints::{server_id, stored_endpoint, Endpoint, EndpointList, Lifecycle};
 use hot_restart::PeerProcess;
 pub use input::*;
 use probes::Probes;
@@ -39,9 +39,9 @@
     counts: Vec<ClassCounters>,
     /// The endpoint list has been told since the start.
     told: bool,
-    /// Hosts that are out by hand, or by the store's word.
+    /// Servers that are out by hand, or by the store's word.
     out: BTreeSet<String>,
-    /// Hosts that were, and since when they are not any more.
+    /// Servers that were, and since when they are not any more.
     readmitted: BTreeMap<String, Time>,
     balancer: Balancer,
     /// Who is moved for balance.
@@ -50,7 +50,7 @@
     peers: Peers,
     probes: Probes,
     table: EndpointList,
-    /// The hosts as discovery or the operator's file lists them, before the store has its say.
+    /// The servers as discovery or the operator's file lists them, before the store has its say.
     listed: BTreeMap<String, Endpoint>,
     /// Connections past their greeting, and the ids by which their clients call them.
     held: usize,
@@ -60,7 +60,7 @@
     wake: Option<Time>,
     /// Sum and number of the loads told so far.
     loads: (f64, f64),
-    /// Hosts that told of slow messages, when they last did, and how many milliseconds those took.
+    /// Servers that told of slow messages, when they last did, and how many milliseconds those took.
     slow: BTreeMap<ServerId, (Time, f64)>,
 }
 
@@ -70,7 +70,7 @@
     Handshaking,
     /// An answer is owed.
     Connecting,
-    /// It stood at this host before the start and is set up again until then.
+    /// It stood at this server before the start and is set up again until then.
     Restoring(Time, ServerId),
     /// Served.
     Established,
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     number: u32,
-    host: ServerId,
+    server: ServerId,
     written: bool,
     /// When it was written, and before that when it was opened.
     since: Time,
@@ -93,7 +93,7 @@
     pool: PoolId,
     class: Option<ClassId>,
     ask: ConnectionRequest,
-    /// The load that its host told last.
+    /// The load that its server told last.
     load: Option<f64>,
     phase: Phase,
     attempts: u32,
@@ -103,7 +103,7 @@
     /// When it connected, and when it is to be moved.
     connected_at: Time,
     migrate_at: Option<Time>,
-    /// When the first line went to the host that has had no answer since.
+    /// When the first line went to the server that has had no answer since.
     awaiting_server_since: Option<Time>,
 }
 
@@ -116,20 +116,20 @@
     listening: bool,
     /// Attempts written in full.
     forwards: u64,
-    /// Hosts out by hand, whatever any list says, where no store holds that.
+    /// Servers out by hand, whatever any list says, where no store holds that.
     excluded_by_operator: BTreeSet<String>,
     /// The other process, while a new version takes the place of an old one.
     peer_process: Option<PeerProcess>,
     /// Calls that it has to hear of before they are answered, and by when they are all the same.
     pending_acknowledgements: BTreeMap<AdminClientId, Time>,
-    /// Names of all hosts that were ever listed.
+    /// Names of all servers that were ever listed.
     ever_listed: BTreeSet<String>,
     budget: Budget,
     /// Connections without an attempt, and since when.
     waiting: BTreeMap<ConnectionId, Time>,
     /// The fronts accept no connections until there is room, which is looked for then.
     shut: Option<Time>,
-    /// Connections with an attempt at a host.
+    /// Connections with an attempt at a server.
     at: BTreeMap<(PoolId, ServerId), BTreeSet<ConnectionId>>,
     /// From when it may go, and when it goes at the latest, once it leaves.
     shutdown_window: Option<(Time, Time)>,
@@ -273,22 +273,24 @@
             Input::StateRestored { entries, excluded_by_operator } => {
                 self.on_state_restored(now, entries, excluded_by_operator)
             }
-            Input::CachedEndpoints { pool, hosts } => self.on_endpoints_updated(now, pool, true, hosts),
-            Input::EndpointsUpdated { pool, whole, hosts } => {
-                self.on_endpoints_updated(now, pool, whole, hosts);
+            Input::CachedEndpoints { pool, endpoints } => {
+                self.on_endpoints_updated(now, pool, true, endpoints)
+            }
+            Input::EndpointsUpdated { pool, whole, endpoints } => {
+                self.on_endpoints_updated(now, pool, whole, endpoints);
                 if let Some(pool) = self.pools.get_mut(pool) {
                     pool.told = true;
                     pool.rebalance.take(now, rebalance::RebalanceEvent::ListTold);
                 }
             }
             Input::GossipReceived { pool, message } => {
-                // Danger: words of hosts that are not listed would fill the memory, and say nothing here.
+                // Danger: words of servers that are not listed would fill the memory, and say nothing here.
                 let table = &self.pools[pool].table;
-                let known = message.observation.host().is_none_or(|host| table.any(host).is_some());
+                let known = message.observation.server().is_none_or(|server| table.any(server).is_some());
                 if known && self.pools[pool].peers.heard(now, message.observation) {
                     self.dispatch(now, pool, Event::PeerGroupSample(&message.groups));
                     let told = match message.observation {
-                        Observation::SlowHost(server, took) => {
+                        Observation::SlowServer(server, took) => {
                             Event::PeerObservation { server, took: Some(took) }
                         }
                         Observation::Dropped(server) => Event::PeerObservation { server, took: None },
@@ -297,7 +299,7 @@
                     self.dispatch(now, pool, told);
                 }
             }
-            Input::ProbeCompleted { pool, host, end } => self.on_probe_completed(now, pool, host, end),
+            Input::ProbeCompleted { pool, server, end } => self.on_probe_completed(now, pool, server, end),
             Input::EndpointWatchLost { pool } => {
                 self.notify_rebalancer(now, pool, rebalance::RebalanceEvent::ListLost);
                 self.dispatch(now, pool, Event::EndpointWatchFailed);
@@ -312,7 +314,7 @@
                 self.on_connection_received(now, connection, pool, established)
             }
             Input::PeerProcessLost => self.on_peer_process_lost(now),
-            Input::ExclusionShared { host, out } => drop(self.set_exclusion(now, &host, out)),
+            Input::ExclusionShared { server, out } => drop(self.set_exclusion(now, &server, out)),
             Input::ExclusionAcknowledged { admin_client } => self.on_exclusion_acknowledged(admin_client),
             Input::Listening => self.listening = true,
             Input::AdminRequest { admin_client, call } => self.on_admin_request(now, admin_client, call),
@@ -380,7 +382,7 @@
                     };
                     self.attempt_failed(now, id, outcome);
                 }
-                (Phase::Restoring(until, host), _) => self.adopt_again(now, id, until, host),
+                (Phase::Restoring(until, server), _) => self.adopt_again(now, id, until, server),
                 (Phase::Established, _) => self.on_established_timer(now, id),
             }
         }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -13,7 +13,7 @@
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeEnd {
-    /// The host answered, with a report that holds its load or without.
+    /// The server answered, with a report that holds its load or without.
     Answered(Option<LoadReport>),
     /// It answered with an error; a report may have come along all the same.
     Error(Option<LoadReport>),
@@ -28,39 +28,42 @@
 pub(super) struct Probes {
     /// Those that are out, each with the start of the process that was asked.
     out: BTreeMap<ServerId, Option<Time>>,
-    /// Hosts that said they are not to be probed, in the life that said so.
+    /// Servers that said they are not to be probed, in the life that said so.
     unwanted: BTreeSet<(ServerId, Option<Time>)>,
 }
 
 impl State {
-    /// Has a host probed. Danger (drains): only one that may be sent something new. One that has not answered the
+    /// Has a server probed. Danger (drains): only one that may be sent something new. One that has not answered the
     /// last probe yet is not asked again: it has enough to do.
-    pub(super) fn probe(&mut self, pool_id: PoolId, host: ServerId) {
+    pub(super) fn probe(&mut self, pool_id: PoolId, server: ServerId) {
         let pool = &mut self.pools[pool_id];
-        let Some(listed) = pool.table.ready(host) else { return };
+        let Some(listed) = pool.table.ready(server) else { return };
         let Probes { out, unwanted } = &mut pool.probes;
-        if out.len() >= MOST_PROBES || out.contains_key(&host) || unwanted.contains(&(host, listed.started)) {
+        if out.len() >= MOST_PROBES
+            || out.contains_key(&server)
+            || unwanted.contains(&(server, listed.started))
+        {
             return;
         }
-        out.insert(host, listed.started);
+        out.insert(server, listed.started);
         let settings = &pool.config.settings;
         let answer = Some(settings.setup_objective()).filter(|&aim| aim > 0);
         let wait = settings.connect_timeout + answer.unwrap_or(ANSWER_WAITS * settings.connect_timeout);
         let names = pool.config.reports.clone();
         self.effects.push(Effect::ProbeServer {
             pool: pool_id,
-            host,
+            server,
             address: listed.address.clone(),
             names,
             wait,
         });
     }
 
-    /// A probe is over. Danger: what a host told of itself before it started again holds no more.
+    /// A probe is over. Danger: what a server told of itself before it started again holds no more.
     pub(super) fn on_probe_completed(&mut self, now: Time, pool_id: PoolId, server: ServerId, end: ProbeEnd) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let Some(asked) = pool.probes.out.remove(&server) else { return };
-        let life = pool.table.ready(server).map(|host| host.started);
+        let life = pool.table.ready(server).map(|server| server.started);
         let (outcome, report) = match end {
             ProbeEnd::Answered(report) => (Outcome::Ok, report),
             ProbeEnd::Error(report) => (Outcome::Error, report),
@@ -72,9 +75,11 @@
         }
         if end == ProbeEnd::Unwanted {
             let table = &pool.table;
-            pool.probes.unwanted.retain(|(host, life)| table.any(*host).is_some_and(|h| h.started == *life));
+            pool.probes
+                .unwanted
+                .retain(|(server, life)| table.any(*server).is_some_and(|h| h.started == *life));
             pool.probes.unwanted.insert((server, asked));
-            let name = table.any(server).map_or("", |host| &host.name);
+            let name = table.any(server).map_or("", |server| &server.name);
             self.effects.push(Effect::Log(format!("{name} is not to be probed, it says")));
         }
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -61,7 +61,7 @@
         let mut piece = [0; admin::LONGEST_CALL];
         match stream.read(&mut piece).await {
             Ok(0) if lines.is_empty() => return None,
-            // Danger: what was cut off may have meant another host.
+            // Danger: what was cut off may have meant another server.
             Ok(0) => return Some(Err("the line has no end")),
             Ok(n) => lines.push(&piece[..n]),
             Err(_) => return None,
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -40,14 +40,14 @@
 
 /// What is for the other process.
 pub enum Outgoing {
-    Share { admin_client: AdminClientId, host: String, out: bool },
+    Share { admin_client: AdminClientId, server: String, out: bool },
     Pass { connection: ConnectionId, pool: PoolId, established: Box<EstablishedConnection> },
 }
 
-/// A host is to be asked for its load.
+/// A server is to be asked for its load.
 pub struct Probe {
     pub pool: PoolId,
-    pub host: ServerId,
+    pub server: ServerId,
     pub address: String,
     /// Names under which its report may hold that.
     pub names: Vec<&'static str>,
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -24,7 +24,7 @@
 const LINGER: Duration = Duration::from_millis(700);
 /// ...or until it has had them all and been quiet so long: its descriptor is wanted for others.
 const QUIET: Duration = Duration::from_millis(100);
-/// Bytes taken, for nobody, from an client that has been answered. Danger: closed over unread bytes
+/// Bytes taken, for nobody, from a client that has been answered. Danger: closed over unread bytes
 /// the connection is reset, which may destroy the answer; but one that sends on for ever must not be read.
 const PASSED_OVER: usize = 128 << 10;
 
@@ -348,7 +348,7 @@
         self.client.finish = true;
         self.connecting = None;
         if !self.written {
-            // Danger: a request that is not written yet must not reach its host any more.
+            // Danger: a request that is not written yet must not reach its server any more.
             self.attempt = None;
         }
         if let Some(attempt) = &mut self.attempt {
@@ -441,7 +441,7 @@
         self.record(|tape, at| tape.close(at, Way::FromClient, Close::InOrder));
         if self.over.is_none() {
             match self.attempt.as_mut().filter(|_| self.established) {
-                // It may still read: what its host says to the end goes to it, for a while.
+                // It may still read: what its server says to the end goes to it, for a while.
                 Some(attempt) => {
                     attempt.finish = true;
                     self.over = Some(Instant::now() + LINGER);
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -100,10 +100,10 @@
                     );
                     (generation, hold) = (None, Duration::ZERO);
                 }
-                Ok(EndpointListUpdate { generation: new, whole, hosts }) => {
-                    let nothing = hosts.is_empty() && generation == Some(new);
+                Ok(EndpointListUpdate { generation: new, whole, endpoints }) => {
+                    let nothing = endpoints.is_empty() && generation == Some(new);
                     (generation, hold, anew) = (Some(new), HOLD, false);
-                    driver.feed(Input::EndpointsUpdated { pool, whole, hosts });
+                    driver.feed(Input::EndpointsUpdated { pool, whole, endpoints });
                     if nothing && called.elapsed() < PACE {
                         tokio::time::sleep(PACE).await;
                     }
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot, watch as watch_channel, Notify};
 
 use super::commands::{ConnectionCommand, Outgoing, Probe, WatchOrder};
-use super::excluded_hosts;
+use super::excluded_servers;
 use super::files::Files;
 use super::record::Recorder;
 use crate::program::config::PeersAt;
@@ -29,13 +29,13 @@
 pub enum Seen {
     /// It came to stand, so long after it was met, on this attempt.
     Served(Micros, u32),
-    /// A host's verdict was passed on.
+    /// A server's verdict was passed on.
     Verdict,
     /// It had this answer, so long after it was met.
     Answered(Micros, Answer),
     /// The client left.
     Left,
-    /// Its host ended it.
+    /// Its server ended it.
     Ended,
 }
 
@@ -175,9 +175,9 @@
                         let _ = socket.try_send_to(&peers::write(message), *all);
                     }
                 }
-                Effect::ProbeServer { pool, host, address, names, wait } => {
+                Effect::ProbeServer { pool, server, address, names, wait } => {
                     let wait = Duration::from_micros(wait);
-                    self.probe(Probe { pool, host, address, names, wait });
+                    self.probe(Probe { pool, server, address, names, wait });
                 }
                 Effect::WatchEndpoints { pool } => self.watch(WatchOrder::Again { pool }),
                 Effect::WatchEndpointsAt { pool, discovery } => {
@@ -203,12 +203,12 @@
                         established: Box::new(established),
                     })
                 }
-                Effect::ShareExclusion { admin_client, host, out } => {
-                    self.send_to_peer_process(Outgoing::Share { admin_client, host, out })
+                Effect::ShareExclusion { admin_client, server, out } => {
+                    self.send_to_peer_process(Outgoing::Share { admin_client, server, out })
                 }
                 Effect::PersistExclusions(excluded) => {
                     if let Some(place) = self.place.borrow().as_deref() {
-                        excluded_hosts::persist_excluded(place, &excluded);
+                        excluded_servers::persist_excluded(place, &excluded);
                     }
                 }
                 Effect::AdminReply { admin_client, reply } => {
--- a/src/transport/excluded_hosts.rs
+++ b/src/transport/excluded_servers.rs
@@ -1,25 +1,25 @@
-//! Hosts out by hand, kept in a file beside the socket where the next process asks.
+//! Servers out by hand, kept in a file beside the socket where the next process asks.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file of hosts out by hand beside the socket.
+/// The file of servers out by hand beside the socket.
 fn excluded_file(place: &Path) -> PathBuf {
     place.with_extension("bans")
 }
 
-/// Puts the hosts out by hand where the next process finds them if nobody can tell it. Danger: a crash
+/// Puts the servers out by hand where the next process finds them if nobody can tell it. Danger: a crash
 /// halfway must leave the old list or the new.
 pub fn persist_excluded(place: &Path, excluded: &[String]) {
     let file = excluded_file(place);
     let new = file.with_extension(format!("{}.new", std::process::id()));
-    let text: String = excluded.iter().map(|host| format!("{host}\n")).collect();
+    let text: String = excluded.iter().map(|server| format!("{server}\n")).collect();
     if let Err(error) = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &file)) {
         crate::log!(error, "{}: hosts out by hand are not kept: {error}", file.display());
     }
 }
 
-/// The hosts that were out by hand when a process here last said so.
+/// The servers that were out by hand when a process here last said so.
 pub fn load_excluded(place: &Path) -> Vec<String> {
     let file = excluded_file(place);
     match std::fs::read(&file) {
--- a/src/transport/hot_restart.rs
+++ b/src/transport/hot_restart.rs
@@ -273,8 +273,8 @@
                 Err(error) => Err(error),
             },
             Some(word) = outgoing.recv() => match word {
-                Outgoing::Share { admin_client, host, out } => {
-                    link.send(&HandoverMessage::Share { number: admin_client.0, host, out }, &[]).await
+                Outgoing::Share { admin_client, server, out } => {
+                    link.send(&HandoverMessage::Share { number: admin_client.0, server, out }, &[]).await
                 }
                 Outgoing::Pass { connection, pool, established } => pass(driver, link, connection, pool, *established).await,
             },
@@ -292,8 +292,8 @@
     sockets: Vec<OwnedFd>,
 ) -> io::Result<()> {
     match word {
-        HandoverMessage::Share { number, host, out } => {
-            driver.feed(Input::ExclusionShared { host, out });
+        HandoverMessage::Share { number, server, out } => {
+            driver.feed(Input::ExclusionShared { server, out });
             link.send(&HandoverMessage::Shared { number }, &[]).await
         }
         HandoverMessage::Shared { number } => {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -6,7 +6,7 @@
 mod connection;
 mod discovery_watch;
 mod driver;
-mod excluded_hosts;
+mod excluded_servers;
 mod files;
 mod hot_restart;
 mod probes;
@@ -89,7 +89,7 @@
 }
 
 impl Fronts {
-    /// Sets the pools up and tells the reducer of their hosts; nothing listens yet.
+    /// Sets the pools up and tells the reducer of their servers; nothing listens yet.
     fn open(config: &Config) -> Fronts {
         let Config { platform, irc, store, budget, .. } = config;
         let mut setup = ReplicationConfig::default();
@@ -101,12 +101,16 @@
         let mut fronts = Fronts { driver, exit, platform: None, irc: None };
         let mut pool = 0;
         if let Some(platform) = platform {
-            fronts.driver.feed(Input::CachedEndpoints { pool, hosts: platform.known.hosts.clone() });
+            fronts.driver.feed(Input::CachedEndpoints { pool, endpoints: platform.known.endpoints.clone() });
             fronts.platform = Some(pool);
             pool += 1;
         }
         if let Some(irc) = irc {
-            fronts.driver.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts.clone() });
+            fronts.driver.feed(Input::EndpointsUpdated {
+                pool,
+                whole: true,
+                endpoints: irc.endpoints.clone(),
+            });
             fronts.irc = Some(pool);
         }
         fronts
@@ -233,7 +237,7 @@
             let at = bound(&listener, irc.listen);
             irc.take_port(at);
             crate::log!(info, "{} listens on {at} for IRC, as configured anew", irc.setup.name);
-            self.driver.feed(Input::EndpointsUpdated { pool, whole: true, hosts: irc.hosts });
+            self.driver.feed(Input::EndpointsUpdated { pool, whole: true, endpoints: irc.endpoints });
             AcceptGate::open(&self.driver, "irc", irc.listen, listener, pool, irc_factory(irc.setup))
                 .replace(&self.driver, &mut self.irc);
         }
@@ -297,7 +301,7 @@
         }
         None => driver.feed(Input::StateRestored {
             entries: Vec::new(),
-            excluded_by_operator: excluded_hosts::load_excluded(&place),
+            excluded_by_operator: excluded_servers::load_excluded(&place),
         }),
     }
     if let (Some(pool), Some(shop)) = (shop_pool, &config.platform) {
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -1,5 +1,5 @@
 //! Probes of servers: asked for by the reducer, each with one answer to it. A connection that has carried one
-//! is kept for the next, since each new one costs its host more than the probe does.
+//! is kept for the next, since each new one costs its server more than the probe does.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 const KEPT: Duration = Duration::from_secs(4);
 const PIECE: usize = 512;
 
-/// Where a probe's connection goes: a host's address and its number, which another takes over with another address.
+/// Where a probe's connection goes: a server's address and its number, which another takes over with another address.
 type Place = (ServerId, String);
 type Kept = HashMap<Place, (TcpStream, Instant)>;
 
@@ -41,7 +41,7 @@
         tokio::select! {
             order = orders.recv() => {
                 let Some(order) = order else { return };
-                let before = kept.remove(&(order.host, order.address.clone())).map(|(stream, _)| stream);
+                let before = kept.remove(&(order.server, order.address.clone())).map(|(stream, _)| stream);
                 out.spawn_local(carry_out(driver.clone(), order, before));
             }
             Some(done) = out.join_next() => {
@@ -57,7 +57,7 @@
 
 /// One probe; its connection can be kept if it was answered in full.
 async fn carry_out(driver: Rc<Driver>, order: Probe, kept: Option<TcpStream>) -> Option<(Place, TcpStream)> {
-    let Probe { pool, host, address, names, wait } = order;
+    let Probe { pool, server, address, names, wait } = order;
     let answered = timeout(wait, ask(&address, kept)).await;
     let (end, stream) = match answered {
         Ok(Some((line, stream))) => {
@@ -66,8 +66,8 @@
         }
         _ => (ProbeEnd::Nothing, None),
     };
-    driver.feed(Input::ProbeCompleted { pool, host, end });
-    stream.map(|stream| ((host, address), stream))
+    driver.feed(Input::ProbeCompleted { pool, server, end });
+    stream.map(|stream| ((server, address), stream))
 }
 
 /// Asks, and again on a new connection where the kept one was closed meanwhile.
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -63,13 +63,13 @@
     if flows.is_empty() {
         return Err(format!("{}: no flow to port {port}; --port names another", file.display()));
     }
-    let hosts = config.platform.iter().flat_map(|p| &p.known.hosts);
-    for host in hosts.chain(config.irc.iter().flat_map(|irc| &irc.hosts)) {
-        // Danger: a replay must never reach a host in service.
-        if !host.address.parse().is_ok_and(|at: SocketAddr| at.ip().is_loopback()) {
+    let endpoints = config.platform.iter().flat_map(|p| &p.known.endpoints);
+    for server in endpoints.chain(config.irc.iter().flat_map(|irc| &irc.endpoints)) {
+        // Danger: a replay must never reach a server in service.
+        if !server.address.parse().is_ok_and(|at: SocketAddr| at.ip().is_loopback()) {
             return Err(format!(
                 "host {} is at {}: a replay uses loopback hosts only",
-                host.name, host.address
+                server.name, server.address
             ));
         }
     }
@@ -152,7 +152,7 @@
         }
         count
     });
-    // Danger: hosts here may be slower than those recorded. What was sent after an answer, an end above all,
+    // Danger: servers here may be slower than those recorded. What was sent after an answer, an end above all,
     // would overtake it and mean something else. One that answers with fewer lines is waited for once.
     let mut in_step = true;
     let mut wait = async |at: u64| {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -5,7 +5,7 @@
 #[test]
 fn the_operators_file_that_is_shipped_is_sound() {
     let operator = parse_operator(include_bytes!("../deploy/irc.json")).expect("sound");
-    assert_eq!((operator.irc.hosts.len(), operator.store), (2, None));
+    assert_eq!((operator.irc.endpoints.len(), operator.store), (2, None));
     assert_eq!(operator.irc.pool.greeting, 10_000_000);
 }
 
@@ -40,9 +40,9 @@
     assert!(
         class(r#""name": "b", "repeat": "often""#).starts_with("settings.classes[1].repeat: repeatable, ")
     );
-    let host =
+    let server =
         r#""known": {"instances": [{"instanceId": "s", "hostPort": "127.0.0.1:3", "lifecycle": "odd"}]}"#;
-    assert!(told(host).starts_with("known.instances[0].lifecycle: ready, draining or gone is wanted"));
+    assert!(told(server).starts_with("known.instances[0].lifecycle: ready, draining or gone is wanted"));
     assert_eq!(
         told(r#""settings": {"limits": {"cancel": "no"}}"#),
         "settings.limits.cancel: true or false is wanted"
--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -25,7 +25,7 @@
     Silent,
 }
 
-/// A stand-in for an server that speaks IRC (RFC 2812): it keeps every line that it is sent.
+/// A stand-in for a server that speaks IRC (RFC 2812): it keeps every line that it is sent.
 pub struct Server {
     pub address: SocketAddr,
     pub lines: Arc<Mutex<Vec<String>>>,
@@ -231,9 +231,9 @@
         admin_client.rest()
     }
 
-    pub fn exclude(&self, host: &str) {
+    pub fn exclude(&self, server: &str) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        let output = command.args(["exclude", host, "--mgmt", &self.mgmt]).output().expect("runs");
+        let output = command.args(["exclude", server, "--mgmt", &self.mgmt]).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
 
@@ -355,16 +355,16 @@
     }
 }
 
-/// An operator's file with these hosts.
-pub fn irc_config(hosts: &[&Server], more: &str) -> String {
-    let host = |(n, server): (usize, &&Server)| {
+/// An operator's file with these servers.
+pub fn irc_config(servers: &[&Server], more: &str) -> String {
+    let server = |(n, server): (usize, &&Server)| {
         format!("{{\"name\": \"irc-{n}\", \"address\": \"{}\"}}", server.address)
     };
-    let hosts: Vec<String> = hosts.iter().enumerate().map(host).collect();
+    let servers: Vec<String> = servers.iter().enumerate().map(server).collect();
     format!(
         "{{\"listen\": \"127.0.0.1:0\", \"mgmt\": \"127.0.0.1:0\", \"name\": \"front.test\", \"store\": {{\"node\": \"n1\", \
          \"listen\": \"127.0.0.1:0\"}}, \"hosts\": [{}] {more}}}",
-        hosts.join(", ")
+        servers.join(", ")
     )
 }
 
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -61,7 +61,7 @@
     irc::Connection::new(Rc::new(irc::IrcConfig { name: "f".to_owned(), ..irc::IrcConfig::default() }))
 }
 
-/// A front, what an client asks it with, and what a host accepts with.
+/// A front, what a client asks it with, and what a server accepts with.
 type Case = (Box<dyn Front>, &'static [u8], &'static [u8]);
 
 const OPEN: &[u8] = b"PING\r\nOPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n";
@@ -143,10 +143,10 @@
         prop_assert_eq!(http::answer(&bytes[..part], false).unwrap(), None);
         let answer = http::answer(&bytes, false).unwrap().unwrap();
         prop_assert_eq!((answer.status, answer.close, answer.taken), (200, false, bytes.len()));
-        let endpoint_list_update = http::parse_endpoint_list(&answer.body).unwrap();
-        prop_assert_eq!((endpoint_list_update.generation, endpoint_list_update.whole, endpoint_list_update.hosts.len()), (41, true, 1));
-        prop_assert_eq!(endpoint_list_update.hosts[0].lifecycle, Lifecycle::Draining);
-        prop_assert_eq!(endpoint_list_update.hosts[0].started.unwrap().0, 1_700_000_000_123_000);
+        let update = http::parse_endpoint_list(&answer.body).unwrap();
+        prop_assert_eq!((update.generation, update.whole, update.endpoints.len()), (41, true, 1));
+        prop_assert_eq!(update.endpoints[0].lifecycle, Lifecycle::Draining);
+        prop_assert_eq!(update.endpoints[0].started.unwrap().0, 1_700_000_000_123_000);
     }
 }
 
@@ -198,7 +198,7 @@
     }
 }
 
-/// What an client of the platform may send first, and what it may not: nothing of that reaches a host.
+/// What a client of the platform may send first, and what it may not: nothing of that reaches a server.
 #[test]
 fn first_lines_that_are_not_sound_are_answered_with_an_error() {
     let long = format!("OPEN a b c=chat,d=1,x={}\r\n", "y".repeat(4100));
--- a/tests/irc.rs
+++ b/tests/irc.rs
@@ -6,8 +6,8 @@
 
 use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 
-fn front(hosts: &[&Server], more: &str) -> Daemon {
-    Daemon::start(&irc_config(hosts, more), None)
+fn front(servers: &[&Server], more: &str) -> Daemon {
+    Daemon::start(&irc_config(servers, more), None)
 }
 
 #[test]
@@ -24,7 +24,7 @@
     assert_eq!(client.line(), ":front.test CAP anna NAK :unheard-of");
     assert_eq!(server.count(), 0, "nothing reaches a host before CAP END");
     client.say("CAP END\r\nPRIVMSG #a :early");
-    // What the host said before its welcome comes too; its PING was answered by the attempt.
+    // What the server said before its welcome comes too; its PING was answered by the attempt.
     assert_eq!(client.line(), ":irc.test NOTICE * :*** Looking up your hostname");
     assert_eq!(client.line(), ":irc.test 001 anna :Welcome");
     assert_eq!(client.line(), ":anna!u@h PRIVMSG #a :early");
@@ -61,17 +61,17 @@
 #[test]
 fn what_a_host_thinks_of_a_nick_is_passed_on_and_no_other_host_is_asked() {
     let taken = ":irc.test 433 * carl :Nickname is already in use";
-    let hosts = [Server::start(Manner::Says(taken)), Server::start(Manner::Says(taken))];
-    let daemon = front(&[&hosts[0], &hosts[1]], "");
+    let servers = [Server::start(Manner::Says(taken)), Server::start(Manner::Says(taken))];
+    let daemon = front(&[&servers[0], &servers[1]], "");
     let mut client = Client::register(&daemon.irc, "carl");
     assert_eq!(client.rest(), format!("{taken}\r\nERROR :Closing Link: carl (Registration refused)\r\n"));
-    assert_eq!(hosts.iter().filter(|host| host.count() > 0).count(), 1);
+    assert_eq!(servers.iter().filter(|server| server.count() > 0).count(), 1);
 }
 
 #[test]
 fn one_that_no_host_takes_is_refused_with_the_wait() {
-    let hosts = [Server::start(Manner::Says("ERROR :full")), Server::start(Manner::Says("ERROR :full"))];
-    let daemon = front(&[&hosts[0], &hosts[1]], "");
+    let servers = [Server::start(Manner::Says("ERROR :full")), Server::start(Manner::Says("ERROR :full"))];
+    let daemon = front(&[&servers[0], &servers[1]], "");
     let mut client = Client::register(&daemon.irc, "dora");
     let line = client.line();
     assert!(line.starts_with(":front.test 263 dora USER :Server load is too heavy. Please wait "), "{line}");
@@ -163,7 +163,7 @@
     Client::register(&daemon.irc, "jana").expect(" 263 jana ");
     daemon.command(&["set", "limit/connections"]);
     Client::register(&daemon.irc, "jana").expect("001 jana");
-    // Taken away, a host's clients have to go at once.
+    // Taken away, a server's clients have to go at once.
     daemon.command(&["set", "host/irc-9"]);
     first.expect(" 010 ines ");
 }
@@ -233,11 +233,11 @@
     Client::register(&daemon.irc, "nora").expect("001 nora");
 }
 
-/// Both fronts in one daemon, each with its own hosts.
+/// Both fronts in one daemon, each with its own servers.
 #[test]
 fn both_fronts_are_served_by_one_daemon() {
     let irc = Server::start(Manner::Welcome);
-    let shop = shop_host();
+    let shop = shop_server();
     let config = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "{}", "seed": "5",
             "known": {{"generation": 1, "reset": true, "instances": [
@@ -260,8 +260,8 @@
     assert_eq!(irc.lines.lock().unwrap().iter().filter(|l| l.starts_with("OPEN")).count(), 0);
 }
 
-/// A stand-in for a shop host: takes one connection, and sends back each line.
-fn shop_host() -> std::net::SocketAddr {
+/// A stand-in for a shop server: takes one connection, and sends back each line.
+fn shop_server() -> std::net::SocketAddr {
     use std::io::{BufRead, BufReader, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -276,7 +276,7 @@
     address
 }
 
-/// The operator's file is the IRC front's endpoint list: a host that it lists no more is gone.
+/// The operator's file is the IRC front's endpoint list: a server that it lists no more is gone.
 #[test]
 fn sighup_takes_in_another_operators_file_or_keeps_the_old_one() {
     let (old, new) = (Server::start(Manner::Welcome), Server::start(Manner::Welcome));
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Rebalancing over sockets: a client that is moved comes back and stands at the host that has room.
+//! Rebalancing over sockets: a client that is moved comes back and stands at the server that has room.
 
 mod fake_servers;
 
@@ -9,7 +9,7 @@
 
 use fake_servers::{irc_config, Client, Daemon};
 
-/// A shop host that answers `OPEN`, tells each connection's load, and sends lines back.
+/// A shop server that answers `OPEN`, tells each connection's load, and sends lines back.
 struct Shop {
     address: SocketAddr,
     streams: Arc<Mutex<Vec<TcpStream>>>,
@@ -59,10 +59,10 @@
         )
     };
     // Warm already, but started lately.
-    let hosts = [entry("s-00000001", pressed, 0), entry("s-00000002", fresh, now - 10_000)].join(",");
+    let servers = [entry("s-00000001", pressed, 0), entry("s-00000002", fresh, now - 10_000)].join(",");
     format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "5",
-            "known": {{"generation": 1, "reset": true, "instances": [{hosts}]}},
+            "known": {{"generation": 1, "reset": true, "instances": [{servers}]}},
             "limits": {{"sockets": 300, "memory_mb": 32}},
             "settings": {{"discovery": "on_request", "zones": ["a"],
               "classes": [{{"name": "chat", "deadline": 3000, "objective": 800, "repeat": "repeatable"}}],
@@ -112,7 +112,7 @@
     std::fs::write(&file, r#"{"platform": {"on": true, "most_per_s": 20}}"#).expect("written");
     let path = file.to_str().expect("a name").to_owned();
     let daemon = Daemon::start_with(&irc_config(&[], ""), Some(&text), &["--rebalance", &path]);
-    // Those who stood before, all at one host.
+    // Those who stood before, all at one server.
     let mut clients: Vec<_> = (0..30).map(|n| open(&daemon, n, ",at=s-00000001")).collect();
     assert!(clients.iter().all(|(_, up)| up == "UP pressed"));
     let (seen, at) = std::sync::mpsc::channel();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -108,16 +108,16 @@
         }
     }
 
-    /// Whatever a list, a reload or a repeated call says: nothing new goes to a host that is out by hand, what
+    /// Whatever a list, a reload or a repeated call says: nothing new goes to a server that is out by hand, what
     /// was not written to it yet is closed, and one call back ends it.
     #[test]
     fn a_ban_holds_until_the_call_back(steps in prop::collection::vec((0u8..9, 0usize..5, 1u64..400_000), 1..150)) {
         let mut harness = ReducerHarness::new();
         let (mut out, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, String, bool)>::new());
-        for (what, host, pause) in steps {
+        for (what, server, pause) in steps {
             harness.advance(pause);
-            let name = reducer_harness::HOSTS[host].to_owned();
-            let connection = attempts.keys().nth(host).copied().unwrap_or(ConnectionId(u64::MAX));
+            let name = reducer_harness::SERVERS[server].to_owned();
+            let connection = attempts.keys().nth(server).copied().unwrap_or(ConnectionId(u64::MAX));
             let attempt = attempts.get(&connection).map_or(9, |attempt| attempt.0);
             let effects = match what {
                 0 => {
@@ -128,8 +128,8 @@
                     out.remove(&harness.address(&name));
                     call_with(&mut harness, AdminCall::Include(name))
                 }
-                2 => harness.list(host, Lifecycle::Gone),
-                3 => harness.list(host, Lifecycle::Ready),
+                2 => harness.list(server, Lifecycle::Gone),
+                3 => harness.list(server, Lifecycle::Ready),
                 4 => {
                     let (pools, peers, budget) = (vec![reducer_harness::setup()], Vec::new(), reducer_harness::BUDGET);
                     harness.feed(Input::ConfigurationChanged { pools, peers, budget })
@@ -190,7 +190,7 @@
     assert!(told.contains("edge_node.outstanding:1|g\r\n"), "{told}");
 }
 
-/// A host that breaks attempts is avoided for a while, and only so long.
+/// A server that breaks attempts is avoided for a while, and only so long.
 #[test]
 fn ejected_is_what_the_pick_avoids_now() {
     let mut harness = ReducerHarness::new();
@@ -208,9 +208,9 @@
     harness.feed(Input::Listening);
     // Danger: with discovery down, or crowded, nobody would ever be ready if the list from before did not do.
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
-    harness.feed(Input::CachedEndpoints { pool: 0, hosts: Vec::new() });
+    harness.feed(Input::CachedEndpoints { pool: 0, endpoints: Vec::new() });
     assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)), "there is no host");
-    harness.feed(Input::EndpointsUpdated { pool: 0, whole: false, hosts: Vec::new() });
+    harness.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: Vec::new() });
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
     harness.feed(Input::ShutdownRequested);
     assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)));
@@ -219,21 +219,21 @@
 #[test]
 fn a_host_is_taken_out_and_back_by_id_and_only_one_that_was_ever_listed() {
     let mut harness = ReducerHarness::new();
-    let host = reducer_harness::HOSTS[1].to_owned();
+    let server = reducer_harness::SERVERS[1].to_owned();
     let unheard = "s-0000dead".to_owned();
     for call_of in [AdminCall::Exclude, AdminCall::Include] {
         assert!(matches!(call(&mut harness, call_of(unheard.clone())), AdminResponse::No(_)));
     }
     for _ in 0..3 {
-        assert_eq!(call_with(&mut harness, AdminCall::Exclude(host.clone())).pop(), Some(reply_yes()));
+        assert_eq!(call_with(&mut harness, AdminCall::Exclude(server.clone())).pop(), Some(reply_yes()));
         assert_eq!(metrics(&mut harness).ejected, 1);
     }
     // It is known by its id even while it is gone.
     harness.list(1, Lifecycle::Gone);
-    assert_eq!(call(&mut harness, AdminCall::Exclude(host.clone())), AdminResponse::Yes);
+    assert_eq!(call(&mut harness, AdminCall::Exclude(server.clone())), AdminResponse::Yes);
     harness.list(1, Lifecycle::Ready);
     assert_eq!(metrics(&mut harness).ejected, 1, "no list lifts a ban");
-    assert_eq!(call(&mut harness, AdminCall::Include(host)), AdminResponse::Yes);
+    assert_eq!(call(&mut harness, AdminCall::Include(server)), AdminResponse::Yes);
     assert_eq!(metrics(&mut harness).ejected, 0, "one call back ends any number of calls out");
 }
 
@@ -241,14 +241,14 @@
     Effect::AdminReply { admin_client: AdminClientId(77), reply: AdminResponse::Yes }
 }
 
-/// Seen on the bench: hosts out by hand start again 1.5 s later, and who is still there is cut off.
+/// Seen on the bench: servers out by hand start again 1.5 s later, and who is still there is cut off.
 #[test]
 fn clients_of_a_host_out_by_hand_are_moved_in_pace_and_soon() {
     let mut harness = ReducerHarness::new();
     let connections: Vec<ConnectionId> = (0..60).map(|_| harness.established()).collect();
-    let host = reducer_harness::HOSTS[2].to_owned();
+    let server = reducer_harness::SERVERS[2].to_owned();
     let (mut moved, mut waves) = (BTreeSet::new(), 0);
-    let mut effects = call_with(&mut harness, AdminCall::Exclude(host));
+    let mut effects = call_with(&mut harness, AdminCall::Exclude(server));
     for _ in 0..15 {
         let before = moved.len();
         moved.extend(effects.iter().filter_map(|effect| match effect {
@@ -263,7 +263,7 @@
     assert!(waves > 3, "all in {waves} waves");
 }
 
-/// The host comes back as another process, cold: what was thought of it before does not count, and it is
+/// The server comes back as another process, cold: what was thought of it before does not count, and it is
 /// filled no faster than a cold one, though the list may not know yet that it started again.
 #[test]
 fn a_host_taken_back_is_used_soon_and_as_a_cold_one() {
@@ -271,7 +271,8 @@
     for _ in 0..60 {
         harness.established();
     }
-    let (host, address) = (reducer_harness::HOSTS[2].to_owned(), harness.address(reducer_harness::HOSTS[2]));
+    let (server, address) =
+        (reducer_harness::SERVERS[2].to_owned(), harness.address(reducer_harness::SERVERS[2]));
     let attempts = |harness: &mut ReducerHarness, count: usize| {
         let mut there = 0;
         for _ in 0..count {
@@ -287,17 +288,17 @@
         }
         there
     };
-    call(&mut harness, AdminCall::Exclude(host.clone()));
+    call(&mut harness, AdminCall::Exclude(server.clone()));
     assert_eq!(attempts(&mut harness, 40), 0);
-    call(&mut harness, AdminCall::Include(host));
+    call(&mut harness, AdminCall::Include(server));
     let first = attempts(&mut harness, 20);
     assert!(first <= 8, "{first} of 20 in the first second: it is cold");
     assert!(first + attempts(&mut harness, 80) > 0, "unused for 5 s");
 }
 
 fn front(more: &str) -> Daemon {
-    let host = Server::start(Manner::Welcome);
-    Daemon::start(&irc_config(&[&host], more), None)
+    let server = Server::start(Manner::Welcome);
+    Daemon::start(&irc_config(&[&server], more), None)
 }
 
 fn admin_call(mgmt: &str, call: &str) -> String {
@@ -346,9 +347,9 @@
 #[test]
 fn a_reload_may_move_the_door() {
     let daemon = front("");
-    let host = Server::start(Manner::Welcome);
+    let server = Server::start(Manner::Welcome);
     let again = |mgmt: &str| {
-        daemon.reload("irc.json", &irc_config(&[&host], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
+        daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
     };
     again("\"mgmt\": \"127.0.0.2:0\",");
     let line = daemon.log_line("operators are heard on 127.0.0.2:");
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -240,7 +240,7 @@
     assert!(text.contains(": left; 0 bytes back") && text.ends_with("3 flows, 2 served\n"), "{text}");
     let lines = server.lines.lock().unwrap()[seen..].to_vec();
     assert_eq!(lines.iter().filter(|line| *line == "PRIVMSG #a :recorded").count(), 2, "{lines:?}");
-    // A replay must never reach a host in service.
+    // A replay must never reach a server in service.
     std::fs::write(
         &config,
         irc_config(&[&server], "").replace("127.0.0.1:", "192.0.2.1:").replacen(
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -10,8 +10,8 @@
 
 const HOLDS: Micros = 2 * SECOND;
 
-fn slow(host: u32, ms: u64) -> Observation {
-    Observation::SlowHost(ServerId(host), ms * MS)
+fn slow(server: u32, ms: u64) -> Observation {
+    Observation::SlowServer(ServerId(server), ms * MS)
 }
 
 fn setup(balancers: u32, price: f64) -> GossipConfig {
@@ -27,7 +27,7 @@
 
 #[test]
 fn each_is_told_of_once_while_the_word_holds_and_not_after_another_balancer_did() {
-    let dropped = |host| Observation::Dropped(ServerId(host));
+    let dropped = |server| Observation::Dropped(ServerId(server));
     let observation = [
         (slow(1, 50), slow(2, 60), HOLDS),
         (dropped(1), dropped(2), HOLDS),
@@ -49,7 +49,7 @@
     }
 }
 
-/// What is spent stays a hundredth of the worth of what stood, over all balancers, however many hosts are slow, and of
+/// What is spent stays a hundredth of the worth of what stood, over all balancers, however many servers are slow, and of
 /// many balancers that hold little some can always speak.
 #[test]
 fn words_are_paid_for_by_connections_that_stood() {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Seen on the bench's days at size: each of a hundred balancers found out by itself that a host was slow, by placing
+/// Seen on the bench's days at size: each of a hundred balancers found out by itself that a server was slow, by placing
 /// somebody there.
 #[test]
 fn a_hundred_balancers_avoid_a_host_that_one_told_of_and_do_not_all_come_back_at_once() {
@@ -102,8 +102,8 @@
     assert!(with[back] <= 20, "{with:?}");
 }
 
-/// Seen on the bench's days with 300 balancers (`roll+mass`, seed 202), where hosts tell nothing of their messages: one
-/// host dropped all that it held fourteen times in 19 s, and within a second or two each time the others, who had
+/// Seen on the bench's days with 300 balancers (`roll+mass`, seed 202), where servers tell nothing of their messages: one
+/// server dropped all that it held fourteen times in 19 s, and within a second or two each time the others, who had
 /// heard nothing, had filled it again.
 #[test]
 fn a_host_that_drops_draws_half_as_much_from_all_balancers_with_each_word() {
@@ -153,16 +153,16 @@
 proptest! {
     #[test]
     fn words_are_read_as_written_and_nothing_else_is(
-        host: Option<u32>,
+        server: Option<u32>,
         dropped: bool,
         ms in 0..200_000u64,
         marks in proptest::collection::vec(any::<u16>(), 0..=SAMPLE),
         junk: Vec<u8>,
     ) {
         let message = |ms| GossipMessage {
-            observation: host.map_or(Observation::SlowSetUps, |host| match dropped {
-                true => Observation::Dropped(ServerId(host)),
-                false => slow(host, ms),
+            observation: server.map_or(Observation::SlowSetUps, |server| match dropped {
+                true => Observation::Dropped(ServerId(server)),
+                false => slow(server, ms),
             }),
             groups: std::array::from_fn(|n| marks.get(n).copied().map(GroupHash)),
         };
