--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front from end to end, with stand-ins for shop hosts and for discovery.
+//! The platform's front from end to end, with stand-ins for shop servers and for discovery.
 
 mod fake_servers;
 
@@ -14,8 +14,8 @@
 /// Calls of discovery, with their times.
 type Calls = Arc<Mutex<Vec<(Instant, String)>>>;
 
-/// A shop host: accepts, sends lines back, and keeps what it was sent. `silent` ones go mute after `UP`.
-fn host(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
+/// A shop server: accepts, sends lines back, and keeps what it was sent. `silent` ones go mute after `UP`.
+fn server(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
     let kept = lines.clone();
@@ -105,7 +105,7 @@
 
 #[test]
 fn changes_are_followed_the_watch_is_renewed_at_once_and_asked_for_again_after_a_failure() {
-    let ((old, old_lines), (new, new_lines)) = (host("UP old", false), host("UP new", false));
+    let ((old, old_lines), (new, new_lines)) = (server("UP old", false), server("UP new", false));
     let first = list(2, false, &[entry("s-00000001", old, "draining"), entry("s-00000002", new, "ready")]);
     let answers = vec![(200, first), (503, String::new()), (200, list(3, false, &[]))];
     let (at, calls) = discovery(answers);
@@ -124,8 +124,8 @@
     assert!(new_lines.lock().unwrap()[0].contains(" 7f3a c=chat,d="));
 }
 
-/// What a host says to a probe, or nothing for ever.
-fn probed_host(answers: &'static [&'static str]) -> (SocketAddr, Lines, Arc<AtomicUsize>) {
+/// What a server says to a probe, or nothing for ever.
+fn probed_server(answers: &'static [&'static str]) -> (SocketAddr, Lines, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
     let (kept, probing) = (lines.clone(), Arc::new(AtomicUsize::new(0)));
@@ -170,10 +170,10 @@
     Daemon::start(&irc_config(&[], ""), Some(&text))
 }
 
-/// Where the settings say so a host is asked for its load, on one connection that is kept for the next probe.
+/// Where the settings say so a server is asked for its load, on one connection that is kept for the next probe.
 #[test]
 fn hosts_are_probed_on_a_connection_that_is_kept() {
-    let (shop, lines, connections) = probed_host(&["PONG x0=0.3,errors_per_s=0,utilization=0.2"]);
+    let (shop, lines, connections) = probed_server(&["PONG x0=0.3,errors_per_s=0,utilization=0.2"]);
     let daemon = probing_daemon(shop);
     let count = || lines.lock().unwrap().iter().filter(|line| *line == "STATS").count();
     let mut clients = Vec::new();
@@ -185,12 +185,12 @@
     assert_eq!(connections.load(Ordering::Relaxed), 1, "connections that carried probes");
 }
 
-/// Danger: whatever a host says to a probe, its clients are served, and what makes no sense changes nothing.
+/// Danger: whatever a server says to a probe, its clients are served, and what makes no sense changes nothing.
 #[test]
 fn senseless_answers_to_probes_stop_nothing() {
     let answers: [&'static [&'static str]; 3] = [&["PONG x0=NaN", "UP 7"], &[], &["NO"]];
     for answers in answers {
-        let (shop, lines, _) = probed_host(answers);
+        let (shop, lines, _) = probed_server(answers);
         let daemon = probing_daemon(shop);
         let wanted = answers.len().max(1);
         let mut clients = Vec::new();
@@ -207,7 +207,7 @@
 /// 5.5 s and asked for again 1 to 4 s later, while what it missed counts as told after 6 s.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts() {
-    let (shop, _) = host("UP 1", false);
+    let (shop, _) = server("UP 1", false);
     let (at, calls) = discovery(Vec::new());
     let text = config(at, &list(1, true, &[entry("s-00000001", shop, "ready")]));
     let text = text.replacen(r#""must-ask-in": 2000"#, r#""must-ask-in": 10000"#, 1);
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_watch_cut_in_its_body_changes_nothing_and_is_asked_for_again() {
-    let ((old, _), (new, _)) = (host("UP old", false), host("UP new", false));
+    let ((old, _), (new, _)) = (server("UP old", false), server("UP new", false));
     let news = [entry("s-00000001", old, "gone"), entry("s-00000002", new, "ready")];
     // What comes after it is a watch on which nothing happens.
     let (at, calls) = discovery(vec![(CUT, list(2, false, &news))]);
@@ -234,7 +234,7 @@
 
 #[test]
 fn lines_go_through_in_pieces_and_ends_go_through_both_ways() {
-    let (shop, lines) = host("UP 1", false);
+    let (shop, lines) = server("UP 1", false);
     let (at, _) = discovery(Vec::new());
     let daemon = daemon(at, &list(1, true, &[entry("s-00000001", shop, "ready")]));
     let mut client = Client::connect(&daemon.platform);
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_silent_host_has_its_asking_client_moved() {
-    let (shop, _) = host("UP 1", true);
+    let (shop, _) = server("UP 1", true);
     let (at, _) = discovery(Vec::new());
     let daemon = daemon(at, &list(1, true, &[entry("s-00000001", shop, "ready")]));
     let mut client = open(&daemon);
@@ -276,7 +276,7 @@
     assert!(since.elapsed() < LONG / 2, "held back");
 }
 
-/// Danger: a client that does not read must not fill the memory with what its host sends.
+/// Danger: a client that does not read must not fill the memory with what its server sends.
 #[test]
 fn a_client_that_does_not_read_holds_its_host_back() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -304,7 +304,7 @@
 
 #[test]
 fn at_sigterm_players_are_moved_what_arrives_is_answered_and_the_exit_is_in_time() {
-    let (shop, _) = host("UP 1", false);
+    let (shop, _) = server("UP 1", false);
     let (at, _) = discovery(Vec::new());
     let mut daemon = daemon(at, &list(1, true, &[entry("s-00000001", shop, "ready")]));
     let mut standing: Vec<Client> = (0..5).map(|_| open(&daemon)).collect();
@@ -323,7 +323,7 @@
 /// Seen on the bench: with no handler SIGHUP ended the process, and every connection with it.
 #[test]
 fn sighup_moves_the_watch_and_keeps_what_stands_and_a_faulty_file_changes_nothing() {
-    let ((old, _), (new, _)) = (host("UP old", false), host("UP new", false));
+    let ((old, _), (new, _)) = (server("UP old", false), server("UP new", false));
     let known = list(7, true, &[entry("s-00000001", old, "ready")]);
     let ((first, first_calls), (second, calls)) = (
         discovery(Vec::new()),
@@ -368,7 +368,7 @@
 /// and the first attempt of usual clients went out after seconds.
 #[test]
 fn bad_clients_are_answered_or_closed_while_usual_ones_are_served() {
-    let (shop, lines) = host("UP 1", false);
+    let (shop, lines) = server("UP 1", false);
     let (at, _) = discovery(Vec::new());
     let daemon = daemon(at, &list(1, true, &[entry("s-00000001", shop, "ready")]));
     let since = Instant::now();
@@ -402,7 +402,7 @@
 }
 
 /// Seen on the bench: watches fell silent, and were given up only after 12.5 s, while what discovery has to
-/// tell counts as told after 6 s: a host that drained meanwhile would have been sent more.
+/// tell counts as told after 6 s: a server that drained meanwhile would have been sent more.
 #[test]
 fn a_watch_that_falls_silent_is_given_up_before_its_news_count_as_told() {
     let (at, calls) = discovery(vec![(200, list(1, false, &[]))]);
@@ -413,10 +413,10 @@
     assert!(calls[2].1.contains("?from=1&hold_ms=3000 "), "{}", calls[2].1);
 }
 
-/// A host's slow messages are told to the tier, once; what strangers send is nothing.
+/// A server's slow messages are told to the tier, once; what strangers send is nothing.
 #[test]
 fn a_slow_host_is_told_to_the_tier_and_a_word_of_the_tier_is_heeded() {
-    let ((first, _), (second, _)) = (host("UP 1", false), host("UP 2", false));
+    let ((first, _), (second, _)) = (server("UP 1", false), server("UP 2", false));
     let (at, _) = discovery(Vec::new());
     let tier = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port");
@@ -424,13 +424,14 @@
     let peers = format!(r#""peer_listen": "{own}", "peers_all": "{all}", "peers": ["{own}", "{all}"],"#);
     let settings =
         r#""settings": {"family-info": {"tells-delay": true, "message-aim": [100]}, "balancers": 2,"#;
-    let hosts = [entry("s-00000001", first, "ready"), entry("s-00000002", second, "ready")];
-    let text = config(at, &list(1, true, &hosts)).replace(r#""settings": {"#, &format!("{peers} {settings}"));
+    let servers = [entry("s-00000001", first, "ready"), entry("s-00000002", second, "ready")];
+    let text =
+        config(at, &list(1, true, &servers)).replace(r#""settings": {"#, &format!("{peers} {settings}"));
     let text = text.replace(r#""retry-after": true"#, r#""retry-after": true, "peers": true"#);
     let daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
     tier.set_read_timeout(Some(LONG)).expect("a socket");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    // Hosts send back what they are sent: a load, and then what can only be a message's time, of 400 ms.
+    // Servers send back what they are sent: a load, and then what can only be a message's time, of 400 ms.
     let mut client = open(&daemon);
     let at_first = client.line() == "UP 1";
     for line in ["LOAD 90000", "LOAD 400"] {
@@ -441,7 +442,7 @@
     let n = tier.recv(&mut word).expect("it is told");
     let told = if at_first { 1 } else { 2 };
     assert_eq!(word[..n], [b'2', 0, 0, 0, told, 1, 144, 0]);
-    // The tier's word of the other host leaves none that takes a newcomer; a stranger's is not heard.
+    // The tier's word of the other server leaves none that takes a newcomer; a stranger's is not heard.
     let other = [b'1', 0, 0, 0, 3 - told, 1, 144];
     stranger.send_to(&other, own).expect("sent");
     stranger.send_to(b"garbage", own).expect("sent");
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -41,7 +41,7 @@
 }
 
 proptest! {
-    /// No bytes make a host look better than nothing told, or stop a balancer.
+    /// No bytes make a server look better than nothing told, or stop a balancer.
     #[test]
     fn any_bytes_are_read(line in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let ProbeEnd::Answered(Some(report)) = probe_answer(&line, &NAMES) {
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -34,21 +34,21 @@
         )
     }
 
-    /// A daemon whose list from before its start has these hosts, and its discovery.
-    fn start(&self, hosts: &[&Held]) -> (Daemon, Discovery) {
+    /// A daemon whose list from before its start has these servers, and its discovery.
+    fn start(&self, servers: &[&Held]) -> (Daemon, Discovery) {
         let discovery = Discovery::start();
-        let config = self.config("127.0.0.1:0", discovery.address, &ready(1, hosts));
+        let config = self.config("127.0.0.1:0", discovery.address, &ready(1, servers));
         (Daemon::start(&irc_config(&[], ""), Some(&config)), discovery)
     }
 }
 
-fn ready(generation: u32, hosts: &[&Held]) -> String {
-    let entries: Vec<_> = hosts.iter().enumerate().map(|(n, host)| named(n, host, "ready")).collect();
+fn ready(generation: u32, servers: &[&Held]) -> String {
+    let entries: Vec<_> = servers.iter().enumerate().map(|(n, server)| named(n, server, "ready")).collect();
     list(generation, true, &entries)
 }
 
-fn named(n: usize, host: &Held, lifecycle: &str) -> String {
-    entry(&format!("s-0000000{}", n + 1), host.address, lifecycle)
+fn named(n: usize, server: &Held, lifecycle: &str) -> String {
+    entry(&format!("s-0000000{}", n + 1), server.address, lifecycle)
 }
 
 fn open_for(daemon: &Daemon, wait_ms: u32) -> Client {
@@ -67,9 +67,9 @@
 }
 
 /// One that stands, with its server's end.
-fn stand(daemon: &Daemon, host: &Held) -> (Client, Client) {
+fn stand(daemon: &Daemon, server: &Held) -> (Client, Client) {
     let mut client = open_for(daemon, 9000);
-    let mut attempt = host.accept();
+    let mut attempt = server.accept();
     assert!(attempt.line().starts_with("OPEN "));
     attempt.say("UP 1");
     assert_eq!(client.line(), "UP 1");
@@ -86,16 +86,16 @@
 #[test]
 fn a_client_that_has_left_when_its_connection_comes_up_is_not_sent_on() {
     for breaks in [false, true] {
-        let mut host = Held::full();
-        let (daemon, _discovery) = Terms::default().start(&[&host]);
+        let mut server = Held::full();
+        let (daemon, _discovery) = Terms::default().start(&[&server]);
         let client = open(&daemon);
         daemon.hold();
         match breaks {
             true => reset(client.into_stream()),
             false => drop(client),
         }
-        host.admit();
-        let mut attempt = host.accept();
+        server.admit();
+        let mut attempt = server.accept();
         daemon.go_on();
         assert_eq!(attempt.rest(), "", "sent on for nobody (broken off: {breaks})");
         nothing_is_held(&daemon);
@@ -105,14 +105,14 @@
 
 #[test]
 fn a_client_that_leaves_while_its_connect_is_out_has_that_given_up() {
-    let mut host = Held::full();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
+    let mut server = Held::full();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
     drop(open(&daemon));
     nothing_is_held(&daemon);
-    host.admit();
+    server.admit();
     // The next connection is another client's, and its line the first.
     let mut next = open(&daemon);
-    let mut attempt = host.accept();
+    let mut attempt = server.accept();
     assert!(attempt.line().starts_with("OPEN "));
     attempt.say("UP 2");
     assert_eq!(next.line(), "UP 2");
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn a_client_that_leaves_as_its_attempt_breaks_is_not_sent_on_to_another_host() {
-    let hosts = [Held::start(), Held::start()];
-    let (daemon, _discovery) = Terms::default().start(&[&hosts[0], &hosts[1]]);
+fn a_client_that_leaves_as_its_attempt_breaks_is_not_sent_on_to_another_server() {
+    let servers = [Held::start(), Held::start()];
+    let (daemon, _discovery) = Terms::default().start(&[&servers[0], &servers[1]]);
     let client = open(&daemon);
     let mut attempt = None;
     until("an attempt is out", || {
-        attempt = hosts.iter().find_map(Held::accepted);
+        attempt = servers.iter().find_map(Held::accepted);
         attempt.is_some()
     });
     let mut attempt = attempt.expect("one");
@@ -137,7 +137,7 @@
     daemon.go_on();
     nothing_is_held(&daemon);
     assert_eq!(daemon.figure("forwards"), 1);
-    for mut second in hosts.iter().filter_map(Held::accepted) {
+    for mut second in servers.iter().filter_map(Held::accepted) {
         assert_eq!(second.rest(), "");
     }
 }
@@ -145,14 +145,14 @@
 /// Danger: what it has sent ahead fills the buffer, behind which its end is not seen.
 #[test]
 fn an_irc_client_that_floods_while_it_waits_and_goes_is_given_up() {
-    let hosts = [Held::start(), Held::start()];
-    let host = |n: usize| format!(r#"{{"name": "irc-{n}", "address": "{}"}}"#, hosts[n].address);
-    let more = format!(r#", "hosts": [{}, {}], "class": {{"give_up_ms": 100000}}"#, host(0), host(1));
+    let servers = [Held::start(), Held::start()];
+    let server = |n: usize| format!(r#"{{"name": "irc-{n}", "address": "{}"}}"#, servers[n].address);
+    let more = format!(r#", "hosts": [{}, {}], "class": {{"give_up_ms": 100000}}"#, server(0), server(1));
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &more), None);
     let mut client = Client::register(&daemon.irc, "ann");
     let mut attempt = None;
     until("it is sent on", || {
-        attempt = hosts.iter().find_map(Held::accepted);
+        attempt = servers.iter().find_map(Held::accepted);
         attempt.is_some()
     });
     let mut attempt = attempt.expect("one");
@@ -163,18 +163,18 @@
     drop(client);
     nothing_is_held(&daemon);
     attempt.rest();
-    assert!(hosts.iter().all(|host| host.accepted().is_none()), "sent on again for nobody");
+    assert!(servers.iter().all(|server| server.accepted().is_none()), "sent on again for nobody");
 }
 
 /// A client of the platform waits after its first line: one that goes on is told so, and nothing goes on for it.
 #[test]
 fn a_client_that_sends_much_while_it_waits_and_goes_is_given_up() {
-    let hosts = [Held::start(), Held::start()];
-    let (daemon, _discovery) = Terms::default().start(&[&hosts[0], &hosts[1]]);
+    let servers = [Held::start(), Held::start()];
+    let (daemon, _discovery) = Terms::default().start(&[&servers[0], &servers[1]]);
     let mut client = open(&daemon);
     let mut attempt = None;
     until("an attempt is out", || {
-        attempt = hosts.iter().find_map(Held::accepted);
+        attempt = servers.iter().find_map(Held::accepted);
         attempt.is_some()
     });
     // It may be ended before it has said all.
@@ -182,14 +182,14 @@
     drop(client);
     nothing_is_held(&daemon);
     attempt.expect("one").rest();
-    assert!(hosts.iter().all(|host| host.accepted().is_none()), "sent on again for nobody");
+    assert!(servers.iter().all(|server| server.accepted().is_none()), "sent on again for nobody");
 }
 
 /// An IRC client says QUIT and goes while its connection is on its way.
 #[test]
 fn an_irc_client_that_quits_while_it_waits_is_not_sent_on() {
-    let mut host = Held::full();
-    let listed = format!(r#", "hosts": [{{"name": "irc-1", "address": "{}"}}]"#, host.address);
+    let mut server = Held::full();
+    let listed = format!(r#", "hosts": [{{"name": "irc-1", "address": "{}"}}]"#, server.address);
     let more = format!(r#"{listed}, "limits": {{"connect_ms": 9000}}"#);
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &more), None);
     let mut client = Client::register(&daemon.irc, "ann");
@@ -197,8 +197,8 @@
     daemon.hold();
     client.say("QUIT :bye");
     drop(client);
-    host.admit();
-    let mut attempt = host.accept();
+    server.admit();
+    let mut attempt = server.accept();
     daemon.go_on();
     assert_eq!(attempt.rest(), "");
     nothing_is_held(&daemon);
@@ -207,8 +207,8 @@
 /// Danger: hundreds that rest with their answers, and never close, would use up the descriptors.
 #[test]
 fn clients_by_the_hundred_that_never_close_are_in_nobodys_way() {
-    let host = Held::start();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
     // More than the 160 descriptors that the daemon may have.
     let resting: Vec<Client> = (0..250)
         .map(|n| {
@@ -217,15 +217,15 @@
             client
         })
         .collect();
-    let (_client, _attempt) = stand(&daemon, &host);
+    let (_client, _attempt) = stand(&daemon, &server);
     drop(resting);
 }
 
 /// Whichever comes first, it is placed, and never cut off without a word.
 #[test]
 fn a_first_line_that_crosses_the_end_of_its_time_is_taken() {
-    let host = Held::start();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
     let mut client = Client::connect(&daemon.platform);
     client.say("PING");
     assert_eq!(client.line(), "PONG");
@@ -234,7 +234,7 @@
     // Its time to ask, 1.5 s from the platform's page, passes meanwhile.
     std::thread::sleep(Duration::from_millis(1700));
     daemon.go_on();
-    let mut attempt = host.accept();
+    let mut attempt = server.accept();
     assert!(attempt.line().starts_with("OPEN late "));
     attempt.say("UP 1");
     assert_eq!(client.line(), "UP 1");
@@ -255,7 +255,7 @@
     // The list is in place when the next watch begins.
     let _watch = discovery.call();
     reset(attempt.into_stream());
-    // Its connection to the second host is out, and comes up when its window is over.
+    // Its connection to the second server is out, and comes up when its window is over.
     std::thread::sleep(Duration::from_millis(900));
     second.admit();
     assert!(client.rest().starts_with("BUSY"), "by key at all hosts: to come again is harmless");
@@ -283,27 +283,27 @@
 
 #[test]
 fn a_connection_that_comes_up_after_its_host_was_told_draining_is_not_written_to() {
-    let mut host = Held::full();
-    let (daemon, discovery) = Terms::default().start(&[&host]);
+    let mut server = Held::full();
+    let (daemon, discovery) = Terms::default().start(&[&server]);
     let mut client = open(&daemon);
-    answer(&discovery.call().1, &list(2, false, &[named(0, &host, "draining")]));
+    answer(&discovery.call().1, &list(2, false, &[named(0, &server, "draining")]));
     let _watch = discovery.call();
     assert!(client.rest().starts_with("BUSY"));
-    host.admit();
+    server.admit();
     assert_eq!(daemon.figure("forwards"), 0);
-    assert!(host.accepted().is_none_or(|mut attempt| attempt.rest().is_empty()));
+    assert!(server.accepted().is_none_or(|mut attempt| attempt.rest().is_empty()));
 }
 
 /// In the wake-up in which it comes up its time is over.
 #[test]
 fn a_connection_that_comes_up_as_its_time_ends_is_not_written_to() {
-    let mut host = Held::full();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
+    let mut server = Held::full();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
     let mut client = open_for(&daemon, 900);
     until("the request is taken", || daemon.figure("outstanding") == 1);
     daemon.hold();
-    host.admit();
-    let mut attempt = host.accept();
+    server.admit();
+    let mut attempt = server.accept();
     std::thread::sleep(Duration::from_millis(1000));
     daemon.go_on();
     assert!(client.rest().starts_with("BUSY"));
@@ -311,17 +311,17 @@
     nothing_is_held(&daemon);
 }
 
-/// Whichever is heard of first, the client is answered once, and nothing goes to the host after the word.
+/// Whichever is heard of first, the client is answered once, and nothing goes to the server after the word.
 #[test]
 fn a_connection_that_comes_up_with_the_word_that_its_host_drains_is_answered_once() {
-    let mut host = Held::full();
-    let (daemon, discovery) = Terms::default().start(&[&host]);
+    let mut server = Held::full();
+    let (daemon, discovery) = Terms::default().start(&[&server]);
     let mut client = open(&daemon);
     let (_, watch) = discovery.call();
     daemon.hold();
-    host.admit();
-    answer(&watch, &list(2, false, &[named(0, &host, "draining")]));
-    let mut attempt = host.accept();
+    server.admit();
+    answer(&watch, &list(2, false, &[named(0, &server, "draining")]));
+    let mut attempt = server.accept();
     daemon.go_on();
     if attempt.line().starts_with("OPEN ") {
         attempt.say("BUSY");
@@ -329,12 +329,12 @@
     let answer = client.rest();
     assert!(answer.starts_with("BUSY") && answer.lines().count() == 1, "{answer}");
     nothing_is_held(&daemon);
-    assert!(host.accepted().is_none(), "sent on to a host that drains");
+    assert!(server.accepted().is_none(), "sent on to a host that drains");
 }
 
 // ---- The answer ----
 
-/// Whatever a host answers with, its client has one answer, whole, and in time.
+/// Whatever a server answers with, its client has one answer, whole, and in time.
 #[test]
 fn spoilt_answers_come_to_one_answer() {
     let long = "x".repeat(9000);
@@ -349,11 +349,11 @@
         (&["\0\u{1}\r\n"], false, "BUSY"),
     ];
     for (pieces, ends, wanted) in cases {
-        let host = Held::start();
-        let (daemon, _discovery) = Terms::default().start(&[&host]);
+        let server = Held::start();
+        let (daemon, _discovery) = Terms::default().start(&[&server]);
         // Where it is refused, that may be at the end of its time.
         let mut client = open_for(&daemon, if wanted == "BUSY" { 900 } else { 9000 });
-        let mut attempt = host.accept();
+        let mut attempt = server.accept();
         assert!(attempt.line().starts_with("OPEN "));
         for piece in pieces {
             // One that has its answer is closed, perhaps before the last piece.
@@ -372,13 +372,13 @@
     }
 }
 
-/// The host's word and the end of the client's time come in one wake-up.
+/// The server's word and the end of the client's time come in one wake-up.
 #[test]
 fn an_answer_that_crosses_the_end_of_its_time_is_the_only_one() {
-    let host = Held::start();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
     let mut client = open_for(&daemon, 900);
-    let mut attempt = host.accept();
+    let mut attempt = server.accept();
     assert!(attempt.line().starts_with("OPEN "));
     daemon.hold();
     attempt.say("UP 7");
@@ -402,12 +402,12 @@
 
 #[test]
 fn move_is_put_between_two_lines_and_what_was_whole_is_delivered() {
-    let host = Held::start();
-    let (daemon, discovery) = Terms::default().start(&[&host]);
-    let (mut client, mut attempt) = stand(&daemon, &host);
+    let server = Held::start();
+    let (daemon, discovery) = Terms::default().start(&[&server]);
+    let (mut client, mut attempt) = stand(&daemon, &server);
     attempt.stream.write_all(b"M 1\r\nhal").expect("written");
     assert_eq!(client.line(), "M 1");
-    answer(&discovery.call().1, &list(2, false, &[named(0, &host, "gone")]));
+    answer(&discovery.call().1, &list(2, false, &[named(0, &server, "gone")]));
     assert_eq!(client.rest(), "MOVE\r\n");
     assert_eq!(attempt.rest(), "");
     nothing_is_held(&daemon);
@@ -415,9 +415,9 @@
 
 #[test]
 fn what_a_host_said_before_it_broke_is_delivered() {
-    let host = Held::start();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
-    let (mut client, mut attempt) = stand(&daemon, &host);
+    let server = Held::start();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
+    let (mut client, mut attempt) = stand(&daemon, &server);
     client.say("unread");
     daemon.hold();
     attempt.stream.write_all(b"M 1\r\nM 2\r\n").expect("written");
@@ -427,13 +427,13 @@
     nothing_is_held(&daemon);
 }
 
-/// Danger: a write that fails says that the connection is gone, while the host's last lines are there to be read.
+/// Danger: a write that fails says that the connection is gone, while the server's last lines are there to be read.
 #[test]
 fn what_a_host_said_before_it_broke_is_delivered_though_nothing_reaches_it_any_more() {
-    let host = Held::start();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
-    let (mut client, mut attempt) = stand(&daemon, &host);
-    // The host reads nothing: some of this stays with the daemon.
+    let server = Held::start();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
+    let (mut client, mut attempt) = stand(&daemon, &server);
+    // The server reads nothing: some of this stays with the daemon.
     client.stream.set_nonblocking(true).expect("a socket");
     let lines = [&[b'x'; 62][..], b"\r\n"].concat().repeat(8192);
     let mut full = 0;
@@ -450,13 +450,13 @@
     nothing_is_held(&daemon);
 }
 
-/// The client's next line crosses the host's last word, and is answered by a reset.
+/// The client's next line crosses the server's last word, and is answered by a reset.
 #[test]
 fn a_connection_whose_host_has_said_its_last_word_ends_in_order() {
     for word in ["BYE", "MOVE"] {
-        let host = Held::start();
-        let (daemon, _discovery) = Terms::default().start(&[&host]);
-        let (mut client, mut attempt) = stand(&daemon, &host);
+        let server = Held::start();
+        let (daemon, _discovery) = Terms::default().start(&[&server]);
+        let (mut client, mut attempt) = stand(&daemon, &server);
         daemon.hold();
         client.say("M 1");
         attempt.say(word);
@@ -471,8 +471,8 @@
 /// Danger: closed at once over what it still sends, a client may not see its answer.
 #[test]
 fn a_client_that_floods_is_not_cut_off_over_its_answer() {
-    let host = Held::start();
-    let (daemon, _discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, _discovery) = Terms::default().start(&[&server]);
     let mut client = Client::connect(&daemon.platform);
     let since = Instant::now();
     client.say("NONSENSE");
@@ -488,8 +488,8 @@
 /// Danger: what still waits in the listener's queue as the process goes is cut off without a word.
 #[test]
 fn a_client_in_the_queue_of_a_process_that_goes_is_refused() {
-    let host = Held::start();
-    let (mut daemon, _discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (mut daemon, _discovery) = Terms::default().start(&[&server]);
     daemon.signal("-TERM");
     daemon.log_line("leaving");
     daemon.hold();
@@ -499,17 +499,17 @@
     daemon.go_on();
     assert!(client.rest().starts_with("BUSY "), "cut off without an answer");
     assert!(daemon.exited());
-    assert!(host.accepted().is_none(), "placed by a process that goes");
+    assert!(server.accepted().is_none(), "placed by a process that goes");
 }
 
 /// A request out, a client that stands and reads nothing, one that never closes, and a second SIGTERM.
 #[test]
 fn at_sigterm_each_has_its_word_and_the_exit_is_in_time() {
-    let host = Held::start();
-    let (mut daemon, _discovery) = Terms::default().start(&[&host]);
-    let (mut standing, _attempt) = stand(&daemon, &host);
+    let server = Held::start();
+    let (mut daemon, _discovery) = Terms::default().start(&[&server]);
+    let (mut standing, _attempt) = stand(&daemon, &server);
     let mut waiting = open(&daemon);
-    let mut attempt = host.accept();
+    let mut attempt = server.accept();
     assert!(attempt.line().starts_with("OPEN "));
     let since = Instant::now();
     daemon.hold();
@@ -547,9 +547,9 @@
 #[test]
 fn a_request_that_outlives_the_process_is_told_to_come_again() {
     for (allowed, wanted) in [("true", "BUSY 400\r\n"), ("false", "BUSY\r\n")] {
-        let host = Held::full();
+        let server = Held::full();
         let discovery = Discovery::start();
-        let config = Terms::default().config("127.0.0.1:0", discovery.address, &ready(1, &[&host]));
+        let config = Terms::default().config("127.0.0.1:0", discovery.address, &ready(1, &[&server]));
         let config = config.replace(r#""retry-after": true"#, &format!(r#""retry-after": {allowed}"#));
         let mut daemon = Daemon::start(&irc_config(&[], ""), Some(&config));
         let mut waiting = open(&daemon);
@@ -564,15 +564,15 @@
 
 #[test]
 fn a_client_in_the_queue_of_a_listener_that_is_given_up_is_answered() {
-    let host = Held::start();
-    let (daemon, discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, discovery) = Terms::default().start(&[&server]);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     daemon.hold();
     let mut client = open_for(&daemon, 9000);
-    let config = Terms::default().config(&taken.to_string(), discovery.address, &ready(1, &[&host]));
+    let config = Terms::default().config(&taken.to_string(), discovery.address, &ready(1, &[&server]));
     daemon.reload("config.json", &config);
     daemon.go_on();
-    let mut attempt = host.accept();
+    let mut attempt = server.accept();
     assert!(attempt.line().starts_with("OPEN "));
     attempt.say("UP 1");
     assert_eq!(client.line(), "UP 1");
@@ -584,9 +584,9 @@
 #[test]
 fn what_crosses_a_hand_over_arrives_once() {
     for event in ["client's line", "host's line", "client's end", "host's reset", "SIGTERM"] {
-        let host = Held::start();
-        let (mut daemon, _discovery) = Terms::default().start(&[&host]);
-        let (client, attempt) = stand(&daemon, &host);
+        let server = Held::start();
+        let (mut daemon, _discovery) = Terms::default().start(&[&server]);
+        let (client, attempt) = stand(&daemon, &server);
         let (mut client, mut attempt) = (Some(client), Some(attempt));
         daemon.hold();
         match event {
@@ -632,7 +632,7 @@
 /// Danger: taken in before it has a list, it can only refuse.
 #[test]
 fn a_ping_is_answered_only_by_one_that_can_serve() {
-    let host = Held::start();
+    let server = Held::start();
     let (daemon, discovery) = Terms::default().start(&[]);
     let ping = || {
         let mut client = Client::connect(&daemon.platform);
@@ -640,7 +640,7 @@
         client.line()
     };
     assert_eq!(ping(), "");
-    answer(&discovery.call().1, &ready(2, &[&host]));
+    answer(&discovery.call().1, &ready(2, &[&server]));
     let _watch = discovery.call();
     assert_eq!(ping(), "PONG");
     daemon.signal("-TERM");
@@ -693,8 +693,8 @@
         more: r#""discovery": "pushed", "balancers": 300, "invariants": {"drain-grace": 250, "must-ask-in": 10000}"#,
         ..Terms::default()
     };
-    let host = Held::start();
-    let (_daemon, discovery) = terms.start(&[&host]);
+    let server = Held::start();
+    let (_daemon, discovery) = terms.start(&[&server]);
     for _ in 0..2 {
         let (_, call) = discovery.call();
         let since = Instant::now();
@@ -708,8 +708,8 @@
 /// A kept connection that discovery closes as it answers costs no failure: the next call is made on a new one.
 #[test]
 fn a_kept_connection_that_is_closed_as_it_is_used_delays_nothing() {
-    let host = Held::start();
-    let (daemon, discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, discovery) = Terms::default().start(&[&server]);
     let mut since = Instant::now();
     for generation in 2..6 {
         let (asked, call) = discovery.call();
@@ -726,8 +726,8 @@
 /// Danger: to call twice at once is twice the load, just when discovery has too much.
 #[test]
 fn an_answer_of_503_on_a_kept_connection_is_not_asked_for_again_at_once() {
-    let host = Held::start();
-    let (_daemon, discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (_daemon, discovery) = Terms::default().start(&[&server]);
     let (_, call) = discovery.call();
     answer(&call, &list(2, false, &[]));
     for _ in 0..2 {
@@ -744,8 +744,8 @@
 #[test]
 fn discovery_that_answers_at_once_with_nothing_is_not_called_without_end() {
     let more = r#""discovery": "on_request", "invariants": {"must-ask-in": 3200}"#;
-    let host = Held::start();
-    let (daemon, discovery) = Terms { more, ..Terms::default() }.start(&[&host]);
+    let server = Held::start();
+    let (daemon, discovery) = Terms { more, ..Terms::default() }.start(&[&server]);
     for nonsense in [None, Some("{}"), Some(r#"{"generation": 9, "instances": []}"#), Some("[[")] {
         // The second of these is an answer to the call for the whole list, which the first one leads to.
         let calls: Vec<_> = (0..6)
@@ -754,7 +754,7 @@
                 let whole = !asked.contains("from=");
                 answer(
                     &call,
-                    nonsense.unwrap_or(&list(1, whole, &[named(0, &host, "ready")][..usize::from(whole)])),
+                    nonsense.unwrap_or(&list(1, whole, &[named(0, &server, "ready")][..usize::from(whole)])),
                 );
                 Instant::now()
             })
@@ -763,19 +763,19 @@
         assert!(took >= Duration::from_millis(250), "six calls in {took:?} for {nonsense:?}");
     }
     // Through all of that the list that it had stays.
-    let (_client, _attempt) = stand(&daemon, &host);
+    let (_client, _attempt) = stand(&daemon, &server);
 }
 
 /// A body without end is given up; the list that it had stays, and discovery is asked again.
 #[test]
 fn an_answer_without_end_is_given_up() {
-    let host = Held::start();
-    let (daemon, discovery) = Terms::default().start(&[&host]);
+    let server = Held::start();
+    let (daemon, discovery) = Terms::default().start(&[&server]);
     let (_, mut call) = discovery.call();
     call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("written");
     let chunk = [b"1000\r\n", &[b' '; 0x1000][..], b"\r\n"].concat();
     while call.write_all(&chunk).is_ok() {}
     let (_, call) = discovery.call();
     answer(&call, &list(2, false, &[]));
-    let (_client, _attempt) = stand(&daemon, &host);
+    let (_client, _attempt) = stand(&daemon, &server);
 }
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -11,7 +11,7 @@
 use connection_balancer::routing::*;
 use connection_balancer::{ServerId, Time};
 use proptest::prelude::*;
-use reducer_harness::{connection_request, ReducerHarness, HOSTS};
+use reducer_harness::{connection_request, ReducerHarness, SERVERS};
 
 const SECOND: u64 = 1_000_000;
 
@@ -31,20 +31,20 @@
     RebalanceConfig { on: true, max_moves_per_s: 20.0, ..RebalanceConfig::default() }
 }
 
-/// A rebalancing with hosts and a clock.
+/// A rebalancing with servers and a clock.
 struct Rig {
     core: Rebalance,
     now: Time,
-    hosts: Vec<ServerSnapshot>,
+    servers: Vec<ServerSnapshot>,
     next: u64,
     world: SystemConditions,
 }
 
 impl Rig {
-    fn new(setup: RebalanceConfig, terms: RebalanceContext, hosts: usize) -> Rig {
+    fn new(setup: RebalanceConfig, terms: RebalanceContext, servers: usize) -> Rig {
         let now = Time(1_000 * SECOND);
-        let host = |n| ServerSnapshot {
-            host: ServerId(n),
+        let server = |n| ServerSnapshot {
+            server: ServerId(n),
             ready: true,
             held: 0.0,
             ceiling: 4.0,
@@ -53,25 +53,25 @@
             started: None,
             last_fault: None,
         };
-        let hosts = (0..hosts as u32).map(host).collect();
+        let servers = (0..servers as u32).map(server).collect();
         let mut rig = Rig {
             core: Rebalance::new(setup, terms, 7, now),
             now,
-            hosts,
+            servers,
             next: 0,
             world: SystemConditions::default(),
         };
-        rig.word(RebalanceEvent::EndpointEntry { ready: rig.hosts.len() });
+        rig.word(RebalanceEvent::EndpointEntry { ready: rig.servers.len() });
         rig
     }
 
-    /// Four hosts: the first full and telling of slow messages, the last back and empty.
+    /// Four servers: the first full and telling of slow messages, the last back and empty.
     fn lopsided() -> Rig {
         let mut rig = Rig::new(setup(), terms(), 4);
-        for host in 0..3 {
-            rig.stand(host, if host == 0 { 40 } else { 20 }, None);
+        for server in 0..3 {
+            rig.stand(server, if server == 0 { 40 } else { 20 }, None);
         }
-        rig.hosts[3].started = Some(rig.now);
+        rig.servers[3].started = Some(rig.now);
         rig
     }
 
@@ -79,30 +79,30 @@
         self.core.take(self.now, word);
     }
 
-    fn stand(&mut self, host: u32, count: usize, group: Option<u64>) -> Vec<ConnectionId> {
-        let connections: Vec<ConnectionId> = (0..count).map(|_| self.one(host, group)).collect();
-        self.hosts[host as usize].ceiling = self.hosts[host as usize].held;
+    fn stand(&mut self, server: u32, count: usize, group: Option<u64>) -> Vec<ConnectionId> {
+        let connections: Vec<ConnectionId> = (0..count).map(|_| self.one(server, group)).collect();
+        self.servers[server as usize].ceiling = self.servers[server as usize].held;
         connections
     }
 
-    fn one(&mut self, host: u32, group: Option<u64>) -> ConnectionId {
+    fn one(&mut self, server: u32, group: Option<u64>) -> ConnectionId {
         self.next += 1;
         let (connection, key) = (ConnectionId(self.next), Some(self.next));
-        let at = Connection { host: ServerId(host), class: 0, group, load: None, key };
+        let at = Connection { server: ServerId(server), class: 0, group, load: None, key };
         self.word(RebalanceEvent::Stood { connection, at, setup: None });
-        self.hosts[host as usize].held += 1.0;
+        self.servers[server as usize].held += 1.0;
         connection
     }
 
-    /// Half a second later, with the first host telling each second of messages that take so long.
+    /// Half a second later, with the first server telling each second of messages that take so long.
     fn half(&mut self, slow: Option<u64>) -> Decision {
         self.now = self.now.plus(SECOND / 2);
         if let Some(took) = slow.filter(|_| self.now.0.is_multiple_of(SECOND)) {
-            self.word(RebalanceEvent::Delay { host: ServerId(0), took });
+            self.word(RebalanceEvent::Delay { server: ServerId(0), took });
         }
-        let decision = self.core.evaluate(self.now, self.world, &self.hosts);
-        for &(connection, host) in &decision.moves {
-            self.hosts[host.0 as usize].held -= 1.0;
+        let decision = self.core.evaluate(self.now, self.world, &self.servers);
+        for &(connection, server) in &decision.moves {
+            self.servers[server.0 as usize].held -= 1.0;
             self.word(RebalanceEvent::Ended { connection, natural: false });
         }
         decision
@@ -114,15 +114,15 @@
         halves.into_iter().flat_map(|decision| decision.moves).map(|(connection, _)| connection).collect()
     }
 
-    /// The client of a moved one comes again and stands at the last host.
+    /// The client of a moved one comes again and stands at the last server.
     fn back(&mut self, moved: ConnectionId, setup: u64) {
         self.next += 1;
         let (connection, key) = (ConnectionId(self.next + 10_000), Some(moved.0));
         self.word(RebalanceEvent::Arrived { connection, key, again: true });
-        let host = ServerId(self.hosts.len() as u32 - 1);
-        let at = Connection { host, class: 0, group: None, load: None, key };
+        let server = ServerId(self.servers.len() as u32 - 1);
+        let at = Connection { server, class: 0, group: None, load: None, key };
         self.word(RebalanceEvent::Stood { connection, at, setup: Some(setup) });
-        self.hosts.last_mut().expect("a host").held += 1.0;
+        self.servers.last_mut().expect("a host").held += 1.0;
     }
 
     fn held(&self) -> Option<Held> {
@@ -159,25 +159,25 @@
     let mut rig = Rig::lopsided();
     // As full as the others, and none has started lately.
     rig.stand(3, 25, None);
-    rig.hosts[3].started = None;
+    rig.servers[3].started = None;
     assert!(rig.seconds(20, Some(80_000)).is_empty());
 }
 
-/// Danger: a slow host shows few connections because that is all it bears.
+/// Danger: a slow server shows few connections because that is all it bears.
 #[test]
 fn a_slow_host_that_is_rightly_held_less_is_not_filled_up() {
     let mut rig = Rig::lopsided();
     rig.stand(3, 8, None);
-    rig.hosts[3].started = None;
-    rig.hosts[3].last_fault = Some(rig.now);
-    rig.hosts[3].ceiling = 8.0;
+    rig.servers[3].started = None;
+    rig.servers[3].last_fault = Some(rig.now);
+    rig.servers[3].ceiling = 8.0;
     rig.now = rig.now.plus(30 * SECOND);
     assert!(rig.seconds(20, Some(80_000)).is_empty());
     // And its ceiling stays as its trouble has cut it.
     assert!(rig.half(None).ceilings.is_empty());
 }
 
-/// Random placement deviates by about the square root of what a host holds; that is no cause to move anybody.
+/// Random placement deviates by about the square root of what a server holds; that is no cause to move anybody.
 #[test]
 fn chance_moves_nobody() {
     for tells_delay in [true, false] {
@@ -187,8 +187,8 @@
             ..terms()
         };
         let mut rig = Rig::new(setup(), terms, 4);
-        for (host, count) in [(0, 24), (1, 16), (2, 20), (3, 20)] {
-            rig.stand(host, count, None);
+        for (server, count) in [(0, 24), (1, 16), (2, 20), (3, 20)] {
+            rig.stand(server, count, None);
         }
         assert!(rig.seconds(60, None).is_empty());
     }
@@ -198,21 +198,21 @@
 fn where_hosts_tell_nothing_only_what_chance_does_not_explain_moves_anybody() {
     let mut rig =
         Rig::new(setup(), RebalanceContext { tells_delay: false, message_objective: 0, ..terms() }, 4);
-    for host in 0..3 {
-        rig.stand(host, 200, None);
+    for server in 0..3 {
+        rig.stand(server, 200, None);
     }
-    rig.hosts[3].started = Some(rig.now);
+    rig.servers[3].started = Some(rig.now);
     assert!(!rig.seconds(10, None).is_empty());
 }
 
-/// What was lost to a host by chance or a restart is placed anew at no cost: ceilings go first.
+/// What was lost to a server by chance or a restart is placed anew at no cost: ceilings go first.
 #[test]
 fn a_host_over_its_part_has_its_ceiling_lowered_and_an_unknown_one_has_it_raised() {
     let mut rig = Rig::lopsided();
     let decision = rig.half(None);
     assert_eq!(decision.lowered, [ServerId(0)]);
-    let [(host, ceiling)] = decision.ceilings[..] else { panic!("{decision:?}") };
-    assert_eq!(host, ServerId(3));
+    let [(server, ceiling)] = decision.ceilings[..] else { panic!("{decision:?}") };
+    assert_eq!(server, ServerId(3));
     assert!((ceiling - 18.0).abs() < 1e-9, "0.9 of its part of 20: {ceiling}");
     assert!(decision.moves.is_empty());
 }
@@ -225,10 +225,10 @@
             (0..120 / size).map(|n| rig.stand(0, size, Some(n as u64))).collect();
         rig.stand(1, 20, None);
         rig.stand(2, 20, None);
-        rig.hosts[3].started = Some(rig.now);
+        rig.servers[3].started = Some(rig.now);
         for second in 0..60 {
             rig.seconds(1, Some(80_000));
-            rig.hosts[3].started = Some(rig.now);
+            rig.servers[3].started = Some(rig.now);
             let gone = |connection: &&ConnectionId| rig.core.metrics().moved > 0 && !rig.stands(**connection);
             for group in &groups {
                 let gone = group.iter().filter(gone).count();
@@ -250,11 +250,11 @@
 #[test]
 fn a_wave_of_one_groups_members_is_no_imbalance() {
     let mut rig = Rig::new(setup(), terms(), 4);
-    for host in 0..3 {
-        rig.stand(host, 20, None);
+    for server in 0..3 {
+        rig.stand(server, 20, None);
     }
     rig.stand(0, 30, Some(9));
-    rig.hosts[3].started = Some(rig.now);
+    rig.servers[3].started = Some(rig.now);
     assert!(rig.seconds(20, Some(80_000)).is_empty());
 }
 
@@ -284,12 +284,12 @@
     }
     let metrics = rig.core.metrics();
     assert!(metrics.moved > 0 && metrics.returned == metrics.moved, "{metrics:?}");
-    // Now the last host is the one that is full.
-    rig.hosts[3].held = 60.0;
+    // Now the last server is the one that is full.
+    rig.servers[3].held = 60.0;
     for _ in 0..40 {
         rig.now = rig.now.plus(SECOND / 2);
-        rig.word(RebalanceEvent::Delay { host: ServerId(3), took: 90_000 });
-        let decision = rig.core.evaluate(rig.now, rig.world, &rig.hosts);
+        rig.word(RebalanceEvent::Delay { server: ServerId(3), took: 90_000 });
+        let decision = rig.core.evaluate(rig.now, rig.world, &rig.servers);
         assert!(decision.moves.iter().all(|(connection, _)| !back.contains(connection)));
     }
 }
@@ -298,13 +298,13 @@
 #[test]
 fn slow_set_ups_stop_it_and_usual_ones_start_it_again() {
     let mut rig = Rig::lopsided();
-    let set_ups = |rig: &mut Rig, took: u64, host: u32| {
+    let set_ups = |rig: &mut Rig, took: u64, server: u32| {
         for _ in 0..20 {
-            let connection = rig.one(host, None);
-            let at = Connection { host: ServerId(host), class: 0, group: None, load: None, key: None };
+            let connection = rig.one(server, None);
+            let at = Connection { server: ServerId(server), class: 0, group: None, load: None, key: None };
             rig.word(RebalanceEvent::Stood { connection, at, setup: Some(took) });
             rig.word(RebalanceEvent::Ended { connection, natural: true });
-            rig.hosts[host as usize].held -= 1.0;
+            rig.servers[server as usize].held -= 1.0;
         }
     };
     set_ups(&mut rig, 40_000, 1);
@@ -323,14 +323,14 @@
     assert_eq!(rig.held(), Some(Held::SlowSetUps));
 }
 
-/// Danger: at a host that is slow a set-up is slow, too; the store has no part in that.
+/// Danger: at a server that is slow a set-up is slow, too; the store has no part in that.
 #[test]
 fn slow_set_ups_at_a_slow_host_say_nothing_of_the_store() {
     let mut rig = Rig::lopsided();
     rig.seconds(4, Some(80_000));
     for _ in 0..20 {
         let connection = rig.one(0, None);
-        let at = Connection { host: ServerId(0), class: 0, group: None, load: None, key: None };
+        let at = Connection { server: ServerId(0), class: 0, group: None, load: None, key: None };
         rig.word(RebalanceEvent::Stood { connection, at, setup: Some(400_000) });
     }
     rig.seconds(1, Some(80_000));
@@ -344,7 +344,7 @@
     let mut held = false;
     for _ in 0..40 {
         rig.seconds(1, Some(80_000));
-        rig.hosts[3].started = Some(rig.now);
+        rig.servers[3].started = Some(rig.now);
         held |= rig.held() == Some(Held::NotBack);
     }
     assert!(held, "{:?}", rig.core.metrics());
@@ -388,7 +388,7 @@
             moved = rig.seconds(1, Some(80_000));
             assert!(rig.now < Time(2_000 * SECOND), "nobody moved");
         }
-        rig.hosts[3].started = Some(rig.now);
+        rig.servers[3].started = Some(rig.now);
         for (n, connection) in moved.into_iter().enumerate() {
             if n > 0 {
                 rig.back(connection, 30_000);
@@ -417,11 +417,11 @@
     rig.stand(0, 100, None);
     let mut held = false;
     for _ in 0..60 {
-        rig.hosts[3].started = Some(rig.now);
+        rig.servers[3].started = Some(rig.now);
         for connection in rig.seconds(1, Some(80_000)) {
             rig.back(connection, 30_000);
-            // As many come to the pressed host as leave it, and none to the empty one.
-            rig.hosts[3].held -= 1.0;
+            // As many come to the pressed server as leave it, and none to the empty one.
+            rig.servers[3].held -= 1.0;
             rig.one(0, None);
         }
         held |= rig.held() == Some(Held::NoUse);
@@ -460,11 +460,11 @@
         }
     };
     assert_eq!(held(&storm), Some(Held::Storm));
-    let one = |rig: &mut Rig| rig.hosts.iter_mut().skip(1).for_each(|host| host.ready = false);
-    assert_eq!(held(&one), Some(Held::FewHosts));
+    let one = |rig: &mut Rig| rig.servers.iter_mut().skip(1).for_each(|server| server.ready = false);
+    assert_eq!(held(&one), Some(Held::FewServers));
 }
 
-/// What takes precedence ends, but a host that drains for hours must not hold the rest up for ever.
+/// What takes precedence ends, but a server that drains for hours must not hold the rest up for ever.
 #[test]
 fn holds_end_by_themselves() {
     let mut rig = Rig::lopsided();
@@ -482,8 +482,8 @@
 #[test]
 fn another_message_aim_holds_from_the_reload_on() {
     let mut rig = Rig::new(setup(), RebalanceContext { message_objective: 1_000_000, ..terms() }, 4);
-    (0..3).for_each(|host| drop(rig.stand(host, if host == 0 { 40 } else { 20 }, None)));
-    rig.hosts[3].started = Some(rig.now);
+    (0..3).for_each(|server| drop(rig.stand(server, if server == 0 { 40 } else { 20 }, None)));
+    rig.servers[3].started = Some(rig.now);
     assert!(rig.seconds(10, Some(80_000)).is_empty(), "80 ms are fast where 1 s is wanted");
     rig.core.configure(rig.now, setup(), terms());
     assert!(!rig.seconds(10, Some(80_000)).is_empty(), "and slow where 100 ms are");
@@ -492,18 +492,18 @@
 #[test]
 fn a_cold_host_is_offered_no_more_than_fills_it_over_its_warm_up() {
     let mut rig = Rig::lopsided();
-    rig.hosts[3].warmth = 0.34;
+    rig.servers[3].warmth = 0.34;
     let moved = rig.seconds(4, Some(80_000)).len();
     // 20 slots over 8.8 s: at most four and a half in two seconds, and half of that at a time.
     assert!(moved <= 4, "{moved}");
 }
 
-/// A host that comes back and dies again while it is being filled has room no more.
+/// A server that comes back and dies again while it is being filled has room no more.
 #[test]
 fn a_host_that_is_gone_again_is_no_room() {
     let mut rig = Rig::lopsided();
     assert!(!rig.seconds(8, Some(80_000)).is_empty());
-    rig.hosts[3].ready = false;
+    rig.servers[3].ready = false;
     assert!(rig.seconds(20, Some(80_000)).is_empty());
 }
 
@@ -515,17 +515,17 @@
     })]
 
     /// Whatever comes in whatever order: bounded, at most so many moves as tokens allow, each of a connection that
-    /// stands at a host in use, none twice; the same words give the same moves.
+    /// stands at a server in use, none twice; the same words give the same moves.
     #[test]
     fn any_words_keep_the_promises(steps in prop::collection::vec((0u8..14, 0u64..40, 0u32..5), 1..400)) {
         let play = || {
             let mut rig = Rig::new(setup(), terms(), 5);
             let mut moves = Vec::new();
-            for &(what, n, host) in &steps {
+            for &(what, n, server) in &steps {
                 rig.now = rig.now.plus(n * 10_000);
                 let connection = ConnectionId(n);
                 let at = Connection {
-                    host: ServerId(host),
+                    server: ServerId(server),
                     class: (n % 3) as u16,
                     group: (n % 4 == 0).then_some(n % 3),
                     load: (n % 2 == 0).then_some(n as f64 * 10_000.0),
@@ -534,29 +534,29 @@
                 match what {
                     0..=3 => {
                         rig.word(RebalanceEvent::Stood { connection, at, setup: Some(n * 5_000) });
-                        rig.hosts[host as usize].held += 1.0;
+                        rig.servers[server as usize].held += 1.0;
                     }
-                    4 => rig.word(RebalanceEvent::Ended { connection, natural: host > 2 }),
-                    5 => rig.word(RebalanceEvent::Arrived { connection, key: Some(n), again: host > 2 }),
+                    4 => rig.word(RebalanceEvent::Ended { connection, natural: server > 2 }),
+                    5 => rig.word(RebalanceEvent::Arrived { connection, key: Some(n), again: server > 2 }),
                     6 => rig.word(RebalanceEvent::Declined { connection }),
                     7 => rig.word(RebalanceEvent::Load { connection, load: n as f64 * 5_000.0 }),
-                    8 => rig.word(RebalanceEvent::EndpointEntry { ready: host as usize }),
-                    9 => rig.word(if host > 2 { RebalanceEvent::ListLost } else { RebalanceEvent::ListTold }),
-                    10 => rig.hosts[host as usize].ready ^= true,
-                    11 => rig.hosts[host as usize].started = Some(rig.now),
+                    8 => rig.word(RebalanceEvent::EndpointEntry { ready: server as usize }),
+                    9 => rig.word(if server > 2 { RebalanceEvent::ListLost } else { RebalanceEvent::ListTold }),
+                    10 => rig.servers[server as usize].ready ^= true,
+                    11 => rig.servers[server as usize].started = Some(rig.now),
                     _ => {
                         for _ in 0..3 {
                             rig.now = rig.now.plus(SECOND);
-                            rig.word(RebalanceEvent::Delay { host: ServerId(host), took: n * 10_000 });
+                            rig.word(RebalanceEvent::Delay { server: ServerId(server), took: n * 10_000 });
                         }
                         let known: Vec<_> = (0..40).filter_map(|n| rig.core.connection(ConnectionId(n))).collect();
-                        let decision = rig.core.evaluate(rig.now, rig.world, &rig.hosts);
+                        let decision = rig.core.evaluate(rig.now, rig.world, &rig.servers);
                         let mut seen = std::collections::BTreeSet::new();
-                        for &(connection, host) in &decision.moves {
+                        for &(connection, server) in &decision.moves {
                             prop_assert!(seen.insert(connection), "{connection:?} twice");
-                            prop_assert!(rig.hosts[host.0 as usize].ready);
-                            let stood = rig.core.connection(connection).map(|(at, _, _)| at.host);
-                            prop_assert_eq!(stood, Some(host));
+                            prop_assert!(rig.servers[server.0 as usize].ready);
+                            let stood = rig.core.connection(connection).map(|(at, _, _)| at.server);
+                            prop_assert_eq!(stood, Some(server));
                             rig.word(RebalanceEvent::Ended { connection, natural: false });
                         }
                         prop_assert!(decision.moves.len() <= known.len());
@@ -583,7 +583,7 @@
     }
 }
 
-/// A reducer that rebalances, with hosts 0 and 1 and so many connections at the first.
+/// A reducer that rebalances, with servers 0 and 1 and so many connections at the first.
 fn crowded() -> (ReducerHarness, Vec<ConnectionId>) {
     let mut harness = ReducerHarness::new();
     let setups = vec![balancing()];
@@ -595,7 +595,7 @@
     let mut connections = Vec::new();
     for n in 0..40 {
         let connection = harness.connect_client();
-        let at = HOSTS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
+        let at = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
         let ask =
             ConnectionRequest { established_at: Some(at), key: Some(connection.0), ..connection_request() };
         harness.feed(Input::ConnectionRequested { connection, ask });
@@ -604,7 +604,7 @@
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
         connections.push(connection);
     }
-    // The last host is back: the list says that it started just now.
+    // The last server is back: the list says that it started just now.
     harness.restarted(4);
     (harness, connections)
 }
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -1,10 +1,10 @@
-//! A reducer with hosts and a clock, for tests.
+//! A reducer with servers and a clock, for tests.
 #![allow(dead_code)]
 
 use connection_balancer::routing::*;
 use connection_balancer::*;
 
-pub const HOSTS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
+pub const SERVERS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
 /// How long the client waits.
 pub const WAIT: Micros = 3_200_000;
 
@@ -62,17 +62,17 @@
 
     pub fn with(budget: Budget) -> ReducerHarness {
         let mut harness = ReducerHarness::of(budget);
-        let hosts = harness.hosts();
-        harness.feed(Input::EndpointsUpdated { pool: 0, whole: true, hosts });
+        let endpoints = harness.endpoints();
+        harness.feed(Input::EndpointsUpdated { pool: 0, whole: true, endpoints });
         harness.feed(Input::Listening);
         harness
     }
 
-    /// One that has heard of its hosts before its start only.
+    /// One that has heard of its servers before its start only.
     pub fn unready() -> ReducerHarness {
         let mut harness = ReducerHarness::of(BUDGET);
-        let hosts = harness.hosts();
-        harness.feed(Input::CachedEndpoints { pool: 0, hosts });
+        let endpoints = harness.endpoints();
+        harness.feed(Input::CachedEndpoints { pool: 0, endpoints });
         harness
     }
 
@@ -85,16 +85,16 @@
         }
     }
 
-    fn hosts(&self) -> Vec<Endpoint> {
-        (0..HOSTS.len()).map(|host| self.host(host, Lifecycle::Ready)).collect()
+    fn endpoints(&self) -> Vec<Endpoint> {
+        (0..SERVERS.len()).map(|server| self.server(server, Lifecycle::Ready)).collect()
     }
 
-    pub fn address(&self, host: &str) -> String {
-        format!("{host}:1")
+    pub fn address(&self, server: &str) -> String {
+        format!("{server}:1")
     }
 
-    fn host(&self, host: usize, lifecycle: Lifecycle) -> Endpoint {
-        let name = HOSTS[host].to_owned();
+    fn server(&self, server: usize, lifecycle: Lifecycle) -> Endpoint {
+        let name = SERVERS[server].to_owned();
         let (address, zone) = (self.address(&name), "a".to_owned());
         Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
     }
@@ -125,9 +125,9 @@
         let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
             panic!("no leg: {effects:?}")
         };
-        let host = HOSTS.iter().position(|h| self.address(h) == *address).expect("a listed host");
+        let server = SERVERS.iter().position(|h| self.address(h) == *address).expect("a listed host");
         self.feed(Input::RequestForwarded { connection, attempt: 0 });
-        (connection, host)
+        (connection, server)
     }
 
     pub fn established(&mut self) -> ConnectionId {
@@ -136,18 +136,18 @@
         connection
     }
 
-    pub fn drain(&mut self, host: usize) -> Vec<Effect> {
-        self.list(host, Lifecycle::Draining)
+    pub fn drain(&mut self, server: usize) -> Vec<Effect> {
+        self.list(server, Lifecycle::Draining)
     }
 
-    /// The list says that a host has started now.
-    pub fn restarted(&mut self, host: usize) -> Vec<Effect> {
-        let host = Endpoint { started: Some(self.now), ..self.host(host, Lifecycle::Ready) };
-        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, hosts: vec![host] })
+    /// The list says that a server has started now.
+    pub fn restarted(&mut self, server: usize) -> Vec<Effect> {
+        let server = Endpoint { started: Some(self.now), ..self.server(server, Lifecycle::Ready) };
+        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: vec![server] })
     }
 
-    pub fn list(&mut self, host: usize, lifecycle: Lifecycle) -> Vec<Effect> {
-        let hosts = vec![self.host(host, lifecycle)];
-        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, hosts })
+    pub fn list(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
+        let endpoints = vec![self.server(server, lifecycle)];
+        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints })
     }
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -5,10 +5,10 @@
 use connection_balancer::peers::{GossipMessage, Observation};
 use connection_balancer::routing::*;
 use connection_balancer::{Class, Idempotency, LoadReport, ServerId};
-use reducer_harness::{connection_request, ReducerHarness, HOSTS, WAIT};
+use reducer_harness::{connection_request, ReducerHarness, SERVERS, WAIT};
 
-/// Seen on the bench: hosts tell a message's time by the same word as a load. Taken for a load it made the
-/// slowest host look empty (a calm day kept 0.68 of the simulator's result, 0.99 since).
+/// Seen on the bench: servers tell a message's time by the same word as a load. Taken for a load it made the
+/// slowest server look empty (a calm day kept 0.68 of the simulator's result, 0.99 since).
 #[test]
 fn a_small_figure_is_a_message_time_and_no_load() {
     let mut harness = ReducerHarness::new();
@@ -16,7 +16,7 @@
     for &connection in &connections {
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
     }
-    // Aim 100 ms: messages of 99 ms are far too slow, and a connection of this host has to leave.
+    // Aim 100 ms: messages of 99 ms are far too slow, and a connection of this server has to leave.
     let mut moved = 0;
     for second in 0..20 {
         harness.advance(1_000_000);
@@ -28,8 +28,8 @@
     assert!(moved > 0, "no connection left a host that is slow");
 }
 
-/// Seen on the second site, whose hosts tell no loads: messages that took 99 ms were taken for loads, and nobody
-/// left the host.
+/// Seen on the second site, whose servers tell no loads: messages that took 99 ms were taken for loads, and nobody
+/// left the server.
 #[test]
 fn where_no_loads_are_told_every_figure_is_a_message_time() {
     let moved = |tells_load: bool| {
@@ -57,7 +57,7 @@
     assert_eq!(moved(true), 0, "a load is no message time");
 }
 
-/// A desk whose hosts may be probed, and the probes among effects.
+/// A desk whose servers may be probed, and the probes among effects.
 fn probing() -> ReducerHarness {
     let mut harness = ReducerHarness::new();
     let mut setup = reducer_harness::setup();
@@ -71,53 +71,53 @@
 }
 
 fn probed(effects: &[Effect]) -> Vec<ServerId> {
-    let host =
-        |effect: &Effect| if let Effect::ProbeServer { host, .. } = effect { Some(*host) } else { None };
-    effects.iter().filter_map(host).collect()
+    let server =
+        |effect: &Effect| if let Effect::ProbeServer { server, .. } = effect { Some(*server) } else { None };
+    effects.iter().filter_map(server).collect()
 }
 
 fn report(utilisation: f64) -> ProbeEnd {
     ProbeEnd::Answered(Some(LoadReport { utilisation, connections: None }))
 }
 
-/// Has this many connections come to stand, each with a minute after it, and tells which hosts were probed.
+/// Has this many connections come to stand, each with a minute after it, and tells which servers were probed.
 fn probed_by(harness: &mut ReducerHarness, connections: usize) -> Vec<ServerId> {
-    let mut hosts = Vec::new();
+    let mut servers = Vec::new();
     for _ in 0..connections {
         let (connection, _) = harness.forward_request();
-        hosts.extend(probed(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
+        servers.extend(probed(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
         harness.advance(60_000_000);
     }
-    hosts
+    servers
 }
 
-/// Danger: a host that does not answer has enough to do, and one that leaves may be sent nothing new.
+/// Danger: a server that does not answer has enough to do, and one that leaves may be sent nothing new.
 #[test]
 fn a_host_is_probed_once_at_a_time_and_not_when_it_leaves() {
     let mut harness = probing();
     let mut first = probed_by(&mut harness, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
-    harness.feed(Input::ProbeCompleted { pool: 0, host: ServerId(2), end: ProbeEnd::Nothing });
-    harness.feed(Input::ProbeCompleted { pool: 0, host: ServerId(3), end: ProbeEnd::Nothing });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::Nothing });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::Nothing });
     harness.drain(1);
     let again = probed_by(&mut harness, 10);
-    assert!(again.contains(&ServerId(3)) && again.iter().all(|host| *host == ServerId(3)), "{again:?}");
+    assert!(again.contains(&ServerId(3)) && again.iter().all(|server| *server == ServerId(3)), "{again:?}");
 }
 
-/// A host that does not want to be probed is left alone until it has started again.
+/// A server that does not want to be probed is left alone until it has started again.
 #[test]
 fn a_host_that_says_no_to_probes_is_not_asked_again() {
     let mut harness = probing();
-    for host in probed_by(&mut harness, 10) {
-        harness.feed(Input::ProbeCompleted { pool: 0, host, end: ProbeEnd::Unwanted });
+    for server in probed_by(&mut harness, 10) {
+        harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeEnd::Unwanted });
     }
     assert_eq!(probed_by(&mut harness, 10), []);
     harness.restarted(0);
     assert_eq!(probed_by(&mut harness, 10), [ServerId(1)]);
 }
 
-/// Danger: a host that has started again is cold, and what it told before would make it look idle; and one that is
+/// Danger: a server that has started again is cold, and what it told before would make it look idle; and one that is
 /// told to be too full is not sent more.
 #[test]
 fn a_report_counts_for_the_process_that_gave_it() {
@@ -128,38 +128,38 @@
             harness.restarted(0);
         }
         harness.advance(60_000_000);
-        harness.feed(Input::ProbeCompleted { pool: 0, host: ServerId(1), end: report(3.0) });
+        harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(1), end: report(3.0) });
         (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
     assert_eq!(full(false), 0, "it is asked three times what it can do");
     assert!(full(true) > 0, "that was the process before");
 }
 
-/// Danger: an attempt that waits for its connection must not write to a host told to be draining meanwhile.
+/// Danger: an attempt that waits for its connection must not write to a server told to be draining meanwhile.
 #[test]
 fn an_unwritten_leg_is_closed_when_its_host_drains_and_goes_elsewhere() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
     let Some(Effect::OpenAttempt { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
-    let host = HOSTS.iter().position(|h| harness.address(h) == *address).expect("a listed host");
-    let effects = harness.drain(host);
+    let server = SERVERS.iter().position(|h| harness.address(h) == *address).expect("a listed host");
+    let effects = harness.drain(server);
     assert!(matches!(effects[0], Effect::CloseAttempt { .. }), "{effects:?}");
     let Effect::OpenAttempt { address: next, attempt: 1, .. } = &effects[1] else { panic!("{effects:?}") };
     assert_ne!(next, address);
 }
 
-/// A written attempt stays: the host may have it already, and never are two out at once.
+/// A written attempt stays: the server may have it already, and never are two out at once.
 #[test]
 fn a_written_leg_stays_when_its_host_drains() {
     let mut harness = ReducerHarness::new();
-    let (connection, host) = harness.forward_request();
-    assert_eq!(harness.drain(host), []);
+    let (connection, server) = harness.forward_request();
+    assert_eq!(harness.drain(server), []);
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
 /// Seen on the bench (`split+mass`, seed 1) with an early form of the words of slow set-ups: told before the module knew
-/// that the connection stands, they let it find the request overdue, and refuse what its host had accepted.
+/// that the connection stands, they let it find the request overdue, and refuse what its server had accepted.
 #[test]
 fn what_stands_at_the_last_moment_is_served() {
     let mut harness = ReducerHarness::new();
@@ -169,7 +169,7 @@
     assert_eq!(harness.feed(Input::TimerFired), []);
 }
 
-/// A host that drops what stood is told of once, one that was about to leave is not; and who hears of it has half of its
+/// A server that drops what stood is told of once, one that was about to leave is not; and who hears of it has half of its
 /// free room there.
 #[test]
 fn a_drop_is_told_to_the_tier_and_heeded() {
@@ -195,19 +195,19 @@
         harness
     };
     let (mut teller, mut hearer) = (fleet(), fleet());
-    let (connection, host) = teller.forward_request();
+    let (connection, server) = teller.forward_request();
     teller.feed(Input::AttemptAccepted { connection, attempt: 0 });
     let told =
         words(&teller.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }));
     let [message] = told[..] else { panic!("{told:?}") };
-    assert_eq!(message.observation, Observation::Dropped(host_number(HOSTS[host])));
+    assert_eq!(message.observation, Observation::Dropped(server_id(SERVERS[server])));
     hearer.feed(Input::GossipReceived { pool: 0, message });
     // Each of the five has four slots at first, that one half of them now.
-    let there = (0..18).filter(|_| hearer.forward_request().1 == host).count();
-    assert_eq!(there, 2, "of 18 after a word of {host}");
-    let (connection, host) = hearer.forward_request();
+    let there = (0..18).filter(|_| hearer.forward_request().1 == server).count();
+    assert_eq!(there, 2, "of 18 after a word of {server}");
+    let (connection, server) = hearer.forward_request();
     hearer.feed(Input::AttemptAccepted { connection, attempt: 0 });
-    hearer.drain(host);
+    hearer.drain(server);
     assert_eq!(
         words(&hearer.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset })),
         [],
@@ -227,7 +227,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// Danger: a host that vanished says nothing; a connection is lost after 7 s of that.
+/// Danger: a server that vanished says nothing; a connection is lost after 7 s of that.
 #[test]
 fn a_silent_host_has_its_clients_moved_but_an_idle_one_has_not() {
     let mut harness = ReducerHarness::new();
@@ -293,26 +293,26 @@
     assert_eq!(harness.feed(Input::TimerFired).last(), Some(&Effect::Exit));
 }
 
-/// A connection that its host has ended must be moved within a second: what is gone answers nobody.
+/// A connection that its server has ended must be moved within a second: what is gone answers nobody.
 #[test]
 fn clients_of_a_host_that_is_gone_are_moved_at_once() {
     let mut harness = ReducerHarness::new();
-    let (connection, host) = harness.forward_request();
+    let (connection, server) = harness.forward_request();
     harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
-    let effects = harness.list(host, Lifecycle::Gone);
+    let effects = harness.list(server, Lifecycle::Gone);
     let moved = Effect::Answer { connection, answer: Answer::Migrated };
     assert_eq!(effects, [moved, Effect::CloseAttempt { connection }]);
 }
 
-/// A connection that stood before the start is tried again while its host does not take it.
+/// A connection that stood before the start is tried again while its server does not take it.
 #[test]
-fn a_standing_connection_is_tried_again_at_its_own_host() {
+fn a_standing_connection_is_tried_again_at_its_own_server() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
-    let at = ConnectionRequest { established_at: Some(HOSTS[1].to_owned()), ..connection_request() };
+    let at = ConnectionRequest { established_at: Some(SERVERS[1].to_owned()), ..connection_request() };
     let effects = harness.feed(Input::ConnectionRequested { connection, ask: at });
     let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
-    assert_eq!(*address, harness.address(HOSTS[1]));
+    assert_eq!(*address, harness.address(SERVERS[1]));
     harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::ConnectFailed });
     harness.advance(600_000);
     let effects = harness.feed(Input::TimerFired);
@@ -323,7 +323,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// Danger: "at" may name a host that there never was. It was tried six times, at no address, before the error.
+/// Danger: "at" may name a server that there never was. It was tried six times, at no address, before the error.
 #[test]
 fn one_that_stood_at_no_listed_host_has_its_error_within_three_seconds() {
     let mut harness = ReducerHarness::new();
@@ -341,8 +341,8 @@
 #[test]
 fn a_refusal_comes_at_once_and_says_when_to_come_back() {
     let mut harness = ReducerHarness::new();
-    for host in 0..HOSTS.len() {
-        harness.drain(host);
+    for server in 0..SERVERS.len() {
+        harness.drain(server);
     }
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
@@ -407,9 +407,9 @@
     assert!(!failed(&mut harness, named("a")), "free again");
 }
 
-/// Danger: a machine out of descriptors would take every host to be down.
+/// Danger: a machine out of descriptors would take every server to be down.
 #[test]
-fn a_leg_that_this_machine_had_no_socket_for_tells_nothing_of_its_host() {
+fn a_leg_that_this_machine_had_no_socket_for_tells_nothing_of_its_server() {
     let mut harness = ReducerHarness::new();
     for _ in 0..20 {
         let (connection, _) = harness.forward_request();
@@ -430,7 +430,7 @@
 
     proptest! {
         /// Whatever happens in whatever order: one answer for each connection and in time, at most six
-        /// attempts and never two at once, no new attempt to a host that drains, and nothing held in the end.
+        /// attempts and never two at once, no new attempt to a server that drains, and nothing held in the end.
         #[test]
         fn rules_hold_under_random_steps(steps in prop::collection::vec((0u8..10, 0usize..8, 1u64..400_000), 1..200)) {
             let mut harness = ReducerHarness::new();
@@ -451,7 +451,7 @@
                     }
                     3 => harness.feed(Input::RequestForwarded { connection, attempt }),
                     4 => {
-                        // Served: from here on it is the host's.
+                        // Served: from here on it is the server's.
                         if out.contains_key(&connection) {
                             answered.entry(connection).or_insert(harness.now);
                         }
@@ -470,8 +470,8 @@
                         answered.entry(connection).or_insert(harness.now);
                         harness.feed(Input::ClientDisconnected { connection })
                     }
-                    8 if which < HOSTS.len() => {
-                        drained.insert(harness.address(HOSTS[which]));
+                    8 if which < SERVERS.len() => {
+                        drained.insert(harness.address(SERVERS[which]));
                         harness.drain(which)
                     }
                     9 if which == 0 && pause < 40_000 => harness.feed(Input::ShutdownRequested),
@@ -519,7 +519,7 @@
 #[test]
 fn another_configuration_keeps_what_is_out_and_moves_the_watch() {
     let mut harness = ReducerHarness::new();
-    let (standing, (placing, host)) = (harness.established(), harness.forward_request());
+    let (standing, (placing, server)) = (harness.established(), harness.forward_request());
     let mut setup = reducer_harness::setup();
     let first = Class {
         priority_weight: 9.0,
@@ -547,6 +547,6 @@
     let effects =
         harness.feed(Input::AttemptEnded { connection: placing, attempt: 0, end: AttemptOutcome::Reset });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
-    assert_eq!(harness.drain(host), [], "it stands or goes elsewhere already");
+    assert_eq!(harness.drain(server), [], "it stands or goes elsewhere already");
     assert_eq!(harness.feed(Input::ServerActivity { connection: standing }), []);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -16,7 +16,7 @@
 use connection_balancer::{LearnedState, Time};
 use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
-use reducer_harness::{connection_request, ReducerHarness, HOSTS};
+use reducer_harness::{connection_request, ReducerHarness, SERVERS};
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
 
 const CALLER: AdminClientId = AdminClientId(7);
@@ -98,13 +98,14 @@
     assert_eq!(established[0].1.load, Some(50_000.0));
     let there = adopt(&mut new, &mut old, established);
     assert_eq!((metrics(&mut old).outstanding, metrics(&mut new).outstanding), (0, 20));
-    // The silence of its host goes on from when it was asked, and others have not asked.
+    // The silence of its server goes on from when it was asked, and others have not asked.
     new.advance(5_000_001);
     let moved: Vec<_> = new.feed(Input::TimerFired);
     assert_eq!(moved.first(), Some(&Effect::Answer { connection: there[0], answer: Answer::Migrated }));
     assert_eq!(moved.len(), 2, "{moved:?}");
-    // What holds for a host's clients holds for them.
-    let effects: Vec<Effect> = (0..HOSTS.len()).flat_map(|host| new.list(host, Lifecycle::Gone)).collect();
+    // What holds for a server's clients holds for them.
+    let effects: Vec<Effect> =
+        (0..SERVERS.len()).flat_map(|server| new.list(server, Lifecycle::Gone)).collect();
     assert_eq!(
         effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. })).count(),
         19
@@ -139,9 +140,9 @@
     let mut old = ReducerHarness::new();
     let (connection, _) = old.forward_request();
     old.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
-    call(&mut old, AdminCall::Exclude(HOSTS[3].to_owned()));
-    call(&mut old, AdminCall::Exclude(HOSTS[4].to_owned()));
-    call(&mut old, AdminCall::Include(HOSTS[4].to_owned()));
+    call(&mut old, AdminCall::Exclude(SERVERS[3].to_owned()));
+    call(&mut old, AdminCall::Exclude(SERVERS[4].to_owned()));
+    call(&mut old, AdminCall::Include(SERVERS[4].to_owned()));
     let ejected = metrics(&mut old).ejected;
     let open = old.connect_client();
     old.feed(Input::ConnectionRequested {
@@ -178,16 +179,16 @@
     }
 }
 
-/// Danger: two processes that each fill a cold host as fast as it stands would push it over.
+/// Danger: two processes that each fill a cold server as fast as it stands would push it over.
 #[test]
 fn cold_hosts_are_the_new_process_to_fill() {
     let mut old = ReducerHarness::new();
     for _ in 0..20 {
         old.established();
     }
-    call(&mut old, AdminCall::Exclude(HOSTS[2].to_owned()));
-    call(&mut old, AdminCall::Include(HOSTS[2].to_owned()));
-    let address = old.address(HOSTS[2]);
+    call(&mut old, AdminCall::Exclude(SERVERS[2].to_owned()));
+    call(&mut old, AdminCall::Include(SERVERS[2].to_owned()));
+    let address = old.address(SERVERS[2]);
     heir(&mut old);
     for _ in 0..200 {
         old.advance(20_000);
@@ -204,30 +205,30 @@
 #[test]
 fn a_call_at_either_door_is_answered_once_both_have_heard_of_it() {
     let yes = Effect::AdminReply { admin_client: CALLER, reply: AdminResponse::Yes };
-    let host = HOSTS[1].to_owned();
+    let server = SERVERS[1].to_owned();
     let mut old = ReducerHarness::new();
     let (new, _) = heir(&mut old);
     for mut harness in [old, new] {
-        let effects = call(&mut harness, AdminCall::Exclude(host.clone()));
-        let share = Effect::ShareExclusion { admin_client: CALLER, host: host.clone(), out: true };
+        let effects = call(&mut harness, AdminCall::Exclude(server.clone()));
+        let share = Effect::ShareExclusion { admin_client: CALLER, server: server.clone(), out: true };
         assert_eq!(effects.last(), Some(&share));
         assert_eq!(metrics(&mut harness).ejected, 1, "it holds here at once");
         assert_eq!(harness.feed(Input::ExclusionAcknowledged { admin_client: CALLER }), vec![yes.clone()]);
         assert_eq!(harness.feed(Input::ExclusionAcknowledged { admin_client: CALLER }), [], "answered once");
         // One that hangs, or is gone, keeps no operator waiting.
-        call(&mut harness, AdminCall::Include(host.clone()));
+        call(&mut harness, AdminCall::Include(server.clone()));
         harness.advance(500_000);
         assert_eq!(harness.feed(Input::TimerFired), vec![yes.clone()]);
-        call(&mut harness, AdminCall::Exclude(host.clone()));
+        call(&mut harness, AdminCall::Exclude(server.clone()));
         assert!(harness.feed(Input::PeerProcessLost).contains(&yes));
         assert_eq!(
-            call(&mut harness, AdminCall::Include(host.clone())).last(),
+            call(&mut harness, AdminCall::Include(server.clone())).last(),
             Some(&yes),
             "it is alone again"
         );
     }
     let mut other = ReducerHarness::new();
-    other.feed(Input::ExclusionShared { host: host.clone(), out: true });
+    other.feed(Input::ExclusionShared { server: server.clone(), out: true });
     assert_eq!(metrics(&mut other).ejected, 1);
 }
 
@@ -267,7 +268,7 @@
             last_migration: at,
         },
     );
-    let host = (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
+    let server = (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
         |(name, zone, cell, ready, weight, started)| Endpoint {
             address: format!("{name}:1"),
             lifecycle: if ready { Lifecycle::Ready } else { Lifecycle::Draining },
@@ -291,20 +292,26 @@
     prop_oneof![
         prop::sample::select(vec![HandoverMessage::Take, HandoverMessage::Done, HandoverMessage::Serving]),
         name().prop_map(HandoverMessage::Socket),
-        (name(), host, prop::option::of(learned))
-            .prop_map(|(pool, host, learned)| HandoverMessage::Part(Part::Host { pool, host, learned })),
+        (name(), server, prop::option::of(learned)).prop_map(
+            |(pool, server, learned)| HandoverMessage::Part(Part::Endpoint {
+                pool,
+                endpoint: server,
+                learned
+            })
+        ),
         ("[a-z]{1,40}", 1u64..99, prop::option::of(name())).prop_map(|(key, counter, value)| {
             HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
         }),
         (name(), request, maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
-            |(host, ask, awaiting_server_since, state)| {
-                let established = EstablishedConnection { load: ask.load, ask, host, awaiting_server_since };
+            |(server, ask, awaiting_server_since, state)| {
+                let established =
+                    EstablishedConnection { load: ask.load, ask, server, awaiting_server_since };
                 HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
             }
         ),
-        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, host, out)| HandoverMessage::Share {
+        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, out)| HandoverMessage::Share {
             number,
-            host,
+            server,
             out
         }),
     ]
@@ -330,7 +337,7 @@
     }
 
     /// Through any number of upgrades at any moment each connection has one answer or stands, at one
-    /// process, and nothing new goes to a host that is out by hand.
+    /// process, and nothing new goes to a server that is out by hand.
     #[test]
     fn upgrades_lose_nobody(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
         let mut model = Model { harnesses: vec![ReducerHarness::new()], ..Model::default() };
@@ -393,13 +400,14 @@
                 self.feed(at, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
             }
             (6, _) => {
-                let host = HOSTS[which % 2];
-                let out = !self.banned.contains(&host);
-                self.banned.retain(|banned| *banned != host);
-                self.banned.extend(out.then_some(host));
+                let server = SERVERS[which % 2];
+                let out = !self.banned.contains(&server);
+                self.banned.retain(|banned| *banned != server);
+                self.banned.extend(out.then_some(server));
                 // Whichever door it comes to, the other hears of it.
-                (now.saturating_sub(1)..=now)
-                    .try_for_each(|at| self.feed(at, Input::ExclusionShared { host: host.to_owned(), out }))
+                (now.saturating_sub(1)..=now).try_for_each(|at| {
+                    self.feed(at, Input::ExclusionShared { server: server.to_owned(), out })
+                })
             }
             // Not before the one before it has been heard out.
             (7, _) if self.open.values().all(|open| open.at == now) => {
@@ -426,7 +434,7 @@
                 Effect::OpenAttempt { connection, attempt, address, .. } => {
                     let open = self.open.get_mut(&who(connection).expect("it is open here")).expect("found");
                     prop_assert!(
-                        !self.banned.iter().any(|host| address.starts_with(host)),
+                        !self.banned.iter().any(|server| address.starts_with(server)),
                         "a leg to {address}"
                     );
                     prop_assert!(open.attempt.is_none(), "two legs at once");
@@ -467,7 +475,7 @@
     }
 }
 
-/// A stand-in for a shop host: greets each connection and sends its lines back.
+/// A stand-in for a shop server: greets each connection and sends its lines back.
 fn shop() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -520,7 +528,7 @@
     assert_eq!(old.admin_call("exclude s-00000002"), "YES\r\n");
     let mut players: Vec<Client> = Vec::new();
     for n in 0..8 {
-        // One after the other: what a host holds without trouble makes room for the next.
+        // One after the other: what a server holds without trouble makes room for the next.
         players.push(player(&old, n));
         assert_eq!(players[n as usize].line(), "UP 1");
     }
@@ -569,7 +577,7 @@
 #[test]
 fn a_process_that_hangs_or_was_killed_hands_nothing_over_but_its_bans() {
     for signal in ["-STOP", "-KILL"] {
-        // With a store, which hosts are out is the store's to keep.
+        // With a store, which servers are out is the store's to keep.
         let store = r#""store": {"node": "n1", "listen": "127.0.0.1:0"}, "#;
         let old = Daemon::start(&irc_config(&[], "").replace(store, ""), Some(&platform()));
         until("it is ready", || old.admin_call("readyz") == "YES\r\n");
