--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -430,7 +430,8 @@
 
     /// DEPARTURE: a server that has become too full gives up connections while others have room: those that
     /// free the most slots for their worth, the group's included if it is the last of it here. Where messages
-    /// take many times their objective nothing there is worth its while, and a good part goes at each word of that.
+    /// take many times their objective nothing there is worth its while, and a good part goes at each such
+    /// report.
     fn move_some(&mut self, now: Time, from: ServerId, late: f64, actions: &mut Vec<Action>) {
         let rested = |s: &&Server| s.known.last_migration.is_none_or(|at| now.since(at) >= MOVE_GAP);
         let Some(server) = self.servers.get(&from).filter(rested) else { return };
