--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,18 +27,18 @@
 //! ```
 //! use connection_balancer::*;
 //!
-//! let safe = Class { worth: 1.0, setup_aim: 300_000, message_aim: 100_000, repeat: Repeat::Safe };
+//! let safe = Class { priority_weight: 1.0, setup_objective: 300_000, message_objective: 100_000, idempotency: Idempotency::Idempotent };
 //! let settings = Settings { classes: vec![safe], max_attempts: 3, ..Settings::default() };
 //! let mut now = Time(5_000_000);
 //! let mut balancer = Balancer::new(settings, 42, now);
 //! let mut actions = Vec::new();
 //!
 //! // The list, and a connection that was open before this balancer started.
-//! let server = |id| Listed {
+//! let server = |id| EndpointEntry {
 //!     server: ServerId(id),
 //!     zone: ZoneId(0),
 //!     cell: CellId(0),
-//!     standing: Standing::Serving,
+//!     state: EndpointState::Serving,
 //!     started: None,
 //!     weight: 1.0,
 //! };
@@ -65,11 +65,11 @@
 //! // It stands, and later ends.
 //! now = now.plus(20_000);
 //! balancer.handle(now, Event::ConnectionEstablished { request, attempt: 0 }, &mut actions);
-//! assert!(balancer.keeps(request));
+//! assert!(balancer.is_tracked(request));
 //! now = now.plus(60_000_000);
 //! let end = Event::AttemptEnded { request, attempt: 0, outcome: Outcome::Ok, answered: true };
 //! balancer.handle(now, end, &mut actions);
-//! assert!(!balancer.keeps(request));
+//! assert!(!balancer.is_tracked(request));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
