--- a/simulation/src/day.rs
+++ b/simulation/src/day.rs
@@ -228,7 +228,7 @@
                 ..ConnectionRequest::default()
             };
             feed(Input::ClientConnected { connection, pool: 0 });
-            feed(Input::ConnectionRequested { connection, ask });
+            feed(Input::ConnectionRequested { connection, request: ask });
             feed(Input::RequestForwarded { connection, attempt: 0 });
             feed(Input::AttemptAccepted { connection, attempt: 0 });
             feed(Input::LoadReported { connection, load: LOAD * (0.5 + (n % 7) as f64 / 6.0) });
@@ -382,7 +382,7 @@
             ..ConnectionRequest::default()
         };
         self.feed(n, Input::ClientConnected { connection, pool: 0 });
-        self.feed(n, Input::ConnectionRequested { connection, ask });
+        self.feed(n, Input::ConnectionRequested { connection, request: ask });
     }
 
     fn feed(&mut self, n: usize, input: Input) {
--- a/src/protocol/hot_restart.rs
+++ b/src/protocol/hot_restart.rs
@@ -162,7 +162,7 @@
 fn established(input: &mut &[u8]) -> ModalResult<EstablishedConnection> {
     let (ask, server, load, awaiting_server_since) =
         (connection_request, text, maybe(number), maybe(time)).parse_next(input)?;
-    Ok(EstablishedConnection { ask, server, load, awaiting_server_since })
+    Ok(EstablishedConnection { request: ask, server, load, awaiting_server_since })
 }
 
 fn part(input: &mut &[u8]) -> ModalResult<Part> {
@@ -261,7 +261,7 @@
             .time(&endpoint.started)
     }
     fn established(&mut self, established: &EstablishedConnection) -> &mut Out {
-        let ask = &established.ask;
+        let ask = &established.request;
         self.maybe(&ask.id, |out, id| out.text(id)).text(&ask.class);
         self.maybe(&ask.tenant, |out, tenant| out.text(tenant));
         self.maybe(&ask.group, |out, group| out.figure(*group));
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,7 +1,8 @@
 //! What operators ask for, and the figures that they are told.
 
 use super::{
-    AdminCall, AdminClientId, AdminResponse, ClassCounters, ConnectionId, Effect, Metrics, PeerProcess, State,
+    AdminCall, AdminClientId, AdminRejection, AdminResponse, ClassCounters, ConnectionId, Effect, LogEvent,
+    Metrics, PeerProcess, State,
 };
 use crate::{Micros, Time};
 
@@ -11,9 +12,7 @@
 impl State {
     pub(super) fn on_admin_request(&mut self, now: Time, admin_client: AdminClientId, call: AdminCall) {
         let reply = match call {
-            AdminCall::Ready => {
-                self.readiness().map_or_else(|why| AdminResponse::No(why.to_owned()), |()| AdminResponse::Yes)
-            }
+            AdminCall::Ready => self.readiness().map_or_else(AdminResponse::No, |()| AdminResponse::Yes),
             AdminCall::Telemetry => AdminResponse::Metrics(self.metrics(now)),
             AdminCall::Exclude(server) => return self.exclude_or_include(now, admin_client, server, true),
             AdminCall::Include(server) => return self.exclude_or_include(now, admin_client, server, false),
@@ -27,9 +26,9 @@
         let known =
             self.ever_listed.contains(&server) || self.pools.iter().any(|pool| pool.out.contains(&server));
         let reply = match () {
-            () if !self.listening => AdminResponse::No("not ready yet".to_owned()),
-            () if !known => AdminResponse::No(format!("no host {server} was ever listed")),
-            () if !self.set_exclusion(now, &server, out) => AdminResponse::No("the store is full".to_owned()),
+            () if !self.listening => AdminResponse::No(AdminRejection::NotReady),
+            () if !known => AdminResponse::No(AdminRejection::UnknownServer(server)),
+            () if !self.set_exclusion(now, &server, out) => AdminResponse::No(AdminRejection::StoreFull),
             () if self.peer_process.is_some() => {
                 self.pending_acknowledgements.insert(admin_client, now.plus(SHARE_WAIT));
                 return self.effects.push(Effect::ShareExclusion { admin_client, server, out });
@@ -51,8 +50,11 @@
             self.excluded_by_operator.remove(server)
         };
         if changed {
-            let does = if out { "is out by hand" } else { "is in use again" };
-            self.effects.push(Effect::Log(format!("{server} {does}")));
+            let server = server.to_owned();
+            self.effects.push(Effect::Log(match out {
+                true => LogEvent::ServerExcluded { server },
+                false => LogEvent::ServerReadmitted { server },
+            }));
             self.effects.push(Effect::PersistExclusions(self.excluded_by_operator.iter().cloned().collect()));
             (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
         }
@@ -72,16 +74,16 @@
     }
 
     /// Whether this process can serve, or why not.
-    fn readiness(&self) -> Result<(), &'static str> {
+    fn readiness(&self) -> Result<(), AdminRejection> {
         // Danger: with discovery down nobody would ever be ready, though the list from before the start may do.
         let listed = |pool: &super::Pool| pool.told || !pool.listed.is_empty();
         match () {
-            () if self.shutdown_window.is_some() => Err("leaving"),
+            () if self.shutdown_window.is_some() => Err(AdminRejection::ShuttingDown),
             () if self.peer_process == Some(PeerProcess::Successor) => {
-                Err("another process serves in its place")
+                Err(AdminRejection::ReplacedBySuccessor)
             }
-            () if !self.listening => Err("not listening yet"),
-            () if !self.pools.iter().all(listed) => Err("no routing table yet"),
+            () if !self.listening => Err(AdminRejection::NotListening),
+            () if !self.pools.iter().all(listed) => Err(AdminRejection::NoEndpointList),
             () => Ok(()),
         }
     }
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -22,7 +22,7 @@
         let connection = ClientConnection {
             pool,
             class: None,
-            ask: ConnectionRequest::default(),
+            request: ConnectionRequest::default(),
             load: None,
             phase: Phase::Handshaking,
             attempts: 0,
@@ -96,7 +96,7 @@
         let pool = &mut self.pools[pool_id];
         pool.held += 1;
         pool.ids.extend(ask.id.clone());
-        self.connections.entry(id).and_modify(|connection| connection.ask = ask.clone());
+        self.connections.entry(id).and_modify(|connection| connection.request = ask.clone());
         let arrived = RebalanceEvent::Arrived { connection: id, key: ask.key, again: ask.again };
         pool.rebalance.take(now, arrived);
         let (group, load, request) = (ask.group.map(GroupId), ask.load, RequestId(id.0));
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -30,7 +30,7 @@
         self.budget = budget;
         for (id, config) in setups.into_iter().enumerate().take(self.pools.len()) {
             let pool = &mut self.pools[id];
-            let config = config.after(&pool.config);
+            let config = config.replacing(&pool.config);
             let moved = config.discovery.filter(|_| config.discovery != pool.config.discovery);
             pool.balancer.configure(config.settings.clone());
             pool.peers.configure(config.gossip_config());
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,6 +1,6 @@
 //! Connections that stand, their moves and their ends.
 
-use super::{Answer, Attempt, ConnectionId, Effect, PeerProcess, Phase, State};
+use super::{Answer, Attempt, ConnectionId, Effect, LogEvent, PeerProcess, Phase, State};
 use crate::peers::Observation;
 use crate::rebalance::RebalanceEvent;
 use crate::{Event, Measurement, Micros, Outcome, RequestId, Time};
@@ -92,7 +92,7 @@
             let pool = &mut self.pools[connection.pool];
             pool.rebalance.take(now, RebalanceEvent::Ended { connection: id, natural: false });
             pool.held -= usize::from(connection.phase != Phase::Handshaking);
-            connection.ask.id.map(|id| pool.ids.remove(&id));
+            connection.request.id.map(|id| pool.ids.remove(&id));
         }
         attempt
     }
@@ -161,6 +161,6 @@
             .collect();
         let over = stay.saturating_sub(LEAVING_FROM + LEAVING_REST);
         self.migrate_gradually(now, &established, LEAVING_FROM, over);
-        self.effects.push(Effect::Log(format!("leaving: {} connections to move", self.connections.len())));
+        self.effects.push(Effect::Log(LogEvent::ShutdownStarted { connections: self.connections.len() }));
     }
 }
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::store::{Entry, Gossip};
-use super::{Effect, State};
+use super::{Effect, LogEvent, State};
 use crate::{Micros, Time};
 
 /// Between two digests that a node sends.
@@ -13,7 +13,7 @@
     pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, gossip: Gossip) {
         // Danger: what holds for all nodes is taken from the nodes only.
         if !matches!(gossip, Gossip::Write { .. }) && !self.peers.contains(&from) {
-            return self.effects.push(Effect::Log(format!("word from {from}, which is no peer, not taken")));
+            return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownPeer { from }));
         }
         match gossip {
             Gossip::Digest { wanted, buckets } => {
@@ -38,7 +38,7 @@
                     self.effects.extend(told.map(|told| Effect::SendReplicaMessage((from, told))));
                 }
             }
-            Gossip::Write { .. } => self.effects.push(Effect::Log(format!("write from {from} not taken"))),
+            Gossip::Write { .. } => self.effects.push(Effect::Log(LogEvent::RemoteWriteIgnored { from })),
         }
     }
 
@@ -68,8 +68,11 @@
 
     /// The store has news: they are kept, and take effect.
     pub(super) fn on_entry_stored(&mut self, now: Time, key: String, entry: Entry) {
-        let value = entry.value.as_deref().unwrap_or("nothing");
-        self.effects.push(Effect::Log(format!("store: {key} is {value}, says {}", entry.node)));
+        let (key_name, node) = (key.clone(), entry.node.clone());
+        self.effects.push(Effect::Log(match entry.value.clone() {
+            Some(value) => LogEvent::EntryStored { key: key_name, value, node },
+            None => LogEvent::EntryDeleted { key: key_name, node },
+        }));
         let server = key.starts_with("life/") || key.starts_with("host/");
         self.effects.push(Effect::PersistEntry { key, entry });
         for pool in (0..self.pools.len()).filter(|_| server) {
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -2,7 +2,8 @@
 
 use super::{server_id, Attempt, ClientConnection};
 use super::{
-    ConnectionId, Effect, EstablishedConnection, HandoverState, Phase, PoolHandoverState, PoolId, State,
+    ConnectionId, Effect, EstablishedConnection, HandoverState, LogEvent, Phase, PoolHandoverState, PoolId,
+    State,
 };
 use crate::{ClassId, Event, GroupId, Measurement, Outcome, RequestId, TenantId, Time};
 
@@ -48,7 +49,7 @@
             return;
         }
         self.peer_process = Some(PeerProcess::Successor);
-        self.effects.push(Effect::Log("another process serves in this one's place".to_owned()));
+        self.effects.push(Effect::Log(LogEvent::SuccessorReady));
         // Danger (cold servers): what may be sent there is the other's to spend.
         (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
         for id in self.connections.keys().copied().collect::<Vec<_>>() {
@@ -67,9 +68,9 @@
             return;
         };
         let Some(server) = self.pools[connection.pool].table.any(attempt.server) else { return };
-        let (ask, server) = (connection.ask.clone(), server.name.clone());
+        let (request, server) = (connection.request.clone(), server.name.clone());
         let established = EstablishedConnection {
-            ask,
+            request,
             server,
             load: connection.load,
             awaiting_server_since: connection.awaiting_server_since,
@@ -123,7 +124,7 @@
         established: EstablishedConnection,
     ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
-        let EstablishedConnection { ask, server, load, awaiting_server_since } = established;
+        let EstablishedConnection { request: ask, server, load, awaiting_server_since } = established;
         let server = server_id(&server);
         let index = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let class = index(&pool.config.classes, &ask.class).map(|n| ClassId(n as u16));
@@ -139,7 +140,7 @@
         let connection = ClientConnection {
             pool: pool_id,
             class,
-            ask,
+            request: ask,
             load: None,
             phase: Phase::Established,
             attempts: 1,
@@ -185,8 +186,7 @@
         }
         match peer_process {
             Some(PeerProcess::StartingSuccessor | PeerProcess::Successor) => {
-                self.effects
-                    .push(Effect::Log("the process that was to take this one's place is gone".to_owned()));
+                self.effects.push(Effect::Log(LogEvent::SuccessorLost));
                 self.effects.push(Effect::SetAccepting { open: self.shut.is_none() });
                 (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
             }
--- /dev/null
+++ b/src/routing/log_event.rs
@@ -0,0 +1,114 @@
+//! What the reducer logs.
+
+use std::fmt;
+use std::net::SocketAddr;
+
+/// One line of the log. The on-call page lists the texts below: keep one literal template for each variant.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LogEvent {
+    /// An operator excluded a server.
+    ServerExcluded {
+        /// Name of the server.
+        server: String,
+    },
+    /// An operator readmitted a server.
+    ServerReadmitted {
+        /// Name of the server.
+        server: String,
+    },
+    /// A server answered that it must not be probed.
+    ProbesDeclined {
+        /// Name of the server.
+        server: String,
+    },
+    /// A message for replicas came from an address that is not configured as a peer.
+    MessageFromUnknownPeer {
+        /// Its sender.
+        from: SocketAddr,
+    },
+    /// A write to the replicated map came from another machine.
+    RemoteWriteIgnored {
+        /// Its sender.
+        from: SocketAddr,
+    },
+    /// The replicated map has a new value.
+    EntryStored {
+        /// The key.
+        key: String,
+        /// Its value.
+        value: String,
+        /// Name of the node that wrote it.
+        node: String,
+    },
+    /// A key of the replicated map was deleted.
+    EntryDeleted {
+        /// The key.
+        key: String,
+        /// Name of the node that deleted it.
+        node: String,
+    },
+    /// The successor of a hot restart serves.
+    SuccessorReady,
+    /// The successor of a hot restart ended.
+    SuccessorLost,
+    /// A graceful shutdown has begun.
+    ShutdownStarted {
+        /// Connections that are open now.
+        connections: usize,
+    },
+    /// Rebalancing of a pool started, stopped or was held back.
+    Rebalancing {
+        /// Name of the pool's front.
+        pool: &'static str,
+        /// What changed.
+        change: String,
+    },
+    /// The decision module reports a change.
+    BalancerChange {
+        /// What changed.
+        change: String,
+    },
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogEvent::ServerExcluded { server } => {
+                write!(formatter, "server {server} excluded by an operator")
+            }
+            LogEvent::ServerReadmitted { server } => {
+                write!(formatter, "server {server} readmitted by an operator")
+            }
+            LogEvent::ProbesDeclined { server } => {
+                write!(formatter, "server {server} declines health checks")
+            }
+            LogEvent::MessageFromUnknownPeer { from } => {
+                write!(formatter, "ignored a message from {from}, which is not a configured peer")
+            }
+            LogEvent::RemoteWriteIgnored { from } => {
+                write!(formatter, "ignored a write from {from}: only this machine may write")
+            }
+            LogEvent::EntryStored { key, value, node } => {
+                write!(formatter, "store: {key} is {value}, written by {node}")
+            }
+            LogEvent::EntryDeleted { key, node } => {
+                write!(formatter, "store: {key} deleted by {node}")
+            }
+            LogEvent::SuccessorReady => {
+                write!(formatter, "successor is ready: established connections are transferred to it")
+            }
+            LogEvent::SuccessorLost => {
+                write!(formatter, "successor is gone: this process accepts connections again")
+            }
+            LogEvent::ShutdownStarted { connections } => {
+                write!(formatter, "leaving: {connections} connections to migrate")
+            }
+            LogEvent::Rebalancing { pool, change } => {
+                write!(formatter, "rebalancing of {pool}: {change}")
+            }
+            LogEvent::BalancerChange { change } => {
+                write!(formatter, "balancer: {change}")
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/routing/metrics.rs
@@ -0,0 +1,33 @@
+//! The metrics that the balancer reports.
+
+use std::collections::BTreeMap;
+
+use crate::rebalance::RebalanceMetrics;
+
+/// Outcomes of the connections of one class, counted since the process started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ClassCounters {
+    /// Established.
+    pub succeeded: u64,
+    /// Rejected.
+    pub declined: u64,
+    /// Failed.
+    pub aborted: u64,
+}
+
+/// Counts since the process started, and gauges as they are now.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Metrics {
+    /// Of every configured class, by its name.
+    pub classes: BTreeMap<String, ClassCounters>,
+    /// Attempts written in full.
+    pub forwards: u64,
+    /// Connections admitted and not yet ended, established ones included.
+    pub outstanding: u64,
+    /// Servers listed.
+    pub discovered: u64,
+    /// Listed servers that are excluded or ejected now.
+    pub ejected: u64,
+    /// Of each front that rebalances, by its name.
+    pub rebalance: BTreeMap<String, RebalanceMetrics>,
+}
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -44,9 +44,9 @@
         let at = Connection {
             server: attempt.server,
             class,
-            group: connection.ask.group,
+            group: connection.request.group,
             load: connection.load,
-            key: connection.ask.key,
+            key: connection.request.key,
         };
         self.notify_rebalancer(now, pool, RebalanceEvent::Stood { connection: id, at, setup });
     }
@@ -84,7 +84,11 @@
         let servers: Vec<ServerSnapshot> = pool.table.ids().filter_map(server_snapshot).collect();
         let decision = pool.rebalance.evaluate(now, world, &servers);
         let name = pool.config.name;
-        self.effects.extend(decision.log.map(|text| super::Effect::Log(format!("{name}: {text}"))));
+        self.effects.extend(
+            decision
+                .log
+                .map(|change| super::Effect::Log(super::LogEvent::Rebalancing { pool: name, change })),
+        );
         for (server, ceiling) in decision.ceilings {
             let balancer = &mut self.pools[pool_id].balancer;
             if let Some(known) = balancer.learned_state(server) {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -6,25 +6,43 @@
 //! its server.
 
 mod admin;
+mod admin_call;
 mod attempts;
 mod client;
 mod configuration;
+mod connection_request;
+mod effect;
 mod endpoints;
 mod established;
 mod gossip;
+mod handover_state;
 mod hot_restart;
+mod ids;
 mod input;
+mod log_event;
+mod metrics;
 mod migration;
+mod outcome;
+mod pool_config;
 mod probes;
 pub mod store;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
+pub use admin_call::{AdminCall, AdminRejection, AdminResponse};
 use client::LEAVING_WAIT;
+pub use connection_request::ConnectionRequest;
+pub use effect::Effect;
 pub use endpoints::{server_id, stored_endpoint, Endpoint, EndpointList, Lifecycle};
+pub use handover_state::{EstablishedConnection, HandoverState, PoolHandoverState};
 use hot_restart::PeerProcess;
-pub use input::*;
+pub use ids::{AdminClientId, ConnectionId, PoolId};
+pub use input::Input;
+pub use log_event::LogEvent;
+pub use metrics::{ClassCounters, Metrics};
+pub use outcome::{Answer, AttemptOutcome};
+pub use pool_config::{Budget, PoolConfig, ReplicationConfig};
 use probes::Probes;
 pub use probes::{ProbeEnd, MOST_PROBES};
 use store::Store;
@@ -92,7 +110,7 @@
 struct ClientConnection {
     pool: PoolId,
     class: Option<ClassId>,
-    ask: ConnectionRequest,
+    request: ConnectionRequest,
     /// The load that its server told last.
     load: Option<f64>,
     phase: Phase,
@@ -237,8 +255,8 @@
     fn handle_input(&mut self, now: Time, input: Input) {
         match input {
             Input::ClientConnected { connection, pool } => self.on_client_connected(now, connection, pool),
-            Input::ConnectionRequested { connection, ask } => {
-                self.on_connection_requested(now, connection, ask)
+            Input::ConnectionRequested { connection, request } => {
+                self.on_connection_requested(now, connection, request)
             }
             Input::ClientDisconnected { connection } => self.on_client_disconnected(now, connection),
             Input::HandshakeTimedOut { connection } => {
@@ -469,7 +487,9 @@
                     *wake = Some(wake.map_or(at, |old| old.min(at)));
                 }
                 Action::ProbeServer { server } => self.probe(pool, server),
-                Action::Log(text) => self.effects.push(Effect::Log(text)),
+                Action::Log(text) => {
+                    self.effects.push(Effect::Log(LogEvent::BalancerChange { change: text }))
+                }
             }
         }
     }
--- /dev/null
+++ b/src/routing/pool_config.rs
@@ -0,0 +1,132 @@
+//! The reducer's configuration: its pools of servers, its replicas and the limits of its fronts.
+
+use std::net::SocketAddr;
+
+use crate::{peers, rebalance, Micros, Settings, ZoneId};
+
+/// Configuration of the replicated map.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ReplicationConfig {
+    /// Name of this replica, unique among all.
+    pub node: String,
+    /// The other replicas.
+    pub peers: Vec<SocketAddr>,
+}
+
+/// What all fronts together may use, given the limits of this machine.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Budget {
+    /// Connections without an attempt: they have not sent a request yet, or are ended and not yet closed.
+    pub waiting: usize,
+    /// Connections with a request that was admitted, established ones included.
+    pub held: usize,
+    /// Bytes buffered for a side that does not read, before no more is read from the other.
+    pub buffer: usize,
+}
+
+/// Configuration of one pool of servers.
+#[derive(Clone, Debug)]
+pub struct PoolConfig {
+    /// Name of its front.
+    pub name: &'static str,
+    /// Names of the classes, in the order of their [`crate::ClassId`]s.
+    pub classes: Vec<String>,
+    /// Names of the tenants, in the order of their [`crate::TenantId`]s.
+    pub tenants: Vec<String>,
+    /// Names of the zones, in the order of their [`crate::ZoneId`]s.
+    pub zones: Vec<String>,
+    /// Settings of the decision module.
+    pub settings: Settings,
+    /// Seed of the random draws.
+    pub seed: u64,
+    /// Where the endpoint list is watched; none where it comes from a file.
+    pub discovery: Option<SocketAddr>,
+    /// How long a client may take to send its request.
+    pub greeting: Micros,
+    /// Whether the replicated map may add servers and limit the connections.
+    pub from_store: bool,
+    /// The limit of connections where the replicated map holds none.
+    pub most_held: usize,
+    /// Time over which clients of a draining server are migrated; 0 where servers redirect them themselves.
+    pub drain_over: Micros,
+    /// An established connection whose server is silent for this long after a line is migrated; 0 for never.
+    pub silence: Micros,
+    /// Whether servers report how long messages take.
+    pub tells_delay: bool,
+    /// Whether servers report the load of a connection, in the same form.
+    pub tells_load: bool,
+    /// Names under which a probe's answer may carry a server's utilisation, the preferred first.
+    pub reports: Vec<&'static str>,
+    /// The longest time that a client waits for its answer.
+    pub longest_wait: Micros,
+    /// How established connections are migrated towards balance.
+    pub rebalance: rebalance::RebalanceConfig,
+    /// Price of 256 bytes of gossip, in requests; none where the balancers of the tier do not gossip.
+    pub peers: Option<f64>,
+}
+
+impl PoolConfig {
+    /// The part that concerns gossip between the balancers of the tier.
+    pub(super) fn gossip_config(&self) -> peers::GossipConfig {
+        peers::GossipConfig {
+            on: self.peers.is_some(),
+            price: self.peers.unwrap_or(0.0),
+            balancers: self.settings.balancers,
+            message_objective: self.settings.message_objective(),
+            holds: self.settings.word_holds(),
+            set_up_holds: self.settings.set_up_holds(),
+        }
+    }
+
+    /// The part that concerns rebalancing.
+    pub(super) fn rebalance_context(&self) -> rebalance::RebalanceContext {
+        let Settings { classes, balancers, migration_cost, slow_start_duration, .. } = &self.settings;
+        let setup_objectives = classes.iter().map(|class| class.setup_objective).filter(|&aim| aim > 0);
+        rebalance::RebalanceContext {
+            balancers: *balancers,
+            priority_weights: classes.iter().map(|class| class.priority_weight).collect(),
+            setup_objective: setup_objectives.min().unwrap_or(0),
+            message_objective: self.settings.message_objective(),
+            tells_delay: self.tells_delay,
+            migration_cost: *migration_cost,
+            slow_start_duration: *slow_start_duration,
+        }
+    }
+
+    /// This configuration as the successor of `old`. Open connections refer to their class, tenant and zone by
+    /// number, so names keep theirs; a number whose name is no longer configured has an empty name.
+    pub(super) fn replacing(mut self, old: &PoolConfig) -> PoolConfig {
+        let settings = &mut self.settings;
+        let own_zone = self.zones.get(settings.zone.0 as usize).cloned();
+        self.classes = renumber(&old.classes, &old.settings.classes, &self.classes, &mut settings.classes);
+        self.tenants = renumber(&old.tenants, &old.settings.tenants, &self.tenants, &mut settings.tenants);
+        self.zones = renumber(&old.zones, &old.zones, &self.zones, &mut self.zones.clone());
+        let own_zone = own_zone.and_then(|own| self.zones.iter().position(|zone| *zone == own));
+        settings.zone = ZoneId(own_zone.unwrap_or(0) as u16);
+        self
+    }
+}
+
+/// Returns the names in an order in which the old ones keep their places, and puts `new_items` in that order.
+fn renumber<T: Clone>(
+    old_names: &[String],
+    old_items: &[T],
+    new_names: &[String],
+    new_items: &mut Vec<T>,
+) -> Vec<String> {
+    let new_index = |name: &String| new_names.iter().position(|new| new == name);
+    let is_added = |name: &&String| !old_names.contains(name);
+    let kept_items = old_names
+        .iter()
+        .zip(old_items)
+        .map(|(name, old)| new_index(name).and_then(|index| new_items.get(index)).unwrap_or(old).clone());
+    let added_items = new_names
+        .iter()
+        .zip(new_items.iter())
+        .filter(|(name, _)| is_added(name))
+        .map(|(_, item)| item.clone());
+    *new_items = kept_items.chain(added_items).collect();
+    let kept_names =
+        old_names.iter().map(|name| if new_index(name).is_some() { name.clone() } else { String::new() });
+    kept_names.chain(new_names.iter().filter(is_added).cloned()).collect()
+}
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Effect, PoolId, State};
+use super::{Effect, LogEvent, PoolId, State};
 use crate::{Event, LoadReport, Micros, Outcome, ServerId, Time};
 
 /// So many connections for probes, out and kept for the next: descriptors are set aside for them.
@@ -79,8 +79,8 @@
                 .unwanted
                 .retain(|(server, life)| table.any(*server).is_some_and(|h| h.started == *life));
             pool.probes.unwanted.insert((server, asked));
-            let name = table.any(server).map_or("", |server| &server.name);
-            self.effects.push(Effect::Log(format!("{name} is not to be probed, it says")));
+            let name = table.any(server).map_or("", |server| &server.name).to_owned();
+            self.effects.push(Effect::Log(LogEvent::ProbesDeclined { server: name }));
         }
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -13,7 +13,7 @@
 use super::driver::Driver;
 use crate::protocol::admin;
 use crate::protocol::lines::{Cut, Lines};
-use crate::routing::{AdminResponse, Input};
+use crate::routing::{AdminRejection, AdminResponse, Input};
 
 /// Callers at a time: their descriptors are set aside for them.
 pub const MOST_CALLERS: usize = 10;
@@ -78,7 +78,7 @@
     heard.set(true);
     let reply = match line.and_then(|line| admin::call(&line)) {
         Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
-        Err(reason) => AdminResponse::No(reason.to_owned()),
+        Err(reason) => AdminResponse::No(AdminRejection::InvalidCall(reason.to_owned())),
     };
     let answered = async {
         stream.write_all(&admin::reply(&reply)).await?;
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -547,7 +547,7 @@
                     self.driver.feed(Input::ClientDisconnected { connection });
                 }
                 Step::ConnectionRequested(ask) => {
-                    self.driver.feed(Input::ConnectionRequested { connection, ask })
+                    self.driver.feed(Input::ConnectionRequested { connection, request: ask })
                 }
                 Step::Up => {
                     self.established = true;
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -19,8 +19,8 @@
 use crate::protocol::{gossip, peers, Front};
 use crate::routing::store::Gossip;
 use crate::routing::{
-    reduce, AdminClientId, AdminResponse, Answer, AttemptOutcome, ConnectionId, Effect, HandoverState, Input,
-    State,
+    reduce, AdminClientId, AdminRejection, AdminResponse, Answer, AttemptOutcome, ConnectionId, Effect,
+    HandoverState, Input, State,
 };
 use crate::{Micros, Time};
 
@@ -217,7 +217,7 @@
                         let _ = waits.send(reply);
                     }
                 }
-                Effect::Log(text) => crate::log!(info, "{text}"),
+                Effect::Log(event) => crate::log!(info, "{event}"),
                 Effect::Exit => drop(self.exit.send(())),
             }
         }
@@ -342,7 +342,7 @@
         let (sender, reply) = oneshot::channel();
         self.callers.borrow_mut().insert(admin_client, sender);
         self.feed(input(admin_client));
-        reply.await.unwrap_or_else(|_| AdminResponse::No("no answer".to_owned()))
+        reply.await.unwrap_or(AdminResponse::No(AdminRejection::NoReply))
     }
 
     /// A connection's task has ended, and its sockets are closed.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -62,7 +62,7 @@
                         let connection = harness.connect_client();
                         connections.push((connection, class));
                         open.insert(connection);
-                        Input::ConnectionRequested { connection, ask: ConnectionRequest { class: class.to_owned(), ..connection_request() } }
+                        Input::ConnectionRequested { connection, request: ConnectionRequest { class: class.to_owned(), ..connection_request() } }
                     }
                     4 | 5 => {
                         forwards += u64::from(out && !forward_request);
@@ -144,7 +144,7 @@
                 }
                 _ => {
                     let connection = harness.connect_client();
-                    harness.feed(Input::ConnectionRequested { connection, ask: connection_request() })
+                    harness.feed(Input::ConnectionRequested { connection, request: connection_request() })
                 }
             };
             for effect in effects {
@@ -278,7 +278,8 @@
         for _ in 0..count {
             harness.advance(50_000);
             let connection = harness.connect_client();
-            let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+            let effects =
+                harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
             there += effects
                 .iter()
                 .filter(|effect| matches!(effect, Effect::OpenAttempt { address: at, .. } if *at == address))
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -598,7 +598,7 @@
         let at = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
         let ask =
             ConnectionRequest { established_at: Some(at), key: Some(connection.0), ..connection_request() };
-        harness.feed(Input::ConnectionRequested { connection, ask });
+        harness.feed(Input::ConnectionRequested { connection, request: ask });
         harness.feed(Input::RequestForwarded { connection, attempt: 0 });
         harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
@@ -646,7 +646,7 @@
     let connection = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
         connection,
-        ask: ConnectionRequest {
+        request: ConnectionRequest {
             key: gone.last().map(|connection| connection.0),
             again: true,
             ..connection_request()
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -121,7 +121,7 @@
     /// A connection whose first attempt is written, and where to.
     pub fn forward_request(&mut self) -> (ConnectionId, usize) {
         let connection = self.connect_client();
-        let effects = self.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+        let effects = self.feed(Input::ConnectionRequested { connection, request: connection_request() });
         let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
             panic!("no leg: {effects:?}")
         };
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -140,7 +140,7 @@
 fn an_unwritten_leg_is_closed_when_its_host_drains_and_goes_elsewhere() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
-    let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+    let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
     let Some(Effect::OpenAttempt { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
     let server = SERVERS.iter().position(|h| harness.address(h) == *address).expect("a listed host");
     let effects = harness.drain(server);
@@ -247,7 +247,8 @@
     let standing = harness.established();
     harness.feed(Input::ShutdownRequested);
     let late = harness.connect_client();
-    let effects = harness.feed(Input::ConnectionRequested { connection: late, ask: connection_request() });
+    let effects =
+        harness.feed(Input::ConnectionRequested { connection: late, request: connection_request() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
     harness.advance(3_400_000);
     let effects = harness.feed(Input::TimerFired);
@@ -310,7 +311,7 @@
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
     let at = ConnectionRequest { established_at: Some(SERVERS[1].to_owned()), ..connection_request() };
-    let effects = harness.feed(Input::ConnectionRequested { connection, ask: at });
+    let effects = harness.feed(Input::ConnectionRequested { connection, request: at });
     let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
     assert_eq!(*address, harness.address(SERVERS[1]));
     harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::ConnectFailed });
@@ -329,7 +330,7 @@
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
     let at = ConnectionRequest { established_at: Some("s-0000dead".to_owned()), ..connection_request() };
-    let mut effects = harness.feed(Input::ConnectionRequested { connection, ask: at });
+    let mut effects = harness.feed(Input::ConnectionRequested { connection, request: at });
     for _ in 0..28 {
         harness.advance(100_000);
         effects.extend(harness.feed(Input::TimerFired));
@@ -345,7 +346,7 @@
         harness.drain(server);
     }
     let connection = harness.connect_client();
-    let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+    let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
 }
 
@@ -358,10 +359,14 @@
     let answered = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
         connection: answered,
-        ask: ConnectionRequest { class: "none".to_owned(), ..connection_request() },
+        request: ConnectionRequest { class: "none".to_owned(), ..connection_request() },
     });
     let (third, effects) = harness.connect_client_with_effects();
-    assert_eq!(effects, [Effect::SetAccepting { open: false }], "all may still ask: the next have to wait");
+    assert_eq!(
+        effects,
+        [Effect::SetAccepting { open: false }],
+        "all may still request: the next have to wait"
+    );
     harness.advance(100_000);
     let effects = harness.feed(Input::TimerFired);
     assert_eq!(
@@ -371,7 +376,7 @@
     let (_, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
     // With an attempt it is in nobody's way, and closed ones make room by themselves.
-    harness.feed(Input::ConnectionRequested { connection: third, ask: connection_request() });
+    harness.feed(Input::ConnectionRequested { connection: third, request: connection_request() });
     assert_eq!(harness.connect_client_with_effects().1, []);
     let (last, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::SetAccepting { open: false }]);
@@ -382,9 +387,10 @@
     );
     // Attempts take descriptors too: those over their budget are told to come again.
     let next = harness.connect_client();
-    harness.feed(Input::ConnectionRequested { connection: next, ask: connection_request() });
+    harness.feed(Input::ConnectionRequested { connection: next, request: connection_request() });
     let over = harness.connect_client();
-    let effects = harness.feed(Input::ConnectionRequested { connection: over, ask: connection_request() });
+    let effects =
+        harness.feed(Input::ConnectionRequested { connection: over, request: connection_request() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
 }
 
@@ -393,10 +399,10 @@
     let mut harness = ReducerHarness::new();
     let named = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..connection_request() };
     let first = harness.connect_client();
-    harness.feed(Input::ConnectionRequested { connection: first, ask: named("a") });
+    harness.feed(Input::ConnectionRequested { connection: first, request: named("a") });
     let failed = |harness: &mut ReducerHarness, ask| {
         let connection = harness.connect_client();
-        let effects = harness.feed(Input::ConnectionRequested { connection, ask });
+        let effects = harness.feed(Input::ConnectionRequested { connection, request: ask });
         effects == [Effect::Answer { connection, answer: Answer::Failed }]
     };
     assert!(failed(&mut harness, named("a")), "another's open id");
@@ -418,7 +424,7 @@
         }
     }
     let connection = harness.connect_client();
-    let effects = harness.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+    let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
     assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
 }
 
@@ -447,7 +453,7 @@
                     0..=2 => {
                         let connection = harness.connect_client();
                         connections.push((connection, harness.now));
-                        harness.feed(Input::ConnectionRequested { connection, ask: connection_request() })
+                        harness.feed(Input::ConnectionRequested { connection, request: connection_request() })
                     }
                     3 => harness.feed(Input::RequestForwarded { connection, attempt }),
                     4 => {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -120,7 +120,7 @@
     let (mut new, established) = heir(&mut old);
     assert_eq!(established, []);
     old.feed(Input::ShutdownRequested);
-    let effects = old.feed(Input::ConnectionRequested { connection: silent, ask: connection_request() });
+    let effects = old.feed(Input::ConnectionRequested { connection: silent, request: connection_request() });
     assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "turned away unheard: {effects:?}");
     let up = old.feed(Input::AttemptAccepted { connection: placing, attempt: 0 });
     assert_eq!(adopt(&mut new, &mut old, passed(&up)).len(), 1);
@@ -147,7 +147,7 @@
     let open = old.connect_client();
     old.feed(Input::ConnectionRequested {
         connection: open,
-        ask: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
+        request: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
     });
     let mut new = ReducerHarness::new();
     new.now = old.now;
@@ -173,7 +173,7 @@
         let connection = third.connect_client();
         let effects = third.feed(Input::ConnectionRequested {
             connection,
-            ask: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
+            request: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
         });
         assert_eq!(effects == [Effect::Answer { connection, answer: Answer::Failed }], answered);
     }
@@ -193,7 +193,7 @@
     for _ in 0..200 {
         old.advance(20_000);
         let connection = old.connect_client();
-        for effect in old.feed(Input::ConnectionRequested { connection, ask: connection_request() }) {
+        for effect in old.feed(Input::ConnectionRequested { connection, request: connection_request() }) {
             assert!(
                 !matches!(&effect, Effect::OpenAttempt { address: at, .. } if *at == address),
                 "{effect:?}"
@@ -246,7 +246,7 @@
         }
         assert!(old.feed(Input::PeerProcessLost).contains(&Effect::SetAccepting { open: true }));
         let connection = old.connect_client();
-        let effects = old.feed(Input::ConnectionRequested { connection, ask: connection_request() });
+        let effects = old.feed(Input::ConnectionRequested { connection, request: connection_request() });
         assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
     }
 }
@@ -305,7 +305,7 @@
         (name(), request, maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
             |(server, ask, awaiting_server_since, state)| {
                 let established =
-                    EstablishedConnection { load: ask.load, ask, server, awaiting_server_since };
+                    EstablishedConnection { load: ask.load, request: ask, server, awaiting_server_since };
                 HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
             }
         ),
@@ -382,7 +382,7 @@
                 let connection = self.harnesses[now].connect_client();
                 self.next += 1;
                 self.open.insert(self.next, Open { at: now, connection, attempt: None, stands: false });
-                self.feed(now, Input::ConnectionRequested { connection, ask: connection_request() })
+                self.feed(now, Input::ConnectionRequested { connection, request: connection_request() })
             }
             (3 | 4, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
                 self.feed(at, Input::RequestForwarded { connection, attempt })?;
@@ -638,6 +638,6 @@
     assert_eq!(established.line(), "M 2");
     drop(new);
     // Killed, it takes its clients along; who comes then is served by the one before.
-    old.log_line("the process that was to take this one's place is gone");
+    old.log_line(&LogEvent::SuccessorLost.to_string());
     assert_eq!(player(&old, 50).line(), "UP 1");
 }
