--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,71 +1,50 @@
-//! What operators ask for, and the figures that they are told.
+//! Calls of admin clients.
 
-use super::{
-    AdminCall, AdminClientId, AdminRejection, AdminResponse, ClassCounters, ConnectionId, Effect, LogEvent,
-    Metrics, PeerProcess, State,
-};
-use crate::{Micros, Time};
-
-/// The other process has so long to take in an operator's word: the answer is due within 1 s.
-const SHARE_WAIT: Micros = 500_000;
+use super::{AdminCall, AdminClientId, AdminRejection, AdminResponse, Effect, Metrics, State};
+use crate::Time;
 
 impl State {
     pub(super) fn on_admin_request(&mut self, now: Time, admin_client: AdminClientId, call: AdminCall) {
-        let reply = match call {
-            AdminCall::Ready => self.readiness().map_or_else(AdminResponse::No, |()| AdminResponse::Yes),
-            AdminCall::Telemetry => AdminResponse::Metrics(self.metrics(now)),
-            AdminCall::Exclude(server) => return self.exclude_or_include(now, admin_client, server, true),
-            AdminCall::Include(server) => return self.exclude_or_include(now, admin_client, server, false),
-        };
-        self.effects.push(Effect::AdminReply { admin_client, reply });
+        match call {
+            AdminCall::Ready => {
+                let reply = self.readiness().map_or_else(AdminResponse::No, |()| AdminResponse::Yes);
+                self.reply_to_admin_client(admin_client, reply);
+            }
+            AdminCall::Telemetry => {
+                let reply = AdminResponse::Metrics(self.metrics(now));
+                self.reply_to_admin_client(admin_client, reply);
+            }
+            AdminCall::Exclude(server) => self.exclude_or_readmit(now, admin_client, server, true),
+            AdminCall::Include(server) => self.exclude_or_readmit(now, admin_client, server, false),
+        }
     }
 
-    /// Takes a server out by hand, or back into use. Where another process serves beside this one, it has to hear
-    /// of that before the answer.
-    fn exclude_or_include(&mut self, now: Time, admin_client: AdminClientId, server: String, out: bool) {
-        let known =
-            self.ever_listed.contains(&server) || self.pools.iter().any(|pool| pool.out.contains(&server));
-        let reply = match () {
-            () if !self.listening => AdminResponse::No(AdminRejection::NotReady),
-            () if !known => AdminResponse::No(AdminRejection::UnknownServer(server)),
-            () if !self.set_exclusion(now, &server, out) => AdminResponse::No(AdminRejection::StoreFull),
-            () if self.peer_process.is_some() => {
-                self.pending_acknowledgements.insert(admin_client, now.plus(SHARE_WAIT));
-                return self.effects.push(Effect::ShareExclusion { admin_client, server, out });
-            }
-            () => AdminResponse::Yes,
-        };
+    fn reply_to_admin_client(&mut self, admin_client: AdminClientId, reply: AdminResponse) {
         self.effects.push(Effect::AdminReply { admin_client, reply });
     }
 
-    /// Whether it could be noted.
-    pub(super) fn set_exclusion(&mut self, now: Time, server: &str, out: bool) -> bool {
-        let key = format!("life/{server}");
-        if self.store.is_on() {
-            return out == self.store.get(&key).is_some() || self.write(now, &key, out.then_some("draining"));
+    /// Excludes or readmits a server. While there is a peer process, that one has to take it in before the reply.
+    fn exclude_or_readmit(&mut self, now: Time, admin_client: AdminClientId, server: String, excluded: bool) {
+        if let Err(rejection) = self.try_set_exclusion(now, &server, excluded) {
+            return self.reply_to_admin_client(admin_client, AdminResponse::No(rejection));
         }
-        let changed = if out {
-            self.excluded_by_operator.insert(server.to_owned())
-        } else {
-            self.excluded_by_operator.remove(server)
-        };
-        if changed {
-            let server = server.to_owned();
-            self.effects.push(Effect::Log(match out {
-                true => LogEvent::ServerExcluded { server },
-                false => LogEvent::ServerReadmitted { server },
-            }));
-            self.effects.push(Effect::PersistExclusions(self.excluded_by_operator.iter().cloned().collect()));
-            (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
+        if self.hot_restart.has_peer_process() {
+            return self.share_exclusion(now, admin_client, server, excluded);
         }
-        true
+        self.reply_to_admin_client(admin_client, AdminResponse::Yes);
     }
 
-    /// The other process has heard of it, or will not.
-    pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
-        if self.pending_acknowledgements.remove(&admin_client).is_some() {
-            self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
+    fn try_set_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> Result<(), AdminRejection> {
+        if !self.listening {
+            return Err(AdminRejection::NotReady);
+        }
+        if !self.is_known_server(server) {
+            return Err(AdminRejection::UnknownServer(server.to_owned()));
+        }
+        if !self.set_exclusion(now, server, excluded) {
+            return Err(AdminRejection::StoreFull);
         }
+        Ok(())
     }
 
     /// Whether this process can serve.
@@ -75,49 +54,26 @@
 
     /// Whether this process can serve, or why not.
     fn readiness(&self) -> Result<(), AdminRejection> {
-        // Danger: with discovery down nobody would ever be ready, though the list from before the start may do.
-        let listed = |pool: &super::Pool| pool.told || !pool.listed.is_empty();
-        match () {
-            () if self.shutdown_window.is_some() => Err(AdminRejection::ShuttingDown),
-            () if self.peer_process == Some(PeerProcess::Successor) => {
-                Err(AdminRejection::ReplacedBySuccessor)
-            }
-            () if !self.listening => Err(AdminRejection::NotListening),
-            () if !self.pools.iter().all(listed) => Err(AdminRejection::NoEndpointList),
-            () => Ok(()),
+        if self.shutdown.has_begun() {
+            return Err(AdminRejection::ShuttingDown);
         }
+        if self.hot_restart.successor_serves() {
+            return Err(AdminRejection::ReplacedBySuccessor);
+        }
+        if !self.listening {
+            return Err(AdminRejection::NotListening);
+        }
+        if !self.pools.iter().all(|pool| pool.listed.is_usable()) {
+            return Err(AdminRejection::NoEndpointList);
+        }
+        Ok(())
     }
 
-    /// Counts an outcome in its connection's class, if it has told one that is configured.
-    pub(super) fn count(&mut self, id: ConnectionId, add: impl FnOnce(&mut ClassCounters)) {
-        let Some((pool, class)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.class?))) else {
-            return;
-        };
-        self.pools[pool].counts.get_mut(class.0 as usize).map(add);
-    }
-
-    /// The figures, as they are now.
+    /// The metrics as they are now.
     fn metrics(&self, now: Time) -> Metrics {
-        let mut metrics = Metrics { forwards: self.forwards, ..Metrics::default() };
+        let mut metrics = Metrics { forwards: self.forwarded_requests, ..Metrics::default() };
         for pool in &self.pools {
-            // One that is no longer configured is there by no name.
-            let named = pool.config.classes.iter().zip(&pool.counts).filter(|(class, _)| !class.is_empty());
-            for (class, counts) in named {
-                let all = metrics.classes.entry(class.clone()).or_default();
-                all.succeeded += counts.succeeded;
-                all.declined += counts.declined;
-                all.aborted += counts.aborted;
-            }
-            metrics.outstanding += pool.held as u64;
-            metrics.discovered += pool.table.ids().count() as u64;
-            let by_hand =
-                |server| pool.table.any(server).is_some_and(|server| pool.out.contains(&server.name));
-            let avoided =
-                pool.table.ids().filter(|&server| by_hand(server) || pool.balancer.is_avoided(now, server));
-            metrics.ejected += avoided.count() as u64;
-            if pool.config.rebalance.on {
-                metrics.rebalance.insert(pool.config.name.to_owned(), pool.rebalance.metrics());
-            }
+            pool.add_to_metrics(now, &mut metrics);
         }
         metrics
     }
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,128 +1,176 @@
-//! The client: who connects, who asks, and how many may.
+//! Clients: who connects, what they request, and how many are admitted.
 
-use super::{
-    server_id, Answer, ClientConnection, ConnectionId, ConnectionRequest, Effect, PeerProcess, Phase, PoolId,
-    State,
-};
+use super::connection_table::{ClientConnection, Phase};
+use super::dispatch::request_id;
+use super::{server_id, Answer, ConnectionId, ConnectionRequest, PoolId, State};
 use crate::rebalance::RebalanceEvent;
-use crate::{ClassId, Event, GroupId, Micros, Outcome, RequestId, TenantId, Time};
+use crate::{ClassId, Event, GroupId, Micros, Outcome, TenantId, Time};
 
-/// How long a balancer that leaves asks refused clients to stay away: the front needs that to notice.
-pub(super) const LEAVING_WAIT: Micros = 400_000;
-/// A connection that stood before the start is tried this long.
-const ADOPT_FOR: Micros = 30_000_000;
-/// Where connections without an attempt are as many as they may be, one that has been there so long makes room.
-/// A client that means to ask does so at once; its line has to arrive.
-const ROOM_AFTER: Micros = 100_000;
+/// The Retry-After of rejections during a graceful shutdown: the front takes that long to notice it.
+pub(super) const SHUTDOWN_RETRY_AFTER: Micros = 400_000;
+/// How long attempts go on to restore a connection that was established before the start.
+const RESTORE_TIMEOUT: Micros = 30_000_000;
+/// Key of the replicated map that limits the connections of each pool.
+const CONNECTION_LIMIT_KEY: &str = "limit/connections";
+
+/// What the decision module has to know of a request.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RequestProfile {
+    pub(super) class: ClassId,
+    pub(super) tenant: Option<TenantId>,
+    pub(super) group: Option<GroupId>,
+    pub(super) load: Option<f64>,
+}
 
 impl State {
-    pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool: PoolId) {
-        let Some(entered) = self.pools.get(pool) else { return };
-        let greeting = entered.config.greeting;
-        let connection = ClientConnection {
-            pool,
-            class: None,
-            request: ConnectionRequest::default(),
-            load: None,
-            phase: Phase::Handshaking,
-            attempts: 0,
-            attempt: None,
-            due: None,
-            connected_at: now,
-            migrate_at: None,
-            awaiting_server_since: None,
-        };
-        self.connections.insert(id, connection);
-        self.set_due(id, Some(now.plus(greeting)));
-        self.waiting.insert(id, now);
+    pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
+        let Some(pool) = self.pools.get(pool_id) else { return };
+        let handshake_timeout = pool.config.greeting;
+        self.connections.insert(id, ClientConnection::new(pool_id, now));
+        self.connections.set_timer(id, Some(now.plus(handshake_timeout)));
+        self.admission.begin_waiting(now, id);
         self.make_room(now);
     }
 
-    /// Danger: hundreds that connect and say nothing, or do not go when they are answered, would use up the
-    /// descriptors. The oldest makes room; where all are too fresh to judge, the fronts stop accepting.
-    pub(super) fn make_room(&mut self, now: Time) {
-        let full = |state: &State| state.waiting.len() + state.borrowed_descriptors() >= state.budget.waiting;
-        let mut room_at = None;
-        while let Some((&id, &since)) = self.waiting.iter().min_by_key(|(_, at)| **at).filter(|_| full(self))
-        {
-            if now.since(since) < ROOM_AFTER {
-                room_at = Some(since.plus(ROOM_AFTER));
-                break;
-            }
-            self.release(now, id);
-            self.waiting.remove(&id);
-            self.effects.push(Effect::AbortConnection { connection: id });
-        }
-        if room_at.is_some() != self.shut.is_some() {
-            self.effects.push(Effect::SetAccepting { open: room_at.is_none() && !self.yields_accepting() });
+    pub(super) fn on_handshake_timed_out(&mut self, now: Time, id: ConnectionId) {
+        if self.connections.get_handshaking(id).is_some() {
+            self.answer(now, id, Answer::HandshakeTimedOut);
         }
-        self.shut = room_at;
     }
 
-    pub(super) fn on_connection_requested(&mut self, now: Time, id: ConnectionId, ask: ConnectionRequest) {
-        let Some(connection) = self.connections.get(&id).filter(|a| a.phase == Phase::Handshaking) else {
-            return;
+    pub(super) fn on_connection_requested(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        request: ConnectionRequest,
+    ) {
+        let Some(connection) = self.connections.get_handshaking(id) else { return };
+        let pool_id = connection.pool;
+        self.classify_connection(id, pool_id, &request);
+        if let Some(rejection) = self.check_admission(id, pool_id) {
+            return self.answer(now, id, rejection);
+        }
+        let Some(profile) = self.profile_request(id, pool_id, &request) else {
+            return self.answer(now, id, Answer::Failed);
         };
-        let (pool_id, connected_at) = (connection.pool, connection.connected_at);
-        let greeting = self.pools[pool_id].config.greeting;
-        let index = |names: &[String], name: &str| names.iter().position(|n| !name.is_empty() && n == name);
-        let class = index(&self.pools[pool_id].config.classes, &ask.class).map(|n| ClassId(n as u16));
-        self.connections.entry(id).and_modify(|connection| connection.class = class);
-        if self.shutdown_window.is_some() && self.peer_process != Some(PeerProcess::Successor) {
-            // What still arrives at a balancer that leaves is answered, and told to come again. Where another
-            // process has taken its place, servers are served by that one just the same.
-            return self.answer(now, id, self.reject_with_retry_after(id, LEAVING_WAIT));
+        self.admit(now, id, pool_id, &request);
+        match &request.established_at {
+            Some(server) => self.restore_connection(now, id, pool_id, profile, server),
+            None => self.place_connection(now, id, pool_id, profile, request.wait),
+        }
+    }
+
+    /// Notes a connection's class, by which all that becomes of it is counted.
+    fn classify_connection(&mut self, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
+        // Classes that are no longer configured have an empty name, which must not be matched.
+        let class = Some(&request.class).filter(|class| !class.is_empty());
+        let class = class.and_then(|class| self.pools[pool_id].config.class_id(class));
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.class = class;
         }
-        let held: usize = self.pools.iter().map(|pool| pool.held).sum();
+    }
+
+    /// The rejection of a request for which there is no room, or no time.
+    fn check_admission(&self, id: ConnectionId, pool_id: PoolId) -> Option<Answer> {
+        // During a graceful shutdown clients still arrive, and are better served elsewhere. Where a successor
+        // serves on the same machine, those that came here before are served as usual.
+        if self.shutdown.has_begun() && !self.hot_restart.successor_serves() {
+            return Some(self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
+        }
+        if self.is_at_connection_limit(pool_id) {
+            let wait = self.pools[pool_id].config.settings.max_retry_after / 2;
+            return Some(self.reject_with_retry_after(id, wait));
+        }
+        None
+    }
+
+    fn is_at_connection_limit(&self, pool_id: PoolId) -> bool {
+        let pool = &self.pools[pool_id];
+        let replicated = self.replication.map().get(CONNECTION_LIMIT_KEY);
+        let limit = replicated.filter(|_| pool.config.from_store).and_then(|text| text.parse().ok());
+        let limit: usize = limit.unwrap_or(pool.config.most_held);
+        let all: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
+        pool.admitted.count() >= limit || all >= self.admission.budget().held
+    }
+
+    /// Looks up the names in a request. None for one that names what is not configured, which servers could only
+    /// reject; and for one whose id is that of an open connection, as whoever counts by id would confuse the two.
+    fn profile_request(
+        &self,
+        id: ConnectionId,
+        pool_id: PoolId,
+        request: &ConnectionRequest,
+    ) -> Option<RequestProfile> {
         let pool = &self.pools[pool_id];
-        let limit = self.store.get("limit/connections").filter(|_| pool.config.from_store);
-        let limit = limit.and_then(|text| text.parse().ok()).unwrap_or(pool.config.most_held);
-        if pool.held >= limit || held >= self.budget.held {
-            let wait = pool.config.settings.max_retry_after / 2;
-            return self.answer(now, id, self.reject_with_retry_after(id, wait));
+        let class = self.connections.get(id).and_then(|connection| connection.class)?;
+        // Tenants that are no longer configured have an empty name, which must not be matched.
+        let named_tenant = request.tenant.as_deref();
+        let tenant =
+            named_tenant.filter(|name| !name.is_empty()).and_then(|name| pool.config.tenant_id(name));
+        let is_unknown_tenant = named_tenant.is_some() && tenant.is_none() && !pool.config.tenants.is_empty();
+        if is_unknown_tenant || pool.admitted.has_id_of(request) {
+            return None;
         }
-        let tenants = &pool.config.tenants;
-        let tenant = ask.tenant.as_deref().map(|name| index(tenants, name).map(|n| TenantId(n as u16)));
-        // Danger: what names nothing that is configured is no request; servers could only turn it away. And
-        // two that pass for one would have their answers mixed up by whoever counts them.
-        let taken =
-            ask.id.as_ref().is_some_and(|id| pool.ids.contains(id) || pool.held_by_predecessor.contains(id));
-        let (Some(class), false) = (class, taken || tenant == Some(None) && !tenants.is_empty()) else {
-            return self.answer(now, id, Answer::Failed);
-        };
-        let tenant = tenant.flatten();
-        self.waiting.remove(&id);
+        Some(RequestProfile { class, tenant, group: request.group.map(GroupId), load: request.load })
+    }
+
+    fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
+        self.admission.end_waiting(id);
         self.make_room(now);
         let pool = &mut self.pools[pool_id];
-        pool.held += 1;
-        pool.ids.extend(ask.id.clone());
-        self.connections.entry(id).and_modify(|connection| connection.request = ask.clone());
-        let arrived = RebalanceEvent::Arrived { connection: id, key: ask.key, again: ask.again };
-        pool.rebalance.take(now, arrived);
-        let (group, load, request) = (ask.group.map(GroupId), ask.load, RequestId(id.0));
-        self.set_due(id, None);
-        let Some(name) = ask.established_at else {
-            self.phase(id, Phase::Connecting);
-            let deadline = ask.wait.map_or(connected_at.plus(greeting), |wait| now.plus(wait));
-            let event = Event::RequestArrived { request, class, tenant, group, load, deadline };
-            return self.dispatch(now, pool_id, event);
-        };
-        let server = server_id(&name);
-        self.phase(id, Phase::Restoring(now.plus(ADOPT_FOR), server));
-        self.dispatch(
-            now,
-            pool_id,
-            Event::ConnectionRestored { request, class, tenant, group, load, server },
-        );
-        self.adopt_again(now, id, now.plus(ADOPT_FOR), server);
+        pool.admitted.add(request);
+        let (key, again) = (request.key, request.again);
+        pool.rebalance.take(now, RebalanceEvent::Arrived { connection: id, key, again });
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.request = request.clone();
+        }
+        self.connections.set_timer(id, None);
+    }
+
+    /// Has the decision module choose a server.
+    fn place_connection(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        pool_id: PoolId,
+        profile: RequestProfile,
+        wait: Option<Micros>,
+    ) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let handshake_deadline = connection.connected_at.plus(self.pools[pool_id].config.greeting);
+        let deadline = wait.map_or(handshake_deadline, |wait| now.plus(wait));
+        self.connections.set_phase(id, Phase::Connecting);
+        let RequestProfile { class, tenant, group, load } = profile;
+        let request = request_id(id);
+        let event = Event::RequestArrived { request, class, tenant, group, load, deadline };
+        self.dispatch(now, pool_id, event);
+    }
+
+    /// Sets a connection up again at the server where it was established before this process started.
+    fn restore_connection(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        pool_id: PoolId,
+        profile: RequestProfile,
+        server: &str,
+    ) {
+        let server = server_id(server);
+        let until = now.plus(RESTORE_TIMEOUT);
+        self.connections.set_phase(id, Phase::Restoring { until, server });
+        let RequestProfile { class, tenant, group, load } = profile;
+        let request = request_id(id);
+        let event = Event::ConnectionRestored { request, class, tenant, group, load, server };
+        self.dispatch(now, pool_id, event);
+        self.continue_restoring(now, id, until, server);
     }
 
     pub(super) fn on_client_disconnected(&mut self, now: Time, id: ConnectionId) {
-        let Some(connection) = self.connections.get(&id) else { return };
-        let (pool, phase) = (connection.pool, connection.phase);
-        if phase == Phase::Connecting {
-            self.dispatch(now, pool, Event::ClientLeft { request: RequestId(id.0) });
+        let Some(connection) = self.connections.get(id) else { return };
+        let pool = connection.pool;
+        if connection.phase == Phase::Connecting {
+            self.dispatch(now, pool, Event::ClientLeft { request: request_id(id) });
         }
-        self.end(now, id, Outcome::Cancelled);
+        self.end_connection(now, id, Outcome::Cancelled);
     }
 }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,17 +1,17 @@
-//! The endpoint list: the servers that discovery lists, and their numbers in the module.
+//! The endpoint list: the servers in use, and their numbers in the decision module.
 
 use std::collections::BTreeMap;
 
 use crate::{CellId, EndpointEntry, EndpointState, ServerId, Time, ZoneId};
 
-/// Where a server is in its life, as listed.
+/// A server's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes what is new.
+    /// It takes new connections.
     Ready,
-    /// It finishes what it has.
+    /// It keeps its connections and takes no new ones.
     Draining,
-    /// It is no more.
+    /// It is not there any more.
     Gone,
 }
 
@@ -20,80 +20,96 @@
 pub struct Endpoint {
     /// Its name, the same at every balancer.
     pub name: String,
-    /// Where this balancer reaches it.
+    /// The address at which this balancer reaches it.
     pub address: String,
     /// Name of its zone.
     pub zone: String,
     /// Its cell.
     pub cell: u32,
-    /// Where it is in its life.
+    /// Its state.
     pub lifecycle: Lifecycle,
-    /// Its size against the others'.
+    /// Its capacity relative to the others.
     pub weight: f64,
-    /// When it last started, if not long ago.
+    /// When its process started, if not long ago.
     pub started: Option<Time>,
 }
 
-/// The servers known, by their numbers.
+/// The servers of the list in effect, by their numbers.
 #[derive(Default)]
 pub struct EndpointList {
     endpoints: BTreeMap<ServerId, Endpoint>,
 }
 
 impl EndpointList {
-    /// The server, if new attempts may go there.
-    pub fn ready(&self, endpoint: ServerId) -> Option<&Endpoint> {
-        self.any(endpoint).filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
+    /// The server, if it takes new connections.
+    pub fn get_ready(&self, server: ServerId) -> Option<&Endpoint> {
+        self.get(server).filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
     }
 
-    /// The server, if it is listed at all.
-    pub fn any(&self, endpoint: ServerId) -> Option<&Endpoint> {
-        self.endpoints.get(&endpoint)
+    /// The server, if it is listed.
+    pub fn get(&self, server: ServerId) -> Option<&Endpoint> {
+        self.endpoints.get(&server)
     }
 
-    /// All that are listed.
+    /// All that are listed, in the order of their numbers.
     pub fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.endpoints.keys().copied()
     }
 
-    /// Takes in all servers, and returns them in the module's terms.
-    pub fn follow(
+    /// Puts another list in place, and returns it for the decision module. `zones` are the names in the order of
+    /// the module's zones.
+    pub fn replace(
         &mut self,
         endpoints: impl Iterator<Item = Endpoint>,
         zones: &[String],
     ) -> Vec<EndpointEntry> {
         self.endpoints = endpoints.map(|endpoint| (server_id(&endpoint.name), endpoint)).collect();
-        let listed = |(&server, endpoint): (&ServerId, &Endpoint)| EndpointEntry {
+        self.endpoints.iter().map(|(&server, endpoint)| endpoint.to_entry(server, zones)).collect()
+    }
+}
+
+impl Endpoint {
+    fn to_entry(&self, server: ServerId, zones: &[String]) -> EndpointEntry {
+        // A zone that is not configured gets a number that none has.
+        let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(usize::MAX);
+        EndpointEntry {
             server,
-            zone: ZoneId(zones.iter().position(|z| *z == endpoint.zone).unwrap_or(usize::MAX) as u16),
-            cell: CellId(endpoint.cell),
-            state: match endpoint.lifecycle {
+            zone: ZoneId(zone as u16),
+            cell: CellId(self.cell),
+            state: match self.lifecycle {
                 Lifecycle::Ready => EndpointState::Serving,
                 Lifecycle::Draining => EndpointState::Draining,
                 Lifecycle::Gone => EndpointState::Gone,
             },
-            started: endpoint.started,
-            weight: endpoint.weight,
-        };
-        self.endpoints.iter().map(listed).collect()
+            started: self.started,
+            weight: self.weight,
+        }
     }
 }
 
-/// A server as the store holds it: its address, and then its zone and weight where they are told.
+/// Parses a server's entry in the replicated map: its address, followed by its zone and weight if given.
 pub fn stored_endpoint(name: &str, text: &str) -> Option<Endpoint> {
-    let mut words = text.split_ascii_whitespace();
-    let address = words.next()?.parse::<std::net::SocketAddr>().ok()?.to_string();
-    let (zone, weight) = (words.next().unwrap_or("").to_owned(), words.next().unwrap_or("1"));
-    let weight = weight.parse().ok()?;
+    let mut fields = text.split_ascii_whitespace();
+    let address = fields.next()?.parse::<std::net::SocketAddr>().ok()?.to_string();
+    let zone = fields.next().unwrap_or("").to_owned();
+    let weight = fields.next().unwrap_or("1").parse().ok()?;
     let (name, lifecycle) = (name.to_owned(), Lifecycle::Ready);
     Some(Endpoint { name, address, zone, cell: 0, lifecycle, weight, started: None })
 }
 
-/// A server's number: the one in its name (`s-5be2a07c`), or a hash of a name that holds none. The same at
-/// every balancer, which the module needs to place groups alike.
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+const FNV_PRIME: u32 = 0x0100_0193;
+/// Length of the hexadecimal number at the end of a server's name.
+const SERVER_NUMBER_DIGITS: usize = 8;
+
+/// A server's number: the one at the end of its name (`s-5be2a07c`), or a hash of a name without one. It has to be
+/// the same at every balancer for groups to be placed alike.
 pub fn server_id(name: &str) -> ServerId {
-    let hex = name.rsplit('-').next().filter(|hex| hex.len() == 8);
-    let number = hex.and_then(|hex| u32::from_str_radix(hex, 16).ok());
-    let hash = || name.bytes().fold(0x811c_9dc5, |h: u32, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
-    ServerId(number.unwrap_or_else(hash))
+    let last_part = name.rsplit('-').next().filter(|part| part.len() == SERVER_NUMBER_DIGITS);
+    let number = last_part.and_then(|part| u32::from_str_radix(part, 16).ok());
+    ServerId(number.unwrap_or_else(|| fnv1a_hash(name)))
+}
+
+fn fnv1a_hash(text: &str) -> u32 {
+    text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,166 +1,121 @@
-//! Connections that stand, their moves and their ends.
+//! Established connections: what passes over them, what their servers report, and their migration.
 
-use super::{Answer, Attempt, ConnectionId, Effect, LogEvent, PeerProcess, Phase, State};
+use super::dispatch::request_id;
+use super::{Answer, ConnectionId, PoolId, State};
 use crate::peers::Observation;
 use crate::rebalance::RebalanceEvent;
-use crate::{Event, Measurement, Micros, Outcome, RequestId, Time};
+use crate::{Event, Measurement, Micros, Outcome, ServerId, Time};
 
-/// A balancer that is told to leave has the longest wait of its clients for it, at most so long, and
-/// something more, of which a part is kept to be gone in good time.
-const LEAVING_WAITS: Micros = 3_000_000;
-const LEAVING_MORE: Micros = 400_000;
-/// From when it moves its clients, until so long before the end. Danger: all in one wave, or sooner than they
-/// must, they come to the others while one of those may be starting again itself.
-pub(super) const LEAVING_FROM: Micros = 50_000;
-const LEAVING_REST: Micros = 300_000;
-/// It stays so long even if it holds nothing: connections go on coming until the front has noticed.
-const LEAVING_STAY: Micros = 1_000_000;
-
-/// A figure under this share of the mean load is no load: the least load seen over 5,000 of them, of an
-/// idle connection, was 1/52 of the mean.
-const LEAST_LOAD: f64 = 1.0 / 64.0;
-/// A server that is slow says so every second; a figure this near its last, after at most so long, is the next.
-const SLOW_FACTOR: f64 = 2.5;
-const SLOW_GAP: Micros = 1_300_000;
+const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
 impl State {
+    /// A line went to the server: from the first one without an answer on, its silence counts.
+    pub(super) fn on_line_forwarded(&mut self, now: Time, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.awaiting_server_since.get_or_insert(now);
+        }
+    }
+
     pub(super) fn on_server_activity(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&id).filter(|a| a.phase == Phase::Established) else {
+        if self.connections.get_established(id).is_none() {
             return;
-        };
-        connection.awaiting_server_since = None;
+        }
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.awaiting_server_since = None;
+        }
     }
 
-    /// Danger: servers may tell two figures by the same word, a connection's load and, every second while it
-    /// is long, the time that a message takes; the settings say which are told. Taken for a load, that time makes
-    /// the heaviest server look empty, and more is sent there.
-    pub(super) fn on_load_reported(&mut self, now: Time, id: ConnectionId, figure: f64) {
-        let Some((pool_id, attempt)) = self.connections.get(&id).and_then(|a| Some((a.pool, a.attempt?)))
-        else {
-            return;
-        };
-        // Danger: one senseless figure would spoil the means for good.
-        if !(figure.is_finite() && figure >= 0.0) {
+    pub(super) fn on_load_reported(&mut self, now: Time, id: ConnectionId, value: f64) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let Some(attempt) = connection.attempt() else { return };
+        // A single value that is not a number, or negative, would spoil the means for good.
+        if !(value.is_finite() && value >= 0.0) {
             return;
         }
-        let pool = &mut self.pools[pool_id];
-        let mean = pool.loads.0 / f64::max(pool.loads.1, 1.0);
-        let last = pool.slow.get(&attempt.server).filter(|(at, _)| now.since(*at) <= SLOW_GAP);
-        let goes_on =
-            last.is_some_and(|&(_, took)| (took / SLOW_FACTOR..took * SLOW_FACTOR).contains(&figure));
-        let delay = figure < mean * LEAST_LOAD || goes_on || !pool.config.tells_load;
-        let measurement = if pool.config.tells_delay && delay {
-            pool.slow.insert(attempt.server, (now, figure));
-            let took = (figure.max(0.0) * 1000.0) as Micros;
-            pool.rebalance.take(now, RebalanceEvent::Delay { server: attempt.server, took });
-            self.broadcast_observation(now, pool_id, Observation::SlowServer(attempt.server, took));
-            Measurement::MessageTime(took)
+        let pool_id = connection.pool;
+        let pool = &self.pools[pool_id];
+        let measurement = if pool.load_reports.is_message_time(now, attempt.server, value, &pool.config) {
+            self.take_message_time(now, pool_id, attempt.server, value)
         } else {
-            pool.loads = (pool.loads.0 + figure, pool.loads.1 + 1.0);
-            pool.rebalance.take(now, RebalanceEvent::Load { connection: id, load: figure });
-            self.connections.entry(id).and_modify(|connection| connection.load = Some(figure));
-            Measurement::Load(figure)
+            self.take_load(now, pool_id, id, value)
         };
-        self.dispatch(now, pool_id, Event::ConnectionMeasured { request: RequestId(id.0), measurement });
+        self.dispatch(now, pool_id, Event::ConnectionMeasured { request: request_id(id), measurement });
     }
 
-    /// Ends a connection whose answer was given or is not owed any more, whatever of it is out.
-    pub(super) fn end(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
-        let Some((pool, phase)) = self.connections.get(&id).map(|a| (a.pool, a.phase)) else { return };
-        // Whoever is moved or cut off has told so before: of these nothing is known any more.
-        let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        self.notify_rebalancer(now, pool, RebalanceEvent::Ended { connection: id, natural });
-        let attempt = self.release(now, id);
-        let attempt = match (phase, attempt) {
-            // To the module an adopted connection stands by its attempt 0, however often it was tried.
-            (Phase::Restoring(..), _) => Some(0),
-            (_, attempt) => attempt.map(|attempt| attempt.number),
-        };
-        if let Some(attempt) = attempt {
-            self.effects.push(Effect::CloseAttempt { connection: id });
-            let request = RequestId(id.0);
-            self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
-        }
+    fn take_message_time(
+        &mut self,
+        now: Time,
+        pool_id: PoolId,
+        server: ServerId,
+        message_time_ms: f64,
+    ) -> Measurement {
+        let pool = &mut self.pools[pool_id];
+        pool.load_reports.add_message_time(now, server, message_time_ms);
+        let took = (message_time_ms.max(0.0) * MICROS_PER_MILLISECOND) as Micros;
+        pool.rebalance.take(now, RebalanceEvent::Delay { server, took });
+        self.broadcast_observation(now, pool_id, Observation::SlowServer(server, took));
+        Measurement::MessageTime(took)
     }
 
-    /// Its sockets stay for a while: it waits to be closed.
-    pub(super) fn release(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
-        let attempt = self.drop_attempt(id);
-        self.set_due(id, None);
-        if let Some(connection) = self.connections.remove(&id) {
-            self.waiting.insert(id, now);
-            let pool = &mut self.pools[connection.pool];
-            pool.rebalance.take(now, RebalanceEvent::Ended { connection: id, natural: false });
-            pool.held -= usize::from(connection.phase != Phase::Handshaking);
-            connection.request.id.map(|id| pool.ids.remove(&id));
+    fn take_load(&mut self, now: Time, pool_id: PoolId, id: ConnectionId, load: f64) -> Measurement {
+        let pool = &mut self.pools[pool_id];
+        pool.load_reports.add_load(load);
+        pool.rebalance.take(now, RebalanceEvent::Load { connection: id, load });
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.load = Some(load);
         }
-        attempt
+        Measurement::Load(load)
     }
 
-    /// The client is told to come again, and both sides are closed.
-    pub(super) fn migrate(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
-        self.send_answer(now, id, Answer::Migrated);
-        self.cut_short(now, id);
-        self.end(now, id, outcome);
-    }
-
-    /// Sets a standing connection's timer: for its move, or for the silence of its server.
+    /// Sets an established connection's timer: for its migration, or for the silence of its server.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
-        let Some(connection) = self.connections.get(&id) else { return };
-        let silence = self.pools[connection.pool].config.silence;
-        let silent = (silence > 0).then(|| connection.awaiting_server_since.unwrap_or(now).plus(silence));
-        self.set_due(id, connection.migrate_at.into_iter().chain(silent).min());
+        let Some(connection) = self.connections.get(id) else { return };
+        let max_silence = self.pools[connection.pool].config.silence;
+        let silent_from = connection.awaiting_server_since.unwrap_or(now);
+        let silent_until = (max_silence > 0).then(|| silent_from.plus(max_silence));
+        let due = connection.migrate_at.into_iter().chain(silent_until).min();
+        self.connections.set_timer(id, due);
     }
 
-    /// A standing connection's timer is due.
     pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
-        let Some(connection) = self.connections.get(&id) else { return };
-        let silence = self.pools[connection.pool].config.silence;
-        // Danger: a server that vanished says nothing; its clients would wait for ever.
-        if silence > 0 && connection.awaiting_server_since.is_some_and(|at| at.plus(silence) <= now) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let max_silence = self.pools[connection.pool].config.silence;
+        // A server that vanished closes nothing: its clients would wait for ever.
+        let is_silent = max_silence > 0
+            && connection.awaiting_server_since.is_some_and(|since| since.plus(max_silence) <= now);
+        let is_to_migrate = connection.migrate_at.is_some_and(|at| at <= now);
+        if is_silent {
             self.migrate(now, id, Outcome::Reset);
-        } else if connection.migrate_at.is_some_and(|at| at <= now) {
+        } else if is_to_migrate {
             self.migrate(now, id, Outcome::Cancelled);
         } else {
             self.schedule_established_timer(now, id);
         }
     }
 
-    /// Has standing connections moved one by one: all in one wave would hit the others at once.
+    /// Has the client reconnect, and closes both sides.
+    pub(super) fn migrate(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
+        self.send_answer(now, id, Answer::Migrated);
+        self.notify_interrupted(now, id);
+        self.end_connection(now, id, outcome);
+    }
+
+    /// Has connections migrate one by one, starting after `delay` and spread over `duration`: all at once would
+    /// overload the other servers. Those that are to migrate sooner already do.
     pub(super) fn migrate_gradually(
         &mut self,
         now: Time,
-        established: &[ConnectionId],
-        from: Micros,
-        over: Micros,
+        connections: &[ConnectionId],
+        delay: Micros,
+        duration: Micros,
     ) {
-        let gap = over / established.len().max(1) as u64;
-        for (n, &id) in established.iter().enumerate() {
-            let at = now.plus(from + gap * n as u64 + gap / 2);
-            let Some(connection) = self.connections.get_mut(&id) else { continue };
-            connection.migrate_at = Some(connection.migrate_at.map_or(at, |old| old.min(at)));
+        let interval = duration / connections.len().max(1) as u64;
+        for (index, &id) in connections.iter().enumerate() {
+            let migrate_at = now.plus(delay + interval * index as u64 + interval / 2);
+            let Some(connection) = self.connections.get_mut(id) else { continue };
+            let earliest = connection.migrate_at.map_or(migrate_at, |earlier| earlier.min(migrate_at));
+            connection.migrate_at = Some(earliest);
             self.schedule_established_timer(now, id);
         }
     }
-
-    pub(super) fn begin_shutdown(&mut self, now: Time) {
-        if self.shutdown_window.is_some() {
-            return;
-        }
-        let longest = self.pools.iter().map(|p| p.config.longest_wait).max().unwrap_or(0);
-        let stay = longest.min(LEAVING_WAITS) + LEAVING_MORE;
-        // Where another process has taken its place nothing new comes here.
-        let succeeded = self.peer_process == Some(PeerProcess::Successor);
-        let least = if succeeded { 0 } else { LEAVING_STAY.min(stay) };
-        self.shutdown_window = Some((now.plus(least), now.plus(stay)));
-        let established: Vec<ConnectionId> = self
-            .connections
-            .iter()
-            .filter(|(_, a)| a.phase == Phase::Established)
-            .map(|(&id, _)| id)
-            .collect();
-        let over = stay.saturating_sub(LEAVING_FROM + LEAVING_REST);
-        self.migrate_gradually(now, &established, LEAVING_FROM, over);
-        self.effects.push(Effect::Log(LogEvent::ShutdownStarted { connections: self.connections.len() }));
-    }
 }
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -1,91 +1,40 @@
-//! The store: what other nodes and commands say, and what they are told.
+//! Gossip between the balancers of the tier: observations of servers, sent and received.
 
-use std::net::SocketAddr;
-
-use super::store::{Entry, Gossip};
-use super::{Effect, LogEvent, State};
-use crate::{Micros, Time};
-
-/// Between two digests that a node sends.
-const GOSSIP_GAP: Micros = 500_000;
+use super::{Effect, PoolId, State};
+use crate::peers::{GossipMessage, Observation};
+use crate::{Event, Time};
 
 impl State {
-    pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, gossip: Gossip) {
-        // Danger: what holds for all nodes is taken from the nodes only.
-        if !matches!(gossip, Gossip::Write { .. }) && !self.peers.contains(&from) {
-            return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownPeer { from }));
+    pub(super) fn on_gossip_received(&mut self, now: Time, pool_id: PoolId, message: GossipMessage) {
+        let pool = &mut self.pools[pool_id];
+        // Observations of servers that are not listed would fill the memory, and have no meaning here.
+        let is_listed = |server| pool.endpoints.get(server).is_some();
+        if !message.observation.server().is_none_or(is_listed) {
+            return;
         }
-        match gossip {
-            Gossip::Digest { wanted, buckets } => {
-                let sent = self.store.repair(&buckets);
-                if wanted && (!sent.is_empty() || buckets != self.store.digest()) {
-                    let digest = Gossip::Digest { wanted: false, buckets: self.store.digest() };
-                    self.effects.push(Effect::SendReplicaMessage((from, digest)));
-                }
-                self.effects
-                    .extend(sent.into_iter().map(|gossip| Effect::SendReplicaMessage((from, gossip))));
-            }
-            Gossip::Entry { key, entry } => {
-                if let Some(entry) = self.store.hear(&key, entry) {
-                    self.on_entry_stored(now, key, entry);
-                }
-            }
-            // Danger: an operator's word is taken from this machine only.
-            Gossip::Write { key, value } if from.ip().is_loopback() => {
-                if self.write(now, &key, value.as_deref()) {
-                    let entry = self.store.entry(&key).cloned();
-                    let told = entry.map(|entry| Gossip::Entry { key, entry });
-                    self.effects.extend(told.map(|told| Effect::SendReplicaMessage((from, told))));
-                }
-            }
-            Gossip::Write { .. } => self.effects.push(Effect::Log(LogEvent::RemoteWriteIgnored { from })),
-        }
-    }
-
-    /// What was kept of an earlier life takes effect.
-    pub(super) fn on_state_restored(
-        &mut self,
-        now: Time,
-        entries: Vec<(String, Entry)>,
-        excluded_by_operator: Vec<String>,
-    ) {
-        self.excluded_by_operator.extend(excluded_by_operator);
-        for (key, entry) in entries {
-            self.store.take(&key, entry);
+        if !pool.peers.heard(now, message.observation) {
+            return;
         }
-        (0..self.pools.len()).for_each(|pool| self.refresh(now, pool));
-    }
-
-    /// Writes a key at this node, and tells the others.
-    pub(super) fn write(&mut self, now: Time, key: &str, value: Option<&str>) -> bool {
-        let Some(entry) = self.store.write(key, value) else { return false };
-        let told = Gossip::Entry { key: key.to_owned(), entry: entry.clone() };
-        self.on_entry_stored(now, key.to_owned(), entry);
-        // Others hear of it at once; where that is lost, digests find it out.
-        self.effects.extend(self.peers.iter().map(|&peer| Effect::SendReplicaMessage((peer, told.clone()))));
-        true
+        self.dispatch(now, pool_id, Event::PeerGroupSample(&message.groups));
+        self.dispatch(now, pool_id, event_of(message.observation));
     }
 
-    /// The store has news: they are kept, and take effect.
-    pub(super) fn on_entry_stored(&mut self, now: Time, key: String, entry: Entry) {
-        let (key_name, node) = (key.clone(), entry.node.clone());
-        self.effects.push(Effect::Log(match entry.value.clone() {
-            Some(value) => LogEvent::EntryStored { key: key_name, value, node },
-            None => LogEvent::EntryDeleted { key: key_name, node },
-        }));
-        let server = key.starts_with("life/") || key.starts_with("host/");
-        self.effects.push(Effect::PersistEntry { key, entry });
-        for pool in (0..self.pools.len()).filter(|_| server) {
-            self.refresh(now, pool);
+    /// Sends an observation to the other balancers if that is worth its cost, with a sample of the groups whose
+    /// connections are established here.
+    pub(super) fn broadcast_observation(&mut self, now: Time, pool_id: PoolId, observation: Observation) {
+        let pool = &mut self.pools[pool_id];
+        if pool.peers.tell(now, observation) {
+            let groups = pool.peers.sample(pool.balancer.established_groups());
+            self.effects.push(Effect::BroadcastGossip(GossipMessage { observation, groups }));
         }
     }
+}
 
-    /// One of the others is sent a digest each time.
-    pub(super) fn send_digest(&mut self, now: Time) {
-        let Some(&peer) = self.peers.get(self.next_peer % self.peers.len().max(1)) else { return };
-        self.next_peer += 1;
-        self.next_gossip_at = Some(now.plus(GOSSIP_GAP));
-        let digest = Gossip::Digest { wanted: true, buckets: self.store.digest() };
-        self.effects.push(Effect::SendReplicaMessage((peer, digest)));
+/// An observation as an event of the decision module.
+fn event_of(observation: Observation) -> Event<'static> {
+    match observation {
+        Observation::SlowServer(server, took) => Event::PeerObservation { server, took: Some(took) },
+        Observation::Dropped(server) => Event::PeerObservation { server, took: None },
+        Observation::SlowSetUps => Event::PeerSetupSlow,
     }
 }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -1,49 +1,48 @@
-//! Rebalancing, on the reducer's side: what it is told, and how its moves are carried out.
+//! Rebalancing, on the reducer's side: what it is notified of, and how its decisions are carried out.
 
-use super::{ConnectionId, PoolId, State};
+use super::{ConnectionId, Effect, LogEvent, PoolId, State};
 use crate::rebalance::view::Connection;
-use crate::rebalance::{RebalanceEvent, RebalanceMetrics, ServerSnapshot, SystemConditions};
+use crate::rebalance::{Decision, RebalanceEvent, RebalanceMetrics, ServerSnapshot, SystemConditions};
 use crate::{LearnedState, Micros, Outcome, ServerId, Time};
 
+use super::pool::Pool;
+
+/// The least share of its capacity that a server counts with while it warms up.
+const MIN_WARMTH: f64 = 0.01;
+/// The weight of a server whose listed one is no positive number.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+// ---- Notifications ----
+
 impl State {
-    /// Tells a pool's rebalancing.
-    pub(super) fn notify_rebalancer(&mut self, now: Time, pool: PoolId, word: RebalanceEvent) {
+    pub(super) fn notify_rebalancer(&mut self, now: Time, pool: PoolId, event: RebalanceEvent) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.rebalance.take(now, word);
+            pool.rebalance.take(now, event);
         }
     }
 
-    /// A connection was refused or failed.
-    pub(super) fn declined(&mut self, now: Time, id: ConnectionId) {
-        if let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) {
+    /// A connection was rejected or failed.
+    pub(super) fn notify_declined(&mut self, now: Time, id: ConnectionId) {
+        if let Some(pool) = self.connections.pool_of(id) {
             self.notify_rebalancer(now, pool, RebalanceEvent::Declined { connection: id });
         }
     }
 
-    /// What a pool's rebalancing did, where it is on: for models and tests.
-    pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
-        let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.on)?;
-        Some(pool.rebalance.metrics())
-    }
-
-    /// A standing connection ends before its own end.
-    pub(super) fn cut_short(&mut self, now: Time, id: ConnectionId) {
-        if let Some(pool) = self.connections.get(&id).map(|connection| connection.pool) {
+    /// An established connection is migrated or redirected before its client ends it.
+    pub(super) fn notify_interrupted(&mut self, now: Time, id: ConnectionId) {
+        if let Some(pool) = self.connections.pool_of(id) {
             self.notify_rebalancer(now, pool, RebalanceEvent::Ended { connection: id, natural: false });
         }
     }
 
-    /// A connection's connection stands, so long after its attempt was written.
-    pub(super) fn on_established(&mut self, now: Time, id: ConnectionId, setup: Option<Micros>) {
-        let Some((connection, attempt)) =
-            self.connections.get(&id).and_then(|connection| Some((connection, connection.attempt?)))
-        else {
-            return;
-        };
-        let (pool, class) = (connection.pool, connection.class.unwrap_or_default().0);
+    /// A connection is established; `setup` is the time from its request to that, where it was placed here.
+    pub(super) fn notify_established(&mut self, now: Time, id: ConnectionId, setup: Option<Micros>) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let Some(attempt) = connection.attempt() else { return };
+        let pool = connection.pool;
         let at = Connection {
             server: attempt.server,
-            class,
+            class: connection.class.unwrap_or_default().0,
             group: connection.request.group,
             load: connection.load,
             key: connection.request.key,
@@ -51,77 +50,107 @@
         self.notify_rebalancer(now, pool, RebalanceEvent::Stood { connection: id, at, setup });
     }
 
-    /// Its time has come to look whether anybody should be moved.
+    /// Metrics of a pool's rebalancing, where it is on: for models and tests.
+    pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
+        let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.on)?;
+        Some(pool.rebalance.metrics())
+    }
+}
+
+// ---- Decisions ----
+
+impl State {
+    /// Has a pool's rebalancing decide which connections migrate, and carries that out.
     pub(super) fn rebalance(&mut self, now: Time, pool_id: PoolId) {
-        let table = &self.pools[pool_id].table;
-        let there = self.at.range((pool_id, ServerId(0))..=(pool_id, ServerId(u32::MAX)));
-        let shutdown_window = there.filter(|((_, server), _)| table.ready(*server).is_none());
-        let world = SystemConditions {
-            leaving: self.shutdown_window.is_some(),
-            handover: self.peer_process.is_some(),
-            draining: shutdown_window.map(|(_, connections)| connections.len()).sum(),
-        };
+        let conditions = self.system_conditions(pool_id);
         let pool = &mut self.pools[pool_id];
-        let settings = &pool.config.settings;
-        let server_snapshot = |server| {
-            let (held, ceiling) = pool.balancer.occupancy(server)?;
-            let known = pool.balancer.learned_state(server)?;
-            let listed = pool.table.any(server)?;
-            let warm = |at: Time| now.since(at) as f64 / settings.slow_start_duration.max(1) as f64;
-            let grown = |at| settings.slow_start_share + (1.0 - settings.slow_start_share) * warm(at);
-            let weight = Some(listed.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
-            Some(ServerSnapshot {
-                server,
-                ready: pool.table.ready(server).is_some() && known.consecutive_failures == 0,
-                held,
-                ceiling,
-                weight: weight.unwrap_or(1.0),
-                warmth: listed.started.map_or(1.0, grown).clamp(0.01, 1.0),
-                started: listed.started,
-                last_fault: known.last_fault,
-            })
-        };
-        let servers: Vec<ServerSnapshot> = pool.table.ids().filter_map(server_snapshot).collect();
-        let decision = pool.rebalance.evaluate(now, world, &servers);
-        let name = pool.config.name;
-        self.effects.extend(
-            decision
-                .log
-                .map(|change| super::Effect::Log(super::LogEvent::Rebalancing { pool: name, change })),
-        );
+        let servers = pool.server_snapshots(now);
+        let decision = pool.rebalance.evaluate(now, conditions, &servers);
+        self.apply_decision(now, pool_id, decision);
+    }
+
+    fn system_conditions(&self, pool_id: PoolId) -> SystemConditions {
+        SystemConditions {
+            leaving: self.shutdown.has_begun(),
+            handover: self.hot_restart.has_peer_process(),
+            draining: self.connections_at_unready_servers(pool_id).count(),
+        }
+    }
+
+    fn apply_decision(&mut self, now: Time, pool_id: PoolId, decision: Decision) {
+        let pool = self.pools[pool_id].config.name;
+        let log_event = decision.log.map(|change| LogEvent::Rebalancing { pool, change });
+        self.effects.extend(log_event.map(Effect::Log));
         for (server, ceiling) in decision.ceilings {
-            let balancer = &mut self.pools[pool_id].balancer;
-            if let Some(known) = balancer.learned_state(server) {
-                balancer.restore_learned_state(
-                    server,
-                    LearnedState { ceiling: known.ceiling.max(ceiling), ..known },
-                );
-            }
+            self.pools[pool_id].raise_ceiling(server, ceiling);
         }
         for server in decision.lowered {
-            let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) =
-                (balancer.occupancy(server), balancer.learned_state(server))
-            {
-                balancer.restore_learned_state(
-                    server,
-                    LearnedState { ceiling: known.ceiling.min(held), ..known },
-                );
-            }
+            self.pools[pool_id].lower_ceiling(server);
         }
         for (id, server) in decision.moves {
             self.migrate(now, id, Outcome::Cancelled);
-            // Danger: the slot that this frees may be the only free one, and would draw the same client again.
-            let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) =
-                (balancer.occupancy(server), balancer.learned_state(server))
-            {
-                let ceiling = known.ceiling.min(held);
-                balancer.restore_learned_state(
-                    server,
-                    LearnedState { ceiling, last_migration: Some(now), ..known },
-                );
-            }
+            self.pools[pool_id].lower_ceiling_after_migration(now, server);
         }
     }
 }
+
+impl Pool {
+    /// What rebalancing has to know of each listed server that the decision module knows.
+    fn server_snapshots(&self, now: Time) -> Vec<ServerSnapshot> {
+        self.endpoints.ids().filter_map(|server| self.server_snapshot(now, server)).collect()
+    }
+
+    fn server_snapshot(&self, now: Time, server: ServerId) -> Option<ServerSnapshot> {
+        let (in_flight, ceiling) = self.balancer.occupancy(server)?;
+        let learned = self.balancer.learned_state(server)?;
+        let endpoint = self.endpoints.get(server)?;
+        let is_ready = self.endpoints.get_ready(server).is_some() && learned.consecutive_failures == 0;
+        let weight = Some(endpoint.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
+        let warmth = endpoint.started.map_or(1.0, |started| self.warmth(now, started));
+        Some(ServerSnapshot {
+            server,
+            ready: is_ready,
+            held: in_flight,
+            ceiling,
+            weight: weight.unwrap_or(DEFAULT_WEIGHT),
+            warmth: warmth.clamp(MIN_WARMTH, 1.0),
+            started: endpoint.started,
+            last_fault: learned.last_fault,
+        })
+    }
+
+    /// The share of its capacity that a server has so long after its start; over 1 once it is warm.
+    fn warmth(&self, now: Time, started: Time) -> f64 {
+        let settings = &self.config.settings;
+        let progress = now.since(started) as f64 / settings.slow_start_duration.max(1) as f64;
+        settings.slow_start_share + (1.0 - settings.slow_start_share) * progress
+    }
+
+    fn raise_ceiling(&mut self, server: ServerId, ceiling: f64) {
+        if let Some(learned) = self.balancer.learned_state(server) {
+            let raised = LearnedState { ceiling: learned.ceiling.max(ceiling), ..learned };
+            self.balancer.restore_learned_state(server, raised);
+        }
+    }
+
+    /// Lowers a server's ceiling to what is in flight there.
+    fn lower_ceiling(&mut self, server: ServerId) {
+        if let Some(lowered) = self.with_lowered_ceiling(server) {
+            self.balancer.restore_learned_state(server, lowered);
+        }
+    }
+
+    /// The slot that a migration frees may be the only free one, and would draw the same client again.
+    fn lower_ceiling_after_migration(&mut self, now: Time, server: ServerId) {
+        if let Some(lowered) = self.with_lowered_ceiling(server) {
+            let lowered = LearnedState { last_migration: Some(now), ..lowered };
+            self.balancer.restore_learned_state(server, lowered);
+        }
+    }
+
+    fn with_lowered_ceiling(&self, server: ServerId) -> Option<LearnedState> {
+        let (in_flight, _) = self.balancer.occupancy(server)?;
+        let learned = self.balancer.learned_state(server)?;
+        Some(LearnedState { ceiling: learned.ceiling.min(in_flight), ..learned })
+    }
+}
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::{peers, rebalance, Micros, Settings, ZoneId};
+use crate::{peers, rebalance, ClassId, Micros, Settings, TenantId, ZoneId};
 
 /// Configuration of the replicated map.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -66,6 +66,16 @@
 }
 
 impl PoolConfig {
+    /// The class of this name.
+    pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
+        self.classes.iter().position(|class| class == name).map(|index| ClassId(index as u16))
+    }
+
+    /// The tenant of this name.
+    pub(super) fn tenant_id(&self, name: &str) -> Option<TenantId> {
+        self.tenants.iter().position(|tenant| tenant == name).map(|index| TenantId(index as u16))
+    }
+
     /// The part that concerns gossip between the balancers of the tier.
     pub(super) fn gossip_config(&self) -> peers::GossipConfig {
         peers::GossipConfig {
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -1,87 +1,123 @@
-//! Probes: which are out, and what comes of each. When and where one goes is the module's to decide.
+//! Health checks: which are in flight, and what comes of each. When and where to send one, the decision module
+//! decides.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Effect, LogEvent, PoolId, State};
-use crate::{Event, LoadReport, Micros, Outcome, ServerId, Time};
+use super::{Effect, EndpointList, LogEvent, PoolId, State};
+use crate::{Event, LoadReport, Micros, Outcome, ServerId, Settings, Time};
 
-/// So many connections for probes, out and kept for the next: descriptors are set aside for them.
+/// Connections for probes, in flight and kept open for the next: descriptors are reserved for them.
 pub const MOST_PROBES: usize = 16;
-/// Where no set-up objective is told, an answer is worth waiting for so many times as long as a connect may take.
-const ANSWER_WAITS: Micros = 4;
+/// Without a set-up objective, an answer may take this many times as long as a connect may.
+const ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS: Micros = 4;
 
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeEnd {
-    /// The server answered, with a report that holds its load or without.
+    /// The server answered, with a load report or without.
     Answered(Option<LoadReport>),
-    /// It answered with an error; a report may have come along all the same.
+    /// It answered with an error, with a load report or without.
     Error(Option<LoadReport>),
-    /// It is not to be probed.
+    /// It answered that it must not be probed.
     Unwanted,
-    /// Nothing that is an answer came in time, or no connection.
+    /// There was no connection, or no answer in time.
     Nothing,
 }
 
+/// One process of a server: a report does not count for the next one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Incarnation {
+    server: ServerId,
+    started: Option<Time>,
+}
+
 /// The probes of one pool.
 #[derive(Default)]
 pub(super) struct Probes {
-    /// Those that are out, each with the start of the process that was asked.
-    out: BTreeMap<ServerId, Option<Time>>,
-    /// Servers that said they are not to be probed, in the life that said so.
-    unwanted: BTreeSet<(ServerId, Option<Time>)>,
+    /// Those in flight, with the start of the process that is probed.
+    in_flight: BTreeMap<ServerId, Option<Time>>,
+    /// Processes that answered that they must not be probed.
+    declined: BTreeSet<Incarnation>,
+}
+
+impl Probes {
+    /// Notes that a process is probed; false if that must not be. One that has not answered the last probe yet is
+    /// not probed again: it is busy enough.
+    fn begin(&mut self, probed: Incarnation) -> bool {
+        let may_begin = self.in_flight.len() < MOST_PROBES
+            && !self.in_flight.contains_key(&probed.server)
+            && !self.declined.contains(&probed);
+        if may_begin {
+            self.in_flight.insert(probed.server, probed.started);
+        }
+        may_begin
+    }
+
+    /// Notes that a probe ended, and returns which process was probed.
+    fn end(&mut self, server: ServerId) -> Option<Incarnation> {
+        let started = self.in_flight.remove(&server)?;
+        Some(Incarnation { server, started })
+    }
+
+    /// Notes that a process must not be probed, and forgets those that are gone.
+    fn decline(&mut self, probed: Incarnation, endpoints: &EndpointList) {
+        self.declined.retain(|declined| {
+            endpoints.get(declined.server).is_some_and(|endpoint| endpoint.started == declined.started)
+        });
+        self.declined.insert(probed);
+    }
 }
 
 impl State {
-    /// Has a server probed. Danger (drains): only one that may be sent something new. One that has not answered the
-    /// last probe yet is not asked again: it has enough to do.
-    pub(super) fn probe(&mut self, pool_id: PoolId, server: ServerId) {
+    /// Probes a server, if it may be sent something new.
+    pub(super) fn probe_server(&mut self, pool_id: PoolId, server: ServerId) {
         let pool = &mut self.pools[pool_id];
-        let Some(listed) = pool.table.ready(server) else { return };
-        let Probes { out, unwanted } = &mut pool.probes;
-        if out.len() >= MOST_PROBES
-            || out.contains_key(&server)
-            || unwanted.contains(&(server, listed.started))
-        {
+        let Some(endpoint) = pool.endpoints.get_ready(server) else { return };
+        if !pool.probes.begin(Incarnation { server, started: endpoint.started }) {
             return;
         }
-        out.insert(server, listed.started);
-        let settings = &pool.config.settings;
-        let answer = Some(settings.setup_objective()).filter(|&aim| aim > 0);
-        let wait = settings.connect_timeout + answer.unwrap_or(ANSWER_WAITS * settings.connect_timeout);
-        let names = pool.config.reports.clone();
         self.effects.push(Effect::ProbeServer {
             pool: pool_id,
             server,
-            address: listed.address.clone(),
-            names,
-            wait,
+            address: endpoint.address.clone(),
+            names: pool.config.reports.clone(),
+            wait: probe_timeout(&pool.config.settings),
         });
     }
 
-    /// A probe is over. Danger: what a server told of itself before it started again holds no more.
+    /// A probe ended. What a server reported before it restarted does not count any more.
     pub(super) fn on_probe_completed(&mut self, now: Time, pool_id: PoolId, server: ServerId, end: ProbeEnd) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
-        let Some(asked) = pool.probes.out.remove(&server) else { return };
-        let life = pool.table.ready(server).map(|server| server.started);
+        let Some(probed) = pool.probes.end(server) else { return };
+        let started = pool.endpoints.get_ready(server).map(|endpoint| endpoint.started);
+        if started != Some(probed.started) {
+            return;
+        }
         let (outcome, report) = match end {
             ProbeEnd::Answered(report) => (Outcome::Ok, report),
             ProbeEnd::Error(report) => (Outcome::Error, report),
             ProbeEnd::Unwanted => (Outcome::Rejected, None),
             ProbeEnd::Nothing => (Outcome::TimedOut, None),
         };
-        if life != Some(asked) {
-            return;
-        }
         if end == ProbeEnd::Unwanted {
-            let table = &pool.table;
-            pool.probes
-                .unwanted
-                .retain(|(server, life)| table.any(*server).is_some_and(|h| h.started == *life));
-            pool.probes.unwanted.insert((server, asked));
-            let name = table.any(server).map_or("", |server| &server.name).to_owned();
-            self.effects.push(Effect::Log(LogEvent::ProbesDeclined { server: name }));
+            self.decline_probes(pool_id, probed);
         }
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
+
+    fn decline_probes(&mut self, pool_id: PoolId, probed: Incarnation) {
+        let pool = &mut self.pools[pool_id];
+        pool.probes.decline(probed, &pool.endpoints);
+        let name = pool.endpoints.get(probed.server).map_or("", |endpoint| &endpoint.name);
+        self.effects.push(Effect::Log(LogEvent::ProbesDeclined { server: name.to_owned() }));
+    }
+}
+
+/// How long a probe may take: the time to connect, and then for the answer as long as a set-up may take.
+fn probe_timeout(settings: &Settings) -> Micros {
+    let answer_timeout = match settings.setup_objective() {
+        0 => ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS * settings.connect_timeout,
+        objective => objective,
+    };
+    settings.connect_timeout + answer_timeout
 }
