--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Rebalancing over sockets: a client that is moved comes back and stands at the server that has room.
+//! Rebalancing over sockets: a client that is migrated returns and is established at the server with room.
 
 mod fake_servers;
 
@@ -9,14 +9,14 @@
 
 use fake_servers::{irc_config, Client, Daemon};
 
-/// A shop server that answers `OPEN`, tells each connection's load, and sends lines back.
-struct Shop {
+/// A platform server that accepts each connection, reports its load, and echoes its lines.
+struct PlatformServer {
     address: SocketAddr,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Shop {
-    fn start(up: &'static str) -> Shop {
+impl PlatformServer {
+    fn start(up: &'static str) -> PlatformServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let streams = Arc::new(Mutex::new(Vec::new()));
@@ -37,29 +37,29 @@
                 });
             }
         });
-        Shop { address, streams }
+        PlatformServer { address, streams }
     }
 
-    /// Tells on one connection that stands how many milliseconds a message takes.
-    fn slow(&self, ms: u32) {
+    /// Reports on one established connection how long a message takes.
+    fn report_message_time(&self, milliseconds: u32) {
         let mut streams = self.streams.lock().unwrap();
-        // The last to come is the last to go.
+        // The connection that was established last is migrated last.
         if let Some(stream) = streams.last_mut() {
-            let _ = stream.write_all(format!("LOAD {ms}\r\n").as_bytes());
+            let _ = stream.write_all(format!("LOAD {milliseconds}\r\n").as_bytes());
         }
     }
 }
 
-fn config(pressed: &Shop, fresh: &Shop) -> String {
+fn config(overloaded: &PlatformServer, fresh: &PlatformServer) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
-    let entry = |name: &str, shop: &Shop, started: u128| {
+    let entry = |name: &str, server: &PlatformServer, started: u128| {
         format!(
             r#"{{"instanceId": "{name}", "hostPort": "{}", "zone": "a", "lifecycle": "ready", "weight": 1.0, "startedAtMs": {started}}}"#,
-            shop.address
+            server.address
         )
     };
-    // Warm already, but started lately.
-    let servers = [entry("s-00000001", pressed, 0), entry("s-00000002", fresh, now - 10_000)].join(",");
+    // Warm already, but started not long ago.
+    let servers = [entry("s-00000001", overloaded, 0), entry("s-00000002", fresh, now - 10_000)].join(",");
     format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "5",
             "known": {{"generation": 1, "reset": true, "instances": [{servers}]}},
@@ -72,8 +72,8 @@
     )
 }
 
-/// Danger: discovery that cannot be had holds every move; here it can, and nothing happens on it.
-fn discovery() -> SocketAddr {
+/// A discovery service without updates: one that is unavailable would hold back all rebalancing.
+fn start_discovery() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -97,7 +97,8 @@
     address
 }
 
-fn open(daemon: &Daemon, n: usize, more: &str) -> (Client, String) {
+/// Requests a connection, and returns the answer as well.
+fn request_connection(daemon: &Daemon, n: usize, more: &str) -> (Client, String) {
     let mut client = Client::connect(&daemon.platform);
     client.say(&format!("OPEN id{n}{} key{n} c=chat,d=3000{more}", more.len()));
     let up = client.line();
@@ -105,27 +106,27 @@
 }
 
 #[test]
-fn a_client_of_a_pressed_host_is_moved_comes_back_and_stands_where_there_is_room() {
-    let (pressed, fresh) = (Shop::start("UP pressed"), Shop::start("UP fresh"));
-    let text = config(&pressed, &fresh).replace("127.0.0.1:9", &discovery().to_string());
+fn migrates_a_client_of_an_overloaded_server_to_the_server_with_room() {
+    let (overloaded, fresh) = (PlatformServer::start("UP overloaded"), PlatformServer::start("UP fresh"));
+    let text = config(&overloaded, &fresh).replace("127.0.0.1:9", &start_discovery().to_string());
     let file = std::env::temp_dir().join(format!("connection-balancer-moves-{}.json", std::process::id()));
     std::fs::write(&file, r#"{"platform": {"on": true, "most_per_s": 20}}"#).expect("written");
     let path = file.to_str().expect("a name").to_owned();
     let daemon = Daemon::start_with(&irc_config(&[], ""), Some(&text), &["--rebalance", &path]);
-    // Those who stood before, all at one server.
-    let mut clients: Vec<_> = (0..30).map(|n| open(&daemon, n, ",at=s-00000001")).collect();
-    assert!(clients.iter().all(|(_, up)| up == "UP pressed"));
-    let (seen, at) = std::sync::mpsc::channel();
+    // Connections from before the start, all at one server.
+    let mut clients: Vec<_> = (0..30).map(|n| request_connection(&daemon, n, ",at=s-00000001")).collect();
+    assert!(clients.iter().all(|(_, up)| up == "UP overloaded"));
+    let (sender, migrations) = std::sync::mpsc::channel();
     for (n, (client, _)) in clients.drain(..).enumerate() {
-        let seen = seen.clone();
+        let sender = sender.clone();
         std::thread::spawn(move || {
             let mut client = client;
             loop {
                 match client.line().as_str() {
                     "" => return,
                     "MOVE" => {
-                        // The test may have what it wants already.
-                        let _ = seen.send(n);
+                        // The test may have ended: it waits for the first migration only.
+                        let _ = sender.send(n);
                         return;
                     }
                     _ => {}
@@ -133,21 +134,21 @@
             }
         });
     }
-    // A third of the objective and a little: the module by itself moves nobody for that.
-    let mut moved = None;
+    // Less than half of the objective: the decision module by itself migrates no client for that.
+    let mut migrated = None;
     for _ in 0..20 {
-        pressed.slow(45);
-        moved = at.recv_timeout(Duration::from_secs(1)).ok();
-        if moved.is_some() {
+        overloaded.report_message_time(45);
+        migrated = migrations.recv_timeout(Duration::from_secs(1)).ok();
+        if migrated.is_some() {
             break;
         }
     }
-    let n = moved.expect("somebody is moved");
-    let (mut client, up) = open(&daemon, n, ",again=1");
+    let n = migrated.expect("a client is migrated");
+    let (mut client, up) = request_connection(&daemon, n, ",again=1");
     assert_eq!(up, "UP fresh");
     client.say("hello");
     client.expect("hello");
-    let told = daemon.admin_call("telemetry");
-    assert!(told.contains("edge_node.rebalance.platform.returned:1|c"), "{told}");
+    let metrics = daemon.admin_call("telemetry");
+    assert!(metrics.contains("edge_node.rebalance.platform.returned:1|c"), "{metrics}");
     let _ = std::fs::remove_file(file);
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' door: its calls, its figures, and how it stands crowds.
+//! The admin endpoint: its calls, its metrics, and how it bears many clients.
 
 mod fake_servers;
 mod reducer_harness;
@@ -32,25 +32,25 @@
 }
 
 proptest! {
-    /// Counted again from outside, by what went in and came out, the figures are the same after any steps.
+    /// Counted again from inputs and effects, the metrics are the same after any steps.
     #[test]
-    fn figures_are_true(steps in prop::collection::vec((0u8..12, 0usize..8, 1u64..500_000), 1..200)) {
-        let mut harness = ReducerHarness::with(Budget { held: 12, ..reducer_harness::BUDGET });
+    fn metrics_match_inputs_and_effects(steps in prop::collection::vec((0u8..12, 0usize..8, 1u64..500_000), 1..200)) {
+        let mut harness = ReducerHarness::with_budget(Budget { held: 12, ..reducer_harness::BUDGET });
         let mut connections: Vec<(ConnectionId, &str)> = Vec::new();
         let mut counts: BTreeMap<String, ClassCounters> =
             ["chat", "wallet"].map(|class| (class.to_owned(), ClassCounters::default())).into();
-        // Taken and not ended; with which attempt out, and whether that is written; standing.
+        // Admitted and not ended; with which attempt in flight, and whether that is written; established.
         let (mut open, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, bool)>::new());
-        let (mut standing, mut forwards) = (BTreeSet::new(), 0);
+        let (mut established, mut forwards) = (BTreeSet::new(), 0);
         for (what, which, pause) in steps {
             harness.advance(pause);
             for tick in [true, false] {
                 let &(connection, _) = connections.get(which % connections.len().max(1)).unwrap_or(&(ConnectionId(u64::MAX), ""));
-                let (attempt, forward_request) = attempts.get(&connection).copied().unwrap_or((9, true));
-                let out = attempts.contains_key(&connection);
+                let (attempt, is_forwarded) = attempts.get(&connection).copied().unwrap_or((9, true));
+                let in_flight = attempts.contains_key(&connection);
                 let mut ended = |end| {
                     attempts.remove(&connection);
-                    if standing.contains(&connection) {
+                    if established.contains(&connection) {
                         open.remove(&connection);
                     }
                     Input::AttemptEnded { connection, attempt, end }
@@ -58,19 +58,19 @@
                 let input = match what {
                     _ if tick => Input::TimerFired,
                     0..=3 => {
-                        let class = ["chat", "wallet", "unheard-of", "chat"][usize::from(what)];
+                        let class = ["chat", "wallet", "unconfigured", "chat"][usize::from(what)];
                         let connection = harness.connect_client();
                         connections.push((connection, class));
                         open.insert(connection);
                         Input::ConnectionRequested { connection, request: ConnectionRequest { class: class.to_owned(), ..connection_request() } }
                     }
                     4 | 5 => {
-                        forwards += u64::from(out && !forward_request);
+                        forwards += u64::from(in_flight && !is_forwarded);
                         attempts.entry(connection).and_modify(|attempt| attempt.1 = true);
                         Input::RequestForwarded { connection, attempt }
                     }
                     6 | 7 => {
-                        if out && standing.insert(connection) {
+                        if in_flight && established.insert(connection) {
                             let class = connections.iter().find(|(a, _)| *a == connection).map_or("", |(_, class)| class);
                             counts.entry(class.to_owned()).and_modify(|counts| counts.succeeded += 1);
                         }
@@ -100,20 +100,20 @@
                         _ => {}
                     }
                 }
-                let told = metrics(&mut harness);
-                prop_assert_eq!(&told.classes, &counts);
-                prop_assert_eq!((told.forwards, told.outstanding), (forwards, open.len() as u64));
-                prop_assert_eq!(told.discovered, 5);
+                let reported = metrics(&mut harness);
+                prop_assert_eq!(&reported.classes, &counts);
+                prop_assert_eq!((reported.forwards, reported.outstanding), (forwards, open.len() as u64));
+                prop_assert_eq!(reported.discovered, 5);
             }
         }
     }
 
-    /// Whatever a list, a reload or a repeated call says: nothing new goes to a server that is out by hand, what
-    /// was not written to it yet is closed, and one call back ends it.
+    /// Whatever a list, a reload or a repeated call brings: nothing new goes to an excluded server, what was not
+    /// written to it yet is closed, and one call readmits it.
     #[test]
-    fn a_ban_holds_until_the_call_back(steps in prop::collection::vec((0u8..9, 0usize..5, 1u64..400_000), 1..150)) {
+    fn an_exclusion_holds_until_the_server_is_readmitted(steps in prop::collection::vec((0u8..9, 0usize..5, 1u64..400_000), 1..150)) {
         let mut harness = ReducerHarness::new();
-        let (mut out, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, String, bool)>::new());
+        let (mut excluded, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, String, bool)>::new());
         for (what, server, pause) in steps {
             harness.advance(pause);
             let name = reducer_harness::SERVERS[server].to_owned();
@@ -121,17 +121,17 @@
             let attempt = attempts.get(&connection).map_or(9, |attempt| attempt.0);
             let effects = match what {
                 0 => {
-                    out.insert(harness.address(&name));
+                    excluded.insert(harness.address(&name));
                     call_with(&mut harness, AdminCall::Exclude(name))
                 }
                 1 => {
-                    out.remove(&harness.address(&name));
+                    excluded.remove(&harness.address(&name));
                     call_with(&mut harness, AdminCall::Include(name))
                 }
-                2 => harness.list(server, Lifecycle::Gone),
-                3 => harness.list(server, Lifecycle::Ready),
+                2 => harness.update_endpoint(server, Lifecycle::Gone),
+                3 => harness.update_endpoint(server, Lifecycle::Ready),
                 4 => {
-                    let (pools, peers, budget) = (vec![reducer_harness::setup()], Vec::new(), reducer_harness::BUDGET);
+                    let (pools, peers, budget) = (vec![reducer_harness::pool_config()], Vec::new(), reducer_harness::BUDGET);
                     harness.feed(Input::ConfigurationChanged { pools, peers, budget })
                 }
                 5 => {
@@ -150,30 +150,30 @@
             for effect in effects {
                 match effect {
                     Effect::OpenAttempt { connection, attempt, address, .. } => {
-                        prop_assert!(!out.contains(&address), "a leg to {address}, which is out by hand");
+                        prop_assert!(!excluded.contains(&address), "an attempt to {address}, which is excluded");
                         attempts.insert(connection, (attempt, address, false));
                     }
                     Effect::CloseAttempt { connection } | Effect::Answer { connection, .. } => drop(attempts.remove(&connection)),
                     _ => {}
                 }
             }
-            for (_, address, forward_request) in attempts.values() {
-                prop_assert!(*forward_request || !out.contains(address), "a leg to {address} may still be written");
+            for (_, address, is_forwarded) in attempts.values() {
+                prop_assert!(*is_forwarded || !excluded.contains(address), "an attempt to {address} may still be written");
             }
         }
     }
 
-    /// Whatever is said at the door, there is an answer to it, or it is no call yet.
+    /// Whatever line comes, it is parsed as a call or rejected.
     #[test]
-    fn no_line_breaks_the_door(line in prop::collection::vec(any::<u8>(), 0..300)) {
-        let told = admin::call(&line);
+    fn parses_or_rejects_any_line(line in prop::collection::vec(any::<u8>(), 0..300)) {
+        let parsed = admin::call(&line);
         let known: [&[u8]; 4] = [b"readyz", b"telemetry", b"exclude ", b"include "];
-        prop_assert!(told.is_err() || known.iter().any(|call| line.starts_with(call)), "{told:?}");
+        prop_assert!(parsed.is_err() || known.iter().any(|call| line.starts_with(call)), "{parsed:?}");
     }
 }
 
 #[test]
-fn figures_have_the_names_and_the_form_that_are_agreed() {
+fn writes_metrics_under_their_agreed_names_and_in_order() {
     let mut harness = ReducerHarness::new();
     let text = |harness: &mut ReducerHarness| {
         String::from_utf8(admin::reply(&call(harness, AdminCall::Telemetry))).unwrap()
@@ -184,15 +184,15 @@
     let rest = "edge_node.forwards:0|c\r\nedge_node.outstanding:0|g\r\nedge_node.discovered:5|g\r\n\
         edge_node.ejected:0|g\r\nEND\r\n";
     assert_eq!(text(&mut harness), format!("{classes}{rest}"));
-    harness.established();
-    let told = text(&mut harness);
-    assert!(told.contains("edge_node.results.chat.succeeded:1|c\r\n"), "{told}");
-    assert!(told.contains("edge_node.outstanding:1|g\r\n"), "{told}");
+    harness.establish_connection();
+    let metrics = text(&mut harness);
+    assert!(metrics.contains("edge_node.results.chat.succeeded:1|c\r\n"), "{metrics}");
+    assert!(metrics.contains("edge_node.outstanding:1|g\r\n"), "{metrics}");
 }
 
-/// A server that breaks attempts is avoided for a while, and only so long.
+/// A server that resets attempts is avoided for a while, and not longer.
 #[test]
-fn ejected_is_what_the_pick_avoids_now() {
+fn counts_a_server_as_ejected_only_while_it_is_avoided() {
     let mut harness = ReducerHarness::new();
     let (connection, _) = harness.forward_request();
     harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
@@ -202,14 +202,14 @@
 }
 
 #[test]
-fn it_is_ready_with_its_list_and_its_listeners_and_not_while_it_leaves() {
-    let mut harness = ReducerHarness::unready();
+fn is_ready_with_an_endpoint_list_and_listeners_and_not_during_shutdown() {
+    let mut harness = ReducerHarness::with_cached_endpoints();
     assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)), "nothing listens");
     harness.feed(Input::Listening);
-    // Danger: with discovery down, or crowded, nobody would ever be ready if the list from before did not do.
+    // With discovery down or overloaded no process would ever be ready, if the cached list did not do.
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
     harness.feed(Input::CachedEndpoints { pool: 0, endpoints: Vec::new() });
-    assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)), "there is no host");
+    assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)), "there is no server");
     harness.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: Vec::new() });
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
     harness.feed(Input::ShutdownRequested);
@@ -217,63 +217,63 @@
 }
 
 #[test]
-fn a_host_is_taken_out_and_back_by_id_and_only_one_that_was_ever_listed() {
+fn excludes_and_readmits_a_server_by_name_only_if_it_was_ever_listed() {
     let mut harness = ReducerHarness::new();
     let server = reducer_harness::SERVERS[1].to_owned();
-    let unheard = "s-0000dead".to_owned();
+    let unlisted = "s-0000dead".to_owned();
     for call_of in [AdminCall::Exclude, AdminCall::Include] {
-        assert!(matches!(call(&mut harness, call_of(unheard.clone())), AdminResponse::No(_)));
+        assert!(matches!(call(&mut harness, call_of(unlisted.clone())), AdminResponse::No(_)));
     }
     for _ in 0..3 {
         assert_eq!(call_with(&mut harness, AdminCall::Exclude(server.clone())).pop(), Some(reply_yes()));
         assert_eq!(metrics(&mut harness).ejected, 1);
     }
-    // It is known by its id even while it is gone.
-    harness.list(1, Lifecycle::Gone);
+    // Its name is known even while it is gone.
+    harness.update_endpoint(1, Lifecycle::Gone);
     assert_eq!(call(&mut harness, AdminCall::Exclude(server.clone())), AdminResponse::Yes);
-    harness.list(1, Lifecycle::Ready);
-    assert_eq!(metrics(&mut harness).ejected, 1, "no list lifts a ban");
+    harness.update_endpoint(1, Lifecycle::Ready);
+    assert_eq!(metrics(&mut harness).ejected, 1, "no list ends an exclusion");
     assert_eq!(call(&mut harness, AdminCall::Include(server)), AdminResponse::Yes);
-    assert_eq!(metrics(&mut harness).ejected, 0, "one call back ends any number of calls out");
+    assert_eq!(metrics(&mut harness).ejected, 0, "one call readmits it after any number of exclusions");
 }
 
 fn reply_yes() -> Effect {
     Effect::AdminReply { admin_client: AdminClientId(77), reply: AdminResponse::Yes }
 }
 
-/// Seen on the bench: servers out by hand start again 1.5 s later, and who is still there is cut off.
+/// Excluded servers restart 1.5 s later, which cuts off the connections that are left.
 #[test]
-fn clients_of_a_host_out_by_hand_are_moved_in_pace_and_soon() {
+fn migrates_clients_of_an_excluded_server_gradually_and_soon() {
     let mut harness = ReducerHarness::new();
-    let connections: Vec<ConnectionId> = (0..60).map(|_| harness.established()).collect();
+    let connections: Vec<ConnectionId> = (0..60).map(|_| harness.establish_connection()).collect();
     let server = reducer_harness::SERVERS[2].to_owned();
-    let (mut moved, mut waves) = (BTreeSet::new(), 0);
+    let (mut migrated, mut steps) = (BTreeSet::new(), 0);
     let mut effects = call_with(&mut harness, AdminCall::Exclude(server));
     for _ in 0..15 {
-        let before = moved.len();
-        moved.extend(effects.iter().filter_map(|effect| match effect {
+        let before = migrated.len();
+        migrated.extend(effects.iter().filter_map(|effect| match effect {
             Effect::Answer { connection, answer: Answer::Migrated } => Some(*connection),
             _ => None,
         }));
-        waves += usize::from(moved.len() > before);
+        steps += usize::from(migrated.len() > before);
         harness.advance(100_000);
         effects = harness.feed(Input::TimerFired);
     }
-    assert!(moved.len() > 4 && moved.len() < connections.len(), "{} moved", moved.len());
-    assert!(waves > 3, "all in {waves} waves");
+    assert!(migrated.len() > 4 && migrated.len() < connections.len(), "{} migrated", migrated.len());
+    assert!(steps > 3, "all in {steps} steps");
 }
 
-/// The server comes back as another process, cold: what was thought of it before does not count, and it is
-/// filled no faster than a cold one, though the list may not know yet that it started again.
+/// The server returns as another process, cold: what was learned of it before does not count, and it is filled no
+/// faster than a cold one, though the list may not show yet that it restarted.
 #[test]
-fn a_host_taken_back_is_used_soon_and_as_a_cold_one() {
+fn uses_a_readmitted_server_soon_and_as_a_cold_one() {
     let mut harness = ReducerHarness::new();
     for _ in 0..60 {
-        harness.established();
+        harness.establish_connection();
     }
     let (server, address) =
         (reducer_harness::SERVERS[2].to_owned(), harness.address(reducer_harness::SERVERS[2]));
-    let attempts = |harness: &mut ReducerHarness, count: usize| {
+    let attempts_there = |harness: &mut ReducerHarness, count: usize| {
         let mut there = 0;
         for _ in 0..count {
             harness.advance(50_000);
@@ -282,7 +282,7 @@
                 harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
             there += effects
                 .iter()
-                .filter(|effect| matches!(effect, Effect::OpenAttempt { address: at, .. } if *at == address))
+                .filter(|effect| matches!(effect, Effect::OpenAttempt { address: opened, .. } if *opened == address))
                 .count();
             harness.feed(Input::RequestForwarded { connection, attempt: 0 });
             harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
@@ -290,14 +290,15 @@
         there
     };
     call(&mut harness, AdminCall::Exclude(server.clone()));
-    assert_eq!(attempts(&mut harness, 40), 0);
+    assert_eq!(attempts_there(&mut harness, 40), 0);
     call(&mut harness, AdminCall::Include(server));
-    let first = attempts(&mut harness, 20);
+    let first = attempts_there(&mut harness, 20);
     assert!(first <= 8, "{first} of 20 in the first second: it is cold");
-    assert!(first + attempts(&mut harness, 80) > 0, "unused for 5 s");
+    assert!(first + attempts_there(&mut harness, 80) > 0, "unused for 5 s");
 }
 
-fn front(more: &str) -> Daemon {
+/// A daemon with an IRC front and one server.
+fn start_daemon(more: &str) -> Daemon {
     let server = Server::start(Manner::Welcome);
     Daemon::start(&irc_config(&[&server], more), None)
 }
@@ -308,29 +309,29 @@
     admin_client.rest()
 }
 
-/// Danger: some callers say nothing, or half of a call, and stay; and they may be many.
+/// Some clients send nothing, or half of a call, and stay connected; and they may be many.
 #[test]
-fn silent_and_half_callers_are_in_nobodys_way_and_are_let_go() {
-    let daemon = front("");
-    let mut stuck: Vec<Client> = (0..60).map(|_| Client::connect(&daemon.mgmt)).collect();
-    for admin_client in stuck.iter_mut().step_by(2) {
-        // Of those that were let go already nobody reads.
+fn answers_calls_beside_many_silent_clients_and_closes_those() {
+    let daemon = start_daemon("");
+    let mut silent_clients: Vec<Client> = (0..60).map(|_| Client::connect(&daemon.mgmt)).collect();
+    for admin_client in silent_clients.iter_mut().step_by(2) {
+        // Those that were closed already cannot be written to.
         let _ = admin_client.stream.write_all(b"read");
     }
     assert_eq!(admin_call(&daemon.mgmt, "readyz"), "YES\r\n");
     assert!(admin_call(&daemon.mgmt, "telemetry").ends_with("END\r\n"));
-    for admin_client in &mut stuck {
-        let told = admin_client.rest();
-        assert!(told.is_empty() || told.starts_with("NO "), "{told}");
+    for admin_client in &mut silent_clients {
+        let reply = admin_client.rest();
+        assert!(reply.is_empty() || reply.starts_with("NO "), "{reply}");
     }
 }
 
 #[test]
-fn bad_calls_are_told_no_with_a_reason_and_pieces_are_put_together() {
-    let daemon = front("");
+fn rejects_invalid_calls_with_a_reason_and_joins_the_pieces_of_a_call() {
+    let daemon = start_daemon("");
     for bad in ["", "readyz now", "READYZ", "GET / HTTP/1.1", &"x".repeat(5000)] {
-        let told = admin_call(&daemon.mgmt, bad);
-        assert!(told.starts_with("NO ") && told.len() > 5, "{bad}: {told}");
+        let reply = admin_call(&daemon.mgmt, bad);
+        assert!(reply.starts_with("NO ") && reply.len() > 5, "{bad}: {reply}");
     }
     let mut admin_client = Client::connect(&daemon.mgmt);
     for piece in ["re", "ady", "z\r", "\n"] {
@@ -338,7 +339,7 @@
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
     assert_eq!(admin_client.rest(), "YES\r\n");
-    // What is cut off may have meant anything.
+    // A line that was cut off may have been the start of another call.
     let mut admin_client = Client::connect(&daemon.mgmt);
     admin_client.stream.write_all(b"readyz").expect("written");
     admin_client.stream.shutdown(Shutdown::Write).expect("ended");
@@ -346,28 +347,28 @@
 }
 
 #[test]
-fn a_reload_may_move_the_door() {
-    let daemon = front("");
+fn reload_moves_the_admin_endpoint() {
+    let daemon = start_daemon("");
     let server = Server::start(Manner::Welcome);
-    let again = |mgmt: &str| {
+    let reload = |mgmt: &str| {
         daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
     };
-    again("\"mgmt\": \"127.0.0.2:0\",");
+    reload("\"mgmt\": \"127.0.0.2:0\",");
     let line = daemon.log_line("operators are heard on 127.0.0.2:");
-    let moved = line.rsplit(' ').next().expect("an address");
-    assert_eq!(admin_call(moved, "readyz"), "YES\r\n");
-    until("the old door is shut", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
-    again("");
-    until("no door is left", || std::net::TcpStream::connect(moved).is_err());
+    let new_address = line.rsplit(' ').next().expect("an address");
+    assert_eq!(admin_call(new_address, "readyz"), "YES\r\n");
+    until("the old endpoint is closed", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
+    reload("");
+    until("no endpoint is left", || std::net::TcpStream::connect(new_address).is_err());
 }
 
 /// As JSON, each line is one object; the levels are followed by module.
 #[test]
-fn the_log_is_json_lines_where_the_operator_says_so() {
+fn logs_json_lines_where_configured() {
     let json = |levels: &str| format!(r#", "log": {{"format": "json", "levels": "{levels}"}}"#);
     let mut daemon = Daemon::start(&irc_config(&[], &json("info")), None);
     daemon.signal("-TERM");
-    let line = daemon.log_line("leaving");
+    let line = daemon.log_line(&LogEvent::ShutdownStarted { connections: 0 }.to_string());
     let mut bytes = line.clone().into_bytes();
     let event = simd_json::to_owned_value(&mut bytes).unwrap_or_else(|e| panic!("{line}: {e}"));
     let event = format!("{event:?}");
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -579,7 +579,7 @@
 fn balancing() -> PoolConfig {
     PoolConfig {
         rebalance: RebalanceConfig { on: true, max_moves_per_s: 20.0, ..RebalanceConfig::default() },
-        ..reducer_harness::setup()
+        ..reducer_harness::pool_config()
     }
 }
 
@@ -605,7 +605,7 @@
         connections.push(connection);
     }
     // The last server is back: the list says that it started just now.
-    harness.restarted(4);
+    harness.restart_server(4);
     (harness, connections)
 }
 
@@ -669,7 +669,7 @@
 #[test]
 fn a_drain_comes_first() {
     let (mut harness, connections) = crowded();
-    harness.drain(1);
+    harness.drain_server(1);
     assert!(moved(&mut harness, &connections, 15).is_empty());
 }
 
@@ -677,7 +677,7 @@
 fn a_reload_that_turns_it_off_ends_it() {
     let (mut harness, connections) = crowded();
     harness.feed(Input::ConfigurationChanged {
-        pools: vec![reducer_harness::setup()],
+        pools: vec![reducer_harness::pool_config()],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -1,26 +1,30 @@
-//! A reducer with servers and a clock, for tests.
+//! A reducer with five servers and a clock that the test advances.
 #![allow(dead_code)]
 
 use connection_balancer::routing::*;
 use connection_balancer::*;
 
 pub const SERVERS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
-/// How long the client waits.
+/// How long the client waits for its answer.
 pub const WAIT: Micros = 3_200_000;
 
+/// Limits that no test reaches unless it sets its own.
 pub const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
 
+/// The reducer's state, the time that it is handed, and the number of the last connection.
 pub struct ReducerHarness {
     pub state: State,
     pub now: Time,
-    next: u64,
+    last_connection: u64,
 }
 
+/// A request that any server may take.
 pub fn connection_request() -> ConnectionRequest {
     ConnectionRequest { class: "chat".to_owned(), wait: Some(WAIT), ..ConnectionRequest::default() }
 }
 
-pub fn setup() -> PoolConfig {
+/// The configuration of the harness's one pool.
+pub fn pool_config() -> PoolConfig {
     let class = Class {
         priority_weight: 1.0,
         setup_objective: 300_000,
@@ -57,48 +61,54 @@
 
 impl ReducerHarness {
     pub fn new() -> ReducerHarness {
-        ReducerHarness::with(BUDGET)
+        ReducerHarness::with_budget(BUDGET)
     }
 
-    pub fn with(budget: Budget) -> ReducerHarness {
-        let mut harness = ReducerHarness::of(budget);
+    /// A reducer that is ready, with all servers in its list.
+    pub fn with_budget(budget: Budget) -> ReducerHarness {
+        let mut harness = ReducerHarness::without_endpoints(budget);
         let endpoints = harness.endpoints();
         harness.feed(Input::EndpointsUpdated { pool: 0, whole: true, endpoints });
         harness.feed(Input::Listening);
         harness
     }
 
-    /// One that has heard of its servers before its start only.
-    pub fn unready() -> ReducerHarness {
-        let mut harness = ReducerHarness::of(BUDGET);
+    /// A reducer that does not listen yet, and has nothing but a cached endpoint list.
+    pub fn with_cached_endpoints() -> ReducerHarness {
+        let mut harness = ReducerHarness::without_endpoints(BUDGET);
         let endpoints = harness.endpoints();
         harness.feed(Input::CachedEndpoints { pool: 0, endpoints });
         harness
     }
 
-    fn of(budget: Budget) -> ReducerHarness {
+    fn without_endpoints(budget: Budget) -> ReducerHarness {
         let now = Time(1_000_000_000);
         ReducerHarness {
-            state: State::new(vec![setup()], ReplicationConfig::default(), budget, now),
+            state: State::new(vec![pool_config()], ReplicationConfig::default(), budget, now),
             now,
-            next: 0,
+            last_connection: 0,
         }
     }
 
     fn endpoints(&self) -> Vec<Endpoint> {
-        (0..SERVERS.len()).map(|server| self.server(server, Lifecycle::Ready)).collect()
+        (0..SERVERS.len()).map(|server| self.endpoint(server, Lifecycle::Ready)).collect()
     }
 
     pub fn address(&self, server: &str) -> String {
         format!("{server}:1")
     }
 
-    fn server(&self, server: usize, lifecycle: Lifecycle) -> Endpoint {
+    fn endpoint(&self, server: usize, lifecycle: Lifecycle) -> Endpoint {
         let name = SERVERS[server].to_owned();
         let (address, zone) = (self.address(&name), "a".to_owned());
         Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
     }
 
+    /// The index of the server at an address.
+    pub fn server_at(&self, address: &str) -> usize {
+        SERVERS.iter().position(|server| self.address(server) == address).expect("a listed server")
+    }
+
     pub fn feed(&mut self, input: Input) -> Vec<Effect> {
         reduce(&mut self.state, self.now, input)
     }
@@ -111,43 +121,43 @@
         self.connect_client_with_effects().0
     }
 
-    /// One that connects, and what that leads to.
+    /// Connects a client, and returns the effects as well.
     pub fn connect_client_with_effects(&mut self) -> (ConnectionId, Vec<Effect>) {
-        self.next += 1;
-        let connection = ConnectionId(self.next);
+        self.last_connection += 1;
+        let connection = ConnectionId(self.last_connection);
         (connection, self.feed(Input::ClientConnected { connection, pool: 0 }))
     }
 
-    /// A connection whose first attempt is written, and where to.
+    /// A connection whose first attempt is written in full, and the index of its server.
     pub fn forward_request(&mut self) -> (ConnectionId, usize) {
         let connection = self.connect_client();
         let effects = self.feed(Input::ConnectionRequested { connection, request: connection_request() });
         let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
-            panic!("no leg: {effects:?}")
+            panic!("no attempt: {effects:?}")
         };
-        let server = SERVERS.iter().position(|h| self.address(h) == *address).expect("a listed host");
+        let server = self.server_at(address);
         self.feed(Input::RequestForwarded { connection, attempt: 0 });
         (connection, server)
     }
 
-    pub fn established(&mut self) -> ConnectionId {
+    pub fn establish_connection(&mut self) -> ConnectionId {
         let (connection, _) = self.forward_request();
         self.feed(Input::AttemptAccepted { connection, attempt: 0 });
         connection
     }
 
-    pub fn drain(&mut self, server: usize) -> Vec<Effect> {
-        self.list(server, Lifecycle::Draining)
+    pub fn drain_server(&mut self, server: usize) -> Vec<Effect> {
+        self.update_endpoint(server, Lifecycle::Draining)
     }
 
-    /// The list says that a server has started now.
-    pub fn restarted(&mut self, server: usize) -> Vec<Effect> {
-        let server = Endpoint { started: Some(self.now), ..self.server(server, Lifecycle::Ready) };
+    /// Has the list show that a server has restarted now.
+    pub fn restart_server(&mut self, server: usize) -> Vec<Effect> {
+        let server = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
         self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: vec![server] })
     }
 
-    pub fn list(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
-        let endpoints = vec![self.server(server, lifecycle)];
+    pub fn update_endpoint(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
+        let endpoints = vec![self.endpoint(server, lifecycle)];
         self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints })
     }
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The reducer, without wires or clocks.
+//! The reducer on its own: inputs and a clock in, effects out.
 
 mod reducer_harness;
 
@@ -7,161 +7,160 @@
 use connection_balancer::{Class, Idempotency, LoadReport, ServerId};
 use reducer_harness::{connection_request, ReducerHarness, SERVERS, WAIT};
 
-/// Seen on the bench: servers tell a message's time by the same word as a load. Taken for a load it made the
-/// slowest server look empty (a calm day kept 0.68 of the simulator's result, 0.99 since).
+/// The clients that are migrated while their server reports message times for 20 seconds.
+fn migrations_for_message_times(harness: &mut ReducerHarness, connection: ConnectionId) -> usize {
+    let mut migrated = 0;
+    for second in 0..20 {
+        harness.advance(1_000_000);
+        let effects = harness.feed(Input::LoadReported { connection, load: 99.0 + f64::from(second) });
+        migrated += count_migrations(&effects);
+    }
+    migrated
+}
+
+fn count_migrations(effects: &[Effect]) -> usize {
+    effects.iter().filter(|effect| matches!(effect, Effect::Answer { answer: Answer::Migrated, .. })).count()
+}
+
+fn reload(harness: &mut ReducerHarness, config: PoolConfig) -> Vec<Effect> {
+    harness.feed(Input::ConfigurationChanged {
+        pools: vec![config],
+        peers: Vec::new(),
+        budget: reducer_harness::BUDGET,
+    })
+}
+
+/// Servers report a message's time in the same form as a load. Taken for a load, it made the slowest server look
+/// idle: that day of the simulator had 0.68 of its result, and 0.99 since.
 #[test]
-fn a_small_figure_is_a_message_time_and_no_load() {
+fn takes_a_value_far_below_the_mean_load_for_a_message_time() {
     let mut harness = ReducerHarness::new();
-    let connections: Vec<ConnectionId> = (0..12).map(|_| harness.established()).collect();
+    let connections: Vec<ConnectionId> = (0..12).map(|_| harness.establish_connection()).collect();
     for &connection in &connections {
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
     }
-    // Aim 100 ms: messages of 99 ms are far too slow, and a connection of this server has to leave.
-    let mut moved = 0;
-    for second in 0..20 {
-        harness.advance(1_000_000);
-        let effects =
-            harness.feed(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
-        moved +=
-            effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. })).count();
-    }
-    assert!(moved > 0, "no connection left a host that is slow");
+    // The objective is 100 ms: messages of 99 ms are far too slow, and a connection has to migrate.
+    let migrated = migrations_for_message_times(&mut harness, connections[0]);
+    assert!(migrated > 0, "no connection left a server that is slow");
 }
 
-/// Seen on the second site, whose servers tell no loads: messages that took 99 ms were taken for loads, and nobody
-/// left the server.
+/// At a site whose servers report no loads, message times of 99 ms were taken for loads, and no client left.
 #[test]
-fn where_no_loads_are_told_every_figure_is_a_message_time() {
-    let moved = |tells_load: bool| {
+fn takes_every_value_for_a_message_time_where_servers_report_no_loads() {
+    let migrated = |tells_load: bool| {
         let mut harness = ReducerHarness::new();
-        let setup = PoolConfig { tells_load, ..reducer_harness::setup() };
-        harness.feed(Input::ConfigurationChanged {
-            pools: vec![setup],
-            peers: Vec::new(),
-            budget: reducer_harness::BUDGET,
-        });
-        let connections: Vec<ConnectionId> = (0..12).map(|_| harness.established()).collect();
-        let mut moved = 0;
-        for second in 0..20 {
-            harness.advance(1_000_000);
-            let effects = harness
-                .feed(Input::LoadReported { connection: connections[0], load: 99.0 + f64::from(second) });
-            moved += effects
-                .iter()
-                .filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. }))
-                .count();
-        }
-        moved
+        reload(&mut harness, PoolConfig { tells_load, ..reducer_harness::pool_config() });
+        let connections: Vec<ConnectionId> = (0..12).map(|_| harness.establish_connection()).collect();
+        migrations_for_message_times(&mut harness, connections[0])
     };
-    assert!(moved(false) > 0, "no connection left a host that is slow");
-    assert_eq!(moved(true), 0, "a load is no message time");
+    assert!(migrated(false) > 0, "no connection left a server that is slow");
+    assert_eq!(migrated(true), 0, "a load is no message time");
 }
 
-/// A desk whose servers may be probed, and the probes among effects.
-fn probing() -> ReducerHarness {
+/// A reducer whose servers may be probed.
+fn probing_harness() -> ReducerHarness {
     let mut harness = ReducerHarness::new();
-    let mut setup = reducer_harness::setup();
-    (setup.settings.probes, setup.settings.probe_reports, setup.reports) = (true, true, vec!["x0"]);
-    harness.feed(Input::ConfigurationChanged {
-        pools: vec![setup],
-        peers: Vec::new(),
-        budget: reducer_harness::BUDGET,
-    });
+    let mut config = reducer_harness::pool_config();
+    config.settings.probes = true;
+    config.settings.probe_reports = true;
+    config.reports = vec!["x0"];
+    reload(&mut harness, config);
     harness
 }
 
-fn probed(effects: &[Effect]) -> Vec<ServerId> {
+fn probed_servers(effects: &[Effect]) -> Vec<ServerId> {
     let server =
         |effect: &Effect| if let Effect::ProbeServer { server, .. } = effect { Some(*server) } else { None };
     effects.iter().filter_map(server).collect()
 }
 
-fn report(utilisation: f64) -> ProbeEnd {
+fn load_report(utilisation: f64) -> ProbeEnd {
     ProbeEnd::Answered(Some(LoadReport { utilisation, connections: None }))
 }
 
-/// Has this many connections come to stand, each with a minute after it, and tells which servers were probed.
-fn probed_by(harness: &mut ReducerHarness, connections: usize) -> Vec<ServerId> {
+/// Establishes connections, a minute apart, and returns the servers that were probed meanwhile.
+fn probed_while_connecting(harness: &mut ReducerHarness, connections: usize) -> Vec<ServerId> {
     let mut servers = Vec::new();
     for _ in 0..connections {
         let (connection, _) = harness.forward_request();
-        servers.extend(probed(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
+        servers.extend(probed_servers(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
         harness.advance(60_000_000);
     }
     servers
 }
 
-/// Danger: a server that does not answer has enough to do, and one that leaves may be sent nothing new.
+/// A server that does not answer is busy enough, and one that drains may be sent nothing new.
 #[test]
-fn a_host_is_probed_once_at_a_time_and_not_when_it_leaves() {
-    let mut harness = probing();
-    let mut first = probed_by(&mut harness, 30);
+fn probes_a_server_once_at_a_time_and_not_while_it_drains() {
+    let mut harness = probing_harness();
+    let mut first = probed_while_connecting(&mut harness, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
     harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::Nothing });
     harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::Nothing });
-    harness.drain(1);
-    let again = probed_by(&mut harness, 10);
+    harness.drain_server(1);
+    let again = probed_while_connecting(&mut harness, 10);
     assert!(again.contains(&ServerId(3)) && again.iter().all(|server| *server == ServerId(3)), "{again:?}");
 }
 
-/// A server that does not want to be probed is left alone until it has started again.
 #[test]
-fn a_host_that_says_no_to_probes_is_not_asked_again() {
-    let mut harness = probing();
-    for server in probed_by(&mut harness, 10) {
+fn does_not_probe_a_server_that_declined_until_it_restarts() {
+    let mut harness = probing_harness();
+    for server in probed_while_connecting(&mut harness, 10) {
         harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeEnd::Unwanted });
     }
-    assert_eq!(probed_by(&mut harness, 10), []);
-    harness.restarted(0);
-    assert_eq!(probed_by(&mut harness, 10), [ServerId(1)]);
+    assert_eq!(probed_while_connecting(&mut harness, 10), []);
+    harness.restart_server(0);
+    assert_eq!(probed_while_connecting(&mut harness, 10), [ServerId(1)]);
 }
 
-/// Danger: a server that has started again is cold, and what it told before would make it look idle; and one that is
-/// told to be too full is not sent more.
+/// A server that has restarted is cold: what it reported before does not count. One that reports more than its
+/// capacity is sent nothing more.
 #[test]
-fn a_report_counts_for_the_process_that_gave_it() {
-    let full = |restarts: bool| {
-        let mut harness = probing();
-        probed_by(&mut harness, 10);
+fn ignores_a_load_report_of_an_earlier_incarnation() {
+    let placed = |restarts: bool| {
+        let mut harness = probing_harness();
+        probed_while_connecting(&mut harness, 10);
         if restarts {
-            harness.restarted(0);
+            harness.restart_server(0);
         }
         harness.advance(60_000_000);
-        harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(1), end: report(3.0) });
+        harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(1), end: load_report(3.0) });
         (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
-    assert_eq!(full(false), 0, "it is asked three times what it can do");
-    assert!(full(true) > 0, "that was the process before");
+    assert_eq!(placed(false), 0, "it has three times the load that it can bear");
+    assert!(placed(true) > 0, "that was the incarnation before");
 }
 
-/// Danger: an attempt that waits for its connection must not write to a server told to be draining meanwhile.
+/// An attempt that waits for its connection must not write to a server that drains meanwhile.
 #[test]
-fn an_unwritten_leg_is_closed_when_its_host_drains_and_goes_elsewhere() {
+fn retries_an_unwritten_attempt_elsewhere_when_its_server_drains() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
-    let Some(Effect::OpenAttempt { address, .. }) = effects.first() else { panic!("no leg: {effects:?}") };
-    let server = SERVERS.iter().position(|h| harness.address(h) == *address).expect("a listed host");
-    let effects = harness.drain(server);
+    let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
+        panic!("no attempt: {effects:?}")
+    };
+    let server = harness.server_at(address);
+    let effects = harness.drain_server(server);
     assert!(matches!(effects[0], Effect::CloseAttempt { .. }), "{effects:?}");
     let Effect::OpenAttempt { address: next, attempt: 1, .. } = &effects[1] else { panic!("{effects:?}") };
     assert_ne!(next, address);
 }
 
-/// A written attempt stays: the server may have it already, and never are two out at once.
+/// The server may have the request already, and there are never two attempts in flight.
 #[test]
-fn a_written_leg_stays_when_its_host_drains() {
+fn keeps_a_written_attempt_when_its_server_drains() {
     let mut harness = ReducerHarness::new();
     let (connection, server) = harness.forward_request();
-    assert_eq!(harness.drain(server), []);
+    assert_eq!(harness.drain_server(server), []);
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
-/// Seen on the bench (`split+mass`, seed 1) with an early form of the words of slow set-ups: told before the module knew
-/// that the connection stands, they let it find the request overdue, and refuse what its server had accepted.
+/// With an early form of the gossip on slow set-ups (`split+mass`, seed 1), it was sent before the decision module knew
+/// that the connection is established: the module took the request for overdue, and rejected it.
 #[test]
-fn what_stands_at_the_last_moment_is_served() {
+fn serves_a_connection_established_at_the_last_moment() {
     let mut harness = ReducerHarness::new();
     let (connection, _) = harness.forward_request();
     harness.advance(WAIT);
@@ -169,11 +168,11 @@
     assert_eq!(harness.feed(Input::TimerFired), []);
 }
 
-/// A server that drops what stood is told of once, one that was about to leave is not; and who hears of it has half of its
-/// free room there.
+/// A server that drops an established connection is gossiped about once, and one that drains is not. A balancer that
+/// receives that gossip uses half of the free slots there.
 #[test]
-fn a_drop_is_told_to_the_tier_and_heeded() {
-    let words = |effects: &[Effect]| -> Vec<GossipMessage> {
+fn gossips_a_dropped_connection_and_sends_less_to_its_server() {
+    let gossip = |effects: &[Effect]| -> Vec<GossipMessage> {
         let message = |effect: &Effect| {
             if let Effect::BroadcastGossip(message) = effect {
                 Some(*message)
@@ -183,41 +182,37 @@
         };
         effects.iter().filter_map(message).collect()
     };
-    let fleet = || {
+    let tier_member = || {
         let mut harness = ReducerHarness::new();
-        let mut setup = reducer_harness::setup();
-        (setup.settings.balancers, setup.peers) = (300, Some(0.0));
-        harness.feed(Input::ConfigurationChanged {
-            pools: vec![setup],
-            peers: Vec::new(),
-            budget: reducer_harness::BUDGET,
-        });
+        let mut config = reducer_harness::pool_config();
+        (config.settings.balancers, config.peers) = (300, Some(0.0));
+        reload(&mut harness, config);
         harness
     };
-    let (mut teller, mut hearer) = (fleet(), fleet());
-    let (connection, server) = teller.forward_request();
-    teller.feed(Input::AttemptAccepted { connection, attempt: 0 });
-    let told =
-        words(&teller.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }));
-    let [message] = told[..] else { panic!("{told:?}") };
+    let (mut sender, mut receiver) = (tier_member(), tier_member());
+    let (connection, server) = sender.forward_request();
+    sender.feed(Input::AttemptAccepted { connection, attempt: 0 });
+    let sent =
+        gossip(&sender.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }));
+    let [message] = sent[..] else { panic!("{sent:?}") };
     assert_eq!(message.observation, Observation::Dropped(server_id(SERVERS[server])));
-    hearer.feed(Input::GossipReceived { pool: 0, message });
-    // Each of the five has four slots at first, that one half of them now.
-    let there = (0..18).filter(|_| hearer.forward_request().1 == server).count();
-    assert_eq!(there, 2, "of 18 after a word of {server}");
-    let (connection, server) = hearer.forward_request();
-    hearer.feed(Input::AttemptAccepted { connection, attempt: 0 });
-    hearer.drain(server);
+    receiver.feed(Input::GossipReceived { pool: 0, message });
+    // Each of the five has four slots at first, and that one half of them now.
+    let placed_there = (0..18).filter(|_| receiver.forward_request().1 == server).count();
+    assert_eq!(placed_there, 2, "of 18 after gossip on {server}");
+    let (connection, server) = receiver.forward_request();
+    receiver.feed(Input::AttemptAccepted { connection, attempt: 0 });
+    receiver.drain_server(server);
     assert_eq!(
-        words(&hearer.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset })),
+        gossip(&receiver.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset })),
         [],
-        "it leaves"
+        "it drains"
     );
 }
 
-/// Danger: late words of an ended attempt must not be taken for the next one's.
+/// They must not be taken for reports of the next attempt.
 #[test]
-fn words_of_an_ended_leg_change_nothing() {
+fn ignores_late_reports_of_an_ended_attempt() {
     let mut harness = ReducerHarness::new();
     let (connection, _) = harness.forward_request();
     let effects = harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Rejected });
@@ -227,24 +222,24 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// Danger: a server that vanished says nothing; a connection is lost after 7 s of that.
+/// A server that vanished closes nothing, and a connection counts as lost after 7 s of silence.
 #[test]
-fn a_silent_host_has_its_clients_moved_but_an_idle_one_has_not() {
+fn migrates_clients_of_a_silent_server_but_not_of_an_idle_one() {
     let mut harness = ReducerHarness::new();
-    let (idle, waiting) = (harness.established(), harness.established());
+    let (idle, waiting) = (harness.establish_connection(), harness.establish_connection());
     harness.feed(Input::LineForwarded { connection: waiting });
     harness.advance(5_000_001);
     let effects = harness.feed(Input::TimerFired);
-    let moved = Effect::Answer { connection: waiting, answer: Answer::Migrated };
-    assert!(effects.contains(&moved), "{effects:?}");
+    let migrated = Effect::Answer { connection: waiting, answer: Answer::Migrated };
+    assert!(effects.contains(&migrated), "{effects:?}");
     assert!(!effects.contains(&Effect::Answer { connection: idle, answer: Answer::Migrated }), "{effects:?}");
 }
 
-/// At SIGTERM everyone is moved, what still arrives is answered at once, and then the balancer may go.
+/// SIGTERM begins a graceful shutdown.
 #[test]
-fn a_balancer_that_leaves_moves_everyone_and_answers_what_arrives() {
+fn migrates_established_and_rejects_new_connections_during_graceful_shutdown() {
     let mut harness = ReducerHarness::new();
-    let standing = harness.established();
+    let established = harness.establish_connection();
     harness.feed(Input::ShutdownRequested);
     let late = harness.connect_client();
     let effects =
@@ -253,39 +248,39 @@
     harness.advance(3_400_000);
     let effects = harness.feed(Input::TimerFired);
     assert!(
-        effects.contains(&Effect::Answer { connection: standing, answer: Answer::Migrated }),
+        effects.contains(&Effect::Answer { connection: established, answer: Answer::Migrated }),
         "{effects:?}"
     );
     assert_eq!(effects.last(), Some(&Effect::Exit));
 }
 
 /// SIGKILL comes 3.7 s after SIGTERM, where the longest wait is 3 s or more. Until then a client is served
-/// here as well as anywhere, and better than by a balancer that has only just started.
+/// here as well as anywhere, and better than by a balancer that has just started.
 #[test]
-fn a_balancer_that_leaves_uses_its_time_and_no_more() {
+fn spreads_migrations_over_the_graceful_shutdown_and_exits_in_time() {
     let mut harness = ReducerHarness::new();
     for _ in 0..30 {
-        harness.established();
+        harness.establish_connection();
     }
     harness.feed(Input::ShutdownRequested);
-    let (mut moved, mut late, mut exit) = (0, 0, None);
+    let (mut migrated, mut late, mut exit) = (0, 0, None);
     for tenth in 1..=37 {
         harness.advance(100_000);
         for effect in harness.feed(Input::TimerFired) {
-            let moves = matches!(effect, Effect::Answer { answer: Answer::Migrated, .. });
-            moved += usize::from(moves);
-            late += usize::from(moves && tenth > 15);
+            let migrates = matches!(effect, Effect::Answer { answer: Answer::Migrated, .. });
+            migrated += usize::from(migrates);
+            late += usize::from(migrates && tenth > 15);
             exit = exit.or((effect == Effect::Exit).then_some(tenth));
         }
     }
-    assert_eq!(moved, 30);
+    assert_eq!(migrated, 30);
     assert!((10..20).contains(&late), "{late} of 30 in the second half");
     assert!(exit.is_some_and(|tenth| (30..35).contains(&tenth)), "{exit:?}");
 }
 
-/// Danger: the front goes on sending for 0.4 s; what comes then must still find somebody.
+/// The front goes on sending clients for 0.4 s, and those have to be answered.
 #[test]
-fn a_balancer_that_holds_nothing_still_stays_a_while_when_it_leaves() {
+fn stays_a_second_in_graceful_shutdown_without_connections() {
     let mut harness = ReducerHarness::new();
     assert!(!harness.feed(Input::ShutdownRequested).contains(&Effect::Exit));
     harness.advance(400_000);
@@ -294,43 +289,43 @@
     assert_eq!(harness.feed(Input::TimerFired).last(), Some(&Effect::Exit));
 }
 
-/// A connection that its server has ended must be moved within a second: what is gone answers nobody.
+/// A server that is gone answers no client.
 #[test]
-fn clients_of_a_host_that_is_gone_are_moved_at_once() {
+fn migrates_clients_of_a_server_that_is_gone_at_once() {
     let mut harness = ReducerHarness::new();
     let (connection, server) = harness.forward_request();
     harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
-    let effects = harness.list(server, Lifecycle::Gone);
-    let moved = Effect::Answer { connection, answer: Answer::Migrated };
-    assert_eq!(effects, [moved, Effect::CloseAttempt { connection }]);
+    let effects = harness.update_endpoint(server, Lifecycle::Gone);
+    let migrated = Effect::Answer { connection, answer: Answer::Migrated };
+    assert_eq!(effects, [migrated, Effect::CloseAttempt { connection }]);
 }
 
-/// A connection that stood before the start is tried again while its server does not take it.
+/// A connection from before the start is tried again while its server does not accept it.
 #[test]
-fn a_standing_connection_is_tried_again_at_its_own_server() {
+fn retries_a_restored_connection_at_its_own_server() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
-    let at = ConnectionRequest { established_at: Some(SERVERS[1].to_owned()), ..connection_request() };
-    let effects = harness.feed(Input::ConnectionRequested { connection, request: at });
+    let request = ConnectionRequest { established_at: Some(SERVERS[1].to_owned()), ..connection_request() };
+    let effects = harness.feed(Input::ConnectionRequested { connection, request });
     let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
     assert_eq!(*address, harness.address(SERVERS[1]));
     harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::ConnectFailed });
     harness.advance(600_000);
     let effects = harness.feed(Input::TimerFired);
     assert!(
-        matches!(&effects[..], [Effect::OpenAttempt { address: again, attempt: 1, .. }] if again == address),
+        matches!(&effects[..], [Effect::OpenAttempt { address: second, attempt: 1, .. }] if second == address),
         "{effects:?}"
     );
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// Danger: "at" may name a server that there never was. It was tried six times, at no address, before the error.
+/// The client may name a server that never existed. It was tried six times, at no address, before the error.
 #[test]
-fn one_that_stood_at_no_listed_host_has_its_error_within_three_seconds() {
+fn fails_a_restored_connection_of_an_unlisted_server_within_three_seconds() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
-    let at = ConnectionRequest { established_at: Some("s-0000dead".to_owned()), ..connection_request() };
-    let mut effects = harness.feed(Input::ConnectionRequested { connection, request: at });
+    let request = ConnectionRequest { established_at: Some("s-0000dead".to_owned()), ..connection_request() };
+    let mut effects = harness.feed(Input::ConnectionRequested { connection, request });
     for _ in 0..28 {
         harness.advance(100_000);
         effects.extend(harness.feed(Input::TimerFired));
@@ -338,23 +333,22 @@
     assert_eq!(effects.first(), Some(&Effect::Answer { connection, answer: Answer::Failed }));
 }
 
-/// A request that the module gives up on is answered at once, with when to come back.
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn rejects_at_once_with_retry_after_when_no_server_is_ready() {
     let mut harness = ReducerHarness::new();
     for server in 0..SERVERS.len() {
-        harness.drain(server);
+        harness.drain_server(server);
     }
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
 }
 
-/// Danger: silent connections by the hundred, and such as do not go when they are answered, would use up the
-/// descriptors. The oldest makes room, but none that may still have its line on the way.
+/// Hundreds of connections without a request, or not closed after their answer, would use up the descriptors. The oldest
+/// is aborted, but none whose request may still be on its way.
 #[test]
-fn connections_without_a_leg_make_room_for_those_who_ask() {
-    let mut harness = ReducerHarness::with(Budget { waiting: 3, held: 2, buffer: 8192 });
+fn aborts_the_oldest_connections_without_an_attempt_to_make_room() {
+    let mut harness = ReducerHarness::with_budget(Budget { waiting: 3, held: 2, buffer: 8192 });
     let silent = harness.connect_client();
     let answered = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
@@ -365,7 +359,7 @@
     assert_eq!(
         effects,
         [Effect::SetAccepting { open: false }],
-        "all may still request: the next have to wait"
+        "all may still send a request: the next have to wait"
     );
     harness.advance(100_000);
     let effects = harness.feed(Input::TimerFired);
@@ -375,7 +369,7 @@
     );
     let (_, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
-    // With an attempt it is in nobody's way, and closed ones make room by themselves.
+    // With an attempt a connection is not counted here, and closed ones make room by themselves.
     harness.feed(Input::ConnectionRequested { connection: third, request: connection_request() });
     assert_eq!(harness.connect_client_with_effects().1, []);
     let (last, effects) = harness.connect_client_with_effects();
@@ -385,7 +379,7 @@
         harness.feed(Input::SocketsClosed { connection: last }),
         [Effect::SetAccepting { open: true }]
     );
-    // Attempts take descriptors too: those over their budget are told to come again.
+    // Attempts use descriptors, too: requests over their budget are rejected.
     let next = harness.connect_client();
     harness.feed(Input::ConnectionRequested { connection: next, request: connection_request() });
     let over = harness.connect_client();
@@ -395,7 +389,7 @@
 }
 
 #[test]
-fn what_names_nothing_configured_or_is_open_already_fails_at_once() {
+fn fails_requests_with_an_unknown_name_or_an_open_id() {
     let mut harness = ReducerHarness::new();
     let named = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..connection_request() };
     let first = harness.connect_client();
@@ -405,17 +399,17 @@
         let effects = harness.feed(Input::ConnectionRequested { connection, request: ask });
         effects == [Effect::Answer { connection, answer: Answer::Failed }]
     };
-    assert!(failed(&mut harness, named("a")), "another's open id");
-    assert!(failed(&mut harness, ConnectionRequest { class: "news".to_owned(), ..named("b") }));
+    assert!(failed(&mut harness, named("a")), "the id of an open connection");
+    assert!(failed(&mut harness, ConnectionRequest { class: "unknown".to_owned(), ..named("b") }));
     assert!(failed(&mut harness, ConnectionRequest { class: String::new(), ..named("b") }));
     assert!(!failed(&mut harness, named("b")));
     harness.feed(Input::ClientDisconnected { connection: first });
     assert!(!failed(&mut harness, named("a")), "free again");
 }
 
-/// Danger: a machine out of descriptors would take every server to be down.
+/// A machine out of descriptors would take every server to be down.
 #[test]
-fn a_leg_that_this_machine_had_no_socket_for_tells_nothing_of_its_server() {
+fn does_not_count_missing_sockets_against_the_server() {
     let mut harness = ReducerHarness::new();
     for _ in 0..20 {
         let (connection, _) = harness.forward_request();
@@ -436,18 +430,18 @@
 
     proptest! {
         /// Whatever happens in whatever order: one answer for each connection and in time, at most six
-        /// attempts and never two at once, no new attempt to a server that drains, and nothing held in the end.
+        /// attempts and never two at once, no new attempt to a server that drains, and none in flight in the end.
         #[test]
         fn rules_hold_under_random_steps(steps in prop::collection::vec((0u8..10, 0usize..8, 1u64..400_000), 1..200)) {
             let mut harness = ReducerHarness::new();
             let (mut connections, mut drained) = (Vec::new(), BTreeSet::new());
-            let (mut out, mut answered) = (BTreeMap::new(), BTreeMap::new());
+            let (mut in_flight, mut answered) = (BTreeMap::new(), BTreeMap::new());
             let mut attempts = BTreeMap::<ConnectionId, u32>::new();
             for (what, which, pause) in steps {
                 harness.advance(pause);
                 for tick in [true, false] {
                 let connection = connections.get(which % connections.len().max(1)).map_or(ConnectionId(u64::MAX), |&(connection, _)| connection);
-                let attempt = out.get(&connection).copied().unwrap_or(9);
+                let attempt = in_flight.get(&connection).copied().unwrap_or(9);
                 let effects = match what {
                     _ if tick => harness.feed(Input::TimerFired),
                     0..=2 => {
@@ -457,47 +451,47 @@
                     }
                     3 => harness.feed(Input::RequestForwarded { connection, attempt }),
                     4 => {
-                        // Served: from here on it is the server's.
-                        if out.contains_key(&connection) {
+                        // From here on the client is served.
+                        if in_flight.contains_key(&connection) {
                             answered.entry(connection).or_insert(harness.now);
                         }
                         harness.feed(Input::AttemptAccepted { connection, attempt })
                     }
                     5 => {
-                        out.remove(&connection);
+                        in_flight.remove(&connection);
                         harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
                     }
                     6 => {
-                        out.remove(&connection);
+                        in_flight.remove(&connection);
                         harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Reset })
                     }
                     7 => {
-                        out.remove(&connection);
+                        in_flight.remove(&connection);
                         answered.entry(connection).or_insert(harness.now);
                         harness.feed(Input::ClientDisconnected { connection })
                     }
                     8 if which < SERVERS.len() => {
                         drained.insert(harness.address(SERVERS[which]));
-                        harness.drain(which)
+                        harness.drain_server(which)
                     }
                     9 if which == 0 && pause < 40_000 => harness.feed(Input::ShutdownRequested),
-                    // Its time to ask is over, as its first line has come: a late word.
+                    // Late: the request has come.
                     9 => harness.feed(Input::HandshakeTimedOut { connection }),
                     _ => Vec::new(),
                 };
                 for effect in effects {
                     match effect {
                         Effect::OpenAttempt { connection, attempt, address, .. } => {
-                            prop_assert!(out.insert(connection, attempt).is_none(), "two legs at once");
+                            prop_assert!(in_flight.insert(connection, attempt).is_none(), "two attempts at once");
                             let count = attempts.entry(connection).or_default();
                             *count += 1;
-                            prop_assert!(*count <= 6, "{count} legs");
-                            prop_assert!(!answered.contains_key(&connection), "a leg after the answer");
-                            prop_assert!(!drained.contains(&address), "a leg to a drained host");
+                            prop_assert!(*count <= 6, "{count} attempts");
+                            prop_assert!(!answered.contains_key(&connection), "an attempt after the answer");
+                            prop_assert!(!drained.contains(&address), "an attempt to a server that drains");
                         }
-                        Effect::CloseAttempt { connection } => drop(out.remove(&connection)),
+                        Effect::CloseAttempt { connection } => drop(in_flight.remove(&connection)),
                         Effect::Answer { connection, answer: Answer::Rejected(_) | Answer::Failed } => {
-                            out.remove(&connection);
+                            in_flight.remove(&connection);
                             prop_assert!(answered.insert(connection, harness.now).is_none(), "answered twice");
                         }
                         _ => {}
@@ -509,7 +503,7 @@
                     prop_assert!(!late || answered.contains_key(connection), "no answer in time");
                 }
             }
-            // Once all have gone, all slots are what they were.
+            // Once all clients have left, nothing is in flight.
             for &(connection, _) in &connections {
                 harness.feed(Input::ClientDisconnected { connection });
             }
@@ -520,39 +514,35 @@
     }
 }
 
-/// A reload: what stands and what is out goes on, classes keep their numbers whatever their order in the
-/// file, and the watch goes to the new address.
+/// Established connections and attempts in flight go on, classes keep their numbers whatever their order in the file,
+/// and the watch moves to the new address.
 #[test]
-fn another_configuration_keeps_what_is_out_and_moves_the_watch() {
+fn reload_keeps_connections_and_moves_the_watch() {
     let mut harness = ReducerHarness::new();
-    let (standing, (placing, server)) = (harness.established(), harness.forward_request());
-    let mut setup = reducer_harness::setup();
+    let (established, (placing, server)) = (harness.establish_connection(), harness.forward_request());
+    let mut config = reducer_harness::pool_config();
     let first = Class {
         priority_weight: 9.0,
         setup_objective: 1,
         message_objective: 7,
         idempotency: Idempotency::NotIdempotent,
     };
-    setup.settings.classes.insert(0, first);
-    setup.classes.insert(0, "alerts".to_owned());
-    setup.discovery = Some("127.0.0.1:9".parse().expect("an address"));
-    let effects = harness.feed(Input::ConfigurationChanged {
-        pools: vec![setup.clone()],
-        peers: Vec::new(),
-        budget: reducer_harness::BUDGET,
-    });
-    let discovery = setup.discovery.expect("set above");
+    config.settings.classes.insert(0, first);
+    config.classes.insert(0, "alerts".to_owned());
+    config.discovery = Some("127.0.0.1:9".parse().expect("an address"));
+    let effects = reload(&mut harness, config.clone());
+    let discovery = config.discovery.expect("set above");
     assert_eq!(effects, [Effect::WatchEndpointsAt { pool: 0, discovery }]);
-    let effects = harness.feed(Input::ConfigurationChanged {
-        pools: vec![setup],
-        peers: Vec::new(),
-        budget: reducer_harness::BUDGET,
-    });
+    let effects = reload(&mut harness, config);
     assert_eq!(effects, [], "the same address needs no new watch");
-    // Were it taken for the class that came first, which may not be repeated, it would fail here.
+    // Taken for the class that is first now, which may not be retried, it would fail here.
     let effects =
         harness.feed(Input::AttemptEnded { connection: placing, attempt: 0, end: AttemptOutcome::Reset });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
-    assert_eq!(harness.drain(server), [], "it stands or goes elsewhere already");
-    assert_eq!(harness.feed(Input::ServerActivity { connection: standing }), []);
+    assert_eq!(
+        harness.drain_server(server),
+        [],
+        "its connection is established, or retried elsewhere already"
+    );
+    assert_eq!(harness.feed(Input::ServerActivity { connection: established }), []);
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,4 +1,4 @@
-//! The replicated store: a model under loss, reordering and restarts, and two daemons that share one.
+//! The replicated map: a model under loss, reordering and restarts, and two daemons that share one.
 
 mod fake_servers;
 
@@ -6,41 +6,43 @@
 
 use connection_balancer::protocol::gossip;
 use connection_balancer::routing::store::{Entry, Gossip, Store};
+use connection_balancer::routing::LogEvent;
 use fake_servers::{until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
 
-fn map(store: &Store) -> BTreeMap<String, Entry> {
+fn entries_of(store: &Store) -> BTreeMap<String, Entry> {
     store.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
 }
 
-/// What goes over the wire: written, read back, and never too long.
-fn wire(gossip: &Gossip) -> Gossip {
+/// The message as another replica reads it from the wire; it must fit a datagram.
+fn over_the_wire(gossip: &Gossip) -> Gossip {
     let bytes = gossip::write(gossip).expect("fits a datagram");
     assert!(bytes.len() <= gossip::LONGEST);
     gossip::read(&bytes).expect("reads back")
 }
 
-/// A node sends its digest to another, and both repair.
+/// Two replicas send each other their digests, and the missing entries; those for which `lost` holds are lost.
 fn exchange(stores: &mut [Store], a: usize, b: usize, lost: impl Fn(usize) -> bool) {
-    let digest = |store: &Store| match wire(&Gossip::Digest { wanted: true, buckets: store.digest() }) {
-        Gossip::Digest { buckets, .. } => buckets,
-        other => panic!("{other:?}"),
-    };
+    let digest =
+        |store: &Store| match over_the_wire(&Gossip::Digest { wanted: true, buckets: store.digest() }) {
+            Gossip::Digest { buckets, .. } => buckets,
+            other => panic!("{other:?}"),
+        };
     for (from, to) in [(a, b), (b, a)] {
         let theirs = digest(&stores[from]);
         let mut sent = stores[to].repair(&theirs);
         sent.reverse();
         for (n, gossip) in sent.iter().enumerate().filter(|(n, _)| !lost(*n)) {
-            let Gossip::Entry { key, entry } = wire(gossip) else { panic!("{n}: {gossip:?}") };
+            let Gossip::Entry { key, entry } = over_the_wire(gossip) else { panic!("{n}: {gossip:?}") };
             stores[from].hear(&key, entry);
         }
     }
 }
 
 proptest! {
-    /// Whatever is written, lost, reordered and forgotten: nodes that go on talking come to the same map.
+    /// Whatever is written, lost, reordered and forgotten, as long as messages go on.
     #[test]
-    fn nodes_converge(steps in prop::collection::vec((0u8..6, 0usize..3, 0usize..3, 0usize..40, any::<u8>()), 1..120)) {
+    fn replicas_converge(steps in prop::collection::vec((0u8..6, 0usize..3, 0usize..3, 0usize..40, any::<u8>()), 1..120)) {
         let name = |n: usize| format!("node-{n}");
         let mut stores: Vec<Store> = (0..3).map(|n| Store::new(&name(n))).collect();
         for (what, a, b, key, bits) in steps {
@@ -54,7 +56,7 @@
             }
         }
         let mut rounds = 0;
-        while !stores.windows(2).all(|pair| map(&pair[0]) == map(&pair[1])) {
+        while !stores.windows(2).all(|pair| entries_of(&pair[0]) == entries_of(&pair[1])) {
             for (a, b) in [(0, 1), (1, 2), (2, 0)] {
                 exchange(&mut stores, a, b, |_| false);
             }
@@ -64,7 +66,7 @@
         prop_assert_eq!(stores[0].digest(), stores[2].digest());
     }
 
-    /// Of two entries the later wins, in whichever order they come.
+    /// In whichever order the two entries arrive.
     #[test]
     fn the_last_writer_wins(a in (1u64..4, 0usize..3, any::<bool>()), b in (1u64..4, 0usize..3, any::<bool>())) {
         let entry = |(counter, node, value): (u64, usize, bool)| Entry {
@@ -76,13 +78,13 @@
                 store.hear("life/h", entry(one));
             }
         }
-        prop_assert_eq!(map(&stores[0]), map(&stores[1]));
-        prop_assert_eq!(&map(&stores[0])["life/h"], &entry(a).max(entry(b)));
+        prop_assert_eq!(entries_of(&stores[0]), entries_of(&stores[1]));
+        prop_assert_eq!(&entries_of(&stores[0])["life/h"], &entry(a).max(entry(b)));
     }
 
-    /// Whatever comes as a datagram, it is read or left, and the store stays sound.
+    /// Whatever entry is taken from a datagram, the map can still be written.
     #[test]
-    fn no_datagram_breaks_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..256), kind in prop::sample::select(b"DEW".to_vec())) {
+    fn reads_or_ignores_any_datagram(bytes in prop::collection::vec(any::<u8>(), 0..256), kind in prop::sample::select(b"DEW".to_vec())) {
         let bytes = [b"SGM1", &[kind][..], &bytes].concat();
         if let Some(Gossip::Entry { key, entry }) = gossip::read(&bytes) {
             let mut store = Store::new("n");
@@ -92,10 +94,10 @@
     }
 }
 
-/// Danger: a node that restarted from nothing counts from the start; what an operator writes there must not
-/// lose to what was written before.
+/// A replica that restarted from nothing counts from the start: what an operator writes there must not lose to what was
+/// written before.
 #[test]
-fn a_write_after_a_restart_from_nothing_stands() {
+fn a_write_after_a_restart_from_nothing_wins() {
     let mut stores = [Store::new("a"), Store::new("b"), Store::new("c")];
     for _ in 0..9 {
         stores[1].write("life/h", None);
@@ -109,19 +111,19 @@
 }
 
 #[test]
-fn what_does_not_fit_a_datagram_is_not_written() {
+fn rejects_entries_that_do_not_fit_a_datagram() {
     let mut store = Store::new("n");
     assert!(store.write(&"k".repeat(73), None).is_none());
     assert!(store.write("k", Some(&"v".repeat(97))).is_none());
     let longest = store.write(&"k".repeat(72), Some(&"v".repeat(96))).expect("fits");
     let entry = Entry { node: "n".repeat(32), ..longest };
-    wire(&Gossip::Entry { key: "k".repeat(72), entry });
+    over_the_wire(&Gossip::Entry { key: "k".repeat(72), entry });
 }
 
 #[test]
-fn an_exclusion_at_one_daemon_takes_effect_at_the_other_and_outlives_it() {
+fn shares_an_exclusion_with_the_other_daemon_and_keeps_it_over_a_restart() {
     let server = Server::start(Manner::Welcome);
-    // Loopback addresses of this process's own: daemons have to know each other's beforehand.
+    // Loopback addresses that no other process uses: daemons have to know each other's beforehand.
     let id = std::process::id();
     let store = |n: u32| format!("127.{}.{}.{n}:7946", 1 + id / 256 % 250, id % 256);
     let data = std::env::temp_dir().join(format!("connection-balancer-store-{id}"));
@@ -143,12 +145,17 @@
     first.exclude("irc-0");
     client.expect(" 010 rosa ");
     Client::register(&first.irc, "rosa").expect(" 263 rosa ");
-    // The one with a data folder knows it again; the other learns it from there.
+    // The one with a data folder restores it; the other receives it from there.
     drop(first);
     drop(second);
     let second = Daemon::start(&config(2, 1, ""), None);
     let _first = Daemon::start(&kept, None);
-    second.log_line("store: life/irc-0 is draining");
+    let stored = LogEvent::EntryStored {
+        key: "life/irc-0".to_owned(),
+        value: "draining".to_owned(),
+        node: "n1".to_owned(),
+    };
+    second.log_line(&stored.to_string());
     Client::register(&second.irc, "rosa").expect(" 263 rosa ");
     until("the folder is there", || data.join("store.journal").exists());
     let _ = std::fs::remove_dir_all(&data);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! A new version in the place of one that serves: the reducers of both, what goes between them, and two
-//! daemons of which either may be lost on the way.
+//! Hot restart: the reducers of predecessor and successor, the messages between them, and two daemons of which
+//! either may be lost on the way.
 
 mod fake_servers;
 mod reducer_harness;
@@ -19,10 +19,10 @@
 use reducer_harness::{connection_request, ReducerHarness, SERVERS};
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
 
-const CALLER: AdminClientId = AdminClientId(7);
+const ADMIN_CLIENT: AdminClientId = AdminClientId(7);
 
 fn call(harness: &mut ReducerHarness, call: AdminCall) -> Vec<Effect> {
-    harness.feed(Input::AdminRequest { admin_client: CALLER, call })
+    harness.feed(Input::AdminRequest { admin_client: ADMIN_CLIENT, call })
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
@@ -32,111 +32,117 @@
     }
 }
 
-/// What a desk leaves, as it comes out of the messages.
-fn legacy(old: &mut ReducerHarness) -> Box<HandoverState> {
+/// The state that a process exports, as its successor reads it from the messages.
+fn export_state(old: &mut ReducerHarness) -> Box<HandoverState> {
     let effects = old.feed(Input::SuccessorStarted);
-    let Some(Effect::ExportState(legacy)) = effects.last() else { panic!("{effects:?}") };
+    let Some(Effect::ExportState(exported)) = effects.last() else { panic!("{effects:?}") };
     assert!(effects.contains(&Effect::SetAccepting { open: false }), "it accepts no more");
-    let mut there = HandoverState::default();
-    for part in parts((**legacy).clone()) {
+    let mut received = HandoverState::default();
+    for part in parts((**exported).clone()) {
         let bytes = write(&HandoverMessage::Part(part)).expect("fits");
         let Some(HandoverMessage::Part(part)) = read(&bytes) else { panic!("{bytes:?}") };
-        add(&mut there, part);
+        add(&mut received, part);
     }
-    assert_eq!(there, **legacy);
-    Box::new(there)
+    assert_eq!(received, **exported);
+    Box::new(received)
 }
 
-/// A desk that takes the place of another; and what the other has to do about that.
-fn heir_of(old: &mut ReducerHarness) -> (ReducerHarness, Vec<Effect>) {
+/// A successor that serves, and the effects at its predecessor.
+fn start_successor_with_effects(old: &mut ReducerHarness) -> (ReducerHarness, Vec<Effect>) {
     let mut new = ReducerHarness::new();
     new.now = old.now;
-    let legacy = legacy(old);
-    new.feed(Input::ImportState(legacy));
+    let exported = export_state(old);
+    new.feed(Input::ImportState(exported));
     (new, old.feed(Input::SuccessorReady))
 }
 
-/// The same with the connections that are passed.
-fn heir(old: &mut ReducerHarness) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
-    let (new, effects) = heir_of(old);
-    (new, passed(&effects))
+/// A successor that serves, and the connections that are transferred to it.
+fn start_successor(old: &mut ReducerHarness) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
+    let (new, effects) = start_successor_with_effects(old);
+    (new, transferred(&effects))
 }
 
-fn passed(effects: &[Effect]) -> Vec<(ConnectionId, EstablishedConnection)> {
-    let pass = |effect: &Effect| match effect {
+fn transferred(effects: &[Effect]) -> Vec<(ConnectionId, EstablishedConnection)> {
+    let transfer = |effect: &Effect| match effect {
         Effect::TransferConnection { connection, established, .. } => {
             Some((*connection, established.clone()))
         }
         _ => None,
     };
-    effects.iter().filter_map(pass).collect()
+    effects.iter().filter_map(transfer).collect()
 }
 
-/// Connections that were passed stand here.
-fn adopt(
+/// Completes the transfer of connections, and returns their ids at the successor.
+fn complete_transfer(
     new: &mut ReducerHarness,
     old: &mut ReducerHarness,
-    passed: Vec<(ConnectionId, EstablishedConnection)>,
+    transferred: Vec<(ConnectionId, EstablishedConnection)>,
 ) -> Vec<ConnectionId> {
-    let adopt = |(n, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
+    let transfer = |(n, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
         assert_eq!(old.feed(Input::ConnectionTransferred { connection }), [], "nothing of it ended");
         let connection = ConnectionId(1_000_000 + n as u64);
         new.feed(Input::ConnectionReceived { connection, pool: 0, established });
         connection
     };
-    passed.into_iter().enumerate().map(adopt).collect()
+    transferred.into_iter().enumerate().map(transfer).collect()
 }
 
 #[test]
-fn standing_connections_go_over_with_all_that_is_known_of_them() {
+fn transfers_established_connections_with_all_that_is_known_of_them() {
     let mut old = ReducerHarness::new();
-    let connections: Vec<ConnectionId> = (0..20).map(|_| old.established()).collect();
+    let connections: Vec<ConnectionId> = (0..20).map(|_| old.establish_connection()).collect();
     old.feed(Input::LoadReported { connection: connections[0], load: 50_000.0 });
     old.feed(Input::LineForwarded { connection: connections[0] });
-    let (mut new, established) = heir(&mut old);
+    let (mut new, established) = start_successor(&mut old);
     assert_eq!(established.len(), 20);
     assert_eq!(established[0].1.load, Some(50_000.0));
-    let there = adopt(&mut new, &mut old, established);
+    let at_successor = complete_transfer(&mut new, &mut old, established);
     assert_eq!((metrics(&mut old).outstanding, metrics(&mut new).outstanding), (0, 20));
-    // The silence of its server goes on from when it was asked, and others have not asked.
+    // The silence of a server counts from the first unanswered line, and only one connection has sent one.
     new.advance(5_000_001);
-    let moved: Vec<_> = new.feed(Input::TimerFired);
-    assert_eq!(moved.first(), Some(&Effect::Answer { connection: there[0], answer: Answer::Migrated }));
-    assert_eq!(moved.len(), 2, "{moved:?}");
-    // What holds for a server's clients holds for them.
+    let effects = new.feed(Input::TimerFired);
+    assert_eq!(
+        effects.first(),
+        Some(&Effect::Answer { connection: at_successor[0], answer: Answer::Migrated })
+    );
+    assert_eq!(effects.len(), 2, "{effects:?}");
+    // They migrate with their servers' other clients.
     let effects: Vec<Effect> =
-        (0..SERVERS.len()).flat_map(|server| new.list(server, Lifecycle::Gone)).collect();
+        (0..SERVERS.len()).flat_map(|server| new.update_endpoint(server, Lifecycle::Gone)).collect();
     assert_eq!(
-        effects.iter().filter(|e| matches!(e, Effect::Answer { answer: Answer::Migrated, .. })).count(),
+        effects
+            .iter()
+            .filter(|effect| matches!(effect, Effect::Answer { answer: Answer::Migrated, .. }))
+            .count(),
         19
     );
 }
 
-/// Who came to the old process is heard out there, and follows when it stands.
+/// Clients that connected to the predecessor are placed there, and transferred once they are established.
 #[test]
-fn what_the_old_process_took_is_placed_by_it_and_passed_on() {
+fn places_clients_of_the_predecessor_and_transfers_them_once_established() {
     let mut old = ReducerHarness::new();
     let (silent, (placing, _)) = (old.connect_client(), old.forward_request());
-    let (mut new, established) = heir(&mut old);
+    let (mut new, established) = start_successor(&mut old);
     assert_eq!(established, []);
     old.feed(Input::ShutdownRequested);
     let effects = old.feed(Input::ConnectionRequested { connection: silent, request: connection_request() });
-    assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "turned away unheard: {effects:?}");
+    assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "rejected: {effects:?}");
     let up = old.feed(Input::AttemptAccepted { connection: placing, attempt: 0 });
-    assert_eq!(adopt(&mut new, &mut old, passed(&up)).len(), 1);
+    assert_eq!(complete_transfer(&mut new, &mut old, transferred(&up)).len(), 1);
     old.feed(Input::RequestForwarded { connection: silent, attempt: 0 });
     let up = old.feed(Input::AttemptAccepted { connection: silent, attempt: 0 });
-    let last = passed(&up);
+    let last = transferred(&up);
     assert_eq!(last.len(), 1);
     assert_eq!(
         old.feed(Input::ConnectionTransferred { connection: last[0].0 }),
         [Effect::Exit],
-        "it may exit early"
+        "with no connection left it may exit early"
     );
 }
 
 #[test]
-fn bans_health_ceilings_and_open_ids_are_inherited() {
+fn imports_exclusions_learned_state_and_open_ids() {
     let mut old = ReducerHarness::new();
     let (connection, _) = old.forward_request();
     old.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
@@ -151,21 +157,21 @@
     });
     let mut new = ReducerHarness::new();
     new.now = old.now;
-    let left = legacy(&mut old);
-    assert_eq!(left.pools["platform"].readmitted.len(), 1);
-    new.feed(Input::ImportState(left.clone()));
+    let exported = export_state(&mut old);
+    assert_eq!(exported.pools["platform"].readmitted.len(), 1);
+    new.feed(Input::ImportState(exported.clone()));
     assert_eq!(metrics(&mut new).ejected, ejected);
-    // It leaves the same to the next.
+    // It exports the same to the next.
     new.feed(Input::PeerProcessLost);
-    let mut next = legacy(&mut new);
-    let (pool, before) = (next.pools.get_mut("platform").expect("there"), &left.pools["platform"]);
+    let mut next = export_state(&mut new);
+    let (pool, before) = (next.pools.get_mut("platform").expect("there"), &exported.pools["platform"]);
     pool.ids.clone_from(&before.ids);
-    next.left = left.left;
-    assert_eq!(next, left);
-    // Another's open id stays another's for as long as that process may have it open.
+    next.left = exported.left;
+    assert_eq!(next, exported);
+    // The id of a connection that is open at the predecessor is not free as long as that process may be there.
     let mut third = ReducerHarness::new();
     third.now = old.now;
-    third.feed(Input::ImportState(left));
+    third.feed(Input::ImportState(exported));
     for (lost, answered) in [(false, true), (true, false)] {
         if lost {
             third.feed(Input::PeerProcessLost);
@@ -179,23 +185,23 @@
     }
 }
 
-/// Danger: two processes that each fill a cold server as fast as it stands would push it over.
+/// Two processes that each fill a cold server as fast as it bears would overload it.
 #[test]
-fn cold_hosts_are_the_new_process_to_fill() {
+fn leaves_cold_servers_to_the_successor() {
     let mut old = ReducerHarness::new();
     for _ in 0..20 {
-        old.established();
+        old.establish_connection();
     }
     call(&mut old, AdminCall::Exclude(SERVERS[2].to_owned()));
     call(&mut old, AdminCall::Include(SERVERS[2].to_owned()));
     let address = old.address(SERVERS[2]);
-    heir(&mut old);
+    start_successor(&mut old);
     for _ in 0..200 {
         old.advance(20_000);
         let connection = old.connect_client();
         for effect in old.feed(Input::ConnectionRequested { connection, request: connection_request() }) {
             assert!(
-                !matches!(&effect, Effect::OpenAttempt { address: at, .. } if *at == address),
+                !matches!(&effect, Effect::OpenAttempt { address: opened, .. } if *opened == address),
                 "{effect:?}"
             );
         }
@@ -203,27 +209,34 @@
 }
 
 #[test]
-fn a_call_at_either_door_is_answered_once_both_have_heard_of_it() {
-    let yes = Effect::AdminReply { admin_client: CALLER, reply: AdminResponse::Yes };
+fn replies_to_an_exclusion_once_the_peer_process_has_acknowledged_it() {
+    let accepted = Effect::AdminReply { admin_client: ADMIN_CLIENT, reply: AdminResponse::Yes };
     let server = SERVERS[1].to_owned();
     let mut old = ReducerHarness::new();
-    let (new, _) = heir(&mut old);
+    let (new, _) = start_successor(&mut old);
     for mut harness in [old, new] {
         let effects = call(&mut harness, AdminCall::Exclude(server.clone()));
-        let share = Effect::ShareExclusion { admin_client: CALLER, server: server.clone(), out: true };
+        let share = Effect::ShareExclusion { admin_client: ADMIN_CLIENT, server: server.clone(), out: true };
         assert_eq!(effects.last(), Some(&share));
-        assert_eq!(metrics(&mut harness).ejected, 1, "it holds here at once");
-        assert_eq!(harness.feed(Input::ExclusionAcknowledged { admin_client: CALLER }), vec![yes.clone()]);
-        assert_eq!(harness.feed(Input::ExclusionAcknowledged { admin_client: CALLER }), [], "answered once");
-        // One that hangs, or is gone, keeps no operator waiting.
+        assert_eq!(metrics(&mut harness).ejected, 1, "it takes effect here at once");
+        assert_eq!(
+            harness.feed(Input::ExclusionAcknowledged { admin_client: ADMIN_CLIENT }),
+            vec![accepted.clone()]
+        );
+        assert_eq!(
+            harness.feed(Input::ExclusionAcknowledged { admin_client: ADMIN_CLIENT }),
+            [],
+            "answered once"
+        );
+        // A peer process that hangs, or is gone, delays no reply.
         call(&mut harness, AdminCall::Include(server.clone()));
         harness.advance(500_000);
-        assert_eq!(harness.feed(Input::TimerFired), vec![yes.clone()]);
+        assert_eq!(harness.feed(Input::TimerFired), vec![accepted.clone()]);
         call(&mut harness, AdminCall::Exclude(server.clone()));
-        assert!(harness.feed(Input::PeerProcessLost).contains(&yes));
+        assert!(harness.feed(Input::PeerProcessLost).contains(&accepted));
         assert_eq!(
             call(&mut harness, AdminCall::Include(server.clone())).last(),
-            Some(&yes),
+            Some(&accepted),
             "it is alone again"
         );
     }
@@ -233,7 +246,7 @@
 }
 
 #[test]
-fn one_whose_heir_is_lost_accepts_again() {
+fn accepts_again_when_its_successor_is_lost() {
     for served in [false, true] {
         let mut old = ReducerHarness::new();
         old.feed(Input::SuccessorStarted);
@@ -255,7 +268,7 @@
     prop::option::of(any::<u64>().prop_map(Time))
 }
 
-fn words() -> impl Strategy<Value = HandoverMessage> {
+fn messages() -> impl Strategy<Value = HandoverMessage> {
     let name = || "[ -~]{0,40}";
     let learned = (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
         |(ceiling, at, failures, failed_at, until)| LearnedState {
@@ -303,9 +316,9 @@
             HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
         }),
         (name(), request, maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
-            |(server, ask, awaiting_server_since, state)| {
-                let established =
-                    EstablishedConnection { load: ask.load, request: ask, server, awaiting_server_since };
+            |(server, request, awaiting_server_since, state)| {
+                let load = request.load;
+                let established = EstablishedConnection { load, request, server, awaiting_server_since };
                 HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
             }
         ),
@@ -318,59 +331,59 @@
 }
 
 proptest! {
-    /// What is written is read as it was meant; cut off or with anything behind it is no word at all.
+    /// With its end cut off, or with anything behind it, it is no message.
     #[test]
-    fn words_are_read_as_they_were_written(word in words(), cut in any::<prop::sample::Index>()) {
-        let mut bytes = write(&word).expect("fits");
-        prop_assert_eq!(read(&bytes), Some(word));
+    fn reads_messages_as_they_were_written(message in messages(), cut in any::<prop::sample::Index>()) {
+        let mut bytes = write(&message).expect("fits");
+        prop_assert_eq!(read(&bytes), Some(message));
         prop_assert_eq!(read(&bytes[..cut.index(bytes.len())]), None);
         bytes.push(0);
         prop_assert_eq!(read(&bytes), None);
     }
 
     #[test]
-    fn no_bytes_break_the_reader(mut bytes in prop::collection::vec(any::<u8>(), 0..300), sound in any::<bool>()) {
-        if sound {
+    fn reads_or_ignores_any_bytes(mut bytes in prop::collection::vec(any::<u8>(), 0..300), has_magic in any::<bool>()) {
+        if has_magic {
             bytes.splice(0..0, *b"SGH1");
         }
         let _ = read(&bytes);
     }
 
-    /// Through any number of upgrades at any moment each connection has one answer or stands, at one
-    /// process, and nothing new goes to a server that is out by hand.
+    /// Through any number of hot restarts at any moment each connection is answered once or established, at one
+    /// process, and nothing new goes to an excluded server.
     #[test]
-    fn upgrades_lose_nobody(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
+    fn loses_no_connection_through_hot_restarts(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
         let mut model = Model { harnesses: vec![ReducerHarness::new()], ..Model::default() };
         for (what, which, pause) in steps {
             model.harnesses.iter_mut().for_each(|harness| harness.advance(pause));
             model.step(what, which)?;
-            for at in 0..model.harnesses.len() {
-                model.feed(at, Input::TimerFired)?;
+            for process in 0..model.harnesses.len() {
+                model.feed(process, Input::TimerFired)?;
             }
-            let held: u64 = model.harnesses.iter_mut().map(|harness| metrics(harness).outstanding).sum();
-            prop_assert_eq!(held, model.open.len() as u64);
+            let outstanding: u64 = model.harnesses.iter_mut().map(|harness| metrics(harness).outstanding).sum();
+            prop_assert_eq!(outstanding, model.open.len() as u64);
             prop_assert_eq!(model.open.len() + model.done, model.next as usize);
         }
     }
 }
 
-/// A connection that is open: at which process, its number there, the attempt out, and whether it stands.
+/// An open connection: at which process, its id there, the attempt in flight, and whether it is established.
 #[derive(Clone, Copy)]
-struct Open {
-    at: usize,
+struct OpenConnection {
+    process: usize,
     connection: ConnectionId,
     attempt: Option<u32>,
-    stands: bool,
+    established: bool,
 }
 
 /// One process after the other, the last of which serves.
 #[derive(Default)]
 struct Model {
     harnesses: Vec<ReducerHarness>,
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenConnection>,
     done: usize,
     next: u64,
-    banned: Vec<&'static str>,
+    excluded: Vec<&'static str>,
 }
 
 impl Model {
@@ -381,38 +394,44 @@
             (0..=2, _) => {
                 let connection = self.harnesses[now].connect_client();
                 self.next += 1;
-                self.open.insert(self.next, Open { at: now, connection, attempt: None, stands: false });
+                self.open.insert(
+                    self.next,
+                    OpenConnection { process: now, connection, attempt: None, established: false },
+                );
                 self.feed(now, Input::ConnectionRequested { connection, request: connection_request() })
             }
-            (3 | 4, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
-                self.feed(at, Input::RequestForwarded { connection, attempt })?;
+            (
+                3 | 4,
+                Some(OpenConnection { process, connection, attempt: Some(attempt), established: false }),
+            ) => {
+                self.feed(process, Input::RequestForwarded { connection, attempt })?;
                 self.open
                     .values_mut()
-                    .filter(|o| (o.at, o.connection) == (at, connection))
-                    .for_each(|o| o.stands = true);
-                self.feed(at, Input::AttemptAccepted { connection, attempt })
+                    .filter(|open| (open.process, open.connection) == (process, connection))
+                    .for_each(|open| open.established = true);
+                self.feed(process, Input::AttemptAccepted { connection, attempt })
             }
-            (5, Some(Open { at, connection, attempt: Some(attempt), stands: false })) => {
+            (5, Some(OpenConnection { process, connection, attempt: Some(attempt), established: false })) => {
                 self.open
                     .values_mut()
-                    .filter(|o| (o.at, o.connection) == (at, connection))
-                    .for_each(|o| o.attempt = None);
-                self.feed(at, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
+                    .filter(|open| (open.process, open.connection) == (process, connection))
+                    .for_each(|open| open.attempt = None);
+                self.feed(process, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
             }
             (6, _) => {
                 let server = SERVERS[which % 2];
-                let out = !self.banned.contains(&server);
-                self.banned.retain(|banned| *banned != server);
-                self.banned.extend(out.then_some(server));
-                // Whichever door it comes to, the other hears of it.
-                (now.saturating_sub(1)..=now).try_for_each(|at| {
-                    self.feed(at, Input::ExclusionShared { server: server.to_owned(), out })
+                let out = !self.excluded.contains(&server);
+                self.excluded.retain(|excluded| *excluded != server);
+                self.excluded.extend(out.then_some(server));
+                // Whichever process is called, the other is notified.
+                (now.saturating_sub(1)..=now).try_for_each(|process| {
+                    self.feed(process, Input::ExclusionShared { server: server.to_owned(), out })
                 })
             }
-            // Not before the one before it has been heard out.
-            (7, _) if self.open.values().all(|open| open.at == now) => {
+            // Not before all connections of the process before it are there.
+            (7, _) if self.open.values().all(|open| open.process == now) => {
                 self.feed(now, Input::PeerProcessLost)?;
-                let (new, effects) = heir_of(&mut self.harnesses[now]);
+                let (new, effects) = start_successor_with_effects(&mut self.harnesses[now]);
                 self.harnesses.push(new);
                 self.carry_out(now, effects)
             }
@@ -420,38 +439,40 @@
         }
     }
 
-    fn feed(&mut self, at: usize, input: Input) -> Result<(), TestCaseError> {
-        let effects = self.harnesses[at].feed(input);
-        self.carry_out(at, effects)
+    fn feed(&mut self, process: usize, input: Input) -> Result<(), TestCaseError> {
+        let effects = self.harnesses[process].feed(input);
+        self.carry_out(process, effects)
     }
 
-    fn carry_out(&mut self, at: usize, effects: Vec<Effect>) -> Result<(), TestCaseError> {
+    fn carry_out(&mut self, process: usize, effects: Vec<Effect>) -> Result<(), TestCaseError> {
         for effect in effects {
-            let who = |connection| {
-                self.open.iter().find(|(_, o)| (o.at, o.connection) == (at, connection)).map(|(&n, _)| n)
+            let number_of = |connection| {
+                let is_it = |open: &OpenConnection| (open.process, open.connection) == (process, connection);
+                self.open.iter().find(|(_, open)| is_it(open)).map(|(&number, _)| number)
             };
             match effect {
                 Effect::OpenAttempt { connection, attempt, address, .. } => {
-                    let open = self.open.get_mut(&who(connection).expect("it is open here")).expect("found");
+                    let open =
+                        self.open.get_mut(&number_of(connection).expect("it is open here")).expect("found");
                     prop_assert!(
-                        !self.banned.iter().any(|server| address.starts_with(server)),
-                        "a leg to {address}"
+                        !self.excluded.iter().any(|server| address.starts_with(server)),
+                        "an attempt to {address}"
                     );
-                    prop_assert!(open.attempt.is_none(), "two legs at once");
+                    prop_assert!(open.attempt.is_none(), "two attempts at once");
                     open.attempt = Some(attempt);
                 }
                 Effect::CloseAttempt { connection } => {
-                    who(connection)
-                        .and_then(|n| self.open.get_mut(&n))
+                    number_of(connection)
+                        .and_then(|number| self.open.get_mut(&number))
                         .map(|open| open.attempt.take())
                         .unwrap_or_default();
                 }
                 Effect::Answer { connection, .. } => {
-                    self.open.remove(&who(connection).expect("answered here, and once"));
+                    self.open.remove(&number_of(connection).expect("answered here, and once"));
                     self.done += 1;
                 }
                 Effect::TransferConnection { connection, established, .. } => {
-                    self.advance(at, connection, established)?
+                    self.transfer(process, connection, established)?
                 }
                 _ => {}
             }
@@ -459,24 +480,30 @@
         Ok(())
     }
 
-    fn advance(
+    fn transfer(
         &mut self,
-        at: usize,
+        process: usize,
         connection: ConnectionId,
         established: EstablishedConnection,
     ) -> Result<(), TestCaseError> {
-        let found = self.open.iter_mut().find(|(_, o)| (o.at, o.connection) == (at, connection));
-        let (&n, open) = found.expect("it is open here");
-        prop_assert!(open.stands, "only what stands is passed");
-        let there = ConnectionId(1_000_000 + n);
-        *open = Open { at: at + 1, connection: there, attempt: Some(0), stands: true };
-        self.feed(at, Input::ConnectionTransferred { connection })?;
-        self.feed(at + 1, Input::ConnectionReceived { connection: there, pool: 0, established })
+        let is_it = |open: &OpenConnection| (open.process, open.connection) == (process, connection);
+        let found = self.open.iter_mut().find(|(_, open)| is_it(open));
+        let (&number, open) = found.expect("it is open here");
+        prop_assert!(open.established, "only established connections are transferred");
+        let received = ConnectionId(1_000_000 + number);
+        *open = OpenConnection {
+            process: process + 1,
+            connection: received,
+            attempt: Some(0),
+            established: true,
+        };
+        self.feed(process, Input::ConnectionTransferred { connection })?;
+        self.feed(process + 1, Input::ConnectionReceived { connection: received, pool: 0, established })
     }
 }
 
-/// A stand-in for a shop server: greets each connection and sends its lines back.
-fn shop() -> SocketAddr {
+/// A platform server for tests: accepts each connection and echoes its lines.
+fn start_platform_server() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -493,7 +520,8 @@
     address
 }
 
-fn platform() -> String {
+/// The configuration of a platform front with two servers.
+fn platform_config() -> String {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "{closed}", "seed": "5",
@@ -502,40 +530,41 @@
               {{"instanceId": "s-00000002", "hostPort": "{}", "lifecycle": "ready", "weight": 1.0}}]}},
             "settings": {{"classes": [{{"name": "chat", "deadline": 9000, "repeat": "repeatable"}}],
               "limits": {{"connect-timeout": 2000, "try-limit": 6, "retry-after": true}}}}}}"#,
-        shop(),
-        shop()
+        start_platform_server(),
+        start_platform_server()
     )
 }
 
-fn player(daemon: &Daemon, id: u32) -> Client {
+/// A client that requests a connection at the platform front.
+fn connect_platform_client(daemon: &Daemon, id: u32) -> Client {
     let mut client = Client::connect(&daemon.platform);
     client.say(&format!("OPEN {id} 7f3a c=chat,d=9000"));
     client
 }
 
 fn outstanding(daemon: &Daemon) -> usize {
-    let told = daemon.admin_call("telemetry");
-    let line = told.lines().find_map(|line| line.strip_prefix("edge_node.outstanding:"));
-    line.and_then(|line| line.strip_suffix("|g")?.parse().ok()).unwrap_or_else(|| panic!("{told}"))
+    let metrics = daemon.admin_call("telemetry");
+    let line = metrics.lines().find_map(|line| line.strip_prefix("edge_node.outstanding:"));
+    line.and_then(|line| line.strip_suffix("|g")?.parse().ok()).unwrap_or_else(|| panic!("{metrics}"))
 }
 
-/// Two upgrades under standing clients of both fronts: nobody notices, and bans go along.
+/// No client notices, and the exclusions are handed over.
 #[test]
-fn clients_of_both_fronts_notice_nothing_of_two_upgrades() {
+fn keeps_clients_of_both_fronts_through_two_hot_restarts() {
     let irc = Server::start(Manner::Welcome);
-    let mut old = Daemon::start(&irc_config(&[&irc], ""), Some(&platform()));
+    let mut old = Daemon::start(&irc_config(&[&irc], ""), Some(&platform_config()));
     until("the old one is ready", || old.admin_call("readyz") == "YES\r\n");
     assert_eq!(old.admin_call("exclude s-00000002"), "YES\r\n");
-    let mut players: Vec<Client> = Vec::new();
+    let mut clients: Vec<Client> = Vec::new();
     for n in 0..8 {
-        // One after the other: what a server holds without trouble makes room for the next.
-        players.push(player(&old, n));
-        assert_eq!(players[n as usize].line(), "UP 1");
+        // One after the other: each one that a server takes without a fault raises its ceiling for the next.
+        clients.push(connect_platform_client(&old, n));
+        assert_eq!(clients[n as usize].line(), "UP 1");
     }
-    let mut tool = Client::register(&old.irc, "olga");
-    tool.expect("001 olga");
+    let mut irc_client = Client::register(&old.irc, "olga");
+    irc_client.expect("001 olga");
     // One is in the middle of a line, and has to wait for its end.
-    players[0].stream.write_all(b"half").expect("written");
+    clients[0].stream.write_all(b"half").expect("written");
     std::thread::sleep(Duration::from_millis(50));
     let mut gone = Vec::new();
     for round in 1..3 {
@@ -544,11 +573,11 @@
         until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
         if round == 1 {
             until("all but one are there", || outstanding(&new) == 8);
-            players[0].say(" and half");
-            assert_eq!(players[0].line(), "half and half");
+            clients[0].say(" and half");
+            assert_eq!(clients[0].line(), "half and half");
         }
         until("all are there", || outstanding(&new) == 9);
-        // While both live a call at either door holds at both.
+        // While both processes run, a call at either takes effect at both.
         assert_eq!(old.admin_call("include s-00000002"), "YES\r\n");
         assert!(new.admin_call("telemetry").contains("ejected:0|g"));
         assert_eq!(new.admin_call("exclude s-00000002"), "YES\r\n");
@@ -556,30 +585,29 @@
         let since = Instant::now();
         old.signal("-TERM");
         assert!(old.exited());
-        assert!(since.elapsed() < Duration::from_secs(3), "with nothing to do it may exit at once");
-        // With it would go the folder that all versions share.
+        assert!(since.elapsed() < Duration::from_secs(3), "with no connection it may exit at once");
+        // Dropped now, it would remove the folder that all of them share.
         gone.push(std::mem::replace(&mut old, new));
-        for (n, player) in players.iter_mut().enumerate() {
-            player.say(&format!("M {n}"));
-            assert_eq!(player.line(), format!("M {n}"));
+        for (n, client) in clients.iter_mut().enumerate() {
+            client.say(&format!("M {n}"));
+            assert_eq!(client.line(), format!("M {n}"));
         }
-        tool.say("PRIVMSG #a :still there");
-        tool.expect("still there");
-        assert_eq!(player(&old, 100 + round).line(), "UP 1");
+        irc_client.say("PRIVMSG #a :still there");
+        irc_client.expect("still there");
+        assert_eq!(connect_platform_client(&old, 100 + round).line(), "UP 1");
     }
-    assert!(old.admin_call("telemetry").contains("ejected:1|g"), "the ban is there after two upgrades");
+    assert!(old.admin_call("telemetry").contains("ejected:1|g"), "excluded after two hot restarts");
     old.signal("-TERM");
-    players.iter_mut().for_each(|player| assert_eq!(player.rest(), "MOVE\r\n"));
-    tool.expect(" 010 olga ");
+    clients.iter_mut().for_each(|client| assert_eq!(client.rest(), "MOVE\r\n"));
+    irc_client.expect(" 010 olga ");
 }
 
-/// The process before hangs, or was killed: a new one serves all the same, and no ban is lost.
 #[test]
-fn a_process_that_hangs_or_was_killed_hands_nothing_over_but_its_bans() {
+fn keeps_exclusions_of_a_predecessor_that_hangs_or_was_killed() {
     for signal in ["-STOP", "-KILL"] {
-        // With a store, which servers are out is the store's to keep.
+        // With a replicated map, the exclusions would be kept there.
         let store = r#""store": {"node": "n1", "listen": "127.0.0.1:0"}, "#;
-        let old = Daemon::start(&irc_config(&[], "").replace(store, ""), Some(&platform()));
+        let old = Daemon::start(&irc_config(&[], "").replace(store, ""), Some(&platform_config()));
         until("it is ready", || old.admin_call("readyz") == "YES\r\n");
         assert_eq!(old.admin_call("exclude s-00000001"), "YES\r\n");
         old.signal(signal);
@@ -587,15 +615,16 @@
         let new = old.beside();
         until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
         assert!(since.elapsed() < Duration::from_secs(6), "{signal}: ready after {:?}", since.elapsed());
-        assert!(new.admin_call("telemetry").contains("ejected:1|g"), "{signal}: the ban is lost");
-        assert_eq!(player(&new, 1).line(), "UP 1");
+        assert!(new.admin_call("telemetry").contains("ejected:1|g"), "{signal}: the exclusion is lost");
+        assert_eq!(connect_platform_client(&new, 1).line(), "UP 1");
         if signal == "-STOP" {
             old.signal("-CONT");
         }
     }
 }
 
-fn heir_socket(daemon: &Daemon) -> OwnedFd {
+/// A connection to the socket at which a daemon waits for its successor.
+fn connect_as_successor(daemon: &Daemon) -> OwnedFd {
     let entries = std::fs::read_dir(&daemon.folder).expect("a folder").flatten();
     let path = entries.map(|entry| entry.path()).find(|path| path.extension().is_some_and(|e| e == "sock"));
     let made = socket(AddressFamily::UNIX, SocketType::SEQPACKET, None).expect("a socket");
@@ -603,41 +632,41 @@
     made
 }
 
-/// Whoever asks for the place and then goes, says nothing, or says what is no word: the one that serves goes on.
+/// A successor may ask for the state and then exit, hang, or send what is no message.
 #[test]
-fn an_heir_that_goes_hangs_or_talks_nonsense_changes_nothing() {
-    let old = Daemon::start(&irc_config(&[], ""), Some(&platform()));
+fn goes_on_serving_when_a_successor_exits_hangs_or_sends_invalid_messages() {
+    let old = Daemon::start(&irc_config(&[], ""), Some(&platform_config()));
     until("it is ready", || old.admin_call("readyz") == "YES\r\n");
-    let mut established = player(&old, 0);
+    let mut established = connect_platform_client(&old, 0);
     assert_eq!(established.line(), "UP 1");
-    let said: [&[Vec<u8>]; 5] = [
+    let sent: [&[Vec<u8>]; 5] = [
         &[],
         &[b"GET / HTTP/1.1\r\n\r\n".to_vec()],
         &[write(&HandoverMessage::Take).expect("fits")],
         &[write(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
         &[write(&HandoverMessage::Take).expect("fits"), write(&HandoverMessage::Done).expect("fits")],
     ];
-    for (n, words) in said.iter().enumerate() {
-        let heir = heir_socket(&old);
-        for word in *words {
-            rustix::net::send(&heir, word, rustix::net::SendFlags::NOSIGNAL).expect("sent");
+    for (n, messages) in sent.iter().enumerate() {
+        let successor = connect_as_successor(&old);
+        for message in *messages {
+            rustix::net::send(&successor, message, rustix::net::SendFlags::NOSIGNAL).expect("sent");
         }
         if n == 2 {
-            // It has asked, and hangs: nobody waits for it for ever.
+            // It has asked, and hangs: the daemon does not wait for it for ever.
             old.log_line("not handed over: nobody serves in time");
         }
-        drop(heir);
-        assert_eq!(player(&old, 1 + n as u32).line(), "UP 1", "after {n}");
+        drop(successor);
+        assert_eq!(connect_platform_client(&old, 1 + n as u32).line(), "UP 1", "after {n}");
     }
     established.say("M 1");
     assert_eq!(established.line(), "M 1");
-    // And then a real one comes.
+    // Then a real successor starts.
     let new = old.beside();
     until("it is ready", || new.admin_call("readyz") == "YES\r\n");
     established.say("M 2");
     assert_eq!(established.line(), "M 2");
     drop(new);
-    // Killed, it takes its clients along; who comes then is served by the one before.
+    // Killed, it loses its clients; those that connect then are served by its predecessor.
     old.log_line(&LogEvent::SuccessorLost.to_string());
-    assert_eq!(player(&old, 50).line(), "UP 1");
+    assert_eq!(connect_platform_client(&old, 50).line(), "UP 1");
 }
