--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -47,6 +47,11 @@
         Ok(())
     }
 
+    /// The fronts listen: one of the conditions of readiness.
+    pub(super) fn on_listening(&mut self) {
+        self.listening = true;
+    }
+
     /// Whether this process can serve.
     pub fn serves(&self) -> bool {
         self.readiness().is_ok()
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -36,29 +36,29 @@
 
 /// The servers of the list in effect, by their numbers.
 #[derive(Default)]
-pub struct EndpointList {
+pub(super) struct EndpointList {
     endpoints: BTreeMap<ServerId, Endpoint>,
 }
 
 impl EndpointList {
     /// The server, if it takes new connections.
-    pub fn get_ready(&self, server: ServerId) -> Option<&Endpoint> {
+    pub(super) fn get_ready(&self, server: ServerId) -> Option<&Endpoint> {
         self.get(server).filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
     }
 
     /// The server, if it is listed.
-    pub fn get(&self, server: ServerId) -> Option<&Endpoint> {
+    pub(super) fn get(&self, server: ServerId) -> Option<&Endpoint> {
         self.endpoints.get(&server)
     }
 
     /// All that are listed, in the order of their numbers.
-    pub fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
+    pub(super) fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.endpoints.keys().copied()
     }
 
     /// Puts another list in place, and returns it for the decision module. `zones` are the names in the order of
     /// the module's zones.
-    pub fn replace(
+    pub(super) fn replace(
         &mut self,
         endpoints: impl Iterator<Item = Endpoint>,
         zones: &[String],
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -104,7 +104,7 @@
                 write!(formatter, "leaving: {connections} connections to migrate")
             }
             LogEvent::Rebalancing { pool, change } => {
-                write!(formatter, "rebalancing of {pool}: {change}")
+                write!(formatter, "{pool}: {change}")
             }
             LogEvent::BalancerChange { change } => {
                 write!(formatter, "balancer: {change}")
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -36,11 +36,13 @@
 mod probes;
 mod replication;
 mod shutdown;
+// Not all of its items are documented yet.
 #[allow(missing_docs)]
 pub mod store;
 mod timers;
 
 use connection_table::ConnectionTable;
+use endpoints::EndpointList;
 use exclusions::OperatorExclusions;
 use front_admission::FrontAdmission;
 use hot_restart::HotRestart;
@@ -51,7 +53,7 @@
 pub use admin_call::{AdminCall, AdminRejection, AdminResponse};
 pub use connection_request::ConnectionRequest;
 pub use effect::Effect;
-pub use endpoints::{server_id, stored_endpoint, Endpoint, EndpointList, Lifecycle};
+pub use endpoints::{server_id, stored_endpoint, Endpoint, Lifecycle};
 pub use handover_state::{EstablishedConnection, HandoverState, PoolHandoverState};
 pub use ids::{AdminClientId, ConnectionId, PoolId};
 pub use input::Input;
@@ -156,7 +158,7 @@
             Input::PeerProcessLost => self.on_peer_process_lost(now),
             Input::ExclusionShared { server, out } => self.on_exclusion_shared(now, &server, out),
             Input::ExclusionAcknowledged { admin_client } => self.on_exclusion_acknowledged(admin_client),
-            Input::Listening => self.listening = true,
+            Input::Listening => self.on_listening(),
             Input::AdminRequest { admin_client, call } => self.on_admin_request(now, admin_client, call),
             Input::ShutdownRequested => self.on_shutdown_requested(now),
             Input::TimerFired => self.on_timer_fired(now),
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -190,6 +190,40 @@
     assert!(metrics.contains("edge_node.outstanding:1|g\r\n"), "{metrics}");
 }
 
+/// Operators' scripts read these lines.
+#[test]
+fn writes_the_agreed_reason_of_each_rejection() {
+    let cases: [(AdminRejection, &str); 9] = [
+        (AdminRejection::ShuttingDown, "NO leaving\r\n"),
+        (AdminRejection::ReplacedBySuccessor, "NO another process serves in its place\r\n"),
+        (AdminRejection::NotListening, "NO not listening yet\r\n"),
+        (AdminRejection::NoEndpointList, "NO no routing table yet\r\n"),
+        (AdminRejection::NotReady, "NO not ready yet\r\n"),
+        (AdminRejection::UnknownServer("s-1".to_owned()), "NO no host s-1 was ever listed\r\n"),
+        (AdminRejection::StoreFull, "NO the store is full\r\n"),
+        (AdminRejection::NoReply, "NO no answer\r\n"),
+        (AdminRejection::InvalidCall("readyz is wanted".to_owned()), "NO readyz is wanted\r\n"),
+    ];
+    for (rejection, line) in cases {
+        assert_eq!(admin::reply(&AdminResponse::No(rejection)), line.as_bytes());
+    }
+}
+
+#[test]
+fn logs_an_exclusion_and_a_readmission_once() {
+    let mut harness = ReducerHarness::new();
+    let server = reducer_harness::SERVERS[1].to_owned();
+    let logged = |effects: Vec<Effect>| -> Vec<LogEvent> {
+        let event = |effect| if let Effect::Log(event) = effect { Some(event) } else { None };
+        effects.into_iter().filter_map(event).collect()
+    };
+    let excluded = logged(call_with(&mut harness, AdminCall::Exclude(server.clone())));
+    assert_eq!(excluded, [LogEvent::ServerExcluded { server: server.clone() }]);
+    assert_eq!(logged(call_with(&mut harness, AdminCall::Exclude(server.clone()))), [], "it is excluded");
+    let readmitted = logged(call_with(&mut harness, AdminCall::Include(server.clone())));
+    assert_eq!(readmitted, [LogEvent::ServerReadmitted { server }]);
+}
+
 /// A server that resets attempts is avoided for a while, and not longer.
 #[test]
 fn counts_a_server_as_ejected_only_while_it_is_avoided() {
