--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -31,80 +31,137 @@
     }
 }
 
+/// The number of an attempt that is never opened.
+const UNKNOWN_ATTEMPT: u32 = 9;
+
+/// An attempt in flight or accepted.
+#[derive(Clone, Copy)]
+struct OpenAttempt {
+    number: u32,
+    forwarded: bool,
+}
+
+/// The metrics, counted again from inputs and effects.
+struct CountedMetrics {
+    harness: ReducerHarness,
+    /// All connections, and the class that each named.
+    connections: Vec<(ConnectionId, &'static str)>,
+    classes: BTreeMap<String, ClassCounters>,
+    forwards: u64,
+    /// Admitted and not ended.
+    open: BTreeSet<ConnectionId>,
+    established: BTreeSet<ConnectionId>,
+    attempts: BTreeMap<ConnectionId, OpenAttempt>,
+}
+
+impl CountedMetrics {
+    fn new() -> CountedMetrics {
+        let budget = Budget { held: 12, ..reducer_harness::BUDGET };
+        CountedMetrics {
+            harness: ReducerHarness::with_budget(budget),
+            connections: Vec::new(),
+            classes: ["chat", "wallet"].map(|class| (class.to_owned(), ClassCounters::default())).into(),
+            forwards: 0,
+            open: BTreeSet::new(),
+            established: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+        }
+    }
+
+    fn class_of(&self, connection: ConnectionId) -> &'static str {
+        self.connections.iter().find(|(id, _)| *id == connection).map_or("", |(_, class)| class)
+    }
+
+    /// The input of a random step, counted.
+    fn next_input(&mut self, what: u8, which: usize) -> Input {
+        let chosen = self.connections.get(which % self.connections.len().max(1));
+        let connection = chosen.map_or(ConnectionId(u64::MAX), |&(connection, _)| connection);
+        let open_attempt = self.attempts.get(&connection).copied();
+        let attempt = open_attempt.map_or(UNKNOWN_ATTEMPT, |attempt| attempt.number);
+        match what {
+            0..=3 => self.request_connection(["chat", "wallet", "unconfigured", "chat"][usize::from(what)]),
+            4 | 5 => {
+                self.forwards += u64::from(open_attempt.is_some_and(|attempt| !attempt.forwarded));
+                self.attempts.entry(connection).and_modify(|attempt| attempt.forwarded = true);
+                Input::RequestForwarded { connection, attempt }
+            }
+            6 | 7 => {
+                if open_attempt.is_some() && self.established.insert(connection) {
+                    let class = self.class_of(connection).to_owned();
+                    self.classes.entry(class).and_modify(|counters| counters.succeeded += 1);
+                }
+                Input::AttemptAccepted { connection, attempt }
+            }
+            8 => self.end_attempt(connection, attempt, AttemptOutcome::Rejected),
+            9 => self.end_attempt(connection, attempt, AttemptOutcome::Reset),
+            10 => {
+                self.open.remove(&connection);
+                Input::ClientDisconnected { connection }
+            }
+            _ if which == 0 => Input::ShutdownRequested,
+            _ => Input::EndpointWatchLost { pool: 0 },
+        }
+    }
+
+    fn request_connection(&mut self, class: &'static str) -> Input {
+        let connection = self.harness.connect_client();
+        self.connections.push((connection, class));
+        self.open.insert(connection);
+        let request = ConnectionRequest { class: class.to_owned(), ..connection_request() };
+        Input::ConnectionRequested { connection, request }
+    }
+
+    fn end_attempt(&mut self, connection: ConnectionId, attempt: u32, end: AttemptOutcome) -> Input {
+        self.attempts.remove(&connection);
+        if self.established.contains(&connection) {
+            self.open.remove(&connection);
+        }
+        Input::AttemptEnded { connection, attempt, end }
+    }
+
+    fn count_effect(&mut self, effect: Effect) {
+        match effect {
+            Effect::OpenAttempt { connection, attempt, .. } => {
+                self.attempts.insert(connection, OpenAttempt { number: attempt, forwarded: false });
+            }
+            Effect::CloseAttempt { connection } => {
+                self.attempts.remove(&connection);
+            }
+            Effect::Answer { connection, answer } => {
+                self.open.remove(&connection);
+                if let Some(counters) = self.classes.get_mut(self.class_of(connection)) {
+                    counters.declined += u64::from(matches!(answer, Answer::Rejected(_)));
+                    counters.aborted += u64::from(answer == Answer::Failed);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Feeds an input, and compares what was counted with what the reducer reports.
+    fn feed_and_compare(&mut self, input: Input) -> Result<(), TestCaseError> {
+        for effect in self.harness.feed(input) {
+            self.count_effect(effect);
+        }
+        let reported = metrics(&mut self.harness);
+        prop_assert_eq!(&reported.classes, &self.classes);
+        let counted = (self.forwards, self.open.len() as u64);
+        prop_assert_eq!((reported.forwards, reported.outstanding), counted);
+        prop_assert_eq!(reported.discovered, 5);
+        Ok(())
+    }
+}
+
 proptest! {
     /// Counted again from inputs and effects, the metrics are the same after any steps.
     #[test]
     fn metrics_match_inputs_and_effects(steps in prop::collection::vec((0u8..12, 0usize..8, 1u64..500_000), 1..200)) {
-        let mut harness = ReducerHarness::with_budget(Budget { held: 12, ..reducer_harness::BUDGET });
-        let mut connections: Vec<(ConnectionId, &str)> = Vec::new();
-        let mut counts: BTreeMap<String, ClassCounters> =
-            ["chat", "wallet"].map(|class| (class.to_owned(), ClassCounters::default())).into();
-        // Admitted and not ended; with which attempt in flight, and whether that is written; established.
-        let (mut open, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, bool)>::new());
-        let (mut established, mut forwards) = (BTreeSet::new(), 0);
+        let mut counted = CountedMetrics::new();
         for (what, which, pause) in steps {
-            harness.advance(pause);
-            for tick in [true, false] {
-                let &(connection, _) = connections.get(which % connections.len().max(1)).unwrap_or(&(ConnectionId(u64::MAX), ""));
-                let (attempt, is_forwarded) = attempts.get(&connection).copied().unwrap_or((9, true));
-                let in_flight = attempts.contains_key(&connection);
-                let mut ended = |end| {
-                    attempts.remove(&connection);
-                    if established.contains(&connection) {
-                        open.remove(&connection);
-                    }
-                    Input::AttemptEnded { connection, attempt, end }
-                };
-                let input = match what {
-                    _ if tick => Input::TimerFired,
-                    0..=3 => {
-                        let class = ["chat", "wallet", "unconfigured", "chat"][usize::from(what)];
-                        let connection = harness.connect_client();
-                        connections.push((connection, class));
-                        open.insert(connection);
-                        Input::ConnectionRequested { connection, request: ConnectionRequest { class: class.to_owned(), ..connection_request() } }
-                    }
-                    4 | 5 => {
-                        forwards += u64::from(in_flight && !is_forwarded);
-                        attempts.entry(connection).and_modify(|attempt| attempt.1 = true);
-                        Input::RequestForwarded { connection, attempt }
-                    }
-                    6 | 7 => {
-                        if in_flight && established.insert(connection) {
-                            let class = connections.iter().find(|(a, _)| *a == connection).map_or("", |(_, class)| class);
-                            counts.entry(class.to_owned()).and_modify(|counts| counts.succeeded += 1);
-                        }
-                        Input::AttemptAccepted { connection, attempt }
-                    }
-                    8 => ended(AttemptOutcome::Rejected),
-                    9 => ended(AttemptOutcome::Reset),
-                    10 => {
-                        open.remove(&connection);
-                        Input::ClientDisconnected { connection }
-                    }
-                    _ if which == 0 => Input::ShutdownRequested,
-                    _ => Input::EndpointWatchLost { pool: 0 },
-                };
-                for effect in harness.feed(input) {
-                    match effect {
-                        Effect::OpenAttempt { connection, attempt, .. } => drop(attempts.insert(connection, (attempt, false))),
-                        Effect::CloseAttempt { connection } => drop(attempts.remove(&connection)),
-                        Effect::Answer { connection, answer } => {
-                            open.remove(&connection);
-                            let class = connections.iter().find(|(a, _)| *a == connection).map_or("", |(_, class)| class);
-                            if let Some(counts) = counts.get_mut(class) {
-                                counts.declined += u64::from(matches!(answer, Answer::Rejected(_)));
-                                counts.aborted += u64::from(answer == Answer::Failed);
-                            }
-                        }
-                        _ => {}
-                    }
-                }
-                let reported = metrics(&mut harness);
-                prop_assert_eq!(&reported.classes, &counts);
-                prop_assert_eq!((reported.forwards, reported.outstanding), (forwards, open.len() as u64));
-                prop_assert_eq!(reported.discovered, 5);
-            }
+            counted.harness.advance(pause);
+            counted.feed_and_compare(Input::TimerFired)?;
+            let input = counted.next_input(what, which);
+            counted.feed_and_compare(input)?;
         }
     }
 
