--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -268,9 +268,12 @@
     prop::option::of(any::<u64>().prop_map(Time))
 }
 
-fn messages() -> impl Strategy<Value = HandoverMessage> {
-    let name = || "[ -~]{0,40}";
-    let learned = (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
+fn name() -> impl Strategy<Value = String> {
+    "[ -~]{0,40}"
+}
+
+fn learned_state() -> impl Strategy<Value = LearnedState> {
+    (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
         |(ceiling, at, failures, failed_at, until)| LearnedState {
             ceiling,
             consecutive_failures: failures,
@@ -280,8 +283,11 @@
             last_fault: at,
             last_migration: at,
         },
-    );
-    let server = (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
+    )
+}
+
+fn endpoint() -> impl Strategy<Value = Endpoint> {
+    (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
         |(name, zone, cell, ready, weight, started)| Endpoint {
             address: format!("{name}:1"),
             lifecycle: if ready { Lifecycle::Ready } else { Lifecycle::Draining },
@@ -291,37 +297,42 @@
             weight,
             started,
         },
-    );
-    let request =
-        (prop::option::of(name()), name(), prop::option::of(any::<u64>()), prop::option::of(0.0..9.0f64))
-            .prop_map(|(id, class, group, load)| ConnectionRequest {
-                tenant: id.clone(),
-                id,
-                class,
-                group,
-                load,
-                ..ConnectionRequest::default()
-            });
+    )
+}
+
+fn any_request() -> impl Strategy<Value = ConnectionRequest> {
+    (prop::option::of(name()), name(), prop::option::of(any::<u64>()), prop::option::of(0.0..9.0f64))
+        .prop_map(|(id, class, group, load)| ConnectionRequest {
+            tenant: id.clone(),
+            id,
+            class,
+            group,
+            load,
+            ..ConnectionRequest::default()
+        })
+}
+
+fn established_message() -> impl Strategy<Value = HandoverMessage> {
+    (name(), any_request(), maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
+        |(server, request, awaiting_server_since, state)| {
+            let load = request.load;
+            let established = EstablishedConnection { load, request, server, awaiting_server_since };
+            HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
+        },
+    )
+}
+
+fn messages() -> impl Strategy<Value = HandoverMessage> {
     prop_oneof![
         prop::sample::select(vec![HandoverMessage::Take, HandoverMessage::Done, HandoverMessage::Serving]),
         name().prop_map(HandoverMessage::Socket),
-        (name(), server, prop::option::of(learned)).prop_map(
-            |(pool, server, learned)| HandoverMessage::Part(Part::Endpoint {
-                pool,
-                endpoint: server,
-                learned
-            })
-        ),
+        (name(), endpoint(), prop::option::of(learned_state())).prop_map(|(pool, endpoint, learned)| {
+            HandoverMessage::Part(Part::Endpoint { pool, endpoint, learned })
+        }),
         ("[a-z]{1,40}", 1u64..99, prop::option::of(name())).prop_map(|(key, counter, value)| {
             HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
         }),
-        (name(), request, maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
-            |(server, request, awaiting_server_since, state)| {
-                let load = request.load;
-                let established = EstablishedConnection { load, request, server, awaiting_server_since };
-                HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
-            }
-        ),
+        established_message(),
         (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, out)| HandoverMessage::Share {
             number,
             server,
@@ -386,89 +397,103 @@
     excluded: Vec<&'static str>,
 }
 
+impl OpenConnection {
+    fn is(&self, process: usize, connection: ConnectionId) -> bool {
+        (self.process, self.connection) == (process, connection)
+    }
+}
+
 impl Model {
     fn step(&mut self, what: u8, which: usize) -> Result<(), TestCaseError> {
         let now = self.harnesses.len() - 1;
-        let one = self.open.values().nth(which % self.open.len().max(1)).copied();
-        match (what, one) {
-            (0..=2, _) => {
-                let connection = self.harnesses[now].connect_client();
-                self.next += 1;
-                self.open.insert(
-                    self.next,
-                    OpenConnection { process: now, connection, attempt: None, established: false },
-                );
-                self.feed(now, Input::ConnectionRequested { connection, request: connection_request() })
-            }
-            (
-                3 | 4,
-                Some(OpenConnection { process, connection, attempt: Some(attempt), established: false }),
-            ) => {
-                self.feed(process, Input::RequestForwarded { connection, attempt })?;
-                self.open
-                    .values_mut()
-                    .filter(|open| (open.process, open.connection) == (process, connection))
-                    .for_each(|open| open.established = true);
-                self.feed(process, Input::AttemptAccepted { connection, attempt })
-            }
-            (5, Some(OpenConnection { process, connection, attempt: Some(attempt), established: false })) => {
-                self.open
-                    .values_mut()
-                    .filter(|open| (open.process, open.connection) == (process, connection))
-                    .for_each(|open| open.attempt = None);
-                self.feed(process, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
-            }
-            (6, _) => {
-                let server = SERVERS[which % 2];
-                let out = !self.excluded.contains(&server);
-                self.excluded.retain(|excluded| *excluded != server);
-                self.excluded.extend(out.then_some(server));
-                // Whichever process is called, the other is notified.
-                (now.saturating_sub(1)..=now).try_for_each(|process| {
-                    self.feed(process, Input::ExclusionShared { server: server.to_owned(), out })
-                })
-            }
+        let chosen = self.open.values().nth(which % self.open.len().max(1)).copied();
+        let connecting = chosen.filter(|open| !open.established);
+        let attempt_of = |open: OpenConnection| Some((open, open.attempt?));
+        match (what, connecting.and_then(attempt_of)) {
+            (0..=2, _) => self.request_connection(now),
+            (3 | 4, Some((open, attempt))) => self.accept_attempt(open, attempt),
+            (5, Some((open, attempt))) => self.reject_attempt(open, attempt),
+            (6, _) => self.exclude_or_readmit(now, SERVERS[which % 2]),
             // Not before all connections of the process before it are there.
-            (7, _) if self.open.values().all(|open| open.process == now) => {
-                self.feed(now, Input::PeerProcessLost)?;
-                let (new, effects) = start_successor_with_effects(&mut self.harnesses[now]);
-                self.harnesses.push(new);
-                self.carry_out(now, effects)
-            }
+            (7, _) if self.open.values().all(|open| open.process == now) => self.restart(now),
             _ => Ok(()),
         }
     }
 
+    fn request_connection(&mut self, process: usize) -> Result<(), TestCaseError> {
+        let connection = self.harnesses[process].connect_client();
+        self.next += 1;
+        let open = OpenConnection { process, connection, attempt: None, established: false };
+        self.open.insert(self.next, open);
+        self.feed(process, Input::ConnectionRequested { connection, request: connection_request() })
+    }
+
+    fn accept_attempt(&mut self, open: OpenConnection, attempt: u32) -> Result<(), TestCaseError> {
+        let OpenConnection { process, connection, .. } = open;
+        self.feed(process, Input::RequestForwarded { connection, attempt })?;
+        if let Some(open) = self.find_open(process, connection) {
+            open.established = true;
+        }
+        self.feed(process, Input::AttemptAccepted { connection, attempt })
+    }
+
+    fn reject_attempt(&mut self, open: OpenConnection, attempt: u32) -> Result<(), TestCaseError> {
+        let OpenConnection { process, connection, .. } = open;
+        if let Some(open) = self.find_open(process, connection) {
+            open.attempt = None;
+        }
+        self.feed(process, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
+    }
+
+    /// Whichever process is called, the other is notified.
+    fn exclude_or_readmit(&mut self, now: usize, server: &'static str) -> Result<(), TestCaseError> {
+        let out = !self.excluded.contains(&server);
+        self.excluded.retain(|excluded| *excluded != server);
+        self.excluded.extend(out.then_some(server));
+        (now.saturating_sub(1)..=now).try_for_each(|process| {
+            self.feed(process, Input::ExclusionShared { server: server.to_owned(), out })
+        })
+    }
+
+    /// Starts a successor of the process that serves.
+    fn restart(&mut self, now: usize) -> Result<(), TestCaseError> {
+        self.feed(now, Input::PeerProcessLost)?;
+        let (new, effects) = start_successor_with_effects(&mut self.harnesses[now]);
+        self.harnesses.push(new);
+        self.carry_out(now, effects)
+    }
+
     fn feed(&mut self, process: usize, input: Input) -> Result<(), TestCaseError> {
         let effects = self.harnesses[process].feed(input);
         self.carry_out(process, effects)
     }
 
+    fn find_open(&mut self, process: usize, connection: ConnectionId) -> Option<&mut OpenConnection> {
+        self.open.values_mut().find(|open| open.is(process, connection))
+    }
+
+    fn number_of(&self, process: usize, connection: ConnectionId) -> Option<u64> {
+        self.open.iter().find(|(_, open)| open.is(process, connection)).map(|(&number, _)| number)
+    }
+
     fn carry_out(&mut self, process: usize, effects: Vec<Effect>) -> Result<(), TestCaseError> {
         for effect in effects {
-            let number_of = |connection| {
-                let is_it = |open: &OpenConnection| (open.process, open.connection) == (process, connection);
-                self.open.iter().find(|(_, open)| is_it(open)).map(|(&number, _)| number)
-            };
             match effect {
                 Effect::OpenAttempt { connection, attempt, address, .. } => {
-                    let open =
-                        self.open.get_mut(&number_of(connection).expect("it is open here")).expect("found");
-                    prop_assert!(
-                        !self.excluded.iter().any(|server| address.starts_with(server)),
-                        "an attempt to {address}"
-                    );
+                    let is_excluded = self.excluded.iter().any(|server| address.starts_with(server));
+                    prop_assert!(!is_excluded, "an attempt to {address}");
+                    let open = self.find_open(process, connection).expect("it is open here");
                     prop_assert!(open.attempt.is_none(), "two attempts at once");
                     open.attempt = Some(attempt);
                 }
                 Effect::CloseAttempt { connection } => {
-                    number_of(connection)
-                        .and_then(|number| self.open.get_mut(&number))
-                        .map(|open| open.attempt.take())
-                        .unwrap_or_default();
+                    if let Some(open) = self.find_open(process, connection) {
+                        open.attempt = None;
+                    }
                 }
                 Effect::Answer { connection, .. } => {
-                    self.open.remove(&number_of(connection).expect("answered here, and once"));
+                    let number = self.number_of(process, connection).expect("answered here, and once");
+                    self.open.remove(&number);
                     self.done += 1;
                 }
                 Effect::TransferConnection { connection, established, .. } => {
@@ -486,11 +511,10 @@
         connection: ConnectionId,
         established: EstablishedConnection,
     ) -> Result<(), TestCaseError> {
-        let is_it = |open: &OpenConnection| (open.process, open.connection) == (process, connection);
-        let found = self.open.iter_mut().find(|(_, open)| is_it(open));
-        let (&number, open) = found.expect("it is open here");
-        prop_assert!(open.established, "only established connections are transferred");
+        let number = self.number_of(process, connection).expect("it is open here");
         let received = ConnectionId(1_000_000 + number);
+        let open = self.find_open(process, connection).expect("it is open here");
+        prop_assert!(open.established, "only established connections are transferred");
         *open = OpenConnection {
             process: process + 1,
             connection: received,
