--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -579,7 +579,7 @@
 fn balancing() -> PoolConfig {
     PoolConfig {
         rebalance: RebalanceConfig { on: true, max_moves_per_s: 20.0, ..RebalanceConfig::default() },
-        ..reducer_harness::setup()
+        ..reducer_harness::pool_config()
     }
 }
 
@@ -598,14 +598,14 @@
         let at = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
         let ask =
             ConnectionRequest { established_at: Some(at), key: Some(connection.0), ..connection_request() };
-        harness.feed(Input::ConnectionRequested { connection, ask });
+        harness.feed(Input::ConnectionRequested { connection, request: ask });
         harness.feed(Input::RequestForwarded { connection, attempt: 0 });
         harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
         connections.push(connection);
     }
     // The last server is back: the list says that it started just now.
-    harness.restarted(4);
+    harness.restart_server(4);
     (harness, connections)
 }
 
@@ -646,7 +646,7 @@
     let connection = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
         connection,
-        ask: ConnectionRequest {
+        request: ConnectionRequest {
             key: gone.last().map(|connection| connection.0),
             again: true,
             ..connection_request()
@@ -669,7 +669,7 @@
 #[test]
 fn a_drain_comes_first() {
     let (mut harness, connections) = crowded();
-    harness.drain(1);
+    harness.drain_server(1);
     assert!(moved(&mut harness, &connections, 15).is_empty());
 }
 
@@ -677,7 +677,7 @@
 fn a_reload_that_turns_it_off_ends_it() {
     let (mut harness, connections) = crowded();
     harness.feed(Input::ConfigurationChanged {
-        pools: vec![reducer_harness::setup()],
+        pools: vec![reducer_harness::pool_config()],
         peers: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
