--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -4,13 +4,22 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
+use thiserror::Error;
 
-use super::config::{self, Sources};
+use super::config::{self, ConfigError, ReplicatedEntryError, Sources};
 use crate::transport;
 
+/// Environment variable with the address of the admin endpoint.
+const ADMIN_ADDRESS_VARIABLE: &str = "NODE_MGMT";
+/// Environment variable with the path of the platform's configuration.
+const CONFIG_PATH_VARIABLE: &str = "NODE_CONFIG";
+/// What the answer to an admin call that failed begins with.
+const ADMIN_FAILURE: &str = "NO";
+const BYTES_PER_MB_SHIFT: u32 = 20;
+
 /// A connection balancer for the shop platform and IRC.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
     command: Command,
 }
@@ -29,7 +38,7 @@
     Version(Version),
 }
 
-/// Run the balancer in the foreground until SIGTERM; SIGHUP has it read its configuration again.
+/// Run the balancer in the foreground until SIGTERM; on SIGHUP it reads its configuration again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
@@ -39,7 +48,7 @@
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
     #[argh(option)]
     irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: nobody is moved for balance)
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
     #[argh(option)]
     rebalance: Option<PathBuf>,
     /// record what goes over the fronts' connections to this pcap file
@@ -50,7 +59,7 @@
     record_mb: usize,
 }
 
-/// Read and check the configuration, and say what is wrong with it.
+/// Read and check the configuration, and report what is wrong with it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
@@ -60,12 +69,12 @@
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
     #[argh(option)]
     irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: nobody is moved for balance)
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
     #[argh(option)]
     rebalance: Option<PathBuf>,
 }
 
-/// Play the client's flows of a pcap file into a front, with loopback servers only.
+/// Replay the clients' flows of a pcap file into a front, with loopback servers only.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct Replay {
@@ -83,49 +92,49 @@
     port: Option<u16>,
 }
 
-/// Take a server out, whatever any list says, until it is included again.
+/// Exclude a server, whatever any endpoint list holds, until it is included again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "exclude")]
 struct Exclude {
     /// name of the server
     #[argh(positional, arg_name = "host")]
     server: String,
-    /// address of a balancer's operators' door (default: $NODE_MGMT)
+    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
 
-/// Use a server again that was excluded.
+/// Readmit a server that was excluded.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "include")]
 struct Include {
     /// name of the server
     #[argh(positional, arg_name = "host")]
     server: String,
-    /// address of a balancer's operators' door (default: $NODE_MGMT)
+    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
 
-/// Ask a balancer whether it can serve.
+/// Ask a balancer whether it is ready to serve.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "readyz")]
 struct Readyz {
-    /// address of its operators' door (default: $NODE_MGMT)
+    /// address of its admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
 
-/// Ask a balancer for its figures.
+/// Ask a balancer for its metrics.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "telemetry")]
 struct Telemetry {
-    /// address of its operators' door (default: $NODE_MGMT)
+    /// address of its admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
 
-/// Write a key of the store: host/NAME ("ADDRESS [ZONE [WEIGHT]]"), life/NAME (gone) or
+/// Write an entry of the replicated map: host/NAME ("ADDRESS [ZONE [WEIGHT]]"), life/NAME (gone) or
 /// limit/connections (a number). Written at one node, it takes effect at all of them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
@@ -133,10 +142,10 @@
     /// key
     #[argh(positional)]
     key: String,
-    /// value; without one the key is taken away
+    /// value; without one the key is deleted
     #[argh(positional)]
     value: Option<String>,
-    /// address of any node's store on this machine
+    /// address of any node's replica on this machine
     #[argh(option)]
     store: std::net::SocketAddr,
 }
@@ -146,61 +155,86 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn mgmt_of_environment() -> Option<String> {
-    std::env::var("NODE_MGMT").ok().filter(|text| !text.is_empty())
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("give --mgmt ADDRESS or set NODE_MGMT")]
+    NoAdminAddress,
+    #[error("{call}: not done")]
+    AdminCallFailed { call: String },
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    ReplicatedEntry(#[from] ReplicatedEntryError),
+    #[error("{0}")]
+    Transport(String),
+}
+
+fn admin_address_from_environment() -> Option<String> {
+    std::env::var(ADMIN_ADDRESS_VARIABLE).ok().filter(|text| !text.is_empty())
 }
 
-/// Makes a call at a balancer's door, and prints the answer.
-fn ask(mgmt: Option<String>, call: &str) -> Result<(), String> {
-    let mgmt = mgmt.or_else(mgmt_of_environment).ok_or("give --mgmt ADDRESS or set NODE_MGMT")?;
-    let answer = transport::ask(&mgmt, call)?;
+/// Makes a call at the admin endpoint of a balancer, and prints the answer.
+fn make_admin_call(mgmt: Option<String>, call: &str) -> Result<(), CommandError> {
+    let address = mgmt.or_else(admin_address_from_environment).ok_or(CommandError::NoAdminAddress)?;
+    let answer = transport::ask(&address, call).map_err(CommandError::Transport)?;
     print!("{}", answer.replace('\r', ""));
-    if answer.starts_with("NO") {
-        return Err(format!("{call}: not done"));
+    if answer.starts_with(ADMIN_FAILURE) {
+        return Err(CommandError::AdminCallFailed { call: call.to_owned() });
     }
     Ok(())
 }
 
 fn sources(config: Option<PathBuf>, irc: Option<PathBuf>, rebalance: Option<PathBuf>) -> Sources {
-    let platform = config.or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from));
-    Sources { platform, irc, rebalance, mgmt: mgmt_of_environment() }
+    let platform = config.or_else(|| std::env::var_os(CONFIG_PATH_VARIABLE).map(PathBuf::from));
+    Sources { platform, irc, rebalance, mgmt: admin_address_from_environment() }
 }
 
-fn carry_out(command: Command) -> Result<(), String> {
+fn serve(options: Serve) -> Result<(), CommandError> {
+    let record = options.record.as_deref().map(|path| (path, options.record_mb << BYTES_PER_MB_SHIFT));
+    let sources = sources(options.config, options.irc, options.rebalance);
+    transport::serve(sources, record).map_err(CommandError::Transport)
+}
+
+fn check(options: Check) -> Result<(), CommandError> {
+    let config = sources(options.config, options.irc, options.rebalance).read()?;
+    if let Some(platform) = config.platform {
+        let servers = platform.known.endpoints.len();
+        println!("platform: sound; {} on {}, {servers} hosts known", platform.name, platform.listen);
+    }
+    if let Some(irc) = config.irc {
+        println!("irc: sound; {} on {}, {} hosts", irc.setup.name, irc.listen, irc.endpoints.len());
+    }
+    Ok(())
+}
+
+fn replay(options: Replay) -> Result<(), CommandError> {
+    let config = match options.front {
+        transport::Which::Platform => config::read_config(Some(&options.config), None, None)?,
+        transport::Which::Irc => config::read_config(None, Some(&options.config), None)?,
+    };
+    transport::replay(&options.file, config, options.front, options.port).map_err(CommandError::Transport)
+}
+
+fn write_replicated_entry(options: Set) -> Result<(), CommandError> {
+    config::check_replicated_entry(&options.key, options.value.as_deref())?;
+    let entry = transport::write_at(options.store, &options.key, options.value);
+    let entry = entry.map_err(CommandError::Transport)?;
+    let value = entry.value.as_deref().unwrap_or("nothing");
+    println!("{} is {value}; written at node {} as {}", options.key, entry.node, entry.counter);
+    Ok(())
+}
+
+fn run_command(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Serve(serve) => {
-            let record = serve.record.as_deref().map(|path| (path, serve.record_mb << 20));
-            transport::serve(sources(serve.config, serve.irc, serve.rebalance), record)
-        }
-        Command::Replay(replay) => {
-            let config = match replay.front {
-                transport::Which::Platform => config::read(Some(&replay.config), None, None)?,
-                transport::Which::Irc => config::read(None, Some(&replay.config), None)?,
-            };
-            transport::replay(&replay.file, config, replay.front, replay.port)
-        }
-        Command::Check(check) => {
-            let config = sources(check.config, check.irc, check.rebalance).read()?;
-            if let Some(platform) = config.platform {
-                let servers = platform.known.endpoints.len();
-                println!("platform: sound; {} on {}, {servers} hosts known", platform.name, platform.listen);
-            }
-            if let Some(irc) = config.irc {
-                println!("irc: sound; {} on {}, {} hosts", irc.setup.name, irc.listen, irc.endpoints.len());
-            }
-            Ok(())
-        }
-        Command::Exclude(Exclude { server, mgmt }) => ask(mgmt, &format!("exclude {server}")),
-        Command::Include(Include { server, mgmt }) => ask(mgmt, &format!("include {server}")),
-        Command::Readyz(Readyz { mgmt }) => ask(mgmt, "readyz"),
-        Command::Telemetry(Telemetry { mgmt }) => ask(mgmt, "telemetry"),
-        Command::Set(set) => {
-            config::store_entry(&set.key, set.value.as_deref())?;
-            let entry = transport::write_at(set.store, &set.key, set.value)?;
-            let value = entry.value.as_deref().unwrap_or("nothing");
-            println!("{} is {value}; written at node {} as {}", set.key, entry.node, entry.counter);
-            Ok(())
-        }
+        Command::Serve(options) => serve(options),
+        Command::Check(options) => check(options),
+        Command::Replay(options) => replay(options),
+        Command::Exclude(Exclude { server, mgmt }) => make_admin_call(mgmt, &format!("exclude {server}")),
+        Command::Include(Include { server, mgmt }) => make_admin_call(mgmt, &format!("include {server}")),
+        Command::Readyz(Readyz { mgmt }) => make_admin_call(mgmt, "readyz"),
+        Command::Telemetry(Telemetry { mgmt }) => make_admin_call(mgmt, "telemetry"),
+        Command::Set(options) => write_replicated_entry(options),
         Command::Version(_) => {
             println!("connection-balancer {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -208,15 +242,15 @@
     }
 }
 
-/// Runs the program.
+/// Parses the command line and runs its command. An error is logged, and makes the exit code a failure.
 pub fn run() -> ExitCode {
-    let line: Line = argh::from_env();
-    match carry_out(line.command) {
+    let line: CommandLine = argh::from_env();
+    match run_command(line.command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            // Where nothing was read yet that says how.
+        Err(error) => {
+            // The log is started only once the configuration has been read, which may not have happened.
             super::log::start(&super::log::LogConfig::default());
-            crate::log!(error, "{problem}");
+            crate::log!(error, "{error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/src/program/config/pool.rs
@@ -0,0 +1,192 @@
+//! The pool of the platform's front, from the platform's settings.
+
+use super::{decode_zone, MIN_SLOW_START_SHARE};
+use crate::protocol::json::{DecodeError, JsonNode};
+use crate::rebalance::RebalanceConfig;
+use crate::routing::PoolConfig;
+use crate::{Class, Idempotency, KeyScope, Micros, Settings, Tenant};
+
+/// A client of the platform sends its first line at once, and has this long for it. A silent connection is to be
+/// closed within 3 s, the time in the accept queue included.
+const GREETING_TIMEOUT: Micros = 1_500_000;
+/// The platform's clients send a line every 2 s and are answered at once: after this long without an answer, the server
+/// of an established connection is taken to be lost. 7 s are allowed.
+const SERVER_SILENCE_TIMEOUT: Micros = 5_000_000;
+/// The highest factor over the usual load at which slow start may see an overload.
+const MAX_OVERLOAD_FACTOR: f64 = 1e6;
+
+/// Decodes the platform's settings.
+pub(super) fn decode_platform_pool(settings: &JsonNode<'_>, seed: u64) -> Result<PoolConfig, DecodeError> {
+    let family = settings.field("family-info");
+    let mut pool = PoolConfig {
+        name: "platform",
+        classes: Vec::new(),
+        tenants: Vec::new(),
+        zones: settings.field("zones").text_list()?,
+        settings: Settings::default(),
+        seed,
+        discovery: None,
+        greeting: GREETING_TIMEOUT,
+        from_store: false,
+        most_held: usize::MAX,
+        drain_over: 0,
+        silence: SERVER_SILENCE_TIMEOUT,
+        tells_delay: family.field("tells-delay").flag(false)?,
+        tells_load: family.field("tells-load").flag(true)?,
+        reports: decode_report_fields(settings)?,
+        longest_wait: 0,
+        rebalance: RebalanceConfig::default(),
+        peers: None,
+    };
+    if settings.field("limits").field("peers").flag(false)? {
+        pool.peers = Some(settings.field("charges").field("peer").number(0.0)?);
+    }
+    let classes = decode_classes(settings, &mut pool)?;
+    let tenants = decode_tenants(settings, &mut pool)?;
+    pool.settings = decode_settings(settings, &pool, classes, tenants)?;
+    Ok(pool)
+}
+
+/// Decodes the classes, and adds their names and the longest of their deadlines to the pool.
+fn decode_classes(settings: &JsonNode<'_>, pool: &mut PoolConfig) -> Result<Vec<Class>, DecodeError> {
+    let mut classes = Vec::new();
+    let message_objectives = settings.field("family-info").field("message-aim").elements()?;
+    for (index, class) in settings.field("classes").elements()?.iter().enumerate() {
+        push_unique_name(&mut pool.classes, &class.field("name"))?;
+        pool.longest_wait = pool.longest_wait.max(class.field("deadline").positive_duration_ms(0)?);
+        classes.push(Class {
+            priority_weight: class.field("gain").number(1.0)?,
+            setup_objective: class.field("objective").duration_ms(0)?,
+            message_objective: message_objectives
+                .get(index)
+                .map_or(Ok(0), |objective| objective.duration_ms(0))?,
+            idempotency: decode_idempotency(class)?,
+        });
+    }
+    Ok(classes)
+}
+
+/// Decodes the tenants, and adds their names to the pool.
+fn decode_tenants(settings: &JsonNode<'_>, pool: &mut PoolConfig) -> Result<Vec<Tenant>, DecodeError> {
+    let mut tenants = Vec::new();
+    let connection_quotas = settings.field("family-info").field("tenant-quota-connections").elements()?;
+    for (index, tenant) in settings.field("accounts").elements()?.iter().enumerate() {
+        push_unique_name(&mut pool.tenants, &tenant.field("name"))?;
+        tenants.push(Tenant {
+            quota_per_s: tenant.field("quota-per-s").number(0.0)?,
+            quota_connections: connection_quotas.get(index).map_or(Ok(0.0), |quota| quota.number(0.0))?,
+        });
+    }
+    Ok(tenants)
+}
+
+fn decode_settings(
+    settings: &JsonNode<'_>,
+    pool: &PoolConfig,
+    classes: Vec<Class>,
+    tenants: Vec<Tenant>,
+) -> Result<Settings, DecodeError> {
+    let default = Settings::default();
+    let limits = settings.field("limits");
+    let charges = settings.field("charges");
+    let rules = settings.field("invariants");
+    Ok(Settings {
+        balancers: settings.field("balancers").positive_count(1)?,
+        zone: decode_zone(&settings.field("zone"), &pool.zones)?,
+        classes,
+        tenants,
+        over_quota_weight: settings
+            .field("over-share-worth")
+            .number_in_range(0.0..=1.0, default.over_quota_weight)?,
+        max_attempts: limits.field("try-limit").positive_count(default.max_attempts)?,
+        cancel: limits.field("cancel").flag(false)?,
+        retry_after: limits.field("retry-after").flag(false)?,
+        max_retry_after: limits.field("max-retry-after").duration_ms(default.max_retry_after)?,
+        connect_timeout: limits.field("connect-timeout").positive_duration_ms(default.connect_timeout)?,
+        // On sockets a list comes only when it is polled, whatever the simulator does.
+        poll_required: true,
+        poll_interval: rules.field("must-ask-in").positive_duration_ms(default.poll_interval)?,
+        endpoints_pushed: decode_endpoints_pushed(&settings.field("discovery"))?,
+        drain_grace: rules.field("drain-grace").positive_duration_ms(default.drain_grace)?,
+        probes: limits.field("probing").flag(false)?,
+        probe_reports: !pool.reports.is_empty(),
+        probe_cost: charges.field("probe").number(0.0)?,
+        cross_zone_cost: charges.field("cross-zone").number(0.0)?,
+        migration_cost: charges.field("moves").number(0.0)?,
+        slow_start_share: rules
+            .field("cold-share")
+            .number_in_range(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
+        slow_start_duration: rules.field("warm-up").duration_ms(default.slow_start_duration)?,
+        slow_start_overload_factor: rules
+            .field("tip-multiple")
+            .number_in_range(1.0..=MAX_OVERLOAD_FACTOR, default.slow_start_overload_factor)?,
+        slow_start_window: rules.field("overload-for").positive_duration_ms(default.slow_start_window)?,
+    })
+}
+
+/// Decodes a name that none before has: with two alike, one would be served by the other's settings.
+fn push_unique_name(names: &mut Vec<String>, node: &JsonNode<'_>) -> Result<(), DecodeError> {
+    let name = node.required_text()?;
+    if names.contains(&name) {
+        return Err(node.error("another has this name"));
+    }
+    names.push(name);
+    Ok(())
+}
+
+/// Decodes whether endpoint lists are pushed, or have to be polled.
+fn decode_endpoints_pushed(node: &JsonNode<'_>) -> Result<bool, DecodeError> {
+    match node.optional_text()?.as_deref() {
+        Some("pushed") => Ok(true),
+        Some("on_request") | None => Ok(false),
+        Some(_) => Err(node.error("pushed or on_request is wanted")),
+    }
+}
+
+/// Decodes the names under which load reports hold load over capacity on this wire, where a probe brings one.
+fn decode_report_fields(settings: &JsonNode<'_>) -> Result<Vec<&'static str>, DecodeError> {
+    let reporting = settings.field("reporting");
+    let fields = reporting.field("fields").text_list()?;
+    let has_field = |name: &str| fields.iter().any(|field| field == name);
+    let is_x0_utilisation = settings.field("family-info").field("report-x0").is_present();
+    let is_off = reporting.field("how").optional_text()?.is_none_or(|how| how == "off");
+    if is_off {
+        return Ok(Vec::new());
+    }
+    let mut names = Vec::new();
+    if is_x0_utilisation && has_field("x0") {
+        names.push("x0");
+    }
+    if has_field("utilization") {
+        // Answers on sockets also use the short form.
+        names.extend(["utilization", "util"]);
+    }
+    Ok(names)
+}
+
+fn decode_idempotency(class: &JsonNode<'_>) -> Result<Idempotency, DecodeError> {
+    let (repeat, group) = (class.field("repeat"), class.field("group"));
+    let scope = match group.optional_text()?.as_deref() {
+        Some("all") => KeyScope::All,
+        Some("zone") => KeyScope::Zone,
+        Some("cell") | None => KeyScope::Cell,
+        Some(_) => return Err(group.error("all, zone or cell is wanted")),
+    };
+    match repeat.optional_text()?.as_deref() {
+        Some("repeatable") => Ok(Idempotency::Idempotent),
+        Some("by_key") => {
+            Ok(Idempotency::IdempotencyKey { scope, window: decode_deduplication_window(class)? })
+        }
+        Some("once") | None => Ok(Idempotency::NotIdempotent),
+        Some(_) => Err(repeat.error("repeatable, by_key or once is wanted")),
+    }
+}
+
+/// Decodes how long servers drop repeats of a request by its key.
+fn decode_deduplication_window(class: &JsonNode<'_>) -> Result<Micros, DecodeError> {
+    let window = class.field("window");
+    if !window.is_present() {
+        return Err(window.error("is missing"));
+    }
+    window.positive_duration_ms(0)
+}
--- /dev/null
+++ b/src/program/config/rebalance.rs
@@ -0,0 +1,44 @@
+//! The operator's file on rebalancing.
+
+use std::collections::BTreeMap;
+
+use crate::protocol::json::{self, DecodeError, JsonNode};
+use crate::rebalance::RebalanceConfig;
+
+/// Names of the fronts, which are the keys of the file.
+const FRONTS: [&str; 2] = ["platform", "irc"];
+
+/// Parses the text of an operator's file on rebalancing: a part for each front, by its name.
+///
+/// # Errors
+/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+pub fn parse_rebalance(text: &[u8]) -> Result<BTreeMap<&'static str, RebalanceConfig>, DecodeError> {
+    let document = json::parse_document(text)?;
+    let root = JsonNode::root(&document);
+    root.reject_unknown_fields(&FRONTS)?;
+    FRONTS.into_iter().map(|front| Ok((front, decode_rebalance(&root.field(front))?))).collect()
+}
+
+fn decode_rebalance(node: &JsonNode<'_>) -> Result<RebalanceConfig, DecodeError> {
+    node.reject_unknown_fields(&["on", "most_per_s", "margin", "assumed_use"])?;
+    let default = RebalanceConfig::default();
+    let max_moves_per_s = node.field("most_per_s");
+    let margin = node.field("margin");
+    let assumed_use = node.field("assumed_use");
+    let config = RebalanceConfig {
+        on: node.field("on").flag(default.on)?,
+        max_moves_per_s: max_moves_per_s.number(default.max_moves_per_s)?,
+        margin: margin.number(default.margin)?,
+        assumed_use: assumed_use.number(default.assumed_use)?,
+    };
+    if config.max_moves_per_s <= 0.0 {
+        return Err(max_moves_per_s.error("more than 0 is wanted; to move nobody set on to false"));
+    }
+    if config.margin < 1.0 {
+        return Err(margin.error("at least 1 is wanted: less moves clients at a loss"));
+    }
+    if !(0.1..=0.9).contains(&config.assumed_use) {
+        return Err(assumed_use.error("a share from 0.1 to 0.9 is wanted"));
+    }
+    Ok(config)
+}
--- a/src/program/main.rs
+++ b/src/program/main.rs
@@ -1,4 +1,4 @@
-//! The daemon. See `connection-balancer help`.
+//! The balancer's executable. `connection-balancer help` lists its commands.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,5 +1,7 @@
 //! The program around the balancer: its configuration, its log and its command line.
 
+#![deny(missing_docs)]
+
 pub mod commands;
 pub mod config;
 pub mod log;
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -1,64 +1,92 @@
-//! Discovery's HTTP/1.1: calls for the endpoint list, and its entries in JSON.
+//! The HTTP/1.1 of the discovery service: requests for the endpoint list, and the list in JSON.
 
+use thiserror::Error;
 use winnow::ascii::{dec_uint, space0};
 use winnow::combinator::{delimited, repeat, terminated};
+use winnow::error::{ContextError, ErrMode};
 use winnow::stream::Partial;
-use winnow::token::{take_till, take_while};
+use winnow::token::{take, take_till, take_while};
 use winnow::{ModalResult, Parser};
 
-use super::json::{self, Fault, Place};
+use super::json::{self, DecodeError, JsonNode};
 use crate::routing::{Endpoint, Lifecycle};
 use crate::Time;
 
-/// The longest answer taken: many times what the largest fleet's list needs.
+/// The longest response that is accepted, in bytes: many times what the list of the largest fleet needs.
 pub const LONGEST_ANSWER: usize = 4 << 20;
+/// The most hexadecimal digits of a chunk's size.
+const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
-/// A call for changes since a generation that may wait so long; with no generation for the whole list.
+/// Why a response of the discovery service cannot be read.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum HttpError {
+    /// It is longer than [`LONGEST_ANSWER`].
+    #[error("discovery: answer too long")]
+    TooLong,
+    /// Its head is not that of an HTTP/1.1 response.
+    #[error("discovery: answer is no HTTP/1.1")]
+    MalformedHead,
+    /// A chunk of its body is malformed.
+    #[error("discovery: broken chunk")]
+    MalformedChunk,
+    /// The connection ended before the body was complete.
+    #[error("discovery: answer cut short")]
+    Truncated,
+}
+
+/// Writes a request for the changes since a generation, which may be held for so many milliseconds; without a
+/// generation, for the whole list.
 pub fn call(host: &str, from: Option<(u64, u64)>) -> Vec<u8> {
     let query = from.map_or(String::new(), |(from, hold_ms)| format!("?from={from}&hold_ms={hold_ms}"));
     format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
         .into_bytes()
 }
 
-/// An answer's head and, where it is told, the length of its body.
+/// What is used of a response's head.
 #[derive(Debug, PartialEq)]
 struct Head {
     status: u16,
-    length: Option<usize>,
+    content_length: Option<usize>,
     chunked: bool,
     close: bool,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
-    /// Its status.
+    /// Its status code.
     pub status: u16,
     /// Its body.
     pub body: Vec<u8>,
     /// The connection cannot be used again.
     pub close: bool,
-    /// Bytes that it took.
+    /// Bytes of the input that it took.
     pub taken: usize,
 }
 
 type Input<'a> = Partial<&'a [u8]>;
 
-fn header<'a>(input: &mut Input<'a>) -> ModalResult<(&'a [u8], &'a [u8])> {
+struct Header<'a> {
+    name: &'a [u8],
+    value: &'a [u8],
+}
+
+fn parse_header<'a>(input: &mut Input<'a>) -> ModalResult<Header<'a>> {
     let name = take_while(1.., |b: u8| b.is_ascii_graphic() && b != b':');
-    (terminated(name, (b':', space0)), terminated(take_till(0.., b"\r\n"), b"\r\n")).parse_next(input)
+    let value = terminated(take_till(0.., b"\r\n"), b"\r\n");
+    (terminated(name, (b':', space0)), value).map(|(name, value)| Header { name, value }).parse_next(input)
 }
 
-fn head(input: &mut Input<'_>) -> ModalResult<Head> {
+fn parse_head(input: &mut Input<'_>) -> ModalResult<Head> {
     let version = (b"HTTP/1.", dec_uint::<_, u8, _>, b' ');
     let status =
         delimited(version, dec_uint::<_, u16, _>, (take_till(0.., b'\n'), b'\n')).parse_next(input)?;
-    let headers: Vec<(&[u8], &[u8])> = terminated(repeat(0.., header), b"\r\n").parse_next(input)?;
-    let mut head = Head { status, length: None, chunked: false, close: false };
-    for (name, value) in headers {
+    let headers: Vec<Header<'_>> = terminated(repeat(0.., parse_header), b"\r\n").parse_next(input)?;
+    let mut head = Head { status, content_length: None, chunked: false, close: false };
+    for Header { name, value } in headers {
         let value = value.trim_ascii().to_ascii_lowercase();
         if name.eq_ignore_ascii_case(b"content-length") {
-            head.length = std::str::from_utf8(&value).ok().and_then(|text| text.parse().ok());
+            head.content_length = std::str::from_utf8(&value).ok().and_then(|text| text.parse().ok());
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             head.chunked = value.ends_with(b"chunked");
         } else if name.eq_ignore_ascii_case(b"connection") {
@@ -68,104 +96,139 @@
     Ok(head)
 }
 
-/// A chunk's bytes; the last one is empty.
-fn chunk<'a>(input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
-    let digits = take_while(1..=8, |b: u8| b.is_ascii_hexdigit());
-    let size = digits.verify_map(|hex: &[u8]| {
-        usize::from_str_radix(std::str::from_utf8(hex).ok()?, 16).ok().filter(|&n| n <= LONGEST_ANSWER)
+/// The bytes of a chunk; the last one of a body is empty.
+fn parse_chunk<'a>(input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
+    let digits = take_while(1..=MAX_CHUNK_SIZE_DIGITS, |b: u8| b.is_ascii_hexdigit());
+    let size = digits.verify_map(|digits: &[u8]| {
+        let size = usize::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()?;
+        (size <= LONGEST_ANSWER).then_some(size)
     });
     let size = terminated(size, (take_till(0.., b'\n'), b'\n')).parse_next(input)?;
-    terminated(winnow::token::take(size), b"\r\n").parse_next(input)
+    terminated(take(size), b"\r\n").parse_next(input)
 }
 
-/// Reads an answer from the start of `bytes`: None while there is not enough of it.
-pub fn answer(bytes: &[u8], ended: bool) -> Result<Option<Answer>, Fault> {
-    let bad = |what: &str| Fault { key: "discovery".to_owned(), what: what.to_owned() };
-    if bytes.len() > LONGEST_ANSWER {
-        return Err(bad("answer too long"));
+/// Whether a parser failed only because the input is not complete yet, and more can come.
+fn needs_more_input(error: &ErrMode<ContextError>, ended: bool) -> bool {
+    matches!(error, ErrMode::Incomplete(_)) && !ended
+}
+
+/// Reads a chunked body; none while it is incomplete.
+fn read_chunked_body(input: &mut Input<'_>, ended: bool) -> Result<Option<Vec<u8>>, HttpError> {
+    let mut body = Vec::new();
+    loop {
+        match parse_chunk(input) {
+            Ok([]) => return Ok(Some(body)),
+            Ok(chunk) => body.extend_from_slice(chunk),
+            Err(error) if needs_more_input(&error, ended) => return Ok(None),
+            Err(_) => return Err(HttpError::MalformedChunk),
+        }
     }
-    let more = |error: winnow::error::ErrMode<_>| match error {
-        winnow::error::ErrMode::Incomplete(_) if !ended => Ok(None),
-        _ => Err::<_, winnow::error::ErrMode<winnow::error::ContextError>>(error),
+}
+
+/// Reads a body of this length, or up to the end of the connection; none while it is incomplete.
+fn read_plain_body(
+    input: &mut Input<'_>,
+    content_length: Option<usize>,
+    ended: bool,
+) -> Result<Option<Vec<u8>>, HttpError> {
+    let remaining: &[u8] = input;
+    let length = match content_length {
+        Some(length) => length,
+        None if ended => remaining.len(),
+        None => return Ok(None),
     };
+    match remaining.split_at_checked(length) {
+        Some((body, after)) => {
+            *input = Partial::new(after);
+            Ok(Some(body.to_vec()))
+        }
+        None if ended => Err(HttpError::Truncated),
+        None => Ok(None),
+    }
+}
+
+/// Reads a response from the start of `bytes`: none while it is incomplete. `ended` says that no more bytes will come.
+///
+/// # Errors
+/// [`HttpError`] if the bytes are not a response, or too long.
+pub fn answer(bytes: &[u8], ended: bool) -> Result<Option<Answer>, HttpError> {
+    if bytes.len() > LONGEST_ANSWER {
+        return Err(HttpError::TooLong);
+    }
     let mut input = Partial::new(bytes);
-    let head = match head(&mut input) {
+    let head = match parse_head(&mut input) {
         Ok(head) => head,
-        Err(error) => return more(error).map_err(|_| bad("answer is no HTTP/1.1")),
+        Err(error) if needs_more_input(&error, ended) => return Ok(None),
+        Err(_) => return Err(HttpError::MalformedHead),
     };
-    let mut body = Vec::new();
-    if head.chunked {
-        loop {
-            match chunk(&mut input) {
-                Ok([]) => break,
-                Ok(piece) => body.extend_from_slice(piece),
-                Err(error) => return more(error).map_err(|_| bad("broken chunk")),
-            }
-        }
+    let body = if head.chunked {
+        read_chunked_body(&mut input, ended)?
     } else {
-        let rest: &[u8] = &input;
-        let length = match head.length {
-            Some(length) => length,
-            None if ended => rest.len(),
-            None => return Ok(None),
-        };
-        match rest.get(..length) {
-            Some(whole) => body.extend_from_slice(whole),
-            None if ended => return Err(bad("answer cut short")),
-            None => return Ok(None),
-        }
-        input = Partial::new(&rest[length..]);
-    }
-    let left: &[u8] = &input;
-    let close = head.close || (head.length.is_none() && !head.chunked);
-    Ok(Some(Answer { status: head.status, body, close, taken: bytes.len() - left.len() }))
+        read_plain_body(&mut input, head.content_length, ended)?
+    };
+    let Some(body) = body else { return Ok(None) };
+    let remaining: &[u8] = &input;
+    let close = head.close || (head.content_length.is_none() && !head.chunked);
+    Ok(Some(Answer { status: head.status, body, close, taken: bytes.len() - remaining.len() }))
 }
 
-/// A endpoint list, or changes of it.
+/// An endpoint list, or changes of it.
 #[derive(Debug, PartialEq)]
 pub struct EndpointListUpdate {
     /// Its version.
     pub generation: u64,
-    /// All of it, not changes only.
+    /// It is the whole list, not changes only.
     pub whole: bool,
     /// Its entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Reads a list.
-pub fn endpoint_list_update(place: &Place<'_>) -> Result<EndpointListUpdate, Fault> {
-    let host = |item: &Place<'_>| -> Result<Endpoint, Fault> {
-        let state = item.at("lifecycle");
-        Ok(Endpoint {
-            name: item.at("instanceId").must_text()?,
-            address: item.at("hostPort").must_text()?,
-            zone: item.at("zone").text()?.unwrap_or_default(),
-            cell: item.at("cell").number(0.0)? as u32,
-            lifecycle: match state.must_text()?.as_str() {
-                "ready" => Lifecycle::Ready,
-                "draining" => Lifecycle::Draining,
-                "gone" => Lifecycle::Gone,
-                _ => return Err(state.fault("ready, draining or gone is wanted")),
-            },
-            weight: item.at("weight").number(1.0)?,
-            started: Some(item.at("startedAtMs").millis(0)?).filter(|&at| at > 0).map(Time),
-        })
-    };
+fn decode_endpoint(node: &JsonNode<'_>) -> Result<Endpoint, DecodeError> {
+    let lifecycle = node.field("lifecycle");
+    Ok(Endpoint {
+        name: node.field("instanceId").required_text()?,
+        address: node.field("hostPort").required_text()?,
+        zone: node.field("zone").optional_text()?.unwrap_or_default(),
+        cell: node.field("cell").number(0.0)? as u32,
+        lifecycle: match lifecycle.required_text()?.as_str() {
+            "ready" => Lifecycle::Ready,
+            "draining" => Lifecycle::Draining,
+            "gone" => Lifecycle::Gone,
+            _ => return Err(lifecycle.error("ready, draining or gone is wanted")),
+        },
+        weight: node.field("weight").number(1.0)?,
+        started: Some(node.field("startedAtMs").duration_ms(0)?).filter(|&at| at > 0).map(Time),
+    })
+}
+
+/// Decodes an endpoint list; whatever is absent has its default.
+///
+/// # Errors
+/// [`DecodeError`] with the key that is wrong.
+pub fn endpoint_list_update(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
     Ok(EndpointListUpdate {
-        generation: place.at("generation").number(0.0)? as u64,
-        whole: place.at("reset").flag(false)?,
-        endpoints: place.at("instances").items()?.iter().map(host).collect::<Result<_, _>>()?,
+        generation: node.field("generation").number(0.0)? as u64,
+        whole: node.field("reset").flag(false)?,
+        endpoints: node
+            .field("instances")
+            .elements()?
+            .iter()
+            .map(decode_endpoint)
+            .collect::<Result<_, _>>()?,
     })
 }
 
-/// Reads the body of an answer.
-pub fn parse_endpoint_list(body: &[u8]) -> Result<EndpointListUpdate, Fault> {
-    let document = json::document(body)?;
-    let root = Place::root(&document);
-    // Danger: taken for a list, an answer of something else would be an empty one.
+/// Parses the body of a response.
+///
+/// # Errors
+/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+pub fn parse_endpoint_list(body: &[u8]) -> Result<EndpointListUpdate, DecodeError> {
+    let document = json::parse_document(body)?;
+    let root = JsonNode::root(&document);
+    // Without this check, a document of another kind would be decoded as an empty list.
     for key in ["generation", "instances"] {
-        if !root.at(key).exists() {
-            return Err(root.at(key).fault("is missing"));
+        if !root.field(key).is_present() {
+            return Err(root.field(key).error("is missing"));
         }
     }
     endpoint_list_update(&root)
--- a/src/protocol/json.rs
+++ b/src/protocol/json.rs
@@ -1,142 +1,203 @@
-//! JSON with a memory of where one is, so that what is wrong can be told by its key.
+//! Decoding of JSON documents. A [`JsonNode`] knows its key path, so that every error names the key it is about.
+
+use std::ops::RangeInclusive;
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
+use thiserror::Error;
 
 use crate::Micros;
 
-/// What is wrong with a document: the key, and what is wrong with it.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Fault {
-    /// Path of the faulty key, such as `settings.limits.try-limit`.
-    pub key: String,
-    /// What is wrong.
-    pub what: String,
-}
-
-impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", if self.key.is_empty() { "document" } else { &self.key }, self.what)
-    }
+/// The longest duration that is accepted, in milliseconds. Above it, microseconds would not fit a [`Micros`].
+const MAX_DURATION_MS: f64 = 1e14;
+/// The highest count that is accepted.
+const MAX_COUNT: f64 = 1e6;
+const MICROS_PER_MS: f64 = 1000.0;
+
+/// Why a document could not be decoded.
+#[derive(Debug, Error)]
+pub enum DecodeError {
+    /// The text is not JSON at all.
+    #[error("document: not JSON: {source}")]
+    Syntax {
+        /// The parser's error.
+        source: simd_json::Error,
+    },
+    /// The value at a key is missing, or is not what is wanted there.
+    #[error("{}: {reason}", if .key_path.is_empty() { "document" } else { .key_path.as_str() })]
+    InvalidValue {
+        /// Path of the faulty key, such as `settings.limits.try-limit`; empty for the document as a whole.
+        key_path: String,
+        /// What is wrong with its value.
+        reason: String,
+    },
 }
 
-/// Reads a document.
-pub fn document(text: &[u8]) -> Result<OwnedValue, Fault> {
+/// Parses the text of a document.
+///
+/// # Errors
+/// [`DecodeError::Syntax`] if the text is not JSON.
+pub fn parse_document(text: &[u8]) -> Result<OwnedValue, DecodeError> {
     let mut bytes = text.to_vec();
-    simd_json::to_owned_value(&mut bytes)
-        .map_err(|e| Fault { key: String::new(), what: format!("not JSON: {e}") })
+    simd_json::to_owned_value(&mut bytes).map_err(|source| DecodeError::Syntax { source })
 }
 
-/// A place in a document, there or not.
+/// The value at one key path of a document, which may be absent. A `null` counts as absent.
+///
+/// All decoding methods return [`DecodeError::InvalidValue`] with the node's key path if its value is of another type
+/// or out of range. Methods that take a default return it for an absent value.
 #[derive(Clone)]
-pub struct Place<'a> {
+pub struct JsonNode<'a> {
     value: Option<&'a OwnedValue>,
-    path: String,
+    key_path: String,
 }
 
-impl<'a> Place<'a> {
+impl<'a> JsonNode<'a> {
     /// The whole document.
-    pub fn root(value: &'a OwnedValue) -> Place<'a> {
-        Place { value: Some(value), path: String::new() }
+    pub fn root(value: &'a OwnedValue) -> JsonNode<'a> {
+        JsonNode { value: Some(value), key_path: String::new() }
     }
 
-    /// The value under a key.
-    pub fn at(&self, key: &str) -> Place<'a> {
-        let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
-        Place { value: self.value.and_then(|v| v.get(key)).filter(|v| !v.is_null()), path }
+    /// The value of a field.
+    pub fn field(&self, key: &str) -> JsonNode<'a> {
+        let key_path =
+            if self.key_path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.key_path) };
+        let value = self.value.and_then(|value| value.get(key)).filter(|value| !value.is_null());
+        JsonNode { value, key_path }
     }
 
-    /// Whether anything is there.
-    pub fn exists(&self) -> bool {
+    /// Whether there is a value.
+    pub fn is_present(&self) -> bool {
         self.value.is_some()
     }
 
-    /// A message about this key.
-    pub fn fault(&self, what: &str) -> Fault {
-        Fault { key: self.path.clone(), what: what.to_owned() }
+    /// An error about this key.
+    pub fn error(&self, reason: &str) -> DecodeError {
+        DecodeError::InvalidValue { key_path: self.key_path.clone(), reason: reason.to_owned() }
     }
 
-    /// Complains of a key that is not one of these: a slip of the pen must not pass for a default.
-    pub fn only(&self, known: &[&str]) -> Result<(), Fault> {
+    /// Checks that an object has no other fields than these: a misspelt key must not pass for a default.
+    ///
+    /// # Errors
+    /// [`DecodeError::InvalidValue`] for the first unknown key, and for a value that is no object.
+    pub fn reject_unknown_fields(&self, known: &[&str]) -> Result<(), DecodeError> {
         let Some(value) = self.value else { return Ok(()) };
-        let object = value.as_object().ok_or_else(|| self.fault("an object is wanted"))?;
+        let object = value.as_object().ok_or_else(|| self.error("an object is wanted"))?;
         match object.keys().find(|key| !known.contains(&key.as_str())) {
-            Some(key) => Err(self.at(key).fault("no such key is known")),
+            Some(key) => Err(self.field(key).error("no such key is known")),
             None => Ok(()),
         }
     }
 
-    /// The items of a list; none where there is no list.
-    pub fn items(&self) -> Result<Vec<Place<'a>>, Fault> {
+    /// The elements of a list; none where there is no list.
+    ///
+    /// # Errors
+    /// [`DecodeError::InvalidValue`] for a value that is no list.
+    pub fn elements(&self) -> Result<Vec<JsonNode<'a>>, DecodeError> {
         let Some(value) = self.value else { return Ok(Vec::new()) };
-        let list = value.as_array().ok_or_else(|| self.fault("a list is wanted"))?;
-        let item = |(n, value)| Place { value: Some(value), path: format!("{}[{n}]", self.path) };
-        Ok(list.iter().enumerate().map(item).collect())
-    }
-
-    fn get<T>(&self, what: &str, read: impl FnOnce(&'a OwnedValue) -> Option<T>) -> Result<Option<T>, Fault> {
-        self.value.map(|value| read(value).ok_or_else(|| self.fault(what))).transpose()
-    }
-
-    /// Text, if there.
-    pub fn text(&self) -> Result<Option<String>, Fault> {
-        self.get("text is wanted", |v| v.as_str().map(str::to_owned))
-    }
-
-    /// Text that has to be there.
-    pub fn must_text(&self) -> Result<String, Fault> {
-        self.text()?.filter(|t| !t.is_empty()).ok_or_else(|| self.fault("is missing"))
-    }
-
-    /// Texts of a list.
-    pub fn texts(&self) -> Result<Vec<String>, Fault> {
-        self.items()?.iter().map(|item| item.must_text()).collect()
-    }
-
-    /// A number of at least 0, or the default.
-    pub fn number(&self, default: f64) -> Result<f64, Fault> {
-        let read = |v: &OwnedValue| v.cast_f64().filter(|n| n.is_finite() && *n >= 0.0);
-        Ok(self.get("a number of 0 or more is wanted", read)?.unwrap_or(default))
-    }
-
-    /// Milliseconds, or the default.
-    pub fn millis(&self, default: Micros) -> Result<Micros, Fault> {
-        let ms = self.number(default as f64 / 1000.0)?;
-        if ms > 1e14 {
-            return Err(self.fault("too many milliseconds"));
+        let list = value.as_array().ok_or_else(|| self.error("a list is wanted"))?;
+        let element =
+            |(index, value)| JsonNode { value: Some(value), key_path: format!("{}[{index}]", self.key_path) };
+        Ok(list.iter().enumerate().map(element).collect())
+    }
+
+    fn decode<T>(
+        &self,
+        reason: &str,
+        convert: impl FnOnce(&'a OwnedValue) -> Option<T>,
+    ) -> Result<Option<T>, DecodeError> {
+        self.value.map(|value| convert(value).ok_or_else(|| self.error(reason))).transpose()
+    }
+
+    /// Text, if there is any.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn optional_text(&self) -> Result<Option<String>, DecodeError> {
+        self.decode("text is wanted", |value| value.as_str().map(str::to_owned))
+    }
+
+    /// Text that has to be there, and not be empty.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn required_text(&self) -> Result<String, DecodeError> {
+        self.optional_text()?.filter(|text| !text.is_empty()).ok_or_else(|| self.error("is missing"))
+    }
+
+    /// A list of texts, of which none may be empty.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn text_list(&self) -> Result<Vec<String>, DecodeError> {
+        self.elements()?.iter().map(|element| element.required_text()).collect()
+    }
+
+    /// A finite number of at least 0, or the default.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn number(&self, default: f64) -> Result<f64, DecodeError> {
+        let convert =
+            |value: &OwnedValue| value.cast_f64().filter(|number| number.is_finite() && *number >= 0.0);
+        Ok(self.decode("a number of 0 or more is wanted", convert)?.unwrap_or(default))
+    }
+
+    /// A duration given in milliseconds, or the default.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn duration_ms(&self, default: Micros) -> Result<Micros, DecodeError> {
+        let milliseconds = self.number(default as f64 / MICROS_PER_MS)?;
+        if milliseconds > MAX_DURATION_MS {
+            return Err(self.error("too many milliseconds"));
         }
-        Ok((ms * 1000.0).round() as Micros)
+        Ok((milliseconds * MICROS_PER_MS).round() as Micros)
     }
 
-    /// Milliseconds of which there have to be some, or the default.
-    pub fn some_millis(&self, default: Micros) -> Result<Micros, Fault> {
-        match self.millis(default)? {
-            0 if self.exists() => Err(self.fault("more than 0 milliseconds are wanted")),
-            time => Ok(time),
+    /// A duration of more than 0 given in milliseconds, or the default.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn positive_duration_ms(&self, default: Micros) -> Result<Micros, DecodeError> {
+        match self.duration_ms(default)? {
+            0 if self.is_present() => Err(self.error("more than 0 milliseconds are wanted")),
+            duration => Ok(duration),
         }
     }
 
     /// A number in this range, or the default.
-    pub fn within(&self, range: std::ops::RangeInclusive<f64>, default: f64) -> Result<f64, Fault> {
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn number_in_range(&self, range: RangeInclusive<f64>, default: f64) -> Result<f64, DecodeError> {
         let number = self.number(default)?;
-        if self.exists() && !range.contains(&number) {
-            return Err(self.fault(&format!("a number from {} to {} is wanted", range.start(), range.end())));
+        if self.is_present() && !range.contains(&number) {
+            let reason = format!("a number from {} to {} is wanted", range.start(), range.end());
+            return Err(self.error(&reason));
         }
         Ok(number)
     }
 
-    /// A count of at least one, or the default.
-    pub fn count(&self, default: u32) -> Result<u32, Fault> {
-        let count = self.within(1.0..=1e6, default.into())?;
+    /// A whole number of at least one, or the default.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn positive_count(&self, default: u32) -> Result<u32, DecodeError> {
+        let count = self.number_in_range(1.0..=MAX_COUNT, default.into())?;
         if count.fract() != 0.0 {
-            return Err(self.fault("a whole number is wanted"));
+            return Err(self.error("a whole number is wanted"));
         }
         Ok(count as u32)
     }
 
-    /// A flag, or the default.
-    pub fn flag(&self, default: bool) -> Result<bool, Fault> {
-        let read = |v: &OwnedValue| v.as_bool().or_else(|| v.cast_f64().map(|n| n != 0.0));
-        Ok(self.get("true or false is wanted", read)?.unwrap_or(default))
+    /// A flag, or the default. A number counts as set unless it is 0.
+    ///
+    /// # Errors
+    /// See [`JsonNode`].
+    pub fn flag(&self, default: bool) -> Result<bool, DecodeError> {
+        let convert =
+            |value: &OwnedValue| value.as_bool().or_else(|| value.cast_f64().map(|number| number != 0.0));
+        Ok(self.decode("true or false is wanted", convert)?.unwrap_or(default))
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -200,7 +200,8 @@
     /// Reads the configuration again and puts it in place at one go. Danger: what fails may come only before
     /// the first change, or half of a configuration would be in force.
     fn reload(&mut self) -> Result<(), String> {
-        let Config { platform, irc, mgmt, store, budget, log: _ } = self.sources.read()?;
+        let Config { platform, irc, mgmt, store, budget, log: _ } =
+            self.sources.read().map_err(|error| error.to_string())?;
         let fixed = |store: &Option<StoreConfig>| {
             store.clone().map(|store| StoreConfig { peers: Vec::new(), ..store })
         };
@@ -265,7 +266,7 @@
     // Danger: a signal that nobody catches ends the process.
     let mut hangup = catch(SignalKind::hangup())?;
     let (mut term, mut interrupt) = (catch(SignalKind::terminate())?, catch(SignalKind::interrupt())?);
-    let mut config = sources.read()?;
+    let mut config = sources.read().map_err(|error| error.to_string())?;
     crate::program::log::start(&config.log);
     let door = config.mgmt.map(|mgmt| AcceptGate::listener(None, mgmt).map(|at| (mgmt, at))).transpose()?;
     let Fronts { driver, mut exit, platform: shop_pool, irc: irc_pool } = Fronts::open(&config);
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -51,7 +51,7 @@
 
 /// Replays a file's flows and prints what came of each.
 pub fn replay(file: &Path, config: Config, which: Which, port: Option<u16>) -> Result<(), String> {
-    let bytes = read_file(file)?;
+    let bytes = read_file(file).map_err(|error| error.to_string())?;
     let segments = pcap::read(&bytes).map_err(|bad| format!("{}: {bad}", file.display()))?;
     let listen = match which {
         Which::Platform => config.platform.as_ref().map(|p| p.listen),
