--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -24,6 +24,8 @@
 const SETUP_OBJECTIVE_DIVISOR: Micros = 4;
 const DEFAULT_MAX_ATTEMPTS: u32 = 6;
 const MAX_ATTEMPTS: u32 = 6;
+/// Key of the limit on attempts.
+const MAX_ATTEMPTS_KEY: &str = "legs";
 const DEFAULT_MAX_RETRY_AFTER: Micros = 10_000_000;
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
 const DEFAULT_MAX_CONNECTIONS: f64 = 10_000.0;
@@ -50,7 +52,7 @@
 ];
 const CLASS_KEYS: [&str; 4] = ["name", "worth", "setup_aim_ms", "give_up_ms"];
 const LIMIT_KEYS: [&str; 8] = [
-    "legs",
+    MAX_ATTEMPTS_KEY,
     "connect_ms",
     "retry_after_ms",
     "warm_up_ms",
@@ -176,7 +178,7 @@
             idempotency: Idempotency::Idempotent,
         }],
         tenants: terms.tenant.iter().map(|_| Tenant::default()).collect(),
-        max_attempts: limits.field("legs").positive_count(DEFAULT_MAX_ATTEMPTS)?.min(MAX_ATTEMPTS),
+        max_attempts: limits.field(MAX_ATTEMPTS_KEY).positive_count(DEFAULT_MAX_ATTEMPTS)?.min(MAX_ATTEMPTS),
         cancel: true,
         retry_after: true,
         max_retry_after: limits.field("retry_after_ms").duration_ms(DEFAULT_MAX_RETRY_AFTER)?,
--- a/src/protocol/flows.rs
+++ b/src/protocol/flows.rs
@@ -1,4 +1,4 @@
-//! Flows out of TCP segments: put in order, without what was sent twice, up to the first gap.
+//! Reassembly of flows from TCP segments: bytes in order, without retransmissions, up to the first gap.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,175 +6,225 @@
 use super::pcap::{Close, Segment};
 use crate::Micros;
 
-/// Bytes of a flow that may wait for one that is missing before it is held to be lost.
-const MOST_WAITING: usize = 256 << 10;
+/// The most bytes of a flow that wait for a missing one before it is taken to be lost.
+const MAX_WAITING_BYTES: usize = 256 << 10;
 
 /// What one side sent on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Flow {
+    /// The sending side.
     pub from: SocketAddr,
+    /// The receiving side.
     pub to: SocketAddr,
     /// When it began.
     pub start: Micros,
-    /// Its begin is not in the file: it was open before.
-    pub headless: bool,
-    /// Bytes, and when they could be read.
-    pub pieces: Vec<(Micros, Vec<u8>)>,
-    /// When the other side had sent it how many lines.
-    pub answers: Vec<(Micros, usize)>,
-    /// How and when this side ended; not at all in what was captured.
-    pub end: Option<(Micros, Close)>,
-    /// Bytes are missing after so many: what follows is not known to be whole lines, and left out.
+    /// Its start was not captured: the connection was open before.
+    pub began_before_capture: bool,
+    /// Its bytes, by when they could be read.
+    pub chunks: Vec<FlowChunk>,
+    /// How many lines the other side had sent, by when they were captured.
+    pub answers: Vec<AnswerCount>,
+    /// How this side ended; none if its end was not captured.
+    pub end: Option<FlowEnd>,
+    /// Bytes are missing after this many. What follows them is left out, since it may not be whole lines.
     pub gap: Option<usize>,
 }
 
+/// Bytes of a flow that could be read at one time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FlowChunk {
+    /// When they could be read.
+    pub at: Micros,
+    /// The bytes.
+    pub bytes: Vec<u8>,
+}
+
+/// The number of lines that the other side of a flow had sent by a time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AnswerCount {
+    /// The time.
+    pub at: Micros,
+    /// The lines from the start up to that time.
+    pub lines: usize,
+}
+
+/// The end of a flow.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FlowEnd {
+    /// When it ended.
+    pub at: Micros,
+    /// How it ended.
+    pub close: Close,
+}
+
+impl Flow {
+    /// How many lines the other side had sent by then.
+    pub fn answers_before(&self, at: Micros) -> usize {
+        self.answers.iter().take_while(|count| count.at <= at).last().map_or(0, |count| count.lines)
+    }
+}
+
+/// The sequence number of the first byte of a segment's payload.
+fn payload_seq(segment: &Segment) -> u32 {
+    segment.seq.wrapping_add(u32::from(segment.flags.syn))
+}
+
+/// A flow that is being reassembled. Offsets are in bytes from the flow's start.
 #[derive(Debug)]
-struct Building {
+struct FlowAssembler {
     flow: Flow,
-    /// The number in its SYN.
-    isn: Option<u32>,
-    /// Number of the next byte, and how many there were before it.
-    next: u32,
-    count: usize,
-    /// Segments that came before their turn, by their distance from the start.
-    early: BTreeMap<usize, (Micros, Vec<u8>)>,
-    /// Number of the other side's next byte.
-    answer_next: Option<u32>,
-    waiting: usize,
-    /// Where the side ended, in bytes from its start.
-    fin: Option<(usize, Micros)>,
+    /// Sequence number of its SYN.
+    syn_seq: Option<u32>,
+    /// Sequence number of the next byte.
+    next_seq: u32,
+    /// Offset of the next byte.
+    next_offset: usize,
+    /// Segments that arrived before their turn, by their offset.
+    early: BTreeMap<usize, FlowChunk>,
+    /// Number of bytes in them.
+    early_bytes: usize,
+    /// Sequence number of the other side's next byte.
+    next_answer_seq: Option<u32>,
+    fin: Option<Fin>,
 }
 
-impl Building {
-    fn new(segment: &Segment) -> Building {
-        Building {
+#[derive(Clone, Copy, Debug)]
+struct Fin {
+    /// Offset after the last byte.
+    offset: usize,
+    at: Micros,
+}
+
+impl FlowAssembler {
+    fn new(segment: &Segment) -> FlowAssembler {
+        FlowAssembler {
             flow: Flow {
                 from: segment.from,
                 to: segment.to,
                 start: segment.at,
-                headless: !segment.syn,
-                pieces: Vec::new(),
+                began_before_capture: !segment.flags.syn,
+                chunks: Vec::new(),
                 answers: Vec::new(),
                 end: None,
                 gap: None,
             },
-            isn: segment.syn.then_some(segment.seq),
-            next: segment.seq.wrapping_add(u32::from(segment.syn)),
-            count: 0,
+            syn_seq: segment.flags.syn.then_some(segment.seq),
+            next_seq: payload_seq(segment),
+            next_offset: 0,
             early: BTreeMap::new(),
-            answer_next: None,
-            waiting: 0,
+            early_bytes: 0,
+            next_answer_seq: None,
             fin: None,
         }
     }
 
-    fn take(&mut self, segment: &Segment) {
+    fn add_segment(&mut self, segment: &Segment) {
         if self.flow.end.is_some() || self.flow.gap.is_some() {
             return;
         }
-        if segment.rst {
-            self.flow.end = Some((segment.at, Close::Broken));
+        if segment.flags.rst {
+            self.flow.end = Some(FlowEnd { at: segment.at, close: Close::Reset });
             return;
         }
-        let seq = segment.seq.wrapping_add(u32::from(segment.syn));
-        // Numbers wrap: what lies less than half of them ahead is ahead.
-        let ahead = seq.wrapping_sub(self.next) as i32;
-        let start = self.count as i64 + i64::from(ahead);
-        let end = start + segment.payload.len() as i64;
-        if segment.fin && end >= self.count as i64 {
-            self.fin.get_or_insert((end as usize, segment.at));
+        // Sequence numbers wrap: one that is less than half of them ahead is ahead.
+        let distance = payload_seq(segment).wrapping_sub(self.next_seq) as i32;
+        let next_offset = self.next_offset as i64;
+        let start = next_offset + i64::from(distance);
+        let length = segment.payload.len() as i64;
+        let end = start + length;
+        if segment.flags.fin && end >= next_offset {
+            self.fin.get_or_insert(Fin { offset: end as usize, at: segment.at });
         }
-        // What was there before is cut off a retransmission.
-        let known = (self.count as i64 - start).clamp(0, segment.payload.len() as i64) as usize;
-        let fresh = &segment.payload[known..];
-        if !fresh.is_empty() {
-            let at = (start + known as i64) as usize;
-            let slot = self.early.entry(at).or_insert_with(|| (segment.at, Vec::new()));
-            if slot.1.len() < fresh.len() {
-                self.waiting += fresh.len() - slot.1.len();
-                *slot = (segment.at, fresh.to_vec());
-            }
+        // The start of a retransmission may be known already.
+        let known = (next_offset - start).clamp(0, length) as usize;
+        let unknown = &segment.payload[known..];
+        if !unknown.is_empty() {
+            self.add_early((start + known as i64) as usize, segment.at, unknown);
+        }
+        self.append_early(segment.at);
+        if self.early_bytes > MAX_WAITING_BYTES {
+            self.flow.gap = Some(self.next_offset);
         }
-        self.join(segment.at);
-        if self.waiting > MOST_WAITING {
-            self.flow.gap = Some(self.count);
+    }
+
+    /// Keeps bytes until those before them have arrived; of two segments at one offset, the longer.
+    fn add_early(&mut self, offset: usize, at: Micros, bytes: &[u8]) {
+        let chunk = self.early.entry(offset).or_insert_with(|| FlowChunk { at, bytes: Vec::new() });
+        if chunk.bytes.len() < bytes.len() {
+            self.early_bytes += bytes.len() - chunk.bytes.len();
+            *chunk = FlowChunk { at, bytes: bytes.to_vec() };
         }
     }
 
-    /// Takes in what has come to its turn.
-    fn join(&mut self, now: Micros) {
-        while let Some(entry) = self.early.first_entry().filter(|entry| *entry.key() <= self.count) {
-            let (start, (_, bytes)) = entry.remove_entry();
-            self.waiting -= bytes.len();
-            let fresh = bytes.get(self.count - start..).unwrap_or_default();
-            if !fresh.is_empty() {
-                self.flow.pieces.push((now, fresh.to_vec()));
-                self.count += fresh.len();
-                self.next = self.next.wrapping_add(fresh.len() as u32);
+    /// Appends the bytes whose turn has come.
+    fn append_early(&mut self, now: Micros) {
+        while let Some(entry) = self.early.first_entry().filter(|entry| *entry.key() <= self.next_offset) {
+            let (start, FlowChunk { bytes, .. }) = entry.remove_entry();
+            self.early_bytes -= bytes.len();
+            let unknown = bytes.get(self.next_offset - start..).unwrap_or_default();
+            if !unknown.is_empty() {
+                self.flow.chunks.push(FlowChunk { at: now, bytes: unknown.to_vec() });
+                self.next_offset += unknown.len();
+                self.next_seq = self.next_seq.wrapping_add(unknown.len() as u32);
             }
         }
-        if let Some((_, at)) = self.fin.filter(|&(end, _)| end <= self.count) {
-            self.flow.end = Some((at.max(now), Close::InOrder));
+        if let Some(fin) = self.fin.filter(|fin| fin.offset <= self.next_offset) {
+            self.flow.end = Some(FlowEnd { at: fin.at.max(now), close: Close::Orderly });
         }
     }
 
-    /// The other side sent something: its lines are counted, once each.
-    fn answered(&mut self, segment: &Segment) {
-        let seq = segment.seq.wrapping_add(u32::from(segment.syn));
-        let next = *self.answer_next.get_or_insert(seq);
-        let known = next.wrapping_sub(seq) as i32;
-        let Some(fresh) = usize::try_from(known.max(0)).ok().and_then(|known| segment.payload.get(known..))
-        else {
-            return;
-        };
-        self.answer_next = Some(seq.wrapping_add(segment.payload.len() as u32));
-        let lines = fresh.iter().filter(|&&b| b == b'\n').count();
+    /// Counts the lines of a segment of the other side, once each.
+    fn add_answer(&mut self, segment: &Segment) {
+        let seq = payload_seq(segment);
+        let next_seq = *self.next_answer_seq.get_or_insert(seq);
+        let known = (next_seq.wrapping_sub(seq) as i32).max(0) as usize;
+        let Some(unknown) = segment.payload.get(known..) else { return };
+        self.next_answer_seq = Some(seq.wrapping_add(segment.payload.len() as u32));
+        let lines = unknown.iter().filter(|&&b| b == b'\n').count();
         if lines > 0 {
-            let before = self.flow.answers.last().map_or(0, |&(_, lines)| lines);
-            self.flow.answers.push((segment.at, before + lines));
+            let lines_before = self.flow.answers.last().map_or(0, |count| count.lines);
+            self.flow.answers.push(AnswerCount { at: segment.at, lines: lines_before + lines });
         }
     }
 
-    fn done(mut self) -> Flow {
-        let missing = !self.early.is_empty() || self.fin.is_some_and(|(end, _)| end > self.count);
-        if self.flow.gap.is_none() && missing && self.flow.end.is_none() {
-            self.flow.gap = Some(self.count);
-        }
-        self.flow
+    /// Whether this segment opens another connection with the same ports. The same SYN sent twice does not.
+    fn is_reopened_by(&self, segment: &Segment) -> bool {
+        segment.flags.syn && self.syn_seq != Some(segment.seq)
     }
-}
 
-impl Flow {
-    /// How many lines the other side had sent by then.
-    pub fn answers_before(&self, at: Micros) -> usize {
-        self.answers.iter().take_while(|(then, _)| *then <= at).last().map_or(0, |&(_, lines)| lines)
+    fn finish(mut self) -> Flow {
+        let is_missing_bytes =
+            !self.early.is_empty() || self.fin.is_some_and(|fin| fin.offset > self.next_offset);
+        if self.flow.gap.is_none() && is_missing_bytes && self.flow.end.is_none() {
+            self.flow.gap = Some(self.next_offset);
+        }
+        self.flow
     }
 }
 
-/// What was sent to a port, by connection, in the order in which they began.
-pub fn to_port(segments: &[Segment], port: u16) -> Vec<Flow> {
-    let (mut open, mut done) = (HashMap::<(SocketAddr, SocketAddr), Building>::new(), Vec::new());
+/// Reassembles the flows to a port, one for each connection, in the order in which they began.
+pub fn reassemble_flows(segments: &[Segment], port: u16) -> Vec<Flow> {
+    let mut open = HashMap::<(SocketAddr, SocketAddr), FlowAssembler>::new();
+    let mut finished = Vec::new();
     for segment in segments {
-        if let Some(asked) = open.get_mut(&(segment.to, segment.from)) {
-            asked.answered(segment);
+        if let Some(answered) = open.get_mut(&(segment.to, segment.from)) {
+            answered.add_answer(segment);
         }
         if segment.to.port() != port {
             continue;
         }
         let key = (segment.from, segment.to);
-        // The same ports again are another connection, unless it is the same SYN sent twice.
-        let again = |old: &Building| segment.syn && old.isn != Some(segment.seq);
-        if open.get(&key).is_some_and(again) {
-            done.extend(open.remove(&key).map(Building::done));
+        if open.get(&key).is_some_and(|assembler| assembler.is_reopened_by(segment)) {
+            finished.extend(open.remove(&key).map(FlowAssembler::finish));
         }
-        // Danger: the last acknowledgements of a connection whose begin is not in the file are no flow.
-        let bare = segment.payload.is_empty() && !segment.syn;
-        if !open.contains_key(&key) && bare {
+        // The last acknowledgements of a connection that began before the capture are not a flow.
+        let is_bare = segment.payload.is_empty() && !segment.flags.syn;
+        if !open.contains_key(&key) && is_bare {
             continue;
         }
-        open.entry(key).or_insert_with(|| Building::new(segment)).take(segment);
+        open.entry(key).or_insert_with(|| FlowAssembler::new(segment)).add_segment(segment);
     }
-    done.extend(open.into_values().map(Building::done));
-    done.sort_by_key(|flow| (flow.start, flow.from));
-    done
+    finished.extend(open.into_values().map(FlowAssembler::finish));
+    finished.sort_by_key(|flow| (flow.start, flow.from));
+    finished
 }
--- a/src/protocol/pcap.rs
+++ b/src/protocol/pcap.rs
@@ -1,40 +1,94 @@
-//! Classic pcap files: reading what they hold of TCP, and writing front traffic into them.
+//! Classic pcap files: reading their TCP segments, and recording the connections of fronts into them.
 
 use std::net::{IpAddr, SocketAddr};
 
 use etherparse::{LaxNetSlice, LaxSlicedPacket, PacketBuilder, TransportSlice};
+use thiserror::Error;
 use winnow::binary::{u16, u32, Endianness};
 use winnow::combinator::{dispatch, empty, fail};
-use winnow::error::ContextError;
+use winnow::error::{ContextError, ErrMode};
 use winnow::{ModalResult, Parser};
 
 use crate::Micros;
 
-/// Bytes of a file's head and of a record's.
-const FILE_HEAD: usize = 24;
-const RECORD_HEAD: usize = 16;
-/// A record longer than this is none (`tcpdump` takes at most 256 KiB).
-const LONGEST_RECORD: u32 = 1 << 20;
-/// Payload of one written packet.
-const PIECE: usize = 1400;
-/// Links: Ethernet, and raw IP under its several numbers.
-const ETHERNET: u32 = 1;
-const RAW: u32 = 101;
-const RAW_TOO: [u32; 5] = [12, 14, RAW, 228, 229];
+/// Magic numbers of files with times in microseconds and in nanoseconds, as read in big-endian order.
+const MAGIC_MICROS: u32 = 0xa1b2_c3d4;
+const MAGIC_MICROS_SWAPPED: u32 = 0xd4c3_b2a1;
+const MAGIC_NANOS: u32 = 0xa1b2_3c4d;
+const MAGIC_NANOS_SWAPPED: u32 = 0x4d3c_b2a1;
+const FORMAT_VERSION: [u16; 2] = [2, 4];
+
+const FILE_HEADER_LENGTH: usize = 24;
+const RECORD_HEADER_LENGTH: usize = 16;
+/// Offset of the link type in the file's header, and of the packet's length in a record's.
+const LINK_TYPE_OFFSET: usize = 20;
+const PACKET_LENGTH_OFFSET: usize = 8;
+/// The longest record that is accepted, in bytes (`tcpdump` writes at most 256 KiB).
+const MAX_RECORD_LENGTH: u32 = 1 << 20;
+/// The longest packet that a written file declares, in bytes.
+const SNAPSHOT_LENGTH: u32 = 1 << 18;
+/// The longest payload of a written packet, in bytes.
+const MAX_WRITTEN_PAYLOAD: usize = 1400;
+const TIME_TO_LIVE: u8 = 64;
+const WINDOW_SIZE: u16 = 65_535;
+
+/// Link types: Ethernet, and raw IP under its several numbers.
+const LINK_ETHERNET: u32 = 1;
+const LINK_RAW_IP: u32 = 101;
+const LINK_RAW_IP_NUMBERS: [u32; 5] = [12, 14, LINK_RAW_IP, 228, 229];
+/// The upper bits of the link type describe frame check sequences.
+const LINK_TYPE_MASK: u32 = 0x0fff_ffff;
+
+const MICROS_PER_SECOND: Micros = 1_000_000;
+const NANOS_PER_MICRO: u32 = 1000;
 
 /// What is wrong with a file, and where.
-#[derive(Debug, PartialEq)]
-pub struct BadFile {
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("bad pcap file at byte {offset}: {kind}")]
+pub struct PcapError {
     /// Byte at which it is wrong.
     pub offset: usize,
     /// What is wrong.
-    pub what: String,
+    pub kind: PcapErrorKind,
 }
 
-impl std::fmt::Display for BadFile {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "bad pcap file at byte {}: {}", self.offset, self.what)
-    }
+/// What can be wrong with a file.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum PcapErrorKind {
+    /// The file's header is incomplete.
+    #[error("the file ends within its head")]
+    TruncatedFileHeader,
+    /// A record's header is incomplete.
+    #[error("the file ends within a record's head")]
+    TruncatedRecordHeader,
+    /// A packet is incomplete.
+    #[error("the file ends within a packet")]
+    TruncatedPacket,
+    /// The file does not begin with a known magic number.
+    #[error("no pcap file (pcapng is not read)")]
+    NotPcap,
+    /// The packets are of another link than those that are read.
+    #[error("link type {0} is neither Ethernet nor raw IP")]
+    UnsupportedLinkType(u32),
+    /// A record's header cannot be read.
+    #[error("no record")]
+    MalformedRecordHeader,
+    /// A record is longer than any that is accepted; this many bytes.
+    #[error("a record of {0} bytes")]
+    RecordTooLong(u32),
+}
+
+/// The flags of a TCP segment that are used.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TcpFlags {
+    /// SYN: the sender opens the connection.
+    pub syn: bool,
+    /// ACK: the segment acknowledges bytes.
+    pub ack: bool,
+    /// FIN: the sender has no more bytes.
+    pub fin: bool,
+    /// RST: the connection is broken.
+    pub rst: bool,
 }
 
 /// One TCP segment.
@@ -42,78 +96,92 @@
 pub struct Segment {
     /// When it was captured.
     pub at: Micros,
+    /// Its sender.
     pub from: SocketAddr,
+    /// Its receiver.
     pub to: SocketAddr,
+    /// Its sequence number.
     pub seq: u32,
-    pub syn: bool,
-    pub ack: bool,
-    pub fin: bool,
-    pub rst: bool,
+    /// Its flags.
+    pub flags: TcpFlags,
+    /// Its payload.
     pub payload: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Head {
-    order: Endianness,
-    nanos: bool,
-    link: u32,
+struct FileHeader {
+    byte_order: Endianness,
+    has_nanoseconds: bool,
+    link_type: u32,
 }
 
-type Result4<T> = Result<T, winnow::error::ErrMode<ContextError>>;
+struct RecordHeader {
+    captured_at: Micros,
+    packet_length: u32,
+}
 
-fn head(input: &mut &[u8]) -> ModalResult<Head> {
-    let (order, nanos) = dispatch! {u32(Endianness::Big);
-        0xa1b2_c3d4 => empty.value((Endianness::Big, false)),
-        0xd4c3_b2a1 => empty.value((Endianness::Little, false)),
-        0xa1b2_3c4d => empty.value((Endianness::Big, true)),
-        0x4d3c_b2a1 => empty.value((Endianness::Little, true)),
+fn parse_file_header(input: &mut &[u8]) -> ModalResult<FileHeader> {
+    let (byte_order, has_nanoseconds) = dispatch! {u32(Endianness::Big);
+        MAGIC_MICROS => empty.value((Endianness::Big, false)),
+        MAGIC_MICROS_SWAPPED => empty.value((Endianness::Little, false)),
+        MAGIC_NANOS => empty.value((Endianness::Big, true)),
+        MAGIC_NANOS_SWAPPED => empty.value((Endianness::Little, true)),
         _ => fail,
     }
     .parse_next(input)?;
-    let half = || u16::<_, winnow::error::ErrMode<ContextError>>(order);
-    let word = || u32::<_, winnow::error::ErrMode<ContextError>>(order);
-    let (_, _, _, _, _, link) = (half(), half(), word(), word(), word(), word()).parse_next(input)?;
-    // The upper bits tell of frame checks.
-    Ok(Head { order, nanos, link: link & 0x0fff_ffff })
+    let half = || u16::<_, ErrMode<ContextError>>(byte_order);
+    let word = || u32::<_, ErrMode<ContextError>>(byte_order);
+    let (_major, _minor, _zone, _accuracy, _snapshot_length, link_type) =
+        (half(), half(), word(), word(), word(), word()).parse_next(input)?;
+    Ok(FileHeader { byte_order, has_nanoseconds, link_type: link_type & LINK_TYPE_MASK })
 }
 
-/// A record's time, and how many bytes of its packet follow.
-fn record(head: Head, input: &mut &[u8]) -> Result4<(Micros, u32)> {
-    let word = || u32::<_, winnow::error::ErrMode<ContextError>>(head.order);
-    let (seconds, part, kept, _) = (word(), word(), word(), word()).parse_next(input)?;
-    let part = if head.nanos { part / 1000 } else { part };
-    Ok((Micros::from(seconds) * 1_000_000 + Micros::from(part), kept))
+fn parse_record_header(file: FileHeader, input: &mut &[u8]) -> ModalResult<RecordHeader> {
+    let word = || u32::<_, ErrMode<ContextError>>(file.byte_order);
+    let (seconds, fraction, packet_length, _) = (word(), word(), word(), word()).parse_next(input)?;
+    let micros = if file.has_nanoseconds { fraction / NANOS_PER_MICRO } else { fraction };
+    let captured_at = Micros::from(seconds) * MICROS_PER_SECOND + Micros::from(micros);
+    Ok(RecordHeader { captured_at, packet_length })
 }
 
-/// Reads the TCP segments of a file, in its order. What is no TCP is passed over.
-pub fn read(bytes: &[u8]) -> Result<Vec<Segment>, BadFile> {
-    let bad = |offset: usize, what: &str| BadFile { offset, what: what.to_owned() };
-    let cut = |what: &str| bad(bytes.len(), &format!("the file ends within {what}"));
-    if bytes.len() < FILE_HEAD {
-        return Err(cut("its head"));
+/// Reads the TCP segments of a file, in its order. Packets of other protocols are skipped.
+///
+/// # Errors
+/// [`PcapError`] with the offset of the first byte that is wrong.
+pub fn read_segments(bytes: &[u8]) -> Result<Vec<Segment>, PcapError> {
+    let error = |offset, kind| PcapError { offset, kind };
+    let truncated = |kind| error(bytes.len(), kind);
+    let header =
+        bytes.get(..FILE_HEADER_LENGTH).ok_or_else(|| truncated(PcapErrorKind::TruncatedFileHeader))?;
+    let header = parse_file_header(&mut &header[..]).map_err(|_| error(0, PcapErrorKind::NotPcap))?;
+    if header.link_type != LINK_ETHERNET && !LINK_RAW_IP_NUMBERS.contains(&header.link_type) {
+        return Err(error(LINK_TYPE_OFFSET, PcapErrorKind::UnsupportedLinkType(header.link_type)));
     }
-    let head = head(&mut &bytes[..FILE_HEAD]).map_err(|_| bad(0, "no pcap file (pcapng is not read)"))?;
-    if head.link != ETHERNET && !RAW_TOO.contains(&head.link) {
-        return Err(bad(20, &format!("link type {} is neither Ethernet nor raw IP", head.link)));
-    }
-    let (mut segments, mut at) = (Vec::new(), FILE_HEAD);
-    while at < bytes.len() {
-        let Some(mut start) = bytes.get(at..at + RECORD_HEAD) else { return Err(cut("a record's head")) };
-        let (time, kept) = record(head, &mut start).map_err(|_| bad(at, "no record"))?;
-        if kept > LONGEST_RECORD {
-            return Err(bad(at + 8, &format!("a record of {kept} bytes")));
+    let (mut segments, mut offset) = (Vec::new(), FILE_HEADER_LENGTH);
+    while offset < bytes.len() {
+        let mut record = bytes
+            .get(offset..offset + RECORD_HEADER_LENGTH)
+            .ok_or_else(|| truncated(PcapErrorKind::TruncatedRecordHeader))?;
+        let record = parse_record_header(header, &mut record)
+            .map_err(|_| error(offset, PcapErrorKind::MalformedRecordHeader))?;
+        if record.packet_length > MAX_RECORD_LENGTH {
+            let kind = PcapErrorKind::RecordTooLong(record.packet_length);
+            return Err(error(offset + PACKET_LENGTH_OFFSET, kind));
         }
-        at += RECORD_HEAD;
-        let Some(packet) = bytes.get(at..at + kept as usize) else { return Err(cut("a packet")) };
-        at += kept as usize;
-        segments.extend(segment(head.link, time, packet));
+        offset += RECORD_HEADER_LENGTH;
+        let packet = bytes
+            .get(offset..offset + record.packet_length as usize)
+            .ok_or_else(|| truncated(PcapErrorKind::TruncatedPacket))?;
+        offset += packet.len();
+        segments.extend(parse_segment(header.link_type, record.captured_at, packet));
     }
     Ok(segments)
 }
 
-fn segment(link: u32, at: Micros, packet: &[u8]) -> Option<Segment> {
-    let sliced = match link {
-        ETHERNET => LaxSlicedPacket::from_ethernet(packet).ok()?,
+/// Parses a packet; none if it is not TCP over IP.
+fn parse_segment(link_type: u32, at: Micros, packet: &[u8]) -> Option<Segment> {
+    let sliced = match link_type {
+        LINK_ETHERNET => LaxSlicedPacket::from_ethernet(packet).ok()?,
         _ => LaxSlicedPacket::from_ip(packet).ok()?,
     };
     let (from, to): (IpAddr, IpAddr) = match sliced.net? {
@@ -127,109 +195,111 @@
         from: (from, tcp.source_port()).into(),
         to: (to, tcp.destination_port()).into(),
         seq: tcp.sequence_number(),
-        syn: tcp.syn(),
-        ack: tcp.ack(),
-        fin: tcp.fin(),
-        rst: tcp.rst(),
+        flags: TcpFlags { syn: tcp.syn(), ack: tcp.ack(), fin: tcp.fin(), rst: tcp.rst() },
         payload: tcp.payload().to_vec(),
     })
 }
 
-/// The head of a file that [`Tape`] writes: microseconds, raw IP.
-pub fn file_head() -> Vec<u8> {
-    let words: [u32; 4] = [0, 0, 1 << 18, RAW];
-    let mut bytes = 0xa1b2_c3d4u32.to_le_bytes().to_vec();
-    bytes.extend([2u16, 4].iter().flat_map(|half| half.to_le_bytes()));
+/// Encodes the header of a file for the records of a [`ConnectionRecorder`]: times in microseconds, packets of raw IP.
+pub fn encode_file_header() -> Vec<u8> {
+    let (time_zone, accuracy) = (0, 0);
+    let words: [u32; 4] = [time_zone, accuracy, SNAPSHOT_LENGTH, LINK_RAW_IP];
+    let mut bytes = MAGIC_MICROS.to_le_bytes().to_vec();
+    bytes.extend(FORMAT_VERSION.iter().flat_map(|half| half.to_le_bytes()));
     bytes.extend(words.iter().flat_map(|word| word.to_le_bytes()));
     bytes
 }
 
-/// Which way bytes went on a front's connection.
+/// In which direction bytes went on a front's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum Direction {
+    /// From the client to the front.
     FromClient,
+    /// From the front to the client.
     ToClient,
 }
 
 /// How a side of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Close {
-    InOrder,
-    Broken,
+    /// By a FIN.
+    Orderly,
+    /// By a RST.
+    Reset,
 }
 
-/// A connection as packets: what its sockets read and wrote, with the numbers that TCP would have given.
+/// Records a connection as packets: what its sockets read and wrote, with the sequence numbers that TCP would have
+/// given.
 #[derive(Debug)]
-pub struct Tape {
+pub struct ConnectionRecorder {
     client: SocketAddr,
     front: SocketAddr,
-    /// What each side sends next: the client, the front.
-    next: [u32; 2],
-    closed: [bool; 2],
-}
-
-#[derive(Clone, Copy, Default)]
-struct Flags {
-    syn: bool,
-    ack: bool,
-    fin: bool,
-    rst: bool,
+    /// The next sequence number of each direction.
+    next_seq: [u32; 2],
+    is_closed: [bool; 2],
 }
 
-impl Tape {
-    /// A connection that was just taken in, and its handshake's records.
-    pub fn start(at: Micros, client: SocketAddr, front: SocketAddr) -> (Tape, Vec<u8>) {
-        let mut tape = Tape { client, front, next: [1, 1], closed: [false; 2] };
-        let mut out = tape.packet(at, Way::FromClient, 0, Flags { syn: true, ..Flags::default() }, &[]);
-        out.extend(tape.packet(
-            at,
-            Way::ToClient,
-            0,
-            Flags { syn: true, ack: true, ..Flags::default() },
-            &[],
-        ));
-        out.extend(tape.data(at, Way::FromClient, &[]));
-        (tape, out)
+impl ConnectionRecorder {
+    /// Begins with a connection that was just accepted. Returns the records of its handshake as well.
+    pub fn start(at: Micros, client: SocketAddr, front: SocketAddr) -> (ConnectionRecorder, Vec<u8>) {
+        let mut recorder = ConnectionRecorder { client, front, next_seq: [1, 1], is_closed: [false; 2] };
+        let syn = TcpFlags { syn: true, ..TcpFlags::default() };
+        let syn_ack = TcpFlags { ack: true, ..syn };
+        let mut records = recorder.encode_packet(at, Direction::FromClient, 0, syn, &[]);
+        records.extend(recorder.encode_packet(at, Direction::ToClient, 0, syn_ack, &[]));
+        records.extend(recorder.record_data(at, Direction::FromClient, &[]));
+        (recorder, records)
     }
 
-    /// Records of bytes that went this way.
-    pub fn data(&mut self, at: Micros, way: Way, bytes: &[u8]) -> Vec<u8> {
-        let flags = Flags { ack: true, ..Flags::default() };
+    /// Encodes the records of bytes that went in this direction; of an acknowledgement if there are none.
+    pub fn record_data(&mut self, at: Micros, direction: Direction, bytes: &[u8]) -> Vec<u8> {
+        let ack = TcpFlags { ack: true, ..TcpFlags::default() };
+        let index = direction as usize;
         if bytes.is_empty() {
-            return self.packet(at, way, self.next[way as usize], flags, &[]);
+            return self.encode_packet(at, direction, self.next_seq[index], ack, &[]);
         }
-        let mut out = Vec::new();
-        for piece in bytes.chunks(PIECE) {
-            out.extend(self.packet(at, way, self.next[way as usize], flags, piece));
-            self.next[way as usize] = self.next[way as usize].wrapping_add(piece.len() as u32);
+        let mut records = Vec::new();
+        for payload in bytes.chunks(MAX_WRITTEN_PAYLOAD) {
+            records.extend(self.encode_packet(at, direction, self.next_seq[index], ack, payload));
+            self.next_seq[index] = self.next_seq[index].wrapping_add(payload.len() as u32);
         }
-        out
+        records
     }
 
-    /// The record of a side's end; nothing where it had ended before.
-    pub fn close(&mut self, at: Micros, way: Way, close: Close) -> Vec<u8> {
-        if std::mem::replace(&mut self.closed[way as usize], true) {
+    /// Encodes the record of the end of a side; empty where that side had ended before.
+    pub fn record_close(&mut self, at: Micros, direction: Direction, close: Close) -> Vec<u8> {
+        let index = direction as usize;
+        if std::mem::replace(&mut self.is_closed[index], true) {
             return Vec::new();
         }
-        let (fin, rst) = (close == Close::InOrder, close == Close::Broken);
-        let out =
-            self.packet(at, way, self.next[way as usize], Flags { ack: true, fin, rst, syn: false }, &[]);
-        self.next[way as usize] = self.next[way as usize].wrapping_add(1);
-        out
+        let flags =
+            TcpFlags { syn: false, ack: true, fin: close == Close::Orderly, rst: close == Close::Reset };
+        let record = self.encode_packet(at, direction, self.next_seq[index], flags, &[]);
+        self.next_seq[index] = self.next_seq[index].wrapping_add(1);
+        record
     }
 
-    fn packet(&self, at: Micros, way: Way, seq: u32, flags: Flags, payload: &[u8]) -> Vec<u8> {
-        let (from, to) = match way {
-            Way::FromClient => (self.client, self.front),
-            Way::ToClient => (self.front, self.client),
+    fn encode_packet(
+        &self,
+        at: Micros,
+        direction: Direction,
+        seq: u32,
+        flags: TcpFlags,
+        payload: &[u8],
+    ) -> Vec<u8> {
+        let (from, to) = match direction {
+            Direction::FromClient => (self.client, self.front),
+            Direction::ToClient => (self.front, self.client),
         };
         let builder = match (from.ip(), to.ip()) {
-            (IpAddr::V4(from), IpAddr::V4(to)) => PacketBuilder::ipv4(from.octets(), to.octets(), 64),
-            (from, to) => PacketBuilder::ipv6(six(from), six(to), 64),
+            (IpAddr::V4(from), IpAddr::V4(to)) => {
+                PacketBuilder::ipv4(from.octets(), to.octets(), TIME_TO_LIVE)
+            }
+            (from, to) => PacketBuilder::ipv6(ipv6_octets(from), ipv6_octets(to), TIME_TO_LIVE),
         };
-        let mut builder = builder.tcp(from.port(), to.port(), seq, 65_535);
+        let mut builder = builder.tcp(from.port(), to.port(), seq, WINDOW_SIZE);
         if flags.ack {
-            builder = builder.ack(self.next[1 - way as usize]);
+            builder = builder.ack(self.next_seq[1 - direction as usize]);
         }
         if flags.syn {
             builder = builder.syn();
@@ -241,19 +311,24 @@
             builder = builder.rst();
         }
         let mut packet = Vec::with_capacity(builder.size(payload.len()));
-        // Only a payload longer than an IP packet can fail, and pieces are far shorter.
+        // Writing fails only for a payload longer than an IP packet, and MAX_WRITTEN_PAYLOAD is far shorter.
         if builder.write(&mut packet, payload).is_err() {
             return Vec::new();
         }
-        let length = packet.len() as u32;
-        let words = [(at / 1_000_000) as u32, (at % 1_000_000) as u32, length, length];
-        let mut out: Vec<u8> = words.iter().flat_map(|word| word.to_le_bytes()).collect();
-        out.extend(packet);
-        out
+        encode_record(at, &packet)
     }
 }
 
-fn six(ip: IpAddr) -> [u8; 16] {
+fn encode_record(at: Micros, packet: &[u8]) -> Vec<u8> {
+    let length = packet.len() as u32;
+    let (seconds, micros) = (at / MICROS_PER_SECOND, at % MICROS_PER_SECOND);
+    let header = [seconds as u32, micros as u32, length, length];
+    let mut record: Vec<u8> = header.iter().flat_map(|word| word.to_le_bytes()).collect();
+    record.extend(packet);
+    record
+}
+
+fn ipv6_octets(ip: IpAddr) -> [u8; 16] {
     match ip {
         IpAddr::V4(ip) => ip.to_ipv6_mapped().octets(),
         IpAddr::V6(ip) => ip.octets(),
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -13,7 +13,7 @@
 
 use super::commands::{ConnectionCommand, TransferredConnection};
 use super::driver::Driver;
-use crate::protocol::pcap::{Close, Tape, Way};
+use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
 use crate::protocol::{Front, Step};
 use crate::routing::{Answer, AttemptOutcome, ConnectionId, EstablishedConnection, Input};
 use crate::Micros;
@@ -163,7 +163,7 @@
     /// Bytes held for a side that does not read; more are not taken from the other.
     buffer: usize,
     /// It is recorded.
-    tape: Option<Tape>,
+    tape: Option<ConnectionRecorder>,
     /// Another process goes on with it.
     successor: Option<oneshot::Sender<TransferredConnection>>,
 }
@@ -175,7 +175,7 @@
     let mut tape = None;
     driver.record(|at| {
         let Some((client, front)) = ends else { return Vec::new() };
-        let (begun, records) = Tape::start(at, client, front);
+        let (begun, records) = ConnectionRecorder::start(at, client, front);
         tape = Some(begun);
         records
     });
@@ -231,7 +231,7 @@
             let (driver, connection) = (self.driver.clone(), self.id);
             match self.successor.take() {
                 Some(successor) => self.pass(successor),
-                None => self.record(|tape, at| tape.close(at, Way::ToClient, Close::InOrder)),
+                None => self.record(|tape, at| tape.record_close(at, Direction::ToClient, Close::Orderly)),
             }
             driver.leave(connection);
         });
@@ -300,7 +300,7 @@
         }
     }
 
-    fn record(&mut self, records: impl FnOnce(&mut Tape, Micros) -> Vec<u8>) {
+    fn record(&mut self, records: impl FnOnce(&mut ConnectionRecorder, Micros) -> Vec<u8>) {
         if let Some(tape) = &mut self.tape {
             self.driver.record(|at| records(tape, at));
         }
@@ -404,10 +404,10 @@
         let flushed = self.client.flush();
         if let Some(sent) = self.client.sent.as_mut().filter(|sent| !sent.is_empty()) {
             let sent = std::mem::take(sent);
-            self.record(|tape, at| tape.data(at, Way::ToClient, &sent));
+            self.record(|tape, at| tape.record_data(at, Direction::ToClient, &sent));
         }
         if self.client.finished {
-            self.record(|tape, at| tape.close(at, Way::ToClient, Close::InOrder));
+            self.record(|tape, at| tape.record_close(at, Direction::ToClient, Close::Orderly));
         }
         if flushed.is_err() {
             self.client_broke();
@@ -425,7 +425,7 @@
                 self.passed_over += n;
             }
             Ok(Some(n)) => {
-                self.record(|tape, at| tape.data(at, Way::FromClient, &piece[..n]));
+                self.record(|tape, at| tape.record_data(at, Direction::FromClient, &piece[..n]));
                 let mut steps = Vec::new();
                 self.front.client_sent(&piece[..n], &mut steps);
                 self.take(steps);
@@ -438,7 +438,7 @@
     /// The client sends nothing more: it has left, and the server is ended in the same way.
     fn client_ended(&mut self) {
         self.client.ended = true;
-        self.record(|tape, at| tape.close(at, Way::FromClient, Close::InOrder));
+        self.record(|tape, at| tape.record_close(at, Direction::FromClient, Close::Orderly));
         if self.over.is_none() {
             match self.attempt.as_mut().filter(|_| self.established) {
                 // It may still read: what its server says to the end goes to it, for a while.
@@ -454,7 +454,7 @@
 
     fn client_broke(&mut self) {
         self.client.ended = true;
-        self.record(|tape, at| tape.close(at, Way::FromClient, Close::Broken));
+        self.record(|tape, at| tape.record_close(at, Direction::FromClient, Close::Reset));
         if let Some(attempt) = self.attempt.take().filter(|_| self.established && !self.client.finish) {
             attempt.reset();
         }
@@ -507,7 +507,7 @@
             let _ = self.client.flush();
             self.client.reset();
             self.client.ended = true;
-            self.record(|tape, at| tape.close(at, Way::ToClient, Close::Broken));
+            self.record(|tape, at| tape.record_close(at, Direction::ToClient, Close::Reset));
         }
         self.attempt = None;
         self.finish();
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -19,7 +19,7 @@
         let name = path.display().to_string();
         let file = File::create(path).map_err(|e| format!("{name}: {e}"))?;
         let mut recorder = Recorder { file, name, left: most };
-        recorder.write(&pcap::file_head());
+        recorder.write(&pcap::encode_file_header());
         Ok(recorder)
     }
 
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -14,7 +14,7 @@
 use super::driver::{ConnectionFactory, Driver, Seen};
 use super::{connection, irc_factory, platform_factory, Fronts};
 use crate::program::config::{read_file, Config};
-use crate::protocol::flows::{self, Flow};
+use crate::protocol::flows::{self, Flow, FlowChunk, FlowEnd};
 use crate::protocol::pcap::{self, Close};
 
 /// After its last recorded byte a flow waits so long for what still comes back.
@@ -52,14 +52,14 @@
 /// Replays a file's flows and prints what came of each.
 pub fn replay(file: &Path, config: Config, which: Which, port: Option<u16>) -> Result<(), String> {
     let bytes = read_file(file).map_err(|error| error.to_string())?;
-    let segments = pcap::read(&bytes).map_err(|bad| format!("{}: {bad}", file.display()))?;
+    let segments = pcap::read_segments(&bytes).map_err(|bad| format!("{}: {bad}", file.display()))?;
     let listen = match which {
         Which::Platform => config.platform.as_ref().map(|p| p.listen),
         Which::Irc => config.irc.as_ref().map(|irc| irc.listen),
     };
     let listen = listen.ok_or_else(|| format!("the configuration has no {which:?} front"))?;
     let port = port.unwrap_or(listen.port());
-    let flows = flows::to_port(&segments, port);
+    let flows = flows::reassemble_flows(&segments, port);
     if flows.is_empty() {
         return Err(format!("{}: no flow to port {port}; --port names another", file.display()));
     }
@@ -163,7 +163,7 @@
         }
     };
     let mut cut = false;
-    for (at, bytes) in &flow.pieces {
+    for FlowChunk { at, bytes } in &flow.chunks {
         wait(*at).await;
         if writer.write_all(bytes).await.is_err() {
             cut = true;
@@ -171,11 +171,11 @@
         }
     }
     match flow.end {
-        Some((at, Close::InOrder)) => {
+        Some(FlowEnd { at, close: Close::Orderly }) => {
             wait(at).await;
             let _ = writer.shutdown().await;
         }
-        Some((at, Close::Broken)) => {
+        Some(FlowEnd { at, close: Close::Reset }) => {
             wait(at).await;
             let _ = socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO));
             drop(writer);
@@ -200,7 +200,7 @@
     if let Some(gap) = flow.gap {
         told += &format!("; gap in the capture after {gap} bytes, the rest left out");
     }
-    if flow.headless {
+    if flow.began_before_capture {
         told += "; its begin was not captured";
     }
     Ok(told)
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -1,32 +1,32 @@
-//! Captures: reading, reassembly, and a recording that is replayed.
+//! Captures: reading, reassembly of flows, recording, and the replay of a recording.
 
 mod fake_servers;
 
 use std::net::SocketAddr;
 use std::process::Command;
 
-use connection_balancer::protocol::flows;
-use connection_balancer::protocol::pcap::{self, Close, Segment, Tape, Way};
+use connection_balancer::protocol::flows::{self, FlowEnd};
+use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
 use etherparse::PacketBuilder;
 use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
 
-/// A file with one packet, in this byte order, with this magic and link.
-fn file(little: bool, magic: u32, link: u32, part: u32, packet: &[u8]) -> Vec<u8> {
+/// A file with one packet, in this byte order, with this magic number, link type and fraction of a second.
+fn encode_file(little: bool, magic: u32, link: u32, fraction: u32, packet: &[u8]) -> Vec<u8> {
     let word = |n: u32| if little { n.to_le_bytes() } else { n.to_be_bytes() };
     let half = |n: u16| if little { n.to_le_bytes() } else { n.to_be_bytes() };
     let mut bytes = word(magic).to_vec();
     bytes.extend([half(2), half(4)].concat());
     let length = packet.len() as u32;
-    bytes.extend([0, 0, 65_535, link, 1_700_000_000, part, length, length].iter().flat_map(|&n| word(n)));
+    bytes.extend([0, 0, 65_535, link, 1_700_000_000, fraction, length, length].iter().flat_map(|&n| word(n)));
     bytes.extend(packet);
     bytes
 }
 
-fn packet(ethernet: bool, six: bool) -> Vec<u8> {
+fn encode_packet(ethernet: bool, ipv6: bool) -> Vec<u8> {
     let mut out = Vec::new();
     let (a, b) = ([7; 6], [9; 6]);
-    let done = match (ethernet, six) {
+    let written = match (ethernet, ipv6) {
         (true, false) => PacketBuilder::ethernet2(a, b)
             .ipv4([127, 0, 0, 1], [127, 0, 0, 2], 9)
             .tcp(5, 6667, 77, 9)
@@ -42,19 +42,19 @@
             PacketBuilder::ipv6([1; 16], [2; 16], 9).tcp(5, 6667, 77, 9).write(&mut out, b"NICK a")
         }
     };
-    done.expect("a packet");
+    written.expect("a packet");
     out
 }
 
 #[test]
-fn all_kinds_of_classic_files_are_read() {
+fn reads_all_byte_orders_time_units_and_link_types() {
     for little in [true, false] {
-        for (magic, part) in [(0xa1b2_c3d4, 250_000), (0xa1b2_3c4d, 250_000_000)] {
-            for (link, ethernet, six) in
+        for (magic, fraction) in [(0xa1b2_c3d4, 250_000), (0xa1b2_3c4d, 250_000_000)] {
+            for (link, ethernet, ipv6) in
                 [(1, true, false), (1, true, true), (101, false, false), (101, false, true)]
             {
-                let bytes = file(little, magic, link, part, &packet(ethernet, six));
-                let segments = pcap::read(&bytes).expect("sound");
+                let bytes = encode_file(little, magic, link, fraction, &encode_packet(ethernet, ipv6));
+                let segments = pcap::read_segments(&bytes).expect("valid");
                 let [segment] = &segments[..] else { panic!("{segments:?}") };
                 assert_eq!(segment.at, 1_700_000_000_250_000);
                 assert_eq!(
@@ -67,64 +67,78 @@
 }
 
 #[test]
-fn a_bad_file_is_told_by_its_offset() {
-    let good = file(true, 0xa1b2_c3d4, 101, 0, &packet(false, false));
-    let told = |bytes: &[u8]| pcap::read(bytes).expect_err("bad").to_string();
-    assert!(told(&good[..10]).contains("at byte 10: the file ends within its head"));
-    assert!(told(&[0; 30]).contains("at byte 0: no pcap file"));
-    assert!(told(&good[..30]).contains("at byte 30: the file ends within a record's head"));
-    assert!(told(&good[..50]).contains("at byte 50: the file ends within a packet"));
-    let link = file(true, 0xa1b2_c3d4, 105, 0, &[]);
-    assert!(told(&link).contains("at byte 20: link type 105"));
-    let mut long = good.clone();
+fn errors_name_the_offset_that_is_wrong() {
+    let valid = encode_file(true, 0xa1b2_c3d4, 101, 0, &encode_packet(false, false));
+    let error_of = |bytes: &[u8]| pcap::read_segments(bytes).expect_err("an error").to_string();
+    assert!(error_of(&valid[..10]).contains("at byte 10: the file ends within its head"));
+    assert!(error_of(&[0; 30]).contains("at byte 0: no pcap file"));
+    assert!(error_of(&valid[..30]).contains("at byte 30: the file ends within a record's head"));
+    assert!(error_of(&valid[..50]).contains("at byte 50: the file ends within a packet"));
+    let link = encode_file(true, 0xa1b2_c3d4, 105, 0, &[]);
+    assert!(error_of(&link).contains("at byte 20: link type 105"));
+    let mut long = valid.clone();
     long[32..36].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(told(&long).contains("at byte 32: a record of 4294967295 bytes"));
+    assert!(error_of(&long).contains("at byte 32: a record of 4294967295 bytes"));
 }
 
-fn ends() -> (SocketAddr, SocketAddr) {
+fn client_and_front() -> (SocketAddr, SocketAddr) {
     (([127, 0, 0, 1], 5).into(), ([127, 0, 0, 1], 6667).into())
 }
 
 fn segment(seq: u32, payload: &[u8]) -> Segment {
-    let (from, to) = ends();
-    let (syn, ack, fin, rst) = (false, true, false, false);
-    Segment { at: 0, from, to, seq, syn, ack, fin, rst, payload: payload.to_vec() }
+    let (from, to) = client_and_front();
+    let flags = TcpFlags { ack: true, ..TcpFlags::default() };
+    Segment { at: 0, from, to, seq, flags, payload: payload.to_vec() }
+}
+
+fn with_syn(segment: Segment) -> Segment {
+    Segment { flags: TcpFlags { syn: true, ..segment.flags }, ..segment }
+}
+
+fn with_fin(segment: Segment) -> Segment {
+    Segment { flags: TcpFlags { fin: true, ..segment.flags }, ..segment }
 }
 
 #[test]
-fn a_gap_ends_a_flow_where_it_begins() {
-    let syn = Segment { syn: true, ..segment(100, b"") };
-    let flows = flows::to_port(&[syn, segment(101, b"NICK"), segment(108, b"USER")], 6667);
-    assert_eq!((flows[0].pieces.len(), flows[0].gap), (1, Some(4)));
-    assert_eq!(flows::to_port(&[], 6667), []);
+fn flow_ends_at_its_first_gap() {
+    let syn = with_syn(segment(100, b""));
+    let flows = flows::reassemble_flows(&[syn, segment(101, b"NICK"), segment(108, b"USER")], 6667);
+    assert_eq!((flows[0].chunks.len(), flows[0].gap), (1, Some(4)));
+    assert_eq!(flows::reassemble_flows(&[], 6667), []);
 }
 
-/// Seen in a clean run of all tests: played at its recorded time, an end overtook the answer that it came after,
-/// and a client that was served showed as one that left.
+/// A replay relies on these counts: an end that overtook the answer it was recorded after made a served client look like
+/// one that left.
 #[test]
-fn answers_are_counted_once_each_and_by_their_time() {
-    let (from, to) = ends();
-    let back = |at, seq, payload: &[u8]| Segment { at, from: to, to: from, ..segment(seq, payload) };
-    let syn = Segment { syn: true, ..segment(100, b"") };
-    let all =
-        [syn, back(5, 900, b"a\nb"), back(6, 900, b"a\nb"), back(7, 902, b"b\nc\n"), segment(101, b"x")];
-    let flows = flows::to_port(&all, 6667);
+fn answers_are_counted_once_by_their_time_of_capture() {
+    let (from, to) = client_and_front();
+    let answer = |at, seq, payload: &[u8]| Segment { at, from: to, to: from, ..segment(seq, payload) };
+    let syn = with_syn(segment(100, b""));
+    let all = [
+        syn,
+        answer(5, 900, b"a\nb"),
+        answer(6, 900, b"a\nb"),
+        answer(7, 902, b"b\nc\n"),
+        segment(101, b"x"),
+    ];
+    let flows = flows::reassemble_flows(&all, 6667);
     let counts: Vec<usize> = [4, 5, 6, 7, 9].iter().map(|&at| flows[0].answers_before(at)).collect();
     assert_eq!(counts, [0, 1, 1, 3, 3]);
 }
 
 #[test]
-fn the_same_ports_again_are_another_flow_but_a_syn_sent_twice_is_not() {
-    let syn = |seq| Segment { syn: true, ..segment(seq, b"") };
-    let flows = flows::to_port(&[syn(1), syn(1), segment(2, b"a"), syn(500), segment(501, b"b")], 6667);
-    let all: Vec<_> = flows.iter().map(|flow| flow.pieces[0].1.clone()).collect();
+fn new_syn_on_the_same_ports_begins_another_flow_but_its_retransmission_does_not() {
+    let syn = |seq| with_syn(segment(seq, b""));
+    let flows =
+        flows::reassemble_flows(&[syn(1), syn(1), segment(2, b"a"), syn(500), segment(501, b"b")], 6667);
+    let all: Vec<_> = flows.iter().map(|flow| flow.chunks[0].bytes.clone()).collect();
     assert_eq!(all, [b"a", b"b"]);
 }
 
 proptest! {
-    /// Cut, repeated, overlapping and shuffled as it may be, what was sent comes out.
+    /// Whatever segments are split, repeated, overlapping and out of order, the bytes that were sent are reassembled.
     #[test]
-    fn what_was_sent_comes_out(
+    fn reassembles_what_was_sent(
         text in prop::collection::vec(any::<u8>(), 1..400),
         isn in prop_oneof![any::<u32>(), Just(u32::MAX - 100)],
         cuts in prop::collection::vec((0usize..400, 1usize..120), 0..20),
@@ -139,46 +153,51 @@
             let at = order.index(segments.len());
             segments.insert(at, piece(from, (from + length).min(text.len())));
         }
-        segments.push(Segment { fin: true, ..segment(first.wrapping_add(text.len() as u32), b"") });
+        segments.push(with_fin(segment(first.wrapping_add(text.len() as u32), b"")));
         let turn = order.index(segments.len());
         segments.rotate_left(turn);
-        segments.insert(0, Segment { syn: true, ..segment(isn, b"") });
-        let flows = flows::to_port(&segments, 6667);
+        segments.insert(0, with_syn(segment(isn, b"")));
+        let flows = flows::reassemble_flows(&segments, 6667);
         prop_assert_eq!(flows.len(), 1);
-        let got: Vec<u8> = flows[0].pieces.iter().flat_map(|(_, bytes)| bytes.clone()).collect();
+        let got: Vec<u8> = flows[0].chunks.iter().flat_map(|chunk| chunk.bytes.clone()).collect();
         prop_assert_eq!(got, text);
-        prop_assert!(matches!(flows[0].end, Some((_, Close::InOrder))) && flows[0].gap.is_none());
+        prop_assert_eq!(flows[0].end.map(|end| end.close), Some(Close::Orderly));
+        prop_assert_eq!(flows[0].gap, None);
     }
 
-    /// Whatever a file holds, reading it ends in order, and what is wrong lies within it.
+    /// Whatever a file holds, reading it returns, and the offset of an error lies within it.
     #[test]
-    fn no_file_breaks_the_reader(flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
-        let mut bytes = file(true, 0xa1b2_c3d4, 1, 0, &packet(true, false));
+    fn no_input_breaks_the_reader(flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
+        let mut bytes = encode_file(true, 0xa1b2_c3d4, 1, 0, &encode_packet(true, false));
         for (at, with) in flips {
             let at = at.index(bytes.len());
             bytes[at] = with;
         }
-        match pcap::read(&bytes) {
-            Err(bad) => prop_assert!(bad.offset <= bytes.len()),
-            Ok(segments) => drop(flows::to_port(&segments, 6667)),
+        match pcap::read_segments(&bytes) {
+            Err(error) => prop_assert!(error.offset <= bytes.len()),
+            Ok(segments) => drop(flows::reassemble_flows(&segments, 6667)),
         }
     }
 }
 
-/// What a tape writes is what any tool would read: numbers that go on, and sums that are right.
+/// Other tools can read what is recorded: sequence numbers are continuous, and checksums are right.
 #[test]
-fn a_tape_has_valid_checksums_and_reads_back() {
-    let (client, front) = ends();
+fn recorded_packets_have_valid_checksums_and_read_back() {
+    let (client, front) = client_and_front();
     for (client, front) in [(client, front), ("[::1]:5".parse().unwrap(), "[::1]:6667".parse().unwrap())] {
-        let (mut tape, records) = Tape::start(1_000_000, client, front);
-        let mut bytes = [pcap::file_head(), records].concat();
-        bytes.extend(tape.data(2_000_000, Way::FromClient, &[b'x'; 3000]));
-        bytes.extend(tape.data(2_000_000, Way::ToClient, b"back"));
-        bytes.extend(tape.close(3_000_000, Way::FromClient, Close::InOrder));
-        assert_eq!(tape.close(3_000_000, Way::FromClient, Close::Broken), Vec::<u8>::new(), "ended twice");
-        let flows = flows::to_port(&pcap::read(&bytes).expect("sound"), 6667);
-        let sent: usize = flows[0].pieces.iter().map(|(_, bytes)| bytes.len()).sum();
-        assert_eq!((sent, flows[0].end), (3000, Some((3_000_000, Close::InOrder))));
+        let (mut recorder, records) = ConnectionRecorder::start(1_000_000, client, front);
+        let mut bytes = [pcap::encode_file_header(), records].concat();
+        bytes.extend(recorder.record_data(2_000_000, Direction::FromClient, &[b'x'; 3000]));
+        bytes.extend(recorder.record_data(2_000_000, Direction::ToClient, b"back"));
+        bytes.extend(recorder.record_close(3_000_000, Direction::FromClient, Close::Orderly));
+        assert_eq!(
+            recorder.record_close(3_000_000, Direction::FromClient, Close::Reset),
+            Vec::<u8>::new(),
+            "ended twice"
+        );
+        let flows = flows::reassemble_flows(&pcap::read_segments(&bytes).expect("valid"), 6667);
+        let sent: usize = flows[0].chunks.iter().map(|chunk| chunk.bytes.len()).sum();
+        assert_eq!((sent, flows[0].end), (3000, Some(FlowEnd { at: 3_000_000, close: Close::Orderly })));
         let mut at = 24;
         while at < bytes.len() {
             let length = u32::from_le_bytes(bytes[at + 8..at + 12].try_into().unwrap()) as usize;
@@ -203,7 +222,7 @@
 }
 
 #[test]
-fn what_serve_records_replay_reads_back() {
+fn replay_reads_what_serve_records() {
     let server = Server::start(Manner::Welcome);
     let folder = std::env::temp_dir().join(format!("connection-balancer-replay-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -220,7 +239,9 @@
         client.rest();
     }
     drop(Client::connect(&daemon.irc));
-    let flows = |bytes: &[u8]| flows::to_port(&pcap::read(bytes).expect("sound"), port.parse().unwrap());
+    let flows = |bytes: &[u8]| {
+        flows::reassemble_flows(&pcap::read_segments(bytes).expect("valid"), port.parse().unwrap())
+    };
     until("three flows are recorded and ended", || {
         let flows = flows(&std::fs::read(&capture).unwrap());
         flows.len() == 3 && flows.iter().all(|flow| flow.end.is_some())
