--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -10,7 +10,7 @@
 use crate::protocol::irc::{AdvertisedAddress, IrcConfig};
 use crate::protocol::json::{self, DecodeError, JsonNode};
 use crate::rebalance::RebalanceConfig;
-use crate::routing::store::LONGEST_NODE;
+use crate::routing::store::MAX_NODE_LENGTH;
 use crate::routing::{Endpoint, Lifecycle, PoolConfig};
 use crate::{Class, Idempotency, Micros, Settings, Tenant};
 
@@ -233,7 +233,7 @@
         return Ok(None);
     }
     let node_name = node.field("node").required_text()?;
-    if node_name.len() > LONGEST_NODE {
+    if node_name.len() > MAX_NODE_LENGTH {
         return Err(node.field("node").error("at most 32 bytes are wanted"));
     }
     let peers = node.field("peers").elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
--- /dev/null
+++ b/src/protocol/hot_restart/encode.rs
@@ -0,0 +1,162 @@
+//! Encoding of messages.
+
+use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC, MAX_MESSAGE_LENGTH};
+use crate::routing::{Endpoint, EstablishedConnection, Lifecycle};
+use crate::{LearnedState, Time};
+
+/// Encodes a message; none if it would be too long.
+pub fn encode(message: &HandoverMessage) -> Option<Vec<u8>> {
+    let mut encoder = Encoder(MAGIC.to_vec());
+    encoder.message(message);
+    Some(encoder.0).filter(|bytes| bytes.len() <= MAX_MESSAGE_LENGTH)
+}
+
+/// The bytes of a message that is being encoded.
+struct Encoder(Vec<u8>);
+
+impl Encoder {
+    fn byte(&mut self, byte: u8) -> &mut Encoder {
+        self.0.push(byte);
+        self
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) -> &mut Encoder {
+        // What is longer than this makes the message too long, so that it is not sent.
+        let length = bytes.len().min(usize::from(u16::MAX)) as u16;
+        self.0.extend(length.to_be_bytes());
+        self.0.extend(bytes);
+        self
+    }
+
+    fn text(&mut self, text: &str) -> &mut Encoder {
+        self.bytes(text.as_bytes())
+    }
+
+    fn flag(&mut self, is_set: bool) -> &mut Encoder {
+        self.byte(if is_set { flag::YES } else { flag::NO })
+    }
+
+    fn f64(&mut self, number: f64) -> &mut Encoder {
+        self.0.extend(number.to_be_bytes());
+        self
+    }
+
+    fn u64(&mut self, number: u64) -> &mut Encoder {
+        self.0.extend(number.to_be_bytes());
+        self
+    }
+
+    fn u32(&mut self, number: u32) -> &mut Encoder {
+        self.0.extend(number.to_be_bytes());
+        self
+    }
+
+    fn time(&mut self, time: Time) -> &mut Encoder {
+        self.u64(time.0)
+    }
+
+    fn optional<T>(
+        &mut self,
+        value: &Option<T>,
+        encode: impl for<'a> FnOnce(&'a mut Encoder, &T) -> &'a mut Encoder,
+    ) -> &mut Encoder {
+        self.flag(value.is_some());
+        if let Some(value) = value {
+            encode(self, value);
+        }
+        self
+    }
+
+    fn optional_text(&mut self, text: &Option<String>) -> &mut Encoder {
+        self.optional(text, |encoder, text| encoder.text(text))
+    }
+
+    fn optional_f64(&mut self, number: &Option<f64>) -> &mut Encoder {
+        self.optional(number, |encoder, number| encoder.f64(*number))
+    }
+
+    fn optional_time(&mut self, time: &Option<Time>) -> &mut Encoder {
+        self.optional(time, |encoder, time| encoder.time(*time))
+    }
+
+    fn learned_state(&mut self, learned: &LearnedState) -> &mut Encoder {
+        self.f64(learned.ceiling)
+            .optional_time(&learned.last_fault)
+            .u32(learned.consecutive_failures)
+            .optional_time(&learned.last_failure)
+            .time(learned.ejected_until)
+            .time(learned.next_slow_start_send)
+            .optional_time(&learned.last_migration)
+    }
+
+    fn lifecycle(&mut self, lifecycle: Lifecycle) -> &mut Encoder {
+        match lifecycle {
+            Lifecycle::Ready => self.byte(lifecycle::READY),
+            Lifecycle::Draining | Lifecycle::Gone => self.byte(lifecycle::DRAINING),
+        }
+    }
+
+    fn endpoint(&mut self, endpoint: &Endpoint) -> &mut Encoder {
+        self.text(&endpoint.name)
+            .text(&endpoint.address)
+            .text(&endpoint.zone)
+            .u32(endpoint.cell)
+            .lifecycle(endpoint.lifecycle)
+            .f64(endpoint.weight)
+            .optional_time(&endpoint.started)
+    }
+
+    fn established_connection(&mut self, established: &EstablishedConnection) -> &mut Encoder {
+        let ask = &established.ask;
+        self.optional_text(&ask.id)
+            .text(&ask.class)
+            .optional_text(&ask.tenant)
+            .optional(&ask.group, |encoder, group| encoder.u64(*group))
+            .optional_f64(&ask.load)
+            .text(&established.server)
+            .optional_f64(&established.load)
+            .optional_time(&established.awaiting_server_since)
+    }
+
+    fn part(&mut self, part: &Part) -> &mut Encoder {
+        match part {
+            Part::Excluded(server) => self.byte(part_tag::EXCLUDED).text(server),
+            Part::EverListed(server) => self.byte(part_tag::EVER_LISTED).text(server),
+            Part::Entry(key, entry) => self
+                .byte(part_tag::ENTRY)
+                .text(key)
+                .u64(entry.counter)
+                .text(&entry.node)
+                .optional_text(&entry.value),
+            Part::Endpoint { pool, endpoint, learned } => self
+                .byte(part_tag::ENDPOINT)
+                .text(pool)
+                .endpoint(endpoint)
+                .optional(learned, |encoder, learned| encoder.learned_state(learned)),
+            Part::Readmitted { pool, server, since } => {
+                self.byte(part_tag::READMITTED).text(pool).text(server).time(*since)
+            }
+            Part::Id { pool, id } => self.byte(part_tag::ID).text(pool).text(id),
+            Part::Left(left) => self.byte(part_tag::LEFT).u64(*left),
+        }
+    }
+
+    fn message(&mut self, message: &HandoverMessage) -> &mut Encoder {
+        match message {
+            HandoverMessage::Take => self.byte(message_tag::TAKE),
+            HandoverMessage::Socket(name) => self.byte(message_tag::SOCKET).text(name),
+            HandoverMessage::Part(part) => self.byte(message_tag::PART).part(part),
+            HandoverMessage::Done => self.byte(message_tag::DONE),
+            HandoverMessage::Serving => self.byte(message_tag::SERVING),
+            HandoverMessage::EstablishedConnection { front, established, state } => self
+                .byte(message_tag::ESTABLISHED_CONNECTION)
+                .text(front)
+                .established_connection(established)
+                .bytes(state),
+            HandoverMessage::Share { number, server, out } => {
+                self.byte(message_tag::SHARE).u64(*number).text(server).flag(*out)
+            }
+            HandoverMessage::Shared { number } => self.byte(message_tag::SHARED).u64(*number),
+        }
+    }
+}
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,5 +1,7 @@
 //! Parsers and encoders of all wire formats, without sockets. Each front is a small state machine over bytes.
 
+#![deny(missing_docs)]
+
 pub mod admin;
 pub mod flows;
 pub mod gossip;
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the balancers of a tier: one word each, of at most sixteen bytes.
+//! Gossip between the balancers of a tier: one observation in each datagram, of at most sixteen bytes.
 
 use winnow::binary::{be_u16, be_u32, length_repeat, u8};
 use winnow::combinator::{alt, preceded};
@@ -7,56 +7,64 @@
 use crate::peers::{GossipMessage, Observation, Sample, SAMPLE};
 use crate::{GroupHash, Micros, ServerId};
 
-/// The longest datagram that the platform carries.
-pub const LONGEST: usize = 256;
-/// What each begins with: what it tells, and the version of that. A slow server without groups, as the version before
-/// told it...
-const SLOW_HOST_1: &[u8] = b"1";
-/// ...with their number and them, slow set-ups, and a server that dropped a connection.
-const SLOW_HOST_2: &[u8] = b"2";
-const SLOW_SET_UPS_1: &[u8] = b"3";
-const DROPPED_1: &[u8] = b"4";
+/// The longest datagram that the platform carries, in bytes.
+pub const MAX_DATAGRAM_LENGTH: usize = 256;
 
-const MILLISECOND: Micros = 1000;
+// The first byte of a datagram: the kind of the observation, and the version of its format.
+/// A slow server, as the version before sent it: without groups.
+const SLOW_SERVER_V1: &[u8] = b"1";
+/// A slow server, with the number of groups and the groups.
+const SLOW_SERVER_V2: &[u8] = b"2";
+const SLOW_SET_UPS_V1: &[u8] = b"3";
+/// A server that dropped a connection.
+const DROPPED_V1: &[u8] = b"4";
 
-/// Writes a word; a time that is too long for it is told as the longest, of about a minute.
-pub fn write(message: GossipMessage) -> Vec<u8> {
+const MICROS_PER_MS: Micros = 1000;
+
+/// Encodes a message. A duration too long for its field is sent as the longest, of about a minute.
+pub fn encode(message: GossipMessage) -> Vec<u8> {
     let mut bytes = match message.observation {
-        Observation::SlowServer(server, took) => {
-            let took = u16::try_from(took / MILLISECOND).unwrap_or(u16::MAX);
-            [SLOW_HOST_2, &server.0.to_be_bytes(), &took.to_be_bytes()].concat()
+        Observation::SlowServer(server, duration) => {
+            let duration_ms = u16::try_from(duration / MICROS_PER_MS).unwrap_or(u16::MAX);
+            [SLOW_SERVER_V2, &server.0.to_be_bytes(), &duration_ms.to_be_bytes()].concat()
         }
-        Observation::Dropped(server) => [DROPPED_1, &server.0.to_be_bytes()].concat(),
-        Observation::SlowSetUps => SLOW_SET_UPS_1.to_vec(),
+        Observation::Dropped(server) => [DROPPED_V1, &server.0.to_be_bytes()].concat(),
+        Observation::SlowSetUps => SLOW_SET_UPS_V1.to_vec(),
     };
     bytes.push(message.groups.iter().flatten().count() as u8);
     bytes.extend(message.groups.iter().flatten().flat_map(|group| group.0.to_be_bytes()));
     bytes
 }
 
-fn slow_server(input: &mut &[u8]) -> ModalResult<Observation> {
-    let took = be_u16.map(|took| Micros::from(took) * MILLISECOND);
-    (be_u32.map(ServerId), took).map(|(server, took)| Observation::SlowServer(server, took)).parse_next(input)
+fn parse_slow_server(input: &mut &[u8]) -> ModalResult<Observation> {
+    let duration = be_u16.map(|duration_ms| Micros::from(duration_ms) * MICROS_PER_MS);
+    let fields = (be_u32.map(ServerId), duration);
+    fields.map(|(server, duration)| Observation::SlowServer(server, duration)).parse_next(input)
+}
+
+fn parse_groups(input: &mut &[u8]) -> ModalResult<Sample> {
+    let count = u8.verify(|count| usize::from(*count) <= SAMPLE);
+    let groups: Vec<GroupHash> = length_repeat(count, be_u16.map(GroupHash)).parse_next(input)?;
+    Ok(std::array::from_fn(|index| groups.get(index).copied()))
 }
 
-fn groups(input: &mut &[u8]) -> ModalResult<Sample> {
-    let many = u8.verify(|many| usize::from(*many) <= SAMPLE);
-    let groups: Vec<GroupHash> = length_repeat(many, be_u16.map(GroupHash)).parse_next(input)?;
-    Ok(std::array::from_fn(|n| groups.get(n).copied()))
+fn no_groups(_: &mut &[u8]) -> ModalResult<Sample> {
+    Ok(Sample::default())
 }
 
-fn message(input: &mut &[u8]) -> ModalResult<GossipMessage> {
+fn parse_message(input: &mut &[u8]) -> ModalResult<GossipMessage> {
+    let dropped = be_u32.map(|server| Observation::Dropped(ServerId(server)));
     let (observation, groups) = alt((
-        (preceded(SLOW_HOST_2, slow_server), groups),
-        (SLOW_SET_UPS_1.value(Observation::SlowSetUps), groups),
-        (preceded(DROPPED_1, be_u32.map(|server| Observation::Dropped(ServerId(server)))), groups),
-        (preceded(SLOW_HOST_1, slow_server), |_: &mut &[u8]| Ok(Sample::default())),
+        (preceded(SLOW_SERVER_V2, parse_slow_server), parse_groups),
+        (SLOW_SET_UPS_V1.value(Observation::SlowSetUps), parse_groups),
+        (preceded(DROPPED_V1, dropped), parse_groups),
+        (preceded(SLOW_SERVER_V1, parse_slow_server), no_groups),
     ))
     .parse_next(input)?;
     Ok(GossipMessage { observation, groups })
 }
 
-/// Reads a datagram. Whatever is not one is nothing.
-pub fn read(bytes: &[u8]) -> Option<GossipMessage> {
-    message.parse(bytes).ok()
+/// Decodes a datagram; none if it is malformed.
+pub fn decode(bytes: &[u8]) -> Option<GossipMessage> {
+    parse_message.parse(bytes).ok()
 }
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -42,7 +42,7 @@
     /// Whether it could be noted.
     pub(super) fn set_exclusion(&mut self, now: Time, server: &str, out: bool) -> bool {
         let key = format!("life/{server}");
-        if self.store.is_on() {
+        if self.store.is_enabled() {
             return out == self.store.get(&key).is_some() || self.write(now, &key, out.then_some("draining"));
         }
         let changed = if out {
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -71,7 +71,8 @@
         let pool = &mut self.pools[pool_id];
         let mut endpoints = pool.listed.clone();
         if pool.config.from_store {
-            let added = self.store.under("host/").filter_map(|(name, text)| stored_endpoint(name, text));
+            let added =
+                self.store.with_prefix("host/").filter_map(|(name, text)| stored_endpoint(name, text));
             endpoints.extend(added.map(|endpoint| (endpoint.name.clone(), endpoint)));
         }
         if self.ever_listed.len() > MOST_NAMES {
@@ -79,7 +80,7 @@
         }
         self.ever_listed.extend(endpoints.keys().cloned());
         let mut out = self.excluded_by_operator.clone();
-        out.extend(self.store.under("life/").map(|(name, _)| name.to_owned()));
+        out.extend(self.store.with_prefix("life/").map(|(name, _)| name.to_owned()));
         // Danger: a server that was out has mostly started again, and the list may not know that yet. Whatever
         // was thought of it before is of no use, and it may not be filled faster than a cold one.
         pool.readmitted.extend(pool.out.difference(&out).map(|name| (name.clone(), now)));
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -94,7 +94,7 @@
         self.excluded_by_operator.extend(handover_state.excluded_by_operator);
         self.ever_listed.extend(handover_state.ever_listed);
         for (key, entry) in handover_state.entries {
-            self.store.take(&key, entry);
+            self.store.merge_entry(&key, entry);
         }
         self.effects.push(Effect::PersistExclusions(self.excluded_by_operator.iter().cloned().collect()));
         for id in 0..self.pools.len() {
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::store::{Entry, Gossip, Letter};
+use super::store::{AddressedReplicaMessage, Entry, ReplicaMessage};
 use super::{Endpoint, ProbeEnd};
 use crate::peers;
 pub use crate::ConnectionId;
@@ -201,7 +201,7 @@
     /// The watch on it broke, or could not be had.
     EndpointWatchLost { pool: PoolId },
     /// Another node's store, or an operator's command, sent this.
-    ReplicaMessage { from: SocketAddr, gossip: Gossip },
+    ReplicaMessage { from: SocketAddr, gossip: ReplicaMessage },
     /// The configuration was read again: its pools in the old order, and the other stores.
     ConfigurationChanged { pools: Vec<PoolConfig>, peers: Vec<SocketAddr>, budget: Budget },
     /// The fronts listen.
@@ -255,7 +255,7 @@
     /// Let the old watch go and watch at this address, which tells the whole list first.
     WatchEndpointsAt { pool: PoolId, discovery: SocketAddr },
     /// Send this to another node's store, or to whoever gave a command.
-    SendReplicaMessage(Letter),
+    SendReplicaMessage(AddressedReplicaMessage),
     /// Put an entry of the store where it outlives the process.
     PersistEntry { key: String, entry: Entry },
     /// Leave this to the process that starts.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -27,7 +27,7 @@
 pub use input::*;
 use probes::Probes;
 pub use probes::{ProbeEnd, MOST_PROBES};
-use store::Store;
+use store::ReplicatedMap;
 
 use crate::peers::{GossipMessage, Observation, Peers};
 use crate::rebalance::{self, Rebalance};
@@ -136,7 +136,7 @@
     /// That has come.
     left: bool,
     effects: Vec<Effect>,
-    store: Store,
+    store: ReplicatedMap,
     peers: Vec<SocketAddr>,
     /// Whose turn it is to be sent a digest, and when.
     next_peer: usize,
@@ -152,7 +152,7 @@
 impl State {
     /// A balancer that has been told its pools and nothing else.
     pub fn new(pools: Vec<PoolConfig>, store: ReplicationConfig, budget: Budget, now: Time) -> State {
-        let map = Store::new(&store.node);
+        let map = ReplicatedMap::new(&store.node);
         let pool = |config: PoolConfig| Pool {
             balancer: Balancer::new(config.settings.clone(), config.seed, now),
             peers: Peers::new(config.gossip_config(), config.seed),
@@ -230,7 +230,7 @@
     }
 
     /// What the store holds: for tests.
-    pub fn store(&self) -> &Store {
+    pub fn store(&self) -> &ReplicatedMap {
         &self.store
     }
 
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -53,12 +53,12 @@
 async fn hear(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
     let mut lines = LineBuffer::default();
     loop {
-        match lines.next_line(admin::LONGEST_CALL) {
+        match lines.next_line(admin::MAX_CALL_LENGTH) {
             NextLine::Line(line) => return Some(Ok(line)),
             NextLine::TooLong => return Some(Err("too long for a call")),
             NextLine::Incomplete => {}
         }
-        let mut piece = [0; admin::LONGEST_CALL];
+        let mut piece = [0; admin::MAX_CALL_LENGTH];
         match stream.read(&mut piece).await {
             Ok(0) if lines.is_empty() => return None,
             // Danger: what was cut off may have meant another server.
@@ -76,14 +76,15 @@
         Err(_) => Err("no line came in time"),
     };
     heard.set(true);
-    let reply = match line.and_then(|line| admin::call(&line)) {
+    let reply = match line.and_then(|line| admin::parse_call(&line).map_err(|_| admin::UnknownCall::EXPECTED))
+    {
         Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
         Err(reason) => AdminResponse::No(reason.to_owned()),
     };
     let answered = async {
-        stream.write_all(&admin::reply(&reply)).await?;
+        stream.write_all(&admin::encode_response(&reply)).await?;
         stream.shutdown().await?;
-        while stream.read(&mut [0; admin::LONGEST_CALL]).await? > 0 {}
+        while stream.read(&mut [0; admin::MAX_CALL_LENGTH]).await? > 0 {}
         std::io::Result::Ok(())
     };
     // Whether it waits for its answer or not: it has had it by now.
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -17,7 +17,7 @@
 use super::record::Recorder;
 use crate::program::config::PeersAt;
 use crate::protocol::{gossip, peers, Front};
-use crate::routing::store::Gossip;
+use crate::routing::store::ReplicaMessage;
 use crate::routing::{
     reduce, AdminClientId, AdminResponse, Answer, AttemptOutcome, ConnectionId, Effect, HandoverState, Input,
     State,
@@ -172,7 +172,7 @@
                 Effect::BroadcastGossip(message) => {
                     if let Some((socket, all)) = self.peers.borrow().as_ref() {
                         // Words may be lost on the way, so they may be lost here.
-                        let _ = socket.try_send_to(&peers::write(message), *all);
+                        let _ = socket.try_send_to(&peers::encode(message), *all);
                     }
                 }
                 Effect::ProbeServer { pool, server, address, names, wait } => {
@@ -267,8 +267,8 @@
     }
 
     /// Datagrams may be lost on the way, so they may be lost here.
-    fn tell(&self, to: SocketAddr, gossip: &Gossip) {
-        if let (Some(socket), Some(bytes)) = (self.datagrams.borrow().as_ref(), gossip::write(gossip)) {
+    fn tell(&self, to: SocketAddr, gossip: &ReplicaMessage) {
+        if let (Some(socket), Some(bytes)) = (self.datagrams.borrow().as_ref(), gossip::encode(gossip)) {
             let _ = socket.try_send_to(&bytes, to);
         }
     }
@@ -279,12 +279,12 @@
         *self.datagrams.borrow_mut() = Some(socket.clone());
         let driver = self.clone();
         tokio::task::spawn_local(async move {
-            let mut bytes = [0; gossip::LONGEST + 1];
+            let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
             loop {
                 // While another process serves, what comes is for that one.
                 driver.wait_until_accepting(true).await;
                 match socket.recv_from(&mut bytes).await {
-                    Ok((n, from)) => match gossip::read(&bytes[..n]) {
+                    Ok((n, from)) => match gossip::decode(&bytes[..n]) {
                         Some(gossip) => driver.feed(Input::ReplicaMessage { from, gossip }),
                         None => crate::log!(warn, "a datagram from {from} is none of the store's"),
                     },
@@ -301,10 +301,10 @@
         *self.peers.borrow_mut() = Some((socket.clone(), at.all));
         let (driver, known) = (self.clone(), at.from.clone());
         tokio::task::spawn_local(async move {
-            let mut bytes = [0; peers::LONGEST + 1];
+            let mut bytes = [0; peers::MAX_DATAGRAM_LENGTH + 1];
             loop {
                 match socket.recv_from(&mut bytes).await {
-                    Ok((n, from)) => match peers::read(&bytes[..n]).filter(|_| known.contains(&from)) {
+                    Ok((n, from)) => match peers::decode(&bytes[..n]).filter(|_| known.contains(&from)) {
                         Some(message) => driver.feed(Input::GossipReceived { pool, message }),
                         None => crate::log!(warn, "a datagram from {from} is none of the tier's"),
                     },
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use crate::protocol::gossip;
-use crate::routing::store::{Entry, Store};
+use crate::routing::store::{Entry, ReplicatedMap};
 
 /// The journal is folded into the snapshot when it is longer than this.
 const LONG: u64 = 256 << 10;
@@ -21,7 +21,7 @@
     journal: Option<File>,
     length: u64,
     /// All that is kept, for the next snapshot.
-    kept: Store,
+    kept: ReplicatedMap,
 }
 
 /// How a row of records ends.
@@ -33,7 +33,7 @@
 }
 
 fn record(key: &str, entry: &Entry) -> Vec<u8> {
-    let body = gossip::write_entry(key, entry);
+    let body = gossip::encode_entry(key, entry);
     let length = body.len() as u32;
     let head = [length.to_be_bytes(), (!length).to_be_bytes(), crc32fast::hash(&body).to_be_bytes()];
     [&head.concat()[..], &body].concat()
@@ -56,7 +56,7 @@
         }
         let end = HEAD + word(0) as usize;
         let Some(body) = rest.get(HEAD..end) else { return Ok((kept, End::Torn(at))) };
-        match gossip::read_entry(body).filter(|_| crc32fast::hash(body) == word(8)) {
+        match gossip::decode_entry(body).filter(|_| crc32fast::hash(body) == word(8)) {
             Some(entry) => kept.push(entry),
             None if end == rest.len() => return Ok((kept, End::Torn(at))),
             None => return Err(at),
@@ -97,9 +97,9 @@
         let journal = OpenOptions::new().create(true).append(true).open(&path).map_err(problem)?;
         journal.set_len(length as u64).and_then(|()| journal.sync_all()).map_err(problem)?;
         File::open(folder).and_then(|folder| folder.sync_all()).map_err(problem)?;
-        let mut all = Store::new("");
+        let mut all = ReplicatedMap::new("");
         for (key, entry) in &kept {
-            all.take(key, entry.clone());
+            all.merge_entry(key, entry.clone());
         }
         let files =
             Files { folder: folder.to_owned(), journal: Some(journal), length: length as u64, kept: all };
@@ -112,7 +112,7 @@
     }
 
     /// The other process is gone, and this one goes on with them, and with all that it holds.
-    pub fn open_again(&mut self, store: &Store) {
+    pub fn open_again(&mut self, store: &ReplicatedMap) {
         if self.journal.is_some() {
             return;
         }
@@ -127,7 +127,7 @@
 
     /// Keeps an entry: it is on the disk when this returns, or the log says why not.
     pub fn keep(&mut self, key: &str, entry: &Entry) {
-        self.kept.take(key, entry.clone());
+        self.kept.merge_entry(key, entry.clone());
         let record = record(key, entry);
         let Some(journal) = &mut self.journal else { return };
         let written = journal.write_all(&record).and_then(|()| journal.sync_data());
@@ -222,9 +222,9 @@
             }
         }
         let (_, kept) = Files::open(&folder.0).expect("opens again");
-        let mut store = Store::new("");
+        let mut store = ReplicatedMap::new("");
         for (key, entry) in kept {
-            store.take(&key, entry);
+            store.merge_entry(&key, entry);
         }
         assert_eq!(store.entries().count(), 7);
         assert!(store.entries().all(|(_, entry)| entry.counter >= 193));
--- a/src/transport/hot_restart.rs
+++ b/src/transport/hot_restart.rs
@@ -19,7 +19,7 @@
 use super::connection;
 use super::driver::Driver;
 use crate::program::config::Config;
-use crate::protocol::hot_restart::{self, HandoverMessage, LONGEST, MOST_PARTS, MOST_SOCKETS};
+use crate::protocol::hot_restart::{self, HandoverMessage, MAX_MESSAGE_LENGTH, MAX_PARTS, MAX_SOCKETS};
 use crate::routing::{AdminClientId, ConnectionId, EstablishedConnection, HandoverState, Input, PoolId};
 
 /// A process that is asked answers at once. Danger: it may hang, and a start waits for nobody.
@@ -46,9 +46,9 @@
     }
 
     async fn send(&self, word: &HandoverMessage, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let bytes = hot_restart::write(word).ok_or(io::ErrorKind::InvalidInput)?;
+        let bytes = hot_restart::encode(word).ok_or(io::ErrorKind::InvalidInput)?;
         let send = || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut beside = SendAncillaryBuffer::new(&mut space);
             if !sockets.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(sockets)) {
                 return Err(io::ErrorKind::InvalidInput.into());
@@ -71,8 +71,8 @@
     /// The next message with the sockets beside it; none at the end. What is no message is an error.
     async fn receive(&self) -> io::Result<Option<(HandoverMessage, Vec<OwnedFd>)>> {
         let receive = || {
-            let mut bytes = vec![0; LONGEST];
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+            let mut bytes = vec![0; MAX_MESSAGE_LENGTH];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut beside = RecvAncillaryBuffer::new(&mut space);
             let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
             let got = net::recvmsg(&self.0, &mut [IoSliceMut::new(&mut bytes)], &mut beside, flags)?;
@@ -100,7 +100,7 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        let word = hot_restart::read(&bytes).ok_or(io::ErrorKind::InvalidData)?;
+        let word = hot_restart::decode(&bytes).ok_or(io::ErrorKind::InvalidData)?;
         Ok(Some((word, sockets)))
     }
 }
@@ -163,12 +163,12 @@
     let link = Link::new(UnixStream::from_std(socket.into())?)?;
     link.send(&HandoverMessage::Take, &[]).await?;
     let (mut handover_state, mut sockets) = (HandoverState::default(), HashMap::new());
-    for heard in 0..MOST_PARTS {
+    for heard in 0..MAX_PARTS {
         match link.receive().await {
             Ok(Some((HandoverMessage::Done, _))) => {
                 return Ok(Some(ReceivedState { link, sockets, handover_state }))
             }
-            Ok(Some((HandoverMessage::Part(part), _))) => hot_restart::add(&mut handover_state, part),
+            Ok(Some((HandoverMessage::Part(part), _))) => hot_restart::add_part(&mut handover_state, part),
             Ok(Some((HandoverMessage::Socket(name), beside))) => {
                 sockets.extend(beside.into_iter().map(|s| (name.clone(), s)))
             }
@@ -236,10 +236,10 @@
         for (name, socket) in driver.sockets()? {
             link.send(&HandoverMessage::Socket(name), &[socket.as_fd()]).await?;
         }
-        for part in hot_restart::parts(driver.handover_state()) {
+        for part in hot_restart::split_state(driver.handover_state()) {
             // What does not fit a message is left out: no sound name or id is so long.
             let word = HandoverMessage::Part(part);
-            if hot_restart::write(&word).is_some() {
+            if hot_restart::encode(&word).is_some() {
                 link.send(&word, &[]).await?;
             }
         }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::program::config::{Config, Sources, StoreConfig};
 use crate::protocol::{gossip, irc, platform};
-use crate::routing::store::{Entry, Gossip};
+use crate::routing::store::{Entry, ReplicaMessage};
 use crate::routing::{Input, ReplicationConfig, State};
 pub use admin_server::MOST_CALLERS;
 use commands::WatchOrder;
@@ -419,15 +419,15 @@
     let socket = UdpSocket::bind("127.0.0.1:0").map_err(problem)?;
     socket.connect(store).map_err(problem)?;
     socket.set_read_timeout(Some(Duration::from_millis(500))).map_err(problem)?;
-    let write = gossip::write(&Gossip::Write { key: key.to_owned(), value: value.clone() });
+    let write = gossip::encode(&ReplicaMessage::Write { key: key.to_owned(), value: value.clone() });
     let write = write.ok_or_else(|| format!("{key}: the name is too long"))?;
-    let mut bytes = [0; gossip::LONGEST];
+    let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH];
     // Either datagram may be lost: to write the same again does no harm.
     for _ in 0..6 {
         socket.send(&write).map_err(problem)?;
         let Ok(n) = socket.recv(&mut bytes) else { continue };
-        match gossip::read(&bytes[..n]) {
-            Some(Gossip::Entry { key: written, entry }) if written == key && entry.value == value => {
+        match gossip::decode(&bytes[..n]) {
+            Some(ReplicaMessage::Entry { key: written, entry }) if written == key && entry.value == value => {
                 return Ok(entry)
             }
             _ => {}
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -166,7 +166,7 @@
     /// Whatever is said at the door, there is an answer to it, or it is no call yet.
     #[test]
     fn no_line_breaks_the_door(line in prop::collection::vec(any::<u8>(), 0..300)) {
-        let told = admin::call(&line);
+        let told = admin::parse_call(&line);
         let known: [&[u8]; 4] = [b"readyz", b"telemetry", b"exclude ", b"include "];
         prop_assert!(told.is_err() || known.iter().any(|call| line.starts_with(call)), "{told:?}");
     }
@@ -176,7 +176,7 @@
 fn figures_have_the_names_and_the_form_that_are_agreed() {
     let mut harness = ReducerHarness::new();
     let text = |harness: &mut ReducerHarness| {
-        String::from_utf8(admin::reply(&call(harness, AdminCall::Telemetry))).unwrap()
+        String::from_utf8(admin::encode_response(&call(harness, AdminCall::Telemetry))).unwrap()
     };
     let classes = "edge_node.results.chat.succeeded:0|c\r\nedge_node.results.chat.declined:0|c\r\n\
         edge_node.results.chat.aborted:0|c\r\nedge_node.results.wallet.succeeded:0|c\r\n\
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, SAMPLE};
-use connection_balancer::protocol::peers::{read, write, LONGEST};
+use connection_balancer::protocol::peers::{decode, encode, MAX_DATAGRAM_LENGTH};
 use connection_balancer::*;
 use proptest::prelude::*;
 
@@ -166,12 +166,12 @@
             }),
             groups: std::array::from_fn(|n| marks.get(n).copied().map(GroupHash)),
         };
-        let bytes = write(message(ms));
-        prop_assert!(bytes.len() <= 16 && bytes.len() <= LONGEST, "longer ones cost more");
-        prop_assert_eq!(read(&bytes), Some(message(ms.min(65_535))));
+        let bytes = encode(message(ms));
+        prop_assert!(bytes.len() <= 16 && bytes.len() <= MAX_DATAGRAM_LENGTH, "longer ones cost more");
+        prop_assert_eq!(decode(&bytes), Some(message(ms.min(65_535))));
         for cut in 0..bytes.len() {
-            prop_assert_eq!(read(&bytes[..cut]), None);
+            prop_assert_eq!(decode(&bytes[..cut]), None);
         }
-        prop_assert!(junk.first().is_some_and(|kind| b"1234".contains(kind)) || read(&junk).is_none());
+        prop_assert!(junk.first().is_some_and(|kind| b"1234".contains(kind)) || decode(&junk).is_none());
     }
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -5,34 +5,36 @@
 use std::collections::BTreeMap;
 
 use connection_balancer::protocol::gossip;
-use connection_balancer::routing::store::{Entry, Gossip, Store};
+use connection_balancer::routing::store::{Entry, ReplicaMessage, ReplicatedMap};
 use fake_servers::{until, Client, Daemon, Manner, Server};
 use proptest::prelude::*;
 
-fn map(store: &Store) -> BTreeMap<String, Entry> {
+fn map(store: &ReplicatedMap) -> BTreeMap<String, Entry> {
     store.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
 }
 
 /// What goes over the wire: written, read back, and never too long.
-fn wire(gossip: &Gossip) -> Gossip {
-    let bytes = gossip::write(gossip).expect("fits a datagram");
-    assert!(bytes.len() <= gossip::LONGEST);
-    gossip::read(&bytes).expect("reads back")
+fn wire(gossip: &ReplicaMessage) -> ReplicaMessage {
+    let bytes = gossip::encode(gossip).expect("fits a datagram");
+    assert!(bytes.len() <= gossip::MAX_DATAGRAM_LENGTH);
+    gossip::decode(&bytes).expect("reads back")
 }
 
 /// A node sends its digest to another, and both repair.
-fn exchange(stores: &mut [Store], a: usize, b: usize, lost: impl Fn(usize) -> bool) {
-    let digest = |store: &Store| match wire(&Gossip::Digest { wanted: true, buckets: store.digest() }) {
-        Gossip::Digest { buckets, .. } => buckets,
-        other => panic!("{other:?}"),
-    };
+fn exchange(stores: &mut [ReplicatedMap], a: usize, b: usize, lost: impl Fn(usize) -> bool) {
+    let digest =
+        |store: &ReplicatedMap| match wire(&ReplicaMessage::Digest { wanted: true, buckets: store.digest() })
+        {
+            ReplicaMessage::Digest { buckets, .. } => buckets,
+            other => panic!("{other:?}"),
+        };
     for (from, to) in [(a, b), (b, a)] {
         let theirs = digest(&stores[from]);
         let mut sent = stores[to].repair(&theirs);
         sent.reverse();
         for (n, gossip) in sent.iter().enumerate().filter(|(n, _)| !lost(*n)) {
-            let Gossip::Entry { key, entry } = wire(gossip) else { panic!("{n}: {gossip:?}") };
-            stores[from].hear(&key, entry);
+            let ReplicaMessage::Entry { key, entry } = wire(gossip) else { panic!("{n}: {gossip:?}") };
+            stores[from].merge_remote_entry(&key, entry);
         }
     }
 }
@@ -42,13 +44,13 @@
     #[test]
     fn nodes_converge(steps in prop::collection::vec((0u8..6, 0usize..3, 0usize..3, 0usize..40, any::<u8>()), 1..120)) {
         let name = |n: usize| format!("node-{n}");
-        let mut stores: Vec<Store> = (0..3).map(|n| Store::new(&name(n))).collect();
+        let mut stores: Vec<ReplicatedMap> = (0..3).map(|n| ReplicatedMap::new(&name(n))).collect();
         for (what, a, b, key, bits) in steps {
             let key = format!("life/host-{key}");
             match what {
                 0..=1 => drop(stores[a].write(&key, Some(&"v".repeat(usize::from(bits) % 97)))),
                 2 => drop(stores[a].write(&key, None)),
-                3 if bits < 40 => stores[a] = Store::new(&name(a)),
+                3 if bits < 40 => stores[a] = ReplicatedMap::new(&name(a)),
                 _ if a != b => exchange(&mut stores, a, b, |n| bits >> (n % 8) & 1 == 1),
                 _ => {}
             }
@@ -70,10 +72,10 @@
         let entry = |(counter, node, value): (u64, usize, bool)| Entry {
             counter, node: format!("n{node}"), value: value.then(|| "draining".to_owned()),
         };
-        let mut stores = [Store::new("x"), Store::new("y")];
+        let mut stores = [ReplicatedMap::new("x"), ReplicatedMap::new("y")];
         for (store, order) in stores.iter_mut().zip([[a, b], [b, a]]) {
             for one in order {
-                store.hear("life/h", entry(one));
+                store.merge_remote_entry("life/h", entry(one));
             }
         }
         prop_assert_eq!(map(&stores[0]), map(&stores[1]));
@@ -84,9 +86,9 @@
     #[test]
     fn no_datagram_breaks_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..256), kind in prop::sample::select(b"DEW".to_vec())) {
         let bytes = [b"SGM1", &[kind][..], &bytes].concat();
-        if let Some(Gossip::Entry { key, entry }) = gossip::read(&bytes) {
-            let mut store = Store::new("n");
-            store.hear(&key, entry);
+        if let Some(ReplicaMessage::Entry { key, entry }) = gossip::decode(&bytes) {
+            let mut store = ReplicatedMap::new("n");
+            store.merge_remote_entry(&key, entry);
             prop_assert!(store.write("life/h", None).is_some(), "writing has to go on");
         }
     }
@@ -96,7 +98,7 @@
 /// lose to what was written before.
 #[test]
 fn a_write_after_a_restart_from_nothing_stands() {
-    let mut stores = [Store::new("a"), Store::new("b"), Store::new("c")];
+    let mut stores = [ReplicatedMap::new("a"), ReplicatedMap::new("b"), ReplicatedMap::new("c")];
     for _ in 0..9 {
         stores[1].write("life/h", None);
     }
@@ -110,12 +112,12 @@
 
 #[test]
 fn what_does_not_fit_a_datagram_is_not_written() {
-    let mut store = Store::new("n");
+    let mut store = ReplicatedMap::new("n");
     assert!(store.write(&"k".repeat(73), None).is_none());
     assert!(store.write("k", Some(&"v".repeat(97))).is_none());
     let longest = store.write(&"k".repeat(72), Some(&"v".repeat(96))).expect("fits");
     let entry = Entry { node: "n".repeat(32), ..longest };
-    wire(&Gossip::Entry { key: "k".repeat(72), entry });
+    wire(&ReplicaMessage::Entry { key: "k".repeat(72), entry });
 }
 
 #[test]
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,7 +10,9 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-use connection_balancer::protocol::hot_restart::{add, parts, read, write, HandoverMessage, Part};
+use connection_balancer::protocol::hot_restart::{
+    add_part, decode, encode, split_state, HandoverMessage, Part,
+};
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
@@ -38,10 +40,10 @@
     let Some(Effect::ExportState(legacy)) = effects.last() else { panic!("{effects:?}") };
     assert!(effects.contains(&Effect::SetAccepting { open: false }), "it accepts no more");
     let mut there = HandoverState::default();
-    for part in parts((**legacy).clone()) {
-        let bytes = write(&HandoverMessage::Part(part)).expect("fits");
-        let Some(HandoverMessage::Part(part)) = read(&bytes) else { panic!("{bytes:?}") };
-        add(&mut there, part);
+    for part in split_state((**legacy).clone()) {
+        let bytes = encode(&HandoverMessage::Part(part)).expect("fits");
+        let Some(HandoverMessage::Part(part)) = decode(&bytes) else { panic!("{bytes:?}") };
+        add_part(&mut there, part);
     }
     assert_eq!(there, **legacy);
     Box::new(there)
@@ -321,11 +323,11 @@
     /// What is written is read as it was meant; cut off or with anything behind it is no word at all.
     #[test]
     fn words_are_read_as_they_were_written(word in words(), cut in any::<prop::sample::Index>()) {
-        let mut bytes = write(&word).expect("fits");
-        prop_assert_eq!(read(&bytes), Some(word));
-        prop_assert_eq!(read(&bytes[..cut.index(bytes.len())]), None);
+        let mut bytes = encode(&word).expect("fits");
+        prop_assert_eq!(decode(&bytes), Some(word));
+        prop_assert_eq!(decode(&bytes[..cut.index(bytes.len())]), None);
         bytes.push(0);
-        prop_assert_eq!(read(&bytes), None);
+        prop_assert_eq!(decode(&bytes), None);
     }
 
     #[test]
@@ -333,7 +335,7 @@
         if sound {
             bytes.splice(0..0, *b"SGH1");
         }
-        let _ = read(&bytes);
+        let _ = decode(&bytes);
     }
 
     /// Through any number of upgrades at any moment each connection has one answer or stands, at one
@@ -613,9 +615,9 @@
     let said: [&[Vec<u8>]; 5] = [
         &[],
         &[b"GET / HTTP/1.1\r\n\r\n".to_vec()],
-        &[write(&HandoverMessage::Take).expect("fits")],
-        &[write(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
-        &[write(&HandoverMessage::Take).expect("fits"), write(&HandoverMessage::Done).expect("fits")],
+        &[encode(&HandoverMessage::Take).expect("fits")],
+        &[encode(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
+        &[encode(&HandoverMessage::Take).expect("fits"), encode(&HandoverMessage::Done).expect("fits")],
     ];
     for (n, words) in said.iter().enumerate() {
         let heir = heir_socket(&old);
