--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -57,7 +57,7 @@
     Ok(Platform {
         name: root.field("name").optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
         listen,
-        known: http::endpoint_list_update(&root.field("known"))?,
+        known: http::decode_endpoint_list(&root.field("known"))?,
         pool,
         limits: Limits::decode(&root.field("limits"))?,
         mgmt: decode_optional_address(&root.field("mgmt"))?,
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -13,14 +13,14 @@
 use crate::Time;
 
 /// The longest response that is accepted, in bytes: many times what the list of the largest fleet needs.
-pub const LONGEST_ANSWER: usize = 4 << 20;
+pub const MAX_RESPONSE_LENGTH: usize = 4 << 20;
 /// The most hexadecimal digits of a chunk's size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
 /// Why a response of the discovery service cannot be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// It is longer than [`LONGEST_ANSWER`].
+    /// It is longer than [`MAX_RESPONSE_LENGTH`].
     #[error("discovery: answer too long")]
     TooLong,
     /// Its head is not that of an HTTP/1.1 response.
@@ -34,10 +34,20 @@
     Truncated,
 }
 
-/// Writes a request for the changes since a generation, which may be held for so many milliseconds; without a
-/// generation, for the whole list.
-pub fn call(host: &str, from: Option<(u64, u64)>) -> Vec<u8> {
-    let query = from.map_or(String::new(), |(from, hold_ms)| format!("?from={from}&hold_ms={hold_ms}"));
+/// A query for the changes of the endpoint list only.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ChangesQuery {
+    /// The generation since which changes are wanted.
+    pub generation: u64,
+    /// How long the response may be held until there are changes, in milliseconds.
+    pub hold_ms: u64,
+}
+
+/// Encodes a request for changes of the endpoint list, or else for the whole list.
+pub fn encode_request(host: &str, changes: Option<ChangesQuery>) -> Vec<u8> {
+    let query = changes.map_or(String::new(), |ChangesQuery { generation, hold_ms }| {
+        format!("?from={generation}&hold_ms={hold_ms}")
+    });
     format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
         .into_bytes()
 }
@@ -53,7 +63,7 @@
 
 /// A complete response.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// Its status code.
     pub status: u16,
     /// Its body.
@@ -101,7 +111,7 @@
     let digits = take_while(1..=MAX_CHUNK_SIZE_DIGITS, |b: u8| b.is_ascii_hexdigit());
     let size = digits.verify_map(|digits: &[u8]| {
         let size = usize::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()?;
-        (size <= LONGEST_ANSWER).then_some(size)
+        (size <= MAX_RESPONSE_LENGTH).then_some(size)
     });
     let size = terminated(size, (take_till(0.., b'\n'), b'\n')).parse_next(input)?;
     terminated(take(size), b"\r\n").parse_next(input)
@@ -151,8 +161,8 @@
 ///
 /// # Errors
 /// [`HttpError`] if the bytes are not a response, or too long.
-pub fn answer(bytes: &[u8], ended: bool) -> Result<Option<Answer>, HttpError> {
-    if bytes.len() > LONGEST_ANSWER {
+pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<Response>, HttpError> {
+    if bytes.len() > MAX_RESPONSE_LENGTH {
         return Err(HttpError::TooLong);
     }
     let mut input = Partial::new(bytes);
@@ -169,7 +179,7 @@
     let Some(body) = body else { return Ok(None) };
     let remaining: &[u8] = &input;
     let close = head.close || (head.content_length.is_none() && !head.chunked);
-    Ok(Some(Answer { status: head.status, body, close, taken: bytes.len() - remaining.len() }))
+    Ok(Some(Response { status: head.status, body, close, taken: bytes.len() - remaining.len() }))
 }
 
 /// An endpoint list, or changes of it.
@@ -205,7 +215,7 @@
 ///
 /// # Errors
 /// [`DecodeError`] with the key that is wrong.
-pub fn endpoint_list_update(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
+pub fn decode_endpoint_list(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
     Ok(EndpointListUpdate {
         generation: node.field("generation").number(0.0)? as u64,
         whole: node.field("reset").flag(false)?,
@@ -231,5 +241,5 @@
             return Err(root.field(key).error("is missing"));
         }
     }
-    endpoint_list_update(&root)
+    decode_endpoint_list(&root)
 }
--- a/src/protocol/irc/message.rs
+++ b/src/protocol/irc/message.rs
@@ -1,4 +1,4 @@
-//! Messages of RFC 1459 and 2812, with IRCv3's tags, and the words of the protocol that the balancer knows.
+//! Messages of RFC 1459 and 2812, with IRCv3's tags, and the commands and numerics that the balancer knows.
 
 use winnow::combinator::{opt, preceded, repeat, terminated};
 use winnow::token::{rest, take_till, take_while};
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -26,7 +26,7 @@
 const NO: &[u8] = b"NO";
 
 /// The request line of a health check.
-pub const PROBE: &[u8] = b"STATS\r\n";
+pub const PROBE_REQUEST: &[u8] = b"STATS\r\n";
 /// Field of a load report: the number of connections at the server.
 const REPORTED_CONNECTIONS: &str = "inflight";
 /// The highest utilisation that a load report is believed; anything beyond is invalid.
@@ -50,7 +50,7 @@
     /// The client requests a connection.
     Open {
         /// What it asks for.
-        ask: Box<ConnectionRequest>,
+        request: Box<ConnectionRequest>,
         /// How its line is sent to a server.
         template: RequestTemplate,
     },
@@ -143,7 +143,7 @@
 }
 
 /// Reads a client's first line, without its end. A line that is not valid in all of its parts must reach no server.
-pub fn greeting(line: &[u8]) -> Option<Greeting> {
+pub fn parse_greeting(line: &[u8]) -> Option<Greeting> {
     if line == PING {
         return Some(Greeting::Ping);
     }
@@ -152,7 +152,7 @@
 }
 
 fn decode_open_line(line: &[u8], open: &OpenLine<'_>) -> Option<Greeting> {
-    let mut ask = ConnectionRequest {
+    let mut request = ConnectionRequest {
         id: Some(to_text(open.id)),
         key: Some(hash_client_key(open.key)),
         ..ConnectionRequest::default()
@@ -169,27 +169,27 @@
             template.before_wait = line[..value_start].to_vec();
             template.after_wait = Some(line[value_start + field.value.len()..].to_vec());
         }
-        apply_request_field(&mut ask, *field)?;
+        apply_request_field(&mut request, *field)?;
         field_start += field.name.len() + field.value.len() + 2;
     }
     // A request without a wait is valid only for a connection that was established before.
-    let has_wait = ask.wait.is_some() || ask.established_at.is_some();
-    (has_wait && !ask.class.is_empty()).then_some(Greeting::Open { ask: Box::new(ask), template })
+    let has_wait = request.wait.is_some() || request.established_at.is_some();
+    (has_wait && !request.class.is_empty()).then_some(Greeting::Open { request: Box::new(request), template })
 }
 
 /// Sets what a field of a request says; none if its value is invalid. Unknown fields are passed on unread.
-fn apply_request_field(ask: &mut ConnectionRequest, field: Field<'_>) -> Option<()> {
+fn apply_request_field(request: &mut ConnectionRequest, field: Field<'_>) -> Option<()> {
     let value = field.value;
     match field.name {
-        b"c" => ask.class = to_text(value),
-        b"t" => ask.tenant = Some(to_text(value)).filter(|name| name != "0"),
-        b"g" => ask.group = Some(hex_uint::<_, u64, ContextError>.parse(value).ok()?),
-        b"h" => ask.load = Some(parse_non_negative_number(value)?),
-        b"again" => ask.again = value == b"1",
-        b"at" => ask.established_at = Some(to_text(value)).filter(|name| !name.is_empty()),
+        b"c" => request.class = to_text(value),
+        b"t" => request.tenant = Some(to_text(value)).filter(|name| name != "0"),
+        b"g" => request.group = Some(hex_uint::<_, u64, ContextError>.parse(value).ok()?),
+        b"h" => request.load = Some(parse_non_negative_number(value)?),
+        b"again" => request.again = value == b"1",
+        b"at" => request.established_at = Some(to_text(value)).filter(|name| !name.is_empty()),
         b"d" => {
             let wait_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_WAIT_MS)?;
-            ask.wait = Some((wait_ms * MICROS_PER_MS as f64) as Micros);
+            request.wait = Some((wait_ms * MICROS_PER_MS as f64) as Micros);
         }
         _ => {}
     }
@@ -197,7 +197,7 @@
 }
 
 /// Reads a line of a server, without its end.
-pub fn server_reply(line: &[u8]) -> ServerReply {
+pub fn parse_server_reply(line: &[u8]) -> ServerReply {
     let arguments = || opt(preceded(b' ', rest));
     let parsed = alt((
         (UP, arguments()).map(|_| ServerReply::Up),
@@ -230,7 +230,7 @@
 
 /// Reads the answer to a health check, without the line's end. Its load report has the utilisation under one of
 /// `utilisation_names`.
-pub fn probe_answer(line: &[u8], utilisation_names: &[&str]) -> ProbeEnd {
+pub fn parse_probe_answer(line: &[u8], utilisation_names: &[&str]) -> ProbeEnd {
     #[derive(Clone, Copy)]
     enum Status {
         Healthy,
@@ -270,7 +270,7 @@
     client_lines: LineBuffer,
     /// Lines of the server before it accepts.
     server_lines: LineBuffer,
-    request: RequestTemplate,
+    request_template: RequestTemplate,
     /// The outcome that the server's last message announced.
     announced_outcome: Option<AttemptOutcome>,
     /// Lines of the server once it has accepted.
@@ -287,16 +287,16 @@
                 NextLine::Incomplete => return,
                 NextLine::TooLong => return self.fail_protocol(steps),
             };
-            match greeting(&line) {
+            match parse_greeting(&line) {
                 Some(Greeting::Ping) if self.pings < MAX_PINGS => {
                     self.pings += 1;
                     steps.push(Step::Ping([PONG, CRLF].concat()));
                 }
                 // A client has to wait for its answer: no bytes may follow its request.
-                Some(Greeting::Open { ask, template }) if self.client_lines.is_empty() => {
+                Some(Greeting::Open { request, template }) if self.client_lines.is_empty() => {
                     self.phase = Phase::Placing;
-                    self.request = template;
-                    steps.push(Step::ConnectionRequested(*ask));
+                    self.request_template = template;
+                    steps.push(Step::ConnectionRequested(*request));
                 }
                 _ => return self.fail_protocol(steps),
             }
@@ -320,7 +320,7 @@
             NextLine::Incomplete => return,
             NextLine::TooLong => return steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
         };
-        match server_reply(&line) {
+        match parse_server_reply(&line) {
             ServerReply::Up => {
                 self.phase = Phase::Established;
                 steps.push(Step::ToClient([&line[..], CRLF].concat()));
@@ -334,7 +334,7 @@
     fn relay_to_client(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         let relayed = self.relay.relay(bytes, MAX_LINE_LENGTH);
         for line in relayed.lines.split_inclusive(|&b| b == b'\n') {
-            match server_reply(line.trim_ascii_end()) {
+            match parse_server_reply(line.trim_ascii_end()) {
                 ServerReply::Load(load) => steps.push(Step::Load(load)),
                 ServerReply::Bye => self.announced_outcome = Some(AttemptOutcome::Served),
                 ServerReply::Move => self.announced_outcome = Some(AttemptOutcome::RedirectedByServer),
@@ -366,7 +366,7 @@
 
     fn open_attempt(&mut self, wait: Micros) -> Vec<u8> {
         self.server_lines = LineBuffer::default();
-        self.request.with_wait(wait)
+        self.request_template.with_wait(wait)
     }
 
     fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -87,9 +87,9 @@
     entries: BTreeMap<String, Entry>,
     /// The highest counter seen.
     highest_counter: u64,
-    /// Keys written here before any other node was heard from: this node may have forgotten newer entries of them.
+    /// Keys written here before any message of another node was received: this node may have forgotten newer entries of them.
     unconfirmed_writes: BTreeSet<String>,
-    /// Whether another node has been heard from.
+    /// Whether a message of another node has been received.
     has_peer_contact: bool,
     /// State of the generator that draws where the entries sent for a digest begin. If they were sent in turn, the turns
     /// could keep step with the digests of several nodes, and the same node would always get the same entries.
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -154,7 +154,7 @@
     line: &mut Option<Line>,
     discovery: SocketAddr,
     from: Option<(u64, Duration)>,
-) -> Result<http::Answer, String> {
+) -> Result<http::Response, String> {
     let broken = |e: std::io::Error| format!("discovery: {e}");
     if line.is_none() {
         let stream = TcpStream::connect(discovery).await.map_err(broken)?;
@@ -162,12 +162,13 @@
         *line = Some(Line { stream, read: Vec::new() });
     }
     let Some(open) = line.as_mut() else { return Err("no connection".to_owned()) };
-    let from = from.map(|(generation, hold)| (generation, hold.as_millis() as u64));
-    let request = http::call(&discovery.to_string(), from);
+    let from =
+        from.map(|(generation, hold)| http::ChangesQuery { generation, hold_ms: hold.as_millis() as u64 });
+    let request = http::encode_request(&discovery.to_string(), from);
     open.stream.write_all(&request).await.map_err(broken)?;
     let answer = loop {
         let ended = open.stream.read_buf(&mut open.read).await.map_err(broken)? == 0;
-        if let Some(answer) = http::answer(&open.read, ended).map_err(|fault| fault.to_string())? {
+        if let Some(answer) = http::parse_response(&open.read, ended).map_err(|fault| fault.to_string())? {
             break answer;
         }
         if ended {
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -61,7 +61,7 @@
     let answered = timeout(wait, ask(&address, kept)).await;
     let (end, stream) = match answered {
         Ok(Some((line, stream))) => {
-            let end = platform::probe_answer(&line, &names);
+            let end = platform::parse_probe_answer(&line, &names);
             (end, Some(stream).filter(|_| matches!(end, ProbeEnd::Answered(_))))
         }
         _ => (ProbeEnd::Nothing, None),
@@ -83,7 +83,7 @@
 }
 
 async fn exchange(mut stream: TcpStream) -> Option<(Vec<u8>, TcpStream)> {
-    stream.write_all(platform::PROBE).await.ok()?;
+    stream.write_all(platform::PROBE_REQUEST).await.ok()?;
     let (mut lines, mut piece) = (LineBuffer::default(), [0; PIECE]);
     loop {
         let n = stream.read(&mut piece).await.ok().filter(|&n| n > 0)?;
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use connection_balancer::protocol::platform::{greeting, server_reply, Greeting, ServerReply};
+use connection_balancer::protocol::platform::{parse_greeting, parse_server_reply, Greeting, ServerReply};
 use connection_balancer::protocol::{http, irc, platform, Front, Step};
 use connection_balancer::routing::{Answer, AttemptOutcome, Lifecycle};
 use proptest::prelude::*;
@@ -146,8 +146,8 @@
             [format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len()).as_bytes(), body].concat()
         };
         let part = cut.index(bytes.len());
-        prop_assert_eq!(http::answer(&bytes[..part], false).unwrap(), None);
-        let answer = http::answer(&bytes, false).unwrap().unwrap();
+        prop_assert_eq!(http::parse_response(&bytes[..part], false).unwrap(), None);
+        let answer = http::parse_response(&bytes, false).unwrap().unwrap();
         prop_assert_eq!((answer.status, answer.close, answer.taken), (200, false, bytes.len()));
         let update = http::parse_endpoint_list(&answer.body).unwrap();
         prop_assert_eq!((update.generation, update.whole, update.endpoints.len()), (41, true, 1));
@@ -162,9 +162,12 @@
     let mut front = platform::Connection::default();
     let mut steps = Vec::new();
     front.client_sent(OPEN, &mut steps);
-    let Some(Step::ConnectionRequested(ask)) = steps.last() else { panic!("{steps:?}") };
-    assert_eq!((ask.class.as_str(), ask.tenant.as_deref()), ("chat", Some("acme")));
-    assert_eq!((ask.group, ask.wait, ask.load), (Some(0x5c0f_6e1a_2b3d_4c59), Some(2_000_500), Some(1.5)));
+    let Some(Step::ConnectionRequested(request)) = steps.last() else { panic!("{steps:?}") };
+    assert_eq!((request.class.as_str(), request.tenant.as_deref()), ("chat", Some("acme")));
+    assert_eq!(
+        (request.group, request.wait, request.load),
+        (Some(0x5c0f_6e1a_2b3d_4c59), Some(2_000_500), Some(1.5))
+    );
     let line = front.open_attempt(734_900);
     assert_eq!(line, b"OPEN 9b1f 7f3a c=chat,t=acme,d=734,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n");
     // Without a `d`, the line is passed on unchanged.
@@ -187,9 +190,9 @@
         ("", ServerReply::Other),
     ];
     for (line, reply) in replies {
-        assert_eq!(server_reply(line.as_bytes()), reply, "{line}");
+        assert_eq!(parse_server_reply(line.as_bytes()), reply, "{line}");
     }
-    assert_eq!(greeting(b"PING"), Some(Greeting::Ping));
+    assert_eq!(parse_greeting(b"PING"), Some(Greeting::Ping));
 }
 
 #[test]
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -1,6 +1,6 @@
 //! What servers say to probes, read without sockets.
 
-use connection_balancer::protocol::platform::probe_answer;
+use connection_balancer::protocol::platform::parse_probe_answer;
 use connection_balancer::routing::ProbeEnd;
 use connection_balancer::LoadReport;
 use proptest::prelude::*;
@@ -36,7 +36,7 @@
     let others = others.map(|line| (line.to_owned(), ProbeEnd::Nothing));
     let table = table.map(|(line, end)| (line.to_owned(), end));
     for (line, end) in table.into_iter().chain(senseless).chain(others) {
-        assert_eq!(probe_answer(line.as_bytes(), &NAMES), end, "{line:?}");
+        assert_eq!(parse_probe_answer(line.as_bytes(), &NAMES), end, "{line:?}");
     }
 }
 
@@ -44,7 +44,7 @@
     /// No bytes make a server look better than nothing told, or stop a balancer.
     #[test]
     fn any_bytes_are_read(line in proptest::collection::vec(any::<u8>(), 0..200)) {
-        if let ProbeEnd::Answered(Some(report)) = probe_answer(&line, &NAMES) {
+        if let ProbeEnd::Answered(Some(report)) = parse_probe_answer(&line, &NAMES) {
             prop_assert!((0.0..=1000.0).contains(&report.utilisation));
         }
     }
