--- a/src/protocol/irc/mod.rs
+++ b/src/protocol/irc/mod.rs
@@ -229,7 +229,7 @@
                     return true;
                 }
                 NextLine::Line(line) => {
-                    if self.is_verdict(&line, steps) {
+                    if self.apply_handshake_line(&line, steps) {
                         return true;
                     }
                 }
@@ -238,7 +238,7 @@
     }
 
     /// Reads a line of the server before its welcome; returns whether it decided the attempt.
-    fn is_verdict(&mut self, line: &[u8], steps: &mut Vec<Step>) -> bool {
+    fn apply_handshake_line(&mut self, line: &[u8], steps: &mut Vec<Step>) -> bool {
         let Some(message) = parse_message(line) else { return false };
         let terminated_line = [line, CRLF].concat();
         match &message.command.to_ascii_uppercase()[..] {
@@ -251,12 +251,17 @@
                 return false;
             }
             CAP | ERROR => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
-            _ => return self.is_numeric_verdict(message.numeric(), terminated_line, steps),
+            _ => return self.apply_handshake_numeric(message.numeric(), terminated_line, steps),
         }
         true
     }
 
-    fn is_numeric_verdict(&mut self, numeric: Option<u16>, line: Vec<u8>, steps: &mut Vec<Step>) -> bool {
+    fn apply_handshake_numeric(
+        &mut self,
+        numeric: Option<u16>,
+        line: Vec<u8>,
+        steps: &mut Vec<Step>,
+    ) -> bool {
         match numeric {
             Some(RPL_WELCOME) => {
                 self.phase = Phase::Established;
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -256,6 +256,10 @@
         platform::Connection::default().client_sent(text.as_bytes(), &mut steps);
         assert!(!steps.contains(&rejection[1]) && !steps.is_empty(), "{text}");
     }
+}
+
+#[test]
+fn clients_that_break_the_protocol_later_are_disconnected() {
     // A client that does not wait for its answer, one that only sends pings, and one that sends a line without an end
     // once its connection is established.
     let again = [OPEN, b"M 1\r\n"].concat();
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -3,7 +3,8 @@
 mod fake_servers;
 
 use std::net::SocketAddr;
-use std::process::Command;
+use std::path::Path;
+use std::process::{Command, Output};
 
 use connection_balancer::protocol::flows::{self, FlowEnd};
 use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
@@ -221,6 +222,12 @@
     }
 }
 
+fn run_replay(capture: &Path, config: &Path, port: &str) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
+    command.arg("replay").arg(capture).arg("--config").arg(config);
+    command.args(["--front", "irc", "--port", port]).output().expect("runs")
+}
+
 #[test]
 fn replay_reads_what_serve_records() {
     let server = Server::start(Manner::Welcome);
@@ -248,13 +255,9 @@
     });
     drop(daemon);
     std::fs::write(&config, irc_config(&[&server], "")).expect("written");
-    let replay = |config: &std::path::Path| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        command.arg("replay").arg(&capture).arg("--config").arg(config);
-        command.args(["--front", "irc", "--port", &port]).output().expect("runs")
-    };
+    let replay = || run_replay(&capture, &config, &port);
     let seen = server.count();
-    let output = replay(&config);
+    let output = replay();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
     assert_eq!(text.matches(": served after ").count(), 2, "{text}");
@@ -271,7 +274,7 @@
         ),
     )
     .expect("written");
-    let output = replay(&config);
+    let output = replay();
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success() && text.contains("a replay uses loopback hosts only"), "{text}");
     let _ = std::fs::remove_dir_all(&folder);
