--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -122,14 +122,14 @@
         /// When it was readmitted.
         since: Time,
     },
-    /// The id of a connection that the predecessor still holds.
+    /// The id by which a client knows a connection that is open at the predecessor.
     Id {
         /// Name of the pool.
         pool: String,
         /// The id.
         id: String,
     },
-    /// How many connections the predecessor still holds.
+    /// How many descriptors the predecessor goes on holding for a while.
     Left(u64),
 }
 
