--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::store::{Entry, Letter};
+use super::store::{AddressedReplicaMessage, Entry};
 use super::{
     AdminClientId, AdminResponse, Answer, ConnectionId, EstablishedConnection, HandoverState, LogEvent,
     PoolId,
@@ -80,7 +80,7 @@
         discovery: SocketAddr,
     },
     /// Send a message to another replica, or to the sender of a command.
-    SendReplicaMessage(Letter),
+    SendReplicaMessage(AddressedReplicaMessage),
     /// Store an entry of the replicated map on disk.
     PersistEntry {
         /// Its key.
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -83,7 +83,7 @@
         let pool = &self.pools[pool_id];
         let mut endpoints = pool.listed.by_name().clone();
         if pool.config.from_store {
-            let replicated = self.replication.map().under(ENDPOINT_KEY_PREFIX);
+            let replicated = self.replication.map().with_prefix(ENDPOINT_KEY_PREFIX);
             let added = replicated.filter_map(|(name, text)| stored_endpoint(name, text));
             endpoints.extend(added.map(|endpoint| (endpoint.name.clone(), endpoint)));
         }
--- a/src/routing/exclusions.rs
+++ b/src/routing/exclusions.rs
@@ -109,7 +109,7 @@
     /// The names of all servers that are excluded, by the operator at this process or in the replicated map.
     pub(super) fn excluded_servers(&self) -> BTreeSet<String> {
         let mut excluded = self.exclusions.excluded.clone();
-        let replicated = self.replication.map().under(EXCLUSION_KEY_PREFIX);
+        let replicated = self.replication.map().with_prefix(EXCLUSION_KEY_PREFIX);
         excluded.extend(replicated.map(|(name, _)| name.to_owned()));
         excluded
     }
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::store::{Entry, Gossip};
+use super::store::{Entry, ReplicaMessage};
 use super::{
     AdminCall, AdminClientId, AttemptOutcome, Budget, ConnectionId, ConnectionRequest, Endpoint,
     EstablishedConnection, HandoverState, PoolConfig, PoolId, ProbeEnd,
@@ -132,7 +132,7 @@
         /// Its sender.
         from: SocketAddr,
         /// The message.
-        gossip: Gossip,
+        gossip: ReplicaMessage,
     },
     /// The configuration was read again.
     ConfigurationChanged {
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -4,7 +4,7 @@
 
 use super::endpoint_updates::ENDPOINT_KEY_PREFIX;
 use super::exclusions::EXCLUSION_KEY_PREFIX;
-use super::store::{Entry, Gossip, Letter, Store, BUCKETS};
+use super::store::{AddressedReplicaMessage, Entry, ReplicaMessage, ReplicatedMap, DIGEST_BUCKETS};
 use super::{Effect, LogEvent, ReplicationConfig, State};
 use crate::{Micros, Time};
 
@@ -15,7 +15,7 @@
 
 /// The replicated map, the other replicas, and when one of them is sent a digest next.
 pub(super) struct Replication {
-    map: Store,
+    map: ReplicatedMap,
     peers: Vec<SocketAddr>,
     /// Counts the digests sent: the peers get them in turn.
     digests_sent: usize,
@@ -26,20 +26,20 @@
 impl Replication {
     pub(super) fn new(config: ReplicationConfig, now: Time) -> Replication {
         Replication {
-            map: Store::new(&config.node),
+            map: ReplicatedMap::new(&config.node),
             next_digest_at: (!config.peers.is_empty()).then_some(now),
             peers: config.peers,
             digests_sent: 0,
         }
     }
 
-    pub(super) fn map(&self) -> &Store {
+    pub(super) fn map(&self) -> &ReplicatedMap {
         &self.map
     }
 
     /// Whether there is a replicated map at all.
     pub(super) fn is_on(&self) -> bool {
-        self.map.is_on()
+        self.map.is_enabled()
     }
 
     pub(super) fn entries(&self) -> Vec<(String, Entry)> {
@@ -49,7 +49,7 @@
     /// Takes in entries that an earlier process held.
     pub(super) fn import_entries(&mut self, entries: Vec<(String, Entry)>) {
         for (key, entry) in entries {
-            self.map.take(&key, entry);
+            self.map.merge_entry(&key, entry);
         }
     }
 
@@ -66,18 +66,18 @@
     }
 
     /// The next digest, and to whom it goes.
-    fn next_digest(&mut self, now: Time) -> Option<Letter> {
+    fn next_digest(&mut self, now: Time) -> Option<AddressedReplicaMessage> {
         let peer = *self.peers.get(self.digests_sent % self.peers.len().max(1))?;
         self.digests_sent += 1;
         self.next_digest_at = Some(now.plus(DIGEST_INTERVAL));
-        Some((peer, Gossip::Digest { wanted: true, buckets: self.map.digest() }))
+        Some((peer, ReplicaMessage::Digest { wanted: true, buckets: self.map.digest() }))
     }
 
     /// What a replica with this digest is sent: where it wants that and the two differ, a digest, and then entries.
-    fn answer_digest(&mut self, wanted: bool, buckets: &[u64; BUCKETS]) -> Vec<Gossip> {
+    fn answer_digest(&mut self, wanted: bool, buckets: &[u64; DIGEST_BUCKETS]) -> Vec<ReplicaMessage> {
         let mut answer = self.map.repair(buckets);
         if wanted && (!answer.is_empty() || *buckets != self.map.digest()) {
-            answer.insert(0, Gossip::Digest { wanted: false, buckets: self.map.digest() });
+            answer.insert(0, ReplicaMessage::Digest { wanted: false, buckets: self.map.digest() });
         }
         answer
     }
@@ -85,30 +85,30 @@
 
 impl State {
     /// The replicated map as this replica has it.
-    pub fn store(&self) -> &Store {
+    pub fn store(&self) -> &ReplicatedMap {
         self.replication.map()
     }
 
-    pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, gossip: Gossip) {
+    pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, gossip: ReplicaMessage) {
         // What holds for all replicas is taken from configured replicas only.
-        if !matches!(gossip, Gossip::Write { .. }) && !self.replication.peers.contains(&from) {
+        if !matches!(gossip, ReplicaMessage::Write { .. }) && !self.replication.peers.contains(&from) {
             return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownPeer { from }));
         }
         match gossip {
-            Gossip::Digest { wanted, buckets } => self.on_digest(from, wanted, &buckets),
-            Gossip::Entry { key, entry } => self.on_entry_received(now, key, entry),
-            Gossip::Write { key, value } => self.on_write_requested(now, from, key, value),
+            ReplicaMessage::Digest { wanted, buckets } => self.on_digest(from, wanted, &buckets),
+            ReplicaMessage::Entry { key, entry } => self.on_entry_received(now, key, entry),
+            ReplicaMessage::Write { key, value } => self.on_write_requested(now, from, key, value),
         }
     }
 
-    fn on_digest(&mut self, from: SocketAddr, wanted: bool, buckets: &[u64; BUCKETS]) {
+    fn on_digest(&mut self, from: SocketAddr, wanted: bool, buckets: &[u64; DIGEST_BUCKETS]) {
         for gossip in self.replication.answer_digest(wanted, buckets) {
             self.effects.push(Effect::SendReplicaMessage((from, gossip)));
         }
     }
 
     fn on_entry_received(&mut self, now: Time, key: String, entry: Entry) {
-        if let Some(entry) = self.replication.map.hear(&key, entry) {
+        if let Some(entry) = self.replication.map.merge_remote_entry(&key, entry) {
             self.on_entry_stored(now, key, entry);
         }
     }
@@ -122,7 +122,7 @@
             return;
         }
         if let Some(entry) = self.replication.map.entry(&key).cloned() {
-            self.effects.push(Effect::SendReplicaMessage((from, Gossip::Entry { key, entry })));
+            self.effects.push(Effect::SendReplicaMessage((from, ReplicaMessage::Entry { key, entry })));
         }
     }
 
@@ -142,7 +142,7 @@
     /// is lost, digests reveal that.
     pub(super) fn write_entry(&mut self, now: Time, key: &str, value: Option<&str>) -> bool {
         let Some(entry) = self.replication.map.write(key, value) else { return false };
-        let gossip = Gossip::Entry { key: key.to_owned(), entry: entry.clone() };
+        let gossip = ReplicaMessage::Entry { key: key.to_owned(), entry: entry.clone() };
         self.on_entry_stored(now, key.to_owned(), entry);
         let peers = self.replication.peers.iter();
         self.effects.extend(peers.map(|&peer| Effect::SendReplicaMessage((peer, gossip.clone()))));
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::program::config::{Config, Sources, StoreConfig};
 use crate::protocol::{gossip, irc, platform};
-use crate::routing::store::{Entry, Gossip};
+use crate::routing::store::{Entry, ReplicaMessage};
 use crate::routing::{Input, ReplicationConfig, State};
 pub use admin_server::MOST_CALLERS;
 use commands::WatchOrder;
@@ -200,7 +200,8 @@
     /// Reads the configuration again and puts it in place at one go. Danger: what fails may come only before
     /// the first change, or half of a configuration would be in force.
     fn reload(&mut self) -> Result<(), String> {
-        let Config { platform, irc, mgmt, store, budget, log: _ } = self.sources.read()?;
+        let Config { platform, irc, mgmt, store, budget, log: _ } =
+            self.sources.read().map_err(|error| error.to_string())?;
         let fixed = |store: &Option<StoreConfig>| {
             store.clone().map(|store| StoreConfig { peers: Vec::new(), ..store })
         };
@@ -265,7 +266,7 @@
     // Danger: a signal that nobody catches ends the process.
     let mut hangup = catch(SignalKind::hangup())?;
     let (mut term, mut interrupt) = (catch(SignalKind::terminate())?, catch(SignalKind::interrupt())?);
-    let mut config = sources.read()?;
+    let mut config = sources.read().map_err(|error| error.to_string())?;
     crate::program::log::start(&config.log);
     let door = config.mgmt.map(|mgmt| AcceptGate::listener(None, mgmt).map(|at| (mgmt, at))).transpose()?;
     let Fronts { driver, mut exit, platform: shop_pool, irc: irc_pool } = Fronts::open(&config);
@@ -418,15 +419,15 @@
     let socket = UdpSocket::bind("127.0.0.1:0").map_err(problem)?;
     socket.connect(store).map_err(problem)?;
     socket.set_read_timeout(Some(Duration::from_millis(500))).map_err(problem)?;
-    let write = gossip::write(&Gossip::Write { key: key.to_owned(), value: value.clone() });
+    let write = gossip::encode(&ReplicaMessage::Write { key: key.to_owned(), value: value.clone() });
     let write = write.ok_or_else(|| format!("{key}: the name is too long"))?;
-    let mut bytes = [0; gossip::LONGEST];
+    let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH];
     // Either datagram may be lost: to write the same again does no harm.
     for _ in 0..6 {
         socket.send(&write).map_err(problem)?;
         let Ok(n) = socket.recv(&mut bytes) else { continue };
-        match gossip::read(&bytes[..n]) {
-            Some(Gossip::Entry { key: written, entry }) if written == key && entry.value == value => {
+        match gossip::decode(&bytes[..n]) {
+            Some(ReplicaMessage::Entry { key: written, entry }) if written == key && entry.value == value => {
                 return Ok(entry)
             }
             _ => {}
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -223,7 +223,7 @@
     /// Whatever line comes, it is parsed as a call or rejected.
     #[test]
     fn parses_or_rejects_any_line(line in prop::collection::vec(any::<u8>(), 0..300)) {
-        let parsed = admin::call(&line);
+        let parsed = admin::parse_call(&line);
         let known: [&[u8]; 4] = [b"readyz", b"telemetry", b"exclude ", b"include "];
         prop_assert!(parsed.is_err() || known.iter().any(|call| line.starts_with(call)), "{parsed:?}");
     }
@@ -233,7 +233,7 @@
 fn writes_metrics_under_their_agreed_names_and_in_order() {
     let mut harness = ReducerHarness::new();
     let text = |harness: &mut ReducerHarness| {
-        String::from_utf8(admin::reply(&call(harness, AdminCall::Telemetry))).unwrap()
+        String::from_utf8(admin::encode_response(&call(harness, AdminCall::Telemetry))).unwrap()
     };
     let classes = "edge_node.results.chat.succeeded:0|c\r\nedge_node.results.chat.declined:0|c\r\n\
         edge_node.results.chat.aborted:0|c\r\nedge_node.results.wallet.succeeded:0|c\r\n\
@@ -262,7 +262,7 @@
         (AdminRejection::InvalidCall("readyz is wanted".to_owned()), "NO readyz is wanted\r\n"),
     ];
     for (rejection, line) in cases {
-        assert_eq!(admin::reply(&AdminResponse::No(rejection)), line.as_bytes());
+        assert_eq!(admin::encode_response(&AdminResponse::No(rejection)), line.as_bytes());
     }
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,7 +10,9 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-use connection_balancer::protocol::hot_restart::{add, parts, read, write, HandoverMessage, Part};
+use connection_balancer::protocol::hot_restart::{
+    add_part, decode, encode, split_state, HandoverMessage, Part,
+};
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
@@ -38,10 +40,10 @@
     let Some(Effect::ExportState(exported)) = effects.last() else { panic!("{effects:?}") };
     assert!(effects.contains(&Effect::SetAccepting { open: false }), "it accepts no more");
     let mut received = HandoverState::default();
-    for part in parts((**exported).clone()) {
-        let bytes = write(&HandoverMessage::Part(part)).expect("fits");
-        let Some(HandoverMessage::Part(part)) = read(&bytes) else { panic!("{bytes:?}") };
-        add(&mut received, part);
+    for part in split_state((**exported).clone()) {
+        let bytes = encode(&HandoverMessage::Part(part)).expect("fits");
+        let Some(HandoverMessage::Part(part)) = decode(&bytes) else { panic!("{bytes:?}") };
+        add_part(&mut received, part);
     }
     assert_eq!(received, **exported);
     Box::new(received)
@@ -345,11 +347,11 @@
     /// With its end cut off, or with anything behind it, it is no message.
     #[test]
     fn reads_messages_as_they_were_written(message in messages(), cut in any::<prop::sample::Index>()) {
-        let mut bytes = write(&message).expect("fits");
-        prop_assert_eq!(read(&bytes), Some(message));
-        prop_assert_eq!(read(&bytes[..cut.index(bytes.len())]), None);
+        let mut bytes = encode(&message).expect("fits");
+        prop_assert_eq!(decode(&bytes), Some(message));
+        prop_assert_eq!(decode(&bytes[..cut.index(bytes.len())]), None);
         bytes.push(0);
-        prop_assert_eq!(read(&bytes), None);
+        prop_assert_eq!(decode(&bytes), None);
     }
 
     #[test]
@@ -357,7 +359,7 @@
         if has_magic {
             bytes.splice(0..0, *b"SGH1");
         }
-        let _ = read(&bytes);
+        let _ = decode(&bytes);
     }
 
     /// Through any number of hot restarts at any moment each connection is answered once or established, at one
@@ -666,9 +668,9 @@
     let sent: [&[Vec<u8>]; 5] = [
         &[],
         &[b"GET / HTTP/1.1\r\n\r\n".to_vec()],
-        &[write(&HandoverMessage::Take).expect("fits")],
-        &[write(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
-        &[write(&HandoverMessage::Take).expect("fits"), write(&HandoverMessage::Done).expect("fits")],
+        &[encode(&HandoverMessage::Take).expect("fits")],
+        &[encode(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
+        &[encode(&HandoverMessage::Take).expect("fits"), encode(&HandoverMessage::Done).expect("fits")],
     ];
     for (n, messages) in sent.iter().enumerate() {
         let successor = connect_as_successor(&old);
