--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -423,7 +423,6 @@
         Action::ReportSlowSetup | Action::ReportDrop { .. } => Ok(()),
         Action::WatchEndpoints => writeln!(out, "SUBSCRIBE\ton=1"),
         Action::SetTimer(wait) => writeln!(out, "SLEEP\tfrom-now={}\tname=wake", Millis(*wait)),
-        Action::Log(text) => writeln!(out, "RECORD\tnote-text={text}"),
     };
 }
 
--- /dev/null
+++ b/src/group_statistics.rs
@@ -0,0 +1,44 @@
+//! How large a part of all connections each group makes, by recent observations.
+
+use std::collections::BTreeMap;
+
+use crate::types::{GroupHash, GroupId};
+
+/// Observations that are assumed beside the real ones, so that a few do not make a large share.
+const PRIOR_OBSERVATIONS: f64 = 10.0;
+/// Observations after which each counts half: the sizes of groups change as connections come and go.
+const MAX_OBSERVATIONS: f64 = 500.0;
+/// A group that counts less than this is forgotten.
+const MIN_GROUP_COUNT: f64 = 0.5;
+
+/// Decaying counts of observed connections, by group.
+#[derive(Debug, Default)]
+pub(crate) struct GroupStatistics {
+    observations_by_group: BTreeMap<GroupHash, f64>,
+    /// All observations of connections that have a group.
+    observations: f64,
+}
+
+impl GroupStatistics {
+    /// Counts an observed connection; one without a group is ignored.
+    pub(crate) fn record(&mut self, group: Option<GroupHash>) {
+        let Some(group) = group else { return };
+        *self.observations_by_group.entry(group).or_insert(0.0) += 1.0;
+        self.observations += 1.0;
+        if self.observations > MAX_OBSERVATIONS {
+            self.halve();
+        }
+    }
+
+    /// The group's estimated share of all connections, from 0 to 1.
+    pub(crate) fn share(&self, group: GroupId) -> f64 {
+        let observed = self.observations_by_group.get(&group.short_hash()).copied().unwrap_or(0.0);
+        observed / (self.observations + PRIOR_OBSERVATIONS)
+    }
+
+    fn halve(&mut self) {
+        self.observations /= 2.0;
+        self.observations_by_group.values_mut().for_each(|count| *count /= 2.0);
+        self.observations_by_group.retain(|_, count| *count >= MIN_GROUP_COUNT);
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -87,8 +87,14 @@
 #[allow(missing_docs)]
 pub mod transport;
 
+mod connection_size;
+mod group_statistics;
+mod held_connections;
 mod policy;
+mod random;
+mod request_state;
 mod running_mean;
+mod server_state;
 mod types;
 
 pub use policy::Balancer;
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -339,8 +339,8 @@
             price: self.peers.unwrap_or(0.0),
             balancers: self.settings.balancers,
             message_objective: self.settings.message_objective(),
-            holds: self.settings.word_holds(),
-            set_up_holds: self.settings.set_up_holds(),
+            holds: self.settings.peer_observation_hold(),
+            set_up_holds: self.settings.slow_setup_hold(),
         }
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -469,7 +469,6 @@
                     *wake = Some(wake.map_or(at, |old| old.min(at)));
                 }
                 Action::ProbeServer { server } => self.probe(pool, server),
-                Action::Log(text) => self.effects.push(Effect::Log(text)),
             }
         }
     }
--- a/src/running_mean.rs
+++ b/src/running_mean.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunningMean {
     sum: f64,
-    pub(crate) count: f64,
+    count: f64,
 }
 
 impl RunningMean {
@@ -23,6 +23,11 @@
         self.sum / self.count.max(1.0)
     }
 
+    /// Whether no value was added yet.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.count == 0.0
+    }
+
     /// A value between `fallback` and the mean, the nearer to the mean the more values it rests on.
     pub(crate) fn shrunk_towards(&self, fallback: f64) -> f64 {
         (self.sum + PRIOR_WEIGHT * fallback) / (self.count + PRIOR_WEIGHT)
--- a/src/types.rs
+++ b/src/types.rs
@@ -161,17 +161,35 @@
     pub slow_start_window: Micros,
 }
 
+/// Waits after failed calls for the endpoint list, in microseconds.
+pub(crate) struct Backoff {
+    /// The wait after the first failure.
+    pub(crate) initial: Micros,
+    /// The longest wait.
+    pub(crate) max: Micros,
+}
+
 impl Settings {
     /// After a call for the list that failed: the first wait before the next, and the most. Danger: what an agent on
     /// the balancer's own machine has counts as told, whether or not a watch is open; it has to be had within the
     /// grace. One discovery for all serves calls in turn, and such as come too soon keep each other waiting.
-    pub(crate) fn list_waits(&self) -> (Micros, Micros) {
+    pub(crate) fn endpoint_watch_backoff(&self) -> Backoff {
         if self.endpoints_pushed {
-            return (self.drain_grace / 8, self.drain_grace / 4);
+            return Backoff { initial: self.drain_grace / 8, max: self.drain_grace / 4 };
         }
-        let most = self.poll_interval;
-        let first = most.saturating_mul(self.balancers.into()) / LIST_CALLS;
-        (first.clamp(most / 64, most / 4), most)
+        let max = self.poll_interval;
+        let initial = max.saturating_mul(self.balancers.into()) / LIST_CALLS;
+        Backoff { initial: initial.clamp(max / 64, max / 4), max }
+    }
+
+    /// What repeating a request of this class does: the worst where the class was never described.
+    pub(crate) fn idempotency(&self, class: ClassId) -> Idempotency {
+        self.class(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
+    }
+
+    /// The description of a class, if there is one.
+    pub(crate) fn class(&self, class: ClassId) -> Option<&Class> {
+        self.classes.get(usize::from(class.0))
     }
 
     /// The tightest set-up objective of all classes; 0 where none is known.
@@ -180,7 +198,7 @@
     }
 
     /// The set-up objective over the time that a set-up took; 1 where no objective is known.
-    pub(crate) fn aim_over(&self, took: Micros) -> f64 {
+    pub(crate) fn setup_objective_ratio(&self, took: Micros) -> f64 {
         match self.setup_objective() {
             0 => 1.0,
             aim => aim as f64 / took.max(1) as f64,
@@ -188,7 +206,7 @@
     }
 
     /// For so long one word of slow set-ups is enough: what was let in before it is still being set up.
-    pub(crate) fn set_up_holds(&self) -> Micros {
+    pub(crate) fn slow_setup_hold(&self) -> Micros {
         2 * self.setup_objective()
     }
 
@@ -199,7 +217,7 @@
 
     /// For about so long a server is avoided that another balancer tells of: twice the time in which the clients
     /// that were refused for it come again.
-    pub(crate) fn word_holds(&self) -> Micros {
+    pub(crate) fn peer_observation_hold(&self) -> Micros {
         2 * self.max_retry_after
     }
 }
@@ -246,6 +264,9 @@
     Gone,
 }
 
+/// Weights from here on count as unknown: a sum of such weights would be infinite.
+const MAX_WEIGHT: f64 = 1e9;
+
 /// One entry of the server list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointEntry {
@@ -263,6 +284,13 @@
     pub weight: f64,
 }
 
+impl EndpointEntry {
+    /// The weight; 1 where the list carries none or an invalid one.
+    pub(crate) fn valid_weight(&self) -> f64 {
+        Some(self.weight).filter(|weight| *weight > 0.0 && *weight < MAX_WEIGHT).unwrap_or(1.0)
+    }
+}
+
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -311,7 +339,7 @@
 
 impl LoadReport {
     /// Itself, if it makes sense; without its connections where only those make none.
-    pub(crate) fn sound(self) -> Option<LoadReport> {
+    pub(crate) fn validated(self) -> Option<LoadReport> {
         let sound = |figure: &f64| figure.is_finite() && *figure >= 0.0;
         let connections = self.connections.filter(sound);
         sound(&self.utilisation).then_some(LoadReport { connections, ..self })
@@ -485,6 +513,4 @@
     WatchEndpoints,
     /// Hand in [`Event::TimerFired`] after this time.
     SetTimer(Micros),
-    /// A line for the log.
-    Log(String),
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -198,10 +198,7 @@
                 }
                 Action::ProbeServer { server } => assert!(self.list.contains_key(&server)),
                 Action::SetTimer(wait) => self.wakes.push(now.plus(wait)),
-                Action::ReportSlowSetup
-                | Action::ReportDrop { .. }
-                | Action::WatchEndpoints
-                | Action::Log(_) => {}
+                Action::ReportSlowSetup | Action::ReportDrop { .. } | Action::WatchEndpoints => {}
             }
         }
     }
