--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of one balancer. Its vocabulary (settings, events, actions) is in `src/types.rs`.
+//! The decisions of one balancer. Its vocabulary (settings, events, actions) is in `src/types/`.
 //!
 //! The mechanism is that of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004): each server
 //! has a slot ceiling y, and x slots there are held by connections of this balancer. A new connection goes to
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -73,7 +73,7 @@
         self.schedule_established_timer(now, id);
         self.on_established(now, id, took);
         if placed {
-            self.pools[pool].peers.stood();
+            self.pools[pool].peers.earn_credit();
             self.dispatch(
                 now,
                 pool,
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -335,12 +335,12 @@
     /// How its balancers may tell each other.
     pub(super) fn gossip_config(&self) -> peers::GossipConfig {
         peers::GossipConfig {
-            on: self.peers.is_some(),
+            enabled: self.peers.is_some(),
             price: self.peers.unwrap_or(0.0),
             balancers: self.settings.balancers,
             message_objective: self.settings.message_objective(),
-            holds: self.settings.peer_observation_hold(),
-            set_up_holds: self.settings.slow_setup_hold(),
+            observation_hold: self.settings.peer_observation_hold(),
+            slow_setup_hold: self.settings.slow_setup_hold(),
         }
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -287,7 +287,7 @@
                 // Danger: words of servers that are not listed would fill the memory, and say nothing here.
                 let table = &self.pools[pool].table;
                 let known = message.observation.server().is_none_or(|server| table.any(server).is_some());
-                if known && self.pools[pool].peers.heard(now, message.observation) {
+                if known && self.pools[pool].peers.accept(now, message.observation) {
                     self.dispatch(now, pool, Event::PeerGroupSample(&message.groups));
                     let told = match message.observation {
                         Observation::SlowServer(server, took) => {
@@ -476,8 +476,8 @@
     /// Tells the tier's other balancers if it is worth it, with a sample of the groups that stand here.
     fn broadcast_observation(&mut self, now: Time, pool: PoolId, observation: Observation) {
         let Pool { peers, balancer, .. } = &mut self.pools[pool];
-        if peers.tell(now, observation) {
-            let groups = peers.sample(balancer.established_groups());
+        if peers.should_broadcast(now, observation) {
+            let groups = peers.sample_groups(balancer.established_groups());
             self.effects.push(Effect::BroadcastGossip(GossipMessage { observation, groups }));
         }
     }
--- /dev/null
+++ b/src/types/mod.rs
@@ -0,0 +1,22 @@
+//! The vocabulary between a balancer and the program that hosts it.
+//!
+//! Time is the host's clock in whole microseconds. Zones, cells, classes and tenants are plain indices: the balancer
+//! learns nothing from their names.
+#![deny(missing_docs)]
+
+mod action;
+mod endpoint;
+mod event;
+mod ids;
+mod load;
+mod settings;
+mod time;
+
+pub use action::Action;
+pub use endpoint::{EndpointEntry, EndpointState, LearnedState};
+pub use event::{Event, Outcome};
+pub use ids::{CellId, ClassId, ConnectionId, GroupHash, GroupId, RequestId, ServerId, TenantId, ZoneId};
+pub use load::{LoadReport, Measurement};
+pub(crate) use settings::Backoff;
+pub use settings::{Class, Idempotency, KeyScope, Settings, Tenant};
+pub use time::{Micros, Time};
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -28,7 +28,8 @@
     assert!(total <= MAX_POLICY_LINES, "{total} lines that are not blank");
     let text =
         std::fs::read_to_string(root.join("src/policy/mod.rs")).expect("the policy module can be read");
-    assert!(text.lines().take(5).any(|line| line.contains("src/types.rs")), "it names the types file first");
+    assert!(text.lines().take(5).any(|line| line.contains("src/types/")), "it names the types folder first");
+    assert!(root.join("src/types/mod.rs").is_file(), "the types folder that it names is there");
 }
 
 #[test]
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -16,12 +16,12 @@
 
 fn setup(balancers: u32, price: f64) -> GossipConfig {
     GossipConfig {
-        on: true,
+        enabled: true,
         balancers,
         price,
         message_objective: 100 * MS,
-        holds: HOLDS,
-        set_up_holds: 600 * MS,
+        observation_hold: HOLDS,
+        slow_setup_hold: 600 * MS,
     }
 }
 
@@ -35,16 +35,19 @@
     ];
     for (own, others, holds) in observation {
         let mut peers = Peers::new(setup(3, 0.0), 7);
-        assert!(!peers.tell(START, slow(1, 49)), "under half of the aim messages are in time");
-        assert!(peers.tell(START, own));
-        peers.stood();
-        assert!(!peers.tell(START.plus(holds - 1), own));
-        assert!(peers.tell(START.plus(holds), own));
-        peers.stood();
-        assert!(peers.heard(START.plus(2 * holds), others));
-        assert!(!peers.tell(START.plus(3 * holds - 1), others));
-        for alone in [setup(1, 0.0), GossipConfig { on: false, ..setup(3, 0.0) }] {
-            assert!(!Peers::new(alone, 7).tell(START, own), "there is nobody to tell, or it may not be");
+        assert!(!peers.should_broadcast(START, slow(1, 49)), "under half of the aim messages are in time");
+        assert!(peers.should_broadcast(START, own));
+        peers.earn_credit();
+        assert!(!peers.should_broadcast(START.plus(holds - 1), own));
+        assert!(peers.should_broadcast(START.plus(holds), own));
+        peers.earn_credit();
+        assert!(peers.accept(START.plus(2 * holds), others));
+        assert!(!peers.should_broadcast(START.plus(3 * holds - 1), others));
+        for alone in [setup(1, 0.0), GossipConfig { enabled: false, ..setup(3, 0.0) }] {
+            assert!(
+                !Peers::new(alone, 7).should_broadcast(START, own),
+                "there is nobody to tell, or it may not be"
+            );
         }
     }
 }
@@ -60,8 +63,8 @@
             stood += 1.0;
             for n in 0..10u32 {
                 let now = START.plus(u64::from(n) * HOLDS);
-                told += (0..5).filter(|k| peers.tell(now, slow(n * 5 + k, 500))).count() as f64;
-                peers.stood();
+                told += (0..5).filter(|k| peers.should_broadcast(now, slow(n * 5 + k, 500))).count() as f64;
+                peers.earn_credit();
                 stood += 1.0;
             }
         }
