--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -28,7 +28,7 @@
         AdmissionRate { share: 1.0, raised_until: now, last_decrease: None, last_failed_setup: None }
     }
 
-    /// Admits fewer: set-ups are slow, or fail alike at servers that have only the fleet in common.
+    /// Admits fewer: set-ups are slow (0 if only that is known), or fail alike at several servers.
     pub(super) fn decrease(&mut self, now: Time, setup_time: Micros, settings: &Settings) {
         self.raise(now, settings);
         let hold = settings.slow_setup_hold();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -149,9 +149,9 @@
         self.requests.contains_key(&request)
     }
 
-    /// Slots held at a server and its ceiling, in this order: for gauges and tests.
-    pub fn occupancy(&self, server: ServerId) -> Option<(f64, f64)> {
-        self.servers.get(&server).map(|s| (s.held.slots, s.learned.ceiling))
+    /// Slots held at a server and its ceiling: for gauges and tests.
+    pub fn occupancy(&self, server: ServerId) -> Option<Occupancy> {
+        self.servers.get(&server).map(|s| Occupancy { held: s.held.slots, ceiling: s.learned.ceiling })
     }
 
     /// Groups of the connections that are established here, for other balancers.
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -3,7 +3,7 @@
 use super::{ConnectionId, PoolId, State};
 use crate::rebalance::view::Connection;
 use crate::rebalance::{RebalanceEvent, RebalanceMetrics, ServerSnapshot, SystemConditions};
-use crate::{LearnedState, Micros, Outcome, ServerId, Time};
+use crate::{LearnedState, Micros, Occupancy, Outcome, ServerId, Time};
 
 impl State {
     /// Tells a pool's rebalancing.
@@ -64,7 +64,7 @@
         let pool = &mut self.pools[pool_id];
         let settings = &pool.config.settings;
         let server_snapshot = |server| {
-            let (held, ceiling) = pool.balancer.occupancy(server)?;
+            let Occupancy { held, ceiling } = pool.balancer.occupancy(server)?;
             let known = pool.balancer.learned_state(server)?;
             let listed = pool.table.any(server)?;
             let warm = |at: Time| now.since(at) as f64 / settings.slow_start_duration.max(1) as f64;
@@ -96,7 +96,7 @@
         }
         for server in decision.lowered {
             let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) =
+            if let (Some(Occupancy { held, .. }), Some(known)) =
                 (balancer.occupancy(server), balancer.learned_state(server))
             {
                 balancer.restore_learned_state(
@@ -109,7 +109,7 @@
             self.migrate(now, id, Outcome::Cancelled);
             // Danger: the slot that this frees may be the only free one, and would draw the same client again.
             let balancer = &mut self.pools[pool_id].balancer;
-            if let (Some((held, _)), Some(known)) =
+            if let (Some(Occupancy { held, .. }), Some(known)) =
                 (balancer.occupancy(server), balancer.learned_state(server))
             {
                 let ceiling = known.ceiling.min(held);
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -41,6 +41,15 @@
     }
 }
 
+/// What a balancer holds at a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Occupancy {
+    /// Slots of its connections that are established or being set up.
+    pub held: f64,
+    /// The server's ceiling, in slots.
+    pub ceiling: f64,
+}
+
 /// What a balancer has learned of a server, apart from what it holds there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LearnedState {
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -13,7 +13,7 @@
 mod time;
 
 pub use action::Action;
-pub use endpoint::{EndpointEntry, EndpointState, LearnedState};
+pub use endpoint::{EndpointEntry, EndpointState, LearnedState, Occupancy};
 pub use event::{Event, Outcome};
 pub use ids::{CellId, ClassId, ConnectionId, GroupHash, GroupId, RequestId, ServerId, TenantId, ZoneId};
 pub use load::{LoadReport, Measurement};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -162,11 +162,11 @@
 
     /// Slots held at a server.
     pub fn held(&self, server: u32) -> f64 {
-        self.balancer.occupancy(ServerId(server)).map_or(0.0, |(held, _)| held)
+        self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.held)
     }
 
     /// The ceiling of a server, in slots.
     pub fn ceiling(&self, server: u32) -> f64 {
-        self.balancer.occupancy(ServerId(server)).map_or(0.0, |(_, ceiling)| ceiling)
+        self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.ceiling)
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -59,79 +59,85 @@
     assert_eq!(without, 0, "so many had no list in 15 s");
 }
 
+/// One attempt in a fleet of balancers.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptKey {
+    balancer: usize,
+    request: RequestId,
+    number: u32,
+}
+
+/// A session store that all servers share.
+#[derive(Clone, Copy)]
+struct StoreConfig {
+    servers: u32,
+    /// How long one set-up takes.
+    service: Micros,
+    /// How many set-ups may wait; others err at once.
+    max_queue: usize,
+    /// Balancers report slow set-ups to each other.
+    gossips: bool,
+}
+
+impl StoreConfig {
+    /// Thirty servers and a store with a queue without bound, which serves a set-up in a millisecond.
+    fn unbounded() -> StoreConfig {
+        StoreConfig { servers: 30, service: MS, max_queue: usize::MAX, gossips: false }
+    }
+}
+
 /// A fleet before servers that share one session store. The store serves set-ups in turn, also those that nobody waits
 /// for any more, and errs at whatever comes while its queue is full.
 struct SharedStore {
+    config: StoreConfig,
     fleet: Vec<Harness>,
     now: Time,
-    service: u64,
-    max_queue: usize,
     idle_from: Time,
-    queue: VecDeque<(usize, RequestId, u32)>,
-    /// Attempts that are waited for, and until when; and how many of each request there were.
-    in_flight: BTreeMap<(usize, RequestId, u32), Time>,
+    queue: VecDeque<AttemptKey>,
+    /// Attempts that are waited for, and until when.
+    in_flight: BTreeMap<AttemptKey, Time>,
+    /// How many attempts each request had, by balancer and request.
     attempts: BTreeMap<(usize, RequestId), u32>,
-    /// When slow set-ups were last gossiped; none where balancers do not gossip.
-    last_gossip: Option<Time>,
+    last_gossip: Time,
     established: u64,
     served_in_vain: u64,
 }
 
 impl SharedStore {
-    fn new(balancers: u32, hosts: u32, service: u64, max_queue: usize, gossips: bool) -> SharedStore {
-        SharedStore::of(
-            Settings { balancers, max_attempts: 6, ..settings() },
-            hosts,
-            service,
-            max_queue,
-            gossips,
-        )
+    fn new(balancers: u32, config: StoreConfig) -> SharedStore {
+        SharedStore::with_settings(Settings { balancers, max_attempts: 6, ..settings() }, config)
     }
 
-    fn of(settings: Settings, hosts: u32, service: u64, max_queue: usize, gossips: bool) -> SharedStore {
-        let balancers = settings.balancers;
-        let list = endpoints(hosts);
+    fn with_settings(settings: Settings, config: StoreConfig) -> SharedStore {
+        let list = endpoints(config.servers);
         let harness = |n: u32| Harness::seeded(settings.clone(), &list, n.into());
-        let (fleet, last_gossip) = ((0..balancers).map(harness).collect(), gossips.then_some(START));
-        let (queue, in_flight, attempts) = (VecDeque::new(), BTreeMap::new(), BTreeMap::new());
-        let (now, idle_from, established, served_in_vain) = (START, START, 0, 0);
         SharedStore {
-            fleet,
-            now,
-            service,
-            max_queue,
-            idle_from,
-            queue,
-            in_flight,
-            attempts,
-            last_gossip,
-            established,
-            served_in_vain,
+            config,
+            fleet: (0..settings.balancers).map(harness).collect(),
+            now: START,
+            idle_from: START,
+            queue: VecDeque::new(),
+            in_flight: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            last_gossip: START,
+            established: 0,
+            served_in_vain: 0,
         }
     }
 
-    fn event(&mut self, n: usize, event: Event<'_>) {
-        self.fleet[n].now = self.now;
-        self.fleet[n].handle(event);
-        for action in self.fleet[n].actions.clone() {
+    /// Hands an event to a balancer and carries out its actions.
+    fn handle(&mut self, balancer: usize, event: Event<'_>) {
+        self.fleet[balancer].now = self.now;
+        self.fleet[balancer].handle(event);
+        for action in self.fleet[balancer].actions.clone() {
             match action {
                 Action::StartAttempt { request, timeout, .. } => {
-                    let sent = self.attempts.entry((n, request)).or_insert(0);
-                    let attempt = std::mem::replace(sent, *sent + 1);
-                    if self.queue.len() < self.max_queue {
-                        self.queue.push_back((n, request, attempt));
-                        self.in_flight.insert((n, request, attempt), self.now.plus(timeout));
-                    } else {
-                        let outcome = Outcome::Error;
-                        self.event(n, Event::AttemptEnded { request, attempt, outcome, answered: false });
-                    }
+                    self.start_attempt(balancer, request, timeout)
                 }
-                Action::ReportSlowSetup
-                    if self.last_gossip.is_some_and(|at| self.now.since(at) >= 600 * MS) =>
-                {
-                    self.last_gossip = Some(self.now);
-                    (0..self.fleet.len()).filter(|&other| other != n).for_each(|other| {
-                        self.event(other, Event::PeerSetupSlow);
+                Action::ReportSlowSetup if self.may_gossip() => {
+                    self.last_gossip = self.now;
+                    (0..self.fleet.len()).filter(|&other| other != balancer).for_each(|other| {
+                        self.handle(other, Event::PeerSetupSlow);
                     });
                 }
                 _ => {}
@@ -139,35 +145,53 @@
         }
     }
 
+    fn start_attempt(&mut self, balancer: usize, request: RequestId, timeout: Micros) {
+        let started = self.attempts.entry((balancer, request)).or_insert(0);
+        let number = std::mem::replace(started, *started + 1);
+        let key = AttemptKey { balancer, request, number };
+        if self.queue.len() < self.config.max_queue {
+            self.queue.push_back(key);
+            self.in_flight.insert(key, self.now.plus(timeout));
+        } else {
+            self.end_attempt(key, Outcome::Error);
+        }
+    }
+
+    fn end_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
+        let AttemptKey { balancer, request, number: attempt } = key;
+        self.handle(balancer, Event::AttemptEnded { request, attempt, outcome, answered: false });
+    }
+
+    fn may_gossip(&self) -> bool {
+        self.config.gossips && self.now.since(self.last_gossip) >= 600 * MS
+    }
+
     /// Runs one millisecond in which so many clients arrive, each with this time to its deadline.
-    fn run_millisecond(&mut self, clients: usize, wait: u64) {
+    fn run_millisecond(&mut self, clients: usize, wait: Micros) {
         for _ in 0..clients {
-            let n = self.attempts.len() * 7 % self.fleet.len();
+            let balancer = self.attempts.len() * 7 % self.fleet.len();
             let request = RequestId(1 + self.attempts.len() as u64);
             let (class, tenant, group, load) = (ClassId(0), None, None, None);
-            self.attempts.insert((n, request), 0);
+            self.attempts.insert((balancer, request), 0);
             let deadline = self.now.plus(wait);
-            self.event(n, Event::RequestArrived { request, class, tenant, group, load, deadline });
+            self.handle(balancer, Event::RequestArrived { request, class, tenant, group, load, deadline });
         }
-        while let Some(key @ (n, request, attempt)) =
-            self.queue.front().copied().filter(|_| self.idle_from <= self.now)
-        {
+        while let Some(key) = self.queue.front().copied().filter(|_| self.idle_from <= self.now) {
             self.queue.pop_front();
-            self.idle_from = self.idle_from.max(self.now).plus(self.service);
-            match self.in_flight.remove(&key) {
-                Some(_) => {
-                    self.established += 1;
-                    self.event(n, Event::ConnectionEstablished { request, attempt });
-                }
-                None => self.served_in_vain += 1,
+            self.idle_from = self.idle_from.max(self.now).plus(self.config.service);
+            if self.in_flight.remove(&key).is_some() {
+                self.established += 1;
+                let AttemptKey { balancer, request, number: attempt } = key;
+                self.handle(balancer, Event::ConnectionEstablished { request, attempt });
+            } else {
+                self.served_in_vain += 1;
             }
         }
         let late: Vec<_> =
             self.in_flight.iter().filter(|(_, until)| **until <= self.now).map(|(key, _)| *key).collect();
-        for key @ (n, request, attempt) in late {
+        for key in late {
             self.in_flight.remove(&key);
-            let outcome = Outcome::TimedOut;
-            self.event(n, Event::AttemptEnded { request, attempt, outcome, answered: false });
+            self.end_attempt(key, Outcome::TimedOut);
         }
         self.now = self.now.plus(MS);
     }
@@ -178,7 +202,8 @@
 /// queue twice; established connections fell from 170 to 50 and did not come back.
 #[test]
 fn serves_a_burst_as_fast_as_the_shared_session_store_allows() {
-    let mut store = SharedStore::new(100, 10, 22 * MS, usize::MAX, false);
+    let mut store =
+        SharedStore::new(100, StoreConfig { servers: 10, service: 22 * MS, ..StoreConfig::unbounded() });
     (0..4000).for_each(|ms| store.run_millisecond(usize::from(ms < 120), 3 * SECOND));
     assert!(
         store.established >= 108,
@@ -194,7 +219,8 @@
 #[test]
 fn an_overloaded_session_store_empties_its_queue() {
     let outcome = |gossips: bool| {
-        let mut store = SharedStore::new(300, 30, 12_500, 160, gossips);
+        let mut store =
+            SharedStore::new(300, StoreConfig { servers: 30, service: 12_500, max_queue: 160, gossips });
         let pass = |store: &mut SharedStore, from: usize, to: usize| {
             (from..to).for_each(|ms| store.run_millisecond(if ms % 5 == 0 { 2 } else { 0 }, 1200 * MS))
         };
@@ -225,7 +251,8 @@
 fn empties_a_queue_longer_than_clients_wait_though_they_retry_without_end() {
     let mut settings = Settings { balancers: 300, max_attempts: 1, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.setup_objective = 150 * MS);
-    let mut store = SharedStore::of(settings, 30, 5 * MS, usize::MAX, false);
+    let mut store =
+        SharedStore::with_settings(settings, StoreConfig { service: 5 * MS, ..StoreConfig::unbounded() });
     let pass = |store: &mut SharedStore, ms: usize| {
         (0..ms).for_each(|ms| store.run_millisecond(1 + ms % 2, 500 * MS))
     };
@@ -240,8 +267,8 @@
 fn admits_half_after_a_slow_set_up_where_no_objective_is_known() {
     let mut settings = Settings { max_attempts: 1, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.setup_objective = 0);
-    let mut store = SharedStore::of(settings, 30, MS, usize::MAX, false);
-    store.event(0, Event::PeerSetupSlow);
+    let mut store = SharedStore::with_settings(settings, StoreConfig::unbounded());
+    store.handle(0, Event::PeerSetupSlow);
     store.run_millisecond(40, 500 * MS);
     let sent: u32 = store.attempts.values().sum();
     assert!((8..=32).contains(&sent), "{sent} of 40 were sent on");
