--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -40,7 +40,7 @@
         self.raised_until = now.plus(hold);
     }
 
-    /// Raises the share evenly within a slow start: a queue longer than clients wait has to empty first.
+    /// Raises the share evenly within a slow start: a queue longer than clients wait stays if more is let in.
     pub(super) fn raise(&mut self, now: Time, settings: &Settings) {
         let full_rise = settings.slow_start_duration.max(1);
         let pause = full_rise / RISE_PAUSE_DIVISOR;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -66,19 +66,22 @@
     server: ServerId,
     sent: Time,
     expires: Time,
-    open: bool,
+    established: bool,
 }
 
+/// A request as the host knows it.
 struct TrackedRequest {
     class: ClassId,
     deadline: Time,
     answered: bool,
     attempts: u32,
-    out: Option<InFlight>,
-    /// The attempts that may have run: where and when they were sent.
-    may_have_run: Vec<(ServerId, Time)>,
+    /// The attempt in flight, or the established connection.
+    in_flight: Option<InFlight>,
+    /// The ended attempts that may have run.
+    may_have_run: Vec<InFlight>,
 }
 
+/// A host that keeps its own records of what the balancer was handed and did.
 struct Host {
     harness: Harness,
     settings: Settings,
@@ -88,6 +91,12 @@
     log: Vec<Action>,
 }
 
+impl TrackedRequest {
+    fn is_established(&self) -> bool {
+        self.in_flight.is_some_and(|attempt| attempt.established)
+    }
+}
+
 impl Host {
     fn new(seed: u64) -> Host {
         let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 700 * MS };
@@ -133,69 +142,20 @@
     /// Carries out the actions of the last event, and checks each against the rules.
     fn carry_out(&mut self) {
         let now = self.harness.now;
-        let classes = &self.settings.classes;
-        let idempotency = |class: ClassId| {
-            classes.get(class.0 as usize).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
-        };
         for action in std::mem::take(&mut self.harness.actions) {
             self.log.push(action.clone());
             match action {
                 Action::StartAttempt { request, server, timeout, .. } => {
-                    let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-                    assert!(!tracked.answered, "rule 1: nothing is sent after the answer");
-                    assert!(tracked.out.is_none(), "never two attempts out");
-                    assert!(tracked.attempts < self.settings.max_attempts, "attempt limit");
-                    let at = self.list[&server];
-                    assert_eq!(at.state, EndpointState::Serving, "rule 3: drains are kept");
-                    let idempotency = idempotency(tracked.class);
-                    for (ran, sent) in &tracked.may_have_run {
-                        let ran = self.list[ran];
-                        let harmless = match idempotency {
-                            Idempotency::Idempotent => true,
-                            Idempotency::NotIdempotent => false,
-                            Idempotency::IdempotencyKey { scope, window } => {
-                                now.since(*sent) < window
-                                    && match scope {
-                                        KeyScope::All => true,
-                                        KeyScope::Zone => at.zone == ran.zone,
-                                        KeyScope::Cell => at.cell == ran.cell,
-                                    }
-                            }
-                        };
-                        assert!(harmless, "rule 2: no effect twice");
-                    }
-                    let expires = now.plus(timeout).min(tracked.deadline);
-                    tracked.out =
-                        Some(InFlight { number: tracked.attempts, server, sent: now, expires, open: false });
-                    tracked.attempts += 1;
-                }
-                Action::Reject { request, .. } => {
-                    let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-                    assert!(!tracked.answered, "rule 1: one answer");
-                    assert!(now <= tracked.deadline, "rule 1: in time");
-                    tracked.answered = true;
-                    let idempotency = idempotency(tracked.class);
-                    let ran = !tracked.may_have_run.is_empty() || tracked.out.is_some();
-                    let harmless = matches!(
-                        idempotency,
-                        Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
-                    );
-                    assert!(harmless || !ran, "rule 2: a rejection is true");
-                }
-                Action::Fail { request } => {
-                    let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-                    assert!(!tracked.answered, "rule 1: one answer");
-                    assert!(now <= tracked.deadline, "rule 1: in time");
-                    tracked.answered = true;
+                    self.start_attempt(request, server, timeout)
                 }
+                Action::Reject { request, .. } => self.reject(request),
+                Action::Fail { request } => self.answer(request),
                 Action::CancelAttempt { request, attempt } => {
                     assert!(attempt < self.requests[&request].attempts, "an attempt that was made");
                 }
                 Action::Migrate { request } => {
-                    assert!(
-                        self.requests[&request].out.is_some_and(|out| out.open),
-                        "an established connection"
-                    );
+                    let is_established = self.requests[&request].is_established();
+                    assert!(is_established, "an established connection");
                 }
                 Action::ProbeServer { server } => assert!(self.list.contains_key(&server)),
                 Action::SetTimer(wait) => self.timers.push(now.plus(wait)),
@@ -204,17 +164,76 @@
         }
     }
 
+    fn start_attempt(&mut self, request: RequestId, server: ServerId, timeout: Micros) {
+        let now = self.harness.now;
+        let tracked = &self.requests[&request];
+        assert!(!tracked.answered, "rule 1: nothing is sent after the answer");
+        assert!(tracked.in_flight.is_none(), "never two attempts in flight");
+        assert!(tracked.attempts < self.settings.max_attempts, "attempt limit");
+        assert_eq!(self.list[&server].state, EndpointState::Serving, "rule 3: drains are kept");
+        let idempotency = self.idempotency(tracked.class);
+        for earlier in &tracked.may_have_run {
+            assert!(self.is_harmless_after(earlier, server, idempotency), "rule 2: no effect twice");
+        }
+        let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
+        let expires = now.plus(timeout).min(tracked.deadline);
+        let number = tracked.attempts;
+        tracked.in_flight = Some(InFlight { number, server, sent: now, expires, established: false });
+        tracked.attempts += 1;
+    }
+
+    /// Rule 2: whether an attempt at `server` has no second effect after one that may have run.
+    fn is_harmless_after(&self, earlier: &InFlight, server: ServerId, idempotency: Idempotency) -> bool {
+        let (at, ran) = (self.list[&server], self.list[&earlier.server]);
+        match idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::IdempotencyKey { scope, window } => {
+                let recognises_key = match scope {
+                    KeyScope::All => true,
+                    KeyScope::Zone => at.zone == ran.zone,
+                    KeyScope::Cell => at.cell == ran.cell,
+                };
+                self.harness.now.since(earlier.sent) < window && recognises_key
+            }
+        }
+    }
+
+    fn reject(&mut self, request: RequestId) {
+        self.answer(request);
+        let tracked = &self.requests[&request];
+        let may_have_run = !tracked.may_have_run.is_empty() || tracked.in_flight.is_some();
+        let is_harmless = matches!(
+            self.idempotency(tracked.class),
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+        );
+        assert!(is_harmless || !may_have_run, "rule 2: a rejection is true");
+    }
+
+    fn answer(&mut self, request: RequestId) {
+        let now = self.harness.now;
+        let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
+        assert!(!tracked.answered, "rule 1: one answer");
+        assert!(now <= tracked.deadline, "rule 1: in time");
+        tracked.answered = true;
+    }
+
+    fn idempotency(&self, class: ClassId) -> Idempotency {
+        let class = self.settings.classes.get(class.0 as usize);
+        class.map_or(Idempotency::NotIdempotent, |class| class.idempotency)
+    }
+
     /// Ends an attempt; the host's records show whether the request has had its answer.
     fn end(&mut self, request: RequestId, outcome: Outcome) {
         let now = self.harness.now;
         let Some(tracked) = self.requests.get_mut(&request) else { return };
-        let Some(out) = tracked.out.take() else { return };
+        let Some(attempt) = tracked.in_flight.take() else { return };
         if !outcome.never_ran() {
-            tracked.may_have_run.push((out.server, out.sent));
+            tracked.may_have_run.push(attempt);
         }
         tracked.answered |= outcome == Outcome::Ok || now >= tracked.deadline.plus(20 * MS);
         let answered = tracked.answered;
-        self.event(Event::AttemptEnded { request, attempt: out.number, outcome, answered });
+        self.event(Event::AttemptEnded { request, attempt: attempt.number, outcome, answered });
     }
 
     /// Advances the clock, with timers and time-outs in order.
@@ -222,7 +241,7 @@
         let end = self.harness.now.plus(span);
         loop {
             let expiring = self.requests.iter().filter_map(|(id, tracked)| {
-                tracked.out.filter(|out| !out.open).map(|out| (out.expires, Some(*id)))
+                tracked.in_flight.filter(|a| !a.established).map(|a| (a.expires, Some(*id)))
             });
             let firing = self.timers.iter().map(|&at| (at, None));
             // At the same time a timer comes first: the harder case for rule 1 is after it.
@@ -251,59 +270,12 @@
     }
 
     fn take_step(&mut self, step: &Step) {
-        let now = self.harness.now;
         match *step {
-            Step::Arrive { class, group, live_ms } => {
-                let (request, deadline) = (self.harness.next_request(), now.plus(live_ms * MS));
-                let (class, group) = (ClassId(class), group.map(GroupId));
-                let tracked = TrackedRequest {
-                    class,
-                    deadline,
-                    answered: false,
-                    attempts: 0,
-                    out: None,
-                    may_have_run: vec![],
-                };
-                self.requests.insert(request, tracked);
-                self.event(Event::RequestArrived {
-                    request,
-                    class,
-                    tenant: None,
-                    group,
-                    load: None,
-                    deadline,
-                });
-            }
-            Step::Restore { server } => {
-                let (request, server, class) = (self.harness.next_request(), ServerId(server), ClassId(0));
-                if self.list.contains_key(&server) {
-                    let out = InFlight { number: 0, server, sent: now, expires: now, open: true };
-                    let tracked = TrackedRequest {
-                        class,
-                        deadline: now,
-                        answered: true,
-                        attempts: 1,
-                        out: Some(out),
-                        may_have_run: vec![],
-                    };
-                    self.requests.insert(request, tracked);
-                }
-                let (tenant, group, load) = (None, Some(GroupId(1)), Some(3.0));
-                self.event(Event::ConnectionRestored { request, class, tenant, group, load, server });
-            }
-            Step::Establish { index } => {
-                let waiting =
-                    |tracked: &TrackedRequest| !tracked.answered && tracked.out.is_some_and(|out| !out.open);
-                let Some(request) = self.nth_request(index, waiting) else { return };
-                let tracked = self.requests.get_mut(&request).expect("just found");
-                tracked.answered = true;
-                let Some(out) = tracked.out.as_mut() else { return };
-                out.open = true;
-                let attempt = out.number;
-                self.event(Event::ConnectionEstablished { request, attempt });
-            }
+            Step::Arrive { class, group, live_ms } => self.arrive(ClassId(class), group, live_ms * MS),
+            Step::Restore { server } => self.restore(ServerId(server)),
+            Step::Establish { index } => self.establish(index),
             Step::End { index, outcome } => {
-                if let Some(request) = self.nth_request(index, |tracked| tracked.out.is_some()) {
+                if let Some(request) = self.nth_request(index, |tracked| tracked.in_flight.is_some()) {
                     self.end(request, OUTCOMES[outcome]);
                 }
             }
@@ -312,23 +284,8 @@
                 self.requests.get_mut(&request).expect("just found").answered = true;
                 self.event(Event::ClientLeft { request });
             }
-            Step::Slow { index, ms } => {
-                if let Some(request) =
-                    self.nth_request(index, |tracked| tracked.out.is_some_and(|out| out.open))
-                {
-                    self.event(Event::ConnectionMeasured {
-                        request,
-                        measurement: Measurement::MessageTime(ms * MS),
-                    });
-                }
-            }
-            Step::Load { index, load } => {
-                if let Some(request) =
-                    self.nth_request(index, |tracked| tracked.out.is_some_and(|out| out.open))
-                {
-                    self.event(Event::ConnectionMeasured { request, measurement: Measurement::Load(load) });
-                }
-            }
+            Step::Slow { index, ms } => self.measure(index, Measurement::MessageTime(ms * MS)),
+            Step::Load { index, load } => self.measure(index, Measurement::Load(load)),
             Step::LoadReport { server, utilisation } => {
                 let report = Some(LoadReport { utilisation, connections: Some(utilisation) });
                 self.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
@@ -336,45 +293,97 @@
             Step::UpdateEndpoint { server, state, restarted, whole, weight } => {
                 let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][state];
                 let old = self.list.get(&ServerId(server)).and_then(|l| l.started);
-                let started = if restarted { Some(now) } else { old };
+                let started = if restarted { Some(self.harness.now) } else { old };
                 let entry = EndpointEntry { state, started, weight, ..Host::endpoint(server) };
-                self.list.insert(entry.server, entry);
-                let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
-                let twice = [entry, entry];
-                self.event(if whole {
-                    Event::EndpointsReplaced(&entries)
-                } else {
-                    Event::EndpointsChanged(&twice)
-                });
+                self.update_endpoint(entry, whole);
             }
             Step::FailEndpointWatch => self.event(Event::EndpointWatchFailed),
-            Step::Stray { request, attempt } => {
-                // Repeated and unknown outcomes: only for what has no attempt of that number out.
-                let request = RequestId(request);
-                let out = self.requests.get(&request).and_then(|tracked| tracked.out);
-                if out.is_none_or(|out| out.number != attempt) {
-                    let answered = self.requests.get(&request).is_none_or(|tracked| tracked.answered);
-                    self.event(Event::AttemptEnded { request, attempt, outcome: Outcome::Reset, answered });
-                    self.event(Event::ConnectionMeasured {
-                        request: RequestId(9_999),
-                        measurement: Measurement::Load(1.0),
-                    });
-                    self.event(Event::ProbeCompleted {
-                        server: ServerId(999),
-                        outcome: Outcome::Ok,
-                        report: None,
-                    });
-                }
-            }
+            Step::Stray { request, attempt } => self.hand_in_stray_events(RequestId(request), attempt),
             Step::Wait { ms } => self.wait(ms * MS),
         }
     }
 
-    /// Ends all that is out; then nothing may be held anywhere.
+    fn arrive(&mut self, class: ClassId, group: Option<u64>, live: Micros) {
+        let (request, deadline) = (self.harness.next_request(), self.harness.now.plus(live));
+        let group = group.map(GroupId);
+        let tracked = TrackedRequest {
+            class,
+            deadline,
+            answered: false,
+            attempts: 0,
+            in_flight: None,
+            may_have_run: vec![],
+        };
+        self.requests.insert(request, tracked);
+        self.event(Event::RequestArrived { request, class, tenant: None, group, load: None, deadline });
+    }
+
+    fn restore(&mut self, server: ServerId) {
+        let (request, now, class) = (self.harness.next_request(), self.harness.now, ClassId(0));
+        if self.list.contains_key(&server) {
+            let connection = InFlight { number: 0, server, sent: now, expires: now, established: true };
+            let tracked = TrackedRequest {
+                class,
+                deadline: now,
+                answered: true,
+                attempts: 1,
+                in_flight: Some(connection),
+                may_have_run: vec![],
+            };
+            self.requests.insert(request, tracked);
+        }
+        let (tenant, group, load) = (None, Some(GroupId(1)), Some(3.0));
+        self.event(Event::ConnectionRestored { request, class, tenant, group, load, server });
+    }
+
+    fn establish(&mut self, index: usize) {
+        let is_waiting = |tracked: &TrackedRequest| {
+            !tracked.answered && tracked.in_flight.is_some_and(|attempt| !attempt.established)
+        };
+        let Some(request) = self.nth_request(index, is_waiting) else { return };
+        let tracked = self.requests.get_mut(&request).expect("just found");
+        tracked.answered = true;
+        let Some(in_flight) = tracked.in_flight.as_mut() else { return };
+        in_flight.established = true;
+        let attempt = in_flight.number;
+        self.event(Event::ConnectionEstablished { request, attempt });
+    }
+
+    fn measure(&mut self, index: usize, measurement: Measurement) {
+        if let Some(request) = self.nth_request(index, TrackedRequest::is_established) {
+            self.event(Event::ConnectionMeasured { request, measurement });
+        }
+    }
+
+    /// Hands in a whole list, or one entry of it twice.
+    fn update_endpoint(&mut self, entry: EndpointEntry, whole: bool) {
+        self.list.insert(entry.server, entry);
+        let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
+        let twice = [entry, entry];
+        self.event(if whole { Event::EndpointsReplaced(&entries) } else { Event::EndpointsChanged(&twice) });
+    }
+
+    /// Repeated and unknown outcomes: only for what has no attempt of that number in flight.
+    fn hand_in_stray_events(&mut self, request: RequestId, attempt: u32) {
+        let tracked = self.requests.get(&request);
+        let in_flight = tracked.and_then(|tracked| tracked.in_flight);
+        let answered = tracked.is_none_or(|tracked| tracked.answered);
+        if in_flight.is_some_and(|in_flight| in_flight.number == attempt) {
+            return;
+        }
+        let (unknown_request, unknown_server) = (RequestId(9_999), ServerId(999));
+        let (outcome, measurement) = (Outcome::Reset, Measurement::Load(1.0));
+        self.event(Event::AttemptEnded { request, attempt, outcome, answered });
+        self.event(Event::ConnectionMeasured { request: unknown_request, measurement });
+        self.event(Event::ProbeCompleted { server: unknown_server, outcome: Outcome::Ok, report: None });
+    }
+
+    /// Ends all attempts in flight; then nothing may be held anywhere.
     fn end_all(&mut self) {
         self.wait(5 * SECOND);
-        let out: Vec<_> = self.requests.iter().filter(|(_, o)| o.out.is_some()).map(|(id, _)| *id).collect();
-        for request in out {
+        let has_attempt = |(_, tracked): &(&RequestId, &TrackedRequest)| tracked.in_flight.is_some();
+        let requests: Vec<_> = self.requests.iter().filter(has_attempt).map(|(id, _)| *id).collect();
+        for request in requests {
             self.end(request, Outcome::Ok);
         }
         for server in self.list.keys() {
