--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,17 +1,19 @@
-//! Gossip between the balancers of one tier: which server's messages are slow, which server dropped an established
-//! connection, that set-ups are slow everywhere, and, along with each such observation, the groups of some connections
-//! that are established at its sender.
+//! Gossip between the balancers of one tier: which server's messages are slow, which server dropped an
+//! established connection, that set-ups are slow everywhere, and, along with each such observation, the
+//! groups of some connections that are established at its sender.
 //!
-//! One of a hundred balancers holds a connection or two at few servers. It learns that a server is slow by placing a
-//! connection there, and all the others would learn it in the same way. So the first balancer that observes it passes it
-//! on, in one datagram to all. Messages may be lost or late, and nothing waits for one: without them each balancer learns
-//! by itself. Not every server reports its message times: a drop alone shows that a server got too much. Set-ups slow down
-//! everywhere when what all servers share is slow. The sampled groups fit into bytes that are paid for anyway: from them
-//! all balancers learn alike how large each group is, and so on how many servers it belongs.
+//! One of a hundred balancers holds a connection or two at few servers. It learns that a server is slow by
+//! placing a connection there, and all the others would learn it in the same way. So the first balancer that
+//! observes it passes it on, in one datagram to all. Messages may be lost or late, and nothing waits for one:
+//! without them each balancer learns by itself. Not every server reports its message times: a drop alone
+//! shows that a server got too much. Set-ups slow down everywhere when what all servers share is slow. The
+//! sampled groups fit into bytes that are paid for anyway: from them all balancers learn alike how large each
+//! group is, and so on how many servers it belongs.
 //!
-//! Guarantees: what is spent on messages stays a small fixed share of all worth, whatever the price and the number of
-//! balancers, and a balancer does not broadcast an observation of a server while an earlier one still holds. The module
-//! is pure: its clock is handed in. Where a new connection goes is decided by the policy alone.
+//! Guarantees: what is spent on messages stays a small fixed share of all worth, whatever the price and the
+//! number of balancers, and a balancer does not broadcast an observation of a server while an earlier one
+//! still holds. The module is pure: its clock is handed in. Where a new connection goes is decided by the
+//! policy alone.
 #![deny(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -34,7 +36,8 @@
 const MAX_CREDIT: f64 = 3.0;
 /// Distinguishes the random draws of gossip from those of the policy, which has the same seed.
 const SEED_MASK: u64 = u64::from_be_bytes(*b"the tier");
-/// The number of groups sent along with an observation: as many as fit into the bytes that are paid for at least.
+/// The number of groups sent along with an observation: as many as fit into the bytes that are paid for at
+/// least.
 pub const SAMPLE: usize = 4;
 
 /// How the balancers of a pool may gossip.
@@ -88,8 +91,8 @@
 pub struct Peers {
     config: GossipConfig,
     rng: Pcg64Mcg,
-    /// Messages that may still be sent. Part of one buys a message with that probability: where each of many balancers
-    /// serves few connections, none would ever have saved up a whole one.
+    /// Messages that may still be sent. Part of one buys a message with that probability: where each of many
+    /// balancers serves few connections, none would ever have saved up a whole one.
     credit: f64,
     /// When each subject was last observed, here or by another balancer.
     last_observed: BTreeMap<Subject, Time>,
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -13,8 +13,9 @@
         server: ServerId,
         /// Report [`Outcome::TimedOut`](crate::Outcome::TimedOut) after this time.
         timeout: Micros,
-        /// Report [`Outcome::NotSent`](crate::Outcome::NotSent) if the request could not be written in full within this
-        /// time: an earlier attempt may have run, and after it the server would not recognise the repeat.
+        /// Report [`Outcome::NotSent`](crate::Outcome::NotSent) if the request could not be written in full
+        /// within this time: an earlier attempt may have run, and after it the server would not recognise the
+        /// repeat.
         within: Option<Micros>,
     },
     /// Final answer: rejected; a retry is harmless.
@@ -46,7 +47,8 @@
         /// The server.
         server: ServerId,
     },
-    /// Connections take long to set up because of what all servers share: the other balancers may be notified.
+    /// Connections take long to set up because of what all servers share: the other balancers may be
+    /// notified.
     ReportSlowSetup,
     /// A server dropped an established connection: the other balancers may be notified.
     ReportDrop {
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -32,7 +32,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GroupId(pub u64);
 
-/// Two bytes that represent a group in gossip. Two groups have the same hash with a probability of 1 in 65,536.
+/// Two bytes that represent a group in gossip. Two groups have the same hash with a probability of 1 in
+/// 65,536.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupHash(pub u16);
 
@@ -42,8 +43,8 @@
 const HASH_SHIFT: u32 = 48;
 
 impl GroupId {
-    /// The group's hash. It goes between balancers of different versions, so it is defined here: a library's hash may
-    /// change with the library. Consecutive ids have hashes that are far apart.
+    /// The group's hash. It goes between balancers of different versions, so it is defined here: a library's
+    /// hash may change with the library. Consecutive ids have hashes that are far apart.
     pub fn short_hash(self) -> GroupHash {
         GroupHash((self.0.wrapping_mul(HASH_MULTIPLIER) >> HASH_SHIFT) as u16)
     }
--- a/src/types/load.rs
+++ b/src/types/load.rs
@@ -21,7 +21,8 @@
 }
 
 impl LoadReport {
-    /// The report, if its utilisation is finite and not negative; without its connections if only those are invalid.
+    /// The report, if its utilisation is finite and not negative; without its connections if only those are
+    /// invalid.
     pub(crate) fn validated(self) -> Option<LoadReport> {
         let is_valid = |figure: &f64| figure.is_finite() && *figure >= 0.0;
         let connections = self.connections.filter(is_valid);
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,7 +1,7 @@
 //! The vocabulary between a balancer and the program that hosts it.
 //!
-//! Time is the host's clock in whole microseconds. Zones, cells, classes and tenants are plain indices: the balancer
-//! learns nothing from their names.
+//! Time is the host's clock in whole microseconds. Zones, cells, classes and tenants are plain indices: the
+//! balancer learns nothing from their names.
 #![deny(missing_docs)]
 
 mod action;
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -87,7 +87,8 @@
     pub poll_required: bool,
     /// Without a watch, the endpoint list is polled at least this often.
     pub poll_interval: Micros,
-    /// The endpoint list is pushed to an agent beside this balancer, and what the agent has counts as notified.
+    /// The endpoint list is pushed to an agent beside this balancer, and what the agent has counts as
+    /// notified.
     pub endpoints_pushed: bool,
     /// Attempts to a server have to end within this time once its draining is notified.
     pub drain_grace: Micros,
@@ -121,9 +122,9 @@
 }
 
 impl Settings {
-    /// The waits after failed calls for the endpoint list. What an agent on the balancer's own machine has counts as
-    /// notified, whether or not a watch is open; it has to be fetched within the drain grace. One discovery for all
-    /// serves calls in turn, and calls that come too soon keep each other waiting.
+    /// The waits after failed calls for the endpoint list. What an agent on the balancer's own machine has
+    /// counts as notified, whether or not a watch is open; it has to be fetched within the drain grace. One
+    /// discovery for all serves calls in turn, and calls that come too soon keep each other waiting.
     pub(crate) fn endpoint_watch_backoff(&self) -> Backoff {
         if self.endpoints_pushed {
             return Backoff {
@@ -170,8 +171,8 @@
         2 * self.setup_objective()
     }
 
-    /// About how long a server is avoided that another balancer observed a fault of: twice the time in which the
-    /// clients that were rejected because of it come again.
+    /// About how long a server is avoided that another balancer observed a fault of: twice the time in which
+    /// the clients that were rejected because of it come again.
     pub(crate) fn peer_observation_hold(&self) -> Micros {
         2 * self.max_retry_after
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -22,8 +22,8 @@
 
 #[test]
 fn draws_servers_in_proportion_to_their_free_slots() {
-    // Weights 1 and 3 make rooms of 2 and 6 slots. Over 4,000 seeds the share of the smaller is within
-    // 0.03 of a quarter: more than four standard deviations.
+    // Weights 1 and 3 make rooms of 2 and 6 slots. Over 4,000 seeds the share of the smaller is within 0.03
+    // of a quarter: more than four standard deviations.
     let list = [EndpointEntry { weight: 1.0, ..endpoint(1) }, EndpointEntry { weight: 3.0, ..endpoint(2) }];
     let small = (0..4_000)
         .filter(|&seed| {
@@ -106,8 +106,9 @@
     assert!(idle > busy && busy > 4.0 && full <= 4.0, "{idle} {busy} {full}");
 }
 
-/// Seen on the second site (`upgrade+hand`, seed 8): reports are a second old, and each that came again set the ceiling
-/// over what was held by then, so that a host at 0.61 took ten more within 1.2 s, and was at ten times its objective.
+/// Seen on the second site (`upgrade+hand`, seed 8): reports are a second old, and each that came again set
+/// the ceiling over what was held by then, so that a host at 0.61 took ten more within 1.2 s, and was at ten
+/// times its objective.
 #[test]
 fn a_report_counts_what_was_held_when_it_was_made() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -127,7 +128,8 @@
     assert!(next < first + 3.0, "{next} after {first}");
 }
 
-/// Seen on the same site: the wait that a balancer drew before it held anything kept it from a cold host for twenty seconds.
+/// Seen on the same site: the wait that a balancer drew before it held anything kept it from a cold host for
+/// twenty seconds.
 #[test]
 fn shortens_a_slow_start_wait_once_more_is_known() {
     let cold = EndpointEntry { started: Some(START), ..endpoint(2) };
@@ -142,8 +144,8 @@
     assert!(sent.count() > 0, "nothing went to the cold server in three seconds");
 }
 
-/// Seen on the same site: clients migrated from an overloaded server when none but cold servers had room, which might
-/// take one each every few seconds; they were rejected instead.
+/// Seen on the same site: clients migrated from an overloaded server when none but cold servers had room,
+/// which might take one each every few seconds; they were rejected instead.
 #[test]
 fn does_not_migrate_for_room_that_may_not_be_used_yet() {
     let moves = |cold: bool| {
@@ -168,8 +170,8 @@
     );
 }
 
-/// Found on grown fleets: its part of the free capacity came to a tenth of a slot for a reported server, and one
-/// that had never been asked, with a few slots, attracted nearly everything.
+/// Found on grown fleets: its part of the free capacity came to a tenth of a slot for a reported server, and
+/// one that had never been asked, with a few slots, attracted nearly everything.
 #[test]
 fn one_of_many_balancers_sees_room_on_a_reported_server() {
     let mut harness = Harness::new(Settings { balancers: 600, ..settings() }, &endpoints(2));
@@ -187,7 +189,8 @@
     assert!(harness.ceiling(1) < 1.0);
 }
 
-/// Incident i213d81: a server that had dropped this balancer's last connection showed a slot free again at once.
+/// Incident i213d81: a server that had dropped this balancer's last connection showed a slot free again at
+/// once.
 #[test]
 fn a_server_that_dropped_the_last_connection_shows_less_than_a_slot() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -232,7 +235,8 @@
     assert_eq!(picks, [Some(2), Some(2), Some(2), Some(2), Some(1)]);
 }
 
-/// Incident i25fadb: each of many balancers soon forgot, and all together tried a full server without a pause.
+/// Incident i25fadb: each of many balancers soon forgot, and all together tried a full server without a
+/// pause.
 #[test]
 fn a_balancer_that_holds_little_remembers_faults_for_longer() {
     let forgives = |connections: u32| {
@@ -358,8 +362,8 @@
     assert!(!migrates_with_others_at(4, Some(SLOW)));
 }
 
-/// Seen in the simulator: messages of an ageing host took 5 to 18 times their objective for ten seconds, and of its
-/// fourteen connections one left every other second.
+/// Seen in the simulator: messages of an ageing host took 5 to 18 times their objective for ten seconds, and
+/// of its fourteen connections one left every other second.
 #[test]
 fn a_server_whose_messages_are_all_late_is_left_within_seconds() {
     let left_after = |seconds: u64, stable: u32| {
@@ -393,13 +397,14 @@
         there.len()
     };
     assert!(left_after(4, 3) <= 3);
-    // But where the others are no better that would only set off a wave: one at a time, so that messages become
-    // useful to the rest.
+    // But where the others are no better that would only set off a wave: one at a time, so that messages
+    // become useful to the rest.
     assert!((12..=13).contains(&left_after(1, 0)), "{}", left_after(1, 0));
 }
 
-/// Seen in the simulator: messages of a host that held 21 slots were late for three seconds and then fast, and its
-/// ceiling, cut anew at each message time, was 2 and stayed there: half of all requests were rejected.
+/// Seen in the simulator: messages of a host that held 21 slots were late for three seconds and then fast,
+/// and its ceiling, cut anew at each message time, was 2 and stayed there: half of all requests were
+/// rejected.
 #[test]
 fn each_message_time_measures_what_is_held_now() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -447,8 +452,8 @@
     assert!(few >= 3 && few + 1 >= all, "{few} sent with 4 left, {all} with 40");
 }
 
-/// Seen on the second site (`upgrade+hand`, seed 1): a balancer that held three of a host's connections sent a cold
-/// one a connection every nine seconds, while by their load reports twenty-eight fill one.
+/// Seen on the second site (`upgrade+hand`, seed 1): a balancer that held three of a host's connections sent
+/// a cold one a connection every nine seconds, while by their load reports twenty-eight fill one.
 #[test]
 fn a_cold_server_is_filled_by_what_reports_say_fills_one() {
     let settings = Settings { slow_start_overload_factor: 3.0, ..settings() };
@@ -494,8 +499,8 @@
     }
 }
 
-/// Incident r256aba: a balancer that had just started placed 30 of 63 returning clients at the one host of its
-/// own zone, which then dropped 21 of them at once.
+/// Incident r256aba: a balancer that had just started placed 30 of 63 returning clients at the one host of
+/// its own zone, which then dropped 21 of them at once.
 #[test]
 fn a_wave_after_a_restart_spreads_over_all_zones() {
     let settings = Settings { cross_zone_cost: 0.03, ..settings() };
@@ -506,8 +511,8 @@
     assert!((8..=28).contains(&own), "{own} of 64 in the own zone");
 }
 
-/// Seen on the simulator's days with drains and resets: six sound servers rejected nine of ten clients, since what
-/// they held had outgrown their ceilings, and nothing that was rejected could raise them.
+/// Seen on the simulator's days with drains and resets: six sound servers rejected nine of ten clients, since
+/// what they held had outgrown their ceilings, and nothing that was rejected could raise them.
 #[test]
 fn a_server_without_faults_goes_over_its_ceiling_one_connection_at_a_time() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -534,8 +539,8 @@
 
 #[test]
 fn balancers_that_hold_little_migrate_in_proportion() {
-    // Incident i4bed73: eighteen balancers with one connection each emptied every overloaded server. An eighth
-    // of them migrates at each message time; over 2,000 seeds within 0.04, five standard deviations.
+    // Incident i4bed73: eighteen balancers with one connection each emptied every overloaded server. An
+    // eighth of them migrates at each message time; over 2,000 seeds within 0.04, five standard deviations.
     let migrations = (0..2_000)
         .filter(|&seed| {
             let mut harness = Harness::seeded(settings(), &endpoints(2), seed);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,9 +7,9 @@
 use common::*;
 use connection_balancer::*;
 
-/// Seen on the simulator's days at size: after a restart of most balancers discovery answered nobody for ten seconds.
-/// It serves calls one after another, also those whose callers it has rejected meanwhile, and all that
-/// failed asked again within two and a half seconds.
+/// Seen on the simulator's days at size: after a restart of most balancers discovery answered nobody for ten
+/// seconds. It serves calls one after another, also those whose callers it has rejected meanwhile, and all
+/// that failed asked again within two and a half seconds.
 #[test]
 fn a_hundred_balancers_that_start_together_all_get_the_list_in_time() {
     const SERVICE: u64 = 50 * MS;
@@ -86,8 +86,8 @@
     }
 }
 
-/// A fleet before servers that share one session store. The store serves set-ups in turn, also those that nobody waits
-/// for any more, and errs at whatever comes while its queue is full.
+/// A fleet before servers that share one session store. The store serves set-ups in turn, also those that
+/// nobody waits for any more, and errs at whatever comes while its queue is full.
 struct SharedStore {
     config: StoreConfig,
     fleet: Vec<Harness>,
@@ -197,9 +197,9 @@
     }
 }
 
-/// Seen on the simulator's days at size: while many reconnected, set-ups took over a second each in the session store
-/// that all hosts share. Given up after half of their client's time they were tried elsewhere and were in the store's
-/// queue twice; established connections fell from 170 to 50 and did not come back.
+/// Seen on the simulator's days at size: while many reconnected, set-ups took over a second each in the
+/// session store that all hosts share. Given up after half of their client's time they were tried elsewhere
+/// and were in the store's queue twice; established connections fell from 170 to 50 and did not come back.
 #[test]
 fn serves_a_burst_as_fast_as_the_shared_session_store_allows() {
     let mut store =
@@ -212,10 +212,10 @@
     );
 }
 
-/// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): for five seconds set-ups took 1.3 to 2.2 s at the
-/// median in the session store's queue, so that most with little time were served in vain, and came again. On
-/// `roll+mass`, seed 1, it erred at once at all hosts alike, and each client was tried at six. Four hundred a second
-/// come here; the store serves eighty, and has a queue of two seconds.
+/// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): for five seconds set-ups took 1.3
+/// to 2.2 s at the median in the session store's queue, so that most with little time were served in vain,
+/// and came again. On `roll+mass`, seed 1, it erred at once at all hosts alike, and each client was tried at
+/// six. Four hundred a second come here; the store serves eighty, and has a queue of two seconds.
 #[test]
 fn an_overloaded_session_store_empties_its_queue() {
     let outcome = |gossips: bool| {
@@ -244,9 +244,10 @@
     );
 }
 
-/// Seen on harbour-relay (`join+mass`, seed 411): clients wait 500 to 700 ms, are tried once and come again at once, and
-/// balancers do not gossip. Once the store's queue was longer than that, no connection was established for the rest of
-/// the day: each balancer's admission rate rose as fast as its few attempts cut it.
+/// Seen on harbour-relay (`join+mass`, seed 411): clients wait 500 to 700 ms, are tried once and come again
+/// at once, and balancers do not gossip. Once the store's queue was longer than that, no connection was
+/// established for the rest of the day: each balancer's admission rate rose as fast as its few attempts cut
+/// it.
 #[test]
 fn empties_a_queue_longer_than_clients_wait_though_they_retry_without_end() {
     let mut settings = Settings { balancers: 300, max_attempts: 1, ..settings() };
@@ -274,8 +275,8 @@
     assert!((8..=32).contains(&sent), "{sent} of 40 were sent on");
 }
 
-/// Lists and settings that make little sense each get a definite answer at once: a server that takes new connections,
-/// or a rejection.
+/// Lists and settings that make little sense each get a definite answer at once: a server that takes new
+/// connections, or a rejection.
 #[test]
 fn answers_definitely_for_odd_lists_and_numbers_of_balancers() {
     let odd = |change: fn(&mut EndpointEntry)| -> Vec<EndpointEntry> {
@@ -322,9 +323,10 @@
     }
 }
 
-/// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): 978 connections of 38 groups, on 158 pairs of
-/// group and host at first, were 766 on 458 pairs twenty seconds later. Each host that holds any of a group pays three
-/// mean loads for it. Balancers that learned of slow hosts kept to the few where they held something, whatever came.
+/// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): 978 connections of 38 groups, on
+/// 158 pairs of group and host at first, were 766 on 458 pairs twenty seconds later. Each host that holds any
+/// of a group pays three mean loads for it. Balancers that learned of slow hosts kept to the few where they
+/// held something, whatever came.
 #[test]
 fn three_hundred_balancers_keep_a_group_on_as_few_hosts_as_it_fills() {
     const HOSTS: u32 = 60;
@@ -362,8 +364,8 @@
     assert!(small <= 30 * 5, "{small} pairs of group and host for 30 groups that fit on one each");
 }
 
-/// What goes to each cold host in each second, where half of the hosts of a fleet have just been replaced and so many
-/// connections come a second; of ones without a group, so that each takes one slot.
+/// What goes to each cold host in each second, where half of the hosts of a fleet have just been replaced and
+/// so many connections come a second; of ones without a group, so that each takes one slot.
 fn sent_to_cold(settings: &Settings, hosts: u32, held: u32, come: usize, seconds: usize) -> Vec<Vec<usize>> {
     let list = endpoints(hosts);
     let seeded = |n: u32| Harness::seeded(settings.clone(), &list, n.into());
@@ -403,10 +405,11 @@
     to_cold
 }
 
-/// Seen on the simulator's days with 300 balancers (`join+mass`, seed 202): while 25 to 49 of 70 hosts were cold, one to six
-/// of a hundred connections a second went to any of them, and the 20 warm ones dropped 50 to 80 a second. Each balancer
-/// had saved up a three-hundredth of a cold host's budget, which went unused at nearly all of them. And rule 4: cold hosts
-/// get no more than their budgets, all balancers together, however many come.
+/// Seen on the simulator's days with 300 balancers (`join+mass`, seed 202): while 25 to 49 of 70 hosts were
+/// cold, one to six of a hundred connections a second went to any of them, and the 20 warm ones dropped 50 to
+/// 80 a second. Each balancer had saved up a three-hundredth of a cold host's budget, which went unused at
+/// nearly all of them. And rule 4: cold hosts get no more than their budgets, all balancers together, however
+/// many come.
 #[test]
 fn three_hundred_balancers_use_the_budgets_of_cold_hosts_and_not_more() {
     let settings =
@@ -416,8 +419,8 @@
         let all: usize = to_cold.iter().flatten().sum();
         assert!(all >= least, "{all} of {} went to cold hosts", come * 6);
         for second in 0..5 {
-            // Hosts held 15 each. A cold one has 0.3 of its capacity, all after 10 s, and bears four times as much as fills
-            // it within that time.
+            // Hosts held 15 each. A cold one has 0.3 of its capacity, all after 10 s, and bears four times as
+            // much as fills it within that time.
             let warmth = 0.3 + 0.07 * second as f64;
             let budget = 2.0 * warmth * 4.0 * 15.0 / 10.0;
             let window: Vec<usize> =
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// What is spent stays a hundredth of the worth of all connections, over all balancers, however many servers are slow, and
-/// of many balancers that hold little some can always send.
+/// What is spent stays a hundredth of the worth of all connections, over all balancers, however many servers
+/// are slow, and of many balancers that hold little some can always send.
 #[test]
 fn established_connections_pay_for_messages() {
     for (balancers, price) in [(100, 0.01), (3, 0.01), (100, 0.5)] {
@@ -77,8 +77,8 @@
     }
 }
 
-/// Seen on the simulator's days at size: each of a hundred balancers found out by itself that a server was slow, by placing
-/// somebody there.
+/// Seen on the simulator's days at size: each of a hundred balancers found out by itself that a server was
+/// slow, by placing somebody there.
 #[test]
 fn a_hundred_balancers_avoid_a_reported_server_and_do_not_all_return_at_once() {
     let settings = Settings { balancers: 100, max_retry_after: SECOND, ..settings() };
@@ -108,9 +108,9 @@
     assert!(with[back] <= 20, "{with:?}");
 }
 
-/// Seen on the simulator's days with 300 balancers (`roll+mass`, seed 202), where servers report no message times: one
-/// server dropped all that it held fourteen times in 19 s, and within a second or two each time the others, which
-/// had learned nothing, had filled it again.
+/// Seen on the simulator's days with 300 balancers (`roll+mass`, seed 202), where servers report no message
+/// times: one server dropped all that it held fourteen times in 19 s, and within a second or two each time
+/// the others, which had learned nothing, had filled it again.
 #[test]
 fn each_reported_drop_halves_what_all_balancers_send_to_a_server() {
     let settings = Settings { balancers: 300, max_retry_after: SECOND, ..settings() };
