--- /dev/null
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -0,0 +1,72 @@
+//! The instances that one process runs, and the frame of messages that it is in.
+
+use std::collections::BTreeMap;
+
+use connection_balancer::{Action, Time};
+
+use crate::instance::Instance;
+use crate::message::{InstanceEvent, Message, ZonedEntry, MAX_ENDPOINT_SETS};
+use crate::reply;
+
+/// Passes messages to the instances and prints their actions.
+#[derive(Default)]
+pub struct Adapter {
+    now: Time,
+    instances: BTreeMap<u32, Instance>,
+    /// The instance that messages are for.
+    selected: u32,
+    endpoint_sets: [Vec<ZonedEntry>; MAX_ENDPOINT_SETS],
+    /// The endpoint set that entries are added to.
+    current_set: usize,
+    actions: Vec<Action>,
+    /// The instance whose actions were printed last in this reply.
+    speaker: Option<u32>,
+}
+
+impl Adapter {
+    /// Takes in a message and appends what it leads to to the reply.
+    pub fn handle_message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) {
+        match message {
+            Message::FrameStarted(now) => self.now = now,
+            Message::FrameEnded => {
+                self.speaker = None;
+                reply::print_end(reply);
+            }
+            Message::InstanceSelected(instance) => self.selected = instance,
+            Message::InstanceStarted { seed, config } => {
+                self.instances.insert(self.selected, Instance::start(self.now, *config, seed));
+            }
+            Message::InstanceKilled => {
+                self.instances.remove(&self.selected);
+            }
+            Message::EndpointSetStarted { set } => {
+                self.endpoint_sets[set].clear();
+                self.current_set = set;
+            }
+            Message::EndpointSetEntry(entry) => self.endpoint_sets[self.current_set].push(entry),
+            Message::InstanceEvent(event) => self.handle_event(event, reply),
+            Message::Unknown => {}
+        }
+    }
+
+    /// Passes an event to the selected instance and prints its actions.
+    fn handle_event(&mut self, event: InstanceEvent<'_>, reply: &mut Vec<u8>) {
+        let Some(instance) = self.instances.get_mut(&self.selected) else { return };
+        let request = instance.handle_event(self.now, event, &self.endpoint_sets, &mut self.actions);
+        if self.speaker != Some(self.selected) && !self.actions.is_empty() {
+            self.speaker = Some(self.selected);
+            reply::print_speaker(reply, self.selected);
+        }
+        for action in &self.actions {
+            reply::print_action(reply, action, |request| instance.request_name(request));
+        }
+        for action in self.actions.drain(..) {
+            if let Action::Reject { request, .. } | Action::Fail { request } = action {
+                instance.forget_untracked(request);
+            }
+        }
+        if let Some(request) = request {
+            instance.forget_untracked(request);
+        }
+    }
+}
--- a/src/rebalance/config.rs
+++ b/src/rebalance/config.rs
@@ -1,4 +1,4 @@
-//! What the operator and the pool's settings say about moves for balance.
+//! The settings of moves for balance: the operator's, and those of the pool.
 
 use crate::Micros;
 
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -167,7 +167,7 @@
         at: view::Connection,
         setup: Option<Micros>,
     ) {
-        // At a slow server a setup is slow too, which says nothing of the session store.
+        // At a slow server a setup is slow too, which shows nothing of the session store.
         if let Some(took) = setup.filter(|_| !self.view.reported_slow(now, at.server)) {
             self.rate.on_setup(now, took);
         }
--- a/src/rebalance/room.rs
+++ b/src/rebalance/room.rs
@@ -10,12 +10,12 @@
 const MIN_ROOM_DEVIATIONS_RECENT_START: f64 = 1.0;
 /// ...and any other.
 const MIN_ROOM_DEVIATIONS: f64 = 3.0;
-/// A server with a fault more recent than this has no room, whatever its ceiling says.
+/// A server with a fault more recent than this has no room, whatever its ceiling is.
 const FAULT_COOLDOWN: Micros = 5_000_000;
 /// Room of a server that is warming up: what fills it in so many seconds.
 const WARMING_ROOM_SECONDS: f64 = 2.0;
 
-/// Whether a server has started recently and has shown no fault: its low ceiling then only says that nothing is known
+/// Whether a server has started recently and has shown no fault: its low ceiling then only means that nothing is known
 /// of what it can hold.
 pub fn has_unknown_capacity(view: &View, now: Time, server: &ServerSnapshot) -> bool {
     started_recently(now, server)
--- a/src/rebalance/setup_times.rs
+++ b/src/rebalance/setup_times.rs
@@ -17,7 +17,7 @@
 /// Slow setups count as normal again below this share of both limits.
 const RECOVERED_SHARE: f64 = 0.6;
 
-/// The mean setup times, in microseconds, and what they say of the store.
+/// The mean setup times, in microseconds, and what they show of the store.
 #[derive(Debug)]
 pub(super) struct SetupTimes {
     objective_micros: f64,
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -679,7 +679,7 @@
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
         connections.push(connection);
     }
-    // The last server has restarted: the endpoint list says that it started just now.
+    // The last server has restarted: by the endpoint list it started just now.
     harness.restarted(4);
     (harness, connections)
 }
