--- a/simulation/src/clients.rs
+++ b/simulation/src/clients.rs
@@ -1,89 +1,196 @@
-//! Clients, drawn before the day: when they come, how long they want their connection, what it asks of a server.
+//! Clients, drawn before the day: when they arrive, how long they want their connection, what load it has.
 
+use connection_balancer::Micros;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{World, SECOND};
+use crate::deployment::{Deployment, GroupSize, SECOND};
+use crate::server::GROUP_LOADS;
 
-/// Worth a second, message objective, wait, share of arrivals and mean load of each class; the shop's two.
-pub const CLASSES: [(f64, f64, u64, f64, f64); 2] =
-    [(3.0, 100_000.0, 3_200_000, 0.58, 1.3), (2.0, 250_000.0, 1_200_000, 0.42, 0.45)];
-/// Aims for setting a connection up, in microseconds.
-pub const SETUP_AIMS: [u64; 2] = [800_000, 300_000];
+/// Mean and standard deviation of the logarithm of a connection's load, over its class's mean.
+const LOAD_LOG_MEAN: f64 = -0.08;
+const LOAD_LOG_DEVIATION: f64 = 0.4;
+/// The most load of a connection.
+const MAX_LOAD: f64 = 6.0;
+/// The members of a group arrive within so many seconds.
+const GROUP_ARRIVAL_SECONDS: f64 = 3.0;
+/// The least time that a client wants its connection for, in seconds.
+const MIN_LIFETIME_SECONDS: f64 = 0.5;
+/// Servers that pay for a group on average: its members are mostly together, and split over some servers.
+const SERVERS_PER_GROUP: f64 = 1.5;
+
+/// A class of connections.
+#[derive(Clone, Copy, Debug)]
+pub struct ClassProfile {
+    /// Its name.
+    pub name: &'static str,
+    /// The value of one second of its service.
+    pub priority_weight: f64,
+    /// Objective for a message, in microseconds.
+    pub message_objective_micros: f64,
+    /// Objective for setting a connection up.
+    pub setup_objective: Micros,
+    /// How long clients wait for a connection.
+    pub max_wait: Micros,
+    /// Share of all arrivals.
+    pub arrival_share: f64,
+    /// Mean load of a connection.
+    pub mean_load: f64,
+}
+
+/// The shop's two classes.
+pub const CLASSES: [ClassProfile; 2] = [
+    ClassProfile {
+        name: "stock-feed",
+        priority_weight: 3.0,
+        message_objective_micros: 100_000.0,
+        setup_objective: 800_000,
+        max_wait: 3_200_000,
+        arrival_share: 0.58,
+        mean_load: 1.3,
+    },
+    ClassProfile {
+        name: "wallet",
+        priority_weight: 2.0,
+        message_objective_micros: 250_000.0,
+        setup_objective: 300_000,
+        max_wait: 1_200_000,
+        arrival_share: 0.42,
+        mean_load: 0.45,
+    },
+];
 
 /// One client, who wants one connection.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// When it comes; 0 for those who stand at the start.
-    pub from: u64,
+    /// When it arrives; 0 for those that are connected at the start.
+    pub from: Micros,
     /// Until when it wants its connection.
-    pub until: u64,
-    /// Class.
+    pub until: Micros,
+    /// Index of its class in [`CLASSES`].
     pub class: usize,
     /// Load, 1 being about the mean.
     pub load: f64,
     /// Group.
     pub group: Option<u64>,
-    /// Stood at the start.
-    pub stood: bool,
+    /// Whether it is connected at the start.
+    pub connected_at_start: bool,
+}
+
+/// Draws clients group by group.
+struct ClientGenerator {
+    rng: Pcg64Mcg,
+    lifetime: LogNormal<f64>,
+    /// Mean of the lifetimes that are met at a point in time, over the mean of all.
+    length_bias: f64,
+    load: LogNormal<f64>,
+    group_size: GroupSize,
+    groups: u64,
+    clients: Vec<Client>,
 }
 
-/// All clients of a day, in the order in which they come.
-pub fn draw(world: &World, seed: u64) -> Vec<Client> {
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let (mean, sigma) = world.life;
-    let life = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).expect("a finite deviation");
-    let load = LogNormal::new(-0.08, 0.4).expect("a finite deviation");
-    let mean_load: f64 = CLASSES.iter().map(|(_, _, _, share, load)| share * load).sum();
-    // Groups add to the load of servers: about two mean connections and a half for each group there is, since they
-    // mostly stand together, and split over some servers.
-    let size = (world.groups.0 + world.groups.1) as f64 / 2.0;
-    let per_connection =
-        mean_load + if world.groups.1 > 1 { 1.5 * crate::server::GROUP_LOADS / size } else { 0.0 };
-    let standing = world.servers as f64 * world.capacity * world.used / per_connection;
-    let rate = standing / mean;
-    let gap = Exp::new(rate / size).expect("a positive rate");
-    let end = world.seconds * SECOND;
-    let mut clients = Vec::new();
-    let mut group = 0;
-    let mut batch = |clients: &mut Vec<Client>, at: f64, old: bool, rng: &mut Pcg64Mcg| {
-        let count = rng.random_range(world.groups.0..=world.groups.1);
-        group += 1;
-        for n in 0..count {
-            let class = usize::from(rng.random_bool(CLASSES[1].3));
-            // A group comes within a few seconds.
-            let from = at + if n == 0 { 0.0 } else { rng.random_range(0.0..3.0) };
-            let lives = life.sample(rng);
-            // What stands is met with a length in proportion to its life, at a random point of it.
-            let left = if old { lives * (1.0 + sigma * sigma).sqrt() * rng.random::<f64>() } else { lives };
-            clients.push(Client {
-                from: (from * 1e6) as u64,
-                until: ((from + left.max(0.5)) * 1e6) as u64,
-                class,
-                load: (CLASSES[class].4 * load.sample(rng)).min(6.0),
-                group: (count > 1).then_some(group),
-                stood: old,
-            });
+impl ClientGenerator {
+    fn new(deployment: &Deployment, seed: u64) -> ClientGenerator {
+        let mean = deployment.lifetime.mean_seconds;
+        let sigma = deployment.lifetime.log_deviation;
+        let lifetime =
+            LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).expect("a finite deviation of lifetimes");
+        let load = LogNormal::new(LOAD_LOG_MEAN, LOAD_LOG_DEVIATION).expect("a finite deviation of loads");
+        ClientGenerator {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            lifetime,
+            length_bias: (1.0 + sigma * sigma).sqrt(),
+            load,
+            group_size: deployment.group_size,
+            groups: 0,
+            clients: Vec::new(),
+        }
+    }
+
+    /// Draws the clients of a group, the first of which arrives after so many seconds.
+    fn draw_group(&mut self, at_seconds: f64, connected_at_start: bool) {
+        let size = self.rng.random_range(self.group_size.min..=self.group_size.max);
+        self.groups += 1;
+        let group = (size > 1).then_some(self.groups);
+        for member in 0..size {
+            let client = self.draw_client(at_seconds, member, group, connected_at_start);
+            self.clients.push(client);
         }
-    };
-    while (clients.len() as f64) < standing {
-        batch(&mut clients, 0.0, true, &mut rng);
     }
-    clients.iter_mut().for_each(|client| client.from = 0);
-    let mut at = 0.0;
+
+    fn draw_client(
+        &mut self,
+        group_seconds: f64,
+        member: usize,
+        group: Option<u64>,
+        connected_at_start: bool,
+    ) -> Client {
+        let class = usize::from(self.rng.random_bool(CLASSES[1].arrival_share));
+        let delay = if member == 0 { 0.0 } else { self.rng.random_range(0.0..GROUP_ARRIVAL_SECONDS) };
+        let from = group_seconds + delay;
+        let lifetime = self.lifetime.sample(&mut self.rng);
+        // An established connection is met with a probability in proportion to its lifetime, at a random point of it.
+        let remaining = if connected_at_start {
+            lifetime * self.length_bias * self.rng.random::<f64>()
+        } else {
+            lifetime
+        };
+        let load = (CLASSES[class].mean_load * self.load.sample(&mut self.rng)).min(MAX_LOAD);
+        Client {
+            from: (from * 1e6) as Micros,
+            until: ((from + remaining.max(MIN_LIFETIME_SECONDS)) * 1e6) as Micros,
+            class,
+            load,
+            group,
+            connected_at_start,
+        }
+    }
+}
+
+/// All clients of a day, in the order in which they arrive.
+///
+/// # Panics
+///
+/// If the deployment's lifetimes, sizes or shares are not finite and positive.
+pub fn draw(deployment: &Deployment, seed: u64) -> Vec<Client> {
+    let connections = mean_connections(deployment);
+    let connections_per_s = connections / deployment.lifetime.mean_seconds;
+    let group_gap =
+        Exp::new(connections_per_s / deployment.group_size.mean()).expect("a positive rate of groups");
+    let mut generator = ClientGenerator::new(deployment, seed);
+    while (generator.clients.len() as f64) < connections {
+        generator.draw_group(0.0, true);
+    }
+    generator.clients.iter_mut().for_each(|client| client.from = 0);
+    let end = deployment.seconds * SECOND;
+    let mut at_seconds = 0.0;
     loop {
-        at += gap.sample(&mut rng);
-        if at * 1e6 >= end as f64 {
+        at_seconds += group_gap.sample(&mut generator.rng);
+        if at_seconds * 1e6 >= end as f64 {
             break;
         }
-        batch(&mut clients, at, false, &mut rng);
+        generator.draw_group(at_seconds, false);
     }
+    let mut clients = generator.clients;
     clients.sort_by_key(|client| client.from);
     clients
 }
 
-/// Clients a second that come to this world, on the mean.
-pub fn rate(clients: &[Client], world: &World) -> f64 {
-    clients.iter().filter(|client| !client.stood).count() as f64 / world.seconds as f64
+/// The mean number of connections that clients want at a time.
+fn mean_connections(deployment: &Deployment) -> f64 {
+    let mean_load: f64 = CLASSES.iter().map(|class| class.arrival_share * class.mean_load).sum();
+    let group_load = if deployment.group_size.has_groups() {
+        SERVERS_PER_GROUP * GROUP_LOADS / deployment.group_size.mean()
+    } else {
+        0.0
+    };
+    let total_capacity = deployment.servers as f64 * deployment.server_capacity;
+    total_capacity * deployment.demand_share / (mean_load + group_load)
+}
+
+/// Clients that arrive in a second of this day, on average.
+pub fn arrivals_per_s(clients: &[Client], deployment: &Deployment) -> f64 {
+    let arrivals = clients.iter().filter(|client| !client.connected_at_start).count();
+    arrivals as f64 / deployment.seconds as f64
 }
--- /dev/null
+++ b/simulation/src/commands/day.rs
@@ -0,0 +1,64 @@
+//! One day, second by second.
+
+use argh::FromArgs;
+use simulation::comparison::with_rebalancing;
+use simulation::day::{play, DayResult};
+use simulation::deployment::Deployment;
+use simulation::scenario::{Scenario, ALL_SCENARIOS};
+use simulation::session_store::StoreCondition;
+
+/// One day, second by second.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "day")]
+pub struct DayArgs {
+    /// scenario, such as ServerRestart
+    #[argh(positional)]
+    scenario: String,
+    /// seed (default: 0)
+    #[argh(option, default = "0")]
+    seed: u64,
+    /// share of capacity that clients ask for (default: 0.72)
+    #[argh(option, default = "0.72", long = "used")]
+    demand_share: f64,
+    /// most moves a second; 0 for rebalancing off (default: 2)
+    #[argh(option, default = "2.0", long = "most")]
+    max_moves_per_s: f64,
+}
+
+fn find_scenario(name: &str) -> Option<Scenario> {
+    ALL_SCENARIOS.into_iter().find(|scenario| format!("{scenario:?}").eq_ignore_ascii_case(name))
+}
+
+/// Plays and prints a day; whether no invariant was violated.
+pub fn run_day(args: &DayArgs) -> bool {
+    let Some(scenario) = find_scenario(&args.scenario) else {
+        eprintln!("no scenario is called {}: one of {ALL_SCENARIOS:?} is wanted", args.scenario);
+        return false;
+    };
+    let mut deployment = Deployment { demand_share: args.demand_share, ..Deployment::default() };
+    if args.max_moves_per_s > 0.0 {
+        deployment = with_rebalancing(&deployment, args.max_moves_per_s);
+    }
+    let result = play(&deployment, scenario, StoreCondition::Normal, args.seed);
+    for second in 0..result.quality.len() {
+        print_second(&result, second);
+    }
+    println!(
+        "served value {:.4}, {} moves, {} for balance",
+        result.served_value, result.migrations, result.migrations_for_balance
+    );
+    println!("{} rejected, violations {:?}", result.rejected, result.violations);
+    result.violations.is_empty()
+}
+
+fn print_second(result: &DayResult, second: usize) {
+    let samples = result.servers[second].iter();
+    let servers: Vec<String> =
+        samples.map(|server| format!("{}/{:.0}", server.connections, server.message_millis)).collect();
+    println!("{}", servers.join(" "));
+    let hold_reason = result.hold_reasons[second].map_or(String::new(), |reason| reason.to_string());
+    println!(
+        "{second:3} s  served {:.3}  spread {:.2}  rate {:.2}  {hold_reason}",
+        result.quality[second], result.spread[second], result.rates[second]
+    );
+}
--- /dev/null
+++ b/simulation/src/commands/faults.rs
@@ -0,0 +1,68 @@
+//! Rebalancing off against on, for every scenario.
+
+use argh::FromArgs;
+use simulation::comparison::{grid_deployment, play_days, with_rebalancing, Comparison, GRID_GROUP_SIZES};
+use simulation::deployment::{Deployment, Lifetime};
+use simulation::scenario::{Scenario, ALL_SCENARIOS};
+use simulation::session_store::StoreCondition;
+
+use super::parallel::map_parallel;
+use super::table::{print_header, print_row};
+
+/// Rebalancing off against on, for every scenario of faults.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "troubles")]
+pub struct FaultsArgs {
+    /// pairs for each cell (default: 20)
+    #[argh(option, default = "20")]
+    seeds: u64,
+    /// most moves a second (default: 2)
+    #[argh(option, default = "2.0", long = "most")]
+    max_moves_per_s: f64,
+    /// mean lifetime of a connection in seconds (default: 40)
+    #[argh(option, default = "40.0", long = "life")]
+    mean_lifetime_seconds: f64,
+    /// servers do not report how long messages take
+    #[argh(switch)]
+    silent: bool,
+    /// share of capacity that clients ask for (default: 0.72)
+    #[argh(option, default = "0.72", long = "used")]
+    demand_share: f64,
+}
+
+struct FaultsJob {
+    deployment: Deployment,
+    scenario: Scenario,
+}
+
+fn faults_jobs(args: &FaultsArgs) -> Vec<FaultsJob> {
+    let mut jobs = Vec::new();
+    for group_size in GRID_GROUP_SIZES {
+        for scenario in ALL_SCENARIOS {
+            let deployment = Deployment {
+                reports_message_time: !args.silent,
+                demand_share: args.demand_share,
+                lifetime: Lifetime { mean_seconds: args.mean_lifetime_seconds, log_deviation: 1.0 },
+                ..grid_deployment(group_size)
+            };
+            jobs.push(FaultsJob { deployment, scenario });
+        }
+    }
+    jobs
+}
+
+/// Prints the table; whether rebalancing did no harm and violated no invariant.
+pub fn run_faults(args: &FaultsArgs) -> bool {
+    let jobs = faults_jobs(args);
+    let comparisons = map_parallel(&jobs, |FaultsJob { deployment, scenario }| {
+        let rebalancing = with_rebalancing(deployment, args.max_moves_per_s);
+        let off = play_days(deployment, *scenario, StoreCondition::Normal, 0..args.seeds);
+        let on = play_days(&rebalancing, *scenario, StoreCondition::Normal, 0..args.seeds);
+        Comparison::new(&off, &on)
+    });
+    print_header();
+    for (FaultsJob { deployment, scenario }, comparison) in jobs.iter().zip(&comparisons) {
+        print_row(&format!("{scenario:?}, groups to {}", deployment.group_size.max), comparison);
+    }
+    comparisons.iter().all(|comparison| comparison.harmless() && comparison.violations.is_empty())
+}
--- /dev/null
+++ b/simulation/src/day/balancer.rs
@@ -0,0 +1,84 @@
+//! A balancer: a real reducer, and the connections that it holds.
+
+use std::collections::BTreeMap;
+
+use connection_balancer::routing::{ConnectionId, State};
+use connection_balancer::Micros;
+
+use super::Day;
+use crate::invariants::ConnectionRef;
+use crate::pool::new_reducer;
+
+/// Factors that derive a balancer's seed from the day's.
+const DAY_SEED_FACTOR: u64 = 1_000_003;
+const BALANCER_SEED_FACTOR: u64 = 101;
+
+/// A process of a balancer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct BalancerRef {
+    pub(super) index: usize,
+    pub(super) incarnation: u64,
+}
+
+/// A connection that a balancer holds.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HeldConnection {
+    pub(super) client: usize,
+    /// The server of its attempt, once that is being set up.
+    pub(super) server: Option<usize>,
+}
+
+/// A balancer.
+pub(super) struct Balancer {
+    pub(super) state: State,
+    pub(super) up: bool,
+    /// Numbers its processes.
+    pub(super) incarnation: u64,
+    pub(super) connections: BTreeMap<ConnectionId, HeldConnection>,
+    last_connection: u64,
+    /// When its timer is due.
+    pub(super) next_due: Option<Micros>,
+    pub(super) died_at: Micros,
+}
+
+impl Balancer {
+    pub(super) fn reference(&self, index: usize) -> BalancerRef {
+        BalancerRef { index, incarnation: self.incarnation }
+    }
+
+    pub(super) fn connection_ref(&self, index: usize, connection: ConnectionId) -> ConnectionRef {
+        ConnectionRef { balancer: index, incarnation: self.incarnation, connection }
+    }
+
+    /// Adds a connection for a client.
+    pub(super) fn add_connection(&mut self, client: usize) -> ConnectionId {
+        self.last_connection += 1;
+        let connection = ConnectionId(self.last_connection);
+        self.connections.insert(connection, HeldConnection { client, server: None });
+        connection
+    }
+}
+
+impl Day<'_> {
+    /// A balancer that knows its settings and nothing else.
+    pub(super) fn new_balancer(&self, index: usize, incarnation: u64) -> Balancer {
+        let day_seed = self.seed.wrapping_mul(DAY_SEED_FACTOR);
+        let seed = day_seed.wrapping_add(index as u64 * BALANCER_SEED_FACTOR + incarnation);
+        Balancer {
+            state: new_reducer(self.deployment, seed, self.now),
+            up: true,
+            incarnation,
+            connections: BTreeMap::new(),
+            last_connection: 0,
+            next_due: None,
+            died_at: 0,
+        }
+    }
+}
+
+impl ConnectionRef {
+    /// The process that holds the connection.
+    pub(super) fn balancer_ref(self) -> BalancerRef {
+        BalancerRef { index: self.balancer, incarnation: self.incarnation }
+    }
+}
--- /dev/null
+++ b/simulation/src/idle_balancer.rs
@@ -0,0 +1,72 @@
+//! A balancer that only holds connections, for measuring what that costs.
+
+use connection_balancer::rebalance::RebalanceConfig;
+use connection_balancer::routing::{reduce, ConnectionId, ConnectionRequest, Input, Lifecycle, State};
+use connection_balancer::Micros;
+
+use crate::clients::CLASSES;
+use crate::deployment::{Deployment, SECOND};
+use crate::pool::{endpoint, from_clock, new_reducer, server_name, to_clock, MEAN_LOAD_MICROS_PER_S};
+
+const SERVERS: usize = 20;
+const SEED: u64 = 1;
+
+/// One reducer that holds connections at twenty servers, a little unevenly, and gets no input but time.
+pub struct IdleBalancer {
+    state: State,
+    now: Micros,
+}
+
+impl IdleBalancer {
+    /// A reducer with so many connections, with rebalancing enabled or not.
+    pub fn new(connections: usize, rebalance: bool) -> IdleBalancer {
+        let deployment = Deployment {
+            servers: SERVERS,
+            balancers: 1,
+            rebalance: RebalanceConfig { enabled: rebalance, ..RebalanceConfig::default() },
+            ..Deployment::default()
+        };
+        let mut balancer = IdleBalancer { state: new_reducer(&deployment, SEED, 0), now: 0 };
+        balancer.feed(Input::EndpointsUpdated {
+            pool: 0,
+            whole: true,
+            endpoints: (0..SERVERS).map(|server| endpoint(server, Lifecycle::Ready, None)).collect(),
+        });
+        for n in 0..connections {
+            balancer.establish(n);
+        }
+        balancer
+    }
+
+    fn establish(&mut self, n: usize) {
+        let connection = ConnectionId(n as u64);
+        // The first server has a third more than its share, so that all of its connections are examined.
+        let server = if n % SERVERS == SERVERS - 1 && n.is_multiple_of(3) { 0 } else { n % SERVERS };
+        let ask = ConnectionRequest {
+            class: CLASSES[0].name.to_owned(),
+            established_at: Some(server_name(server)),
+            key: Some(n as u64),
+            ..ConnectionRequest::default()
+        };
+        let load = MEAN_LOAD_MICROS_PER_S * (0.5 + (n % 7) as f64 / 6.0);
+        self.feed(Input::ClientConnected { connection, pool: 0 });
+        self.feed(Input::ConnectionRequested { connection, ask });
+        self.feed(Input::RequestForwarded { connection, attempt: 0 });
+        self.feed(Input::AttemptAccepted { connection, attempt: 0 });
+        self.feed(Input::LoadReported { connection, load });
+    }
+
+    fn feed(&mut self, input: Input) {
+        reduce(&mut self.state, to_clock(self.now), input);
+    }
+
+    /// Lets so many seconds pass.
+    pub fn run_seconds(&mut self, seconds: u64) {
+        let end = self.now + seconds * SECOND;
+        while let Some(due) = self.state.next_due().map(from_clock).filter(|due| *due < end) {
+            self.now = due.max(self.now + 1);
+            self.feed(Input::TimerFired);
+        }
+        self.now = end;
+    }
+}
--- /dev/null
+++ b/simulation/src/invariants.rs
@@ -0,0 +1,154 @@
+//! What may never happen, checked from outside: by what was sent and answered, not by what the program assumes.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
+
+use connection_balancer::routing::ConnectionId;
+use connection_balancer::Micros;
+
+/// A server gets no new attempt this long after the balancer was notified that it is draining.
+const DRAIN_GRACE: Micros = 250_000;
+/// The most attempts of a request.
+const MAX_ATTEMPTS: u32 = 6;
+/// A cold server can take so many times its warm rate of new load...
+const OVERLOAD_FACTOR: f64 = 4.0;
+/// ...over this window...
+const OVERLOAD_WINDOW: Micros = 3_000_000;
+/// ...and a little more by chance.
+const OVERLOAD_TOLERANCE: f64 = 3.0;
+/// At that rate a server fills in this time, in seconds.
+const WARM_UP_SECONDS: f64 = 8.8;
+
+/// A connection at a balancer, and thereby a client's request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionRef {
+    /// Index of the balancer.
+    pub balancer: usize,
+    /// Number of its process.
+    pub incarnation: u64,
+    /// The process's id of the connection.
+    pub connection: ConnectionId,
+}
+
+impl fmt::Display for ConnectionRef {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ConnectionRef { balancer, incarnation, connection } = self;
+        write!(f, "connection {} of balancer {balancer}, incarnation {incarnation}", connection.0)
+    }
+}
+
+/// What was seen of a request.
+#[derive(Debug, Default)]
+struct RequestRecord {
+    attempts: u32,
+    attempt_in_flight: bool,
+    answers: u32,
+}
+
+/// A server as one balancer knows it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct KnownServer {
+    balancer: usize,
+    server: usize,
+}
+
+/// A connection that was set up at a cold server.
+#[derive(Clone, Copy, Debug)]
+struct ColdSetup {
+    at: Micros,
+    load: f64,
+}
+
+/// Watches the invariants during one day.
+#[derive(Debug, Default)]
+pub struct InvariantChecker {
+    requests: BTreeMap<ConnectionRef, RequestRecord>,
+    /// When each balancer was notified that a server is draining or gone.
+    leaving_since: BTreeMap<KnownServer, Micros>,
+    /// Recent setups at servers that are cold.
+    cold_setups: BTreeMap<usize, VecDeque<ColdSetup>>,
+    /// Descriptions of what was violated.
+    pub violations: Vec<String>,
+}
+
+impl InvariantChecker {
+    /// A balancer was notified that a server is in use, or that it is draining or gone.
+    pub fn on_server_listed(&mut self, now: Micros, balancer: usize, server: usize, in_use: bool) {
+        let known = KnownServer { balancer, server };
+        if in_use {
+            self.leaving_since.remove(&known);
+        } else {
+            self.leaving_since.entry(known).or_insert(now);
+        }
+    }
+
+    /// A balancer that has restarted knows nothing of what it was notified of before.
+    pub fn on_balancer_restarted(&mut self, balancer: usize) {
+        self.leaving_since.retain(|known, _| known.balancer != balancer);
+    }
+
+    /// An attempt is opened.
+    pub fn on_attempt_opened(&mut self, now: Micros, request: ConnectionRef, server: usize) {
+        let record = self.requests.entry(request).or_default();
+        record.attempts += 1;
+        if record.attempt_in_flight {
+            self.violations.push(format!("{now}: two attempts of {request} at once"));
+        }
+        record.attempt_in_flight = true;
+        if record.attempts > MAX_ATTEMPTS {
+            self.violations.push(format!("{now}: {} attempts of {request}", record.attempts));
+        }
+        if record.answers > 0 {
+            self.violations.push(format!("{now}: an attempt of {request} after its answer"));
+        }
+        let leaving_since = self.leaving_since.get(&KnownServer { balancer: request.balancer, server });
+        if leaving_since.is_some_and(|at| now - at > DRAIN_GRACE) {
+            self.violations.push(format!("{now}: {request} sent to server {server}, known to be leaving"));
+        }
+    }
+
+    /// A connection of this load begins to be set up at a server that has only this share of its capacity, which is
+    /// counted in mean connections.
+    pub fn on_cold_setup(&mut self, now: Micros, server: usize, warmth: f64, capacity: f64, load: f64) {
+        let recent = self.cold_setups.entry(server).or_default();
+        recent.push_back(ColdSetup { at: now, load });
+        while recent.front().is_some_and(|setup| now - setup.at > OVERLOAD_WINDOW) {
+            recent.pop_front();
+        }
+        let sum: f64 = recent.iter().map(|setup| setup.load).sum();
+        let window_seconds = OVERLOAD_WINDOW as f64 / 1e6;
+        let limit =
+            OVERLOAD_FACTOR * warmth * capacity / WARM_UP_SECONDS * window_seconds + OVERLOAD_TOLERANCE;
+        if sum > limit {
+            self.violations.push(format!("{now}: server {server} overloaded, {sum:.1} of {limit:.1}"));
+        }
+    }
+
+    /// Attempts opened so far for a request.
+    pub fn attempts(&self, request: ConnectionRef) -> u32 {
+        self.requests.get(&request).map_or(0, |record| record.attempts)
+    }
+
+    /// The attempt in flight has ended or was closed.
+    pub fn on_attempt_ended(&mut self, request: ConnectionRef) {
+        if let Some(record) = self.requests.get_mut(&request) {
+            record.attempt_in_flight = false;
+        }
+    }
+
+    /// The request was established, rejected or failed.
+    pub fn on_answer(&mut self, now: Micros, request: ConnectionRef) {
+        let record = self.requests.entry(request).or_default();
+        record.answers += 1;
+        if record.answers > 1 {
+            self.violations.push(format!("{now}: {} answers to {request}", record.answers));
+        }
+    }
+
+    /// The client has waited for its full time: it must have had an answer.
+    pub fn on_wait_ended(&mut self, now: Micros, request: ConnectionRef) {
+        if self.requests.get(&request).is_none_or(|record| record.answers == 0) {
+            self.violations.push(format!("{now}: {request} had no answer in its time"));
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/pool.rs
@@ -0,0 +1,110 @@
+//! The pool settings and endpoint lists that the model's balancers get.
+
+use connection_balancer::routing::Budget;
+use connection_balancer::routing::{Endpoint, Lifecycle, PoolConfig, ReplicationConfig, State};
+use connection_balancer::{Class, Idempotency, Micros, Settings, Time};
+
+use crate::clients::{ClassProfile, CLASSES};
+use crate::deployment::{Deployment, SECOND};
+
+/// The day begins at this time of the reducers' clock.
+const CLOCK_ORIGIN: Micros = 1_000 * SECOND;
+/// Price of each client migrated once, as a share of all served value.
+pub const MIGRATION_COST: f64 = 0.025;
+/// A connection's mean load, in microseconds of work a second.
+pub const MEAN_LOAD_MICROS_PER_S: f64 = 60_000.0;
+/// What a reducer may hold; the model does not test its limits.
+const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
+/// The model's only zone.
+const ZONE: &str = "a";
+
+/// A time of day on the reducers' clock.
+pub fn to_clock(at: Micros) -> Time {
+    Time(CLOCK_ORIGIN + at)
+}
+
+/// The time of day of a time on the reducers' clock.
+pub fn from_clock(at: Time) -> Micros {
+    at.0.saturating_sub(CLOCK_ORIGIN)
+}
+
+/// A reducer that knows its settings and no endpoints.
+pub fn new_reducer(deployment: &Deployment, seed: u64, now: Micros) -> State {
+    let pools = vec![pool_config(deployment, seed)];
+    State::new(pools, ReplicationConfig::default(), BUDGET, to_clock(now))
+}
+
+fn pool_config(deployment: &Deployment, seed: u64) -> PoolConfig {
+    PoolConfig {
+        name: "model",
+        classes: CLASSES.iter().map(|class| class.name.to_owned()).collect(),
+        tenants: Vec::new(),
+        zones: vec![ZONE.to_owned()],
+        settings: settings(deployment),
+        seed,
+        discovery: None,
+        greeting: 1_500_000,
+        from_store: false,
+        most_held: usize::MAX,
+        drain_over: 0,
+        silence: 5_000_000,
+        tells_delay: deployment.reports_message_time,
+        tells_load: true,
+        reports: Vec::new(),
+        longest_wait: 3_200_000,
+        rebalance: deployment.rebalance,
+        peers: None,
+    }
+}
+
+fn settings(deployment: &Deployment) -> Settings {
+    let class = |profile: &ClassProfile| Class {
+        priority_weight: profile.priority_weight,
+        setup_objective: profile.setup_objective,
+        message_objective: if deployment.reports_message_time {
+            profile.message_objective_micros as Micros
+        } else {
+            0
+        },
+        idempotency: Idempotency::Idempotent,
+    };
+    Settings {
+        balancers: deployment.balancers as u32,
+        classes: CLASSES.iter().map(class).collect(),
+        max_attempts: 6,
+        cancel: true,
+        retry_after: true,
+        max_retry_after: 1_500_000,
+        connect_timeout: 250_000,
+        poll_required: true,
+        migration_cost: MIGRATION_COST,
+        slow_start_share: 0.34,
+        slow_start_duration: 8_800_000,
+        slow_start_overload_factor: 4.0,
+        slow_start_window: 3_000_000,
+        ..Settings::default()
+    }
+}
+
+/// The name of a server, by its index.
+pub fn server_name(server: usize) -> String {
+    format!("s-{:08x}", server + 1)
+}
+
+/// The endpoint of a server, whose address is its index.
+pub fn endpoint(server: usize, lifecycle: Lifecycle, started: Option<Micros>) -> Endpoint {
+    Endpoint {
+        name: server_name(server),
+        address: server.to_string(),
+        zone: ZONE.to_owned(),
+        cell: 0,
+        lifecycle,
+        weight: 1.0,
+        started: started.map(to_clock),
+    }
+}
+
+/// The index of a server, by its endpoint's address.
+pub fn server_at(address: &str) -> usize {
+    address.parse().unwrap_or(usize::MAX)
+}
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -1,135 +1,161 @@
-//! A server: a processor shared by what stands there.
+//! A server: a processor shared by its connections.
 
 use std::collections::BTreeMap;
 
+use connection_balancer::Micros;
+
 /// Time of a message on an idle server, in microseconds.
-const SERVICE: f64 = 5_000.0;
-/// Work of one set-up, in seconds of the server's whole capacity over the connections that fill it.
-const SETUP_WORK: f64 = 0.4;
-/// A server pays for a group that it holds as for so many mean connections.
+const SERVICE_MICROS: f64 = 5_000.0;
+/// Work of one setup, in seconds of the server's whole capacity over the connections that fill it.
+const SETUP_WORK_SECONDS: f64 = 0.4;
+/// A group costs its server as much as so many mean connections, beside its own connections.
 pub const GROUP_LOADS: f64 = 3.0;
-/// A server turns new connections away when so many seconds of work are piled up...
-const FULL_AT: f64 = 0.5;
-/// ...and drops standing ones when so many are.
-const DROPS_AT: f64 = 3.0;
-/// It holds so many times the connections that fill it.
-const MOST: f64 = 2.5;
+/// A server rejects new connections when so many seconds of work are queued...
+const REJECTING_BACKLOG_SECONDS: f64 = 0.5;
+/// ...and drops established ones when so many are.
+const DROPPING_BACKLOG_SECONDS: f64 = 3.0;
+/// The most connections of a server, over those that fill it.
+const MAX_CONNECTIONS_FACTOR: f64 = 2.5;
+/// Share of its capacity that a server has when it starts.
+const INITIAL_WARMTH: f64 = 0.34;
+/// Share of its capacity that it gains while it warms up.
+const WARMTH_GROWTH: f64 = 0.66;
+/// Time until a server that starts has all its capacity.
+const WARM_UP_MICROS: f64 = 8_800_000.0;
+/// The most use of the capacity that message times are computed for: avoids a division by zero.
+const MAX_USE: f64 = 0.98;
+
+/// A connection that is established or being set up.
+#[derive(Clone, Copy, Debug)]
+struct ServerConnection {
+    /// 1 is the load of a mean connection.
+    load: f64,
+    group: Option<u64>,
+}
 
 /// One server.
 #[derive(Debug)]
-pub struct Host {
+pub struct Server {
     /// Mean connections that fill it when it is warm.
     pub capacity: f64,
     /// Its process runs.
     pub up: bool,
-    /// It takes nothing new.
+    /// It accepts no new connections.
     pub draining: bool,
     /// Numbers its processes.
-    pub life: u64,
-    /// When the process started, if since the day's begin.
-    pub started: Option<u64>,
-    /// Connections that stand or are being set up, with their load (1 is a mean connection) and group.
-    pub held: BTreeMap<usize, (f64, Option<u64>)>,
+    pub incarnation: u64,
+    /// When the process started, if it did during the day.
+    pub started: Option<Micros>,
+    /// Connections by client.
+    connections: BTreeMap<usize, ServerConnection>,
+    /// Number of each group's connections.
     groups: BTreeMap<u64, usize>,
     load: f64,
-    /// Seconds of work piled up.
-    pub piled: f64,
+    backlog_seconds: f64,
 }
 
-impl Host {
+impl Server {
     /// A warm server without connections.
-    pub fn new(capacity: f64) -> Host {
-        Host {
+    pub fn new(capacity: f64) -> Server {
+        Server {
             capacity,
             up: true,
             draining: false,
-            life: 0,
+            incarnation: 0,
             started: None,
-            held: BTreeMap::new(),
+            connections: BTreeMap::new(),
             groups: BTreeMap::new(),
             load: 0.0,
-            piled: 0.0,
+            backlog_seconds: 0.0,
         }
     }
 
-    /// Its process ends: who stood there is returned.
+    /// Its process ends; the clients that were connected.
     pub fn die(&mut self) -> Vec<usize> {
-        let held = std::mem::take(&mut self.held).into_keys().collect();
-        let (capacity, life) = (self.capacity, self.life);
-        *self = Host { up: false, life, ..Host::new(capacity) };
-        held
+        let clients = self.clients().collect();
+        *self = Server { up: false, incarnation: self.incarnation, ..Server::new(self.capacity) };
+        clients
     }
 
     /// Its process starts, cold.
-    pub fn start(&mut self, now: u64) {
-        let (capacity, life) = (self.capacity, self.life + 1);
-        *self = Host { life, started: Some(now), ..Host::new(capacity) };
+    pub fn start(&mut self, now: Micros) {
+        let incarnation = self.incarnation + 1;
+        *self = Server { incarnation, started: Some(now), ..Server::new(self.capacity) };
+    }
+
+    /// Clients with a connection that is established or being set up.
+    pub fn clients(&self) -> impl Iterator<Item = usize> + '_ {
+        self.connections.keys().copied()
+    }
+
+    /// Number of connections that are established or being set up.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// Share of its capacity that it has now: a third at the start, all after 8.8 s.
-    pub fn warmth(&self, now: u64) -> f64 {
-        let grown = self.started.map_or(1.0, |at| (now - at) as f64 / 8_800_000.0);
-        (0.34 + 0.66 * grown).min(1.0)
+    pub fn warmth(&self, now: Micros) -> f64 {
+        let grown = self.started.map_or(1.0, |at| (now - at) as f64 / WARM_UP_MICROS);
+        (INITIAL_WARMTH + WARMTH_GROWTH * grown).min(1.0)
     }
 
-    /// Whether it turns a new connection away.
-    pub fn full(&self) -> bool {
-        self.draining || self.piled > FULL_AT || self.held.len() as f64 >= self.capacity * MOST
+    /// Whether it rejects a new connection.
+    pub fn rejects_new_connections(&self) -> bool {
+        self.draining
+            || self.backlog_seconds > REJECTING_BACKLOG_SECONDS
+            || self.connections.len() as f64 >= self.capacity * MAX_CONNECTIONS_FACTOR
     }
 
-    /// A connection begins to be set up.
-    pub fn take(&mut self, now: u64, client: usize, load: f64, group: Option<u64>) {
-        self.held.insert(client, (load, group));
+    /// Begins to set a connection up.
+    pub fn add_connection(&mut self, now: Micros, client: usize, load: f64, group: Option<u64>) {
+        self.connections.insert(client, ServerConnection { load, group });
         self.load += load;
         if let Some(group) = group {
             *self.groups.entry(group).or_default() += 1;
         }
-        self.piled += SETUP_WORK / (self.capacity * self.warmth(now));
+        self.backlog_seconds += SETUP_WORK_SECONDS / (self.capacity * self.warmth(now));
     }
 
-    /// It is gone, whatever it was.
-    pub fn release(&mut self, client: usize) {
-        let Some((load, group)) = self.held.remove(&client) else { return };
-        self.load = if self.held.is_empty() { 0.0 } else { self.load - load };
+    /// Removes a client's connection, if it has one.
+    pub fn remove_connection(&mut self, client: usize) {
+        let Some(ServerConnection { load, group }) = self.connections.remove(&client) else { return };
+        self.load = if self.connections.is_empty() { 0.0 } else { self.load - load };
         if let Some(group) = group {
-            let count = self.groups.get_mut(&group).map(|count| {
-                *count -= 1;
-                *count
-            });
-            if count == Some(0) {
-                self.groups.remove(&group);
-            }
+            self.remove_group_member(group);
         }
     }
 
-    /// Load over capacity.
-    pub fn used(&self, now: u64) -> f64 {
-        let groups = self.groups.len() as f64 * GROUP_LOADS;
-        (self.load + groups) / (self.capacity * self.warmth(now))
+    fn remove_group_member(&mut self, group: u64) {
+        let Some(count) = self.groups.get_mut(&group) else { return };
+        *count -= 1;
+        if *count == 0 {
+            self.groups.remove(&group);
+        }
     }
 
-    /// How many servers' worth of group costs it pays: for tests.
-    pub fn groups(&self) -> usize {
-        self.groups.len()
+    /// Load over capacity.
+    pub fn utilisation(&self, now: Micros) -> f64 {
+        let group_load = self.groups.len() as f64 * GROUP_LOADS;
+        (self.load + group_load) / (self.capacity * self.warmth(now))
     }
 
-    /// Time passes, in seconds.
-    pub fn pass(&mut self, now: u64, seconds: f64) {
-        self.piled = (self.piled + (self.used(now) - 1.0) * seconds).max(0.0);
+    /// Serves for so many seconds.
+    pub fn advance(&mut self, now: Micros, seconds: f64) {
+        self.backlog_seconds = (self.backlog_seconds + (self.utilisation(now) - 1.0) * seconds).max(0.0);
     }
 
-    /// Whether it drops connections now.
-    pub fn drops(&self) -> bool {
-        self.piled > DROPS_AT
+    /// Whether it drops established connections now.
+    pub fn drops_connections(&self) -> bool {
+        self.backlog_seconds > DROPPING_BACKLOG_SECONDS
     }
 
     /// The mean time of a message, in microseconds.
-    pub fn message(&self, now: u64) -> f64 {
-        SERVICE / (1.0 - self.used(now).min(0.98)) + self.piled * 1e6
+    pub fn message_micros(&self, now: Micros) -> f64 {
+        SERVICE_MICROS / (1.0 - self.utilisation(now).min(MAX_USE)) + self.backlog_seconds * 1e6
     }
 
-    /// Share of messages within an objective, both in microseconds.
-    pub fn in_time(&self, now: u64, aim: f64) -> f64 {
-        1.0 - (-aim / self.message(now)).exp()
+    /// Share of messages within an objective, in microseconds.
+    pub fn share_within(&self, now: Micros, objective_micros: f64) -> f64 {
+        1.0 - (-objective_micros / self.message_micros(now)).exp()
     }
 }
--- a/simulation/tests/grid.rs
+++ b/simulation/tests/grid.rs
@@ -1,97 +1,141 @@
 //! Rebalancing never makes things worse than leaving connections alone: pairs of seeded days around real reducers.
 //! The whole grid is a sub-command (`simulation grid`); here are its corners, with the same verdict each run.
 
+use simulation::comparison::{
+    grid_deployment, play_days, with_rebalancing, Comparison, GRID_GROUP_SIZES, GRID_SCENARIOS, GRID_STORES,
+};
 use simulation::day::play;
-use simulation::grid::{days, moving, world, Cell, GROUPS, SESSIONS, TROUBLES};
-use simulation::world::{Session, Trouble, World, TROUBLES as ALL};
+use simulation::deployment::{Deployment, GroupSize};
+use simulation::scenario::{Scenario, ALL_SCENARIOS};
+use simulation::session_store::StoreCondition;
 
 /// Twenty pairs let one of the thirty cells pass its own noise by chance (-0.0067 against 0.0064, and sound at sixty).
 const PAIRS: std::ops::Range<u64> = 0..60;
+/// Pairs that show the margin of a single restart; twenty are too few.
+const RESTART_PAIRS: std::ops::Range<u64> = 0..120;
+const THREADS: usize = 4;
 
-/// Cells in parallel: they share nothing.
-fn cells(jobs: Vec<(World, Trouble, Session, f64)>) -> Vec<(String, Cell)> {
-    let play = |(world, trouble, session, rate): (World, Trouble, Session, f64)| {
-        let name = format!("{trouble:?}, {session:?}, groups to {}, at most {rate}", world.groups.1);
-        let off = days(&world, trouble, session, PAIRS);
-        let on = days(&moving(&world, rate), trouble, session, PAIRS);
-        (name, Cell::of(&off, &on))
-    };
-    let halves = jobs.len().div_ceil(4).max(1);
+/// Conditions of a comparison.
+#[derive(Clone)]
+struct Job {
+    deployment: Deployment,
+    scenario: Scenario,
+    store: StoreCondition,
+    max_moves_per_s: f64,
+}
+
+impl Job {
+    /// A comparison at a usual session store and a moderate rate.
+    fn new(deployment: &Deployment, scenario: Scenario) -> Job {
+        let deployment = deployment.clone();
+        Job { deployment, scenario, store: StoreCondition::Normal, max_moves_per_s: 5.0 }
+    }
+
+    fn compare(self) -> NamedComparison {
+        let Job { deployment, scenario, store, max_moves_per_s } = self;
+        let max_group = deployment.group_size.max;
+        let name = format!("{scenario:?}, {store:?}, groups to {max_group}, at most {max_moves_per_s}");
+        let rebalancing = with_rebalancing(&deployment, max_moves_per_s);
+        let off = play_days(&deployment, scenario, store, PAIRS);
+        let on = play_days(&rebalancing, scenario, store, PAIRS);
+        NamedComparison { name, comparison: Comparison::new(&off, &on) }
+    }
+}
+
+struct NamedComparison {
+    name: String,
+    comparison: Comparison,
+}
+
+/// Compares in parallel: the jobs share nothing.
+fn compare_all(jobs: Vec<Job>) -> Vec<NamedComparison> {
+    let chunk_size = jobs.len().div_ceil(THREADS).max(1);
     std::thread::scope(|scope| {
-        let chunks: Vec<_> = jobs
-            .chunks(halves)
-            .map(|chunk| scope.spawn(move || chunk.iter().cloned().map(play).collect::<Vec<_>>()))
+        let threads: Vec<_> = jobs
+            .chunks(chunk_size)
+            .map(|chunk| scope.spawn(move || chunk.iter().cloned().map(Job::compare).collect::<Vec<_>>()))
             .collect();
-        chunks.into_iter().flat_map(|chunk| chunk.join().expect("played")).collect()
+        threads.into_iter().flat_map(|thread| thread.join().expect("the days are played")).collect()
     })
 }
 
-fn sound(cells: &[(String, Cell)]) {
-    for (name, cell) in cells {
-        assert!(cell.broken.is_empty(), "{name}: {:?}", cell.broken.first());
-        assert!(cell.harmless(), "{name}: {:+.4} beyond the noise of {:.4}", cell.gain, cell.noise);
+fn assert_harmless(comparisons: &[NamedComparison]) {
+    for NamedComparison { name, comparison } in comparisons {
+        let Comparison { violations, gain, half_interval, .. } = comparison;
+        assert!(violations.is_empty(), "{name}: {:?}", violations.first());
+        assert!(comparison.harmless(), "{name}: {gain:+.4} beyond the noise of {half_interval:.4}");
     }
 }
 
 #[test]
-fn no_rate_store_or_trouble_makes_single_connections_worse_off() {
+fn does_no_harm_to_single_connections_at_any_rate_store_or_scenario() {
+    let deployment = grid_deployment(GroupSize::SINGLE);
     let mut jobs = Vec::new();
-    for trouble in TROUBLES {
-        for session in SESSIONS {
-            jobs.extend([0.1, f64::INFINITY].map(|rate| (world((1, 1)), trouble, session, rate)));
+    for scenario in GRID_SCENARIOS {
+        for store in GRID_STORES {
+            for max_moves_per_s in [0.1, f64::INFINITY] {
+                jobs.push(Job { deployment: deployment.clone(), scenario, store, max_moves_per_s });
+            }
         }
     }
-    let cells = cells(jobs);
-    sound(&cells);
-    let of = |part: &str| cells.iter().find(|(name, _)| name.starts_with(part)).map(|(_, cell)| cell.clone());
-    // Nobody moves in calm.
-    assert!(of("None, Normal").expect("played").per_minute < 0.001);
+    let comparisons = compare_all(jobs);
+    assert_harmless(&comparisons);
+    // Nobody is migrated where nothing happens.
+    let quiet = comparisons.iter().find(|named| named.name.starts_with("None, Normal"));
+    assert!(quiet.expect("it is compared").comparison.migrations_per_minute < 0.001);
 }
 
-/// The margin that is promised where one server restarts. Twenty pairs are too few to show it.
 #[test]
-fn a_restart_is_got_over_sooner() {
-    let cell = |moving: &World| days(moving, Trouble::ServerRestart, Session::Normal, 0..120);
-    let world = world((1, 1));
-    let restart = std::thread::scope(|scope| {
-        let off = scope.spawn(|| cell(&world));
-        let on = cell(&moving(&world, f64::INFINITY));
-        Cell::of(&off.join().expect("played"), &on)
+fn gains_after_a_server_restart() {
+    let off = grid_deployment(GroupSize::SINGLE);
+    let on = with_rebalancing(&off, f64::INFINITY);
+    let play_restarts = |deployment: &Deployment| {
+        play_days(deployment, Scenario::ServerRestart, StoreCondition::Normal, RESTART_PAIRS)
+    };
+    let comparison = std::thread::scope(|scope| {
+        let off_days = scope.spawn(|| play_restarts(&off));
+        let on_days = play_restarts(&on);
+        Comparison::new(&off_days.join().expect("the days are played"), &on_days)
     });
-    assert!(restart.gain > 0.0005 && restart.gain > restart.noise, "{restart:?}");
+    assert!(
+        comparison.gain > 0.0005 && comparison.gain > comparison.half_interval,
+        "the promised margin: {comparison:?}"
+    );
 }
 
 #[test]
-fn groups_are_not_made_worse_off() {
-    let jobs = TROUBLES.map(|trouble| (world(GROUPS[1]), trouble, Session::Normal, 5.0));
-    sound(&cells(jobs.to_vec()));
+fn does_no_harm_to_groups() {
+    let deployment = grid_deployment(GRID_GROUP_SIZES[1]);
+    let jobs = GRID_SCENARIOS.map(|scenario| Job::new(&deployment, scenario));
+    assert_harmless(&compare_all(jobs.to_vec()));
 }
 
 #[test]
-fn every_trouble_keeps_the_rules_and_does_no_harm() {
-    let jobs = ALL.map(|trouble| (world((1, 1)), trouble, Session::Normal, 5.0));
-    sound(&cells(jobs.to_vec()));
-    let lists = World { list_delay: 4_000_000, ..world((1, 1)) };
-    let gone = World { come_back: 0.5, ..world((1, 1)) };
-    let silent = World { tells_delay: false, ..world((1, 1)) };
-    let mut jobs =
-        [lists, gone, silent].map(|world| (world, Trouble::TwoServers, Session::Normal, 5.0)).to_vec();
-    // 97% of 32 balancers, a quarter at a time, each with a small part of everything.
-    let many = World { balancers: 32, ..world((1, 1)) };
-    jobs.push((many, Trouble::BalancerWave, Session::Normal, 5.0));
-    let small = World { groups: (2, 6), used: 0.5, ..world((1, 1)) };
-    jobs.extend(
-        [Trouble::ServerRestart, Trouble::Drain]
-            .map(|trouble| (small.clone(), trouble, Session::Normal, 5.0)),
-    );
-    sound(&cells(jobs));
+fn keeps_the_invariants_and_does_no_harm_in_every_scenario() {
+    let deployment = grid_deployment(GroupSize::SINGLE);
+    let jobs = ALL_SCENARIOS.map(|scenario| Job::new(&deployment, scenario));
+    assert_harmless(&compare_all(jobs.to_vec()));
+
+    let late_lists = Deployment { list_delay: 4_000_000, ..deployment.clone() };
+    let few_returns = Deployment { return_probability: 0.5, ..deployment.clone() };
+    let silent = Deployment { reports_message_time: false, ..deployment.clone() };
+    let mut jobs = [late_lists, few_returns, silent]
+        .map(|deployment| Job::new(&deployment, Scenario::TwoServers))
+        .to_vec();
+    // 97% of 32 balancers restart, a quarter at a time, each with a small part of everything.
+    let many_balancers = Deployment { balancers: 32, ..deployment.clone() };
+    jobs.push(Job::new(&many_balancers, Scenario::BalancerWave));
+    let small_groups =
+        Deployment { group_size: GroupSize { min: 2, max: 6 }, demand_share: 0.5, ..deployment };
+    jobs.extend([Scenario::ServerRestart, Scenario::Drain].map(|scenario| Job::new(&small_groups, scenario)));
+    assert_harmless(&compare_all(jobs));
 }
 
 /// The model itself: the same seed gives the same day, another gives another.
 #[test]
-fn a_day_is_the_same_each_time() {
-    let world = moving(&world((1, 1)), 5.0);
-    let play = |seed| play(&world, Trouble::RestartWave, Session::SlowMidway, seed);
+fn plays_the_same_day_for_the_same_seed() {
+    let deployment = with_rebalancing(&grid_deployment(GroupSize::SINGLE), 5.0);
+    let play = |seed| play(&deployment, Scenario::RestartWave, StoreCondition::SlowMidway, seed);
     assert_eq!(format!("{:?}", play(3)), format!("{:?}", play(3)));
     assert_ne!(format!("{:?}", play(3)), format!("{:?}", play(4)));
 }
