--- /dev/null
+++ b/benches/restart/discovery.rs
@@ -0,0 +1,58 @@
+//! Service discovery: answers each call with the whole endpoint list.
+
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::fake_server::FakeServer;
+
+/// How late each answer is.
+const ANSWER_DELAY: Duration = Duration::from_secs(1);
+/// The generation of the list that the daemon is configured with; answers count on from it.
+const FIRST_GENERATION: u64 = 1;
+
+/// The endpoint list with all servers that are up.
+pub fn endpoint_list(servers: &[Arc<FakeServer>], generation: u64) -> String {
+    let endpoints: Vec<String> =
+        servers.iter().enumerate().filter_map(|(n, server)| endpoint(n, server)).collect();
+    format!(r#"{{"generation": {generation}, "reset": true, "instances": [{}]}}"#, endpoints.join(","))
+}
+
+fn endpoint(n: usize, server: &FakeServer) -> Option<String> {
+    let address = server.address()?;
+    let started = server.started_at_millis();
+    Some(format!(
+        r#"{{"instanceId": "s-{:08x}", "hostPort": "{address}", "zone": "a", "lifecycle": "ready", "weight": 1.0, "startedAtMs": {started}}}"#,
+        n + 1
+    ))
+}
+
+/// Starts a discovery service; its address.
+pub fn start_discovery(servers: Vec<Arc<FakeServer>>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the listener's address");
+    std::thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let servers = servers.clone();
+            std::thread::spawn(move || answer_calls(stream, &servers));
+        }
+    });
+    address
+}
+
+/// Answers the calls on one connection; an empty line ends a call's head.
+fn answer_calls(mut stream: TcpStream, servers: &[Arc<FakeServer>]) {
+    let reader = BufReader::new(stream.try_clone().expect("a second handle of the socket"));
+    let mut generation = FIRST_GENERATION;
+    for line in reader.lines().map_while(Result::ok) {
+        if !line.is_empty() {
+            continue;
+        }
+        generation += 1;
+        std::thread::sleep(ANSWER_DELAY);
+        let body = endpoint_list(servers, generation);
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        let _ = stream.write_all((head + &body).as_bytes());
+    }
+}
