--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -454,49 +454,44 @@
     assert!(held, "{:?}", harness.rebalance.metrics());
 }
 
+/// Why moves are held after a disturbance of a harness that migrates; nobody may be migrated meanwhile.
+fn hold_reason_after(disturb: impl FnOnce(&mut RebalanceHarness)) -> Option<HoldReason> {
+    let mut harness = RebalanceHarness::unbalanced();
+    harness.run_seconds(3, Some(SLOW_MESSAGE_TIME));
+    disturb(&mut harness);
+    assert_eq!(harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)), []);
+    harness.hold_reason()
+}
+
 #[test]
-fn holds_all_moves_under_each_precedence_rule() {
-    let reason_after = |disturb: &dyn Fn(&mut RebalanceHarness)| {
-        let mut harness = RebalanceHarness::unbalanced();
-        harness.run_seconds(3, Some(SLOW_MESSAGE_TIME));
-        disturb(&mut harness);
-        let moved: usize =
-            (0..2).map(|_| harness.evaluate_after_half_second(Some(SLOW_MESSAGE_TIME)).moves.len()).sum();
-        assert_eq!(moved, 0);
-        harness.hold_reason()
-    };
-    let reason_under = |conditions: SystemConditions| {
-        reason_after(&move |harness: &mut RebalanceHarness| harness.conditions = conditions)
-    };
-    assert_eq!(
-        reason_under(SystemConditions { shutting_down: true, ..SystemConditions::default() }),
-        Some(HoldReason::ShuttingDown)
-    );
-    assert_eq!(
-        reason_under(SystemConditions { hot_restart: true, ..SystemConditions::default() }),
-        Some(HoldReason::HotRestart)
-    );
-    assert_eq!(
-        reason_under(SystemConditions { draining: 1, ..SystemConditions::default() }),
-        Some(HoldReason::Draining)
-    );
-    assert_eq!(
-        reason_after(&|harness| harness.notify(RebalanceEvent::ConfigurationReloaded)),
-        Some(HoldReason::Reload)
-    );
-    assert_eq!(
-        reason_after(&|harness| harness.notify(RebalanceEvent::EndpointListLost)),
-        Some(HoldReason::ListLost)
-    );
-    assert_eq!(
-        reason_after(&|harness| harness.notify(RebalanceEvent::EndpointListChanged { ready: 2 })),
-        Some(HoldReason::ListShrank)
-    );
-    assert_eq!(
-        reason_after(&|harness| harness.notify(RebalanceEvent::EndpointListChanged { ready: 0 })),
-        Some(HoldReason::ListShrank)
-    );
-    let storm = |harness: &mut RebalanceHarness| {
+fn holds_all_moves_under_each_system_condition() {
+    let normal = SystemConditions::default();
+    for (conditions, reason) in [
+        (SystemConditions { shutting_down: true, ..normal }, HoldReason::ShuttingDown),
+        (SystemConditions { hot_restart: true, ..normal }, HoldReason::HotRestart),
+        (SystemConditions { draining: 1, ..normal }, HoldReason::Draining),
+    ] {
+        let found = hold_reason_after(|harness| harness.conditions = conditions);
+        assert_eq!(found, Some(reason), "{conditions:?}");
+    }
+}
+
+#[test]
+fn holds_all_moves_after_each_change_of_configuration_or_endpoint_list() {
+    for (event, reason) in [
+        (RebalanceEvent::ConfigurationReloaded, HoldReason::Reload),
+        (RebalanceEvent::EndpointListLost, HoldReason::ListLost),
+        (RebalanceEvent::EndpointListChanged { ready: 2 }, HoldReason::ListShrank),
+        (RebalanceEvent::EndpointListChanged { ready: 0 }, HoldReason::ListShrank),
+    ] {
+        let found = hold_reason_after(|harness| harness.notify(event));
+        assert_eq!(found, Some(reason), "{event:?}");
+    }
+}
+
+#[test]
+fn holds_all_moves_in_a_storm_of_arrivals() {
+    let found = hold_reason_after(|harness| {
         for n in 0..60 {
             harness.notify(RebalanceEvent::ConnectionRequested {
                 connection: ConnectionId(80_000 + n),
@@ -504,12 +499,16 @@
                 reconnecting: false,
             });
         }
-    };
-    assert_eq!(reason_after(&storm), Some(HoldReason::Storm));
-    let single_server = |harness: &mut RebalanceHarness| {
-        harness.servers.iter_mut().skip(1).for_each(|server| server.ready = false)
-    };
-    assert_eq!(reason_after(&single_server), Some(HoldReason::FewServers));
+    });
+    assert_eq!(found, Some(HoldReason::Storm));
+}
+
+#[test]
+fn holds_all_moves_with_a_single_server() {
+    let found = hold_reason_after(|harness| {
+        harness.servers.iter_mut().skip(1).for_each(|server| server.ready = false);
+    });
+    assert_eq!(found, Some(HoldReason::FewServers));
 }
 
 /// Holds end as their causes do; a server that drains for hours must not hold moves for ever.
