--- a/src/rebalance/decision.rs
+++ b/src/rebalance/decision.rs
@@ -21,7 +21,7 @@
 /// A connection that is to leave its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Migration {
-    /// Which.
+    /// The connection.
     pub connection: ConnectionId,
     /// The server that it leaves.
     pub from: ServerId,
@@ -30,7 +30,7 @@
 /// A server whose ceiling is too low for what may be expected of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CeilingIncrease {
-    /// Which.
+    /// The server.
     pub server: ServerId,
     /// The ceiling that it should have at least, in slots.
     pub ceiling: f64,
--- a/src/rebalance/event.rs
+++ b/src/rebalance/event.rs
@@ -17,35 +17,35 @@
     },
     /// A connection is established.
     ConnectionEstablished {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
         /// Its server and its properties.
-        at: Connection,
+        properties: Connection,
         /// Time since it was requested at the server; none for one that was established before.
         setup: Option<Micros>,
     },
     /// A connection reported its load.
     LoadReported {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
         /// In microseconds of work a second.
         load: f64,
     },
     /// A server reported how long a message takes there.
     MessageTimeReported {
-        /// Which.
+        /// The server.
         server: ServerId,
         /// The time of a message.
         took: Micros,
     },
     /// A connection that was requested was rejected, or failed.
     ConnectionRejected {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
     },
     /// A connection has ended here.
     ConnectionEnded {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
         /// Whether it came to its own end: it was neither migrated nor cut off.
         natural: bool,
@@ -66,7 +66,7 @@
 /// A server, as the decision module and the endpoint list have it now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSnapshot {
-    /// Which.
+    /// The server.
     pub server: ServerId,
     /// It is listed for use and has not just failed.
     pub ready: bool,
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -130,8 +130,8 @@
             RebalanceEvent::ConnectionRequested { connection, key, reconnecting } => {
                 self.on_requested(now, connection, key, reconnecting)
             }
-            RebalanceEvent::ConnectionEstablished { connection, at, setup } => {
-                self.on_established(now, connection, at, setup)
+            RebalanceEvent::ConnectionEstablished { connection, properties, setup } => {
+                self.on_established(now, connection, properties, setup)
             }
             RebalanceEvent::LoadReported { connection, load } => self.view.on_load_reported(connection, load),
             RebalanceEvent::MessageTimeReported { server, took } => {
@@ -164,14 +164,14 @@
         &mut self,
         now: Time,
         connection: ConnectionId,
-        at: view::Connection,
+        properties: view::Connection,
         setup: Option<Micros>,
     ) {
         // At a slow server a setup is slow too, which shows nothing of the session store.
-        if let Some(took) = setup.filter(|_| !self.view.reported_slow(now, at.server)) {
+        if let Some(took) = setup.filter(|_| !self.view.reported_slow(now, properties.server)) {
             self.rate.on_setup(now, took);
         }
-        self.view.on_established(now, connection, at);
+        self.view.on_established(now, connection, properties);
     }
 
     fn on_rejected(&mut self, now: Time, connection: ConnectionId) {
--- a/src/rebalance/units.rs
+++ b/src/rebalance/units.rs
@@ -73,12 +73,12 @@
 }
 
 fn single_unit(view: &View, weights: &RelativeWeights<'_>, single: &SingleConnection) -> Option<MoveUnit> {
-    let EstablishedConnection { at, reconnected, .. } = single.connection;
+    let EstablishedConnection { properties, reconnected, .. } = single.connection;
     if reconnected {
         return None;
     }
-    let slots = view.slots(&at);
-    let priority_weight = weights.of_class(at.class);
+    let slots = view.slots(&properties);
+    let priority_weight = weights.of_class(properties.class);
     Some(MoveUnit { members: vec![single.id], slots, relief: slots, priority_weight })
 }
 
@@ -100,9 +100,10 @@
     if (1..=members.len()).contains(&elsewhere) {
         return None;
     }
-    let slots: f64 = connections.iter().map(|connection| view.slots(&connection.at)).sum();
+    let slots: f64 = connections.iter().map(|connection| view.slots(&connection.properties)).sum();
     let group_cost = if members.len() > 1 || elsewhere > 0 { GROUP_SLOTS } else { 0.0 };
-    let priority_weight = connections.iter().map(|connection| weights.of_class(connection.at.class)).sum();
+    let priority_weight =
+        connections.iter().map(|connection| weights.of_class(connection.properties.class)).sum();
     Some(MoveUnit { members, slots, relief: slots + group_cost, priority_weight })
 }
 
--- a/src/rebalance/view.rs
+++ b/src/rebalance/view.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EstablishedConnection {
     /// Its properties.
-    pub at: Connection,
+    pub properties: Connection,
     /// When it was established.
     pub since: Time,
     /// Whether its client came back from a migration or a break.
@@ -42,7 +42,7 @@
 /// An established connection that is in no group.
 #[derive(Clone, Copy, Debug)]
 pub struct SingleConnection {
-    /// Which.
+    /// Its id.
     pub id: ConnectionId,
     /// What is known of it.
     pub connection: EstablishedConnection,
@@ -154,22 +154,22 @@
         self.returned.remove(&connection)
     }
 
-    pub(super) fn on_established(&mut self, now: Time, id: ConnectionId, at: Connection) {
+    pub(super) fn on_established(&mut self, now: Time, id: ConnectionId, properties: Connection) {
         self.remove(now, id);
-        if let Some(load) = at.load {
+        if let Some(load) = properties.load {
             self.loads.add(load);
         }
-        self.servers.entry(at.server).or_default().connections.insert(id);
-        if let Some(group) = at.group {
-            *self.groups.entry(group).or_default().entry(at.server).or_default() += 1;
+        self.servers.entry(properties.server).or_default().connections.insert(id);
+        if let Some(group) = properties.group {
+            *self.groups.entry(group).or_default().entry(properties.server).or_default() += 1;
         }
         let reconnected = self.reconnecting.contains(&id);
-        self.connections.insert(id, EstablishedConnection { at, since: now, reconnected });
+        self.connections.insert(id, EstablishedConnection { properties, since: now, reconnected });
     }
 
     pub(super) fn on_load_reported(&mut self, connection: ConnectionId, load: f64) {
         let Some(connection) = self.connections.get_mut(&connection) else { return };
-        match connection.at.load.replace(load) {
+        match connection.properties.load.replace(load) {
             Some(old) => self.loads.sum += load - old,
             None => self.loads.add(load),
         }
@@ -192,13 +192,15 @@
     /// Forgets a connection; whether it was established.
     fn remove(&mut self, now: Time, id: ConnectionId) -> bool {
         self.lifetime.advance(now, self.connections.len());
-        let Some(EstablishedConnection { at, .. }) = self.connections.remove(&id) else { return false };
-        if let Some(load) = at.load {
+        let Some(EstablishedConnection { properties, .. }) = self.connections.remove(&id) else {
+            return false;
+        };
+        if let Some(load) = properties.load {
             self.loads.remove(load);
         }
-        self.remove_from_server(at.server, id);
-        if let Some(group) = at.group {
-            self.remove_from_group(group, at.server);
+        self.remove_from_server(properties.server, id);
+        if let Some(group) = properties.group {
+            self.remove_from_group(group, properties.server);
         }
         true
     }
@@ -224,9 +226,12 @@
 
     /// A connection's client is asked to come back elsewhere.
     pub(super) fn on_migrated(&mut self, now: Time, connection: ConnectionId) {
-        let Some(at) = self.connections.get(&connection).map(|connection| connection.at) else { return };
-        let slots = self.slots(&at);
-        self.absent.add(now, at.key, slots);
+        let Some(properties) = self.connections.get(&connection).map(|connection| connection.properties)
+        else {
+            return;
+        };
+        let slots = self.slots(&properties);
+        self.absent.add(now, properties.key, slots);
     }
 
     /// Forgets clients that have been absent for too long; how many of them could have been recognised.
@@ -256,9 +261,9 @@
     }
 
     /// Slots of a connection: its load over the mean of all.
-    pub fn slots(&self, at: &Connection) -> f64 {
+    pub fn slots(&self, properties: &Connection) -> f64 {
         let mean = self.loads.mean();
-        match at.load {
+        match properties.load {
             Some(load) if mean > 0.0 => (load / mean).clamp(0.0, MAX_CONNECTION_SLOTS),
             _ => 1.0,
         }
@@ -279,7 +284,7 @@
         let mut units = ServerUnits::default();
         for id in self.servers.get(&server).into_iter().flat_map(|server| &server.connections) {
             let Some(connection) = self.connections.get(id).copied() else { continue };
-            match connection.at.group {
+            match connection.properties.group {
                 Some(group) => units.groups.entry(group).or_default().push(*id),
                 None => units.singles.push(SingleConnection { id: *id, connection }),
             }
@@ -303,12 +308,13 @@
     pub fn placement_noise(&self, server: ServerId) -> PlacementNoise {
         let ServerUnits { singles, groups } = self.units(server);
         let mut variance = 0.0;
-        variance += singles.iter().map(|single| self.slots(&single.connection.at).powi(2)).sum::<f64>();
+        variance +=
+            singles.iter().map(|single| self.slots(&single.connection.properties).powi(2)).sum::<f64>();
         let mut total_members = singles.len();
         let mut grouped_members = 0;
         for members in groups.values() {
             let known = members.iter().filter_map(|id| self.connections.get(id));
-            let slots: f64 = known.map(|connection| self.slots(&connection.at)).sum();
+            let slots: f64 = known.map(|connection| self.slots(&connection.properties)).sum();
             let several = members.len() > 1;
             variance += (slots + if several { GROUP_SLOTS } else { 0.0 }).powi(2);
             total_members += members.len();
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -47,7 +47,7 @@
             return;
         };
         let (pool, class) = (connection.pool, connection.class.unwrap_or_default().0);
-        let at = Connection {
+        let properties = Connection {
             server: attempt.server,
             class,
             group: connection.ask.group,
@@ -57,7 +57,7 @@
         self.notify_rebalancer(
             now,
             pool,
-            RebalanceEvent::ConnectionEstablished { connection: id, at, setup },
+            RebalanceEvent::ConnectionEstablished { connection: id, properties, setup },
         );
     }
 
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -94,8 +94,8 @@
     fn establish_one(&mut self, server: u32, group: Option<u64>) -> ConnectionId {
         self.next += 1;
         let (connection, key) = (ConnectionId(self.next), Some(self.next));
-        let at = Connection { server: ServerId(server), class: 0, group, load: None, key };
-        self.notify(RebalanceEvent::ConnectionEstablished { connection, at, setup: None });
+        let properties = Connection { server: ServerId(server), class: 0, group, load: None, key };
+        self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: None });
         self.servers[server as usize].held += 1.0;
         connection
     }
@@ -130,8 +130,8 @@
         let (connection, key) = (ConnectionId(self.next + RETURNED_CONNECTIONS), Some(migrated.0));
         self.notify(RebalanceEvent::ConnectionRequested { connection, key, reconnecting: true });
         let server = ServerId(self.servers.len() as u32 - 1);
-        let at = Connection { server, class: 0, group: None, load: None, key };
-        self.notify(RebalanceEvent::ConnectionEstablished { connection, at, setup: Some(setup) });
+        let properties = Connection { server, class: 0, group: None, load: None, key };
+        self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: Some(setup) });
         self.servers.last_mut().expect("a server").held += 1.0;
     }
 
@@ -322,8 +322,13 @@
     let complete_setups = |harness: &mut RebalanceHarness, took: u64, server: u32| {
         for _ in 0..20 {
             let connection = harness.establish_one(server, None);
-            let at = Connection { server: ServerId(server), class: 0, group: None, load: None, key: None };
-            harness.notify(RebalanceEvent::ConnectionEstablished { connection, at, setup: Some(took) });
+            let properties =
+                Connection { server: ServerId(server), class: 0, group: None, load: None, key: None };
+            harness.notify(RebalanceEvent::ConnectionEstablished {
+                connection,
+                properties,
+                setup: Some(took),
+            });
             harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: true });
             harness.servers[server as usize].held -= 1.0;
         }
@@ -351,8 +356,12 @@
     harness.run_seconds(4, Some(SLOW_MESSAGE_TIME));
     for _ in 0..20 {
         let connection = harness.establish_one(0, None);
-        let at = Connection { server: ServerId(0), class: 0, group: None, load: None, key: None };
-        harness.notify(RebalanceEvent::ConnectionEstablished { connection, at, setup: Some(400_000) });
+        let properties = Connection { server: ServerId(0), class: 0, group: None, load: None, key: None };
+        harness.notify(RebalanceEvent::ConnectionEstablished {
+            connection,
+            properties,
+            setup: Some(400_000),
+        });
     }
     harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
     assert_eq!(harness.hold_reason(), None);
@@ -511,6 +520,22 @@
     assert_eq!(found, Some(HoldReason::FewServers));
 }
 
+#[test]
+fn logs_a_hold_and_its_end_once_connections_were_migrated() {
+    let mut harness = RebalanceHarness::unbalanced();
+    harness.conditions.hot_restart = true;
+    assert_eq!(harness.evaluate_after_half_second(None).log, None, "nobody was migrated");
+    harness.conditions.hot_restart = false;
+    harness.run_seconds(5, Some(SLOW_MESSAGE_TIME));
+    harness.conditions.hot_restart = true;
+    let held = harness.evaluate_after_half_second(None).log.map(|transition| transition.to_string());
+    assert_eq!(held.as_deref(), Some("rebalancing held: another process serves beside this one"));
+    assert_eq!(harness.evaluate_after_half_second(None).log, None, "nothing has changed");
+    harness.conditions.hot_restart = false;
+    let resumed = harness.evaluate_after_half_second(None).log.map(|transition| transition.to_string());
+    assert_eq!(resumed.as_deref(), Some("rebalancing may go on"));
+}
+
 /// Holds end as their causes do; a server that drains for hours must not hold moves for ever.
 #[test]
 fn ends_holds_without_intervention() {
@@ -603,7 +628,7 @@
 
 fn arbitrary_event((kind, number, server): Step) -> RebalanceEvent {
     let connection = ConnectionId(number);
-    let at = Connection {
+    let properties = Connection {
         server: ServerId(server),
         class: (number % 3) as u16,
         group: (number % 4 == 0).then_some(number % 3),
@@ -611,7 +636,9 @@
         key: (number % 5 > 0).then_some(number),
     };
     match kind {
-        0..=3 => RebalanceEvent::ConnectionEstablished { connection, at, setup: Some(number * 5_000) },
+        0..=3 => {
+            RebalanceEvent::ConnectionEstablished { connection, properties, setup: Some(number * 5_000) }
+        }
         4 => RebalanceEvent::ConnectionEnded { connection, natural: server > 2 },
         5 => RebalanceEvent::ConnectionRequested { connection, key: Some(number), reconnecting: server > 2 },
         6 => RebalanceEvent::ConnectionRejected { connection },
@@ -639,7 +666,7 @@
     for &Migration { connection, from } in &decision.moves {
         prop_assert!(seen.insert(connection), "{connection:?} twice");
         prop_assert!(harness.servers[from.0 as usize].ready);
-        let server = harness.rebalance.connection(connection).map(|known| known.at.server);
+        let server = harness.rebalance.connection(connection).map(|known| known.properties.server);
         prop_assert_eq!(server, Some(from));
         harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
     }
