--- a/src/program/config/rebalance.rs
+++ b/src/program/config/rebalance.rs
@@ -26,7 +26,7 @@
     let margin = node.field("margin");
     let assumed_use = node.field("assumed_use");
     let config = RebalanceConfig {
-        on: node.field("on").flag(default.on)?,
+        enabled: node.field("on").flag(default.enabled)?,
         max_moves_per_s: max_moves_per_s.number(default.max_moves_per_s)?,
         margin: margin.number(default.margin)?,
         assumed_use: assumed_use.number(default.assumed_use)?,
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -101,9 +101,10 @@
         let front = metric_name_part(front);
         lines.counter(&format!("rebalance.{front}.{MOVED}"), moves.moved);
         lines.counter(&format!("rebalance.{front}.{RETURNED}"), moves.returned);
-        lines.counter(&format!("rebalance.{front}.{REFUSED}"), moves.refused);
+        lines.counter(&format!("rebalance.{front}.{REFUSED}"), moves.rejected);
         lines.gauge(&format!("rebalance.{front}.{RATE_MILLI}"), (moves.rate * MILLI_PER_UNIT) as u64);
-        lines.gauge(&format!("rebalance.{front}.{HELD}"), moves.held.map_or(0, |held| held.code()));
+        lines
+            .gauge(&format!("rebalance.{front}.{HELD}"), moves.hold_reason.map_or(0, |reason| reason.code()));
     }
     lines.0 + END
 }
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -63,7 +63,7 @@
         let (pool, phase) = (connection.pool, connection.phase);
         // Those that were migrated or cut off have been reported as such before: this second report is ignored.
         let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        self.notify_rebalancer(now, pool, RebalanceEvent::Ended { connection: id, natural });
+        self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionEnded { connection: id, natural });
         let attempt = self.release(now, id).map(|attempt| attempt.number);
         let attempt = match phase {
             // To the decision module a restored connection is established by attempt 0, however many there were.
@@ -82,7 +82,7 @@
         let connection = self.connections.remove(id)?;
         self.admission.begin_waiting(now, id);
         let pool = &mut self.pools[connection.pool];
-        pool.rebalance.take(now, RebalanceEvent::Ended { connection: id, natural: false });
+        pool.rebalance.on_event(now, RebalanceEvent::ConnectionEnded { connection: id, natural: false });
         if connection.phase != Phase::Handshaking {
             pool.admitted.remove(&connection.request);
         }
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -120,7 +120,8 @@
         let pool = &mut self.pools[pool_id];
         pool.admitted.add(request);
         let (key, again) = (request.key, request.again);
-        pool.rebalance.take(now, RebalanceEvent::Arrived { connection: id, key, again });
+        pool.rebalance
+            .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting: again });
         if let Some(connection) = self.connections.get_mut(id) {
             connection.request = request.clone();
         }
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -35,11 +35,11 @@
         if let Some(pool) = self.pools.get_mut(pool_id) {
             pool.listed.mark_received();
         }
-        self.notify_rebalancer(now, pool_id, RebalanceEvent::ListTold);
+        self.notify_rebalancer(now, pool_id, RebalanceEvent::EndpointListReceived);
     }
 
     pub(super) fn on_endpoint_watch_lost(&mut self, now: Time, pool: PoolId) {
-        self.notify_rebalancer(now, pool, RebalanceEvent::ListLost);
+        self.notify_rebalancer(now, pool, RebalanceEvent::EndpointListLost);
         self.dispatch(now, pool, Event::EndpointWatchFailed);
     }
 
@@ -126,7 +126,7 @@
         let pool = &mut self.pools[pool_id];
         let entries = pool.endpoints.replace(endpoints.into_values(), &pool.config.zones);
         let ready = entries.iter().filter(|entry| entry.state == EndpointState::Serving).count();
-        pool.rebalance.take(now, RebalanceEvent::EndpointEntry { ready });
+        pool.rebalance.on_event(now, RebalanceEvent::EndpointListChanged { ready });
         self.dispatch(now, pool_id, Event::EndpointsReplaced(&entries));
     }
 
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -52,7 +52,7 @@
         let pool = &mut self.pools[pool_id];
         pool.load_reports.add_message_time(now, server, message_time_ms);
         let took = (message_time_ms.max(0.0) * MICROS_PER_MILLISECOND) as Micros;
-        pool.rebalance.take(now, RebalanceEvent::Delay { server, took });
+        pool.rebalance.on_event(now, RebalanceEvent::MessageTimeReported { server, took });
         self.broadcast_observation(now, pool_id, Observation::SlowServer(server, took));
         Measurement::MessageTime(took)
     }
@@ -60,7 +60,7 @@
     fn take_load(&mut self, now: Time, pool_id: PoolId, id: ConnectionId, load: f64) -> Measurement {
         let pool = &mut self.pools[pool_id];
         pool.load_reports.add_load(load);
-        pool.rebalance.take(now, RebalanceEvent::Load { connection: id, load });
+        pool.rebalance.on_event(now, RebalanceEvent::LoadReported { connection: id, load });
         if let Some(connection) = self.connections.get_mut(id) {
             connection.load = Some(load);
         }
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -3,6 +3,8 @@
 use std::fmt;
 use std::net::SocketAddr;
 
+use crate::rebalance::HoldReason;
+
 /// One line of the log. The on-call page lists the texts below: keep one literal template for each variant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
@@ -56,12 +58,17 @@
         /// Connections that are open now.
         connections: usize,
     },
-    /// Rebalancing of a pool started, stopped or was held back.
-    Rebalancing {
+    /// No connection of a pool is migrated for balance from now on.
+    RebalancingHeld {
+        /// Name of the pool's front.
+        pool: &'static str,
+        /// Why not.
+        reason: HoldReason,
+    },
+    /// Connections of a pool may be migrated for balance again.
+    RebalancingResumed {
         /// Name of the pool's front.
         pool: &'static str,
-        /// What changed.
-        change: String,
     },
 }
 
@@ -98,8 +105,11 @@
             LogEvent::ShutdownStarted { connections } => {
                 write!(formatter, "leaving: {connections} connections to migrate")
             }
-            LogEvent::Rebalancing { pool, change } => {
-                write!(formatter, "{pool}: {change}")
+            LogEvent::RebalancingHeld { pool, reason } => {
+                write!(formatter, "{pool}: rebalancing held: {reason}")
+            }
+            LogEvent::RebalancingResumed { pool } => {
+                write!(formatter, "{pool}: rebalancing may go on")
             }
         }
     }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -2,7 +2,10 @@
 
 use super::{ConnectionId, Effect, LogEvent, PoolId, State};
 use crate::rebalance::view::Connection;
-use crate::rebalance::{Decision, RebalanceEvent, RebalanceMetrics, ServerSnapshot, SystemConditions};
+use crate::rebalance::{
+    CeilingIncrease, Decision, HoldTransition, Migration, RebalanceEvent, RebalanceMetrics, ServerSnapshot,
+    SystemConditions,
+};
 use crate::{LearnedState, Micros, Occupancy, Outcome, ServerId, Time};
 
 use super::pool::Pool;
@@ -17,21 +20,25 @@
 impl State {
     pub(super) fn notify_rebalancer(&mut self, now: Time, pool: PoolId, event: RebalanceEvent) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.rebalance.take(now, event);
+            pool.rebalance.on_event(now, event);
         }
     }
 
     /// A connection was rejected or failed.
     pub(super) fn notify_declined(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.pool_of(id) {
-            self.notify_rebalancer(now, pool, RebalanceEvent::Declined { connection: id });
+            self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionRejected { connection: id });
         }
     }
 
     /// An established connection is migrated or redirected before its client ends it.
     pub(super) fn notify_interrupted(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.pool_of(id) {
-            self.notify_rebalancer(now, pool, RebalanceEvent::Ended { connection: id, natural: false });
+            self.notify_rebalancer(
+                now,
+                pool,
+                RebalanceEvent::ConnectionEnded { connection: id, natural: false },
+            );
         }
     }
 
@@ -40,19 +47,23 @@
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
         let pool = connection.pool;
-        let at = Connection {
+        let properties = Connection {
             server: attempt.server,
             class: connection.class.unwrap_or_default().0,
             group: connection.request.group,
             load: connection.load,
             key: connection.request.key,
         };
-        self.notify_rebalancer(now, pool, RebalanceEvent::Stood { connection: id, at, setup });
+        self.notify_rebalancer(
+            now,
+            pool,
+            RebalanceEvent::ConnectionEstablished { connection: id, properties, setup },
+        );
     }
 
     /// Metrics of a pool's rebalancing, where it is on: for models and tests.
     pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
-        let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.on)?;
+        let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.enabled)?;
         Some(pool.rebalance.metrics())
     }
 }
@@ -71,23 +82,26 @@
 
     fn system_conditions(&self, pool_id: PoolId) -> SystemConditions {
         SystemConditions {
-            leaving: self.shutdown.has_begun(),
-            handover: self.hot_restart.has_peer_process(),
+            shutting_down: self.shutdown.has_begun(),
+            hot_restart: self.hot_restart.has_peer_process(),
             draining: self.connections_at_unready_servers(pool_id).count(),
         }
     }
 
     fn apply_decision(&mut self, now: Time, pool_id: PoolId, decision: Decision) {
         let pool = self.pools[pool_id].config.name;
-        let log_event = decision.log.map(|change| LogEvent::Rebalancing { pool, change });
+        let log_event = decision.log.map(|transition| match transition {
+            HoldTransition::Held(reason) => LogEvent::RebalancingHeld { pool, reason },
+            HoldTransition::Resumed => LogEvent::RebalancingResumed { pool },
+        });
         self.effects.extend(log_event.map(Effect::Log));
-        for (server, ceiling) in decision.ceilings {
+        for CeilingIncrease { server, ceiling } in decision.ceilings {
             self.pools[pool_id].raise_ceiling(server, ceiling);
         }
         for server in decision.lowered {
             self.pools[pool_id].lower_ceiling(server);
         }
-        for (id, server) in decision.moves {
+        for Migration { connection: id, from: server } in decision.moves {
             self.migrate(now, id, Outcome::Cancelled);
             self.pools[pool_id].lower_ceiling_after_migration(now, server);
         }
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -139,7 +139,7 @@
         metrics.outstanding += self.admitted.count() as u64;
         metrics.discovered += self.endpoints.ids().count() as u64;
         metrics.ejected += self.endpoints.ids().filter(|&server| self.is_avoided(now, server)).count() as u64;
-        if self.config.rebalance.on {
+        if self.config.rebalance.enabled {
             metrics.rebalance.insert(self.config.name.to_owned(), self.rebalance.metrics());
         }
     }
