--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -153,7 +153,7 @@
 /// Makes a call at a balancer's door, and prints the answer.
 fn ask(mgmt: Option<String>, call: &str) -> Result<(), String> {
     let mgmt = mgmt.or_else(mgmt_of_environment).ok_or("give --mgmt ADDRESS or set NODE_MGMT")?;
-    let answer = transport::ask(&mgmt, call)?;
+    let answer = transport::call_admin_endpoint(&mgmt, call).map_err(|error| error.to_string())?;
     print!("{}", answer.replace('\r', ""));
     if answer.starts_with("NO") {
         return Err(format!("{call}: not done"));
@@ -171,6 +171,7 @@
         Command::Serve(serve) => {
             let record = serve.record.as_deref().map(|path| (path, serve.record_mb << 20));
             transport::serve(sources(serve.config, serve.irc, serve.rebalance), record)
+                .map_err(|error| error.to_string())
         }
         Command::Replay(replay) => {
             let config = match replay.front {
@@ -178,6 +179,7 @@
                 transport::Which::Irc => config::read(None, Some(&replay.config), None)?,
             };
             transport::replay(&replay.file, config, replay.front, replay.port)
+                .map_err(|error| error.to_string())
         }
         Command::Check(check) => {
             let config = sources(check.config, check.irc, check.rebalance).read()?;
@@ -196,7 +198,8 @@
         Command::Telemetry(Telemetry { mgmt }) => ask(mgmt, "telemetry"),
         Command::Set(set) => {
             config::store_entry(&set.key, set.value.as_deref())?;
-            let entry = transport::write_at(set.store, &set.key, set.value)?;
+            let entry = transport::write_store_entry(set.store, &set.key, set.value)
+                .map_err(|error| error.to_string())?;
             let value = entry.value.as_deref().unwrap_or("nothing");
             println!("{} is {value}; written at node {} as {}", set.key, entry.node, entry.counter);
             Ok(())
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,7 +1,7 @@
-//! The log: events of `tracing`, written to standard error in one place and rate-limited.
+//! The log: events of `tracing`, written to standard error in one place, and rate-limited.
 //!
-//! As text a line reads `connection-balancer: LEVEL: MESSAGE key=value`; as JSON lines it is one object with time, level,
-//! target and fields. Levels are set for each module.
+//! As text a line is `connection-balancer: LEVEL: MESSAGE key=value`; as JSON it is one object with time, level, target
+//! and fields. Levels are configured for each module.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -17,18 +17,23 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Lines that may come at once, and each second after that.
-const BURST: f64 = 100.0;
-const EACH_SECOND: f64 = 10.0;
+/// Lines that may be written at once.
+const MAX_BURST_LINES: f64 = 100.0;
+/// Lines that may be written each second after a burst.
+const LINES_PER_SECOND: f64 = 10.0;
 
-/// The crate's name as it stands in the targets of log events, and the name that it had before.
+/// The crate's name in the targets of log events.
 const CRATE: &str = "connection_balancer";
+/// The name that it had before, which configurations may still hold.
 const FORMER_CRATE: &str = "sagemount";
 
+/// What every line of text begins with.
+const LINE_PREFIX: &str = "connection-balancer";
+
 /// How the log is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogConfig {
-    /// The least level that is written, for each module.
+    /// The lowest level that is written, for each module.
     pub levels: Targets,
     /// JSON lines, or else text.
     pub json: bool,
@@ -42,64 +47,69 @@
 }
 
 impl LogConfig {
-    /// Reads levels: one for all, and after that `MODULE=LEVEL` for modules of this program. None if that is not so.
-    /// Modules may be written under the program's earlier name, `sagemount::…`.
+    /// Reads levels: one for all, then `MODULE=LEVEL` for modules of this program. None if the text is not of that
+    /// form. Modules may be written under the program's former name, `sagemount::…`.
     pub fn levels(text: &str) -> Option<Targets> {
         let text = &text.replace(FORMER_CRATE, CRATE);
-        let level = |text: &str| !text.is_empty() && text.parse::<LevelFilter>().is_ok();
-        let sound = |part: &str| match part.split_once('=') {
-            Some((module, text)) => module.starts_with(CRATE) && level(text),
-            None => level(part),
+        let is_level = |text: &str| !text.is_empty() && text.parse::<LevelFilter>().is_ok();
+        let is_valid = |part: &str| match part.split_once('=') {
+            Some((module, level)) => module.starts_with(CRATE) && is_level(level),
+            None => is_level(part),
         };
-        text.split(',').all(sound).then(|| text.parse().ok()).flatten()
+        text.split(',').all(is_valid).then(|| text.parse().ok()).flatten()
     }
 }
 
-/// Lines that may be written now.
+/// Limits how many lines are written.
+#[doc(hidden)]
 #[derive(Debug)]
-struct Bucket {
-    left: f64,
-    filled: Option<Instant>,
+pub struct LineLimiter {
+    /// Lines that may be written now.
+    available: f64,
+    updated_at: Option<Instant>,
+    /// Lines that were dropped since the last one that was written.
     dropped: u64,
 }
 
-impl Bucket {
-    const FULL: Bucket = Bucket { left: BURST, filled: None, dropped: 0 };
+impl LineLimiter {
+    /// A limiter that admits a full burst.
+    pub const FULL: LineLimiter = LineLimiter { available: MAX_BURST_LINES, updated_at: None, dropped: 0 };
 
-    /// Whether a line may be written now, and how many were not since the last that was.
-    fn admit(&mut self, now: Instant) -> Option<u64> {
-        let past = self.filled.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-        self.left = (self.left + past * EACH_SECOND).min(BURST);
-        if self.left < 1.0 {
+    /// Whether a line may be written now; if so, how many were dropped since the last one that was.
+    pub fn admit(&mut self, now: Instant) -> Option<u64> {
+        let updated_at = self.updated_at.replace(now);
+        let elapsed_seconds = updated_at.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        self.available = (self.available + elapsed_seconds * LINES_PER_SECOND).min(MAX_BURST_LINES);
+        if self.available < 1.0 {
             self.dropped += 1;
             return None;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         Some(std::mem::take(&mut self.dropped))
     }
 }
 
-/// Danger: a crowd of bad clients must not fill the disk that the log goes to, nor stop the one thread there is.
-static BUCKET: Mutex<Bucket> = Mutex::new(Bucket::FULL);
+/// A crowd of bad clients must not fill the disk that the log goes to, nor block the one thread that writes it.
+static LIMITER: Mutex<LineLimiter> = Mutex::new(LineLimiter::FULL);
 
-/// Standard error, as far as the bucket admits.
+/// Standard error, as far as the limiter admits.
 #[derive(Clone, Copy, Debug)]
-struct Limited {
+struct LimitedStderr {
     json: bool,
 }
 
-impl Write for Limited {
-    /// One call is one line: that is how events are written.
+impl Write for LimitedStderr {
+    /// Writes or drops one line: each event is written with one call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut bucket = BUCKET.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let Some(dropped) = bucket.admit(Instant::now()) else { return Ok(line.len()) };
-        let mut out = io::stderr().lock();
+        let mut limiter = LIMITER.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let Some(dropped) = limiter.admit(Instant::now()) else { return Ok(line.len()) };
+        let mut stderr = io::stderr().lock();
         if dropped > 0 && self.json {
-            writeln!(out, r#"{{"level":"WARN","message":"{dropped} log lines dropped"}}"#)?;
+            writeln!(stderr, r#"{{"level":"WARN","message":"{dropped} log lines dropped"}}"#)?;
         } else if dropped > 0 {
-            writeln!(out, "connection-balancer: warn: {dropped} log lines dropped")?;
+            writeln!(stderr, "{LINE_PREFIX}: warn: {dropped} log lines dropped")?;
         }
-        out.write_all(line)?;
+        stderr.write_all(line)?;
         Ok(line.len())
     }
 
@@ -108,87 +118,51 @@
     }
 }
 
-impl MakeWriter<'_> for Limited {
-    type Writer = Limited;
+impl MakeWriter<'_> for LimitedStderr {
+    type Writer = LimitedStderr;
 
-    fn make_writer(&self) -> Limited {
+    fn make_writer(&self) -> LimitedStderr {
         *self
     }
 }
 
-/// A line of text.
-struct Text;
+/// Formats an event as a line of text.
+struct TextFormat;
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(
         &self,
-        ctx: &FmtContext<'_, S, N>,
-        mut out: Writer<'_>,
+        context: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        write!(out, "connection-balancer: {}: ", event.metadata().level().as_str().to_ascii_lowercase())?;
-        ctx.format_fields(out.by_ref(), event)?;
-        writeln!(out)
+        write!(writer, "{LINE_PREFIX}: {}: ", event.metadata().level().as_str().to_ascii_lowercase())?;
+        context.format_fields(writer.by_ref(), event)?;
+        writeln!(writer)
     }
 }
 
-/// Writes the log like this from now on. The first call of a process counts; before it nothing is written.
-pub fn start(setup: &LogConfig) {
-    let to = Limited { json: setup.json };
-    let layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(to);
-    let layer = match setup.json {
+/// Writes the log as configured from now on. Only the first call of a process has an effect; before it nothing is
+/// written.
+pub fn start(config: &LogConfig) {
+    let stderr = LimitedStderr { json: config.json };
+    let layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(stderr);
+    let layer = match config.json {
         true => layer.json().flatten_event(true).boxed(),
-        false => layer.event_format(Text).boxed(),
+        false => layer.event_format(TextFormat).boxed(),
     };
-    // A second one is a process that has said already how it logs.
-    let _ = tracing_subscriber::registry().with(layer.with_filter(setup.levels.clone())).try_init();
+    // This fails where the log was started before: that start counts.
+    let _ = tracing_subscriber::registry().with(layer.with_filter(config.levels.clone())).try_init();
 }
 
-/// Writes a log line: a level, then what `tracing`'s macros take. All of the daemon's log goes through here.
+/// Writes a log line: a level, then what the macros of `tracing` take. All of the daemon's log goes through here.
 #[macro_export]
 macro_rules! log {
     ($level:ident, $($text:tt)+) => {
         ::tracing::$level!($($text)+)
     };
 }
-
-#[cfg(test)]
-mod tests {
-    use std::time::Duration;
-
-    use super::*;
-
-    #[test]
-    fn levels_are_for_all_or_for_modules_of_this_program() {
-        for sound in
-            ["info", "off", "warn,connection_balancer::transport=debug", "warn,sagemount::transport=debug"]
-        {
-            assert!(LogConfig::levels(sound).is_some(), "{sound}");
-        }
-        for faulty in [
-            "loud",
-            "",
-            "transport=debug",
-            "connection_balancer::transport=loud",
-            "sagemount::transport=loud",
-            "info,",
-        ] {
-            assert!(LogConfig::levels(faulty).is_none(), "{faulty}");
-        }
-    }
-
-    #[test]
-    fn a_flood_is_cut_off_and_counted() {
-        let (mut bucket, now) = (Bucket::FULL, Instant::now());
-        let admitted = (0..500).filter(|_| bucket.admit(now).is_some()).count();
-        assert_eq!(admitted, 100);
-        // A second later ten more may come, and the first says how many were lost.
-        let later = now + Duration::from_secs(1);
-        assert_eq!(bucket.admit(later), Some(400));
-        assert_eq!((0..500).filter(|_| bucket.admit(later).is_some()).count(), 9);
-    }
-}
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -1,4 +1,4 @@
-//! The operators' door: its callers, each with one line and one answer.
+//! The admin endpoint: its clients, each with one line and one answer.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -11,92 +11,96 @@
 use tokio::time::timeout;
 
 use super::driver::Driver;
+use super::listener::accept_each;
 use crate::protocol::admin;
 use crate::protocol::lines::{Cut, Lines};
 use crate::routing::{AdminResponse, Input};
 
-/// Callers at a time: their descriptors are set aside for them.
-pub const MOST_CALLERS: usize = 10;
-/// A caller says its line at once. Danger: some say nothing, or half of it, and stay.
-const HEARD: Duration = Duration::from_secs(2);
-/// After its answer a caller has so long to go. Danger: closed over what it still sends, the connection
-/// would be reset, and the answer lost.
-const LINGER: Duration = Duration::from_millis(200);
+/// Admin clients at a time: their descriptors are reserved.
+pub const MAX_ADMIN_CLIENTS: usize = 10;
+/// A client sends its line at once. Some send nothing, or half of it, and stay.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a client has to close after its answer. Closed over what it still sends, the connection would be reset,
+/// and the answer lost.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-struct Caller {
+/// One admin client.
+struct AdminClient {
     task: JoinHandle<()>,
-    /// It has said its line.
-    heard: Rc<Cell<bool>>,
+    /// Whether its line has come.
+    called: Rc<Cell<bool>>,
 }
 
-/// Who is at the door now, the oldest first.
+/// The admin clients that are connected, the oldest first.
 #[derive(Default)]
-pub struct Callers(VecDeque<Caller>);
+struct AdminClients(VecDeque<AdminClient>);
 
-impl Callers {
-    /// Takes a caller in. Where all places are taken, the oldest that has said nothing goes.
-    pub fn enter(&mut self, driver: &Rc<Driver>, stream: TcpStream) {
+impl AdminClients {
+    /// Serves a new client. Where all places are taken, the oldest whose line has not come is closed.
+    fn serve(&mut self, driver: &Rc<Driver>, stream: TcpStream) {
         self.0.retain(|admin_client| !admin_client.task.is_finished());
-        if self.0.len() >= MOST_CALLERS {
-            let oldest = self.0.iter().position(|admin_client| !admin_client.heard.get()).unwrap_or(0);
+        if self.0.len() >= MAX_ADMIN_CLIENTS {
+            let oldest = self.0.iter().position(|admin_client| !admin_client.called.get()).unwrap_or(0);
             if let Some(admin_client) = self.0.remove(oldest) {
                 admin_client.task.abort();
             }
         }
-        let heard = Rc::new(Cell::new(false));
-        let task = tokio::task::spawn_local(serve(driver.clone(), stream, heard.clone()));
-        self.0.push_back(Caller { task, heard });
+        let called = Rc::new(Cell::new(false));
+        let task = tokio::task::spawn_local(serve_client(driver.clone(), stream, called.clone()));
+        self.0.push_back(AdminClient { task, called });
     }
 }
 
-/// Reads the line: an error says what is wrong with it, nothing that there never was any.
-async fn hear(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
-    let mut lines = Lines::default();
-    loop {
-        match lines.next(admin::LONGEST_CALL) {
-            Cut::Line(line) => return Some(Ok(line)),
-            Cut::TooLong => return Some(Err("too long for a call")),
-            Cut::None => {}
-        }
-        let mut piece = [0; admin::LONGEST_CALL];
-        match stream.read(&mut piece).await {
-            Ok(0) if lines.is_empty() => return None,
-            // Danger: what was cut off may have meant another server.
-            Ok(0) => return Some(Err("the line has no end")),
-            Ok(n) => lines.push(&piece[..n]),
-            Err(_) => return None,
+/// Accepts admin clients, for ever.
+pub async fn accept_clients(driver: Rc<Driver>, listener: Rc<TcpListener>) {
+    let mut clients = AdminClients::default();
+    let always_open = async |open: bool| {
+        if !open {
+            std::future::pending::<()>().await;
         }
-    }
+    };
+    accept_each(&listener, always_open, async |stream| clients.serve(&driver, stream)).await;
 }
 
-async fn serve(driver: Rc<Driver>, mut stream: TcpStream, heard: Rc<Cell<bool>>) {
-    let line = match timeout(HEARD, hear(&mut stream)).await {
+async fn serve_client(driver: Rc<Driver>, mut stream: TcpStream, called: Rc<Cell<bool>>) {
+    let line = match timeout(CALL_TIMEOUT, read_line(&mut stream)).await {
         Ok(Some(line)) => line,
         Ok(None) => return,
         Err(_) => Err("no line came in time"),
     };
-    heard.set(true);
+    called.set(true);
     let reply = match line.and_then(|line| admin::call(&line)) {
         Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
         Err(reason) => AdminResponse::No(reason.to_owned()),
     };
-    let answered = async {
-        stream.write_all(&admin::reply(&reply)).await?;
-        stream.shutdown().await?;
-        while stream.read(&mut [0; admin::LONGEST_CALL]).await? > 0 {}
-        std::io::Result::Ok(())
-    };
-    // Whether it waits for its answer or not: it has had it by now.
-    let _ = timeout(LINGER, answered).await;
+    // Whether the client waited for its answer or not: it is sent by now.
+    let _ = timeout(CLOSE_TIMEOUT, write_reply(&mut stream, &reply)).await;
 }
 
-/// Takes callers for ever.
-pub async fn accept(driver: Rc<Driver>, listener: Rc<TcpListener>) {
-    let mut callers = Callers::default();
-    let always = async |open: bool| {
-        if !open {
-            std::future::pending::<()>().await;
+/// Reads a client's line: an error says what is wrong with it, none that there was none.
+async fn read_line(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
+    let mut lines = Lines::default();
+    loop {
+        match lines.next(admin::LONGEST_CALL) {
+            Cut::Line(line) => return Some(Ok(line)),
+            Cut::TooLong => return Some(Err("too long for a call")),
+            Cut::None => {}
         }
-    };
-    super::accept_each(&listener, always, async |stream| callers.enter(&driver, stream)).await;
+        let mut buffer = [0; admin::LONGEST_CALL];
+        match stream.read(&mut buffer).await {
+            Ok(0) if lines.is_empty() => return None,
+            // What was cut off may have meant another server.
+            Ok(0) => return Some(Err("the line has no end")),
+            Ok(length) => lines.push(&buffer[..length]),
+            Err(_) => return None,
+        }
+    }
+}
+
+/// Writes the reply, and reads until the client has closed its side.
+async fn write_reply(stream: &mut TcpStream, reply: &AdminResponse) -> std::io::Result<()> {
+    stream.write_all(&admin::reply(reply)).await?;
+    stream.shutdown().await?;
+    while stream.read(&mut [0; admin::LONGEST_CALL]).await? > 0 {}
+    Ok(())
 }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -1,5 +1,6 @@
-//! What the hub tells the tasks that carry things out. Only words: whoever carries them out imports this and the
-//! hub, and the hub imports nobody who does.
+//! Commands from the driver to the tasks that carry them out.
+//!
+//! Only types live here: the tasks import this module and the driver, and the driver imports none of the tasks.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -10,54 +11,94 @@
 use crate::routing::{AdminClientId, Answer, ConnectionId, EstablishedConnection, PoolId};
 use crate::{Micros, ServerId};
 
-/// What a connection's task is to do.
+/// A command for the task of one connection.
 #[derive(Debug)]
 pub enum ConnectionCommand {
     /// Open an attempt.
-    OpenAttempt { attempt: u32, address: String, wait: Micros },
+    OpenAttempt {
+        /// Number of the attempt, from 0.
+        attempt: u32,
+        /// Address of the server.
+        address: String,
+        /// How long the server has for its answer.
+        wait: Micros,
+    },
     /// Close the attempt.
     CloseAttempt,
-    /// Give the answer and end.
-    Answer(Answer),
-    /// Say whether the client has asked by now.
-    Hear,
-    /// End at once, whatever is left to write.
-    Drop,
-    /// Leave it to another process, if it is between two lines.
-    Pass(oneshot::Sender<TransferredConnection>),
+    /// Send the client this answer, then close both sides in order.
+    SendAnswer(Answer),
+    /// Read what the client has sent by now; [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut) if
+    /// that is no request.
+    CheckHandshake,
+    /// Close all sockets at once, whatever is left to write.
+    Abort,
+    /// Give up the sockets for the successor, if the connection is between two lines.
+    Transfer(oneshot::Sender<TransferredConnection>),
 }
 
-/// A connection on its way to another process.
+/// A connection on its way to the successor.
 #[derive(Debug)]
 pub struct TransferredConnection {
+    /// The client's socket.
     pub client: OwnedFd,
+    /// The attempt's socket.
     pub attempt: OwnedFd,
-    /// What its front has to know there.
-    pub state: Vec<u8>,
-    /// What its client is told should it not arrive.
-    pub goodbye: Vec<u8>,
+    /// State of the front, which the successor needs.
+    pub front_state: Vec<u8>,
+    /// What to send to the client if the successor cannot be reached.
+    pub migration_notice: Vec<u8>,
 }
 
-/// What is for the other process.
-pub enum Outgoing {
-    Share { admin_client: AdminClientId, server: String, out: bool },
-    Pass { connection: ConnectionId, pool: PoolId, established: Box<EstablishedConnection> },
+/// A message for the peer process during a hot restart.
+pub enum PeerProcessMessage {
+    /// An operator excluded or readmitted a server.
+    ShareExclusion {
+        /// The admin client that waits for the acknowledgement.
+        admin_client: AdminClientId,
+        /// Name of the server.
+        server: String,
+        /// Whether it is excluded, or else readmitted.
+        excluded: bool,
+    },
+    /// An established connection goes to the successor.
+    TransferConnection {
+        /// Its id in this process.
+        connection: ConnectionId,
+        /// Its pool.
+        pool: PoolId,
+        /// What the reducer knows of it.
+        established: Box<EstablishedConnection>,
+    },
 }
 
 /// A server is to be asked for its load.
-pub struct Probe {
+pub struct ProbeCommand {
+    /// The server's pool.
     pub pool: PoolId,
+    /// The server.
     pub server: ServerId,
+    /// Its address.
     pub address: String,
-    /// Names under which its report may hold that.
-    pub names: Vec<&'static str>,
-    pub wait: Duration,
+    /// Names under which its load report may hold the load, the best first.
+    pub load_names: Vec<&'static str>,
+    /// How long to wait for the report.
+    pub timeout: Duration,
 }
 
-/// What is for the watches on routing tables.
-pub enum WatchOrder {
-    /// Watch this pool's again, telling what was missed first.
-    Again { pool: PoolId },
-    /// Watch at this address from this generation on, or else from the whole list; an old watch is let go.
-    At { pool: PoolId, discovery: SocketAddr, generation: Option<u64> },
+/// A command for the watches on endpoint lists.
+pub enum WatchCommand {
+    /// Resume the watch of this pool after it was lost; what was missed comes first.
+    Resume {
+        /// The pool.
+        pool: PoolId,
+    },
+    /// Start a watch, in the place of the pool's old one.
+    Start {
+        /// The pool.
+        pool: PoolId,
+        /// Address of discovery.
+        discovery: SocketAddr,
+        /// Generation of the endpoint list that is held; without one the whole list is requested.
+        generation: Option<u64>,
+    },
 }
--- /dev/null
+++ b/src/transport/connection/client_side.rs
@@ -0,0 +1,86 @@
+//! The client's side of a connection.
+
+use std::io;
+
+use tokio::time::Instant;
+
+use super::socket_end::SocketEnd;
+use super::{Connection, CLOSE_TIMEOUT, READ_BUFFER_BYTES};
+use crate::protocol::pcap::{Close, Way};
+use crate::routing::Input;
+
+/// How a socket is read: [`SocketEnd::read`] or [`SocketEnd::read_from_system`].
+type ReadSocket = fn(&SocketEnd, &mut [u8]) -> io::Result<Option<usize>>;
+
+impl Connection {
+    /// Reads once from the client. Returns whether there was anything, its end included.
+    pub(super) fn read_client(&mut self, read: ReadSocket) -> bool {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        match read(&self.client, &mut buffer) {
+            Ok(None) => return false,
+            Ok(Some(0)) => self.on_client_ended(),
+            Ok(Some(length)) if self.is_closing() => {
+                self.client_quiet_since = Instant::now();
+                self.discarded_bytes += length;
+            }
+            Ok(Some(length)) => {
+                self.record(|tape, at| tape.data(at, Way::FromClient, &buffer[..length]));
+                let mut steps = Vec::new();
+                self.front.client_sent(&buffer[..length], &mut steps);
+                self.take_steps(steps);
+            }
+            Err(_) => self.on_client_broken(),
+        }
+        true
+    }
+
+    /// Reads all that the client has sent by now, while it still waits for its answer.
+    pub(super) fn read_client_until_asked(&mut self) {
+        while !self.is_closing() && !self.established && self.read_client(SocketEnd::read_from_system) {}
+    }
+
+    /// Writes to the client what can be written at once.
+    pub(super) fn flush_client(&mut self) {
+        let flushed = self.client.flush();
+        if let Some(recorded) = self.client.take_recorded() {
+            self.record(|tape, at| tape.data(at, Way::ToClient, &recorded));
+        }
+        if self.client.is_write_finished() {
+            self.record(|tape, at| tape.close(at, Way::ToClient, Close::InOrder));
+        }
+        if flushed.is_err() {
+            self.on_client_broken();
+        }
+    }
+
+    /// The client sends nothing more: it has left, and the server's side is closed in the same way.
+    fn on_client_ended(&mut self) {
+        self.client.set_read_ended();
+        self.record(|tape, at| tape.close(at, Way::FromClient, Close::InOrder));
+        if self.is_closing() {
+            return;
+        }
+        match self.upstream.end_mut().filter(|_| self.established) {
+            // It may still read: the server's last output goes to it, for a while.
+            Some(attempt) => {
+                attempt.close_when_written();
+                self.close_deadline = Some(Instant::now() + CLOSE_TIMEOUT);
+            }
+            None => self.close_in_order(),
+        }
+        self.driver.feed(Input::ClientDisconnected { connection: self.id });
+    }
+
+    fn on_client_broken(&mut self) {
+        self.client.set_read_ended();
+        self.record(|tape, at| tape.close(at, Way::FromClient, Close::Broken));
+        let resets_attempt = self.established && !self.client.is_write_closing();
+        if let Some(attempt) = self.upstream.take_connected().filter(|_| resets_attempt) {
+            attempt.reset_on_drop();
+        }
+        if !self.is_closing() {
+            self.driver.feed(Input::ClientDisconnected { connection: self.id });
+        }
+        self.close_deadline = Some(Instant::now());
+    }
+}
--- /dev/null
+++ b/src/transport/connection/upstream.rs
@@ -0,0 +1,133 @@
+//! The attempt of a connection: on its way to a server, or connected to it.
+
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+
+use rustix::io::Errno;
+use tokio::net::TcpStream;
+
+use super::socket_end::SocketEnd;
+
+/// A TCP connection that is being established.
+pub(super) type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
+
+/// An attempt whose TCP connection is established.
+pub(super) struct Attempt {
+    pub(super) end: SocketEnd,
+    /// Whether the request is written in full.
+    pub(super) request_forwarded: bool,
+}
+
+/// The attempt, as far as it has come.
+pub(super) enum Upstream {
+    /// There is none.
+    Idle,
+    /// It connects; the request is sent once it has.
+    Connecting { connecting: Connecting, request: Vec<u8> },
+    /// It is connected.
+    Connected(Attempt),
+}
+
+impl Upstream {
+    /// Begins to connect to an address.
+    pub(super) fn connect(address: String, request: Vec<u8>) -> Upstream {
+        let connecting = Box::pin(async move { TcpStream::connect(address).await });
+        Upstream::Connecting { connecting, request }
+    }
+
+    /// An attempt that another process brought up.
+    pub(super) fn adopt(stream: TcpStream) -> Upstream {
+        let end = SocketEnd::new(stream, Vec::new());
+        Upstream::Connected(Attempt { end, request_forwarded: true })
+    }
+
+    /// The TCP connection is there: the request is pending from now on.
+    pub(super) fn send_request(stream: TcpStream, request: Vec<u8>) -> Upstream {
+        let end = SocketEnd::new(stream, request);
+        Upstream::Connected(Attempt { end, request_forwarded: false })
+    }
+
+    pub(super) fn attempt(&self) -> Option<&Attempt> {
+        match self {
+            Upstream::Connected(attempt) => Some(attempt),
+            _ => None,
+        }
+    }
+
+    pub(super) fn attempt_mut(&mut self) -> Option<&mut Attempt> {
+        match self {
+            Upstream::Connected(attempt) => Some(attempt),
+            _ => None,
+        }
+    }
+
+    pub(super) fn end(&self) -> Option<&SocketEnd> {
+        self.attempt().map(|attempt| &attempt.end)
+    }
+
+    pub(super) fn end_mut(&mut self) -> Option<&mut SocketEnd> {
+        self.attempt_mut().map(|attempt| &mut attempt.end)
+    }
+
+    /// What there is to wait for: the connect, or the socket.
+    pub(super) fn waits(&mut self) -> (Option<&mut Connecting>, Option<&SocketEnd>) {
+        match self {
+            Upstream::Idle => (None, None),
+            Upstream::Connecting { connecting, .. } => (Some(connecting), None),
+            Upstream::Connected(attempt) => (None, Some(&attempt.end)),
+        }
+    }
+
+    /// Closes the socket of a connected attempt, and leaves one that connects as it is.
+    pub(super) fn close_connected(&mut self) {
+        self.take_connected();
+    }
+
+    /// Takes the socket of a connected attempt out, and leaves one that connects as it is.
+    pub(super) fn take_connected(&mut self) -> Option<SocketEnd> {
+        match std::mem::replace(self, Upstream::Idle) {
+            Upstream::Connected(attempt) => Some(attempt.end),
+            other => {
+                *self = other;
+                None
+            }
+        }
+    }
+
+    /// Takes the request out of an attempt that connects.
+    pub(super) fn take_request(&mut self) -> Option<Vec<u8>> {
+        match std::mem::replace(self, Upstream::Idle) {
+            Upstream::Connecting { request, .. } => Some(request),
+            other => {
+                *self = other;
+                None
+            }
+        }
+    }
+
+    /// Whether there is a connected attempt whose request is not written in full.
+    pub(super) fn is_request_pending(&self) -> bool {
+        self.attempt().is_some_and(|attempt| !attempt.request_forwarded)
+    }
+
+    /// Whether nothing more will be written to a connected attempt, or there is none.
+    pub(super) fn is_write_finished(&self) -> bool {
+        self.end().is_none_or(SocketEnd::is_write_finished)
+    }
+}
+
+/// Waits for a connect, or for ever. Cancellation-safe: the connect stays with its owner and goes on from there.
+pub(super) async fn wait_connected(connecting: Option<&mut Connecting>) -> io::Result<TcpStream> {
+    match connecting {
+        Some(connecting) => connecting.await,
+        None => std::future::pending().await,
+    }
+}
+
+/// Whether a connect failed because this machine had no descriptor, memory or port left.
+pub(super) fn is_local_shortage(error: &io::Error) -> bool {
+    use io::ErrorKind::{AddrNotAvailable, OutOfMemory};
+    matches!(error.kind(), AddrNotAvailable | OutOfMemory)
+        || matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE))
+}
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -1,182 +1,268 @@
-//! The watch on discovery's endpoint list: asked for by the reducer, renewed as long as it holds.
+//! Watches on discovery's endpoint lists: requested by the reducer, and renewed as long as they hold.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-use super::commands::WatchOrder;
+use super::commands::WatchCommand;
 use super::driver::Driver;
+use super::log_event::{log_event, LogEvent};
 use crate::protocol::http::{self, EndpointListUpdate};
-use crate::routing::Input;
-
-/// A call waits so long for something new. Danger: what discovery has to tell counts as told 6 s later at the
-/// latest, and a watch that has fallen silent looks like one on which nothing happens; so it is soon over.
-const HOLD: Duration = Duration::from_secs(3);
-/// Beyond that, a call that has had no answer after this long has failed, whether it was to wait or not. Danger: a
-/// call that is still in turn at a crowded discovery is the nearest to being answered, and one given up is served all
-/// the same, for nobody; where all give up a little too early nothing that discovery does reaches anyone.
-const LATE: Duration = Duration::from_millis(2000);
-/// One that has had none may have fallen silent, and is made anew within so long. Danger: what it misses counts as
-/// told 6 s after it fell silent, and all of a tier may find that out in one instant.
-const ANEW: Duration = Duration::from_millis(800);
-
-/// Danger: discovery that answers at once with nothing new, in place of waiting, would be called without end. The next
-/// call has to come within 200 ms, or it is no more the same watch.
-const PACE: Duration = Duration::from_millis(100);
-
-/// A connection to discovery, kept from call to call: the next has to come within 200 ms.
-struct Line {
-    stream: TcpStream,
-    read: Vec<u8>,
+use crate::protocol::json::Fault;
+use crate::routing::{Input, PoolId};
+
+/// How long discovery holds a call while nothing changes. Its changes count as known 6 s later at the latest, and a
+/// watch that has fallen silent looks like one on which nothing happens; so a call is soon over.
+const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Beyond that, a call without an answer has failed after this long, whether it was to be held or not. A call that is
+/// still in turn at a crowded discovery is the nearest to being answered, and one given up is served all the same, for
+/// nobody; where all give up a little too early nothing that discovery does reaches anyone.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2000);
+/// A call without an answer is made once more after a random part of this. What it misses counts as known 6 s after it
+/// fell silent, and all balancers of a tier may find that out in one instant.
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(800);
+/// Wait after an answer that came at once with nothing new: a discovery that does not hold calls would be called without
+/// end. The next call has to come within 200 ms, or it is no more the same watch.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The HTTP status of an answer that holds the list.
+const STATUS_OK: u16 = 200;
+
+/// Why a call to discovery failed.
+#[derive(Debug, Error)]
+pub enum DiscoveryError {
+    /// There was no answer in time.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The connection cannot be established, or broke.
+    #[error("discovery: {0}")]
+    Socket(#[from] io::Error),
+    /// Discovery closed the connection before its answer was complete.
+    #[error("discovery hung up")]
+    Closed,
+    /// The answer is not the list.
+    #[error("discovery answered {status}")]
+    Status {
+        /// Its HTTP status.
+        status: u16,
+    },
+    /// The answer cannot be read.
+    #[error("{0}")]
+    Malformed(Fault),
+    /// The answer holds changes, and there is no list that they could apply to.
+    #[error("discovery: changes where the whole list was asked for")]
+    UnexpectedChanges,
+}
+
+/// The task of a pool's watch.
+struct Watch {
+    /// Where the watch is requested after it was lost.
+    requests: mpsc::Sender<()>,
+    task: JoinHandle<()>,
 }
 
-/// Keeps a watch for each pool, as the hub asks for them.
-pub async fn keep(driver: Rc<Driver>, mut orders: mpsc::UnboundedReceiver<WatchOrder>) {
-    let mut watches: HashMap<usize, (mpsc::Sender<()>, JoinHandle<()>)> = HashMap::new();
-    while let Some(order) = orders.recv().await {
-        match order {
-            WatchOrder::Again { pool } => {
-                if let Some((watch, _)) = watches.get(&pool) {
-                    // A watch that is asked for already needs no second word.
-                    let _ = watch.try_send(());
+/// Keeps a watch for each pool, as the commands come.
+pub async fn run_watches(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
+    let mut watches: HashMap<PoolId, Watch> = HashMap::new();
+    while let Some(command) = commands.recv().await {
+        match command {
+            WatchCommand::Resume { pool } => {
+                if let Some(watch) = watches.get(&pool) {
+                    // Where a request waits already, a second one changes nothing.
+                    let _ = watch.requests.try_send(());
                 }
             }
-            WatchOrder::At { pool, discovery, generation } => {
-                let (sender, wanted) = mpsc::channel(1);
-                // The reducer asked for it with the first list, before there was anyone to ask.
-                let _ = sender.try_send(());
-                let following = follow(driver.clone(), pool, discovery, generation, wanted);
-                let watch = (sender, tokio::task::spawn_local(following));
-                if let Some((_, old)) = watches.insert(pool, watch) {
-                    old.abort();
+            WatchCommand::Start { pool, discovery, generation } => {
+                let watch = start_watch(&driver, pool, discovery, generation);
+                if let Some(old) = watches.insert(pool, watch) {
+                    old.task.abort();
                 }
             }
         }
     }
 }
 
-/// Follows a endpoint list for ever, from this generation on or else from the whole list.
-async fn follow(
+fn start_watch(driver: &Rc<Driver>, pool: PoolId, discovery: SocketAddr, generation: Option<u64>) -> Watch {
+    let (requests, requested) = mpsc::channel(1);
+    // The reducer requested it with the first list, before there was a task to take the request. There is room for one.
+    let _ = requests.try_send(());
+    // Where a list is held already, a call that is not held is one more for a discovery that a whole fleet calls as it
+    // restarts.
+    let hold = if generation.is_some() { HOLD_TIMEOUT } else { Duration::ZERO };
+    let follower = EndpointListFollower {
+        driver: driver.clone(),
+        pool,
+        connection: DiscoveryConnection { discovery, open: None },
+        generation,
+        hold,
+    };
+    Watch { requests, task: tokio::task::spawn_local(follower.run(requested)) }
+}
+
+/// Follows one pool's endpoint list.
+struct EndpointListFollower {
     driver: Rc<Driver>,
-    pool: usize,
-    discovery: SocketAddr,
-    mut generation: Option<u64>,
-    mut wanted: mpsc::Receiver<()>,
-) {
-    let mut line = None;
-    // Danger: where a list is held already, a call that may not wait is one more for a discovery that a whole fleet
-    // asks as it restarts.
-    let mut hold = if generation.is_some() { HOLD } else { Duration::ZERO };
-    while wanted.recv().await.is_some() {
-        // Once asked for, the watch goes on until a call fails; then the reducer says when to ask again.
-        while wanted.try_recv().is_ok() {}
-        let mut anew = false;
+    pool: PoolId,
+    connection: DiscoveryConnection,
+    /// Generation of the list that is held, if one is.
+    generation: Option<u64>,
+    /// How long discovery is to hold the next call.
+    hold: Duration,
+}
+
+impl EndpointListFollower {
+    /// Follows the list for ever. Once requested the watch goes on until a call fails; then the reducer says when to
+    /// try again.
+    async fn run(mut self, mut requested: mpsc::Receiver<()>) {
+        while requested.recv().await.is_some() {
+            while requested.try_recv().is_ok() {}
+            let error = self.follow_until_error().await;
+            log_event!(LogEvent::EndpointListFailed { error: &error });
+            self.connection.open = None;
+            self.driver.feed(Input::EndpointWatchLost { pool: self.pool });
+        }
+    }
+
+    async fn follow_until_error(&mut self) -> DiscoveryError {
+        let mut retried = false;
         loop {
-            let called = Instant::now();
-            let call = call(&mut line, discovery, generation.map(|generation| (generation, hold)));
-            let answered = timeout(HOLD + LATE, call).await;
-            if answered.is_err() && !anew {
-                crate::log!(warn, "routing table: no answer in time, asked anew");
-                (line, anew) = (None, true);
-                tokio::time::sleep(ANEW.mul_f64(chance())).await;
-                continue;
-            }
-            match answered.unwrap_or_else(|_| Err("no answer in time".to_owned())) {
-                // Danger: changes of a list older than the one that is held are of another life of discovery.
-                Ok(EndpointListUpdate { generation: new, whole: false, .. })
-                    if generation.is_some_and(|old| new < old) =>
-                {
-                    crate::log!(
-                        warn,
-                        "routing table: generation {new} after a later one, asked for as a whole"
-                    );
-                    (generation, hold) = (None, Duration::ZERO);
+            let called_at = Instant::now();
+            let since = self.generation.map(|generation| Since { generation, hold: self.hold });
+            match timeout(HOLD_TIMEOUT + ANSWER_TIMEOUT, self.connection.call(since)).await {
+                Err(_) if !retried => {
+                    log_event!(LogEvent::EndpointListRetried);
+                    self.connection.open = None;
+                    retried = true;
+                    tokio::time::sleep(MAX_RETRY_BACKOFF.mul_f64(random_fraction())).await;
                 }
-                Ok(EndpointListUpdate { generation: new, whole, endpoints }) => {
-                    let nothing = endpoints.is_empty() && generation == Some(new);
-                    (generation, hold, anew) = (Some(new), HOLD, false);
-                    driver.feed(Input::EndpointsUpdated { pool, whole, endpoints });
-                    if nothing && called.elapsed() < PACE {
-                        tokio::time::sleep(PACE).await;
-                    }
+                Err(_) => return DiscoveryError::TimedOut,
+                Ok(Err(error)) => return error,
+                Ok(Ok(update)) if self.is_outdated(&update) => {
+                    log_event!(LogEvent::EndpointListOutdated { generation: update.generation });
+                    self.generation = None;
+                    self.hold = Duration::ZERO;
                 }
-                Err(problem) => {
-                    crate::log!(warn, "routing table: {problem}");
-                    line = None;
-                    break driver.feed(Input::EndpointWatchLost { pool });
+                Ok(Ok(update)) => {
+                    retried = false;
+                    self.apply_update(update, called_at).await;
                 }
             }
         }
     }
+
+    /// Whether an update changes a list older than the one that is held: it comes from another incarnation of
+    /// discovery.
+    fn is_outdated(&self, update: &EndpointListUpdate) -> bool {
+        !update.whole && self.generation.is_some_and(|held| update.generation < held)
+    }
+
+    async fn apply_update(&mut self, update: EndpointListUpdate, called_at: Instant) {
+        let EndpointListUpdate { generation, whole, endpoints } = update;
+        let is_unchanged = endpoints.is_empty() && self.generation == Some(generation);
+        self.generation = Some(generation);
+        self.hold = HOLD_TIMEOUT;
+        self.driver.feed(Input::EndpointsUpdated { pool: self.pool, whole, endpoints });
+        if is_unchanged && called_at.elapsed() < MIN_CALL_INTERVAL {
+            tokio::time::sleep(MIN_CALL_INTERVAL).await;
+        }
+    }
 }
 
-/// From 0 to 1, another at each process and time.
-fn chance() -> f64 {
+/// From 0 to 1, different in each process and at each call.
+fn random_fraction() -> f64 {
     RandomState::new().hash_one(()) as f64 / u64::MAX as f64
 }
 
-async fn call(
-    line: &mut Option<Line>,
+/// What a call asks for: the changes since a generation.
+#[derive(Clone, Copy, Debug)]
+struct Since {
+    generation: u64,
+    /// How long discovery holds the call while there are none.
+    hold: Duration,
+}
+
+/// The connection to discovery, kept from call to call: the next has to come within 200 ms.
+struct DiscoveryConnection {
     discovery: SocketAddr,
-    from: Option<(u64, Duration)>,
-) -> Result<EndpointListUpdate, String> {
-    let fresh = line.is_none();
-    let answer = match exchange(line, discovery, from).await {
-        // Danger: a kept connection may have been closed by discovery between two calls. But where it answered,
-        // whatever that was, to call again at once would be twice the load, just when it has too much.
-        Err(_) if !fresh => {
-            *line = None;
-            exchange(line, discovery, from).await
+    open: Option<OpenConnection>,
+}
+
+struct OpenConnection {
+    stream: TcpStream,
+    /// Bytes that were read and belong to no answer yet.
+    received: Vec<u8>,
+}
+
+impl DiscoveryConnection {
+    /// Asks for the changes since a generation, or else for the whole list. Not cancellation-safe: after a call that
+    /// was given up the connection is to be closed.
+    async fn call(&mut self, since: Option<Since>) -> Result<EndpointListUpdate, DiscoveryError> {
+        let was_open = self.open.is_some();
+        let answer = match self.exchange(since).await {
+            // Discovery may have closed a kept connection between two calls. But where it answered, whatever that was,
+            // to call again at once would be twice the load, just when it has too much.
+            Err(_) if was_open => {
+                self.open = None;
+                self.exchange(since).await
+            }
+            result => result,
+        }?;
+        if answer.status != STATUS_OK {
+            return Err(DiscoveryError::Status { status: answer.status });
         }
-        result => result,
-    }?;
-    match answer.status {
-        200 => {}
-        status => return Err(format!("discovery answered {status}")),
+        let update = http::parse_endpoint_list(&answer.body).map_err(DiscoveryError::Malformed)?;
+        if !update.whole && since.is_none() {
+            return Err(DiscoveryError::UnexpectedChanges);
+        }
+        Ok(update)
     }
-    match http::parse_endpoint_list(&answer.body) {
-        Ok(EndpointListUpdate { whole: false, .. }) if from.is_none() => {
-            Err("discovery: changes where the whole list was asked for".to_owned())
+
+    /// Sends one request, and reads its answer.
+    async fn exchange(&mut self, since: Option<Since>) -> Result<http::Answer, DiscoveryError> {
+        let open = match self.open.take() {
+            Some(open) => open,
+            None => OpenConnection::connect(self.discovery).await?,
+        };
+        let open = self.open.insert(open);
+        let since = since.map(|since| (since.generation, since.hold.as_millis() as u64));
+        let request = http::call(&self.discovery.to_string(), since);
+        open.stream.write_all(&request).await?;
+        let answer = open.read_answer().await?;
+        if answer.close {
+            self.open = None;
         }
-        endpoint_list_update => endpoint_list_update.map_err(|fault| fault.to_string()),
+        Ok(answer)
     }
 }
 
-async fn exchange(
-    line: &mut Option<Line>,
-    discovery: SocketAddr,
-    from: Option<(u64, Duration)>,
-) -> Result<http::Answer, String> {
-    let broken = |e: std::io::Error| format!("discovery: {e}");
-    if line.is_none() {
-        let stream = TcpStream::connect(discovery).await.map_err(broken)?;
+impl OpenConnection {
+    async fn connect(discovery: SocketAddr) -> Result<OpenConnection, DiscoveryError> {
+        let stream = TcpStream::connect(discovery).await?;
         let _ = stream.set_nodelay(true);
-        *line = Some(Line { stream, read: Vec::new() });
+        Ok(OpenConnection { stream, received: Vec::new() })
     }
-    let Some(open) = line.as_mut() else { return Err("no connection".to_owned()) };
-    let from = from.map(|(generation, hold)| (generation, hold.as_millis() as u64));
-    let request = http::call(&discovery.to_string(), from);
-    open.stream.write_all(&request).await.map_err(broken)?;
-    let answer = loop {
-        let ended = open.stream.read_buf(&mut open.read).await.map_err(broken)? == 0;
-        if let Some(answer) = http::answer(&open.read, ended).map_err(|fault| fault.to_string())? {
-            break answer;
-        }
-        if ended {
-            return Err("discovery hung up".to_owned());
+
+    async fn read_answer(&mut self) -> Result<http::Answer, DiscoveryError> {
+        loop {
+            let ended = self.stream.read_buf(&mut self.received).await? == 0;
+            let answer = http::answer(&self.received, ended).map_err(DiscoveryError::Malformed)?;
+            if let Some(answer) = answer {
+                self.received.drain(..answer.taken);
+                return Ok(answer);
+            }
+            if ended {
+                return Err(DiscoveryError::Closed);
+            }
         }
-    };
-    open.read.drain(..answer.taken);
-    if answer.close {
-        *line = None;
     }
-    Ok(answer)
 }
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -1,8 +1,7 @@
-//! Where connections, watches and timers meet the reducer.
+//! The driver: hands every input to the reducer and carries out the effects that come back.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -11,489 +10,487 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, oneshot, watch as watch_channel, Notify};
 
-use super::commands::{ConnectionCommand, Outgoing, Probe, WatchOrder};
+use super::commands::{ConnectionCommand, PeerProcessMessage, ProbeCommand, WatchCommand};
+use super::datagrams::GossipSocket;
 use super::excluded_servers;
 use super::files::Files;
+use super::log_event::{log_event, LogEvent};
+use super::observation::{Observation, Observer};
 use super::record::Recorder;
-use crate::program::config::PeersAt;
-use crate::protocol::{gossip, peers, Front};
-use crate::routing::store::Gossip;
+use crate::protocol::Front;
+use crate::routing::store::Entry;
 use crate::routing::{
-    reduce, AdminClientId, AdminResponse, Answer, AttemptOutcome, ConnectionId, Effect, HandoverState, Input,
-    State,
+    reduce, AdminClientId, AdminResponse, ConnectionId, Effect, EstablishedConnection, HandoverState, Input,
+    PoolId, State,
 };
-use crate::{Micros, Time};
-
-/// What was seen of a connection, for replays.
-#[derive(Clone, Debug)]
-pub enum Seen {
-    /// It came to stand, so long after it was met, on this attempt.
-    Served(Micros, u32),
-    /// A server's verdict was passed on.
-    Verdict,
-    /// It had this answer, so long after it was met.
-    Answered(Micros, Answer),
-    /// The client left.
-    Left,
-    /// Its server ended it.
-    Ended,
-}
+use crate::{Micros, ServerId, Time};
 
-impl std::fmt::Display for Seen {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let ms = |time: &Micros| *time as f64 / 1000.0;
-        match self {
-            Seen::Served(after, attempt) => {
-                write!(f, "served after {:.1} ms on leg {}", ms(after), attempt + 1)
-            }
-            Seen::Verdict => write!(f, "turned away by its host's own verdict"),
-            Seen::Answered(after, Answer::Rejected(wait)) => {
-                write!(f, "refused after {:.1} ms, to come again in {:.0} ms", ms(after), ms(wait))
-            }
-            Seen::Answered(after, Answer::Failed) => write!(f, "failed after {:.1} ms", ms(after)),
-            Seen::Answered(_, Answer::HandshakeTimedOut) => write!(f, "too late to ask"),
-            Seen::Answered(_, Answer::Migrated) => write!(f, "moved"),
-            Seen::Left => write!(f, "left"),
-            Seen::Ended => write!(f, "ended by its host"),
-        }
-    }
-}
+/// Longest time that [`Driver::wait_for_connections`] waits, in steps of [`LAST_ANSWERS_INTERVAL`].
+const LAST_ANSWERS_STEPS: usize = 20;
+const LAST_ANSWERS_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Name of the replication socket among those that a successor is given.
+pub const REPLICATION_SOCKET: &str = "store";
 
-/// Makes the connections of a front.
+/// Makes the protocol side of a front's connections.
 pub type ConnectionFactory = Rc<dyn Fn() -> Box<dyn Front>>;
 
-/// A front: its pool, what makes its connections, and where they come in.
-pub struct FrontAt {
-    pub pool: usize,
+/// A front that accepts connections.
+pub struct ActiveFront {
+    /// Its pool.
+    pub pool: PoolId,
+    /// Makes its connections.
     pub factory: ConnectionFactory,
+    /// Accepts them.
     pub listener: Rc<TcpListener>,
 }
 
-type Observed = HashMap<ConnectionId, Vec<Seen>>;
+/// The system's clock when the process started, and the monotonic clock that goes on from there.
+struct Clock {
+    started_at: Time,
+    started: Instant,
+}
+
+impl Clock {
+    fn start() -> Clock {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: Time(since_epoch.as_micros() as Micros), started: Instant::now() }
+    }
 
-/// The reducer's state and those who carry out its effects.
+    fn now(&self) -> Time {
+        Time(self.started_at.0 + self.started.elapsed().as_micros() as Micros)
+    }
+}
+
+/// The reducer's state, and the channels to the tasks that carry out its effects.
+///
+/// Channels to tasks are unbounded: a bounded one could be full when a command comes. The reducer itself limits
+/// what waits in them, as the fields say.
 pub struct Driver {
     state: RefCell<State>,
-    /// The system's clock at the start, and the steady one that goes on from there.
-    origin: (Micros, Instant),
-    /// Danger: a bounded channel could be full when an order comes; the reducer gives each connection at
-    /// most two orders an attempt and one answer, so these stay short by themselves.
+    clock: Clock,
+    /// The tasks of connections. The reducer gives each at most two commands an attempt and one answer.
     connections: RefCell<HashMap<ConnectionId, mpsc::UnboundedSender<ConnectionCommand>>>,
-    datagrams: RefCell<Option<Rc<UdpSocket>>>,
-    /// Where the other balancers of the tier are heard, and where all of them hear.
-    peers: RefCell<Option<(Rc<UdpSocket>, SocketAddr)>>,
+    /// The socket for replica messages.
+    pub(super) replication: RefCell<Option<Rc<UdpSocket>>>,
+    /// The socket for gossip.
+    pub(super) gossip: RefCell<Option<GossipSocket>>,
+    /// Files of the replicated map.
     files: RefCell<Option<Files>>,
-    /// For replays: what is seen, and when each connection was met.
-    pub(super) observed: RefCell<Option<Observed>>,
-    met: RefCell<HashMap<ConnectionId, Time>>,
-    pub(super) recorder: RefCell<Option<Recorder>>,
-    /// Danger: as with connections, a bounded channel could be full; the reducer asks once for each failure.
-    watches: RefCell<Option<mpsc::UnboundedSender<WatchOrder>>>,
-    /// Where probes are ordered; the reducer has only so many out.
-    probes: RefCell<Option<mpsc::UnboundedSender<Probe>>>,
-    /// Whether the fronts may accept.
+    /// For replays only.
+    observer: RefCell<Option<Observer>>,
+    recorder: RefCell<Option<Recorder>>,
+    /// The task of the watches. The reducer gives one command for each watch that is lost.
+    watches: RefCell<Option<mpsc::UnboundedSender<WatchCommand>>>,
+    /// The task of the probes. The reducer limits how many are in flight.
+    probes: RefCell<Option<mpsc::UnboundedSender<ProbeCommand>>>,
+    /// Whether the fronts accept connections.
     accepting: watch_channel::Sender<bool>,
-    next: Cell<u64>,
-    /// Operators who wait for their answers.
-    callers: RefCell<HashMap<AdminClientId, oneshot::Sender<AdminResponse>>>,
+    /// The next number for a connection or an admin client.
+    next_id: Cell<u64>,
+    /// Admin clients that wait for their replies.
+    admin_clients: RefCell<HashMap<AdminClientId, oneshot::Sender<AdminResponse>>>,
     /// The fronts, by name.
-    fronts: RefCell<BTreeMap<&'static str, FrontAt>>,
-    /// Where the process that takes this one's place asks, what is left to it, and what is for the other
-    /// process while there is one.
-    place: RefCell<Option<PathBuf>>,
-    handover_state: RefCell<HandoverState>,
-    outbox: RefCell<Option<mpsc::UnboundedSender<Outgoing>>>,
+    fronts: RefCell<BTreeMap<&'static str, ActiveFront>>,
+    /// The socket on which a successor asks for this process's state.
+    hot_restart_socket: RefCell<Option<PathBuf>>,
+    /// The state that was exported for it.
+    exported_state: RefCell<HandoverState>,
+    /// The link to the peer process, while there is one.
+    peer_process: RefCell<Option<mpsc::UnboundedSender<PeerProcessMessage>>>,
     exit: mpsc::UnboundedSender<()>,
-    timer: Notify,
+    /// Notified when the reducer's next deadline has changed.
+    deadline_changed: Notify,
 }
 
 impl Driver {
-    /// A hub, and what tells that the balancer may go.
+    /// A driver, and the channel on which it reports that the process can exit.
     pub fn new(state: impl FnOnce(Time) -> State) -> (Rc<Driver>, mpsc::UnboundedReceiver<()>) {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let origin = (since.as_micros() as Micros, Instant::now());
+        let clock = Clock::start();
         let (exit, exited) = mpsc::unbounded_channel();
         let driver = Driver {
-            state: RefCell::new(state(Time(origin.0))),
-            origin,
+            state: RefCell::new(state(clock.started_at)),
+            clock,
             connections: RefCell::default(),
-            datagrams: RefCell::default(),
-            peers: RefCell::default(),
+            replication: RefCell::default(),
+            gossip: RefCell::default(),
             files: RefCell::default(),
-            observed: RefCell::default(),
-            met: RefCell::default(),
+            observer: RefCell::default(),
             recorder: RefCell::default(),
             watches: RefCell::default(),
             probes: RefCell::default(),
             accepting: watch_channel::Sender::new(true),
-            next: Cell::new(0),
-            callers: RefCell::default(),
+            next_id: Cell::new(0),
+            admin_clients: RefCell::default(),
             fronts: RefCell::default(),
-            place: RefCell::default(),
-            handover_state: RefCell::default(),
-            outbox: RefCell::default(),
+            hot_restart_socket: RefCell::default(),
+            exported_state: RefCell::default(),
+            peer_process: RefCell::default(),
             exit,
-            timer: Notify::new(),
+            deadline_changed: Notify::new(),
         };
         (Rc::new(driver), exited)
     }
 
-    /// The time, which all machines share and which never runs backwards here.
+    /// The time: comparable between machines, and never running backwards in this process.
     pub fn now(&self) -> Time {
-        Time(self.origin.0 + self.origin.1.elapsed().as_micros() as Micros)
+        self.clock.now()
     }
 
-    /// Hands an input to the reducer and sends its effects on their way.
-    pub fn feed(self: &Rc<Self>, input: Input) {
-        self.notice_input(&input);
-        let (effects, changed) = {
+    /// Hands an input to the reducer and carries out its effects, in their order.
+    pub fn feed(&self, input: Input) {
+        if let Some(observer) = self.observer.borrow_mut().as_mut() {
+            observer.observe_input(self.now(), &input);
+        }
+        let (effects, deadline_changed) = {
             let mut state = self.state.borrow_mut();
-            let before = state.next_due();
+            let deadline = state.next_due();
             let effects = reduce(&mut state, self.now(), input);
-            (effects, state.next_due() != before)
+            (effects, state.next_due() != deadline)
         };
         for effect in effects {
-            if let Effect::Answer { connection, answer } = &effect {
-                self.notice(*connection, |after| Seen::Answered(after, *answer));
-            }
-            match effect {
-                Effect::OpenAttempt { connection, attempt, address, wait } => {
-                    self.order(connection, ConnectionCommand::OpenAttempt { attempt, address, wait })
-                }
-                Effect::CloseAttempt { connection } => {
-                    self.order(connection, ConnectionCommand::CloseAttempt)
-                }
-                Effect::AbortConnection { connection } => self.order(connection, ConnectionCommand::Drop),
-                Effect::CheckHandshake { connection } => self.order(connection, ConnectionCommand::Hear),
-                Effect::SetAccepting { open } => drop(self.accepting.send_replace(open)),
-                Effect::Answer { connection, answer } => {
-                    self.order(connection, ConnectionCommand::Answer(answer))
-                }
-                Effect::BroadcastGossip(message) => {
-                    if let Some((socket, all)) = self.peers.borrow().as_ref() {
-                        // Words may be lost on the way, so they may be lost here.
-                        let _ = socket.try_send_to(&peers::write(message), *all);
-                    }
-                }
-                Effect::ProbeServer { pool, server, address, names, wait } => {
-                    let wait = Duration::from_micros(wait);
-                    self.probe(Probe { pool, server, address, names, wait });
-                }
-                Effect::WatchEndpoints { pool } => self.watch(WatchOrder::Again { pool }),
-                Effect::WatchEndpointsAt { pool, discovery } => {
-                    self.watch(WatchOrder::At { pool, discovery, generation: None })
-                }
-                Effect::SendReplicaMessage((to, gossip)) => self.tell(to, &gossip),
-                Effect::PersistEntry { key, entry } => {
-                    if let Some(files) = self.files.borrow_mut().as_mut() {
-                        files.keep(&key, &entry);
-                    }
-                }
-                Effect::ExportState(handover_state) => {
-                    *self.handover_state.borrow_mut() = *handover_state;
-                    // Danger: two processes that append to one file would spoil it.
-                    if let Some(files) = self.files.borrow_mut().as_mut() {
-                        files.close();
-                    }
-                }
-                Effect::TransferConnection { connection, pool, established } => {
-                    self.send_to_peer_process(Outgoing::Pass {
-                        connection,
-                        pool,
-                        established: Box::new(established),
-                    })
-                }
-                Effect::ShareExclusion { admin_client, server, out } => {
-                    self.send_to_peer_process(Outgoing::Share { admin_client, server, out })
-                }
-                Effect::PersistExclusions(excluded) => {
-                    if let Some(place) = self.place.borrow().as_deref() {
-                        excluded_servers::persist_excluded(place, &excluded);
-                    }
-                }
-                Effect::AdminReply { admin_client, reply } => {
-                    if let Some(waits) = self.callers.borrow_mut().remove(&admin_client) {
-                        // One that has gone needs no answer.
-                        let _ = waits.send(reply);
-                    }
-                }
-                Effect::Log(text) => crate::log!(info, "{text}"),
-                Effect::Exit => drop(self.exit.send(())),
+            if let Some(observer) = self.observer.borrow_mut().as_mut() {
+                observer.observe_effect(self.now(), &effect);
             }
+            self.carry_out(effect);
         }
-        if changed {
-            self.timer.notify_one();
+        if deadline_changed {
+            self.deadline_changed.notify_one();
         }
     }
 
-    /// Keeps what is seen of each connection from now on.
-    pub fn observe(&self) {
-        *self.observed.borrow_mut() = Some(Observed::new());
-    }
-
-    fn notice_input(&self, input: &Input) {
-        match *input {
-            Input::ClientConnected { connection, .. } if self.observed.borrow().is_some() => {
-                self.met.borrow_mut().insert(connection, self.now());
+    // Longer than other functions: it only dispatches, with one arm for each effect.
+    fn carry_out(&self, effect: Effect) {
+        match effect {
+            Effect::OpenAttempt { connection, attempt, address, wait } => {
+                self.send_command(connection, ConnectionCommand::OpenAttempt { attempt, address, wait })
             }
-            Input::AttemptAccepted { connection, attempt } => {
-                self.notice(connection, |after| Seen::Served(after, attempt))
+            Effect::CloseAttempt { connection } => {
+                self.send_command(connection, ConnectionCommand::CloseAttempt)
             }
-            Input::AttemptEnded { connection, end: AttemptOutcome::VerdictForwarded, .. } => {
-                self.notice(connection, |_| Seen::Verdict)
+            Effect::AbortConnection { connection } => self.send_command(connection, ConnectionCommand::Abort),
+            Effect::CheckHandshake { connection } => {
+                self.send_command(connection, ConnectionCommand::CheckHandshake)
             }
-            Input::AttemptEnded {
-                connection,
-                end: AttemptOutcome::Served | AttemptOutcome::RedirectedByServer,
-                ..
-            } => self.notice(connection, |_| Seen::Ended),
-            Input::ClientDisconnected { connection } => self.notice(connection, |_| Seen::Left),
-            _ => {}
-        }
-    }
-
-    fn notice(&self, connection: ConnectionId, seen: impl FnOnce(Micros) -> Seen) {
-        if let Some(observed) = self.observed.borrow_mut().as_mut() {
-            let met = self.met.borrow().get(&connection).copied().unwrap_or_default();
-            observed.entry(connection).or_default().push(seen(self.now().since(met)));
-        }
-    }
-
-    /// Adds to the recording, if there is one.
-    pub fn record(&self, records: impl FnOnce(Micros) -> Vec<u8>) {
-        if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
-            recorder.write(&records(self.now().0));
-        }
-    }
-
-    /// Datagrams may be lost on the way, so they may be lost here.
-    fn tell(&self, to: SocketAddr, gossip: &Gossip) {
-        if let (Some(socket), Some(bytes)) = (self.datagrams.borrow().as_ref(), gossip::write(gossip)) {
-            let _ = socket.try_send_to(&bytes, to);
+            Effect::Answer { connection, answer } => {
+                self.send_command(connection, ConnectionCommand::SendAnswer(answer))
+            }
+            Effect::SetAccepting { open } => self.set_accepting(open),
+            Effect::BroadcastGossip(message) => self.broadcast_gossip(message),
+            Effect::ProbeServer { pool, server, address, names, wait } => {
+                self.send_probe(pool, server, address, names, wait)
+            }
+            Effect::WatchEndpoints { pool } => self.send_watch_command(WatchCommand::Resume { pool }),
+            Effect::WatchEndpointsAt { pool, discovery } => {
+                self.send_watch_command(WatchCommand::Start { pool, discovery, generation: None })
+            }
+            Effect::SendReplicaMessage((to, message)) => self.send_replica_message(to, &message),
+            Effect::PersistEntry { key, entry } => self.persist_entry(&key, &entry),
+            Effect::ExportState(state) => self.export_state(*state),
+            Effect::TransferConnection { connection, pool, established } => {
+                self.transfer_connection(connection, pool, established)
+            }
+            Effect::ShareExclusion { admin_client, server, out } => {
+                self.share_exclusion(admin_client, server, out)
+            }
+            Effect::PersistExclusions(excluded) => self.persist_exclusions(&excluded),
+            Effect::AdminReply { admin_client, reply } => self.send_admin_reply(admin_client, reply),
+            Effect::Log(text) => log_event!(LogEvent::Reported { text: &text }),
+            Effect::Exit => self.request_exit(),
         }
     }
 
-    /// Hears other nodes' stores from now on.
-    pub fn hear(self: &Rc<Self>, socket: UdpSocket) {
-        let socket = Rc::new(socket);
-        *self.datagrams.borrow_mut() = Some(socket.clone());
-        let driver = self.clone();
-        tokio::task::spawn_local(async move {
-            let mut bytes = [0; gossip::LONGEST + 1];
-            loop {
-                // While another process serves, what comes is for that one.
-                driver.wait_until_accepting(true).await;
-                match socket.recv_from(&mut bytes).await {
-                    Ok((n, from)) => match gossip::read(&bytes[..n]) {
-                        Some(gossip) => driver.feed(Input::ReplicaMessage { from, gossip }),
-                        None => crate::log!(warn, "a datagram from {from} is none of the store's"),
-                    },
-                    // Where a peer is down, its machine says so on the next call: nothing to do about it.
-                    Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
-                }
-            }
-        });
-    }
-
-    /// Hears the other balancers of a pool's tier from now on, and tells them at this address.
-    pub fn hear_peers(self: &Rc<Self>, pool: usize, socket: UdpSocket, at: &PeersAt) {
-        let socket = Rc::new(socket);
-        *self.peers.borrow_mut() = Some((socket.clone(), at.all));
-        let (driver, known) = (self.clone(), at.from.clone());
-        tokio::task::spawn_local(async move {
-            let mut bytes = [0; peers::LONGEST + 1];
-            loop {
-                match socket.recv_from(&mut bytes).await {
-                    Ok((n, from)) => match peers::read(&bytes[..n]).filter(|_| known.contains(&from)) {
-                        Some(message) => driver.feed(Input::GossipReceived { pool, message }),
-                        None => crate::log!(warn, "a datagram from {from} is none of the tier's"),
-                    },
-                    // As above.
-                    Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
+    /// Feeds the reducer whenever one of its deadlines has passed, for ever.
+    pub async fn run_timer(self: Rc<Self>) {
+        loop {
+            let next_deadline = self.state.borrow().next_due();
+            let deadline_changed = self.deadline_changed.notified();
+            match next_deadline {
+                None => deadline_changed.await,
+                Some(deadline) => {
+                    let wait = Duration::from_micros(deadline.since(self.now()));
+                    tokio::select! {
+                        () = deadline_changed => {}
+                        () = tokio::time::sleep(wait) => self.feed(Input::TimerFired),
+                    }
                 }
             }
-        });
+        }
     }
 
-    /// Keeps the store's entries in these files from now on.
-    pub fn keep_in(&self, files: Files) {
-        *self.files.borrow_mut() = Some(files);
+    fn request_exit(&self) {
+        // The receiver lives until the process exits.
+        let _ = self.exit.send(());
     }
+}
 
-    /// Gives a connection an order.
-    pub fn order(&self, connection: ConnectionId, order: ConnectionCommand) {
-        if let Some(connection) = self.connections.borrow().get(&connection) {
-            // One that has just ended needs no orders.
-            let _ = connection.send(order);
-        }
+/// Connections and their tasks.
+impl Driver {
+    fn next_id(&self) -> u64 {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        id
     }
 
-    /// A new connection's number, and where its orders come.
-    pub fn enter(&self) -> (ConnectionId, mpsc::UnboundedReceiver<ConnectionCommand>) {
-        let connection = ConnectionId(self.next.replace(self.next.get() + 1));
-        let (sender, orders) = mpsc::unbounded_channel();
+    /// Registers a connection; returns its id, and the channel of its commands.
+    pub fn register_connection(&self) -> (ConnectionId, mpsc::UnboundedReceiver<ConnectionCommand>) {
+        let connection = ConnectionId(self.next_id());
+        let (sender, commands) = mpsc::unbounded_channel();
         self.connections.borrow_mut().insert(connection, sender);
-        (connection, orders)
-    }
-
-    /// Hands an operator's call to the reducer and waits for what it says.
-    pub async fn call(self: &Rc<Self>, input: impl FnOnce(AdminClientId) -> Input) -> AdminResponse {
-        let admin_client = AdminClientId(self.next.replace(self.next.get() + 1));
-        let (sender, reply) = oneshot::channel();
-        self.callers.borrow_mut().insert(admin_client, sender);
-        self.feed(input(admin_client));
-        reply.await.unwrap_or_else(|_| AdminResponse::No("no answer".to_owned()))
+        (connection, commands)
     }
 
-    /// A connection's task has ended, and its sockets are closed.
-    pub fn leave(self: &Rc<Self>, connection: ConnectionId) {
+    /// Forgets a connection whose task has ended and whose sockets are closed.
+    pub fn deregister_connection(&self, connection: ConnectionId) {
         self.connections.borrow_mut().remove(&connection);
         self.feed(Input::SocketsClosed { connection });
     }
 
-    /// Bytes that a connection may hold for a side that does not read.
-    pub fn buffer(&self) -> usize {
+    /// Whether a connection is registered.
+    pub fn has_connection(&self, connection: ConnectionId) -> bool {
+        self.connections.borrow().contains_key(&connection)
+    }
+
+    /// Sends a command to a connection's task. One whose task has just ended needs none.
+    pub fn send_command(&self, connection: ConnectionId, command: ConnectionCommand) {
+        if let Some(connection) = self.connections.borrow().get(&connection) {
+            let _ = connection.send(command);
+        }
+    }
+
+    /// Bytes that a connection may buffer for a side that does not read.
+    pub fn buffer_limit(&self) -> usize {
         self.state.borrow().budget().buffer
     }
 
-    /// Whether time has come to something of a connection, and the reducer does not know yet.
-    pub fn overdue(&self, connection: ConnectionId) -> bool {
+    /// Whether a deadline of a connection has passed that the reducer has not been fed yet.
+    pub fn is_overdue(&self, connection: ConnectionId) -> bool {
         self.state.borrow().overdue_by(self.now(), connection)
     }
 
     /// Whether this process can serve.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.state.borrow().serves()
     }
 
-    /// Whether the fronts may accept now.
+    /// Whether the fronts accept connections now.
     pub fn is_accepting(&self) -> bool {
         *self.accepting.borrow()
     }
 
-    /// Waits until the fronts may accept, or must not any more.
+    fn set_accepting(&self, open: bool) {
+        self.accepting.send_replace(open);
+    }
+
+    /// Waits until the fronts accept connections, or until they do not.
     pub async fn wait_until_accepting(&self, wanted: bool) {
-        // It fails only when the sender is gone, which is this hub's own.
+        // It fails only when the sender is gone, which this driver owns.
         let _ = self.accepting.subscribe().wait_for(|open| *open == wanted).await;
     }
 
-    /// Notes a front, in the place of one of that name.
-    pub fn set_front(&self, name: &'static str, front: FrontAt) {
+    /// Waits a short while until the last answers are written; `accept_queued` is called at each step for
+    /// connections that still wait in a listener's queue.
+    pub async fn wait_for_connections(&self, accept_queued: impl Fn()) {
+        for _ in 0..LAST_ANSWERS_STEPS {
+            accept_queued();
+            if self.connections.borrow().is_empty() {
+                return;
+            }
+            tokio::time::sleep(LAST_ANSWERS_INTERVAL).await;
+        }
+    }
+}
+
+/// Observations and recordings.
+impl Driver {
+    /// Observes all connections from now on.
+    pub fn start_observing(&self) {
+        *self.observer.borrow_mut() = Some(Observer::default());
+    }
+
+    /// What was observed of a connection so far.
+    pub fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
+        let observer = self.observer.borrow();
+        observer.as_ref().map(|observer| observer.observations(connection)).unwrap_or_default()
+    }
+
+    /// Records the fronts' traffic from now on, if there is a recorder.
+    pub fn set_recorder(&self, recorder: Option<Recorder>) {
+        *self.recorder.borrow_mut() = recorder;
+    }
+
+    /// Adds to the recording, if there is one, what `records` makes at the present time.
+    pub fn record(&self, records: impl FnOnce(Micros) -> Vec<u8>) {
+        if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
+            recorder.write(&records(self.now().0));
+        }
+    }
+}
+
+/// Admin clients.
+impl Driver {
+    /// Hands an admin client's call to the reducer, and waits for the reply.
+    pub async fn call(&self, input: impl FnOnce(AdminClientId) -> Input) -> AdminResponse {
+        let admin_client = AdminClientId(self.next_id());
+        let (sender, reply) = oneshot::channel();
+        self.admin_clients.borrow_mut().insert(admin_client, sender);
+        self.feed(input(admin_client));
+        reply.await.unwrap_or_else(|_| AdminResponse::No("no answer".to_owned()))
+    }
+
+    fn send_admin_reply(&self, admin_client: AdminClientId, reply: AdminResponse) {
+        if let Some(waiting) = self.admin_clients.borrow_mut().remove(&admin_client) {
+            // A client that has gone needs no reply.
+            let _ = waiting.send(reply);
+        }
+    }
+}
+
+/// Fronts.
+impl Driver {
+    /// Registers a front, in the place of an earlier one of that name.
+    pub fn register_front(&self, name: &'static str, front: ActiveFront) {
         self.fronts.borrow_mut().insert(name, front);
     }
 
-    /// A front's pool, and a new connection of it.
-    pub fn front(&self, name: &str) -> Option<(usize, Box<dyn Front>)> {
+    /// A front's pool, and a new connection of its protocol.
+    pub fn new_front_connection(&self, name: &str) -> Option<(PoolId, Box<dyn Front>)> {
         let fronts = self.fronts.borrow();
         fronts.get(name).map(|front| (front.pool, (front.factory)()))
     }
 
     /// The name of a pool's front.
-    pub fn front_name(&self, pool: usize) -> Option<String> {
+    pub fn front_name(&self, pool: PoolId) -> Option<String> {
         let fronts = self.fronts.borrow();
         fronts.iter().find(|(_, front)| front.pool == pool).map(|(name, _)| (*name).to_owned())
     }
+}
+
+/// The files of the replicated map.
+impl Driver {
+    /// Persists the entries of the replicated map in these files from now on.
+    pub fn set_files(&self, files: Files) {
+        *self.files.borrow_mut() = Some(files);
+    }
+
+    /// Opens the files again after a successor is gone.
+    pub fn reopen_files(&self) {
+        if let Some(files) = self.files.borrow_mut().as_mut() {
+            files.reopen(self.state.borrow().store());
+        }
+    }
 
-    /// Copies of the sockets that another process goes on with, by name.
-    pub fn sockets(&self) -> std::io::Result<Vec<(String, OwnedFd)>> {
+    fn persist_entry(&self, key: &str, entry: &Entry) {
+        if let Some(files) = self.files.borrow_mut().as_mut() {
+            files.persist(key, entry);
+        }
+    }
+}
+
+/// Hot restart.
+impl Driver {
+    /// Copies of the sockets that a successor goes on with, by name.
+    ///
+    /// # Errors
+    ///
+    /// When a descriptor cannot be copied.
+    pub fn clone_sockets(&self) -> std::io::Result<Vec<(String, OwnedFd)>> {
         let fronts = self.fronts.borrow();
         let listeners = fronts.iter().map(|(name, front)| (*name, front.listener.as_fd()));
-        let store = self.datagrams.borrow().clone();
-        let all = listeners.chain(store.iter().map(|socket| ("store", socket.as_fd())));
+        let replication = self.replication.borrow().clone();
+        let all = listeners.chain(replication.iter().map(|socket| (REPLICATION_SOCKET, socket.as_fd())));
         all.map(|(name, socket)| Ok((name.to_owned(), socket.try_clone_to_owned()?))).collect()
     }
 
-    /// Where the process that takes this one's place asks.
-    pub fn set_handover_socket(&self, place: PathBuf) {
-        *self.place.borrow_mut() = Some(place);
+    /// Sets the path of the socket on which a successor asks for this process's state.
+    pub fn set_hot_restart_socket(&self, path: PathBuf) {
+        *self.hot_restart_socket.borrow_mut() = Some(path);
+    }
+
+    /// Takes the state that was exported for a successor.
+    pub fn take_exported_state(&self) -> HandoverState {
+        std::mem::take(&mut self.exported_state.borrow_mut())
     }
 
-    /// What is left to it.
-    pub fn handover_state(&self) -> HandoverState {
-        std::mem::take(&mut self.handover_state.borrow_mut())
+    fn export_state(&self, state: HandoverState) {
+        *self.exported_state.borrow_mut() = state;
+        // Two processes that append to one file would corrupt it.
+        if let Some(files) = self.files.borrow_mut().as_mut() {
+            files.close();
+        }
     }
 
-    /// Whether there is another process beside this one.
+    /// Whether there is a peer process.
     pub fn has_peer_process(&self) -> bool {
-        self.outbox.borrow().is_some()
+        self.peer_process.borrow().is_some()
     }
 
-    /// Where what is for the other process goes.
-    pub fn set_outbox(&self, outbox: Option<mpsc::UnboundedSender<Outgoing>>) {
-        *self.outbox.borrow_mut() = outbox;
+    /// Sets the channel to the peer process, or none once it is gone.
+    pub fn set_peer_process(&self, sender: Option<mpsc::UnboundedSender<PeerProcessMessage>>) {
+        *self.peer_process.borrow_mut() = sender;
     }
 
-    /// Tells the other process, if there is one.
-    pub fn send_to_peer_process(&self, message: Outgoing) {
-        if let Some(outbox) = self.outbox.borrow().as_ref() {
-            // One that is gone needs no word; the reducer hears of it.
-            let _ = outbox.send(message);
+    /// Sends a message to the peer process, if there is one.
+    pub fn send_to_peer_process(&self, message: PeerProcessMessage) {
+        if let Some(sender) = self.peer_process.borrow().as_ref() {
+            // One that has just gone needs none; the reducer is fed its loss.
+            let _ = sender.send(message);
         }
     }
 
-    /// Whether a connection is here.
-    pub fn holds(&self, connection: ConnectionId) -> bool {
-        self.connections.borrow().contains_key(&connection)
+    fn transfer_connection(
+        &self,
+        connection: ConnectionId,
+        pool: PoolId,
+        established: EstablishedConnection,
+    ) {
+        let established = Box::new(established);
+        self.send_to_peer_process(PeerProcessMessage::TransferConnection { connection, pool, established })
     }
 
-    /// The other process is gone: the store's files are this one's again.
-    pub fn keep_again(&self) {
-        if let Some(files) = self.files.borrow_mut().as_mut() {
-            files.open_again(self.state.borrow().store());
-        }
+    fn share_exclusion(&self, admin_client: AdminClientId, server: String, excluded: bool) {
+        self.send_to_peer_process(PeerProcessMessage::ShareExclusion { admin_client, server, excluded })
     }
 
-    /// Waits a little for answers that are still being written, and for those who still come in by `enter`.
-    pub async fn settle(&self, enter: impl Fn()) {
-        for _ in 0..20 {
-            enter();
-            if self.connections.borrow().is_empty() {
-                return;
-            }
-            tokio::time::sleep(Duration::from_millis(10)).await;
+    fn persist_exclusions(&self, excluded: &[String]) {
+        if let Some(socket) = self.hot_restart_socket.borrow().as_deref() {
+            excluded_servers::persist_excluded(socket, excluded);
         }
     }
+}
 
-    /// Where orders for watches go from now on.
-    pub fn set_watches(&self, watches: mpsc::UnboundedSender<WatchOrder>) {
+/// Watches and probes.
+impl Driver {
+    /// Sets the channel to the task of the watches.
+    pub fn set_watches(&self, watches: mpsc::UnboundedSender<WatchCommand>) {
         *self.watches.borrow_mut() = Some(watches);
     }
 
-    /// Has a endpoint list watched.
-    pub fn watch(&self, order: WatchOrder) {
+    /// Sends a command to the task of the watches.
+    pub fn send_watch_command(&self, command: WatchCommand) {
         if let Some(watches) = self.watches.borrow().as_ref() {
-            // It ends only with this process.
-            let _ = watches.send(order);
+            // The task ends only with this process.
+            let _ = watches.send(command);
         }
     }
 
-    /// Where probes are carried out from now on.
-    pub fn set_probes(&self, probes: mpsc::UnboundedSender<Probe>) {
+    /// Sets the channel to the task of the probes.
+    pub fn set_probes(&self, probes: mpsc::UnboundedSender<ProbeCommand>) {
         *self.probes.borrow_mut() = Some(probes);
     }
 
-    fn probe(&self, probe: Probe) {
+    fn send_probe(
+        &self,
+        pool: PoolId,
+        server: ServerId,
+        address: String,
+        load_names: Vec<&'static str>,
+        timeout: Micros,
+    ) {
+        let timeout = Duration::from_micros(timeout);
         if let Some(probes) = self.probes.borrow().as_ref() {
-            // It ends only with this process.
-            let _ = probes.send(probe);
-        }
-    }
-
-    /// Tells the reducer whenever time has come to something.
-    pub async fn keep_time(self: Rc<Self>) {
-        loop {
-            let next = self.state.borrow().next_due();
-            let changed = self.timer.notified();
-            match next {
-                None => changed.await,
-                Some(at) => {
-                    let wait = Duration::from_micros(at.since(self.now()));
-                    tokio::select! {
-                        () = changed => {}
-                        () = tokio::time::sleep(wait) => self.feed(Input::TimerFired),
-                    }
-                }
-            }
+            // The task ends only with this process.
+            let _ = probes.send(ProbeCommand { pool, server, address, load_names, timeout });
         }
     }
 }
--- a/src/transport/excluded_servers.rs
+++ b/src/transport/excluded_servers.rs
@@ -1,32 +1,36 @@
-//! Servers out by hand, kept in a file beside the socket where the next process asks.
+//! Servers that operators excluded, kept in a file beside the hot-restart socket.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file of servers out by hand beside the socket.
-fn excluded_file(place: &Path) -> PathBuf {
-    place.with_extension("bans")
+use super::log_event::{log_event, LogEvent};
+
+/// Extension of the file, in the place of the socket's.
+const EXCLUDED_FILE_EXTENSION: &str = "bans";
+
+fn excluded_file(hot_restart_socket: &Path) -> PathBuf {
+    hot_restart_socket.with_extension(EXCLUDED_FILE_EXTENSION)
 }
 
-/// Puts the servers out by hand where the next process finds them if nobody can tell it. Danger: a crash
-/// halfway must leave the old list or the new.
-pub fn persist_excluded(place: &Path, excluded: &[String]) {
-    let file = excluded_file(place);
+/// Writes the list of excluded servers for a process that starts after this one is gone. A crash halfway leaves the
+/// old list or the new.
+pub fn persist_excluded(hot_restart_socket: &Path, excluded: &[String]) {
+    let file = excluded_file(hot_restart_socket);
     let new = file.with_extension(format!("{}.new", std::process::id()));
     let text: String = excluded.iter().map(|server| format!("{server}\n")).collect();
     if let Err(error) = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &file)) {
-        crate::log!(error, "{}: hosts out by hand are not kept: {error}", file.display());
+        log_event!(LogEvent::ExclusionsNotPersisted { file: &file, error: &error });
     }
 }
 
-/// The servers that were out by hand when a process here last said so.
-pub fn load_excluded(place: &Path) -> Vec<String> {
-    let file = excluded_file(place);
+/// Reads the list of servers that were excluded when an earlier process last wrote it.
+pub fn load_excluded(hot_restart_socket: &Path) -> Vec<String> {
+    let file = excluded_file(hot_restart_socket);
     match std::fs::read(&file) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).lines().map(str::to_owned).collect(),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
         Err(error) => {
-            crate::log!(error, "{}: {error}", file.display());
+            log_event!(LogEvent::ExclusionsUnreadable { file: &file, error: &error });
             Vec::new()
         }
     }
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -1,152 +1,190 @@
-//! The store's files: a journal that every entry is appended to, and a snapshot that replaces it when it
-//! has grown long. Each is a row of records: length, its complement, checksum, entry.
+//! Files of the replicated map: a journal that every entry is appended to, and a snapshot that replaces it when it
+//! has grown long. Both are sequences of records: length, its complement, checksum, entry.
 
 use std::fs::{self, File, OpenOptions};
-use std::io::Write;
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
+use super::error::TransportError;
+use super::log_event::{log_event, LogEvent};
 use crate::protocol::gossip;
 use crate::routing::store::{Entry, Store};
 
 /// The journal is folded into the snapshot when it is longer than this.
-const LONG: u64 = 256 << 10;
-const HEAD: usize = 12;
-
-type Kept = Vec<(String, Entry)>;
+const MAX_JOURNAL_BYTES: u64 = 256 << 10;
+/// Bytes of a record before its entry.
+pub const RECORD_HEAD_BYTES: usize = 12;
+
+const SNAPSHOT_FILE: &str = "store.snapshot";
+const JOURNAL_FILE: &str = "store.journal";
+/// A snapshot that is being written.
+const NEW_SNAPSHOT_FILE: &str = "store.new";
+
+/// Keys with their entries, in the order in which they were written.
+pub type Entries = Vec<(String, Entry)>;
+
+/// How a sequence of records ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecordsEnd {
+    /// With a complete record.
+    Complete,
+    /// With a write that was interrupted.
+    Torn {
+        /// Where that write began, in bytes.
+        offset: usize,
+    },
+}
 
-/// The open files of a store.
-pub struct Files {
-    folder: PathBuf,
-    /// None while another process has it.
-    journal: Option<File>,
-    length: u64,
-    /// All that is kept, for the next snapshot.
-    kept: Store,
+/// What a file holds.
+#[derive(Debug)]
+pub struct Records {
+    /// Its entries.
+    pub entries: Entries,
+    /// How it ends.
+    pub end: RecordsEnd,
 }
 
-/// How a row of records ends.
-#[derive(Debug, PartialEq)]
-enum End {
-    Whole,
-    /// A write that was cut off, from this byte on.
-    Torn(usize),
+/// A record that no interrupted write can have left.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CorruptRecord {
+    /// Where it begins, in bytes.
+    pub offset: usize,
 }
 
-fn record(key: &str, entry: &Entry) -> Vec<u8> {
+/// Encodes an entry as a record.
+pub fn encode_record(key: &str, entry: &Entry) -> Vec<u8> {
     let body = gossip::write_entry(key, entry);
     let length = body.len() as u32;
     let head = [length.to_be_bytes(), (!length).to_be_bytes(), crc32fast::hash(&body).to_be_bytes()];
     [&head.concat()[..], &body].concat()
 }
 
-/// Reads records. What a crash can leave of the last write is torn; all else that is wrong is corrupt, and
-/// told by its offset.
-fn records(bytes: &[u8]) -> Result<(Kept, End), usize> {
-    let mut kept = Vec::new();
-    let mut at = 0;
-    while at < bytes.len() {
-        let rest = &bytes[at..];
+/// Decodes the records of a file.
+///
+/// # Errors
+///
+/// For whatever is wrong but what a crash can leave of the last write, which is a torn end.
+pub fn decode_records(bytes: &[u8]) -> Result<Records, CorruptRecord> {
+    let mut entries = Vec::new();
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let torn = RecordsEnd::Torn { offset };
+        let rest = &bytes[offset..];
         // A file may have grown before the bytes of the write were there.
-        if rest.len() < HEAD || rest.iter().all(|&b| b == 0) {
-            return Ok((kept, End::Torn(at)));
-        }
-        let word = |n: usize| u32::from_be_bytes([rest[n], rest[n + 1], rest[n + 2], rest[n + 3]]);
-        if word(0) != !word(4) {
-            return Err(at);
-        }
-        let end = HEAD + word(0) as usize;
-        let Some(body) = rest.get(HEAD..end) else { return Ok((kept, End::Torn(at))) };
-        match gossip::read_entry(body).filter(|_| crc32fast::hash(body) == word(8)) {
-            Some(entry) => kept.push(entry),
-            None if end == rest.len() => return Ok((kept, End::Torn(at))),
-            None => return Err(at),
-        }
-        at += end;
+        if rest.len() < RECORD_HEAD_BYTES || rest.iter().all(|&byte| byte == 0) {
+            return Ok(Records { entries, end: torn });
+        }
+        let head_field = |at: usize| u32::from_be_bytes([rest[at], rest[at + 1], rest[at + 2], rest[at + 3]]);
+        let (length, complement, checksum) = (head_field(0), head_field(4), head_field(8));
+        if length != !complement {
+            return Err(CorruptRecord { offset });
+        }
+        let record_end = RECORD_HEAD_BYTES + length as usize;
+        let Some(body) = rest.get(RECORD_HEAD_BYTES..record_end) else {
+            return Ok(Records { entries, end: torn });
+        };
+        match gossip::read_entry(body).filter(|_| crc32fast::hash(body) == checksum) {
+            Some(entry) => entries.push(entry),
+            None if record_end == rest.len() => return Ok(Records { entries, end: torn }),
+            None => return Err(CorruptRecord { offset }),
+        }
+        offset += record_end;
     }
-    Ok((kept, End::Whole))
+    Ok(Records { entries, end: RecordsEnd::Complete })
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, String> {
-    match fs::read(path) {
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Vec::new()),
-        result => result.map_err(|e| format!("{}: {e}", path.display())),
-    }
+/// The open files of a replicated map.
+pub struct Files {
+    folder: PathBuf,
+    /// None while a successor has it.
+    journal: Option<File>,
+    journal_bytes: u64,
+    /// All entries, for the next snapshot.
+    entries: Store,
+}
+
+/// Files that were just opened, and what they hold.
+pub struct OpenedFiles {
+    /// The files.
+    pub files: Files,
+    /// The entries of the snapshot, then those of the journal.
+    pub entries: Entries,
 }
 
 impl Files {
-    /// Opens a folder, and returns what it holds. A torn end of the journal is cut off; anything else that
-    /// is wrong stops the start, for it may be more than the last write that is lost.
-    pub fn open(folder: &Path) -> Result<(Files, Kept), String> {
-        let problem = |e: std::io::Error| format!("{}: {e}", folder.display());
-        fs::create_dir_all(folder).map_err(problem)?;
-        let (snapshot, path) = (folder.join("store.snapshot"), folder.join("store.journal"));
-        let corrupt = |path: &Path, at: usize| format!("{}: corrupt at byte {at}", path.display());
-        let (mut kept, end) = records(&read(&snapshot)?).map_err(|at| corrupt(&snapshot, at))?;
-        // The snapshot is put in place whole: no crash tears it.
-        if let End::Torn(at) = end {
-            return Err(corrupt(&snapshot, at));
-        }
-        let bytes = read(&path)?;
-        let (more, end) = records(&bytes).map_err(|at| corrupt(&path, at))?;
-        kept.extend(more);
-        let mut length = bytes.len();
-        if let End::Torn(at) = end {
-            crate::log!(warn, "{}: torn at byte {at}, {} bytes cut off", path.display(), length - at);
-            length = at;
-        }
-        let journal = OpenOptions::new().create(true).append(true).open(&path).map_err(problem)?;
-        journal.set_len(length as u64).and_then(|()| journal.sync_all()).map_err(problem)?;
-        File::open(folder).and_then(|folder| folder.sync_all()).map_err(problem)?;
-        let mut all = Store::new("");
-        for (key, entry) in &kept {
-            all.take(key, entry.clone());
+    /// Opens the files of a folder, which is created if need be. A torn end of the journal is cut off.
+    ///
+    /// # Errors
+    ///
+    /// When a file cannot be opened or written, or is corrupt: it may be more than the last write that is lost.
+    pub fn open(folder: &Path) -> Result<OpenedFiles, TransportError> {
+        let file_error = |source| TransportError::File { path: folder.to_owned(), source };
+        fs::create_dir_all(folder).map_err(file_error)?;
+        let mut entries = read_snapshot(&folder.join(SNAPSHOT_FILE))?;
+        let journal_path = folder.join(JOURNAL_FILE);
+        let journal = read_journal(&journal_path)?;
+        entries.extend(journal.entries);
+        let file = OpenOptions::new().create(true).append(true).open(&journal_path).map_err(file_error)?;
+        file.set_len(journal.length as u64).and_then(|()| file.sync_all()).map_err(file_error)?;
+        File::open(folder).and_then(|folder| folder.sync_all()).map_err(file_error)?;
+        let mut store = Store::new("");
+        for (key, entry) in &entries {
+            store.take(key, entry.clone());
         }
-        let files =
-            Files { folder: folder.to_owned(), journal: Some(journal), length: length as u64, kept: all };
-        Ok((files, kept))
+        let journal_bytes = journal.length as u64;
+        let files = Files { folder: folder.to_owned(), journal: Some(file), journal_bytes, entries: store };
+        Ok(OpenedFiles { files, entries })
     }
 
-    /// Another process goes on with the files: nothing more is written.
+    /// Leaves the files to a successor: nothing more is written.
     pub fn close(&mut self) {
         self.journal = None;
     }
 
-    /// The other process is gone, and this one goes on with them, and with all that it holds.
-    pub fn open_again(&mut self, store: &Store) {
+    /// Opens the files again after a successor is gone, and persists all entries that are held by now.
+    pub fn reopen(&mut self, store: &Store) {
         if self.journal.is_some() {
             return;
         }
         match Files::open(&self.folder) {
-            Ok((files, _)) => {
+            Ok(OpenedFiles { files, .. }) => {
                 *self = files;
-                store.entries().for_each(|(key, entry)| self.keep(key, entry));
+                store.entries().for_each(|(key, entry)| self.persist(key, entry));
             }
-            Err(problem) => crate::log!(error, "{problem}"),
+            Err(error) => log_event!(LogEvent::StoreNotReopened { error: &error }),
         }
     }
 
-    /// Keeps an entry: it is on the disk when this returns, or the log says why not.
-    pub fn keep(&mut self, key: &str, entry: &Entry) {
-        self.kept.take(key, entry.clone());
-        let record = record(key, entry);
+    /// Persists an entry: it is on disk when this returns, or the log says why not.
+    pub fn persist(&mut self, key: &str, entry: &Entry) {
+        self.entries.take(key, entry.clone());
+        let record = encode_record(key, entry);
         let Some(journal) = &mut self.journal else { return };
-        let written = journal.write_all(&record).and_then(|()| journal.sync_data());
-        self.length += record.len() as u64;
-        let done = written.and_then(|()| if self.length > LONG { self.fold() } else { Ok(()) });
-        if let Err(error) = done {
-            crate::log!(error, "{}: {key} is not kept: {error}", self.folder.display());
-            // Danger: half a record, followed by others, would look corrupt at the next start.
+        let appended = journal.write_all(&record).and_then(|()| journal.sync_data());
+        self.journal_bytes += record.len() as u64;
+        let is_long = self.journal_bytes > MAX_JOURNAL_BYTES;
+        let persisted = appended.and_then(|()| if is_long { self.fold() } else { Ok(()) });
+        if let Err(error) = persisted {
+            log_event!(LogEvent::EntryNotPersisted { folder: &self.folder, key, error: &error });
+            // Half a record, followed by others, would look corrupt at the next start. Where this fails as well, the
+            // next entry tries again.
             let _ = self.fold();
         }
     }
 
-    /// Puts a new snapshot in place, and begins the journal anew. A crash between leaves entries in both,
+    /// Puts a new snapshot in place, and begins the journal anew. A crash between the two leaves entries in both,
     /// which does no harm.
-    fn fold(&mut self) -> std::io::Result<()> {
-        let (new, snapshot) = (self.folder.join("store.new"), self.folder.join("store.snapshot"));
-        let all: Vec<u8> = self.kept.entries().flat_map(|(key, entry)| record(key, entry)).collect();
+    ///
+    /// # Errors
+    ///
+    /// When a file cannot be written.
+    #[doc(hidden)]
+    pub fn fold(&mut self) -> io::Result<()> {
+        let (new, snapshot) = (self.folder.join(NEW_SNAPSHOT_FILE), self.folder.join(SNAPSHOT_FILE));
+        let records = self.entries.entries().flat_map(|(key, entry)| encode_record(key, entry));
+        let records: Vec<u8> = records.collect();
         let mut file = File::create(&new)?;
-        file.write_all(&all)?;
+        file.write_all(&records)?;
         file.sync_all()?;
         fs::rename(&new, &snapshot)?;
         File::open(&self.folder)?.sync_all()?;
@@ -154,92 +192,50 @@
             journal.set_len(0)?;
             journal.sync_all()?;
         }
-        self.length = 0;
+        self.journal_bytes = 0;
         Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn entry(counter: u64) -> Entry {
-        Entry { counter, node: "n1".to_owned(), value: Some("draining".to_owned()) }
-    }
-
-    fn rows(count: u64) -> Vec<u8> {
-        (1..=count).flat_map(|n| record(&format!("life/h{n}"), &entry(n))).collect()
-    }
-
-    #[test]
-    fn a_write_cut_off_anywhere_is_torn_and_the_rest_is_read() {
-        let (bytes, two) = (rows(3), rows(2).len());
-        for cut in two + 1..bytes.len() {
-            let (kept, end) = records(&bytes[..cut]).expect("torn, not corrupt");
-            assert_eq!((kept.len(), end), (2, End::Torn(two)), "cut at {cut}");
-        }
-        let (kept, end) = records(&[&rows(2)[..], &[0; 40]].concat()).expect("torn, not corrupt");
-        assert_eq!((kept.len(), end), (2, End::Torn(two)), "grown, but not written");
-    }
-
-    #[test]
-    fn a_flipped_bit_before_the_last_record_is_corrupt() {
-        let (bytes, two) = (rows(3), rows(2).len());
-        for at in 0..two {
-            let mut bytes = bytes.clone();
-            bytes[at] ^= 0x10;
-            assert!(records(&bytes).is_err(), "flipped at {at}");
-        }
+/// Reads a file; one that is not there is empty.
+fn read_file(path: &Path) -> Result<Vec<u8>, TransportError> {
+    match fs::read(path) {
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
+        result => result.map_err(|source| TransportError::File { path: path.to_owned(), source }),
     }
+}
 
-    /// A folder of this test's own, removed when it ends.
-    struct Folder(PathBuf);
-
-    impl Folder {
-        fn new(name: &str) -> Folder {
-            let path =
-                std::env::temp_dir().join(format!("connection-balancer-{name}-{}", std::process::id()));
-            let _ = fs::remove_dir_all(&path);
-            Folder(path)
-        }
-    }
+fn corrupt_file(path: &Path, offset: usize) -> TransportError {
+    TransportError::CorruptFile { path: path.to_owned(), offset }
+}
 
-    impl Drop for Folder {
-        fn drop(&mut self) {
-            let _ = fs::remove_dir_all(&self.0);
-        }
+/// Reads the snapshot. It is put in place as a whole, so no crash leaves a torn end.
+fn read_snapshot(path: &Path) -> Result<Entries, TransportError> {
+    let records = decode_records(&read_file(path)?).map_err(|corrupt| corrupt_file(path, corrupt.offset))?;
+    match records.end {
+        RecordsEnd::Complete => Ok(records.entries),
+        RecordsEnd::Torn { offset } => Err(corrupt_file(path, offset)),
     }
+}
 
-    #[test]
-    fn what_is_kept_is_there_again_after_any_number_of_folds() {
-        let folder = Folder::new("folds");
-        let (mut files, kept) = Files::open(&folder.0).expect("opens");
-        assert!(kept.is_empty());
-        for n in 1..200u64 {
-            files.keep(&format!("life/h{}", n % 7), &entry(n));
-            if n % 50 == 0 {
-                files.fold().expect("folds");
-            }
-        }
-        let (_, kept) = Files::open(&folder.0).expect("opens again");
-        let mut store = Store::new("");
-        for (key, entry) in kept {
-            store.take(&key, entry);
-        }
-        assert_eq!(store.entries().count(), 7);
-        assert!(store.entries().all(|(_, entry)| entry.counter >= 193));
-    }
+/// What the journal holds before its torn end.
+struct JournalContent {
+    entries: Entries,
+    /// Bytes of these entries.
+    length: usize,
+}
 
-    #[test]
-    fn corruption_stops_the_start_and_names_the_file() {
-        let folder = Folder::new("corrupt");
-        let (mut files, _) = Files::open(&folder.0).expect("opens");
-        (1..4).for_each(|n| files.keep("life/h", &entry(n)));
-        let path = folder.0.join("store.journal");
-        let mut bytes = fs::read(&path).expect("a journal");
-        bytes[HEAD + 2] ^= 1;
-        fs::write(&path, bytes).expect("written");
-        let problem = Files::open(&folder.0).err().expect("must not start");
-        assert!(problem.contains("store.journal: corrupt at byte 0"), "{problem}");
-    }
+fn read_journal(path: &Path) -> Result<JournalContent, TransportError> {
+    let bytes = read_file(path)?;
+    let Records { entries, end } =
+        decode_records(&bytes).map_err(|corrupt| corrupt_file(path, corrupt.offset))?;
+    let length = match end {
+        RecordsEnd::Complete => bytes.len(),
+        RecordsEnd::Torn { offset } => {
+            let removed = bytes.len() - offset;
+            log_event!(LogEvent::JournalTruncated { journal: path, offset, removed });
+            offset
+        }
+    };
+    Ok(JournalContent { entries, length })
 }
--- /dev/null
+++ b/src/transport/hot_restart/link.rs
@@ -0,0 +1,153 @@
+//! The link between two processes: a Unix socket that keeps messages apart, with descriptors beside them.
+
+use std::io::{self, IoSlice, IoSliceMut};
+use std::mem::MaybeUninit;
+use std::os::fd::{BorrowedFd, OwnedFd};
+use std::path::Path;
+use std::time::Duration;
+
+use rustix::net::{self, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags};
+use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketFlags};
+use tokio::io::Interest;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::time::timeout;
+
+use crate::protocol::hot_restart::{self, HandoverMessage, LONGEST, MOST_SOCKETS};
+
+/// How long a message may take to be written: the other process may hang.
+const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Processes that may wait to be accepted.
+const LISTEN_BACKLOG: i32 = 8;
+/// Permissions of the socket: for this user only.
+const SOCKET_MODE: u32 = 0o600;
+
+/// The connected socket. It is of type `SOCK_SEQPACKET`, though the runtime calls it a stream.
+pub(super) struct Link(UnixStream);
+
+/// A message, and the descriptors beside it.
+pub(super) struct ReceivedMessage {
+    pub(super) message: HandoverMessage,
+    pub(super) sockets: Vec<OwnedFd>,
+}
+
+/// The bytes of a message, and the descriptors beside it.
+struct ReceivedBytes {
+    bytes: Vec<u8>,
+    sockets: Vec<OwnedFd>,
+}
+
+impl Link {
+    /// Connects to the process that listens at a path.
+    ///
+    /// # Errors
+    ///
+    /// When none does, or one of another user.
+    pub(super) fn connect(path: &Path) -> io::Result<Link> {
+        let socket = open_socket()?;
+        net::connect(&socket, &net::SocketAddrUnix::new(path)?)?;
+        Link::new(UnixStream::from_std(socket.into())?)
+    }
+
+    /// Checks the other end of a socket.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::PermissionDenied`] if it is another user's: in a folder that others may write to, what answers
+    /// could be anybody's.
+    pub(super) fn new(socket: UnixStream) -> io::Result<Link> {
+        if socket.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
+            return Err(io::ErrorKind::PermissionDenied.into());
+        }
+        Ok(Link(socket))
+    }
+
+    /// Sends a message with descriptors beside it.
+    ///
+    /// # Errors
+    ///
+    /// When the message is too long, the link is broken or the other process reads nothing.
+    pub(super) async fn send(&self, message: &HandoverMessage, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
+        let bytes = hot_restart::write(message).ok_or(io::ErrorKind::InvalidInput)?;
+        timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await?
+    }
+
+    async fn send_bytes(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
+        loop {
+            self.0.writable().await?;
+            match self.0.try_io(Interest::WRITABLE, || self.try_send(bytes, sockets)) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => return result,
+            }
+        }
+    }
+
+    fn try_send(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        if !sockets.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(sockets)) {
+            return Err(io::ErrorKind::InvalidInput.into());
+        }
+        let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
+        Ok(net::sendmsg(&self.0, &[IoSlice::new(bytes)], &mut ancillary, flags).map(drop)?)
+    }
+
+    /// Receives the next message; none at the end. Cancellation-safe: a message is taken off the socket in one step.
+    ///
+    /// # Errors
+    ///
+    /// When the link is broken, or what came is no message.
+    pub(super) async fn receive(&self) -> io::Result<Option<ReceivedMessage>> {
+        let ReceivedBytes { bytes, sockets } = loop {
+            self.0.readable().await?;
+            match self.0.try_io(Interest::READABLE, || self.try_receive()) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => break result?,
+            }
+        };
+        if bytes.is_empty() {
+            return Ok(None);
+        }
+        let message = hot_restart::read(&bytes).ok_or(io::ErrorKind::InvalidData)?;
+        Ok(Some(ReceivedMessage { message, sockets }))
+    }
+
+    fn try_receive(&self) -> io::Result<ReceivedBytes> {
+        let mut bytes = vec![0; LONGEST];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
+        let received = net::recvmsg(&self.0, &mut [IoSliceMut::new(&mut bytes)], &mut ancillary, flags)?;
+        let rights = ancillary.drain().filter_map(|message| match message {
+            RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
+            _ => None,
+        });
+        let sockets: Vec<OwnedFd> = rights.flatten().collect();
+        if received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC) {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        bytes.truncate(received.bytes);
+        Ok(ReceivedBytes { bytes, sockets })
+    }
+}
+
+fn open_socket() -> rustix::io::Result<OwnedFd> {
+    let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
+    net::socket_with(net::AddressFamily::UNIX, net::SocketType::SEQPACKET, flags, None)
+}
+
+/// Listens at a path, in the place of whatever did before.
+///
+/// # Errors
+///
+/// When the system refuses.
+pub(super) fn listen(path: &Path) -> io::Result<UnixListener> {
+    // Bound under a name of its own first: renamed, it replaces the old socket at one go.
+    let own_path = path.with_extension(std::process::id().to_string());
+    let socket = open_socket()?;
+    let _ = std::fs::remove_file(&own_path);
+    net::bind(&socket, &net::SocketAddrUnix::new(&own_path)?)?;
+    std::fs::set_permissions(&own_path, std::os::unix::fs::PermissionsExt::from_mode(SOCKET_MODE))?;
+    net::listen(&socket, LISTEN_BACKLOG)?;
+    std::fs::rename(&own_path, path)?;
+    UnixListener::from_std(socket.into())
+}
--- /dev/null
+++ b/src/transport/log_event.rs
@@ -0,0 +1,212 @@
+//! Every line that this folder logs: one variant and one text for each.
+//!
+//! On-call staff look lines up by these texts, so each stands here in one piece.
+
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+
+use tracing::Level;
+
+use super::discovery_watch::DiscoveryError;
+use super::error::TransportError;
+
+/// A line for the log.
+#[derive(Debug)]
+pub enum LogEvent<'a> {
+    /// The admin endpoint accepts clients.
+    AdminEndpointOpen { address: SocketAddr },
+    /// The replicated map exchanges messages with other nodes.
+    ReplicationOpen { node: &'a str, address: SocketAddr },
+    /// The platform's front accepts connections.
+    PlatformListening { name: &'a str, address: SocketAddr },
+    /// The same after a reload.
+    PlatformReconfigured { name: &'a str, address: SocketAddr },
+    /// The IRC front accepts connections.
+    IrcListening { name: &'a str, address: SocketAddr },
+    /// The same after a reload.
+    IrcReconfigured { name: &'a str, address: SocketAddr },
+    /// A reload was given up before it changed anything.
+    ReloadFailed { error: &'a TransportError },
+    /// A graceful shutdown is complete.
+    ShutDown,
+    /// What the reducer reports.
+    Reported { text: &'a str },
+    /// A connection cannot be accepted; this is logged once until one can be again.
+    AcceptFailed { error: &'a io::Error },
+    /// Gossip cannot be exchanged.
+    GossipUnavailable { error: &'a io::Error },
+    /// A datagram for the replicated map cannot be read.
+    ReplicaMessageUnreadable { from: SocketAddr },
+    /// A datagram for gossip cannot be read, or comes from an unknown address.
+    GossipUnreadable { from: SocketAddr },
+    /// Discovery did not answer; the same call is made once more.
+    EndpointListRetried,
+    /// Discovery sent changes of an older endpoint list.
+    EndpointListOutdated { generation: u64 },
+    /// A call to discovery failed.
+    EndpointListFailed { error: &'a DiscoveryError },
+    /// The recording has reached its size.
+    RecordingFull { file: &'a Path },
+    /// The recording cannot be written.
+    RecordingFailed { file: &'a Path, error: &'a io::Error },
+    /// The journal ended in an incomplete record.
+    JournalTruncated { journal: &'a Path, offset: usize, removed: usize },
+    /// An entry of the replicated map is not on disk.
+    EntryNotPersisted { folder: &'a Path, key: &'a str, error: &'a io::Error },
+    /// The store's files cannot be opened again after a hot restart came to nothing.
+    StoreNotReopened { error: &'a TransportError },
+    /// The list of excluded servers is not on disk.
+    ExclusionsNotPersisted { file: &'a Path, error: &'a io::Error },
+    /// The list of excluded servers cannot be read.
+    ExclusionsUnreadable { file: &'a Path, error: &'a io::Error },
+    /// No successor can ask this process for its state.
+    HotRestartUnavailable { socket: &'a Path, error: &'a io::Error },
+    /// A predecessor did not export its state.
+    ImportFailed { socket: &'a Path, error: &'a io::Error },
+    /// The same, for it did not answer in time.
+    ImportTimedOut { socket: &'a Path },
+    /// The state could not be exported to a successor.
+    ExportFailed { error: &'a io::Error },
+    /// The successor did not begin to serve in time.
+    ExportTimedOut,
+    /// The link to the peer process failed.
+    PeerProcessFailed { error: &'a io::Error },
+}
+
+impl LogEvent<'_> {
+    /// The level at which the line is logged.
+    pub fn level(&self) -> Level {
+        match self {
+            LogEvent::AdminEndpointOpen { .. }
+            | LogEvent::ReplicationOpen { .. }
+            | LogEvent::PlatformListening { .. }
+            | LogEvent::PlatformReconfigured { .. }
+            | LogEvent::IrcListening { .. }
+            | LogEvent::IrcReconfigured { .. }
+            | LogEvent::ShutDown
+            | LogEvent::Reported { .. } => Level::INFO,
+            LogEvent::AcceptFailed { .. }
+            | LogEvent::GossipUnavailable { .. }
+            | LogEvent::ReplicaMessageUnreadable { .. }
+            | LogEvent::GossipUnreadable { .. }
+            | LogEvent::EndpointListRetried
+            | LogEvent::EndpointListOutdated { .. }
+            | LogEvent::EndpointListFailed { .. }
+            | LogEvent::RecordingFull { .. }
+            | LogEvent::JournalTruncated { .. }
+            | LogEvent::HotRestartUnavailable { .. }
+            | LogEvent::ImportFailed { .. }
+            | LogEvent::ImportTimedOut { .. }
+            | LogEvent::ExportFailed { .. }
+            | LogEvent::ExportTimedOut
+            | LogEvent::PeerProcessFailed { .. } => Level::WARN,
+            LogEvent::ReloadFailed { .. }
+            | LogEvent::RecordingFailed { .. }
+            | LogEvent::EntryNotPersisted { .. }
+            | LogEvent::StoreNotReopened { .. }
+            | LogEvent::ExclusionsNotPersisted { .. }
+            | LogEvent::ExclusionsUnreadable { .. } => Level::ERROR,
+        }
+    }
+}
+
+impl fmt::Display for LogEvent<'_> {
+    // Longer than other functions: one line of text for each variant, in one place.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogEvent::AdminEndpointOpen { address } => {
+                write!(formatter, "admin endpoint open on {address}")
+            }
+            LogEvent::ReplicationOpen { node, address } => {
+                write!(formatter, "{node} replicates on {address}")
+            }
+            LogEvent::PlatformListening { name, address } => {
+                write!(formatter, "{name} listens on {address}")
+            }
+            LogEvent::PlatformReconfigured { name, address } => {
+                write!(formatter, "{name} listens on {address}, reconfigured")
+            }
+            LogEvent::IrcListening { name, address } => {
+                write!(formatter, "{name} listens on {address} for IRC")
+            }
+            LogEvent::IrcReconfigured { name, address } => {
+                write!(formatter, "{name} listens on {address} for IRC, reconfigured")
+            }
+            LogEvent::ReloadFailed { error } => {
+                write!(formatter, "the old configuration stays in force: {error}")
+            }
+            LogEvent::ShutDown => write!(formatter, "shut down"),
+            LogEvent::Reported { text } => write!(formatter, "{text}"),
+            LogEvent::AcceptFailed { error } => write!(formatter, "cannot accept connections: {error}"),
+            LogEvent::GossipUnavailable { error } => {
+                write!(formatter, "no gossip with the tier's other balancers: {error}")
+            }
+            LogEvent::ReplicaMessageUnreadable { from } => {
+                write!(formatter, "a datagram from {from} is not a replica message")
+            }
+            LogEvent::GossipUnreadable { from } => {
+                write!(formatter, "a datagram from {from} is not gossip of the tier")
+            }
+            LogEvent::EndpointListRetried => {
+                write!(formatter, "endpoint list: no answer in time, asked again")
+            }
+            LogEvent::EndpointListOutdated { generation } => {
+                write!(
+                    formatter,
+                    "endpoint list: generation {generation} after a later one, whole list requested"
+                )
+            }
+            LogEvent::EndpointListFailed { error } => write!(formatter, "endpoint list: {error}"),
+            LogEvent::RecordingFull { file } => {
+                write!(formatter, "{}: the recording is full", file.display())
+            }
+            LogEvent::RecordingFailed { file, error } => {
+                write!(formatter, "{}: the recording ends: {error}", file.display())
+            }
+            LogEvent::JournalTruncated { journal, offset, removed } => {
+                write!(formatter, "{}: torn at byte {offset}, {removed} bytes cut off", journal.display())
+            }
+            LogEvent::EntryNotPersisted { folder, key, error } => {
+                write!(formatter, "{}: {key} is not persisted: {error}", folder.display())
+            }
+            LogEvent::StoreNotReopened { error } => {
+                write!(formatter, "the store's files are not open again: {error}")
+            }
+            LogEvent::ExclusionsNotPersisted { file, error } => {
+                write!(formatter, "{}: excluded servers are not persisted: {error}", file.display())
+            }
+            LogEvent::ExclusionsUnreadable { file, error } => {
+                write!(formatter, "{}: excluded servers cannot be read: {error}", file.display())
+            }
+            LogEvent::HotRestartUnavailable { socket, error } => {
+                write!(formatter, "{}: no hot restart possible: {error}", socket.display())
+            }
+            LogEvent::ImportFailed { socket, error } => {
+                write!(formatter, "{}: no state imported: {error}", socket.display())
+            }
+            LogEvent::ImportTimedOut { socket } => {
+                write!(formatter, "{}: no state imported: no answer in time", socket.display())
+            }
+            LogEvent::ExportFailed { error } => write!(formatter, "hot restart given up: {error}"),
+            LogEvent::ExportTimedOut => {
+                write!(formatter, "hot restart given up: the successor does not serve in time")
+            }
+            LogEvent::PeerProcessFailed { error } => write!(formatter, "peer process: {error}"),
+        }
+    }
+}
+
+/// Logs an event with the calling module as its target, for which levels can be configured.
+macro_rules! log_event {
+    ($event:expr) => {{
+        let event = $event;
+        match event.level() {
+            ::tracing::Level::ERROR => $crate::log!(error, "{event}"),
+            ::tracing::Level::WARN => $crate::log!(warn, "{event}"),
+            _ => $crate::log!(info, "{event}"),
+        }
+    }};
+}
+pub(super) use log_event;
--- /dev/null
+++ b/src/transport/observation.rs
@@ -0,0 +1,113 @@
+//! What becomes of each connection, observed for replays.
+
+use std::collections::HashMap;
+use std::fmt;
+
+use crate::routing::{Answer, AttemptOutcome, ConnectionId, Effect, Input};
+use crate::{Micros, Time};
+
+/// One thing that became of a connection.
+#[derive(Clone, Debug)]
+pub enum Observation {
+    /// It was established.
+    Established {
+        /// Time since the client connected.
+        after: Micros,
+        /// The attempt that was accepted, from 0.
+        attempt: u32,
+    },
+    /// A server's verdict was forwarded to the client.
+    VerdictForwarded,
+    /// The client was given an answer.
+    Answered {
+        /// Time since the client connected.
+        after: Micros,
+        /// The answer.
+        answer: Answer,
+    },
+    /// The client left.
+    ClientLeft,
+    /// The server ended the connection.
+    ServerEnded,
+}
+
+fn milliseconds(time: Micros) -> f64 {
+    time as f64 / 1000.0
+}
+
+impl fmt::Display for Observation {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match *self {
+            Observation::Established { after, attempt } => {
+                write!(formatter, "served after {:.1} ms on attempt {}", milliseconds(after), attempt + 1)
+            }
+            Observation::VerdictForwarded => write!(formatter, "rejected by its server's own verdict"),
+            Observation::Answered { after, answer: Answer::Rejected(retry_after) } => {
+                let (after, retry_after) = (milliseconds(after), milliseconds(retry_after));
+                write!(formatter, "rejected after {after:.1} ms, to retry in {retry_after:.0} ms")
+            }
+            Observation::Answered { after, answer: Answer::Failed } => {
+                write!(formatter, "failed after {:.1} ms", milliseconds(after))
+            }
+            Observation::Answered { answer: Answer::HandshakeTimedOut, .. } => {
+                write!(formatter, "handshake timed out")
+            }
+            Observation::Answered { answer: Answer::Migrated, .. } => write!(formatter, "migrated"),
+            Observation::ClientLeft => write!(formatter, "left"),
+            Observation::ServerEnded => write!(formatter, "ended by its server"),
+        }
+    }
+}
+
+/// Keeps the observations of all connections.
+#[derive(Default)]
+pub struct Observer {
+    connected_at: HashMap<ConnectionId, Time>,
+    observations: HashMap<ConnectionId, Vec<Observation>>,
+}
+
+impl Observer {
+    /// What was observed of a connection so far, in order.
+    pub fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
+        self.observations.get(&connection).cloned().unwrap_or_default()
+    }
+
+    /// Observes an input before the reducer has it.
+    pub fn observe_input(&mut self, now: Time, input: &Input) {
+        match *input {
+            Input::ClientConnected { connection, .. } => {
+                self.connected_at.insert(connection, now);
+            }
+            Input::AttemptAccepted { connection, attempt } => {
+                let after = self.time_since_connected(now, connection);
+                self.push(connection, Observation::Established { after, attempt });
+            }
+            Input::AttemptEnded { connection, end: AttemptOutcome::VerdictForwarded, .. } => {
+                self.push(connection, Observation::VerdictForwarded)
+            }
+            Input::AttemptEnded {
+                connection,
+                end: AttemptOutcome::Served | AttemptOutcome::RedirectedByServer,
+                ..
+            } => self.push(connection, Observation::ServerEnded),
+            Input::ClientDisconnected { connection } => self.push(connection, Observation::ClientLeft),
+            _ => {}
+        }
+    }
+
+    /// Observes an effect before it is carried out.
+    pub fn observe_effect(&mut self, now: Time, effect: &Effect) {
+        if let Effect::Answer { connection, answer } = *effect {
+            let after = self.time_since_connected(now, connection);
+            self.push(connection, Observation::Answered { after, answer });
+        }
+    }
+
+    fn time_since_connected(&self, now: Time, connection: ConnectionId) -> Micros {
+        now.since(self.connected_at.get(&connection).copied().unwrap_or_default())
+    }
+
+    fn push(&mut self, connection: ConnectionId, observation: Observation) {
+        self.observations.entry(connection).or_default().push(observation);
+    }
+}
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -1,5 +1,5 @@
-//! Probes of servers: asked for by the reducer, each with one answer to it. A connection that has carried one
-//! is kept for the next, since each new one costs its server more than the probe does.
+//! Probes of servers: ordered by the reducer, each with one result. A connection that has carried one is cached for
+//! the next, since each new connection costs its server more than the probe does.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,86 +11,112 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-use super::commands::Probe;
+use super::commands::ProbeCommand;
 use super::driver::Driver;
 use crate::protocol::lines::{Cut, Lines};
 use crate::protocol::{platform, LONGEST_LINE};
 use crate::routing::{Input, ProbeEnd, MOST_PROBES};
 use crate::ServerId;
 
-/// A connection that has carried a probe is kept so long for the next: servers close idle ones sooner or later.
-const KEPT: Duration = Duration::from_secs(4);
-const PIECE: usize = 512;
+/// How long a connection that has carried a probe is cached: servers close idle ones sooner or later.
+const CACHE_TIMEOUT: Duration = Duration::from_secs(4);
+const READ_BUFFER_BYTES: usize = 512;
 
-/// Where a probe's connection goes: a server's address and its number, which another takes over with another address.
-type Place = (ServerId, String);
-type Kept = HashMap<Place, (TcpStream, Instant)>;
+/// Where a probe's connection goes. The address alone does not say: another server may take it over.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ProbeTarget {
+    server: ServerId,
+    address: String,
+}
+
+/// A connection that can carry the next probe.
+struct CachedConnection {
+    stream: TcpStream,
+    cached_at: Instant,
+}
+
+type ConnectionCache = HashMap<ProbeTarget, CachedConnection>;
+
+/// A report, and the connection that it came over.
+struct ProbeReport {
+    line: Vec<u8>,
+    stream: TcpStream,
+}
 
-/// Carries out probes as the hub asks for them.
-pub async fn keep(driver: Rc<Driver>, mut orders: mpsc::UnboundedReceiver<Probe>) {
-    let mut kept = Kept::new();
-    let mut out = JoinSet::new();
+/// Carries out probes as the commands come, for ever.
+pub async fn run_probes(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
+    let mut cache = ConnectionCache::new();
+    let mut in_flight = JoinSet::new();
     loop {
-        let oldest = kept.values().map(|(_, since)| *since + KEPT).min();
-        let stale = async {
-            match oldest {
-                Some(at) => tokio::time::sleep_until(at).await,
-                None => std::future::pending().await,
-            }
-        };
+        let next_expiry = cache.values().map(|cached| cached.cached_at + CACHE_TIMEOUT).min();
         tokio::select! {
-            order = orders.recv() => {
-                let Some(order) = order else { return };
-                let before = kept.remove(&(order.server, order.address.clone())).map(|(stream, _)| stream);
-                out.spawn_local(carry_out(driver.clone(), order, before));
+            command = commands.recv() => {
+                let Some(command) = command else { return };
+                let target = ProbeTarget { server: command.server, address: command.address.clone() };
+                let cached = cache.remove(&target).map(|cached| cached.stream);
+                in_flight.spawn_local(carry_out_probe(driver.clone(), command, cached));
             }
-            Some(done) = out.join_next() => {
-                let room = kept.len() + out.len() < MOST_PROBES;
-                if let (Ok(Some((place, stream))), true) = (done, room) {
-                    kept.insert(place, (stream, Instant::now()));
+            Some(done) = in_flight.join_next() => {
+                let has_room = cache.len() + in_flight.len() < MOST_PROBES;
+                if let (Ok(Some((target, stream))), true) = (done, has_room) {
+                    cache.insert(target, CachedConnection { stream, cached_at: Instant::now() });
                 }
             }
-            () = stale => kept.retain(|_, (_, since)| since.elapsed() < KEPT),
+            () = wait_for_expiry(next_expiry) => {
+                cache.retain(|_, cached| cached.cached_at.elapsed() < CACHE_TIMEOUT);
+            }
         }
     }
 }
 
-/// One probe; its connection can be kept if it was answered in full.
-async fn carry_out(driver: Rc<Driver>, order: Probe, kept: Option<TcpStream>) -> Option<(Place, TcpStream)> {
-    let Probe { pool, server, address, names, wait } = order;
-    let answered = timeout(wait, ask(&address, kept)).await;
-    let (end, stream) = match answered {
-        Ok(Some((line, stream))) => {
-            let end = platform::probe_answer(&line, &names);
+async fn wait_for_expiry(expiry: Option<Instant>) {
+    match expiry {
+        Some(expiry) => tokio::time::sleep_until(expiry).await,
+        None => std::future::pending().await,
+    }
+}
+
+/// Carries out one probe. Returns its connection if that can be cached: the report came in full.
+async fn carry_out_probe(
+    driver: Rc<Driver>,
+    command: ProbeCommand,
+    cached: Option<TcpStream>,
+) -> Option<(ProbeTarget, TcpStream)> {
+    let ProbeCommand { pool, server, address, load_names, timeout: probe_timeout } = command;
+    let report = timeout(probe_timeout, request_report(&address, cached)).await;
+    let (end, stream) = match report {
+        Ok(Some(ProbeReport { line, stream })) => {
+            let end = platform::probe_answer(&line, &load_names);
             (end, Some(stream).filter(|_| matches!(end, ProbeEnd::Answered(_))))
         }
         _ => (ProbeEnd::Nothing, None),
     };
     driver.feed(Input::ProbeCompleted { pool, server, end });
-    stream.map(|stream| ((server, address), stream))
+    stream.map(|stream| (ProbeTarget { server, address }, stream))
 }
 
-/// Asks, and again on a new connection where the kept one was closed meanwhile.
-async fn ask(address: &str, kept: Option<TcpStream>) -> Option<(Vec<u8>, TcpStream)> {
-    if let Some(stream) = kept {
-        if let Some(answered) = exchange(stream).await {
-            return Some(answered);
+/// Requests a report, and again over a new connection where the cached one was closed meanwhile.
+async fn request_report(address: &str, cached: Option<TcpStream>) -> Option<ProbeReport> {
+    if let Some(stream) = cached {
+        if let Some(report) = exchange_report(stream).await {
+            return Some(report);
         }
     }
     let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
-    exchange(stream).await
+    exchange_report(stream).await
 }
 
-async fn exchange(mut stream: TcpStream) -> Option<(Vec<u8>, TcpStream)> {
+async fn exchange_report(mut stream: TcpStream) -> Option<ProbeReport> {
     stream.write_all(platform::PROBE).await.ok()?;
-    let (mut lines, mut piece) = (Lines::default(), [0; PIECE]);
+    let mut lines = Lines::default();
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        let n = stream.read(&mut piece).await.ok().filter(|&n| n > 0)?;
-        lines.push(&piece[..n]);
+        let length = stream.read(&mut buffer).await.ok().filter(|&length| length > 0)?;
+        lines.push(&buffer[..length]);
         match lines.next(LONGEST_LINE) {
-            // Danger: what comes after its answer would be taken for that of the next probe.
-            Cut::Line(line) if lines.is_empty() => return Some((line, stream)),
+            // What comes after the report would be taken for that of the next probe.
+            Cut::Line(line) if lines.is_empty() => return Some(ProbeReport { line, stream }),
             Cut::None => {}
             _ => return None,
         }
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -1,44 +1,54 @@
-//! Front traffic, written to a pcap file up to a size.
+//! Recordings of the fronts' traffic: a pcap file up to a size.
 
 use std::fs::File;
 use std::io::Write;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
+use super::error::TransportError;
+use super::log_event::{log_event, LogEvent};
 use crate::protocol::pcap;
 
 /// An open recording.
 pub struct Recorder {
     file: File,
-    name: String,
-    left: usize,
+    path: PathBuf,
+    /// Bytes that may still be written; 0 once the recording has ended.
+    remaining_bytes: usize,
 }
 
 impl Recorder {
-    /// Begins a file that may grow to so many bytes.
-    pub fn create(path: &Path, most: usize) -> Result<Recorder, String> {
-        let name = path.display().to_string();
-        let file = File::create(path).map_err(|e| format!("{name}: {e}"))?;
-        let mut recorder = Recorder { file, name, left: most };
+    /// Creates a file that may grow to so many bytes.
+    ///
+    /// # Errors
+    ///
+    /// When the file cannot be created.
+    pub fn create(path: &Path, max_bytes: usize) -> Result<Recorder, TransportError> {
+        let path = path.to_owned();
+        let file = match File::create(&path) {
+            Ok(file) => file,
+            Err(source) => return Err(TransportError::File { path, source }),
+        };
+        let mut recorder = Recorder { file, path, remaining_bytes: max_bytes };
         recorder.write(&pcap::file_head());
         Ok(recorder)
     }
 
-    /// Writes whole records. Danger: half a record would spoil the file, so the first that does not fit, or
-    /// cannot be written, is the end of the recording.
+    /// Writes whole records. Half a record would corrupt the file, so the first that does not fit, or cannot be
+    /// written, ends the recording.
     pub fn write(&mut self, records: &[u8]) {
-        if self.left == 0 || records.is_empty() {
+        if self.remaining_bytes == 0 || records.is_empty() {
             return;
         }
-        if records.len() > self.left {
-            crate::log!(warn, "{}: the recording is full", self.name);
-            self.left = 0;
+        if records.len() > self.remaining_bytes {
+            log_event!(LogEvent::RecordingFull { file: &self.path });
+            self.remaining_bytes = 0;
             return;
         }
         match self.file.write_all(records) {
-            Ok(()) => self.left -= records.len(),
+            Ok(()) => self.remaining_bytes -= records.len(),
             Err(error) => {
-                crate::log!(error, "{}: the recording ends: {error}", self.name);
-                self.left = 0;
+                log_event!(LogEvent::RecordingFailed { file: &self.path, error: &error });
+                self.remaining_bytes = 0;
             }
         }
     }
--- a/src/transport/replay.rs
+++ b/src/transport/replay.rs
@@ -1,214 +1,386 @@
-//! Replays the client's flows of a capture into a front, at their recorded spacing.
+//! Replays the clients' flows of a capture into a front, at their recorded spacing.
 
 use std::cell::RefCell;
+use std::fmt::Write;
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
+use std::str::FromStr;
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::Mutex;
-use tokio::time::{sleep_until, timeout, Instant};
+use tokio::sync::{watch, Mutex};
+use tokio::task::JoinHandle;
+use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::driver::{ConnectionFactory, Driver, Seen};
-use super::{connection, irc_factory, platform_factory, Fronts};
+use super::connection;
+use super::driver::{ConnectionFactory, Driver};
+use super::fronts::{irc_factory, platform_factory, Fronts};
+use super::observation::Observation;
 use crate::program::config::{read_file, Config};
 use crate::protocol::flows::{self, Flow};
-use crate::protocol::pcap::{self, Close};
+use crate::protocol::pcap::{self, BadFile, Close};
+use crate::routing::{ConnectionId, PoolId};
+use crate::Micros;
 
-/// After its last recorded byte a flow waits so long for what still comes back.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// What was sent after an answer waits so long for one, beyond its recorded time.
-const IN_STEP: Duration = Duration::from_secs(1);
+/// How long a flow waits, after its last recorded byte, for what still comes back.
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long what was sent after an answer waits for one, beyond its recorded time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// A flow whose end was not captured is ended after this.
-const LINGER: Duration = Duration::from_secs(1);
+const UNCAPTURED_END_DELAY: Duration = Duration::from_secs(1);
+const READ_BUFFER_BYTES: usize = 4096;
+/// Any port of this machine: the replay listens there.
+const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Which front takes the flows.
+/// A front that takes flows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Which {
+pub enum FrontKind {
+    /// The platform's front.
     Platform,
+    /// The IRC front.
     Irc,
 }
 
-impl std::str::FromStr for Which {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Which, String> {
+/// A word that names no front.
+#[derive(Clone, Copy, Debug, Error)]
+#[error("platform or irc is wanted")]
+pub struct UnknownFront;
+
+impl FromStr for FrontKind {
+    type Err = UnknownFront;
+
+    fn from_str(text: &str) -> Result<FrontKind, UnknownFront> {
         match text {
-            "platform" => Ok(Which::Platform),
-            "irc" => Ok(Which::Irc),
-            _ => Err("platform or irc is wanted".to_owned()),
+            "platform" => Ok(FrontKind::Platform),
+            "irc" => Ok(FrontKind::Irc),
+            _ => Err(UnknownFront),
         }
     }
 }
 
-/// Counts of how flows ended.
-#[derive(Default)]
-struct Tally {
-    flows: usize,
-    served: usize,
+/// Why a capture cannot be replayed.
+#[derive(Debug, Error)]
+pub enum ReplayError {
+    /// The capture cannot be read.
+    #[error("{0}")]
+    ReadFile(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The capture is no pcap file.
+    #[error("{}: {bad_file}", path.display())]
+    BadFile {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        bad_file: BadFile,
+    },
+    /// The front is not configured.
+    #[error("the configuration has no {front:?} front")]
+    NoFront {
+        /// The front.
+        front: FrontKind,
+    },
+    /// The capture holds nothing for the front.
+    #[error("{}: no flow to port {port}; --port names another", path.display())]
+    NoFlows {
+        /// The file.
+        path: PathBuf,
+        /// The port that flows were looked for by.
+        port: u16,
+    },
+    /// A configured server is not on loopback. A replay must never reach a server in service.
+    #[error("host {name} is at {address}: a replay uses loopback hosts only")]
+    ServerNotOnLoopback {
+        /// Name of the server.
+        name: String,
+        /// Its address.
+        address: String,
+    },
+    /// The asynchronous runtime cannot be built.
+    #[error("cannot start: {0}")]
+    RuntimeStart(#[source] io::Error),
+    /// The replay cannot listen on loopback.
+    #[error("no loopback: {0}")]
+    Listen(#[source] io::Error),
+}
+
+/// Why one flow was not played.
+#[derive(Debug, Error)]
+enum FlowError {
+    #[error("not played: {0}")]
+    Connect(#[from] io::Error),
+    #[error("no such front")]
+    NoFront,
+}
+
+/// Replays a file's flows and prints what became of each.
+///
+/// # Errors
+///
+/// When the file cannot be read, or the configuration does not fit it. A single flow that cannot be played is printed.
+pub fn replay(file: &Path, config: Config, front: FrontKind, port: Option<u16>) -> Result<(), ReplayError> {
+    let flows = read_flows(file, &config, front, port)?;
+    check_servers_on_loopback(&config)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(ReplayError::RuntimeStart)?;
+    tokio::task::LocalSet::new().block_on(&runtime, play_all(flows, config, front))
 }
 
-/// Replays a file's flows and prints what came of each.
-pub fn replay(file: &Path, config: Config, which: Which, port: Option<u16>) -> Result<(), String> {
-    let bytes = read_file(file)?;
-    let segments = pcap::read(&bytes).map_err(|bad| format!("{}: {bad}", file.display()))?;
-    let listen = match which {
-        Which::Platform => config.platform.as_ref().map(|p| p.listen),
-        Which::Irc => config.irc.as_ref().map(|irc| irc.listen),
+fn read_flows(
+    file: &Path,
+    config: &Config,
+    front: FrontKind,
+    port: Option<u16>,
+) -> Result<Vec<Flow>, ReplayError> {
+    let bytes = read_file(file).map_err(|error| ReplayError::ReadFile(error.into()))?;
+    let segments =
+        pcap::read(&bytes).map_err(|bad_file| ReplayError::BadFile { path: file.to_owned(), bad_file })?;
+    let listen = match front {
+        FrontKind::Platform => config.platform.as_ref().map(|platform| platform.listen),
+        FrontKind::Irc => config.irc.as_ref().map(|irc| irc.listen),
     };
-    let listen = listen.ok_or_else(|| format!("the configuration has no {which:?} front"))?;
+    let listen = listen.ok_or(ReplayError::NoFront { front })?;
     let port = port.unwrap_or(listen.port());
     let flows = flows::to_port(&segments, port);
     if flows.is_empty() {
-        return Err(format!("{}: no flow to port {port}; --port names another", file.display()));
+        return Err(ReplayError::NoFlows { path: file.to_owned(), port });
     }
-    let endpoints = config.platform.iter().flat_map(|p| &p.known.endpoints);
-    for server in endpoints.chain(config.irc.iter().flat_map(|irc| &irc.endpoints)) {
-        // Danger: a replay must never reach a server in service.
-        if !server.address.parse().is_ok_and(|at: SocketAddr| at.ip().is_loopback()) {
-            return Err(format!(
-                "host {} is at {}: a replay uses loopback hosts only",
-                server.name, server.address
-            ));
+    Ok(flows)
+}
+
+fn check_servers_on_loopback(config: &Config) -> Result<(), ReplayError> {
+    let platform = config.platform.iter().flat_map(|platform| &platform.known.endpoints);
+    let irc = config.irc.iter().flat_map(|irc| &irc.endpoints);
+    for server in platform.chain(irc) {
+        if !server.address.parse().is_ok_and(|address: SocketAddr| address.ip().is_loopback()) {
+            let (name, address) = (server.name.clone(), server.address.clone());
+            return Err(ReplayError::ServerNotOnLoopback { name, address });
         }
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
-    tokio::task::LocalSet::new().block_on(&runtime, run(flows, config, which))
+    Ok(())
+}
+
+/// Counts of flows.
+#[derive(Default)]
+struct FlowCounts {
+    played: usize,
+    served: usize,
+}
+
+/// What all flows of a replay share.
+struct Replay {
+    driver: Rc<Driver>,
+    pool: Option<PoolId>,
+    factory: ConnectionFactory,
+    /// The front's listener. Flows connect one after the other, so that each finds its own other end.
+    listener: Mutex<TcpListener>,
+    started: Instant,
+    /// Recorded time of the first flow.
+    first_start: Micros,
+    counts: RefCell<FlowCounts>,
 }
 
-async fn run(flows: Vec<Flow>, config: Config, which: Which) -> Result<(), String> {
-    let fronts = Fronts::open(&config);
-    let factory = match (which, config.irc) {
-        (Which::Irc, Some(irc)) => irc_factory(irc.setup),
+async fn play_all(flows: Vec<Flow>, config: Config, front: FrontKind) -> Result<(), ReplayError> {
+    let fronts = Fronts::set_up(&config);
+    let factory = match (front, config.irc) {
+        (FrontKind::Irc, Some(irc)) => irc_factory(irc.setup),
         _ => platform_factory(),
     };
-    fronts.driver.observe();
-    tokio::task::spawn_local(fronts.driver.clone().keep_time());
-    let gate = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("no loopback: {e}"))?;
-    let gate = Rc::new(Mutex::new(gate));
-    let (first, begin) = (flows.iter().map(|flow| flow.start).min().unwrap_or(0), Instant::now());
-    let fronts = Rc::new(fronts);
-    let tally = Rc::new(RefCell::new(Tally::default()));
-    let tasks: Vec<_> = flows
-        .into_iter()
-        .map(|flow| {
-            let (fronts, gate, tally, factory) =
-                (fronts.clone(), gate.clone(), tally.clone(), factory.clone());
-            tokio::task::spawn_local(async move {
-                let told = play(&fronts, &gate, &flow, which, &factory, begin, first).await;
-                let mut tally = tally.borrow_mut();
-                tally.flows += 1;
-                tally.served += usize::from(told.as_ref().is_ok_and(|told| told.contains("served")));
-                let at = (flow.start - first) as f64 / 1e6;
-                println!("{} at {at:.3} s: {}", flow.from, told.unwrap_or_else(|problem| problem));
-            })
-        })
-        .collect();
+    let pool = match front {
+        FrontKind::Platform => fronts.platform,
+        FrontKind::Irc => fronts.irc,
+    };
+    fronts.driver.start_observing();
+    tokio::task::spawn_local(fronts.driver.clone().run_timer());
+    let listener = TcpListener::bind(LOOPBACK).await.map_err(ReplayError::Listen)?;
+    let replay = Rc::new(Replay {
+        driver: fronts.driver.clone(),
+        pool,
+        factory,
+        listener: Mutex::new(listener),
+        first_start: flows.iter().map(|flow| flow.start).min().unwrap_or(0),
+        started: Instant::now(),
+        counts: RefCell::default(),
+    });
+    let play = |flow| tokio::task::spawn_local(replay.clone().play_and_print(flow));
+    let tasks: Vec<_> = flows.into_iter().map(play).collect();
     for task in tasks {
-        // A task that panicked has said so itself.
+        // A task that panicked has reported that itself.
         let _ = task.await;
     }
-    let tally = tally.borrow();
-    println!("{} flows, {} served", tally.flows, tally.served);
+    let counts = replay.counts.borrow();
+    println!("{} flows, {} served", counts.played, counts.served);
     Ok(())
 }
 
-/// Plays one flow, and says what came of it.
-async fn play(
-    fronts: &Fronts,
-    gate: &Mutex<TcpListener>,
-    flow: &Flow,
-    which: Which,
-    factory: &ConnectionFactory,
-    begin: Instant,
-    first: u64,
-) -> Result<String, String> {
-    let when = |at: u64| begin + Duration::from_micros(at.saturating_sub(first));
-    sleep_until(when(flow.start)).await;
-    let problem = |e: std::io::Error| format!("not played: {e}");
-    let (stream, connection) = {
-        // One after the other, so that each finds its own other end.
-        let gate = gate.lock().await;
-        let stream = TcpStream::connect(gate.local_addr().map_err(problem)?).await.map_err(problem)?;
-        let (other, _) = gate.accept().await.map_err(problem)?;
-        let pool = match which {
-            Which::Platform => fronts.platform,
-            Which::Irc => fronts.irc,
-        };
-        (stream, connection::start(&fronts.driver, pool.ok_or("no such front")?, other, factory()))
-    };
-    let (mut reader, mut writer) = stream.into_split();
-    let (lines, mut told) = tokio::sync::watch::channel(0);
-    let reading = tokio::task::spawn_local(async move {
-        let (mut piece, mut count) = ([0; 4096], 0);
-        while let Ok(n) = reader.read(&mut piece).await {
-            if n == 0 {
-                break;
-            }
-            count += n;
-            lines.send_modify(|lines| *lines += piece[..n].iter().filter(|&&b| b == b'\n').count());
+/// What became of a flow.
+struct FlowReport {
+    observations: Vec<Observation>,
+    /// Bytes that the front sent, if it closed the connection in time.
+    answered_bytes: Option<usize>,
+    /// Whether the front closed the connection before all was sent.
+    cut: bool,
+    /// Where the capture has a gap, in bytes.
+    gap: Option<usize>,
+    /// Whether the flow's begin was not captured.
+    headless: bool,
+}
+
+impl FlowReport {
+    fn is_served(&self) -> bool {
+        let is_established = |observation| matches!(observation, &Observation::Established { .. });
+        self.observations.iter().any(is_established)
+    }
+}
+
+impl std::fmt::Display for FlowReport {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        if self.observations.is_empty() {
+            formatter.write_str("never asked")?;
         }
-        count
-    });
-    // Danger: servers here may be slower than those recorded. What was sent after an answer, an end above all,
-    // would overtake it and mean something else. One that answers with fewer lines is waited for once.
-    let mut in_step = true;
-    let mut wait = async |at: u64| {
-        sleep_until(when(at)).await;
-        let wanted = flow.answers_before(at);
-        if in_step {
-            in_step = timeout(IN_STEP, told.wait_for(|lines| *lines >= wanted)).await.is_ok();
+        for (index, observation) in self.observations.iter().enumerate() {
+            let separator = if index == 0 { "" } else { ", " };
+            write!(formatter, "{separator}{observation}")?;
         }
-    };
-    let mut cut = false;
-    for (at, bytes) in &flow.pieces {
-        wait(*at).await;
-        if writer.write_all(bytes).await.is_err() {
-            cut = true;
-            break;
+        match self.answered_bytes {
+            Some(bytes) => write!(formatter, "; {bytes} bytes back")?,
+            None => formatter.write_str("; not ended by the front")?,
         }
-    }
-    match flow.end {
-        Some((at, Close::InOrder)) => {
-            wait(at).await;
-            let _ = writer.shutdown().await;
+        if self.cut {
+            formatter.write_str("; ended before all was sent")?;
         }
-        Some((at, Close::Broken)) => {
-            wait(at).await;
-            let _ = socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO));
-            drop(writer);
+        if let Some(gap) = self.gap {
+            write!(formatter, "; gap in the capture after {gap} bytes, the rest left out")?;
         }
-        None => {
-            tokio::time::sleep(LINGER).await;
-            let _ = writer.shutdown().await;
+        if self.headless {
+            formatter.write_str("; its begin was not captured")?;
         }
+        Ok(())
     }
-    let back = timeout(PATIENCE, reading).await.ok().and_then(Result::ok);
-    let mut told = fronts.driver.seen(connection).iter().map(Seen::to_string).collect::<Vec<_>>().join(", ");
-    if told.is_empty() {
-        told = "never asked".to_owned();
+}
+
+impl Replay {
+    async fn play_and_print(self: Rc<Self>, flow: Flow) {
+        let result = self.play(&flow).await;
+        let mut counts = self.counts.borrow_mut();
+        counts.played += 1;
+        counts.served += usize::from(result.as_ref().is_ok_and(FlowReport::is_served));
+        let at = (flow.start - self.first_start) as f64 / 1e6;
+        let mut line = format!("{} at {at:.3} s: ", flow.from);
+        // Writing to a string does not fail.
+        let _ = match result {
+            Ok(report) => write!(line, "{report}"),
+            Err(error) => write!(line, "{error}"),
+        };
+        println!("{line}");
     }
-    match back {
-        Some(back) => told += &format!("; {back} bytes back"),
-        None => told += "; not ended by the front",
+
+    /// When a recorded time comes in the replay.
+    fn replay_time(&self, recorded: Micros) -> Instant {
+        self.started + Duration::from_micros(recorded.saturating_sub(self.first_start))
     }
-    if cut {
-        told += "; ended before all was sent";
+
+    async fn play(&self, flow: &Flow) -> Result<FlowReport, FlowError> {
+        sleep_until(self.replay_time(flow.start)).await;
+        let (stream, connection) = self.connect().await?;
+        let (reader, mut writer) = stream.into_split();
+        let (lines, received_lines) = watch::channel(0);
+        let reading = tokio::task::spawn_local(count_answers(reader, lines));
+        let mut pacer = Pacer { replay: self, flow, received_lines, in_step: true };
+        let sent = send_pieces(&mut pacer, &mut writer).await;
+        // Kept until the answers are counted: dropped, it would close the socket.
+        let _writer = end_flow(&mut pacer, writer).await;
+        Ok(FlowReport {
+            answered_bytes: wait_for_end(reading).await,
+            observations: self.driver.observations(connection),
+            cut: sent.is_err(),
+            gap: flow.gap,
+            headless: flow.headless,
+        })
     }
-    if let Some(gap) = flow.gap {
-        told += &format!("; gap in the capture after {gap} bytes, the rest left out");
+
+    /// Connects a client to the front.
+    async fn connect(&self) -> Result<(TcpStream, ConnectionId), FlowError> {
+        let listener = self.listener.lock().await;
+        let stream = TcpStream::connect(listener.local_addr()?).await?;
+        let (accepted, _) = listener.accept().await?;
+        let pool = self.pool.ok_or(FlowError::NoFront)?;
+        let connection = connection::start(&self.driver, pool, accepted, (self.factory)());
+        Ok((stream, connection))
     }
-    if flow.headless {
-        told += "; its begin was not captured";
+}
+
+/// Counts the bytes that the front sends until it ends, and reports the number of lines among them.
+async fn count_answers(mut reader: OwnedReadHalf, lines: watch::Sender<usize>) -> usize {
+    let mut buffer = [0; READ_BUFFER_BYTES];
+    let mut count = 0;
+    while let Ok(length) = reader.read(&mut buffer).await {
+        if length == 0 {
+            break;
+        }
+        count += length;
+        let new_lines = buffer[..length].iter().filter(|&&byte| byte == b'\n').count();
+        lines.send_modify(|lines| *lines += new_lines);
     }
-    Ok(told)
+    count
+}
+
+/// Waits until a reading task ends; none if it does not in time.
+async fn wait_for_end(reading: JoinHandle<usize>) -> Option<usize> {
+    timeout(LAST_ANSWER_TIMEOUT, reading).await.ok().and_then(Result::ok)
+}
+
+/// Says when to send what. Servers of a replay may be slower than those recorded: what was sent after an answer, an end
+/// above all, would overtake it and mean something else.
+struct Pacer<'a> {
+    replay: &'a Replay,
+    flow: &'a Flow,
+    received_lines: watch::Receiver<usize>,
+    /// Whether all answers came so far. One that answers with fewer lines is waited for once.
+    in_step: bool,
 }
 
-impl Driver {
-    /// What was seen of a connection.
-    fn seen(&self, connection: crate::routing::ConnectionId) -> Vec<Seen> {
-        self.observed.borrow().as_ref().and_then(|seen| seen.get(&connection).cloned()).unwrap_or_default()
+impl Pacer<'_> {
+    /// Waits for a recorded time, and for the answers that had come by then.
+    async fn wait(&mut self, recorded: Micros) {
+        sleep_until(self.replay.replay_time(recorded)).await;
+        let wanted = self.flow.answers_before(recorded);
+        if self.in_step {
+            let answered = self.received_lines.wait_for(|lines| *lines >= wanted);
+            self.in_step = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
+        }
+    }
+}
+
+async fn send_pieces(pacer: &mut Pacer<'_>, writer: &mut OwnedWriteHalf) -> io::Result<()> {
+    for (at, bytes) in &pacer.flow.pieces {
+        pacer.wait(*at).await;
+        writer.write_all(bytes).await?;
+    }
+    Ok(())
+}
+
+/// Ends a flow as it was recorded. Returns the writer unless the connection is broken off.
+async fn end_flow(pacer: &mut Pacer<'_>, mut writer: OwnedWriteHalf) -> Option<OwnedWriteHalf> {
+    match pacer.flow.end {
+        Some((at, Close::InOrder)) => {
+            pacer.wait(at).await;
+            let _ = writer.shutdown().await;
+            Some(writer)
+        }
+        Some((at, Close::Broken)) => {
+            pacer.wait(at).await;
+            // Closed with no time to linger, the socket is reset.
+            let _ = socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO));
+            None
+        }
+        None => {
+            sleep(UNCAPTURED_END_DELAY).await;
+            let _ = writer.shutdown().await;
+            Some(writer)
+        }
     }
 }
--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -195,9 +195,9 @@
                 let (_, rest) = line.split_once(short_hash)?;
                 rest.split(' ').next().map(str::to_owned)
             };
-            if let Some(at) = word("hears stores on ") {
+            if let Some(at) = word("replicates on ") {
                 daemon.store = at;
-            } else if let Some(at) = word("operators are heard on ") {
+            } else if let Some(at) = word("admin endpoint open on ") {
                 daemon.mgmt = at;
             } else if let Some(at) = word("listens on ") {
                 *if line.contains("for IRC") { &mut daemon.irc } else { &mut daemon.platform } = at;
--- a/tests/irc.rs
+++ b/tests/irc.rs
@@ -285,15 +285,15 @@
     standing.expect("001 olga");
     let file = irc_config(&[&new], "").replace("irc-0", "irc-1");
     daemon.reload("irc.json", &file.replace("\"hosts\"", "\"hots\""));
-    let line = daemon.log_line("the old configuration stays");
+    let line = daemon.log_line("the old configuration stays in force");
     assert!(line.contains("hots: no such key is known"), "{line}");
     daemon.reload("irc.json", &file.replace("\"node\": \"n1\"", "\"node\": \"n2\""));
-    daemon.log_line("the old configuration stays: store: only its peers");
+    daemon.log_line("the old configuration stays in force: store: only its peers");
     standing.say("PRIVMSG #a :still");
     standing.expect("PRIVMSG #a :still");
 
     daemon.reload("irc.json", &file.replace("front.test", "anew.test"));
-    daemon.log_line("as configured anew");
+    daemon.log_line(", reconfigured");
     assert!(standing.rest().contains(" 010 olga "), "its host is listed no more");
     let mut client = Client::connect(&daemon.irc);
     client.say("PING 1\r\nNICK pia\r\nUSER u 0 * :A tool");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -352,7 +352,7 @@
         daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
     };
     again("\"mgmt\": \"127.0.0.2:0\",");
-    let line = daemon.log_line("operators are heard on 127.0.0.2:");
+    let line = daemon.log_line("admin endpoint open on 127.0.0.2:");
     let moved = line.rsplit(' ').next().expect("an address");
     assert_eq!(admin_call(moved, "readyz"), "YES\r\n");
     until("the old door is shut", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -338,7 +338,7 @@
     until("the first watch", || first_calls.lock().unwrap().len() == 1);
 
     daemon.reload("config.json", &config(second, &known).replace("3000", r#""soon""#));
-    let line = daemon.log_line("the old configuration stays");
+    let line = daemon.log_line("the old configuration stays in force");
     assert!(line.contains("settings.classes[0].deadline: "), "{line}");
     assert!(calls.lock().unwrap().is_empty());
 
@@ -358,7 +358,7 @@
     daemon.signal("-TERM");
     daemon.log_line("leaving");
     daemon.reload("config.json", &config(first, &known));
-    daemon.log_line("as configured anew");
+    daemon.log_line(", reconfigured");
     assert_eq!(standing.rest(), "MOVE\r\n");
     assert!(daemon.exited());
 }
@@ -446,7 +446,7 @@
     let other = [b'1', 0, 0, 0, 3 - told, 1, 144];
     stranger.send_to(&other, own).expect("sent");
     stranger.send_to(b"garbage", own).expect("sent");
-    daemon.log_line("is none of the tier's");
+    daemon.log_line("is not gossip of the tier");
     let mut served = open(&daemon);
     assert!(served.line().starts_with("UP"), "the stranger's word was heard");
     tier.send_to(&other, own).expect("sent");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -624,7 +624,7 @@
         }
         if n == 2 {
             // It has asked, and hangs: nobody waits for it for ever.
-            old.log_line("not handed over: nobody serves in time");
+            old.log_line("hot restart given up: the successor does not serve in time");
         }
         drop(heir);
         assert_eq!(player(&old, 1 + n as u32).line(), "UP 1", "after {n}");
