--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -169,7 +169,8 @@
 fn carry_out(command: Command) -> Result<(), String> {
     match command {
         Command::Serve(serve) => {
-            let record = serve.record.as_deref().map(|path| (path, serve.record_mb << 20));
+            let max_bytes = serve.record_mb << 20;
+            let record = serve.record.map(|path| transport::RecordingConfig { path, max_bytes });
             transport::serve(sources(serve.config, serve.irc, serve.rebalance), record)
                 .map_err(|error| error.to_string())
         }
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -19,7 +19,7 @@
 
 use super::commands::{ConnectionCommand, PeerProcessMessage, TransferredConnection};
 use super::connection::{self, AdoptedSockets};
-use super::driver::Driver;
+use super::driver::{Driver, NamedSocket};
 use super::log_event::{log_event, LogEvent};
 use crate::program::config::Config;
 use crate::protocol::hot_restart::{self, HandoverMessage, MOST_PARTS};
@@ -178,7 +178,7 @@
 
 /// Sends the sockets and the state, and waits until the successor serves.
 async fn export_state(driver: &Driver, link: &Link) -> io::Result<()> {
-    for (name, socket) in driver.clone_sockets()? {
+    for NamedSocket { name, socket } in driver.clone_sockets()? {
         link.send(&HandoverMessage::Socket(name), &[socket.as_fd()]).await?;
     }
     for part in hot_restart::parts(driver.take_exported_state()) {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -27,6 +27,6 @@
 
 pub use admin_client::{call_admin_endpoint, write_store_entry, ClientError};
 pub use admin_server::MAX_ADMIN_CLIENTS as MOST_CALLERS;
-pub use daemon::serve;
+pub use daemon::{serve, RecordingConfig};
 pub use error::TransportError;
 pub use replay::{replay, FrontKind as Which, ReplayError, UnknownFront};
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -2,8 +2,9 @@
 
 use std::fs::File;
 use std::io::Write;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
+use super::daemon::RecordingConfig;
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
 use crate::protocol::pcap;
@@ -17,13 +18,13 @@
 }
 
 impl Recorder {
-    /// Creates a file that may grow to so many bytes.
+    /// Creates the file of a recording.
     ///
     /// # Errors
     ///
     /// When the file cannot be created.
-    pub fn create(path: &Path, max_bytes: usize) -> Result<Recorder, TransportError> {
-        let path = path.to_owned();
+    pub fn create(config: RecordingConfig) -> Result<Recorder, TransportError> {
+        let RecordingConfig { path, max_bytes } = config;
         let file = match File::create(&path) {
             Ok(file) => file,
             Err(source) => return Err(TransportError::File { path, source }),
--- /dev/null
+++ b/src/transport/replay/mod.rs
@@ -0,0 +1,175 @@
+//! Replays the clients' flows of a capture into a front, at their recorded spacing.
+
+mod player;
+mod report;
+
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::str::FromStr;
+
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::sync::Mutex;
+use tokio::time::Instant;
+
+use super::fronts::{irc_factory, platform_factory, Fronts};
+use crate::program::config::{read_file, Config};
+use crate::protocol::flows::{self, Flow};
+use crate::protocol::pcap::{self, BadFile};
+use player::Replay;
+
+/// Any port of this machine: the replay listens there.
+const LOOPBACK: &str = "127.0.0.1:0";
+
+/// A front that takes flows.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum FrontKind {
+    /// The platform's front.
+    Platform,
+    /// The IRC front.
+    Irc,
+}
+
+/// The name of no front.
+#[derive(Clone, Copy, Debug, Error)]
+#[error("platform or irc is wanted")]
+pub struct UnknownFront;
+
+impl FromStr for FrontKind {
+    type Err = UnknownFront;
+
+    fn from_str(text: &str) -> Result<FrontKind, UnknownFront> {
+        match text {
+            "platform" => Ok(FrontKind::Platform),
+            "irc" => Ok(FrontKind::Irc),
+            _ => Err(UnknownFront),
+        }
+    }
+}
+
+/// Why a capture cannot be replayed.
+#[derive(Debug, Error)]
+pub enum ReplayError {
+    /// The capture cannot be read.
+    #[error("{0}")]
+    ReadFile(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The capture is no pcap file.
+    #[error("{}: {bad_file}", path.display())]
+    BadFile {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        bad_file: BadFile,
+    },
+    /// The front is not configured.
+    #[error("the configuration has no {front:?} front")]
+    NoFront {
+        /// The front.
+        front: FrontKind,
+    },
+    /// The capture holds nothing for the front.
+    #[error("{}: no flow to port {port}; --port names another", path.display())]
+    NoFlows {
+        /// The file.
+        path: PathBuf,
+        /// The port that flows were looked for by.
+        port: u16,
+    },
+    /// A configured server is not on loopback. A replay must never reach a server in service.
+    #[error("host {name} is at {address}: a replay uses loopback hosts only")]
+    ServerNotOnLoopback {
+        /// Name of the server.
+        name: String,
+        /// Its address.
+        address: String,
+    },
+    /// The asynchronous runtime cannot be built.
+    #[error("cannot start: {0}")]
+    RuntimeStart(#[source] io::Error),
+    /// The replay cannot listen on loopback.
+    #[error("no loopback: {0}")]
+    Listen(#[source] io::Error),
+}
+
+/// Replays a file's flows and prints what became of each.
+///
+/// # Errors
+///
+/// When the file cannot be read, or the configuration does not fit it. A single flow that cannot be played is printed.
+pub fn replay(file: &Path, config: Config, front: FrontKind, port: Option<u16>) -> Result<(), ReplayError> {
+    let flows = read_flows(file, &config, front, port)?;
+    check_servers_on_loopback(&config)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(ReplayError::RuntimeStart)?;
+    tokio::task::LocalSet::new().block_on(&runtime, play_all(flows, config, front))
+}
+
+fn read_flows(
+    file: &Path,
+    config: &Config,
+    front: FrontKind,
+    port: Option<u16>,
+) -> Result<Vec<Flow>, ReplayError> {
+    let bytes = read_file(file).map_err(|error| ReplayError::ReadFile(error.into()))?;
+    let segments =
+        pcap::read(&bytes).map_err(|bad_file| ReplayError::BadFile { path: file.to_owned(), bad_file })?;
+    let listen = match front {
+        FrontKind::Platform => config.platform.as_ref().map(|platform| platform.listen),
+        FrontKind::Irc => config.irc.as_ref().map(|irc| irc.listen),
+    };
+    let listen = listen.ok_or(ReplayError::NoFront { front })?;
+    let port = port.unwrap_or(listen.port());
+    let flows = flows::to_port(&segments, port);
+    if flows.is_empty() {
+        return Err(ReplayError::NoFlows { path: file.to_owned(), port });
+    }
+    Ok(flows)
+}
+
+fn check_servers_on_loopback(config: &Config) -> Result<(), ReplayError> {
+    let platform = config.platform.iter().flat_map(|platform| &platform.known.endpoints);
+    let irc = config.irc.iter().flat_map(|irc| &irc.endpoints);
+    for server in platform.chain(irc) {
+        if !server.address.parse().is_ok_and(|address: SocketAddr| address.ip().is_loopback()) {
+            let (name, address) = (server.name.clone(), server.address.clone());
+            return Err(ReplayError::ServerNotOnLoopback { name, address });
+        }
+    }
+    Ok(())
+}
+
+async fn play_all(flows: Vec<Flow>, config: Config, front: FrontKind) -> Result<(), ReplayError> {
+    let fronts = Fronts::set_up(&config);
+    let factory = match (front, config.irc) {
+        (FrontKind::Irc, Some(irc)) => irc_factory(irc.setup),
+        _ => platform_factory(),
+    };
+    let pool = match front {
+        FrontKind::Platform => fronts.platform,
+        FrontKind::Irc => fronts.irc,
+    };
+    fronts.driver.start_observing();
+    tokio::task::spawn_local(fronts.driver.clone().run_timer());
+    let listener = TcpListener::bind(LOOPBACK).await.map_err(ReplayError::Listen)?;
+    let replay = Rc::new(Replay {
+        driver: fronts.driver.clone(),
+        pool,
+        factory,
+        listener: Mutex::new(listener),
+        first_start: flows.iter().map(|flow| flow.start).min().unwrap_or(0),
+        started: Instant::now(),
+        counts: RefCell::default(),
+    });
+    let play = |flow| tokio::task::spawn_local(replay.clone().play_and_print(flow));
+    let tasks: Vec<_> = flows.into_iter().map(play).collect();
+    for task in tasks {
+        // A task that panicked has reported that itself.
+        let _ = task.await;
+    }
+    let counts = replay.counts.borrow();
+    println!("{} flows, {} served", counts.played, counts.served);
+    Ok(())
+}
