--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -5,6 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
@@ -64,39 +65,60 @@
 
 async fn serve_client(driver: Rc<Driver>, mut stream: TcpStream, called: Rc<Cell<bool>>) {
     let line = match timeout(CALL_TIMEOUT, read_line(&mut stream)).await {
-        Ok(Some(line)) => line,
-        Ok(None) => return,
-        Err(_) => Err("no line came in time"),
+        Ok(Err(CallLineError::Closed)) => return,
+        Ok(result) => result,
+        Err(_) => Err(CallLineError::TimedOut),
     };
     called.set(true);
-    let reply = match line.and_then(|line| admin::call(&line)) {
-        Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
-        Err(reason) => AdminResponse::No(reason.to_owned()),
+    let reply = match line {
+        Ok(line) => handle_call(&driver, &line).await,
+        Err(error) => AdminResponse::No(error.to_string()),
     };
     // Whether the client waited for its answer or not: it is sent by now.
     let _ = timeout(CLOSE_TIMEOUT, write_reply(&mut stream, &reply)).await;
 }
 
-/// Reads a client's line: an error is what is wrong with it; none where there was no line.
-async fn read_line(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
+/// Why there is no line to handle.
+#[derive(Clone, Copy, Debug, Error)]
+enum CallLineError {
+    /// The client closed the connection, or it broke, before it had sent a line: it gets no reply.
+    #[error("the connection is closed")]
+    Closed,
+    #[error("no line came in time")]
+    TimedOut,
+    #[error("too long for a call")]
+    TooLong,
+    /// What was cut off may have meant another server.
+    #[error("the line has no end")]
+    Unterminated,
+}
+
+/// Reads a client's line.
+async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, CallLineError> {
     let mut lines = Lines::default();
     loop {
         match lines.next(admin::LONGEST_CALL) {
-            Cut::Line(line) => return Some(Ok(line)),
-            Cut::TooLong => return Some(Err("too long for a call")),
+            Cut::Line(line) => return Ok(line),
+            Cut::TooLong => return Err(CallLineError::TooLong),
             Cut::None => {}
         }
         let mut buffer = [0; admin::LONGEST_CALL];
         match stream.read(&mut buffer).await {
-            Ok(0) if lines.is_empty() => return None,
-            // What was cut off may have meant another server.
-            Ok(0) => return Some(Err("the line has no end")),
+            Ok(0) if lines.is_empty() => return Err(CallLineError::Closed),
+            Ok(0) => return Err(CallLineError::Unterminated),
             Ok(length) => lines.push(&buffer[..length]),
-            Err(_) => return None,
+            Err(_) => return Err(CallLineError::Closed),
         }
     }
 }
 
+async fn handle_call(driver: &Driver, line: &[u8]) -> AdminResponse {
+    match admin::call(line) {
+        Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
+        Err(reason) => AdminResponse::No(reason.to_string()),
+    }
+}
+
 /// Writes the reply, and reads until the client has closed its side.
 async fn write_reply(stream: &mut TcpStream, reply: &AdminResponse) -> std::io::Result<()> {
     stream.write_all(&admin::reply(reply)).await?;
--- a/tests/irc.rs
+++ b/tests/irc.rs
@@ -14,6 +14,7 @@
 fn forwards_registration_and_lines_unchanged_in_both_directions() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], ", \"capabilities\": [\"server-time\"]");
+
     let mut client = Client::connect(&daemon.irc);
     client.send_line("CAP LS 302");
     assert_eq!(client.read_line(), ":front.test CAP * LS :server-time");
@@ -35,6 +36,7 @@
     }
     assert!(server.has("@label=7 TAGMSG #a"));
     client.send_line("QUIT :bye");
+
     assert_eq!(client.read_to_end(), "ERROR :Closing Link: bye\r\n");
 }
 
@@ -47,6 +49,7 @@
     let closes = Server::start(Behaviour::Closes);
     let good = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&unreachable, &errs, &full, &closes, &good], "");
+
     for n in 0..4 {
         let mut client = Client::register(&daemon.irc, &format!("bert{n}"));
         client.expect_line(&format!("001 bert{n}"));
@@ -64,11 +67,13 @@
     let taken = ":irc.test 433 * carl :Nickname is already in use";
     let servers = [Server::start(Behaviour::Replies(taken)), Server::start(Behaviour::Replies(taken))];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
+
     let mut client = Client::register(&daemon.irc, "carl");
     assert_eq!(
         client.read_to_end(),
         format!("{taken}\r\nERROR :Closing Link: carl (Registration refused)\r\n")
     );
+
     assert_eq!(servers.iter().filter(|server| server.count() > 0).count(), 1);
 }
 
@@ -77,10 +82,12 @@
     let servers =
         [Server::start(Behaviour::Replies("ERROR :full")), Server::start(Behaviour::Replies("ERROR :full"))];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
+
     let mut client = Client::register(&daemon.irc, "dora");
     let line = client.read_line();
     assert!(line.starts_with(":front.test 263 dora USER :Server load is too heavy. Please wait "), "{line}");
     let rest = client.read_to_end();
+
     assert!(rest.starts_with("ERROR :Closing Link: dora (Try again in "), "{rest}");
     assert_eq!(rest.lines().count(), 1);
 }
@@ -89,8 +96,10 @@
 fn answers_before_the_give_up_time_while_servers_stay_silent() {
     let silent = Server::start(Behaviour::Silent);
     let daemon = start_front(&[&silent], ", \"class\": {\"give_up_ms\": 1500}");
+
     let mut client = Client::register(&daemon.irc, "emil");
     let rest = client.read_to_end();
+
     assert!(rest.contains("ERROR :Closing Link: emil ("), "{rest}");
     assert_eq!(rest.matches("ERROR").count(), 1);
 }
@@ -99,6 +108,7 @@
 fn sends_one_error_for_a_registration_that_crosses_its_give_up_time() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], ", \"class\": {\"give_up_ms\": 400}");
+
     let mut client = Client::connect(&daemon.irc);
     client.send_line("NICK fred");
     let rest = client.read_to_end();
@@ -106,6 +116,7 @@
     // Too late: the connection is over, whatever still comes.
     let _ = std::io::Write::write_all(&mut client.stream, b"USER u 0 * :late\r\n");
     std::thread::sleep(Duration::from_millis(300));
+
     assert_eq!(server.count(), 0);
 }
 
@@ -114,6 +125,7 @@
 fn keeps_an_excluded_servers_clients_but_sends_it_no_new_ones() {
     let (old, new) = (Server::start(Behaviour::Welcome), Server::start(Behaviour::Welcome));
     let daemon = start_front(&[&old, &new], ", \"drain_over_ms\": 600000");
+
     let mut clients = Vec::new();
     // Which of the two a client comes to is chance: one of each is wanted.
     wait_until("both servers have a client", || {
@@ -133,6 +145,7 @@
     old.send_line("PING :still-there");
     for n in 0..8 {
         Client::register(&daemon.irc, &format!("hugo{n}")).expect_line("001");
+
         assert!(!old.has(&format!("NICK hugo{n}")), "a new client came to a server that drains");
     }
     assert_eq!(old.streams.lock().unwrap().len(), connected, "a new connection came to a server that drains");
@@ -145,6 +158,7 @@
 fn migrates_clients_of_an_excluded_server_with_a_notice() {
     let old = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&old], ", \"drain_over_ms\": 200");
+
     let mut client = Client::register(&daemon.irc, "ida");
     client.expect_line("001 ida");
     daemon.exclude("irc-0");
@@ -160,6 +174,7 @@
 fn applies_servers_and_limits_of_the_store() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[], "");
+
     Client::register(&daemon.irc, "ines").expect_line(" 263 ines ");
     daemon.run_store_command(&["set", "host/irc-9", &server.address.to_string()]);
     let mut first = Client::register(&daemon.irc, "ines");
@@ -177,6 +192,7 @@
 fn migrates_clients_and_answers_new_ones_at_sigterm_and_exits() {
     let server = Server::start(Behaviour::Welcome);
     let mut daemon = start_front(&[&server], ", \"class\": {\"give_up_ms\": 3000}");
+
     let mut established = Client::register(&daemon.irc, "jan");
     established.expect_line("001 jan");
     // Still being placed, so that the daemon has to stay until it is answered.
@@ -187,6 +203,7 @@
     slow.send_line("USER u 0 * :late");
     slow.expect_line(" 263 kim ");
     established.expect_line(" 010 jan ");
+
     assert_eq!(established.read_to_end(), "");
     assert!(daemon.wait_for_exit());
 }
@@ -195,9 +212,11 @@
 fn closes_the_client_when_its_server_closes() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], "");
+
     let mut client = Client::register(&daemon.irc, "lea");
     client.expect_line("001 lea");
     server.close_all();
+
     assert_eq!(client.read_to_end(), "");
 }
 
@@ -205,6 +224,7 @@
 fn answers_invalid_irc_with_a_numeric_or_an_error_and_goes_on() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], "");
+
     let mut client = Client::connect(&daemon.irc);
     for (sent, answer) in [
         ("PRIVMSG #a :hi", " 451 "),
@@ -218,6 +238,7 @@
     ] {
         client.send_line(sent);
         let line = client.read_line();
+
         assert!(line.contains(answer), "{sent:?}: {line}");
     }
     client.send_line(&format!("NICK {}", "n".repeat(600)));
@@ -252,6 +273,7 @@
         closed_port()
     );
     let daemon = Daemon::start(&irc_config(&[&irc], ""), Some(&config));
+
     let mut player = Client::connect(&daemon.platform);
     player.send_line("PING");
     assert_eq!(player.read_line(), "PONG");
@@ -261,6 +283,7 @@
     assert_eq!(player.read_line(), "M 1");
     let mut tool = Client::register(&daemon.irc, "olga");
     tool.expect_line("001 olga");
+
     assert!(!irc.has("M 1"));
     assert_eq!(irc.lines.lock().unwrap().iter().filter(|l| l.starts_with("OPEN")).count(), 0);
 }
@@ -286,6 +309,7 @@
 fn applies_a_valid_irc_file_at_sighup_and_ignores_an_invalid_one() {
     let (old, new) = (Server::start(Behaviour::Welcome), Server::start(Behaviour::Welcome));
     let daemon = start_front(&[&old], "");
+
     let mut established = Client::register(&daemon.irc, "olga");
     established.expect_line("001 olga");
     let file = irc_config(&[&new], "").replace("irc-0", "irc-1");
@@ -304,6 +328,7 @@
     client.send_line("PING 1\r\nNICK pia\r\nUSER u 0 * :A tool");
     client.expect_line(":anew.test PONG anew.test");
     client.expect_line("001 pia");
+
     assert!(new.has("NICK pia") && !old.has("NICK pia"));
 }
 
@@ -312,6 +337,7 @@
 fn serves_clients_while_hundreds_stay_silent() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], ", \"limits\": {\"sockets\": 160, \"memory_mb\": 32}");
+
     let mut silent: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.irc)).collect();
     let mut usual = Client::register(&daemon.irc, "rosa");
     usual.expect_line("001 rosa");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -114,6 +114,7 @@
     let answers = vec![(200, first), (503, String::new()), (200, endpoint_list(3, false, &[]))];
     let (at, calls) = start_discovery(answers);
     let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
+
     wait_until("the watch was renewed, and asked for again after it failed", || {
         calls.lock().unwrap().len() >= 4
     });
@@ -126,6 +127,7 @@
     for _ in 0..5 {
         assert_eq!(connect_and_open(&daemon).read_line(), "UP new");
     }
+
     assert!(old_lines.lock().unwrap().is_empty());
     assert!(new_lines.lock().unwrap()[0].contains(" 7f3a c=chat,d="));
 }
@@ -182,6 +184,7 @@
 fn probes_servers_over_a_cached_connection() {
     let (shop, lines, connections) = start_probed_server(&["PONG x0=0.3,errors_per_s=0,utilization=0.2"]);
     let daemon = start_probing_daemon(shop);
+
     let count = || lines.lock().unwrap().iter().filter(|line| *line == "STATS").count();
     let mut clients = Vec::new();
     wait_until("it was probed five times", || {
@@ -189,6 +192,7 @@
         assert_eq!(clients.last_mut().expect("one").read_line(), "UP 1");
         count() >= 5
     });
+
     assert_eq!(connections.load(Ordering::Relaxed), 1, "connections that carried probes");
 }
 
@@ -199,6 +203,7 @@
     for answers in answers {
         let (shop, lines, _) = start_probed_server(answers);
         let daemon = start_probing_daemon(shop);
+
         let wanted = answers.len().max(1);
         let mut clients = Vec::new();
         wait_until("it was probed", || {
@@ -206,6 +211,7 @@
             assert_eq!(clients.last_mut().expect("one").read_line(), "UP 1");
             lines.lock().unwrap().iter().filter(|line| *line == "STATS").count() >= wanted
         });
+
         assert_eq!(connect_and_open(&daemon).read_line(), "UP 1", "after {answers:?}");
     }
 }
@@ -220,9 +226,11 @@
     let text = text.replacen(r#""must-ask-in": 2000"#, r#""must-ask-in": 10000"#, 1);
     let text = text.replacen(r#""zones""#, r#""balancers": 300, "zones""#, 1);
     let _daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
+
     wait_until("it was asked anew", || calls.lock().unwrap().len() >= 2);
     let calls = calls.lock().unwrap();
     let after = calls[1].0 - calls[0].0;
+
     assert!(after < Duration::from_secs(6), "asked anew after {after:?}");
     assert!(calls[1].1.contains("from=1&"), "{}", calls[1].1);
 }
@@ -234,7 +242,9 @@
     // What comes after it is a watch on which nothing happens.
     let (at, calls) = start_discovery(vec![(CUT, endpoint_list(2, false, &changes))]);
     let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
+
     wait_until("it was asked again", || calls.lock().unwrap().len() >= 2);
+
     assert!(calls.lock().unwrap().iter().all(|(_, call)| call.contains("from=1&")));
     assert_eq!(connect_and_open(&daemon).read_line(), "UP old");
 }
@@ -244,6 +254,7 @@
     let (shop, lines) = start_server("UP 1", false);
     let (at, _) = start_discovery(Vec::new());
     let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+
     let mut client = Client::connect(&daemon.platform);
     for piece in ["PI", "NG\r", "\nOPEN 9b1f 7f3a c=ch", "at,d=3000\r", "\n"] {
         client.stream.write_all(piece.as_bytes()).expect("written");
@@ -264,10 +275,12 @@
     let (shop, _) = start_server("UP 1", true);
     let (at, _) = start_discovery(Vec::new());
     let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+
     let mut client = connect_and_open(&daemon);
     assert_eq!(client.read_line(), "UP 1");
     client.send_line("M 1");
     let since = Instant::now();
+
     assert_eq!(client.read_to_end(), "MOVE\r\n");
     assert!(since.elapsed() > Duration::from_secs(4), "sound servers may take a while");
 }
@@ -276,9 +289,11 @@
 fn rejects_at_once_with_retry_after_without_servers() {
     let (at, _) = start_discovery(Vec::new());
     let daemon = start_daemon(at, &endpoint_list(1, true, &[]));
+
     let since = Instant::now();
     let answer = connect_and_open(&daemon).read_to_end();
     let wait = answer.strip_prefix("BUSY ").and_then(|rest| rest.trim_end().parse::<u64>().ok());
+
     assert!(wait.is_some_and(|ms| ms > 0), "{answer}");
     assert!(since.elapsed() < MAX_WAIT / 2, "delayed");
 }
@@ -302,10 +317,12 @@
     });
     let (at, _) = start_discovery(Vec::new());
     let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+
     let mut client = connect_and_open(&daemon);
     assert_eq!(client.read_line(), "UP 1");
     wait_until("the server can send no more", || *sent.lock().unwrap() & 1 == 1);
     let sent_bytes = *sent.lock().unwrap();
+
     assert!(sent_bytes < 32 << 20, "{sent_bytes} bytes were taken for a client that does not read");
 }
 
@@ -314,6 +331,7 @@
     let (shop, _) = start_server("UP 1", false);
     let (at, _) = start_discovery(Vec::new());
     let mut daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+
     let mut established: Vec<Client> = (0..5).map(|_| connect_and_open(&daemon)).collect();
     established.iter_mut().for_each(|client| assert_eq!(client.read_line(), "UP 1"));
     let since = Instant::now();
@@ -344,6 +362,7 @@
         )]),
     );
     let mut daemon = start_daemon(first, &known);
+
     let mut established = connect_and_open(&daemon);
     assert_eq!(established.read_line(), "UP old");
     wait_until("the first watch", || first_calls.lock().unwrap().len() == 1);
@@ -370,6 +389,7 @@
     daemon.log_line("leaving");
     daemon.reload("config.json", &config(first, &known));
     daemon.log_line(", reconfigured");
+
     assert_eq!(established.read_to_end(), "MOVE\r\n");
     assert!(daemon.wait_for_exit());
 }
@@ -382,6 +402,7 @@
     let (shop, lines) = start_server("UP 1", false);
     let (at, _) = start_discovery(Vec::new());
     let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+
     let since = Instant::now();
     let silent: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.platform)).collect();
     let mut usual = connect_and_open(&daemon);
@@ -409,6 +430,7 @@
     usual.send_line("M 1");
     assert_eq!(usual.read_line(), "M 1");
     let lines = lines.lock().unwrap().clone();
+
     assert!(lines.iter().all(|line| !line.contains("bad") && !line.contains("half")), "{lines:?}");
 }
 
@@ -418,8 +440,10 @@
 fn gives_up_a_silent_watch_before_its_updates_count_as_known() {
     let (at, calls) = start_discovery(vec![(200, endpoint_list(1, false, &[]))]);
     let _daemon = start_daemon(at, &endpoint_list(1, true, &[]));
+
     wait_until("it is asked again", || calls.lock().unwrap().len() == 3);
     let calls = calls.lock().unwrap().clone();
+
     assert!(calls[2].0 - calls[1].0 < Duration::from_secs(9), "it is late by more than a busy machine");
     assert!(calls[2].1.contains("?from=1&hold_ms=3000 "), "{}", calls[2].1);
 }
@@ -440,6 +464,7 @@
         .replace(r#""settings": {"#, &format!("{peers} {settings}"));
     let text = text.replace(r#""retry-after": true"#, r#""retry-after": true, "peers": true"#);
     let daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
+
     tier.set_read_timeout(Some(MAX_WAIT)).expect("a socket");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
     // Servers send back what they are sent: a load, and then what can only be a message's time, of 400 ms.
@@ -447,6 +472,7 @@
     let at_first = client.read_line() == "UP 1";
     for line in ["LOAD 90000", "LOAD 400"] {
         client.send_line(line);
+
         assert_eq!(client.read_line(), line);
     }
     let mut message = [0; 64];
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -96,6 +96,7 @@
     for breaks in [false, true] {
         let mut server = ManualServer::start_with_full_queue();
         let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
         let client = open_and_wait(&daemon);
         daemon.suspend();
         match breaks {
@@ -105,6 +106,7 @@
         server.empty_queue();
         let mut attempt = server.accept();
         daemon.resume();
+
         assert_eq!(attempt.read_to_end(), "", "forwarded for nobody (reset: {breaks})");
         wait_until_idle(&daemon);
         assert_eq!(daemon.metric("forwards"), 0);
@@ -115,6 +117,7 @@
 fn gives_up_the_connect_of_a_client_that_leaves() {
     let mut server = ManualServer::start_with_full_queue();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     drop(open_and_wait(&daemon));
     wait_until_idle(&daemon);
     server.empty_queue();
@@ -123,6 +126,7 @@
     let mut attempt = server.accept();
     assert!(attempt.read_line().starts_with("OPEN "));
     attempt.send_line("UP 2");
+
     assert_eq!(next.read_line(), "UP 2");
     assert_eq!(daemon.metric("forwards"), 1);
 }
@@ -131,6 +135,7 @@
 fn does_not_retry_for_a_client_that_leaves_as_its_attempt_breaks() {
     let servers = [ManualServer::start(), ManualServer::start()];
     let (daemon, _discovery) = TestSettings::default().start(&[&servers[0], &servers[1]]);
+
     let client = open_and_wait(&daemon);
     let mut attempt = None;
     wait_until("an attempt is out", || {
@@ -157,6 +162,7 @@
     let server = |n: usize| format!(r#"{{"name": "irc-{n}", "address": "{}"}}"#, servers[n].address);
     let more = format!(r#", "hosts": [{}, {}], "class": {{"give_up_ms": 100000}}"#, server(0), server(1));
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &more), None);
+
     let mut client = Client::register(&daemon.irc, "ann");
     let mut attempt = None;
     wait_until("it is forwarded", || {
@@ -171,6 +177,7 @@
     drop(client);
     wait_until_idle(&daemon);
     attempt.read_to_end();
+
     assert!(servers.iter().all(|server| server.try_accept().is_none()), "forwarded again for nobody");
 }
 
@@ -179,6 +186,7 @@
 fn gives_up_a_client_that_sends_much_and_leaves_before_it_is_established() {
     let servers = [ManualServer::start(), ManualServer::start()];
     let (daemon, _discovery) = TestSettings::default().start(&[&servers[0], &servers[1]]);
+
     let mut client = open_and_wait(&daemon);
     let mut attempt = None;
     wait_until("an attempt is out", || {
@@ -190,6 +198,7 @@
     drop(client);
     wait_until_idle(&daemon);
     attempt.expect("one").read_to_end();
+
     assert!(servers.iter().all(|server| server.try_accept().is_none()), "forwarded again for nobody");
 }
 
@@ -200,6 +209,7 @@
     let listed = format!(r#", "hosts": [{{"name": "irc-1", "address": "{}"}}]"#, server.address);
     let more = format!(r#"{listed}, "limits": {{"connect_ms": 9000}}"#);
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &more), None);
+
     let mut client = Client::register(&daemon.irc, "ann");
     wait_until("it waits", || daemon.metric("outstanding") == 1);
     daemon.suspend();
@@ -208,6 +218,7 @@
     server.empty_queue();
     let mut attempt = server.accept();
     daemon.resume();
+
     assert_eq!(attempt.read_to_end(), "");
     wait_until_idle(&daemon);
 }
@@ -217,6 +228,7 @@
 fn serves_clients_while_hundreds_never_close() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     // More than the 160 descriptors that the daemon may have.
     let resting: Vec<Client> = (0..250)
         .map(|n| {
@@ -234,6 +246,7 @@
 fn accepts_a_first_line_that_crosses_the_handshake_timeout() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let mut client = Client::connect(&daemon.platform);
     client.send_line("PING");
     assert_eq!(client.read_line(), "PONG");
@@ -245,6 +258,7 @@
     let mut attempt = server.accept();
     assert!(attempt.read_line().starts_with("OPEN late "));
     attempt.send_line("UP 1");
+
     assert_eq!(client.read_line(), "UP 1");
 }
 
@@ -259,6 +273,7 @@
     };
     let (first, mut second) = (ManualServer::start(), ManualServer::start_with_full_queue());
     let (daemon, discovery) = settings.start(&[&first]);
+
     let mut client = open_and_wait(&daemon);
     let mut attempt = first.accept();
     assert!(attempt.read_line().starts_with("OPEN "));
@@ -275,6 +290,7 @@
     let mut next = open_and_wait(&daemon);
     let mut attempt = until_line(&second, &first);
     attempt.send_line("UP 3");
+
     assert_eq!(next.read_line(), "UP 3");
     assert_eq!(daemon.metric("forwards"), 2);
 }
@@ -296,6 +312,7 @@
 fn does_not_forward_to_a_server_that_drains_before_the_connect_completes() {
     let mut server = ManualServer::start_with_full_queue();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let mut client = open_and_wait(&daemon);
     send_endpoint_list(
         &discovery.call().1,
@@ -304,6 +321,7 @@
     let _watch = discovery.call();
     assert!(client.read_to_end().starts_with("BUSY"));
     server.empty_queue();
+
     assert_eq!(daemon.metric("forwards"), 0);
     assert!(server.try_accept().is_none_or(|mut attempt| attempt.read_to_end().is_empty()));
 }
@@ -313,6 +331,7 @@
 fn does_not_forward_when_the_connect_completes_at_the_deadline() {
     let mut server = ManualServer::start_with_full_queue();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let mut client = connect_and_open(&daemon, 900);
     wait_until("the request is taken", || daemon.metric("outstanding") == 1);
     daemon.suspend();
@@ -320,6 +339,7 @@
     let mut attempt = server.accept();
     std::thread::sleep(Duration::from_millis(1000));
     daemon.resume();
+
     assert!(client.read_to_end().starts_with("BUSY"));
     assert_eq!(attempt.read_to_end(), "", "written when its time was over");
     wait_until_idle(&daemon);
@@ -330,6 +350,7 @@
 fn answers_once_when_the_connect_completes_as_the_server_starts_draining() {
     let mut server = ManualServer::start_with_full_queue();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let mut client = open_and_wait(&daemon);
     let (_, watch) = discovery.call();
     daemon.suspend();
@@ -341,6 +362,7 @@
         attempt.send_line("BUSY");
     }
     let answer = client.read_to_end();
+
     assert!(answer.starts_with("BUSY") && answer.lines().count() == 1, "{answer}");
     wait_until_idle(&daemon);
     assert!(server.try_accept().is_none(), "forwarded to a server that drains");
@@ -365,6 +387,7 @@
     for (pieces, ends, wanted) in cases {
         let server = ManualServer::start();
         let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
         // Where it is rejected, that may be at its deadline.
         let mut client = connect_and_open(&daemon, if wanted == "BUSY" { 900 } else { 9000 });
         let mut attempt = server.accept();
@@ -382,6 +405,7 @@
             _ => assert_eq!(format!("{}\r\n", client.read_line()), wanted, "{pieces:?}"),
         }
         drop((client, attempt));
+
         wait_until_idle(&daemon);
     }
 }
@@ -391,6 +415,7 @@
 fn answers_once_when_a_reply_crosses_the_deadline() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let mut client = connect_and_open(&daemon, 900);
     let mut attempt = server.accept();
     assert!(attempt.read_line().starts_with("OPEN "));
@@ -409,6 +434,7 @@
         }
     }
     drop((client, attempt));
+
     wait_until_idle(&daemon);
 }
 
@@ -418,10 +444,12 @@
 fn sends_move_between_two_lines_and_delivers_whole_lines_before_it() {
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let (mut client, mut attempt) = establish(&daemon, &server);
     attempt.stream.write_all(b"M 1\r\nhal").expect("written");
     assert_eq!(client.read_line(), "M 1");
     send_endpoint_list(&discovery.call().1, &endpoint_list(2, false, &[nth_endpoint(0, &server, "gone")]));
+
     assert_eq!(client.read_to_end(), "MOVE\r\n");
     assert_eq!(attempt.read_to_end(), "");
     wait_until_idle(&daemon);
@@ -431,6 +459,7 @@
 fn delivers_what_a_server_sent_before_its_reset() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let (mut client, mut attempt) = establish(&daemon, &server);
     client.send_line("unread");
     daemon.suspend();
@@ -441,6 +470,7 @@
         (client.read_line(), client.read_line(), client.read_to_end()),
         ("M 1".into(), "M 2".into(), String::new())
     );
+
     wait_until_idle(&daemon);
 }
 
@@ -449,6 +479,7 @@
 fn delivers_what_a_server_sent_before_its_reset_though_writes_to_it_fail() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let (mut client, mut attempt) = establish(&daemon, &server);
     // The server reads nothing: some of this stays with the daemon.
     client.stream.set_nonblocking(true).expect("a socket");
@@ -463,6 +494,7 @@
     attempt.stream.write_all(b"M 1\r\nM 2\r\n").expect("written");
     reset_connection(attempt.into_stream());
     daemon.resume();
+
     assert_eq!((client.read_line(), client.read_line()), ("M 1".into(), "M 2".into()));
     wait_until_idle(&daemon);
 }
@@ -473,12 +505,14 @@
     for last_line in ["BYE", "MOVE"] {
         let server = ManualServer::start();
         let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
         let (mut client, mut attempt) = establish(&daemon, &server);
         daemon.suspend();
         client.send_line("M 1");
         attempt.send_line(last_line);
         reset_connection(attempt.into_stream());
         daemon.resume();
+
         assert_eq!(client.read_line(), last_line);
         assert_eq!(client.stream.read(&mut [0]).expect("ended in order, not broken off"), 0);
         wait_until_idle(&daemon);
@@ -490,12 +524,14 @@
 fn does_not_reset_a_flooding_client_before_it_can_read_its_answer() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let mut client = Client::connect(&daemon.platform);
     let since = Instant::now();
     client.send_line("NONSENSE");
     assert_eq!(client.read_line(), "ERR");
     while client.stream.write_all(&[b'x'; 4096]).is_ok() {}
     let open_for = since.elapsed();
+
     assert!(open_for >= Duration::from_millis(600), "closed after {open_for:?}");
     wait_until_idle(&daemon);
 }
@@ -507,6 +543,7 @@
 fn rejects_a_client_queued_at_a_process_that_exits() {
     let server = ManualServer::start();
     let (mut daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     daemon.signal("-TERM");
     daemon.log_line("leaving");
     daemon.suspend();
@@ -514,6 +551,7 @@
     // The stay of a process that holds nothing is over meanwhile.
     std::thread::sleep(Duration::from_millis(1200));
     daemon.resume();
+
     assert!(client.read_to_end().starts_with("BUSY "), "closed without an answer");
     assert!(daemon.wait_for_exit());
     assert!(server.try_accept().is_none(), "admitted by a process that exits");
@@ -524,6 +562,7 @@
 fn answers_every_client_at_sigterm_and_exits_in_time() {
     let server = ManualServer::start();
     let (mut daemon, _discovery) = TestSettings::default().start(&[&server]);
+
     let (mut established, _attempt) = establish(&daemon, &server);
     let mut waiting = open_and_wait(&daemon);
     let mut attempt = server.accept();
@@ -546,6 +585,7 @@
 fn rejects_clients_and_exits_at_sigterm_before_it_could_serve() {
     for reloaded in [false, true] {
         let (mut daemon, discovery) = TestSettings::default().start(&[]);
+
         let (_, _silent) = discovery.call();
         daemon.suspend();
         let mut client = connect_and_open(&daemon, 9000);
@@ -556,6 +596,7 @@
         }
         daemon.signal("-TERM");
         daemon.resume();
+
         assert!(client.read_to_end().starts_with("BUSY "));
         assert!(daemon.wait_for_exit());
     }
@@ -571,10 +612,12 @@
             TestSettings::default().config("127.0.0.1:0", discovery.address, &ready_list(1, &[&server]));
         let config = config.replace(r#""retry-after": true"#, &format!(r#""retry-after": {allowed}"#));
         let mut daemon = Daemon::start(&irc_config(&[], ""), Some(&config));
+
         let mut waiting = open_and_wait(&daemon);
         daemon.signal("-TERM");
         daemon.log_line("leaving");
         let mut late = connect_and_open(&daemon, 9000);
+
         assert_eq!(late.read_to_end(), wanted);
         assert_eq!(waiting.read_to_end(), wanted);
         assert!(daemon.wait_for_exit());
@@ -585,6 +628,7 @@
 fn answers_a_client_queued_at_a_replaced_listener() {
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let taken = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     daemon.suspend();
     let mut client = connect_and_open(&daemon, 9000);
@@ -595,6 +639,7 @@
     let mut attempt = server.accept();
     assert!(attempt.read_line().starts_with("OPEN "));
     attempt.send_line("UP 1");
+
     assert_eq!(client.read_line(), "UP 1");
 }
 
@@ -606,6 +651,7 @@
     for event in ["client's line", "server's line", "client's end", "server's reset", "SIGTERM"] {
         let server = ManualServer::start();
         let (mut daemon, _discovery) = TestSettings::default().start(&[&server]);
+
         let (client, attempt) = establish(&daemon, &server);
         let (mut client, mut attempt) = (Some(client), Some(attempt));
         daemon.suspend();
@@ -654,6 +700,7 @@
 fn answers_ping_only_while_it_can_serve() {
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[]);
+
     let ping = || {
         let mut client = Client::connect(&daemon.platform);
         client.send_line("PING");
@@ -665,6 +712,7 @@
     assert_eq!(ping(), "PONG");
     daemon.signal("-TERM");
     daemon.log_line("leaving");
+
     assert_eq!(ping(), "");
 }
 
@@ -673,6 +721,7 @@
 fn ignores_an_answer_of_the_old_discovery_after_a_reload() {
     let (old, new) = (ManualServer::start(), ManualServer::start());
     let (daemon, before) = TestSettings::default().start(&[&old]);
+
     let after = Discovery::start();
     let (_, call) = before.call();
     daemon.suspend();
@@ -687,6 +736,7 @@
     send_endpoint_list(&call, &endpoint_list(2, true, &[nth_endpoint(1, &new, "ready")]));
     let _watch = after.call();
     let (_client, _attempt) = establish(&daemon, &new);
+
     assert!(old.try_accept().is_none());
 }
 
@@ -698,6 +748,7 @@
     let known = endpoint_list(50, true, &[nth_endpoint(0, &old, "ready")]);
     let config = TestSettings::default().config("127.0.0.1:0", discovery.address, &known);
     let daemon = Daemon::start(&irc_config(&[], ""), Some(&config));
+
     let (asked, call) = discovery.call();
     assert!(asked.contains("from=50&"), "{asked}");
     send_endpoint_list(&call, &endpoint_list(3, false, &[]));
@@ -706,6 +757,7 @@
     send_endpoint_list(&call, &endpoint_list(3, true, &[nth_endpoint(1, &new, "ready")]));
     let _watch = discovery.call();
     let (_client, _attempt) = establish(&daemon, &new);
+
     assert!(old.try_accept().is_none());
 }
 
@@ -718,6 +770,7 @@
     };
     let server = ManualServer::start();
     let (_daemon, discovery) = settings.start(&[&server]);
+
     for _ in 0..2 {
         let (_, call) = discovery.call();
         let since = Instant::now();
@@ -733,6 +786,7 @@
 fn retries_at_once_when_a_kept_discovery_connection_is_closed() {
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let mut since = Instant::now();
     for generation in 2..6 {
         let (asked, call) = discovery.call();
@@ -751,6 +805,7 @@
 fn backs_off_after_a_503_on_a_kept_discovery_connection() {
     let server = ManualServer::start();
     let (_daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let (_, call) = discovery.call();
     send_endpoint_list(&call, &endpoint_list(2, false, &[]));
     for _ in 0..2 {
@@ -769,6 +824,7 @@
     let more = r#""discovery": "on_request", "invariants": {"must-ask-in": 3200}"#;
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings { more, ..TestSettings::default() }.start(&[&server]);
+
     for nonsense in [None, Some("{}"), Some(r#"{"generation": 9, "instances": []}"#), Some("[[")] {
         // The second of these is an answer to the call for the whole list, which the first one leads to.
         let calls: Vec<_> = (0..6)
@@ -787,6 +843,7 @@
             })
             .collect();
         let took = calls[5].duration_since(calls[0]);
+
         assert!(took >= Duration::from_millis(250), "six calls in {took:?} for {nonsense:?}");
     }
     // Through all of that the list that it had stays.
@@ -798,6 +855,7 @@
 fn gives_up_a_discovery_answer_without_end() {
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
+
     let (_, mut call) = discovery.call();
     call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("written");
     let chunk = [b"1000\r\n", &[b' '; 0x1000][..], b"\r\n"].concat();
