--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,7 +1,7 @@
 //! The log: events of `tracing`, written to standard error in one place, and rate-limited.
 //!
-//! As text a line is `connection-balancer: LEVEL: MESSAGE key=value`; as JSON it is one object with time, level, target
-//! and fields. Levels are configured for each module.
+//! As text a line is `connection-balancer: LEVEL: MESSAGE key=value`; as JSON it is one object with time,
+//! level, target and fields. Levels are configured for each module.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -47,8 +47,8 @@
 }
 
 impl LogConfig {
-    /// Reads levels: one for all, then `MODULE=LEVEL` for modules of this program. None if the text is not of that
-    /// form. Modules may be written under the program's former name, `sagemount::…`.
+    /// Reads levels: one for all, then `MODULE=LEVEL` for modules of this program. None if the text is not of
+    /// that form. Modules may be written under the program's former name, `sagemount::…`.
     pub fn levels(text: &str) -> Option<Targets> {
         let text = &text.replace(FORMER_CRATE, CRATE);
         let is_level = |text: &str| !text.is_empty() && text.parse::<LevelFilter>().is_ok();
@@ -89,7 +89,8 @@
     }
 }
 
-/// A crowd of bad clients must not fill the disk that the log goes to, nor block the one thread that writes it.
+/// A crowd of bad clients must not fill the disk that the log goes to, nor block the one thread that writes
+/// it.
 static LIMITER: Mutex<LineLimiter> = Mutex::new(LineLimiter::FULL);
 
 /// Standard error, as far as the limiter admits.
@@ -146,8 +147,8 @@
     }
 }
 
-/// Writes the log as configured from now on. Only the first call of a process has an effect; before it nothing is
-/// written.
+/// Writes the log as configured from now on. Only the first call of a process has an effect; before it
+/// nothing is written.
 pub fn start(config: &LogConfig) {
     let stderr = LimitedStderr { json: config.json };
     let layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(stderr);
@@ -159,7 +160,8 @@
     let _ = tracing_subscriber::registry().with(layer.with_filter(config.levels.clone())).try_init();
 }
 
-/// Writes a log line: a level, then what the macros of `tracing` take. All of the daemon's log goes through here.
+/// Writes a log line: a level, then what the macros of `tracing` take. All of the daemon's log goes through
+/// here.
 #[macro_export]
 macro_rules! log {
     ($level:ident, $($text:tt)+) => {
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -21,8 +21,8 @@
 pub const MAX_ADMIN_CLIENTS: usize = 10;
 /// A client sends its line at once. Some send nothing, or half of it, and stay.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client has to close after its answer. Closed over what it still sends, the connection would be reset,
-/// and the answer lost.
+/// How long a client has to close after its answer. Closed over what it still sends, the connection would be
+/// reset, and the answer lost.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// One admin client.
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -1,6 +1,7 @@
 //! Commands from the driver to the tasks that carry them out.
 //!
-//! Only types live here: the tasks import this module and the driver, and the driver imports none of the tasks.
+//! Only types live here: the tasks import this module and the driver, and the driver imports none of the
+//! tasks.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -27,8 +28,8 @@
     CloseAttempt,
     /// Send the client this answer, then close both sides in order.
     SendAnswer(Answer),
-    /// Read what the client has sent by now; [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut) if
-    /// that is no request.
+    /// Read what the client has sent by now; [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut)
+    /// if that is no request.
     CheckHandshake,
     /// Close all sockets at once, whatever is left to write.
     Abort,
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -1,8 +1,8 @@
 //! One connection of a client, with the attempt that is open for it: a task that owns both sockets.
 //!
-//! [`SocketEnd`] is one socket with what is pending for it, [`Upstream`] the attempt. What comes from either side goes
-//! through the front's protocol ([`Front`]), whose [`Step`]s become inputs of the reducer; its effects come back as
-//! [`ConnectionCommand`]s.
+//! [`SocketEnd`] is one socket with what is pending for it, [`Upstream`] the attempt. What comes from either
+//! side goes through the front's protocol ([`Front`]), whose [`Step`]s become inputs of the reducer; its
+//! effects come back as [`ConnectionCommand`]s.
 
 mod client_side;
 mod server_side;
@@ -30,11 +30,11 @@
 const READ_BUFFER_BYTES: usize = 8 << 10;
 /// How long a connection that is over stays open for its last lines to arrive...
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// ...or until all of them are written and the client has sent nothing for so long: its descriptor is wanted for
-/// other connections.
+/// ...or until all of them are written and the client has sent nothing for so long: its descriptor is wanted
+/// for other connections.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(100);
-/// Bytes read and discarded from a client that has its answer. Closed over unread bytes the connection would be
-/// reset, which may destroy the answer; but a client that sends on for ever must not be read for ever.
+/// Bytes read and discarded from a client that has its answer. Closed over unread bytes the connection would
+/// be reset, which may destroy the answer; but a client that sends on for ever must not be read for ever.
 const MAX_DISCARDED_BYTES: usize = 128 << 10;
 
 struct Connection {
@@ -154,8 +154,9 @@
 
     /// Runs until the sockets are to be closed or transferred.
     ///
-    /// Every branch of the `select!` is cancellation-safe: readiness and commands that are not taken stay where they
-    /// are, a connect goes on in `upstream`, and all reading and writing is done after the choice, without waiting.
+    /// Every branch of the `select!` is cancellation-safe: readiness and commands that are not taken stay
+    /// where they are, a connect goes on in `upstream`, and all reading and writing is done after the choice,
+    /// without waiting.
     async fn run(&mut self, mut commands: UnboundedReceiver<ConnectionCommand>) {
         loop {
             self.flush();
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Writes to the server what can be written at once. Returns whether the client may be written to: not when
-    /// the attempt failed with this write.
+    /// Writes to the server what can be written at once. Returns whether the client may be written to: not
+    /// when the attempt failed with this write.
     pub(super) fn flush_attempt(&mut self) -> bool {
         let Some(attempt) = self.upstream.attempt_mut() else { return true };
         if attempt.end.flush().is_err() {
--- a/src/transport/connection/socket_end.rs
+++ b/src/transport/connection/socket_end.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// As [`SocketEnd::read`], but asks the system itself. The runtime learns of readiness only between two tasks,
-    /// and after the whole process was stopped its timers run before it has learned anything.
+    /// As [`SocketEnd::read`], but asks the system itself. The runtime learns of readiness only between two
+    /// tasks, and after the whole process was stopped its timers run before it has learned anything.
     ///
     /// # Errors
     ///
--- a/src/transport/connection/upstream.rs
+++ b/src/transport/connection/upstream.rs
@@ -117,7 +117,8 @@
     }
 }
 
-/// Waits for a connect, or for ever. Cancellation-safe: the connect stays with its owner and goes on from there.
+/// Waits for a connect, or for ever. Cancellation-safe: the connect stays with its owner and goes on from
+/// there.
 pub(super) async fn wait_connected(connecting: Option<&mut Connecting>) -> io::Result<TcpStream> {
     match connecting {
         Some(connecting) => connecting.await,
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -39,8 +39,8 @@
 }
 
 impl Daemon {
-    /// Reads the configuration again and puts it in force at one go. Whatever fails comes before the first change, or
-    /// half of a configuration would be in force.
+    /// Reads the configuration again and puts it in force at one go. Whatever fails comes before the first
+    /// change, or half of a configuration would be in force.
     pub(super) fn reload(&mut self) -> Result<(), TransportError> {
         let Config { platform, irc, mgmt, store, budget, log: _ } = read_configuration(&self.sources)?;
         if fixed_store(&store) != fixed_store(&self.store) {
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -42,7 +42,8 @@
 }
 
 impl Start {
-    /// Sets up the pools and opens the admin endpoint, which reports from the start that this process is not ready.
+    /// Sets up the pools and opens the admin endpoint, which reports from the start that this process is not
+    /// ready.
     pub(super) fn begin(sources: Sources, config: Config) -> Result<Start, TransportError> {
         let admin_listener = config.mgmt.map(listen).transpose()?;
         let Fronts { driver, exit, platform, irc } = Fronts::set_up(&config);
@@ -170,7 +171,8 @@
     Ok(AcceptGate::open_front(driver, IRC_FRONT, irc.listen, front))
 }
 
-/// The listener that the predecessor exported for a front, if it is at the configured address, or else a new one.
+/// The listener that the predecessor exported for a front, if it is at the configured address, or else a new
+/// one.
 fn inherit_listener(
     received: Option<&mut ReceivedState>,
     name: &str,
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams between nodes: replica messages of the replicated map, and gossip between the balancers of a tier.
+//! Datagrams between nodes: replica messages of the replicated map, and gossip between the balancers of a
+//! tier.
 //!
 //! Both protocols live with lost datagrams, so what cannot be sent at once is dropped.
 
@@ -16,8 +17,8 @@
 use crate::routing::store::Gossip;
 use crate::routing::Input;
 
-/// Wait after a failed receive. Where a peer is down, its machine reports that on the next call: there is nothing
-/// else to do about it.
+/// Wait after a failed receive. Where a peer is down, its machine reports that on the next call: there is
+/// nothing else to do about it.
 const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The socket for gossip, and the address that all balancers of the tier listen on.
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -21,18 +21,18 @@
 use crate::protocol::json::Fault;
 use crate::routing::{Input, PoolId};
 
-/// How long discovery holds a call while nothing changes. Its changes count as known 6 s later at the latest, and a
-/// watch that has fallen silent looks like one on which nothing happens; so a call is soon over.
+/// How long discovery holds a call while nothing changes. Its changes count as known 6 s later at the latest,
+/// and a watch that has fallen silent looks like one on which nothing happens; so a call is soon over.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Beyond that, a call without an answer has failed after this long, whether it was to be held or not. A call that is
-/// still in turn at a crowded discovery is the nearest to being answered, and one given up is served all the same, for
-/// nobody; where all give up a little too early nothing that discovery does reaches anyone.
+/// Beyond that, a call without an answer has failed after this long, whether it was to be held or not. A call
+/// that is still in turn at a crowded discovery is the nearest to being answered, and one given up is served
+/// all the same, for nobody; where all give up a little too early nothing that discovery does reaches anyone.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A call without an answer is made once more after a random part of this. What it misses counts as known 6 s after it
-/// fell silent, and all balancers of a tier may find that out in one instant.
+/// A call without an answer is made once more after a random part of this. What it misses counts as known 6 s
+/// after it fell silent, and all balancers of a tier may find that out in one instant.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(800);
-/// Wait after an answer that came at once with nothing new: a discovery that does not hold calls would be called without
-/// end. The next call has to come within 200 ms, or it is no more the same watch.
+/// Wait after an answer that came at once with nothing new: a discovery that does not hold calls would be
+/// called without end. The next call has to come within 200 ms, or it is no more the same watch.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The HTTP status of an answer that holds the list.
@@ -94,10 +94,11 @@
 
 fn start_watch(driver: &Rc<Driver>, pool: PoolId, discovery: SocketAddr, generation: Option<u64>) -> Watch {
     let (requests, requested) = mpsc::channel(1);
-    // The reducer requested it with the first list, before there was a task to take the request. There is room for one.
+    // The reducer requested it with the first list, before there was a task to take the request. There is
+    // room for one.
     let _ = requests.try_send(());
-    // Where a list is held already, a call that is not held is one more for a discovery that a whole fleet calls as it
-    // restarts.
+    // Where a list is held already, a call that is not held is one more for a discovery that a whole fleet
+    // calls as it restarts.
     let hold = if generation.is_some() { HOLD_TIMEOUT } else { Duration::ZERO };
     let follower = EndpointListFollower {
         driver: driver.clone(),
@@ -121,8 +122,8 @@
 }
 
 impl EndpointListFollower {
-    /// Follows the list for ever. Once requested the watch goes on until a call fails; then the reducer decides when to
-    /// try again.
+    /// Follows the list for ever. Once requested the watch goes on until a call fails; then the reducer
+    /// decides when to try again.
     async fn run(mut self, mut requested: mpsc::Receiver<()>) {
         while requested.recv().await.is_some() {
             while requested.try_recv().is_ok() {}
@@ -204,13 +205,13 @@
 }
 
 impl DiscoveryConnection {
-    /// Asks for the changes since a generation, or else for the whole list. Not cancellation-safe: after a call that
-    /// was given up the connection is to be closed.
+    /// Asks for the changes since a generation, or else for the whole list. Not cancellation-safe: after a
+    /// call that was given up the connection is to be closed.
     async fn call(&mut self, since: Option<Since>) -> Result<EndpointListUpdate, DiscoveryError> {
         let was_open = self.open.is_some();
         let answer = match self.exchange(since).await {
-            // Discovery may have closed a kept connection between two calls. But where it answered, whatever that was,
-            // to call again at once would be twice the load, just when it has too much.
+            // Discovery may have closed a kept connection between two calls. But where it answered, whatever
+            // that was, to call again at once would be twice the load, just when it has too much.
             Err(_) if was_open => {
                 self.open = None;
                 self.exchange(since).await
--- a/src/transport/driver/mod.rs
+++ b/src/transport/driver/mod.rs
@@ -62,8 +62,8 @@
 
 /// The reducer's state, and the channels to the tasks that carry out its effects.
 ///
-/// Channels to tasks are unbounded: a bounded one could be full when a command comes. The reducer itself limits
-/// what waits in them, as noted at each field.
+/// Channels to tasks are unbounded: a bounded one could be full when a command comes. The reducer itself
+/// limits what waits in them, as noted at each field.
 pub struct Driver {
     state: RefCell<State>,
     clock: Clock,
--- a/src/transport/excluded_servers.rs
+++ b/src/transport/excluded_servers.rs
@@ -12,8 +12,8 @@
     hot_restart_socket.with_extension(EXCLUDED_FILE_EXTENSION)
 }
 
-/// Writes the list of excluded servers for a process that starts after this one is gone. A crash halfway leaves the
-/// old list or the new.
+/// Writes the list of excluded servers for a process that starts after this one is gone. A crash halfway
+/// leaves the old list or the new.
 pub fn persist_excluded(hot_restart_socket: &Path, excluded: &[String]) {
     let file = excluded_file(hot_restart_socket);
     let new = file.with_extension(format!("{}.new", std::process::id()));
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -1,5 +1,5 @@
-//! Files of the replicated map: a journal that every entry is appended to, and a snapshot that replaces it when it
-//! has grown long. Both are sequences of records: length, its complement, checksum, entry.
+//! Files of the replicated map: a journal that every entry is appended to, and a snapshot that replaces it
+//! when it has grown long. Both are sequences of records: length, its complement, checksum, entry.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -116,7 +116,8 @@
     ///
     /// # Errors
     ///
-    /// When a file cannot be opened or written, or is corrupt: it may be more than the last write that is lost.
+    /// When a file cannot be opened or written, or is corrupt: it may be more than the last write that is
+    /// lost.
     pub fn open(folder: &Path) -> Result<OpenedFiles, TransportError> {
         let file_error = |source| TransportError::File { path: folder.to_owned(), source };
         fs::create_dir_all(folder).map_err(file_error)?;
@@ -166,14 +167,14 @@
         let persisted = appended.and_then(|()| if is_long { self.fold() } else { Ok(()) });
         if let Err(error) = persisted {
             log_event!(LogEvent::EntryNotPersisted { folder: &self.folder, key, error: &error });
-            // Half a record, followed by others, would look corrupt at the next start. Where this fails as well, the
-            // next entry tries again.
+            // Half a record, followed by others, would look corrupt at the next start. Where this fails as
+            // well, the next entry tries again.
             let _ = self.fold();
         }
     }
 
-    /// Puts a new snapshot in place, and begins the journal anew. A crash between the two leaves entries in both,
-    /// which does no harm.
+    /// Puts a new snapshot in place, and begins the journal anew. A crash between the two leaves entries in
+    /// both, which does no harm.
     ///
     /// # Errors
     ///
--- a/src/transport/fronts.rs
+++ b/src/transport/fronts.rs
@@ -33,7 +33,8 @@
 }
 
 impl Fronts {
-    /// Sets up the pools, and feeds the reducer the endpoints that the configuration holds; nothing listens yet.
+    /// Sets up the pools, and feeds the reducer the endpoints that the configuration holds; nothing listens
+    /// yet.
     pub fn set_up(config: &Config) -> Fronts {
         let Config { platform, irc, store, budget, .. } = config;
         let mut replication = ReplicationConfig::default();
--- a/src/transport/hot_restart/link.rs
+++ b/src/transport/hot_restart/link.rs
@@ -52,8 +52,8 @@
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::PermissionDenied`] if it is another user's: in a folder that others may write to, what answers
-    /// could be anybody's.
+    /// [`io::ErrorKind::PermissionDenied`] if it is another user's: in a folder that others may write to,
+    /// what answers could be anybody's.
     pub(super) fn new(socket: UnixStream) -> io::Result<Link> {
         if socket.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
             return Err(io::ErrorKind::PermissionDenied.into());
@@ -91,7 +91,8 @@
         Ok(net::sendmsg(&self.0, &[IoSlice::new(bytes)], &mut ancillary, flags).map(drop)?)
     }
 
-    /// Receives the next message; none at the end. Cancellation-safe: a message is taken off the socket in one step.
+    /// Receives the next message; none at the end. Cancellation-safe: a message is taken off the socket in
+    /// one step.
     ///
     /// # Errors
     ///
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -1,8 +1,9 @@
-//! Hot restart: a process exports its state to its successor, then transfers its established connections one by one.
+//! Hot restart: a process exports its state to its successor, then transfers its established connections one
+//! by one.
 //!
-//! The successor asks on a socket in the temporary directory ([`socket_path`]). It imports the state and the listening
-//! sockets ([`import_state`]), begins to serve, and says so ([`run_as_successor`]); the predecessor serves on if it never
-//! does ([`offer_state`]).
+//! The successor asks on a socket in the temporary directory ([`socket_path`]). It imports the state and the
+//! listening sockets ([`import_state`]), begins to serve, and says so ([`run_as_successor`]); the predecessor
+//! serves on if it never does ([`offer_state`]).
 
 mod link;
 
@@ -26,8 +27,8 @@
 use crate::routing::{AdminClientId, ConnectionId, EstablishedConnection, HandoverState, Input, PoolId};
 use link::{Link, ReceivedMessage};
 
-/// How long a predecessor has to export its state, and a successor to ask for it. The other process may hang, and a
-/// start waits for nobody.
+/// How long a predecessor has to export its state, and a successor to ask for it. The other process may hang,
+/// and a start waits for nobody.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a predecessor is asked again that is busy with another successor, and how often.
 const BUSY_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
@@ -39,8 +40,8 @@
 /// Wait after a successor could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The path of the socket on which a process that serves this configuration is asked for its state. It depends on what
-/// is listened on, and is the same for every version.
+/// The path of the socket on which a process that serves this configuration is asked for its state. It
+/// depends on what is listened on, and is the same for every version.
 pub fn socket_path(config: &Config) -> PathBuf {
     let platform = config.platform.iter().map(|platform| format!("{} {}", platform.name, platform.listen));
     let irc = config.irc.iter().map(|irc| format!("{} {}", irc.setup.name, irc.listen));
@@ -120,8 +121,8 @@
     outgoing
 }
 
-/// Closes the channel: the peer process is gone. This is no guard, for it must not happen when the runtime drops its
-/// tasks at the end of this process.
+/// Closes the channel: the peer process is gone. This is no guard, for it must not happen when the runtime
+/// drops its tasks at the end of this process.
 fn deregister_peer_process(driver: &Driver) {
     driver.set_peer_process(None);
     driver.feed(Input::PeerProcessLost);
@@ -153,8 +154,8 @@
     }
 }
 
-/// Exports the state to a successor, and transfers the connections once it serves. If it never does, this process
-/// goes on as before.
+/// Exports the state to a successor, and transfers the connections once it serves. If it never does, this
+/// process goes on as before.
 async fn serve_successor(driver: Rc<Driver>, link: Link) {
     let request = timeout(ANSWER_TIMEOUT, link.receive()).await;
     let is_request = matches!(request, Ok(Ok(Some(ReceivedMessage { message: HandoverMessage::Take, .. }))));
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -138,8 +138,8 @@
         self.task.abort();
     }
 
-    /// Accepts what waits in the listener's queue, unless a successor listens on the same socket and accepts it.
-    /// Closed with the listener, these connections would be reset without an answer.
+    /// Accepts what waits in the listener's queue, unless a successor listens on the same socket and accepts
+    /// it. Closed with the listener, these connections would be reset without an answer.
     pub fn accept_queued(&self, driver: &Rc<Driver>) {
         let Some(front) = self.front.as_ref().filter(|_| driver.is_accepting()) else { return };
         // The runtime may not have learned of them yet, so the system itself is asked.
@@ -167,8 +167,8 @@
     accept_each(&listener, wait_until_accepting, start_connection).await;
 }
 
-/// Accepts connections for ever, whenever the gate is open. `wait_for_gate` waits until it is open, or until it is
-/// closed. Cancellation-safe: an accept that is given up takes nothing out of the queue.
+/// Accepts connections for ever, whenever the gate is open. `wait_for_gate` waits until it is open, or until
+/// it is closed. Cancellation-safe: an accept that is given up takes nothing out of the queue.
 pub async fn accept_each(
     listener: &TcpListener,
     wait_for_gate: impl AsyncFn(bool),
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets and timers on tokio, on one thread. Nothing is decided here: what comes in is fed to the reducer, and its
-//! effects are carried out.
+//! Sockets and timers on tokio, on one thread. Nothing is decided here: what comes in is fed to the reducer,
+//! and its effects are carried out.
 //!
 //! `driver` does both; `daemon` starts everything and reloads the configuration. Each other module
 //! is one kind of socket or file.
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -1,5 +1,5 @@
-//! Probes of servers: ordered by the reducer, each with one result. A connection that has carried one is cached for
-//! the next, since each new connection costs its server more than the probe does.
+//! Probes of servers: ordered by the reducer, each with one result. A connection that has carried one is
+//! cached for the next, since each new connection costs its server more than the probe does.
 
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -34,8 +34,8 @@
         Ok(recorder)
     }
 
-    /// Writes whole records. Half a record would corrupt the file, so the first that does not fit, or cannot be
-    /// written, ends the recording.
+    /// Writes whole records. Half a record would corrupt the file, so the first that does not fit, or cannot
+    /// be written, ends the recording.
     pub fn write(&mut self, records: &[u8]) {
         if self.remaining_bytes == 0 || records.is_empty() {
             return;
--- a/src/transport/replay/mod.rs
+++ b/src/transport/replay/mod.rs
@@ -98,7 +98,8 @@
 ///
 /// # Errors
 ///
-/// When the file cannot be read, or the configuration does not fit it. A single flow that cannot be played is printed.
+/// When the file cannot be read, or the configuration does not fit it. A single flow that cannot be played is
+/// printed.
 pub fn replay(file: &Path, config: Config, front: FrontKind, port: Option<u16>) -> Result<(), ReplayError> {
     let flows = read_flows(file, &config, front, port)?;
     check_servers_on_loopback(&config)?;
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -29,6 +29,7 @@
 const UNCAPTURED_END_DELAY: Duration = Duration::from_secs(1);
 const READ_BUFFER_BYTES: usize = 4096;
 const MICROS_PER_SECOND: f64 = 1e6;
+
 /// Why one flow was not played.
 #[derive(Debug, Error)]
 enum FlowError {
@@ -127,8 +128,8 @@
     timeout(LAST_ANSWER_TIMEOUT, reading).await.ok().and_then(Result::ok)
 }
 
-/// Times what a flow sends. Servers of a replay may be slower than those recorded: what was sent after an answer, an end
-/// above all, would overtake it and mean something else.
+/// Times what a flow sends. Servers of a replay may be slower than those recorded: what was sent after an
+/// answer, an end above all, would overtake it and mean something else.
 struct Pacer<'a> {
     replay: &'a Replay,
     flow: &'a Flow,
