--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -166,8 +166,12 @@
     Config(#[from] ConfigError),
     #[error(transparent)]
     ReplicatedEntry(#[from] ReplicatedEntryError),
-    #[error("{0}")]
-    Transport(String),
+    #[error(transparent)]
+    Transport(#[from] transport::TransportError),
+    #[error(transparent)]
+    Client(#[from] transport::ClientError),
+    #[error(transparent)]
+    Replay(#[from] transport::ReplayError),
 }
 
 fn admin_address_from_environment() -> Option<String> {
@@ -177,7 +181,7 @@
 /// Makes a call at the admin endpoint of a balancer, and prints the answer.
 fn make_admin_call(mgmt: Option<String>, call: &str) -> Result<(), CommandError> {
     let address = mgmt.or_else(admin_address_from_environment).ok_or(CommandError::NoAdminAddress)?;
-    let answer = transport::ask(&address, call).map_err(CommandError::Transport)?;
+    let answer = transport::call_admin_endpoint(&address, call)?;
     print!("{}", answer.replace('\r', ""));
     if answer.starts_with(ADMIN_FAILURE) {
         return Err(CommandError::AdminCallFailed { call: call.to_owned() });
@@ -191,9 +195,10 @@
 }
 
 fn serve(options: Serve) -> Result<(), CommandError> {
-    let record = options.record.as_deref().map(|path| (path, options.record_mb << BYTES_PER_MB_SHIFT));
+    let max_bytes = options.record_mb << BYTES_PER_MB_SHIFT;
+    let record = options.record.map(|path| transport::RecordingConfig { path, max_bytes });
     let sources = sources(options.config, options.irc, options.rebalance);
-    transport::serve(sources, record).map_err(CommandError::Transport)
+    Ok(transport::serve(sources, record)?)
 }
 
 fn check(options: Check) -> Result<(), CommandError> {
@@ -213,13 +218,12 @@
         transport::Which::Platform => config::read_config(Some(&options.config), None, None)?,
         transport::Which::Irc => config::read_config(None, Some(&options.config), None)?,
     };
-    transport::replay(&options.file, config, options.front, options.port).map_err(CommandError::Transport)
+    Ok(transport::replay(&options.file, config, options.front, options.port)?)
 }
 
 fn write_replicated_entry(options: Set) -> Result<(), CommandError> {
     config::check_replicated_entry(&options.key, options.value.as_deref())?;
-    let entry = transport::write_at(options.store, &options.key, options.value);
-    let entry = entry.map_err(CommandError::Transport)?;
+    let entry = transport::write_store_entry(options.store, &options.key, options.value)?;
     let value = entry.value.as_deref().unwrap_or("nothing");
     println!("{} is {value}; written at node {} as {}", options.key, entry.node, entry.counter);
     Ok(())
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -445,7 +445,7 @@
         daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
     };
     reload("\"mgmt\": \"127.0.0.2:0\",");
-    let line = daemon.log_line("operators are heard on 127.0.0.2:");
+    let line = daemon.log_line("admin endpoint open on 127.0.0.2:");
     let new_address = line.rsplit(' ').next().expect("an address");
     assert_eq!(admin_call(new_address, "readyz"), "YES\r\n");
     until("the old endpoint is closed", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -699,7 +699,7 @@
         let at = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
         let request =
             ConnectionRequest { established_at: Some(at), key: Some(connection.0), ..connection_request() };
-        harness.feed(Input::ConnectionRequested { connection, request: request });
+        harness.feed(Input::ConnectionRequested { connection, request });
         harness.feed(Input::RequestForwarded { connection, attempt: 0 });
         harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
