--- a/src/transport/driver/mod.rs
+++ b/src/transport/driver/mod.rs
@@ -20,7 +20,6 @@
 use super::commands::{ConnectionCommand, PeerProcessMessage, ProbeCommand, WatchCommand};
 use super::datagrams::GossipSocket;
 use super::files::Files;
-use super::log_event::{log_event, LogEvent};
 use super::observation::Observer;
 use super::record::Recorder;
 use crate::protocol::Front;
@@ -193,7 +192,7 @@
             }
             Effect::PersistExclusions(excluded) => self.persist_exclusions(&excluded),
             Effect::AdminReply { admin_client, reply } => self.send_admin_reply(admin_client, reply),
-            Effect::Log(event) => log_event!(LogEvent::Reported { event: &event }),
+            Effect::Log(event) => crate::log!(info, "{event}"),
             Effect::Exit => self.request_exit(),
         }
     }
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -31,8 +31,6 @@
     ReloadFailed { error: &'a TransportError },
     /// A graceful shutdown is complete.
     ShutDown,
-    /// What the reducer reports.
-    Reported { event: &'a crate::routing::LogEvent },
     /// A connection cannot be accepted; this is logged once until one can be again.
     AcceptFailed { error: &'a io::Error },
     /// ReplicaMessage cannot be exchanged.
@@ -85,8 +83,7 @@
             | LogEvent::PlatformReconfigured { .. }
             | LogEvent::IrcListening { .. }
             | LogEvent::IrcReconfigured { .. }
-            | LogEvent::ShutDown
-            | LogEvent::Reported { .. } => Level::INFO,
+            | LogEvent::ShutDown => Level::INFO,
             LogEvent::AcceptFailed { .. }
             | LogEvent::GossipUnavailable { .. }
             | LogEvent::ReplicaMessageUnreadable { .. }
@@ -138,7 +135,6 @@
                 write!(formatter, "the old configuration stays in force: {error}")
             }
             LogEvent::ShutDown => write!(formatter, "shut down"),
-            LogEvent::Reported { event } => write!(formatter, "{event}"),
             LogEvent::AcceptFailed { error } => write!(formatter, "cannot accept connections: {error}"),
             LogEvent::GossipUnavailable { error } => {
                 write!(formatter, "no gossip with the tier's other balancers: {error}")
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,5 +1,5 @@
 //! Two events that cross, on real sockets: the daemon is stopped until both have happened, and both come to it in one
-//! wake-up. `docs/crossings.md` has a row for each.
+//! wake-up. `docs/races.md` has a row for each.
 
 mod fake_servers;
 
