--- a/src/lib.rs
+++ b/src/lib.rs
@@ -77,19 +77,14 @@
 //! assert!(!balancer.is_tracked(request));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 // The daemon's layers. The decision module depends on none of them; see `docs/design.md`.
 pub mod peers;
-#[allow(missing_docs)]
 pub mod program;
-#[allow(missing_docs)]
 pub mod protocol;
-#[allow(missing_docs)]
 pub mod rebalance;
-#[allow(missing_docs)]
 pub mod routing;
-#[allow(missing_docs)]
 pub mod transport;
 
 mod connection_size;
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -85,8 +85,8 @@
     #[argh(option)]
     config: PathBuf,
     /// front that takes the flows: platform or irc (default: platform)
-    #[argh(option, default = "transport::Which::Platform")]
-    front: transport::Which,
+    #[argh(option, default = "transport::FrontKind::Platform")]
+    front: transport::FrontKind,
     /// port that the flows went to (default: the one that the front listens on)
     #[argh(option)]
     port: Option<u16>,
@@ -215,8 +215,8 @@
 
 fn replay(options: Replay) -> Result<(), CommandError> {
     let config = match options.front {
-        transport::Which::Platform => config::read_config(Some(&options.config), None, None)?,
-        transport::Which::Irc => config::read_config(None, Some(&options.config), None)?,
+        transport::FrontKind::Platform => config::read_config(Some(&options.config), None, None)?,
+        transport::FrontKind::Irc => config::read_config(None, Some(&options.config), None)?,
     };
     Ok(transport::replay(&options.file, config, options.front, options.port)?)
 }
--- a/src/program/config/limits.rs
+++ b/src/program/config/limits.rs
@@ -1,13 +1,13 @@
 //! The resources of the process, and how they are divided.
 
 use crate::protocol::json::{DecodeError, JsonNode};
-use crate::routing::{Budget, MOST_PROBES};
-use crate::transport::MOST_CALLERS;
+use crate::routing::{Budget, MAX_PROBES};
+use crate::transport::MAX_ADMIN_CLIENTS;
 
 /// Descriptors that are not connections: listeners, discovery, the log and what the runtime needs.
 const RESERVED_SOCKETS: usize = 20;
 /// Descriptors of the admin endpoint: its listener, its clients, and one more client before the oldest is closed.
-const ADMIN_SOCKETS: usize = MOST_CALLERS + 2;
+const ADMIN_SOCKETS: usize = MAX_ADMIN_CLIENTS + 2;
 const MIN_SOCKETS: usize = 64;
 /// The most descriptors that are used of those that the system grants.
 const MAX_DEFAULT_SOCKETS: u64 = 1 << 20;
@@ -63,7 +63,7 @@
     /// endpoint and the health checks of servers, where there are any, have descriptors of their own.
     pub fn budget(self, has_admin_endpoint: bool, has_probes: bool) -> Budget {
         let admin_sockets = if has_admin_endpoint { ADMIN_SOCKETS } else { 0 };
-        let probe_sockets = if has_probes { MOST_PROBES } else { 0 };
+        let probe_sockets = if has_probes { MAX_PROBES } else { 0 };
         let free_sockets = self.sockets - (RESERVED_SOCKETS + admin_sockets + probe_sockets);
         let buffer_memory = (self.memory_mb << 20) / 2;
         let max_buffers = buffer_memory / MIN_BUFFER_BYTES;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -36,8 +36,6 @@
 mod probes;
 mod replication;
 mod shutdown;
-// Not all of its items are documented yet.
-#[allow(missing_docs)]
 pub mod store;
 mod timers;
 
@@ -61,7 +59,7 @@
 pub use metrics::{ClassCounters, Metrics};
 pub use outcome::{Answer, AttemptOutcome};
 pub use pool_config::{Budget, PoolConfig, ReplicationConfig};
-pub use probes::{ProbeEnd, MOST_PROBES};
+pub use probes::{ProbeEnd, MAX_PROBES};
 
 use crate::Time;
 
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -7,7 +7,7 @@
 use crate::{Event, LoadReport, Micros, Outcome, ServerId, Settings, Time};
 
 /// Connections for probes, in flight and kept open for the next: descriptors are reserved for them.
-pub const MOST_PROBES: usize = 16;
+pub const MAX_PROBES: usize = 16;
 /// Without a set-up objective, an answer may take this many times as long as a connect may.
 const ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS: Micros = 4;
 
@@ -44,7 +44,7 @@
     /// Notes that a process is probed; false if that must not be. One that has not answered the last probe yet is
     /// not probed again: it is busy enough.
     fn begin(&mut self, probed: Incarnation) -> bool {
-        let may_begin = self.in_flight.len() < MOST_PROBES
+        let may_begin = self.in_flight.len() < MAX_PROBES
             && !self.in_flight.contains_key(&probed.server)
             && !self.declined.contains(&probed);
         if may_begin {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -26,7 +26,7 @@
 mod replay;
 
 pub use admin_client::{call_admin_endpoint, write_store_entry, ClientError};
-pub use admin_server::MAX_ADMIN_CLIENTS as MOST_CALLERS;
+pub use admin_server::MAX_ADMIN_CLIENTS;
 pub use daemon::{serve, RecordingConfig};
 pub use error::TransportError;
-pub use replay::{replay, FrontKind as Which, ReplayError, UnknownFront};
+pub use replay::{replay, FrontKind, ReplayError, UnknownFront};
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -15,7 +15,7 @@
 use super::driver::Driver;
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::protocol::{platform, MAX_LINE_LENGTH};
-use crate::routing::{Input, ProbeEnd, MOST_PROBES};
+use crate::routing::{Input, ProbeEnd, MAX_PROBES};
 use crate::ServerId;
 
 /// How long a connection that has carried a probe is cached: servers close idle ones sooner or later.
@@ -57,7 +57,7 @@
                 in_flight.spawn_local(carry_out_probe(driver.clone(), command, cached));
             }
             Some(done) = in_flight.join_next() => {
-                let has_room = cache.len() + in_flight.len() < MOST_PROBES;
+                let has_room = cache.len() + in_flight.len() < MAX_PROBES;
                 if let (Ok(Some((target, stream))), true) = (done, has_room) {
                     cache.insert(target, CachedConnection { stream, cached_at: Instant::now() });
                 }
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -100,8 +100,8 @@
 /// Requests a connection, and returns the answer as well.
 fn request_connection(daemon: &Daemon, n: usize, more: &str) -> (Client, String) {
     let mut client = Client::connect(&daemon.platform);
-    client.say(&format!("OPEN id{n}{} key{n} c=chat,d=3000{more}", more.len()));
-    let up = client.line();
+    client.send_line(&format!("OPEN id{n}{} key{n} c=chat,d=3000{more}", more.len()));
+    let up = client.read_line();
     (client, up)
 }
 
@@ -122,7 +122,7 @@
         std::thread::spawn(move || {
             let mut client = client;
             loop {
-                match client.line().as_str() {
+                match client.read_line().as_str() {
                     "" => return,
                     "MOVE" => {
                         // The test may have ended: it waits for the first migration only.
@@ -146,8 +146,8 @@
     let n = migrated.expect("a client is migrated");
     let (mut client, up) = request_connection(&daemon, n, ",again=1");
     assert_eq!(up, "UP fresh");
-    client.say("hello");
-    client.expect("hello");
+    client.send_line("hello");
+    client.expect_line("hello");
     let metrics = daemon.admin_call("telemetry");
     assert!(metrics.contains("edge_node.rebalance.platform.returned:1|c"), "{metrics}");
     let _ = std::fs::remove_file(file);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 
 use connection_balancer::protocol::admin;
 use connection_balancer::routing::*;
-use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
+use fake_servers::{irc_config, wait_until, Client, Daemon, Behaviour, Server};
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness};
 
@@ -390,14 +390,14 @@
 
 /// A daemon with an IRC front and one server.
 fn start_daemon(more: &str) -> Daemon {
-    let server = Server::start(Manner::Welcome);
+    let server = Server::start(Behaviour::Welcome);
     Daemon::start(&irc_config(&[&server], more), None)
 }
 
 fn admin_call(mgmt: &str, call: &str) -> String {
     let mut admin_client = Client::connect(mgmt);
-    admin_client.say(call);
-    admin_client.rest()
+    admin_client.send_line(call);
+    admin_client.read_to_end()
 }
 
 /// Some clients send nothing, or half of a call, and stay connected; and they may be many.
@@ -412,7 +412,7 @@
     assert_eq!(admin_call(&daemon.mgmt, "readyz"), "YES\r\n");
     assert!(admin_call(&daemon.mgmt, "telemetry").ends_with("END\r\n"));
     for admin_client in &mut silent_clients {
-        let reply = admin_client.rest();
+        let reply = admin_client.read_to_end();
         assert!(reply.is_empty() || reply.starts_with("NO "), "{reply}");
     }
 }
@@ -429,18 +429,18 @@
         admin_client.stream.write_all(piece.as_bytes()).expect("written");
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    assert_eq!(admin_client.rest(), "YES\r\n");
+    assert_eq!(admin_client.read_to_end(), "YES\r\n");
     // A line that was cut off may have been the start of another call.
     let mut admin_client = Client::connect(&daemon.mgmt);
     admin_client.stream.write_all(b"readyz").expect("written");
     admin_client.stream.shutdown(Shutdown::Write).expect("ended");
-    assert!(admin_client.rest().starts_with("NO "));
+    assert!(admin_client.read_to_end().starts_with("NO "));
 }
 
 #[test]
 fn reload_moves_the_admin_endpoint() {
     let daemon = start_daemon("");
-    let server = Server::start(Manner::Welcome);
+    let server = Server::start(Behaviour::Welcome);
     let reload = |mgmt: &str| {
         daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
     };
@@ -448,9 +448,9 @@
     let line = daemon.log_line("admin endpoint open on 127.0.0.2:");
     let new_address = line.rsplit(' ').next().expect("an address");
     assert_eq!(admin_call(new_address, "readyz"), "YES\r\n");
-    until("the old endpoint is closed", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
+    wait_until("the old endpoint is closed", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
     reload("");
-    until("no endpoint is left", || std::net::TcpStream::connect(new_address).is_err());
+    wait_until("no endpoint is left", || std::net::TcpStream::connect(new_address).is_err());
 }
 
 /// As JSON, each line is one object; the levels are followed by module.
@@ -464,5 +464,5 @@
     let event = simd_json::to_owned_value(&mut bytes).unwrap_or_else(|e| panic!("{line}: {e}"));
     let event = format!("{event:?}");
     assert!(event.contains("INFO") && event.contains("connection_balancer::transport"), "{event}");
-    assert!(daemon.exited());
+    assert!(daemon.wait_for_exit());
 }
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -9,7 +9,7 @@
 use connection_balancer::protocol::flows::{self, FlowEnd};
 use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
 use etherparse::PacketBuilder;
-use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
+use fake_servers::{irc_config, wait_until, Client, Daemon, Behaviour, Server};
 use proptest::prelude::*;
 
 /// A file with one packet, in this byte order, with this magic number, link type and fraction of a second.
@@ -230,7 +230,7 @@
 
 #[test]
 fn replay_reads_what_serve_records() {
-    let server = Server::start(Manner::Welcome);
+    let server = Server::start(Behaviour::Welcome);
     let folder = std::env::temp_dir().join(format!("connection-balancer-replay-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (capture, config) = (folder.join("front.pcap"), folder.join("irc.json"));
@@ -239,17 +239,17 @@
     let port = daemon.irc.rsplit(':').next().unwrap().to_owned();
     for nick in ["pia", "quinn"] {
         let mut client = Client::register(&daemon.irc, nick);
-        client.expect("001");
-        client.say("PRIVMSG #a :recorded");
-        client.expect("PRIVMSG #a :recorded");
-        client.say("QUIT");
-        client.rest();
+        client.expect_line("001");
+        client.send_line("PRIVMSG #a :recorded");
+        client.expect_line("PRIVMSG #a :recorded");
+        client.send_line("QUIT");
+        client.read_to_end();
     }
     drop(Client::connect(&daemon.irc));
     let flows = |bytes: &[u8]| {
         flows::reassemble_flows(&pcap::read_segments(bytes).expect("valid"), port.parse().unwrap())
     };
-    until("three flows are recorded and ended", || {
+    wait_until("three flows are recorded and ended", || {
         let flows = flows(&std::fs::read(&capture).unwrap());
         flows.len() == 3 && flows.iter().all(|flow| flow.end.is_some())
     });
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -7,7 +7,7 @@
 use connection_balancer::protocol::gossip;
 use connection_balancer::routing::store::{Entry, ReplicaMessage, ReplicatedMap};
 use connection_balancer::routing::LogEvent;
-use fake_servers::{until, Client, Daemon, Manner, Server};
+use fake_servers::{wait_until, Client, Daemon, Behaviour, Server};
 use proptest::prelude::*;
 
 fn entries_of(store: &ReplicatedMap) -> BTreeMap<String, Entry> {
@@ -126,7 +126,7 @@
 
 #[test]
 fn shares_an_exclusion_with_the_other_daemon_and_keeps_it_over_a_restart() {
-    let server = Server::start(Manner::Welcome);
+    let server = Server::start(Behaviour::Welcome);
     // Loopback addresses that no other process uses: daemons have to know each other's beforehand.
     let id = std::process::id();
     let store = |n: u32| format!("127.{}.{}.{n}:7946", 1 + id / 256 % 250, id % 256);
@@ -145,9 +145,9 @@
     let first = Daemon::start(&kept, None);
     let second = Daemon::start(&config(2, 1, ""), None);
     let mut client = Client::register(&second.irc, "rosa");
-    client.expect("001 rosa");
+    client.expect_line("001 rosa");
     first.exclude("irc-0");
-    client.expect(" 010 rosa ");
+    client.expect_line(" 010 rosa ");
     Client::register(&first.irc, "rosa").expect(" 263 rosa ");
     // The one with a data folder restores it; the other receives it from there.
     drop(first);
@@ -160,7 +160,7 @@
         node: "n1".to_owned(),
     };
     second.log_line(&stored.to_string());
-    Client::register(&second.irc, "rosa").expect(" 263 rosa ");
-    until("the folder is there", || data.join("store.journal").exists());
+    Client::register(&second.irc, "rosa").expect_line(" 263 rosa ");
+    wait_until("the folder is there", || data.join("store.journal").exists());
     let _ = std::fs::remove_dir_all(&data);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -16,7 +16,7 @@
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
-use fake_servers::{irc_config, until, Client, Daemon, Manner, Server};
+use fake_servers::{irc_config, wait_until, Client, Daemon, Behaviour, Server};
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness, SERVERS};
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
@@ -564,7 +564,7 @@
 /// A client that requests a connection at the platform front.
 fn connect_platform_client(daemon: &Daemon, id: u32) -> Client {
     let mut client = Client::connect(&daemon.platform);
-    client.say(&format!("OPEN {id} 7f3a c=chat,d=9000"));
+    client.send_line(&format!("OPEN {id} 7f3a c=chat,d=9000"));
     client
 }
 
@@ -577,32 +577,32 @@
 /// No client notices, and the exclusions are handed over.
 #[test]
 fn keeps_clients_of_both_fronts_through_two_hot_restarts() {
-    let irc = Server::start(Manner::Welcome);
+    let irc = Server::start(Behaviour::Welcome);
     let mut old = Daemon::start(&irc_config(&[&irc], ""), Some(&platform_config()));
-    until("the old one is ready", || old.admin_call("readyz") == "YES\r\n");
+    wait_until("the old one is ready", || old.admin_call("readyz") == "YES\r\n");
     assert_eq!(old.admin_call("exclude s-00000002"), "YES\r\n");
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..8 {
         // One after the other: each one that a server takes without a fault raises its ceiling for the next.
         clients.push(connect_platform_client(&old, n));
-        assert_eq!(clients[n as usize].line(), "UP 1");
+        assert_eq!(clients[n as usize].read_line(), "UP 1");
     }
     let mut irc_client = Client::register(&old.irc, "olga");
-    irc_client.expect("001 olga");
+    irc_client.expect_line("001 olga");
     // One is in the middle of a line, and has to wait for its end.
     clients[0].stream.write_all(b"half").expect("written");
     std::thread::sleep(Duration::from_millis(50));
     let mut gone = Vec::new();
     for round in 1..3 {
-        let new = old.beside();
+        let new = old.start_successor();
         assert_eq!((&new.platform, &new.irc), (&old.platform, &old.irc), "one queue");
-        until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
+        wait_until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
         if round == 1 {
-            until("all but one are there", || outstanding(&new) == 8);
-            clients[0].say(" and half");
-            assert_eq!(clients[0].line(), "half and half");
+            wait_until("all but one are there", || outstanding(&new) == 8);
+            clients[0].send_line(" and half");
+            assert_eq!(clients[0].read_line(), "half and half");
         }
-        until("all are there", || outstanding(&new) == 9);
+        wait_until("all are there", || outstanding(&new) == 9);
         // While both processes run, a call at either takes effect at both.
         assert_eq!(old.admin_call("include s-00000002"), "YES\r\n");
         assert!(new.admin_call("telemetry").contains("ejected:0|g"));
@@ -610,22 +610,22 @@
         assert!(old.admin_call("telemetry").contains("ejected:1|g"));
         let since = Instant::now();
         old.signal("-TERM");
-        assert!(old.exited());
+        assert!(old.wait_for_exit());
         assert!(since.elapsed() < Duration::from_secs(3), "with no connection it may exit at once");
         // Dropped now, it would remove the folder that all of them share.
         gone.push(std::mem::replace(&mut old, new));
         for (n, client) in clients.iter_mut().enumerate() {
-            client.say(&format!("M {n}"));
-            assert_eq!(client.line(), format!("M {n}"));
+            client.send_line(&format!("M {n}"));
+            assert_eq!(client.read_line(), format!("M {n}"));
         }
-        irc_client.say("PRIVMSG #a :still there");
-        irc_client.expect("still there");
-        assert_eq!(connect_platform_client(&old, 100 + round).line(), "UP 1");
+        irc_client.send_line("PRIVMSG #a :still there");
+        irc_client.expect_line("still there");
+        assert_eq!(connect_platform_client(&old, 100 + round).read_line(), "UP 1");
     }
     assert!(old.admin_call("telemetry").contains("ejected:1|g"), "excluded after two hot restarts");
     old.signal("-TERM");
-    clients.iter_mut().for_each(|client| assert_eq!(client.rest(), "MOVE\r\n"));
-    irc_client.expect(" 010 olga ");
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_to_end(), "MOVE\r\n"));
+    irc_client.expect_line(" 010 olga ");
 }
 
 #[test]
@@ -634,15 +634,15 @@
         // With a replicated map, the exclusions would be kept there.
         let store = r#""store": {"node": "n1", "listen": "127.0.0.1:0"}, "#;
         let old = Daemon::start(&irc_config(&[], "").replace(store, ""), Some(&platform_config()));
-        until("it is ready", || old.admin_call("readyz") == "YES\r\n");
+        wait_until("it is ready", || old.admin_call("readyz") == "YES\r\n");
         assert_eq!(old.admin_call("exclude s-00000001"), "YES\r\n");
         old.signal(signal);
         let since = Instant::now();
-        let new = old.beside();
-        until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
+        let new = old.start_successor();
+        wait_until("the new one is ready", || new.admin_call("readyz") == "YES\r\n");
         assert!(since.elapsed() < Duration::from_secs(6), "{signal}: ready after {:?}", since.elapsed());
         assert!(new.admin_call("telemetry").contains("ejected:1|g"), "{signal}: the exclusion is lost");
-        assert_eq!(connect_platform_client(&new, 1).line(), "UP 1");
+        assert_eq!(connect_platform_client(&new, 1).read_line(), "UP 1");
         if signal == "-STOP" {
             old.signal("-CONT");
         }
@@ -662,9 +662,9 @@
 #[test]
 fn goes_on_serving_when_a_successor_exits_hangs_or_sends_invalid_messages() {
     let old = Daemon::start(&irc_config(&[], ""), Some(&platform_config()));
-    until("it is ready", || old.admin_call("readyz") == "YES\r\n");
+    wait_until("it is ready", || old.admin_call("readyz") == "YES\r\n");
     let mut established = connect_platform_client(&old, 0);
-    assert_eq!(established.line(), "UP 1");
+    assert_eq!(established.read_line(), "UP 1");
     let sent: [&[Vec<u8>]; 5] = [
         &[],
         &[b"GET / HTTP/1.1\r\n\r\n".to_vec()],
@@ -682,17 +682,17 @@
             old.log_line("hot restart given up: the successor does not serve in time");
         }
         drop(successor);
-        assert_eq!(connect_platform_client(&old, 1 + n as u32).line(), "UP 1", "after {n}");
+        assert_eq!(connect_platform_client(&old, 1 + n as u32).read_line(), "UP 1", "after {n}");
     }
-    established.say("M 1");
-    assert_eq!(established.line(), "M 1");
+    established.send_line("M 1");
+    assert_eq!(established.read_line(), "M 1");
     // Then a real successor starts.
-    let new = old.beside();
-    until("it is ready", || new.admin_call("readyz") == "YES\r\n");
-    established.say("M 2");
-    assert_eq!(established.line(), "M 2");
+    let new = old.start_successor();
+    wait_until("it is ready", || new.admin_call("readyz") == "YES\r\n");
+    established.send_line("M 2");
+    assert_eq!(established.read_line(), "M 2");
     drop(new);
     // Killed, it loses its clients; those that connect then are served by its predecessor.
     old.log_line(&LogEvent::SuccessorLost.to_string());
-    assert_eq!(connect_platform_client(&old, 50).line(), "UP 1");
+    assert_eq!(connect_platform_client(&old, 50).read_line(), "UP 1");
 }
