--- a/benches/restart/client.rs
+++ b/benches/restart/client.rs
@@ -15,7 +15,7 @@
 const RECONNECT_DELAY_MILLIS: std::ops::Range<u64> = 100..1300;
 
 /// Keeps a connection for its lifetime, then another; reconnects after a migration or a break.
-pub fn run_client(front: &str, n: usize, end: Instant) {
+pub(crate) fn run_client(front: &str, n: usize, end: Instant) {
     let mut rng = Pcg64Mcg::seed_from_u64(n as u64);
     let mut lifetime_end = Instant::now();
     let mut reconnecting = false;
--- a/benches/restart/daemon.rs
+++ b/benches/restart/daemon.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 
 /// The process, and the folder with its settings.
-pub struct Daemon {
+pub(crate) struct Daemon {
     process: Child,
     folder: PathBuf,
     /// The address that clients connect to.
@@ -15,7 +15,7 @@
 
 impl Daemon {
     /// Starts a daemon with this discovery service and initial endpoint list.
-    pub fn start(rebalance: bool, discovery: SocketAddr, endpoints: &str) -> Daemon {
+    pub(crate) fn start(rebalance: bool, discovery: SocketAddr, endpoints: &str) -> Daemon {
         let folder_name = format!("connection-balancer-restart-{}-{rebalance}", std::process::id());
         let folder = std::env::temp_dir().join(folder_name);
         write_settings(&folder, rebalance, discovery, endpoints);
@@ -35,7 +35,7 @@
     }
 
     /// Kills the process and removes its settings.
-    pub fn stop(&mut self) {
+    pub(crate) fn stop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/benches/restart/discovery.rs
+++ b/benches/restart/discovery.rs
@@ -13,7 +13,7 @@
 const FIRST_GENERATION: u64 = 1;
 
 /// The endpoint list with all servers that are up.
-pub fn endpoint_list(servers: &[Arc<FakeServer>], generation: u64) -> String {
+pub(crate) fn endpoint_list(servers: &[Arc<FakeServer>], generation: u64) -> String {
     let endpoints: Vec<String> =
         servers.iter().enumerate().filter_map(|(n, server)| endpoint(n, server)).collect();
     format!(r#"{{"generation": {generation}, "reset": true, "instances": [{}]}}"#, endpoints.join(","))
@@ -29,7 +29,7 @@
 }
 
 /// Starts a discovery service; its address.
-pub fn start_discovery(servers: Vec<Arc<FakeServer>>) -> SocketAddr {
+pub(crate) fn start_discovery(servers: Vec<Arc<FakeServer>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the listener's address");
     std::thread::spawn(move || {
--- a/benches/restart/fake_server.rs
+++ b/benches/restart/fake_server.rs
@@ -19,7 +19,7 @@
 
 /// A server at a port of this machine.
 #[derive(Default)]
-pub struct FakeServer {
+pub(crate) struct FakeServer {
     up: AtomicBool,
     address: Mutex<Option<SocketAddr>>,
     /// Unix time in milliseconds; 0 if it has run since before the bench.
@@ -33,33 +33,33 @@
 
 impl FakeServer {
     /// The address that it listens on, while it is up.
-    pub fn address(&self) -> Option<SocketAddr> {
+    pub(crate) fn address(&self) -> Option<SocketAddr> {
         *lock(&self.address)
     }
 
-    pub fn started_at_millis(&self) -> u128 {
+    pub(crate) fn started_at_millis(&self) -> u128 {
         *lock(&self.started_at_millis)
     }
 
     /// Notes that its process starts now.
-    pub fn record_start(&self) {
+    pub(crate) fn record_start(&self) {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH);
         *lock(&self.started_at_millis) = unix_time.map_or(0, |since| since.as_millis());
     }
 
     /// Number of established connections.
-    pub fn connections(&self) -> usize {
+    pub(crate) fn connections(&self) -> usize {
         lock(&self.streams).len()
     }
 
     /// The time of a message, which grows with the use of the capacity as in a queue.
-    pub fn message_millis(&self) -> f64 {
+    pub(crate) fn message_millis(&self) -> f64 {
         let used = self.connections() as f64 / CAPACITY;
         SERVICE_MILLIS / (1.0 - used.min(MAX_USE))
     }
 
     /// Listens on a new port.
-    pub fn start(self: &Arc<FakeServer>) {
+    pub(crate) fn start(self: &Arc<FakeServer>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         *lock(&self.address) = listener.local_addr().ok();
         self.up.store(true, Ordering::SeqCst);
@@ -91,7 +91,7 @@
     }
 
     /// Resets all connections and closes the port.
-    pub fn die(&self) {
+    pub(crate) fn die(&self) {
         self.up.store(false, Ordering::SeqCst);
         let address = lock(&self.address).take();
         let streams = std::mem::take(&mut *lock(&self.streams));
@@ -101,7 +101,7 @@
     }
 
     /// Reports the message time on one connection, if messages are slow.
-    pub fn report_message_time(&self) {
+    pub(crate) fn report_message_time(&self) {
         let millis = self.message_millis();
         if millis <= REPORTED_MILLIS {
             return;
--- a/simulation/src/commands/cost.rs
+++ b/simulation/src/commands/cost.rs
@@ -13,7 +13,7 @@
 /// CPU time of a reducer that only holds connections, with rebalancing off and on, in one run.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cost")]
-pub struct CostArgs {
+pub(crate) struct CostArgs {
     /// established connections (default: 10000)
     #[argh(option, default = "10000", long = "standing")]
     connections: usize,
@@ -23,7 +23,7 @@
 }
 
 /// Prints the cost; whether it is small.
-pub fn run_cost(args: &CostArgs) -> bool {
+pub(crate) fn run_cost(args: &CostArgs) -> bool {
     // The sides take turns, so that whatever else the machine does affects both.
     let (mut off, mut on) = (f64::INFINITY, f64::INFINITY);
     for _ in 0..ROUNDS {
--- a/simulation/src/commands/day.rs
+++ b/simulation/src/commands/day.rs
@@ -10,8 +10,8 @@
 /// One day, second by second.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "day")]
-pub struct DayArgs {
-    /// scenario, such as ServerRestart
+pub(crate) struct DayArgs {
+    /// scenario, such as `ServerRestart`
     #[argh(positional)]
     scenario: String,
     /// seed (default: 0)
@@ -30,7 +30,7 @@
 }
 
 /// Plays and prints a day; whether no invariant was violated.
-pub fn run_day(args: &DayArgs) -> bool {
+pub(crate) fn run_day(args: &DayArgs) -> bool {
     let Some(scenario) = find_scenario(&args.scenario) else {
         eprintln!("no scenario is called {}: one of {ALL_SCENARIOS:?} is wanted", args.scenario);
         return false;
--- a/simulation/src/commands/faults.rs
+++ b/simulation/src/commands/faults.rs
@@ -12,7 +12,7 @@
 /// Rebalancing off against on, for every scenario of faults.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "troubles")]
-pub struct FaultsArgs {
+pub(crate) struct FaultsArgs {
     /// pairs for each cell (default: 20)
     #[argh(option, default = "20")]
     seeds: u64,
@@ -52,7 +52,7 @@
 }
 
 /// Prints the table; whether rebalancing did no harm and violated no invariant.
-pub fn run_faults(args: &FaultsArgs) -> bool {
+pub(crate) fn run_faults(args: &FaultsArgs) -> bool {
     let jobs = faults_jobs(args);
     let comparisons = map_parallel(&jobs, |FaultsJob { deployment, scenario }| {
         let rebalancing = with_rebalancing(deployment, args.max_moves_per_s);
--- a/simulation/src/commands/grid.rs
+++ b/simulation/src/commands/grid.rs
@@ -15,7 +15,7 @@
 /// Rebalancing off against on, over all cells of rate, store, scenario and groups, as a table.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "grid")]
-pub struct GridArgs {
+pub(crate) struct GridArgs {
     /// pairs for each cell (default: 20)
     #[argh(option, default = "20")]
     seeds: u64,
@@ -44,7 +44,7 @@
 }
 
 /// Prints the grid; whether rebalancing did no harm and violated no invariant.
-pub fn run_grid(args: &GridArgs) -> bool {
+pub(crate) fn run_grid(args: &GridArgs) -> bool {
     let seeds = args.first_seed..args.first_seed + args.seeds;
     let jobs = grid_jobs();
     let comparisons = map_parallel(&jobs, |GridJob { deployment, scenario, store }| {
--- a/simulation/src/commands/mod.rs
+++ b/simulation/src/commands/mod.rs
@@ -8,8 +8,8 @@
 mod settle;
 mod table;
 
-pub use cost::{run_cost, CostArgs};
-pub use day::{run_day, DayArgs};
-pub use faults::{run_faults, FaultsArgs};
-pub use grid::{run_grid, GridArgs};
-pub use settle::{run_settle, SettleArgs};
+pub(crate) use cost::{run_cost, CostArgs};
+pub(crate) use day::{run_day, DayArgs};
+pub(crate) use faults::{run_faults, FaultsArgs};
+pub(crate) use grid::{run_grid, GridArgs};
+pub(crate) use settle::{run_settle, SettleArgs};
--- a/simulation/src/commands/parallel.rs
+++ b/simulation/src/commands/parallel.rs
@@ -10,7 +10,7 @@
 }
 
 /// Runs `work` on each job; the results in the order of the jobs.
-pub fn map_parallel<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
+pub(super) fn map_parallel<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let done = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
--- a/simulation/src/commands/settle.rs
+++ b/simulation/src/commands/settle.rs
@@ -19,7 +19,7 @@
 /// Seconds from the last return of a server until load is even again, off and on.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settle")]
-pub struct SettleArgs {
+pub(crate) struct SettleArgs {
     /// pairs for each scenario (default: 60)
     #[argh(option, default = "60")]
     seeds: u64,
@@ -50,7 +50,7 @@
 }
 
 /// Prints the table.
-pub fn run_settle(args: &SettleArgs) -> bool {
+pub(crate) fn run_settle(args: &SettleArgs) -> bool {
     println!("| scenario | worst over mean as before, off | on | lightest at half the mean, off | on |");
     println!("| --- | --- | --- | --- | --- |");
     for job in SETTLE_JOBS {
--- a/simulation/src/commands/table.rs
+++ b/simulation/src/commands/table.rs
@@ -5,12 +5,12 @@
 /// Violations that are printed for each comparison.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
-pub fn print_header() {
+pub(super) fn print_header() {
     println!("| cell | served value off | gain | noise | moves a day | per 1,000 connection-minutes | |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
 }
 
-pub fn print_row(name: &str, comparison: &Comparison) {
+pub(super) fn print_row(name: &str, comparison: &Comparison) {
     println!(
         "| {name} | {:.4} | {:+.4} | {:.4} | {:.1} | {:.2} | {} |",
         comparison.off,
--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -143,7 +143,7 @@
             Event::ClientLeaves { client } => self.remove_client(client),
             Event::AttemptArrives(attempt) => self.accept_attempt(attempt),
             Event::SetupCompletes { attempt, server_incarnation } => {
-                self.complete_setup(attempt, server_incarnation)
+                self.complete_setup(attempt, server_incarnation);
             }
             Event::TimerDue(balancer) => self.fire_timer(balancer),
             Event::EndpointListArrives(balancer) => {
@@ -195,7 +195,7 @@
                 self.schedule(self.now + NETWORK_DELAY, Event::AttemptArrives(attempt));
             }
             Effect::CloseAttempt { connection } => {
-                self.close_attempt(self.balancers[balancer].connection_ref(balancer, connection))
+                self.close_attempt(self.balancers[balancer].connection_ref(balancer, connection));
             }
             Effect::Answer { connection, answer } => self.answer_client(balancer, connection, answer),
             // Endpoints are asked for once at the start, and sent whenever they change.
--- a/src/bin/simulator-adapter/adapter.rs
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -10,7 +10,7 @@
 
 /// Passes messages to the instances and prints their actions.
 #[derive(Default)]
-pub struct Adapter {
+pub(crate) struct Adapter {
     now: Time,
     instances: BTreeMap<u32, Instance>,
     /// The instance that messages are for.
@@ -25,7 +25,7 @@
 
 impl Adapter {
     /// Takes in a message and appends what it leads to to the reply.
-    pub fn handle_message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) {
+    pub(crate) fn handle_message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) {
         match message {
             Message::FrameStarted(now) => self.now = now,
             Message::FrameEnded => {
--- a/src/bin/simulator-adapter/configuration.rs
+++ b/src/bin/simulator-adapter/configuration.rs
@@ -17,7 +17,7 @@
 
 /// The settings of an instance, with the names for what the decision module numbers.
 #[derive(Default)]
-pub struct InstanceConfig {
+pub(crate) struct InstanceConfig {
     pub settings: Settings,
     pub zones: Vec<String>,
     pub classes: Vec<String>,
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// If a value is unreadable. Unknown settings are ignored, missing ones have their defaults.
-pub fn parse(line: &Line<'_>) -> Result<InstanceConfig, MalformedField> {
+pub(crate) fn parse(line: &Line<'_>) -> Result<InstanceConfig, MalformedField> {
     let reader = SettingsReader::new(line);
     let zones = reader.list("zones");
     let zone = zones.iter().position(|zone| Some(zone.as_str()) == reader.text("zone")).unwrap_or(0);
--- a/src/bin/simulator-adapter/instance.rs
+++ b/src/bin/simulator-adapter/instance.rs
@@ -16,7 +16,7 @@
 const UNKNOWN_NUMBER: u16 = u16::MAX;
 
 /// A balancer, its configuration, and the numbers of its requests.
-pub struct Instance {
+pub(crate) struct Instance {
     balancer: Balancer,
     config: InstanceConfig,
     request_ids: FxHashMap<Rc<str>, RequestId>,
@@ -30,7 +30,7 @@
 }
 
 impl Instance {
-    pub fn start(now: Time, config: InstanceConfig, seed: u64) -> Instance {
+    pub(crate) fn start(now: Time, config: InstanceConfig, seed: u64) -> Instance {
         Instance {
             balancer: Balancer::new(config.settings.clone(), seed, now),
             config,
@@ -41,12 +41,12 @@
     }
 
     /// The protocol's name of a request.
-    pub fn request_name(&self, request: RequestId) -> &str {
+    pub(crate) fn request_name(&self, request: RequestId) -> &str {
         self.request_names.get(&request).map_or("", |name| name)
     }
 
     /// Notifies the balancer of an event and adds its actions; the request that the event concerns.
-    pub fn handle_event(
+    pub(crate) fn handle_event(
         &mut self,
         now: Time,
         event: InstanceEvent<'_>,
@@ -152,7 +152,7 @@
     }
 
     /// Drops the name of a request that the balancer no longer tracks.
-    pub fn forget_untracked(&mut self, request: RequestId) {
+    pub(crate) fn forget_untracked(&mut self, request: RequestId) {
         if self.balancer.is_tracked(request) {
             return;
         }
--- a/src/bin/simulator-adapter/line.rs
+++ b/src/bin/simulator-adapter/line.rs
@@ -9,7 +9,7 @@
 
 /// A field that a message needs and that cannot be had.
 #[derive(Debug, Error, PartialEq)]
-pub enum MalformedField {
+pub(crate) enum MalformedField {
     /// Its value cannot be parsed.
     #[error("{message}: cannot read field '{field}' from '{value}'")]
     Unreadable { message: String, field: String, value: String },
@@ -20,7 +20,7 @@
 
 impl MalformedField {
     /// The error for a field of a message, which holds this value if it is there.
-    pub fn new(message: &str, field: &str, value: Option<&str>) -> MalformedField {
+    pub(crate) fn new(message: &str, field: &str, value: Option<&str>) -> MalformedField {
         let (message, field) = (message.to_owned(), field.to_owned());
         match value {
             Some(value) => MalformedField::Unreadable { message, field, value: value.to_owned() },
@@ -31,13 +31,13 @@
 
 /// A field's name and its value.
 #[derive(Clone, Copy, Default)]
-pub struct Field<'a> {
+pub(crate) struct Field<'a> {
     pub name: &'a str,
     pub value: &'a str,
 }
 
 /// One line, split into its message name and fields without copying.
-pub struct Line<'a> {
+pub(crate) struct Line<'a> {
     pub message: &'a str,
     rest: &'a str,
     fields: [Field<'a>; MAX_FIELDS],
@@ -45,7 +45,7 @@
 }
 
 impl<'a> Line<'a> {
-    pub fn split(text: &'a str) -> Line<'a> {
+    pub(crate) fn split(text: &'a str) -> Line<'a> {
         let (message, rest) = text.split_once(FIELD_SEPARATOR).unwrap_or((text, ""));
         let mut line = Line { message, rest, fields: [Field::default(); MAX_FIELDS], count: 0 };
         for (slot, field) in line.fields.iter_mut().zip(split_fields(rest)) {
@@ -56,22 +56,22 @@
     }
 
     /// All fields, however many there are.
-    pub fn all_fields(&self) -> impl Iterator<Item = Field<'a>> {
+    pub(crate) fn all_fields(&self) -> impl Iterator<Item = Field<'a>> {
         split_fields(self.rest)
     }
 
     /// A field's value.
-    pub fn text(&self, name: &str) -> Option<&'a str> {
+    pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
         self.fields[..self.count].iter().find(|field| field.name == name).map(|field| field.value)
     }
 
     /// The error for a field.
-    pub fn malformed(&self, name: &str) -> MalformedField {
+    pub(crate) fn malformed(&self, name: &str) -> MalformedField {
         MalformedField::new(self.message, name, self.text(name))
     }
 
     /// Parses a field that may be missing, but not unreadable.
-    pub fn optional<T>(
+    pub(crate) fn optional<T>(
         &self,
         name: &str,
         parse: impl FnOnce(&'a str) -> Option<T>,
@@ -80,7 +80,7 @@
     }
 
     /// Parses a field that has to be there.
-    pub fn required<T>(
+    pub(crate) fn required<T>(
         &self,
         name: &str,
         parse: impl FnOnce(&'a str) -> Option<T>,
--- a/src/bin/simulator-adapter/message.rs
+++ b/src/bin/simulator-adapter/message.rs
@@ -9,7 +9,7 @@
 use crate::values::{parse_decimal, parse_flag, parse_number, parse_outcome, parse_span, parse_time};
 
 /// Endpoint sets are numbered from 0 to one less than this.
-pub const MAX_ENDPOINT_SETS: usize = 16;
+pub(crate) const MAX_ENDPOINT_SETS: usize = 16;
 /// The message of a connection that was open before the start.
 const INHERITED: &str = "INHERITED";
 /// The tenant of requests without one.
@@ -19,7 +19,7 @@
 const TOPIC_MESSAGE_TIME: u32 = 2;
 
 /// A message. Names of zones, classes, tenants and requests are resolved by the instance that it is for.
-pub enum Message<'a> {
+pub(crate) enum Message<'a> {
     /// A frame of messages starts at this time.
     FrameStarted(Time),
     /// It ends: the reply is due.
@@ -41,7 +41,7 @@
 }
 
 /// Something that an instance's balancer is notified of.
-pub enum InstanceEvent<'a> {
+pub(crate) enum InstanceEvent<'a> {
     /// Endpoints are received, or cannot be had.
     EndpointsSynced(EndpointSync),
     /// A request arrives, or a connection is open at the start.
@@ -56,7 +56,7 @@
 
 /// What an instance receives of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum EndpointSync {
+pub(crate) enum EndpointSync {
     /// This set is the whole list.
     Whole { set: usize },
     /// This set holds the changed entries.
@@ -66,13 +66,13 @@
 }
 
 /// An endpoint whose zone is still a name.
-pub struct ZonedEntry {
+pub(crate) struct ZonedEntry {
     pub zone: String,
     pub entry: EndpointEntry,
 }
 
 /// A request as it arrives.
-pub struct RequestArrival<'a> {
+pub(crate) struct RequestArrival<'a> {
     pub request: &'a str,
     pub class: &'a str,
     pub tenant: Option<&'a str>,
@@ -85,7 +85,7 @@
 }
 
 /// What happens to a request.
-pub enum RequestProgress {
+pub(crate) enum RequestProgress {
     /// An attempt has established the connection.
     Established { attempt: u32 },
     /// A measurement; none if its topic is unknown.
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// If a field is missing or unreadable.
-pub fn parse<'a>(line: &Line<'a>) -> Result<Message<'a>, MalformedField> {
+pub(crate) fn parse<'a>(line: &Line<'a>) -> Result<Message<'a>, MalformedField> {
     Ok(match line.message {
         "FRAME" => Message::FrameStarted(line.required("t", parse_time)?),
         "OVER_TO_YOU" => Message::FrameEnded,
@@ -210,7 +210,7 @@
 }
 
 /// A load report, if it holds the utilisation under the first known of `utilisation_fields`.
-pub fn parse_load_report(text: &str, utilisation_fields: &[&str]) -> Option<LoadReport> {
+pub(crate) fn parse_load_report(text: &str, utilisation_fields: &[&str]) -> Option<LoadReport> {
     let value = |name: &str| {
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once(':'));
         pairs.find(|(key, _)| *key == name).and_then(|(_, value)| parse_decimal(value))
--- a/src/bin/simulator-adapter/reply.rs
+++ b/src/bin/simulator-adapter/reply.rs
@@ -7,18 +7,18 @@
 use crate::values::Millis;
 
 /// The actions that follow in the reply are this instance's.
-pub fn print_speaker(out: &mut Vec<u8>, instance: u32) {
+pub(crate) fn print_speaker(out: &mut Vec<u8>, instance: u32) {
     // Writing to memory cannot fail.
     let _ = writeln!(out, "SPEAKING\ti={instance}");
 }
 
 /// The reply is complete.
-pub fn print_end(out: &mut Vec<u8>) {
+pub(crate) fn print_end(out: &mut Vec<u8>) {
     out.extend_from_slice(b"EOR\n");
 }
 
 /// Prints an action; `name` gives the protocol's name of a request.
-pub fn print_action<'a>(out: &mut Vec<u8>, action: &Action, name: impl Fn(RequestId) -> &'a str) {
+pub(crate) fn print_action<'a>(out: &mut Vec<u8>, action: &Action, name: impl Fn(RequestId) -> &'a str) {
     // Writing to memory cannot fail.
     let _ = match action {
         Action::StartAttempt { request, server, timeout, .. } => {
--- a/src/bin/simulator-adapter/values.rs
+++ b/src/bin/simulator-adapter/values.rs
@@ -9,26 +9,26 @@
 /// Spans of time have to be below this, in milliseconds.
 const SPAN_LIMIT_MILLIS: f64 = 1e15;
 
-pub fn parse_number<T: FromStr>(text: &str) -> Option<T> {
+pub(crate) fn parse_number<T: FromStr>(text: &str) -> Option<T> {
     text.parse().ok()
 }
 
 /// A finite number.
-pub fn parse_decimal(text: &str) -> Option<f64> {
+pub(crate) fn parse_decimal(text: &str) -> Option<f64> {
     text.parse().ok().filter(|value: &f64| value.is_finite())
 }
 
 /// Milliseconds with a fraction, as whole microseconds.
-pub fn parse_span(text: &str) -> Option<Micros> {
+pub(crate) fn parse_span(text: &str) -> Option<Micros> {
     let millis = parse_decimal(text).filter(|millis| (0.0..SPAN_LIMIT_MILLIS).contains(millis))?;
     Some((millis * MICROS_PER_MILLI as f64).round() as Micros)
 }
 
-pub fn parse_time(text: &str) -> Option<Time> {
+pub(crate) fn parse_time(text: &str) -> Option<Time> {
     parse_span(text).map(Time)
 }
 
-pub fn parse_flag(text: &str) -> Option<bool> {
+pub(crate) fn parse_flag(text: &str) -> Option<bool> {
     match text {
         "1" | "true" => Some(true),
         "0" | "false" => Some(false),
@@ -36,7 +36,7 @@
     }
 }
 
-pub fn parse_outcome(text: &str) -> Option<Outcome> {
+pub(crate) fn parse_outcome(text: &str) -> Option<Outcome> {
     Some(match text {
         "0" => Outcome::Error,
         "1" => Outcome::Ok,
@@ -51,7 +51,7 @@
 }
 
 /// A span of time, printed as milliseconds.
-pub struct Millis(pub Micros);
+pub(crate) struct Millis(pub Micros);
 
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -118,22 +118,22 @@
             Event::RequestArrived { request, class, group, load, deadline, .. } => {
                 let slots = self.connection_sizes.estimate(class, load);
                 let due = Time(deadline.0 - deadline.since(self.now) / ANSWER_TIME_DIVISOR);
-                self.admit_request(request, Request { class, group, slots, due, ..Request::default() })
+                self.admit_request(request, Request { class, group, slots, due, ..Request::default() });
             }
             Event::ConnectionRestored { request, class, group, load, server, .. } => {
                 let slots = self.connection_sizes.estimate(class, load);
                 let restored = Request { class, group, slots, ..Request::default() };
-                self.restore_connection(request, restored, server)
+                self.restore_connection(request, restored, server);
             }
             Event::ConnectionEstablished { request, attempt } => {
                 self.on_established(request, attempt);
-                self.spend_probe_credit()
+                self.spend_probe_credit();
             }
             Event::ConnectionMeasured { request, measurement } => {
-                self.apply_measurement(request, measurement)
+                self.apply_measurement(request, measurement);
             }
             Event::AttemptEnded { request, attempt, outcome, answered } => {
-                self.on_attempt_ended(request, attempt, outcome, answered)
+                self.on_attempt_ended(request, attempt, outcome, answered);
             }
             Event::ClientLeft { request } => self.mark_answered(request),
             Event::PeerObservation { server, took } => self.apply_peer_observation(server, took),
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -24,37 +24,37 @@
 
 /// The byte after [`MAGIC`]: the kind of a message.
 mod message_tag {
-    pub const TAKE: u8 = b'T';
-    pub const SOCKET: u8 = b'S';
-    pub const PART: u8 = b'P';
-    pub const DONE: u8 = b'D';
-    pub const SERVING: u8 = b'V';
-    pub const ESTABLISHED_CONNECTION: u8 = b'C';
-    pub const SHARE: u8 = b'B';
-    pub const SHARED: u8 = b'A';
+    pub(super) const TAKE: u8 = b'T';
+    pub(super) const SOCKET: u8 = b'S';
+    pub(super) const PART: u8 = b'P';
+    pub(super) const DONE: u8 = b'D';
+    pub(super) const SERVING: u8 = b'V';
+    pub(super) const ESTABLISHED_CONNECTION: u8 = b'C';
+    pub(super) const SHARE: u8 = b'B';
+    pub(super) const SHARED: u8 = b'A';
 }
 
 /// The first byte of a part: its kind.
 mod part_tag {
-    pub const EXCLUDED: u8 = b'B';
-    pub const EVER_LISTED: u8 = b'N';
-    pub const ENTRY: u8 = b'E';
-    pub const ENDPOINT: u8 = b'H';
-    pub const READMITTED: u8 = b'R';
-    pub const ID: u8 = b'I';
-    pub const LEFT: u8 = b'L';
+    pub(super) const EXCLUDED: u8 = b'B';
+    pub(super) const EVER_LISTED: u8 = b'N';
+    pub(super) const ENTRY: u8 = b'E';
+    pub(super) const ENDPOINT: u8 = b'H';
+    pub(super) const READMITTED: u8 = b'R';
+    pub(super) const ID: u8 = b'I';
+    pub(super) const LEFT: u8 = b'L';
 }
 
 /// Flags, and whether an optional value is there.
 mod flag {
-    pub const NO: u8 = 0;
-    pub const YES: u8 = 1;
+    pub(super) const NO: u8 = 0;
+    pub(super) const YES: u8 = 1;
 }
 
 /// A server's lifecycle. Servers that are gone are not sent.
 mod lifecycle {
-    pub const READY: u8 = 0;
-    pub const DRAINING: u8 = 1;
+    pub(super) const READY: u8 = 0;
+    pub(super) const DRAINING: u8 = 1;
 }
 
 /// One message.
@@ -163,10 +163,10 @@
         Part::EverListed(server) => state.ever_listed.push(server),
         Part::Entry(key, entry) => state.entries.push((key, entry)),
         Part::Endpoint { pool, endpoint, learned } => {
-            state.pools.entry(pool).or_default().endpoints.push((endpoint, learned))
+            state.pools.entry(pool).or_default().endpoints.push((endpoint, learned));
         }
         Part::Readmitted { pool, server, since } => {
-            state.pools.entry(pool).or_default().readmitted.push((server, since))
+            state.pools.entry(pool).or_default().readmitted.push((server, since));
         }
         Part::Id { pool, id } => state.pools.entry(pool).or_default().ids.push(id),
         Part::Left(left) => state.left = left as usize,
--- a/src/protocol/irc/message.rs
+++ b/src/protocol/irc/message.rs
@@ -1,4 +1,4 @@
-//! Messages of RFC 1459 and 2812, with IRCv3's tags, and the commands and numerics that the balancer knows.
+//! Messages of RFC 1459 and 2812, with `IRCv3`'s tags, and the commands and numerics that the balancer knows.
 
 use winnow::combinator::{opt, preceded, repeat, terminated};
 use winnow::token::{rest, take_till, take_while};
@@ -6,7 +6,7 @@
 
 /// The longest line in bytes, its end included, without its tags (RFC 1459, 2.3).
 pub const MAX_LINE_LENGTH: usize = 512;
-/// The longest tags of a line in bytes, `@` and the space after them included (IRCv3 message tags).
+/// The longest tags of a line in bytes, `@` and the space after them included (`IRCv3` message tags).
 pub const MAX_TAGS_LENGTH: usize = 8191;
 /// The most parameters of a message but for the trailing one.
 const MAX_MIDDLE_PARAMS: usize = 15;
--- a/src/protocol/irc/mod.rs
+++ b/src/protocol/irc/mod.rs
@@ -1,4 +1,4 @@
-//! The IRC front: RFC 1459 and 2812 with IRCv3's `CAP`. A client's complete registration is its connection request; an
+//! The IRC front: RFC 1459 and 2812 with `IRCv3`'s `CAP`. A client's complete registration is its connection request; an
 //! attempt repeats it to a server, which accepts with `001`.
 
 mod message;
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -128,21 +128,21 @@
     pub fn on_event(&mut self, now: Time, event: RebalanceEvent) {
         match event {
             RebalanceEvent::ConnectionRequested { connection, key, reconnecting } => {
-                self.on_requested(now, connection, key, reconnecting)
+                self.on_requested(now, connection, key, reconnecting);
             }
             RebalanceEvent::ConnectionEstablished { connection, properties, setup } => {
-                self.on_established(now, connection, properties, setup)
+                self.on_established(now, connection, properties, setup);
             }
             RebalanceEvent::LoadReported { connection, load } => self.view.on_load_reported(connection, load),
             RebalanceEvent::MessageTimeReported { server, took } => {
-                self.view.on_message_time_reported(now, server, took)
+                self.view.on_message_time_reported(now, server, took);
             }
             RebalanceEvent::ConnectionRejected { connection } => self.on_rejected(now, connection),
             RebalanceEvent::ConnectionEnded { connection, natural } => {
-                self.view.on_ended(now, connection, natural)
+                self.view.on_ended(now, connection, natural);
             }
             RebalanceEvent::EndpointListChanged { ready } => {
-                self.precedence.on_endpoint_list_changed(now, ready)
+                self.precedence.on_endpoint_list_changed(now, ready);
             }
             RebalanceEvent::EndpointListLost => self.precedence.on_endpoint_list_lost(),
             RebalanceEvent::EndpointListReceived => self.precedence.on_endpoint_list_received(),
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -86,7 +86,7 @@
                 self.connections.set_timer(id, Some(now.plus(RESTORE_RETRY_INTERVAL)));
             }
             Phase::Connecting if end != AttemptOutcome::VerdictForwarded => {
-                self.on_attempt_failed(now, id, outcome_of(end))
+                self.on_attempt_failed(now, id, outcome_of(end));
             }
             _ => self.on_last_attempt_ended(now, id, phase, end),
         }
@@ -100,7 +100,7 @@
         if end == AttemptOutcome::RedirectedByServer {
             self.notify_interrupted(now, id);
         }
-        self.end_connection(now, id, outcome_of(end))
+        self.end_connection(now, id, outcome_of(end));
     }
 
     /// An attempt failed whose client still waits for its answer: the decision module may retry.
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -22,10 +22,10 @@
     fn apply_action(&mut self, now: Time, pool: PoolId, action: Action) -> Vec<Action> {
         match action {
             Action::StartAttempt { request, server, timeout, within } => {
-                self.open_attempt(now, connection_id(request), server, timeout, within)
+                self.open_attempt(now, connection_id(request), server, timeout, within);
             }
             Action::Reject { request, retry_after } => {
-                self.answer(now, connection_id(request), Answer::Rejected(retry_after))
+                self.answer(now, connection_id(request), Answer::Rejected(retry_after));
             }
             Action::Fail { request } => self.answer(now, connection_id(request), Answer::Failed),
             Action::CancelAttempt { request, attempt } => {
@@ -34,7 +34,7 @@
             Action::Migrate { request } => self.migrate(now, connection_id(request), Outcome::Cancelled),
             Action::ReportSlowSetup => self.broadcast_observation(now, pool, Observation::SlowSetUps),
             Action::ReportDrop { server } => {
-                self.broadcast_observation(now, pool, Observation::Dropped(server))
+                self.broadcast_observation(now, pool, Observation::Dropped(server));
             }
             Action::WatchEndpoints => self.effects.push(Effect::WatchEndpoints { pool }),
             Action::SetTimer(wait) => self.set_balancer_timer(now, pool, wait),
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -113,45 +113,45 @@
         match input {
             Input::ClientConnected { connection, pool } => self.on_client_connected(now, connection, pool),
             Input::ConnectionRequested { connection, request } => {
-                self.on_connection_requested(now, connection, request)
+                self.on_connection_requested(now, connection, request);
             }
             Input::ClientDisconnected { connection } => self.on_client_disconnected(now, connection),
             Input::HandshakeTimedOut { connection } => self.on_handshake_timed_out(now, connection),
             Input::SocketsClosed { connection } => self.on_sockets_closed(now, connection),
             Input::RequestForwarded { connection, attempt } => {
-                self.on_request_forwarded(now, connection, attempt)
+                self.on_request_forwarded(now, connection, attempt);
             }
             Input::AttemptAccepted { connection, attempt } => {
-                self.on_attempt_accepted(now, connection, attempt)
+                self.on_attempt_accepted(now, connection, attempt);
             }
             Input::AttemptEnded { connection, attempt, end } => {
-                self.on_attempt_ended(now, connection, attempt, end)
+                self.on_attempt_ended(now, connection, attempt, end);
             }
             Input::LineForwarded { connection } => self.on_line_forwarded(now, connection),
             Input::ServerActivity { connection } => self.on_server_activity(connection),
             Input::LoadReported { connection, load } => self.on_load_reported(now, connection, load),
             Input::StateRestored { entries, excluded_by_operator } => {
-                self.on_state_restored(now, entries, excluded_by_operator)
+                self.on_state_restored(now, entries, excluded_by_operator);
             }
             Input::CachedEndpoints { pool, endpoints } => {
-                self.apply_endpoint_update(now, pool, true, endpoints)
+                self.apply_endpoint_update(now, pool, true, endpoints);
             }
             Input::EndpointsUpdated { pool, whole, endpoints } => {
-                self.on_endpoints_updated(now, pool, whole, endpoints)
+                self.on_endpoints_updated(now, pool, whole, endpoints);
             }
             Input::EndpointWatchLost { pool } => self.on_endpoint_watch_lost(now, pool),
             Input::GossipReceived { pool, message } => self.on_gossip_received(now, pool, message),
             Input::ProbeCompleted { pool, server, end } => self.on_probe_completed(now, pool, server, end),
             Input::ReplicaMessage { from, gossip } => self.on_replica_message(now, from, gossip),
             Input::ConfigurationChanged { pools, peers, budget } => {
-                self.on_configuration_changed(now, pools, peers, budget)
+                self.on_configuration_changed(now, pools, peers, budget);
             }
             Input::SuccessorStarted => self.on_successor_started(),
             Input::SuccessorReady => self.on_successor_ready(now),
             Input::ConnectionTransferred { connection } => self.on_connection_transferred(now, connection),
             Input::ImportState(handover_state) => self.import_state(now, *handover_state),
             Input::ConnectionReceived { connection, pool, established } => {
-                self.on_connection_received(now, connection, pool, established)
+                self.on_connection_received(now, connection, pool, established);
             }
             Input::PeerProcessLost => self.on_peer_process_lost(now),
             Input::ExclusionShared { server, out } => self.on_exclusion_shared(now, &server, out),
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -53,7 +53,7 @@
 }
 
 /// Accepts admin clients, for ever.
-pub async fn accept_clients(driver: Rc<Driver>, listener: Rc<TcpListener>) {
+pub(super) async fn accept_clients(driver: Rc<Driver>, listener: Rc<TcpListener>) {
     let mut clients = AdminClients::default();
     let always_open = async |open: bool| {
         if !open {
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -14,7 +14,7 @@
 
 /// A command for the task of one connection.
 #[derive(Debug)]
-pub enum ConnectionCommand {
+pub(super) enum ConnectionCommand {
     /// Open an attempt.
     OpenAttempt {
         /// Number of the attempt, from 0.
@@ -39,7 +39,7 @@
 
 /// A connection on its way to the successor.
 #[derive(Debug)]
-pub struct TransferredConnection {
+pub(super) struct TransferredConnection {
     /// The client's socket.
     pub client: OwnedFd,
     /// The attempt's socket.
@@ -51,7 +51,7 @@
 }
 
 /// A message for the peer process during a hot restart.
-pub enum PeerProcessMessage {
+pub(super) enum PeerProcessMessage {
     /// An operator excluded or readmitted a server.
     ShareExclusion {
         /// The admin client that waits for the acknowledgement.
@@ -73,7 +73,7 @@
 }
 
 /// A server is to be asked for its load.
-pub struct ProbeCommand {
+pub(super) struct ProbeCommand {
     /// The server's pool.
     pub pool: PoolId,
     /// The server.
@@ -87,7 +87,7 @@
 }
 
 /// A command for the watches on endpoint lists.
-pub enum WatchCommand {
+pub(super) enum WatchCommand {
     /// Resume the watch of this pool after it was lost; what was missed comes first.
     Resume {
         /// The pool.
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -64,7 +64,12 @@
 }
 
 /// Serves a client that has just connected to a pool's front.
-pub fn start(driver: &Rc<Driver>, pool: PoolId, stream: TcpStream, front: Box<dyn Front>) -> ConnectionId {
+pub(super) fn start(
+    driver: &Rc<Driver>,
+    pool: PoolId,
+    stream: TcpStream,
+    front: Box<dyn Front>,
+) -> ConnectionId {
     let (id, commands) = driver.register_connection();
     let tape = start_tape(driver, &stream);
     let mut connection = Connection::new(driver, id, front, stream);
@@ -90,7 +95,7 @@
 }
 
 /// The sockets of a connection that a predecessor established.
-pub struct AdoptedSockets {
+pub(super) struct AdoptedSockets {
     /// The client's.
     pub client: TcpStream,
     /// The attempt's.
@@ -98,7 +103,7 @@
 }
 
 /// Goes on with a connection that a predecessor established.
-pub fn adopt(
+pub(super) fn adopt(
     driver: &Rc<Driver>,
     pool: PoolId,
     sockets: AdoptedSockets,
@@ -225,13 +230,13 @@
         match command {
             ConnectionCommand::Abort => self.close_deadline = Some(Instant::now()),
             ConnectionCommand::Transfer(successor) if self.is_transferable() => {
-                self.successor = Some(successor)
+                self.successor = Some(successor);
             }
             // The sender is dropped, which rejects the transfer for now.
             ConnectionCommand::Transfer(_) => {}
             _ if self.is_closing() => {}
             ConnectionCommand::OpenAttempt { attempt, address, wait } => {
-                self.open_attempt(attempt, address, wait)
+                self.open_attempt(attempt, address, wait);
             }
             ConnectionCommand::CloseAttempt => self.upstream = Upstream::Idle,
             ConnectionCommand::CheckHandshake => {
@@ -321,7 +326,7 @@
                     self.driver.feed(Input::ClientDisconnected { connection });
                 }
                 Step::ConnectionRequested(ask) => {
-                    self.driver.feed(Input::ConnectionRequested { connection, request: ask })
+                    self.driver.feed(Input::ConnectionRequested { connection, request: ask });
                 }
                 Step::Up => {
                     self.established = true;
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -29,14 +29,14 @@
 
 impl Driver {
     /// Receives replica messages on this socket from now on, and sends them from there.
-    pub fn start_replication(self: &Rc<Self>, socket: UdpSocket) {
+    pub(super) fn start_replication(self: &Rc<Self>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         *self.replication.borrow_mut() = Some(socket.clone());
         tokio::task::spawn_local(receive_replica_messages(self.clone(), socket));
     }
 
     /// Receives gossip for a pool on this socket from now on, and sends it from there.
-    pub fn start_gossip(self: &Rc<Self>, pool: usize, socket: UdpSocket, at: &PeersAt) {
+    pub(super) fn start_gossip(self: &Rc<Self>, pool: usize, socket: UdpSocket, at: &PeersAt) {
         let socket = Rc::new(socket);
         *self.gossip.borrow_mut() = Some(GossipSocket { socket: socket.clone(), broadcast: at.all });
         tokio::task::spawn_local(receive_gossip(self.clone(), pool, socket, at.from.clone()));
--- a/src/transport/discovery_watch.rs
+++ b/src/transport/discovery_watch.rs
@@ -41,7 +41,7 @@
 
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
-pub enum DiscoveryError {
+pub(super) enum DiscoveryError {
     /// There was no answer in time.
     #[error("no answer in time")]
     TimedOut,
@@ -76,7 +76,7 @@
 }
 
 /// Keeps a watch for each pool, as the commands come.
-pub async fn run_watches(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
+pub(super) async fn run_watches(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
     let mut watches: HashMap<PoolId, Watch> = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
--- a/src/transport/driver/admin_clients.rs
+++ b/src/transport/driver/admin_clients.rs
@@ -7,7 +7,7 @@
 
 impl Driver {
     /// Hands an admin client's call to the reducer, and waits for the reply.
-    pub async fn call(&self, input: impl FnOnce(AdminClientId) -> Input) -> AdminResponse {
+    pub(crate) async fn call(&self, input: impl FnOnce(AdminClientId) -> Input) -> AdminResponse {
         let admin_client = AdminClientId(self.next_id());
         let (sender, reply) = oneshot::channel();
         self.admin_clients.borrow_mut().insert(admin_client, sender);
--- a/src/transport/driver/connections.rs
+++ b/src/transport/driver/connections.rs
@@ -20,7 +20,7 @@
     }
 
     /// Registers a connection; returns its id, and the channel of its commands.
-    pub fn register_connection(&self) -> (ConnectionId, mpsc::UnboundedReceiver<ConnectionCommand>) {
+    pub(crate) fn register_connection(&self) -> (ConnectionId, mpsc::UnboundedReceiver<ConnectionCommand>) {
         let connection = ConnectionId(self.next_id());
         let (sender, commands) = mpsc::unbounded_channel();
         self.connections.borrow_mut().insert(connection, sender);
@@ -28,40 +28,40 @@
     }
 
     /// Forgets a connection whose task has ended and whose sockets are closed.
-    pub fn deregister_connection(&self, connection: ConnectionId) {
+    pub(crate) fn deregister_connection(&self, connection: ConnectionId) {
         self.connections.borrow_mut().remove(&connection);
         self.feed(Input::SocketsClosed { connection });
     }
 
     /// Whether a connection is registered.
-    pub fn has_connection(&self, connection: ConnectionId) -> bool {
+    pub(crate) fn has_connection(&self, connection: ConnectionId) -> bool {
         self.connections.borrow().contains_key(&connection)
     }
 
     /// Sends a command to a connection's task. One whose task has just ended needs none.
-    pub fn send_command(&self, connection: ConnectionId, command: ConnectionCommand) {
+    pub(crate) fn send_command(&self, connection: ConnectionId, command: ConnectionCommand) {
         if let Some(connection) = self.connections.borrow().get(&connection) {
             let _ = connection.send(command);
         }
     }
 
     /// Bytes that a connection may buffer for a side that does not read.
-    pub fn buffer_limit(&self) -> usize {
+    pub(crate) fn buffer_limit(&self) -> usize {
         self.state.borrow().budget().buffer
     }
 
     /// Whether a deadline of a connection has passed that the reducer has not been fed yet.
-    pub fn is_overdue(&self, connection: ConnectionId) -> bool {
+    pub(crate) fn is_overdue(&self, connection: ConnectionId) -> bool {
         self.state.borrow().overdue_by(self.now(), connection)
     }
 
     /// Whether this process can serve.
-    pub fn is_serving(&self) -> bool {
+    pub(crate) fn is_serving(&self) -> bool {
         self.state.borrow().serves()
     }
 
     /// Whether the fronts accept connections now.
-    pub fn is_accepting(&self) -> bool {
+    pub(crate) fn is_accepting(&self) -> bool {
         *self.accepting.borrow()
     }
 
@@ -70,14 +70,14 @@
     }
 
     /// Waits until the fronts accept connections, or until they do not.
-    pub async fn wait_until_accepting(&self, wanted: bool) {
+    pub(crate) async fn wait_until_accepting(&self, wanted: bool) {
         // It fails only when the sender is gone, which this driver owns.
         let _ = self.accepting.subscribe().wait_for(|open| *open == wanted).await;
     }
 
     /// Waits a short while until the last answers are written; `accept_queued` is called at each step for
     /// connections that still wait in a listener's queue.
-    pub async fn wait_for_connections(&self, accept_queued: impl Fn()) {
+    pub(crate) async fn wait_for_connections(&self, accept_queued: impl Fn()) {
         for _ in 0..LAST_ANSWERS_STEPS {
             accept_queued();
             if self.connections.borrow().is_empty() {
--- a/src/transport/driver/hot_restart.rs
+++ b/src/transport/driver/hot_restart.rs
@@ -12,10 +12,10 @@
 use crate::routing::{AdminClientId, ConnectionId, EstablishedConnection, HandoverState, PoolId};
 
 /// Name of the replication socket among those that a successor is given.
-pub const REPLICATION_SOCKET: &str = "store";
+pub(crate) const REPLICATION_SOCKET: &str = "store";
 
 /// A socket that a successor goes on with.
-pub struct NamedSocket {
+pub(crate) struct NamedSocket {
     /// Name of its front, or [`REPLICATION_SOCKET`].
     pub name: String,
     /// A copy of its descriptor.
@@ -24,18 +24,18 @@
 
 impl Driver {
     /// Registers a front, in the place of an earlier one of that name.
-    pub fn register_front(&self, name: &'static str, front: ActiveFront) {
+    pub(crate) fn register_front(&self, name: &'static str, front: ActiveFront) {
         self.fronts.borrow_mut().insert(name, front);
     }
 
     /// A front's pool, and a new connection of its protocol.
-    pub fn new_front_connection(&self, name: &str) -> Option<(PoolId, Box<dyn Front>)> {
+    pub(crate) fn new_front_connection(&self, name: &str) -> Option<(PoolId, Box<dyn Front>)> {
         let fronts = self.fronts.borrow();
         fronts.get(name).map(|front| (front.pool, (front.factory)()))
     }
 
     /// The name of a pool's front.
-    pub fn front_name(&self, pool: PoolId) -> Option<String> {
+    pub(crate) fn front_name(&self, pool: PoolId) -> Option<String> {
         let fronts = self.fronts.borrow();
         fronts.iter().find(|(_, front)| front.pool == pool).map(|(name, _)| (*name).to_owned())
     }
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// When a descriptor cannot be copied.
-    pub fn clone_sockets(&self) -> std::io::Result<Vec<NamedSocket>> {
+    pub(crate) fn clone_sockets(&self) -> std::io::Result<Vec<NamedSocket>> {
         let fronts = self.fronts.borrow();
         let listeners = fronts.iter().map(|(name, front)| (*name, front.listener.as_fd()));
         let replication = self.replication.borrow().clone();
@@ -59,12 +59,12 @@
     }
 
     /// Sets the path of the socket on which a successor asks for this process's state.
-    pub fn set_hot_restart_socket(&self, path: PathBuf) {
+    pub(crate) fn set_hot_restart_socket(&self, path: PathBuf) {
         *self.hot_restart_socket.borrow_mut() = Some(path);
     }
 
     /// Takes the state that was exported for a successor.
-    pub fn take_exported_state(&self) -> HandoverState {
+    pub(crate) fn take_exported_state(&self) -> HandoverState {
         std::mem::take(&mut self.exported_state.borrow_mut())
     }
 
@@ -77,17 +77,17 @@
     }
 
     /// Whether there is a peer process.
-    pub fn has_peer_process(&self) -> bool {
+    pub(crate) fn has_peer_process(&self) -> bool {
         self.peer_process.borrow().is_some()
     }
 
     /// Sets the channel to the peer process, or none once it is gone.
-    pub fn set_peer_process(&self, sender: Option<mpsc::UnboundedSender<PeerProcessMessage>>) {
+    pub(crate) fn set_peer_process(&self, sender: Option<mpsc::UnboundedSender<PeerProcessMessage>>) {
         *self.peer_process.borrow_mut() = sender;
     }
 
     /// Sends a message to the peer process, if there is one.
-    pub fn send_to_peer_process(&self, message: PeerProcessMessage) {
+    pub(crate) fn send_to_peer_process(&self, message: PeerProcessMessage) {
         if let Some(sender) = self.peer_process.borrow().as_ref() {
             // One that has just gone needs none; the reducer is fed its loss.
             let _ = sender.send(message);
@@ -101,11 +101,11 @@
         established: EstablishedConnection,
     ) {
         let established = Box::new(established);
-        self.send_to_peer_process(PeerProcessMessage::TransferConnection { connection, pool, established })
+        self.send_to_peer_process(PeerProcessMessage::TransferConnection { connection, pool, established });
     }
 
     pub(super) fn share_exclusion(&self, admin_client: AdminClientId, server: String, excluded: bool) {
-        self.send_to_peer_process(PeerProcessMessage::ShareExclusion { admin_client, server, excluded })
+        self.send_to_peer_process(PeerProcessMessage::ShareExclusion { admin_client, server, excluded });
     }
 
     pub(super) fn persist_exclusions(&self, excluded: &[String]) {
--- a/src/transport/driver/mod.rs
+++ b/src/transport/driver/mod.rs
@@ -27,13 +27,13 @@
     reduce, AdminClientId, AdminResponse, ConnectionId, Effect, HandoverState, Input, PoolId, State,
 };
 use crate::{Micros, Time};
-pub use hot_restart::{NamedSocket, REPLICATION_SOCKET};
+pub(super) use hot_restart::{NamedSocket, REPLICATION_SOCKET};
 
 /// Makes the protocol side of a front's connections.
-pub type ConnectionFactory = Rc<dyn Fn() -> Box<dyn Front>>;
+pub(super) type ConnectionFactory = Rc<dyn Fn() -> Box<dyn Front>>;
 
 /// A front that accepts connections.
-pub struct ActiveFront {
+pub(super) struct ActiveFront {
     /// Its pool.
     pub pool: PoolId,
     /// Makes its connections.
@@ -63,7 +63,7 @@
 ///
 /// Channels to tasks are unbounded: a bounded one could be full when a command comes. The reducer itself
 /// limits what waits in them, as noted at each field.
-pub struct Driver {
+pub(super) struct Driver {
     state: RefCell<State>,
     clock: Clock,
     /// The tasks of connections. The reducer gives each at most two commands an attempt and one answer.
@@ -102,7 +102,7 @@
 
 impl Driver {
     /// A driver, and the channel on which it reports that the process can exit.
-    pub fn new(state: impl FnOnce(Time) -> State) -> (Rc<Driver>, mpsc::UnboundedReceiver<()>) {
+    pub(super) fn new(state: impl FnOnce(Time) -> State) -> (Rc<Driver>, mpsc::UnboundedReceiver<()>) {
         let clock = Clock::start();
         let (exit, exited) = mpsc::unbounded_channel();
         let driver = Driver {
@@ -130,12 +130,12 @@
     }
 
     /// The time: comparable between machines, and never running backwards in this process.
-    pub fn now(&self) -> Time {
+    pub(super) fn now(&self) -> Time {
         self.clock.now()
     }
 
     /// Hands an input to the reducer and carries out its effects, in their order.
-    pub fn feed(&self, input: Input) {
+    pub(super) fn feed(&self, input: Input) {
         if let Some(observer) = self.observer.borrow_mut().as_mut() {
             observer.observe_input(self.now(), &input);
         }
@@ -160,35 +160,35 @@
     fn carry_out(&self, effect: Effect) {
         match effect {
             Effect::OpenAttempt { connection, attempt, address, wait } => {
-                self.send_command(connection, ConnectionCommand::OpenAttempt { attempt, address, wait })
+                self.send_command(connection, ConnectionCommand::OpenAttempt { attempt, address, wait });
             }
             Effect::CloseAttempt { connection } => {
-                self.send_command(connection, ConnectionCommand::CloseAttempt)
+                self.send_command(connection, ConnectionCommand::CloseAttempt);
             }
             Effect::AbortConnection { connection } => self.send_command(connection, ConnectionCommand::Abort),
             Effect::CheckHandshake { connection } => {
-                self.send_command(connection, ConnectionCommand::CheckHandshake)
+                self.send_command(connection, ConnectionCommand::CheckHandshake);
             }
             Effect::Answer { connection, answer } => {
-                self.send_command(connection, ConnectionCommand::SendAnswer(answer))
+                self.send_command(connection, ConnectionCommand::SendAnswer(answer));
             }
             Effect::SetAccepting { open } => self.set_accepting(open),
             Effect::BroadcastGossip(message) => self.broadcast_gossip(message),
             Effect::ProbeServer { pool, server, address, names, wait } => {
-                self.send_probe(pool, server, address, names, wait)
+                self.send_probe(pool, server, address, names, wait);
             }
             Effect::WatchEndpoints { pool } => self.send_watch_command(WatchCommand::Resume { pool }),
             Effect::WatchEndpointsAt { pool, discovery } => {
-                self.send_watch_command(WatchCommand::Start { pool, discovery, generation: None })
+                self.send_watch_command(WatchCommand::Start { pool, discovery, generation: None });
             }
             Effect::SendReplicaMessage((to, message)) => self.send_replica_message(to, &message),
             Effect::PersistEntry { key, entry } => self.persist_entry(&key, &entry),
             Effect::ExportState(state) => self.export_state(*state),
             Effect::TransferConnection { connection, pool, established } => {
-                self.transfer_connection(connection, pool, established)
+                self.transfer_connection(connection, pool, established);
             }
             Effect::ShareExclusion { admin_client, server, out } => {
-                self.share_exclusion(admin_client, server, out)
+                self.share_exclusion(admin_client, server, out);
             }
             Effect::PersistExclusions(excluded) => self.persist_exclusions(&excluded),
             Effect::AdminReply { admin_client, reply } => self.send_admin_reply(admin_client, reply),
@@ -198,7 +198,7 @@
     }
 
     /// Feeds the reducer whenever one of its deadlines has passed, for ever.
-    pub async fn run_timer(self: Rc<Self>) {
+    pub(super) async fn run_timer(self: Rc<Self>) {
         loop {
             let next_deadline = self.state.borrow().next_due();
             let deadline_changed = self.deadline_changed.notified();
--- a/src/transport/driver/observation.rs
+++ b/src/transport/driver/observation.rs
@@ -8,23 +8,23 @@
 
 impl Driver {
     /// Observes all connections from now on.
-    pub fn start_observing(&self) {
+    pub(crate) fn start_observing(&self) {
         *self.observer.borrow_mut() = Some(Observer::default());
     }
 
     /// What was observed of a connection so far.
-    pub fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
+    pub(crate) fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
         let observer = self.observer.borrow();
         observer.as_ref().map(|observer| observer.observations(connection)).unwrap_or_default()
     }
 
     /// Records the fronts' traffic from now on, if there is a recorder.
-    pub fn set_recorder(&self, recorder: Option<Recorder>) {
+    pub(crate) fn set_recorder(&self, recorder: Option<Recorder>) {
         *self.recorder.borrow_mut() = recorder;
     }
 
     /// Adds to the recording, if there is one, what `records` makes at the present time.
-    pub fn record(&self, records: impl FnOnce(Micros) -> Vec<u8>) {
+    pub(crate) fn record(&self, records: impl FnOnce(Micros) -> Vec<u8>) {
         if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
             recorder.write(&records(self.now().0));
         }
--- a/src/transport/driver/tasks.rs
+++ b/src/transport/driver/tasks.rs
@@ -13,12 +13,12 @@
 
 impl Driver {
     /// Persists the entries of the replicated map in these files from now on.
-    pub fn set_files(&self, files: Files) {
+    pub(crate) fn set_files(&self, files: Files) {
         *self.files.borrow_mut() = Some(files);
     }
 
     /// Opens the files again after a successor is gone.
-    pub fn reopen_files(&self) {
+    pub(crate) fn reopen_files(&self) {
         if let Some(files) = self.files.borrow_mut().as_mut() {
             files.reopen(self.state.borrow().store());
         }
@@ -33,12 +33,12 @@
 
 impl Driver {
     /// Sets the channel to the task of the watches.
-    pub fn set_watches(&self, watches: mpsc::UnboundedSender<WatchCommand>) {
+    pub(crate) fn set_watches(&self, watches: mpsc::UnboundedSender<WatchCommand>) {
         *self.watches.borrow_mut() = Some(watches);
     }
 
     /// Sends a command to the task of the watches.
-    pub fn send_watch_command(&self, command: WatchCommand) {
+    pub(crate) fn send_watch_command(&self, command: WatchCommand) {
         if let Some(watches) = self.watches.borrow().as_ref() {
             // The task ends only with this process.
             let _ = watches.send(command);
@@ -46,7 +46,7 @@
     }
 
     /// Sets the channel to the task of the probes.
-    pub fn set_probes(&self, probes: mpsc::UnboundedSender<ProbeCommand>) {
+    pub(crate) fn set_probes(&self, probes: mpsc::UnboundedSender<ProbeCommand>) {
         *self.probes.borrow_mut() = Some(probes);
     }
 
--- a/src/transport/excluded_servers.rs
+++ b/src/transport/excluded_servers.rs
@@ -14,7 +14,7 @@
 
 /// Writes the list of excluded servers for a process that starts after this one is gone. A crash halfway
 /// leaves the old list or the new.
-pub fn persist_excluded(hot_restart_socket: &Path, excluded: &[String]) {
+pub(super) fn persist_excluded(hot_restart_socket: &Path, excluded: &[String]) {
     let file = excluded_file(hot_restart_socket);
     let new = file.with_extension(format!("{}.new", std::process::id()));
     let text: String = excluded.iter().map(|server| format!("{server}\n")).collect();
@@ -24,7 +24,7 @@
 }
 
 /// Reads the list of servers that were excluded when an earlier process last wrote it.
-pub fn load_excluded(hot_restart_socket: &Path) -> Vec<String> {
+pub(super) fn load_excluded(hot_restart_socket: &Path) -> Vec<String> {
     let file = excluded_file(hot_restart_socket);
     match std::fs::read(&file) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).lines().map(str::to_owned).collect(),
--- a/src/transport/fronts.rs
+++ b/src/transport/fronts.rs
@@ -10,18 +10,18 @@
 use crate::routing::{Input, PoolId, ReplicationConfig, State};
 
 /// Makes connections of the platform's protocol.
-pub fn platform_factory() -> ConnectionFactory {
+pub(super) fn platform_factory() -> ConnectionFactory {
     Rc::new(|| Box::<platform::Connection>::default())
 }
 
 /// Makes connections of IRC.
-pub fn irc_factory(config: irc::IrcConfig) -> ConnectionFactory {
+pub(super) fn irc_factory(config: irc::IrcConfig) -> ConnectionFactory {
     let config = Rc::new(config);
     Rc::new(move || Box::new(irc::Connection::new(config.clone())))
 }
 
 /// A driver, and the pools of the fronts that are configured.
-pub struct Fronts {
+pub(super) struct Fronts {
     /// The driver with the reducer.
     pub driver: Rc<Driver>,
     /// Reports that the process can exit.
@@ -35,7 +35,7 @@
 impl Fronts {
     /// Sets up the pools, and feeds the reducer the endpoints that the configuration holds; nothing listens
     /// yet.
-    pub fn set_up(config: &Config) -> Fronts {
+    pub(super) fn set_up(config: &Config) -> Fronts {
         let Config { platform, irc, store, budget, .. } = config;
         let mut replication = ReplicationConfig::default();
         if let Some(store) = store {
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -42,7 +42,7 @@
 
 /// The path of the socket on which a process that serves this configuration is asked for its state. It
 /// depends on what is listened on, and is the same for every version.
-pub fn socket_path(config: &Config) -> PathBuf {
+pub(super) fn socket_path(config: &Config) -> PathBuf {
     let platform = config.platform.iter().map(|platform| format!("{} {}", platform.name, platform.listen));
     let irc = config.irc.iter().map(|irc| format!("{} {}", irc.setup.name, irc.listen));
     let fronts = platform.chain(irc).collect::<Vec<_>>().join("\n");
@@ -50,7 +50,7 @@
 }
 
 /// What the predecessor exported, and the link to it.
-pub struct ReceivedState {
+pub(super) struct ReceivedState {
     link: Link,
     sockets: HashMap<String, OwnedFd>,
     /// State for the reducer.
@@ -59,13 +59,13 @@
 
 impl ReceivedState {
     /// Takes the socket of that name, if the predecessor exported one.
-    pub fn take_socket(&mut self, name: &str) -> Option<OwnedFd> {
+    pub(super) fn take_socket(&mut self, name: &str) -> Option<OwnedFd> {
         self.sockets.remove(name)
     }
 }
 
 /// Asks the process that serves to export its state. None where no process serves, or it does not answer.
-pub async fn import_state(path: &Path) -> Option<ReceivedState> {
+pub(super) async fn import_state(path: &Path) -> Option<ReceivedState> {
     let since = Instant::now();
     loop {
         let received = match timeout(ANSWER_TIMEOUT, request_state(path)).await {
@@ -106,7 +106,7 @@
             HandoverMessage::Done => return Ok(Some(ReceivedState { link, sockets: named_sockets, state })),
             HandoverMessage::Part(part) => hot_restart::add_part(&mut state, part),
             HandoverMessage::Socket(name) => {
-                named_sockets.extend(sockets.into_iter().map(|socket| (name.clone(), socket)))
+                named_sockets.extend(sockets.into_iter().map(|socket| (name.clone(), socket)));
             }
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
@@ -129,7 +129,7 @@
 }
 
 /// Tells the predecessor that this process serves, and takes its connections over.
-pub async fn run_as_successor(driver: Rc<Driver>, received: ReceivedState) {
+pub(super) async fn run_as_successor(driver: Rc<Driver>, received: ReceivedState) {
     let outgoing = register_peer_process(&driver);
     if received.link.send(&HandoverMessage::Serving, &[]).await.is_ok() {
         exchange_messages(&driver, &received.link, outgoing).await;
@@ -138,7 +138,7 @@
 }
 
 /// Offers this process's state to its successors, for ever. What cannot be offered is logged.
-pub fn offer_state(driver: Rc<Driver>, path: &Path) {
+pub(super) fn offer_state(driver: Rc<Driver>, path: &Path) {
     match link::listen(path) {
         Ok(listener) => drop(tokio::task::spawn_local(accept_successors(driver, listener))),
         Err(error) => log_event!(LogEvent::HotRestartUnavailable { socket: path, error: &error }),
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// [`TransportError::Listen`] when the system refuses.
-pub fn listen(address: SocketAddr) -> Result<Rc<TcpListener>, TransportError> {
+pub(super) fn listen(address: SocketAddr) -> Result<Rc<TcpListener>, TransportError> {
     bind_listener(address).map(Rc::new).map_err(|source| TransportError::Listen { address, source })
 }
 
@@ -46,7 +46,7 @@
 /// # Errors
 ///
 /// When the system refuses.
-pub fn bind_shared_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
+pub(super) fn bind_shared_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
@@ -55,12 +55,12 @@
 }
 
 /// The address that a listener is bound to, with the port that the system chose.
-pub fn bound_address(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
+pub(super) fn bound_address(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(wanted)
 }
 
 /// A listener, and the task that accepts its connections.
-pub struct AcceptGate {
+pub(super) struct AcceptGate {
     /// The address as configured, perhaps with port 0.
     wanted: SocketAddr,
     listener: Rc<TcpListener>,
@@ -77,7 +77,7 @@
 
 impl AcceptGate {
     /// Registers a front and accepts its connections.
-    pub fn open_front(
+    pub(super) fn open_front(
         driver: &Rc<Driver>,
         name: &'static str,
         wanted: SocketAddr,
@@ -92,7 +92,7 @@
     }
 
     /// Accepts admin clients.
-    pub fn open_admin_endpoint(
+    pub(super) fn open_admin_endpoint(
         driver: &Rc<Driver>,
         wanted: SocketAddr,
         listener: Rc<TcpListener>,
@@ -103,7 +103,7 @@
     }
 
     /// Whether this gate was configured with that address.
-    pub fn is_at(&self, wanted: SocketAddr) -> bool {
+    pub(super) fn is_at(&self, wanted: SocketAddr) -> bool {
         self.wanted == wanted
     }
 
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// [`TransportError::Listen`] when a new one cannot be opened.
-    pub fn reuse_listener(
+    pub(super) fn reuse_listener(
         old: Option<&AcceptGate>,
         wanted: SocketAddr,
     ) -> Result<Rc<TcpListener>, TransportError> {
@@ -123,7 +123,7 @@
     }
 
     /// Takes the place of an old gate, which accepts nothing more.
-    pub fn replace(self, driver: &Rc<Driver>, old: &mut Option<AcceptGate>) {
+    pub(super) fn replace(self, driver: &Rc<Driver>, old: &mut Option<AcceptGate>) {
         let listener = self.listener.clone();
         if let Some(old) = old.replace(self) {
             old.close();
@@ -134,13 +134,13 @@
     }
 
     /// Accepts nothing more.
-    pub fn close(&self) {
+    pub(super) fn close(&self) {
         self.task.abort();
     }
 
     /// Accepts what waits in the listener's queue, unless a successor listens on the same socket and accepts
     /// it. Closed with the listener, these connections would be reset without an answer.
-    pub fn accept_queued(&self, driver: &Rc<Driver>) {
+    pub(super) fn accept_queued(&self, driver: &Rc<Driver>) {
         let Some(front) = self.front.as_ref().filter(|_| driver.is_accepting()) else { return };
         // The runtime may not have learned of them yet, so the system itself is asked.
         while let Ok((socket, _)) = socket2::SockRef::from(&*self.listener).accept() {
@@ -169,7 +169,7 @@
 
 /// Accepts connections for ever, whenever the gate is open. `wait_for_gate` waits until it is open, or until
 /// it is closed. Cancellation-safe: an accept that is given up takes nothing out of the queue.
-pub async fn accept_each(
+pub(super) async fn accept_each(
     listener: &TcpListener,
     wait_for_gate: impl AsyncFn(bool),
     mut start_connection: impl AsyncFnMut(TcpStream),
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -14,7 +14,7 @@
 
 /// A line for the log.
 #[derive(Debug)]
-pub enum LogEvent<'a> {
+pub(super) enum LogEvent<'a> {
     /// The admin endpoint accepts clients.
     AdminEndpointOpen { address: SocketAddr },
     /// The replicated map exchanges messages with other nodes.
@@ -33,7 +33,7 @@
     ShutDown,
     /// A connection cannot be accepted; this is logged once until one can be again.
     AcceptFailed { error: &'a io::Error },
-    /// ReplicaMessage cannot be exchanged.
+    /// `ReplicaMessage` cannot be exchanged.
     GossipUnavailable { error: &'a io::Error },
     /// A datagram for the replicated map cannot be read.
     ReplicaMessageUnreadable { from: SocketAddr },
@@ -75,7 +75,7 @@
 
 impl LogEvent<'_> {
     /// The level at which the line is logged.
-    pub fn level(&self) -> Level {
+    pub(super) fn level(&self) -> Level {
         match self {
             LogEvent::AdminEndpointOpen { .. }
             | LogEvent::ReplicationOpen { .. }
--- a/src/transport/observation.rs
+++ b/src/transport/observation.rs
@@ -8,7 +8,7 @@
 
 /// One thing that became of a connection.
 #[derive(Clone, Debug)]
-pub enum Observation {
+pub(super) enum Observation {
     /// It was established.
     Established {
         /// Time since the client connected.
@@ -61,19 +61,19 @@
 
 /// Keeps the observations of all connections.
 #[derive(Default)]
-pub struct Observer {
+pub(super) struct Observer {
     connected_at: HashMap<ConnectionId, Time>,
     observations: HashMap<ConnectionId, Vec<Observation>>,
 }
 
 impl Observer {
     /// What was observed of a connection so far, in order.
-    pub fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
+    pub(super) fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
         self.observations.get(&connection).cloned().unwrap_or_default()
     }
 
     /// Observes an input before the reducer has it.
-    pub fn observe_input(&mut self, now: Time, input: &Input) {
+    pub(super) fn observe_input(&mut self, now: Time, input: &Input) {
         match *input {
             Input::ClientConnected { connection, .. } => {
                 self.connected_at.insert(connection, now);
@@ -83,7 +83,7 @@
                 self.push(connection, Observation::Established { after, attempt });
             }
             Input::AttemptEnded { connection, end: AttemptOutcome::VerdictForwarded, .. } => {
-                self.push(connection, Observation::VerdictForwarded)
+                self.push(connection, Observation::VerdictForwarded);
             }
             Input::AttemptEnded {
                 connection,
@@ -96,7 +96,7 @@
     }
 
     /// Observes an effect before it is carried out.
-    pub fn observe_effect(&mut self, now: Time, effect: &Effect) {
+    pub(super) fn observe_effect(&mut self, now: Time, effect: &Effect) {
         if let Effect::Answer { connection, answer } = *effect {
             let after = self.time_since_connected(now, connection);
             self.push(connection, Observation::Answered { after, answer });
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -44,7 +44,7 @@
 }
 
 /// Carries out probes as the commands come, for ever.
-pub async fn run_probes(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
+pub(super) async fn run_probes(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
     let mut cache = ConnectionCache::new();
     let mut in_flight = JoinSet::new();
     loop {
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -10,7 +10,7 @@
 use crate::protocol::pcap;
 
 /// An open recording.
-pub struct Recorder {
+pub(super) struct Recorder {
     file: File,
     path: PathBuf,
     /// Bytes that may still be written; 0 once the recording has ended.
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// When the file cannot be created.
-    pub fn create(config: RecordingConfig) -> Result<Recorder, TransportError> {
+    pub(super) fn create(config: RecordingConfig) -> Result<Recorder, TransportError> {
         let RecordingConfig { path, max_bytes } = config;
         let file = match File::create(&path) {
             Ok(file) => file,
@@ -36,7 +36,7 @@
 
     /// Writes whole records. Half a record would corrupt the file, so the first that does not fit, or cannot
     /// be written, ends the recording.
-    pub fn write(&mut self, records: &[u8]) {
+    pub(super) fn write(&mut self, records: &[u8]) {
         if self.remaining_bytes == 0 || records.is_empty() {
             return;
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,19 +4,19 @@
 use connection_balancer::*;
 
 /// A millisecond in microseconds.
-pub const MS: u64 = 1_000;
+pub(crate) const MS: u64 = 1_000;
 /// A second in microseconds.
-pub const SECOND: u64 = 1_000_000;
+pub(crate) const SECOND: u64 = 1_000_000;
 /// When each test begins.
-pub const START: Time = Time(1_000 * SECOND);
+pub(crate) const START: Time = Time(1_000 * SECOND);
 
 /// A class with a set-up objective of 300 ms and a message objective of 100 ms.
-pub fn class(idempotency: Idempotency) -> Class {
+pub(crate) fn class(idempotency: Idempotency) -> Class {
     Class { priority_weight: 1.0, setup_objective: 300 * MS, message_objective: 100 * MS, idempotency }
 }
 
 /// Settings with one idempotent class and four attempts.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![class(Idempotency::Idempotent)],
         max_attempts: 4,
@@ -27,7 +27,7 @@
 }
 
 /// The entry of a warm server that serves, in zone 0.
-pub fn endpoint(server: u32) -> EndpointEntry {
+pub(crate) fn endpoint(server: u32) -> EndpointEntry {
     EndpointEntry {
         server: ServerId(server),
         zone: ZoneId(0),
@@ -39,12 +39,12 @@
 }
 
 /// A list of the servers from 1 to `count`.
-pub fn endpoints(count: u32) -> Vec<EndpointEntry> {
+pub(crate) fn endpoints(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(endpoint).collect()
 }
 
 /// A balancer with a clock and the actions of its last event.
-pub struct Harness {
+pub(crate) struct Harness {
     pub balancer: Balancer,
     pub now: Time,
     pub actions: Vec<Action>,
@@ -52,11 +52,11 @@
 }
 
 impl Harness {
-    pub fn new(settings: Settings, list: &[EndpointEntry]) -> Harness {
+    pub(crate) fn new(settings: Settings, list: &[EndpointEntry]) -> Harness {
         Harness::seeded(settings, list, 7)
     }
 
-    pub fn seeded(settings: Settings, list: &[EndpointEntry], seed: u64) -> Harness {
+    pub(crate) fn seeded(settings: Settings, list: &[EndpointEntry], seed: u64) -> Harness {
         let balancer = Balancer::new(settings, seed, START);
         let mut harness = Harness { balancer, now: START, actions: Vec::new(), last_request: 0 };
         harness.handle(Event::EndpointsReplaced(list));
@@ -64,23 +64,23 @@
     }
 
     /// Hands in an event at the present time; its actions replace those of the event before.
-    pub fn handle(&mut self, event: Event<'_>) {
+    pub(crate) fn handle(&mut self, event: Event<'_>) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
     /// Advances the clock without any event.
-    pub fn advance(&mut self, span: Micros) {
+    pub(crate) fn advance(&mut self, span: Micros) {
         self.now = self.now.plus(span);
     }
 
     /// A request of class 0 with three seconds to its deadline; returns its id.
-    pub fn arrive(&mut self) -> RequestId {
+    pub(crate) fn arrive(&mut self) -> RequestId {
         self.arrive_in_group(None)
     }
 
     /// The same for a request that may belong to a group.
-    pub fn arrive_in_group(&mut self, group: Option<u64>) -> RequestId {
+    pub(crate) fn arrive_in_group(&mut self, group: Option<u64>) -> RequestId {
         let request = self.next_request();
         let deadline = self.now.plus(3 * SECOND);
         let group = group.map(GroupId);
@@ -90,13 +90,13 @@
     }
 
     /// A request id that was never used.
-    pub fn next_request(&mut self) -> RequestId {
+    pub(crate) fn next_request(&mut self) -> RequestId {
         self.last_request += 1;
         RequestId(self.last_request)
     }
 
     /// A connection that was established before the balancer started.
-    pub fn restore(&mut self, server: u32, group: Option<u64>) -> RequestId {
+    pub(crate) fn restore(&mut self, server: u32, group: Option<u64>) -> RequestId {
         let request = self.next_request();
         let (group, server) = (group.map(GroupId), ServerId(server));
         self.handle(Event::ConnectionRestored {
@@ -110,26 +110,26 @@
         request
     }
 
-    pub fn establish(&mut self, request: RequestId, attempt: u32) {
+    pub(crate) fn establish(&mut self, request: RequestId, attempt: u32) {
         self.handle(Event::ConnectionEstablished { request, attempt });
     }
 
-    pub fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome, answered: bool) {
+    pub(crate) fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome, answered: bool) {
         self.handle(Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
-    pub fn measure(&mut self, request: RequestId, measurement: Measurement) {
+    pub(crate) fn measure(&mut self, request: RequestId, measurement: Measurement) {
         self.handle(Event::ConnectionMeasured { request, measurement });
     }
 
     /// A load report of a server that holds twenty connections.
-    pub fn report_load(&mut self, server: u32, utilisation: f64) {
+    pub(crate) fn report_load(&mut self, server: u32, utilisation: f64) {
         let report = Some(LoadReport { utilisation, connections: Some(20.0) });
         self.handle(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
     }
 
     /// A request that arrives and ends at once; returns the server of its attempt.
-    pub fn arrive_and_end(&mut self) -> Option<u32> {
+    pub(crate) fn arrive_and_end(&mut self) -> Option<u32> {
         let request = self.arrive();
         let server = self.attempted_server();
         self.end_attempt(request, 0, Outcome::Ok, true);
@@ -137,7 +137,7 @@
     }
 
     /// A request whose connection is established; returns it and its server.
-    pub fn place(&mut self) -> (RequestId, u32) {
+    pub(crate) fn place(&mut self) -> (RequestId, u32) {
         let request = self.arrive();
         let server = self.attempted_server().expect("a server has room");
         self.establish(request, 0);
@@ -145,7 +145,7 @@
     }
 
     /// The server of the attempt that the last event started, if there was one.
-    pub fn attempted_server(&self) -> Option<u32> {
+    pub(crate) fn attempted_server(&self) -> Option<u32> {
         self.actions.iter().find_map(|action| match action {
             Action::StartAttempt { server, .. } => Some(server.0),
             _ => None,
@@ -153,7 +153,7 @@
     }
 
     /// The Retry-After of the last event's rejection, if there was one.
-    pub fn rejection(&self) -> Option<Micros> {
+    pub(crate) fn rejection(&self) -> Option<Micros> {
         self.actions.iter().find_map(|action| match action {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
@@ -161,12 +161,12 @@
     }
 
     /// Slots held at a server.
-    pub fn held(&self, server: u32) -> f64 {
+    pub(crate) fn held(&self, server: u32) -> f64 {
         self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.held)
     }
 
     /// The ceiling of a server, in slots.
-    pub fn ceiling(&self, server: u32) -> f64 {
+    pub(crate) fn ceiling(&self, server: u32) -> f64 {
         self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.ceiling)
     }
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -64,7 +64,7 @@
             continue;
         }
         let is_placeholder = word.chars().any(|c| c.is_ascii_uppercase())
-            && !word.chars().any(|c| c.is_lowercase())
+            && !word.chars().any(char::is_lowercase)
             && !FIXED_WORDS.contains(&word.as_str());
         text.push_str(if is_placeholder { "*" } else { &word });
         word.clear();
--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// Long enough for a busy machine; nothing here waits so long unless it fails.
-pub const MAX_WAIT: Duration = Duration::from_secs(20);
+pub(crate) const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// How a fake IRC server answers a registration.
 #[derive(Clone)]
-pub enum Behaviour {
+pub(crate) enum Behaviour {
     /// `PING` first, and the welcome only after the right `PONG`.
     Welcome,
     /// This line, then it closes.
@@ -26,14 +26,14 @@
 }
 
 /// A fake IRC server (RFC 2812): it keeps every line that it is sent.
-pub struct Server {
+pub(crate) struct Server {
     pub address: SocketAddr,
     pub lines: Arc<Mutex<Vec<String>>>,
     pub streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Server {
-    pub fn start(behaviour: Behaviour) -> Server {
+    pub(crate) fn start(behaviour: Behaviour) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (lines, streams) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
@@ -89,24 +89,24 @@
     }
 
     /// Whether it was sent this line.
-    pub fn has(&self, line: &str) -> bool {
+    pub(crate) fn has(&self, line: &str) -> bool {
         self.lines.lock().unwrap().iter().any(|l| l == line)
     }
 
     /// Number of lines that it was sent.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.lines.lock().unwrap().len()
     }
 
     /// Sends a line over every connection.
-    pub fn send_line(&self, line: &str) {
+    pub(crate) fn send_line(&self, line: &str) {
         for stream in self.streams.lock().unwrap().iter_mut() {
             let _ = stream.write_all(format!("{line}\r\n").as_bytes());
         }
     }
 
     /// Closes every connection.
-    pub fn close_all(&self) {
+    pub(crate) fn close_all(&self) {
         for stream in self.streams.lock().unwrap().iter() {
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -114,7 +114,7 @@
 }
 
 /// Waits until a condition holds.
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let since = Instant::now();
     while !condition() {
         assert!(since.elapsed() < MAX_WAIT, "never: {what}");
@@ -123,7 +123,7 @@
 }
 
 /// A running daemon, killed at the end of the test.
-pub struct Daemon {
+pub(crate) struct Daemon {
     child: Child,
     log: Receiver<String>,
     pub irc: String,
@@ -135,12 +135,12 @@
 
 impl Daemon {
     /// Starts a daemon with the texts of an operator's file and, if given, of a platform configuration.
-    pub fn start(irc: &str, platform: Option<&str>) -> Daemon {
+    pub(crate) fn start(irc: &str, platform: Option<&str>) -> Daemon {
         Daemon::start_with(irc, platform, &[])
     }
 
     /// The same with more arguments.
-    pub fn start_with(irc: &str, platform: Option<&str>, more: &[&str]) -> Daemon {
+    pub(crate) fn start_with(irc: &str, platform: Option<&str>, more: &[&str]) -> Daemon {
         static COUNT: Mutex<u32> = Mutex::new(0);
         let count = {
             let mut count = COUNT.lock().unwrap();
@@ -157,12 +157,12 @@
     }
 
     /// Starts a successor, with the same configuration and temporary folder.
-    pub fn start_successor(&self) -> Daemon {
+    pub(crate) fn start_successor(&self) -> Daemon {
         Daemon::launch(self.folder.clone(), &[])
     }
 
     /// Starts a successor whose request this daemon sees in the same wake-up in which it is resumed.
-    pub fn resume_beside_successor(&self) -> Daemon {
+    pub(crate) fn resume_beside_successor(&self) -> Daemon {
         let folder = self.folder.clone();
         let successor = std::thread::spawn(|| Daemon::launch(folder, &[]));
         self.resume();
@@ -209,7 +209,7 @@
     }
 
     /// The next log line that contains this.
-    pub fn log_line(&self, part: &str) -> String {
+    pub(crate) fn log_line(&self, part: &str) -> String {
         loop {
             let line =
                 self.log.recv_timeout(MAX_WAIT).unwrap_or_else(|_| panic!("no log line with '{part}'"));
@@ -221,42 +221,42 @@
     }
 
     /// Replaces a configuration file, `irc.json` or `config.json`, and has it read again.
-    pub fn reload(&self, file: &str, text: &str) {
+    pub(crate) fn reload(&self, file: &str, text: &str) {
         std::fs::write(self.folder.join("next"), text).expect("written");
         std::fs::rename(self.folder.join("next"), self.folder.join(file)).expect("replaced");
         self.signal("-HUP");
     }
 
     /// The reply of its admin endpoint.
-    pub fn admin_call(&self, call: &str) -> String {
+    pub(crate) fn admin_call(&self, call: &str) -> String {
         let mut admin_client = Client::connect(&self.mgmt);
         admin_client.send_line(call);
         admin_client.read_to_end()
     }
 
     /// Excludes a server with the command line.
-    pub fn exclude(&self, server: &str) {
+    pub(crate) fn exclude(&self, server: &str) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
         let output = command.args(["exclude", server, "--mgmt", &self.mgmt]).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
 
     /// Runs a command of the command line at this daemon's store.
-    pub fn run_store_command(&self, arguments: &[&str]) {
+    pub(crate) fn run_store_command(&self, arguments: &[&str]) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
         let output = command.args(arguments).args(["--store", &self.store]).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
 
     /// Sends the process a signal, such as `-TERM`.
-    pub fn signal(&self, signal: &str) {
+    pub(crate) fn signal(&self, signal: &str) {
         let status = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
     }
 
     /// Stops the whole process: what happens from here on waits in the system, and comes to it in one wake-up when it
     /// is resumed.
-    pub fn suspend(&self) {
+    pub(crate) fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let state = || std::fs::read_to_string(&stat).unwrap_or_default();
@@ -266,12 +266,12 @@
     }
 
     /// Resumes the process.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// A metric that it reports, summed over all its classes.
-    pub fn metric(&self, name: &str) -> u64 {
+    pub(crate) fn metric(&self, name: &str) -> u64 {
         let lines = self.admin_call("telemetry");
         let of = |line: &str| {
             let (key, value) = line.split_once(':')?;
@@ -281,7 +281,7 @@
     }
 
     /// Waits for its exit. Returns whether it reported success.
-    pub fn wait_for_exit(&mut self) -> bool {
+    pub(crate) fn wait_for_exit(&mut self) -> bool {
         let mut status = None;
         wait_until("the daemon exits", || {
             status = self.child.try_wait().expect("a child");
@@ -300,40 +300,40 @@
 }
 
 /// A client that sends and reads lines.
-pub struct Client {
+pub(crate) struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn connect(address: &str) -> Client {
+    pub(crate) fn connect(address: &str) -> Client {
         Client::over(TcpStream::connect(address).expect("connects"))
     }
 
     /// A client over a connection that is open already.
-    pub fn over(stream: TcpStream) -> Client {
+    pub(crate) fn over(stream: TcpStream) -> Client {
         stream.set_read_timeout(Some(MAX_WAIT)).expect("a socket");
         let reader = BufReader::new(stream.try_clone().expect("a clone"));
         Client { stream, reader }
     }
 
     /// A client that registers as `nick`.
-    pub fn register(address: &str, nick: &str) -> Client {
+    pub(crate) fn register(address: &str, nick: &str) -> Client {
         let mut client = Client::connect(address);
         client.send_line(&format!("NICK {nick}\r\nUSER u 0 * :A tool"));
         client
     }
 
-    pub fn into_stream(self) -> TcpStream {
+    pub(crate) fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    pub fn send_line(&mut self, line: &str) {
+    pub(crate) fn send_line(&mut self, line: &str) {
         self.stream.write_all(format!("{line}\r\n").as_bytes()).expect("written");
     }
 
     /// The next line; empty at the end.
-    pub fn read_line(&mut self) -> String {
+    pub(crate) fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(_) => line.trim_end().to_owned(),
@@ -343,7 +343,7 @@
     }
 
     /// The next line that contains this; panics if there is none.
-    pub fn expect_line(&mut self, part: &str) -> String {
+    pub(crate) fn expect_line(&mut self, part: &str) -> String {
         loop {
             let line = self.read_line();
             assert!(!line.is_empty(), "the end came before '{part}'");
@@ -354,7 +354,7 @@
     }
 
     /// All that comes up to the end.
-    pub fn read_to_end(&mut self) -> String {
+    pub(crate) fn read_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
         match self.reader.read_to_end(&mut bytes) {
             Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => panic!("no end: {e}"),
@@ -364,7 +364,7 @@
 }
 
 /// An operator's file with these servers.
-pub fn irc_config(servers: &[&Server], more: &str) -> String {
+pub(crate) fn irc_config(servers: &[&Server], more: &str) -> String {
     let server = |(n, server): (usize, &&Server)| {
         format!("{{\"name\": \"irc-{n}\", \"address\": \"{}\"}}", server.address)
     };
@@ -377,7 +377,7 @@
 }
 
 /// A server whose connections the test accepts one by one.
-pub struct ManualServer {
+pub(crate) struct ManualServer {
     pub address: SocketAddr,
     listener: TcpListener,
     /// Connections of the test itself, which fill the queue while no other is to be established.
@@ -385,12 +385,12 @@
 }
 
 impl ManualServer {
-    pub fn start() -> ManualServer {
+    pub(crate) fn start() -> ManualServer {
         ManualServer::with_queue(128)
     }
 
     /// A server at which no connection is established until [`ManualServer::empty_queue`].
-    pub fn start_with_full_queue() -> ManualServer {
+    pub(crate) fn start_with_full_queue() -> ManualServer {
         let mut server = ManualServer::with_queue(0);
         let connect = || TcpStream::connect_timeout(&server.address, Duration::from_millis(200)).ok();
         // The queue takes one or two, by the system; one that is not taken shows that it is full.
@@ -409,14 +409,14 @@
     }
 
     /// Lets connections be established from now on.
-    pub fn empty_queue(&mut self) {
+    pub(crate) fn empty_queue(&mut self) {
         for _ in self.queued.drain(..) {
             self.listener.accept().expect("the test's own");
         }
     }
 
     /// The next connection.
-    pub fn accept(&self) -> Client {
+    pub(crate) fn accept(&self) -> Client {
         let mut accepted = None;
         wait_until("a connection comes", || {
             accepted = self.try_accept();
@@ -426,7 +426,7 @@
     }
 
     /// The next connection, if one is there.
-    pub fn try_accept(&self) -> Option<Client> {
+    pub(crate) fn try_accept(&self) -> Option<Client> {
         self.listener.set_nonblocking(true).expect("a socket");
         let accepted = self.listener.accept().ok();
         self.listener.set_nonblocking(false).expect("a socket");
@@ -438,13 +438,13 @@
 }
 
 /// A discovery whose every answer the test gives.
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub address: SocketAddr,
     calls: Receiver<(String, TcpStream)>,
 }
 
 impl Discovery {
-    pub fn start() -> Discovery {
+    pub(crate) fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, calls) = channel();
@@ -463,30 +463,30 @@
     }
 
     /// The next call, which waits for [`send_endpoint_list`] or its end.
-    pub fn call(&self) -> (String, TcpStream) {
+    pub(crate) fn call(&self) -> (String, TcpStream) {
         self.calls.recv_timeout(MAX_WAIT).expect("a call")
     }
 }
 
 /// Answers a call to discovery.
-pub fn send_endpoint_list(mut call: &TcpStream, list: &str) {
+pub(crate) fn send_endpoint_list(mut call: &TcpStream, list: &str) {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
     call.write_all((head + list).as_bytes()).expect("written");
 }
 
 /// Resets a connection, whoever else holds a copy of its descriptor.
-pub fn reset_connection(stream: TcpStream) {
+pub(crate) fn reset_connection(stream: TcpStream) {
     rustix::net::connect_unspec(&stream).expect("broken off");
 }
 
 /// An endpoint as discovery writes it.
-pub fn endpoint(name: &str, address: SocketAddr, lifecycle: &str) -> String {
+pub(crate) fn endpoint(name: &str, address: SocketAddr, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId": "{name}", "hostPort": "{address}", "zone": "a", "lifecycle": "{lifecycle}", "weight": 1.0}}"#
     )
 }
 
 /// An endpoint list as discovery writes it: the whole list or changes.
-pub fn endpoint_list(generation: u32, whole: bool, entries: &[String]) -> String {
+pub(crate) fn endpoint_list(generation: u32, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"generation": {generation}, "reset": {whole}, "instances": [{}]}}"#, entries.join(","))
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -132,7 +132,7 @@
         for action in self.fleet[balancer].actions.clone() {
             match action {
                 Action::StartAttempt { request, timeout, .. } => {
-                    self.start_attempt(balancer, request, timeout)
+                    self.start_attempt(balancer, request, timeout);
                 }
                 Action::ReportSlowSetup if self.may_gossip() => {
                     self.last_gossip = self.now;
@@ -222,7 +222,7 @@
         let mut store =
             SharedStore::new(300, StoreConfig { servers: 30, service: 12_500, max_queue: 160, gossips });
         let pass = |store: &mut SharedStore, from: usize, to: usize| {
-            (from..to).for_each(|ms| store.run_millisecond(if ms % 5 == 0 { 2 } else { 0 }, 1200 * MS))
+            (from..to).for_each(|ms| store.run_millisecond(if ms % 5 == 0 { 2 } else { 0 }, 1200 * MS));
         };
         pass(&mut store, 0, 4000);
         (store.established, store.served_in_vain) = (0, 0);
@@ -255,7 +255,7 @@
     let mut store =
         SharedStore::with_settings(settings, StoreConfig { service: 5 * MS, ..StoreConfig::unbounded() });
     let pass = |store: &mut SharedStore, ms: usize| {
-        (0..ms).for_each(|ms| store.run_millisecond(1 + ms % 2, 500 * MS))
+        (0..ms).for_each(|ms| store.run_millisecond(1 + ms % 2, 500 * MS));
     };
     pass(&mut store, 1000);
     store.established = 0;
@@ -344,7 +344,7 @@
     for harness in &mut fleet {
         samples.iter().for_each(|sample| harness.handle(Event::PeerGroupSample(sample)));
         (1..=12).for_each(|host| {
-            harness.handle(Event::PeerObservation { server: ServerId(host), took: Some(60 * MS) })
+            harness.handle(Event::PeerObservation { server: ServerId(host), took: Some(60 * MS) });
         });
     }
     let mut hosts_of: BTreeMap<u64, BTreeMap<u32, u32>> = BTreeMap::new();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 
 use connection_balancer::protocol::admin;
 use connection_balancer::routing::*;
-use fake_servers::{irc_config, wait_until, Client, Daemon, Behaviour, Server};
+use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness};
 
@@ -442,7 +442,7 @@
     let daemon = start_daemon("");
     let server = Server::start(Behaviour::Welcome);
     let reload = |mgmt: &str| {
-        daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt))
+        daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt));
     };
     reload("\"mgmt\": \"127.0.0.2:0\",");
     let line = daemon.log_line("admin endpoint open on 127.0.0.2:");
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -9,7 +9,7 @@
 use connection_balancer::protocol::flows::{self, FlowEnd};
 use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
 use etherparse::PacketBuilder;
-use fake_servers::{irc_config, wait_until, Client, Daemon, Behaviour, Server};
+use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 
 /// A file with one packet, in this byte order, with this magic number, link type and fraction of a second.
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -97,8 +97,8 @@
 }
 
 fn connect_and_open(daemon: &Daemon) -> Client {
-    let mut client = Client::connect(&daemon.platform);
     static COUNT: AtomicUsize = AtomicUsize::new(0);
+    let mut client = Client::connect(&daemon.platform);
     client.send_line(&format!("OPEN id{} 7f3a c=chat,d=3000", COUNT.fetch_add(1, Ordering::Relaxed)));
     client
 }
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -4,27 +4,27 @@
 use connection_balancer::routing::*;
 use connection_balancer::*;
 
-pub const SERVERS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
+pub(crate) const SERVERS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
 /// How long the client waits for its answer.
-pub const WAIT: Micros = 3_200_000;
+pub(crate) const WAIT: Micros = 3_200_000;
 
 /// Limits that no test reaches unless it sets its own.
-pub const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
+pub(crate) const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
 
 /// The reducer's state, the time that it is handed, and the number of the last connection.
-pub struct ReducerHarness {
+pub(crate) struct ReducerHarness {
     pub state: State,
     pub now: Time,
     last_connection: u64,
 }
 
 /// A request that any server may take.
-pub fn connection_request() -> ConnectionRequest {
+pub(crate) fn connection_request() -> ConnectionRequest {
     ConnectionRequest { class: "chat".to_owned(), wait: Some(WAIT), ..ConnectionRequest::default() }
 }
 
 /// The configuration of the harness's one pool.
-pub fn pool_config() -> PoolConfig {
+pub(crate) fn pool_config() -> PoolConfig {
     let class = Class {
         priority_weight: 1.0,
         setup_objective: 300_000,
@@ -60,12 +60,12 @@
 }
 
 impl ReducerHarness {
-    pub fn new() -> ReducerHarness {
+    pub(crate) fn new() -> ReducerHarness {
         ReducerHarness::with_budget(BUDGET)
     }
 
     /// A reducer that is ready, with all servers in its list.
-    pub fn with_budget(budget: Budget) -> ReducerHarness {
+    pub(crate) fn with_budget(budget: Budget) -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(budget);
         let endpoints = harness.endpoints();
         harness.feed(Input::EndpointsUpdated { pool: 0, whole: true, endpoints });
@@ -74,7 +74,7 @@
     }
 
     /// A reducer that does not listen yet, and has nothing but a cached endpoint list.
-    pub fn with_cached_endpoints() -> ReducerHarness {
+    pub(crate) fn with_cached_endpoints() -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(BUDGET);
         let endpoints = harness.endpoints();
         harness.feed(Input::CachedEndpoints { pool: 0, endpoints });
@@ -94,7 +94,7 @@
         (0..SERVERS.len()).map(|server| self.endpoint(server, Lifecycle::Ready)).collect()
     }
 
-    pub fn address(&self, server: &str) -> String {
+    pub(crate) fn address(&self, server: &str) -> String {
         format!("{server}:1")
     }
 
@@ -105,31 +105,31 @@
     }
 
     /// The index of the server at an address.
-    pub fn server_at(&self, address: &str) -> usize {
+    pub(crate) fn server_at(&self, address: &str) -> usize {
         SERVERS.iter().position(|server| self.address(server) == address).expect("a listed server")
     }
 
-    pub fn feed(&mut self, input: Input) -> Vec<Effect> {
+    pub(crate) fn feed(&mut self, input: Input) -> Vec<Effect> {
         reduce(&mut self.state, self.now, input)
     }
 
-    pub fn advance(&mut self, time: Micros) {
+    pub(crate) fn advance(&mut self, time: Micros) {
         self.now = self.now.plus(time);
     }
 
-    pub fn connect_client(&mut self) -> ConnectionId {
+    pub(crate) fn connect_client(&mut self) -> ConnectionId {
         self.connect_client_with_effects().0
     }
 
     /// Connects a client, and returns the effects as well.
-    pub fn connect_client_with_effects(&mut self) -> (ConnectionId, Vec<Effect>) {
+    pub(crate) fn connect_client_with_effects(&mut self) -> (ConnectionId, Vec<Effect>) {
         self.last_connection += 1;
         let connection = ConnectionId(self.last_connection);
         (connection, self.feed(Input::ClientConnected { connection, pool: 0 }))
     }
 
     /// A connection whose first attempt is written in full, and the index of its server.
-    pub fn forward_request(&mut self) -> (ConnectionId, usize) {
+    pub(crate) fn forward_request(&mut self) -> (ConnectionId, usize) {
         let connection = self.connect_client();
         let effects = self.feed(Input::ConnectionRequested { connection, request: connection_request() });
         let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
@@ -140,23 +140,23 @@
         (connection, server)
     }
 
-    pub fn establish_connection(&mut self) -> ConnectionId {
+    pub(crate) fn establish_connection(&mut self) -> ConnectionId {
         let (connection, _) = self.forward_request();
         self.feed(Input::AttemptAccepted { connection, attempt: 0 });
         connection
     }
 
-    pub fn drain_server(&mut self, server: usize) -> Vec<Effect> {
+    pub(crate) fn drain_server(&mut self, server: usize) -> Vec<Effect> {
         self.update_endpoint(server, Lifecycle::Draining)
     }
 
     /// Has the list show that a server has restarted now.
-    pub fn restart_server(&mut self, server: usize) -> Vec<Effect> {
+    pub(crate) fn restart_server(&mut self, server: usize) -> Vec<Effect> {
         let server = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
         self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: vec![server] })
     }
 
-    pub fn update_endpoint(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
+    pub(crate) fn update_endpoint(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
         let endpoints = vec![self.endpoint(server, lifecycle)];
         self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints })
     }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -514,7 +514,7 @@
             for effect in effects {
                 match effect {
                     Effect::OpenAttempt { connection, attempt, address, .. } => {
-                        self.check_attempt(connection, attempt, &address)?
+                        self.check_attempt(connection, attempt, &address)?;
                     }
                     Effect::CloseAttempt { connection } => drop(self.in_flight.remove(&connection)),
                     Effect::Answer { connection, answer: Answer::Rejected(_) | Answer::Failed } => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -146,7 +146,7 @@
             self.log.push(action.clone());
             match action {
                 Action::StartAttempt { request, server, timeout, .. } => {
-                    self.start_attempt(request, server, timeout)
+                    self.start_attempt(request, server, timeout);
                 }
                 Action::Reject { request, .. } => self.reject(request),
                 Action::Fail { request } => self.answer(request),
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -7,7 +7,7 @@
 use connection_balancer::protocol::gossip;
 use connection_balancer::routing::store::{Entry, ReplicaMessage, ReplicatedMap};
 use connection_balancer::routing::LogEvent;
-use fake_servers::{wait_until, Client, Daemon, Behaviour, Server};
+use fake_servers::{wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 
 fn entries_of(store: &ReplicatedMap) -> BTreeMap<String, Entry> {
@@ -148,7 +148,7 @@
     client.expect_line("001 rosa");
     first.exclude("irc-0");
     client.expect_line(" 010 rosa ");
-    Client::register(&first.irc, "rosa").expect(" 263 rosa ");
+    Client::register(&first.irc, "rosa").expect_line(" 263 rosa ");
     // The one with a data folder restores it; the other receives it from there.
     drop(first);
     drop(second);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -16,7 +16,7 @@
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
-use fake_servers::{irc_config, wait_until, Client, Daemon, Behaviour, Server};
+use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness, SERVERS};
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
@@ -499,7 +499,7 @@
                     self.done += 1;
                 }
                 Effect::TransferConnection { connection, established, .. } => {
-                    self.transfer(process, connection, established)?
+                    self.transfer(process, connection, established)?;
                 }
                 _ => {}
             }
