--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -95,7 +95,7 @@
             group: profile.group,
             wait: Some(class.max_wait),
             key: Some(client as u64),
-            again: self.client_states[client].reconnecting,
+            reconnecting: self.client_states[client].reconnecting,
             established_at,
             ..ConnectionRequest::default()
         };
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -1,4 +1,6 @@
 //! The command line.
+// The comments on options are printed as help, where backticks would only disturb.
+#![allow(clippy::doc_markdown)]
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -42,7 +44,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// configuration of the platform's front (default: $`NODE_CONFIG`)
+    /// configuration of the platform's front (default: $NODE_CONFIG)
     #[argh(option)]
     config: Option<PathBuf>,
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
@@ -63,7 +65,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// configuration of the platform's front (default: $`NODE_CONFIG`)
+    /// configuration of the platform's front (default: $NODE_CONFIG)
     #[argh(option)]
     config: Option<PathBuf>,
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
@@ -99,7 +101,7 @@
     /// name of the server
     #[argh(positional, arg_name = "host")]
     server: String,
-    /// address of a balancer's admin endpoint (default: $`NODE_MGMT`)
+    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
@@ -111,7 +113,7 @@
     /// name of the server
     #[argh(positional, arg_name = "host")]
     server: String,
-    /// address of a balancer's admin endpoint (default: $`NODE_MGMT`)
+    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
@@ -120,7 +122,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "readyz")]
 struct Readyz {
-    /// address of its admin endpoint (default: $`NODE_MGMT`)
+    /// address of its admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
@@ -129,7 +131,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "telemetry")]
 struct Telemetry {
-    /// address of its admin endpoint (default: $`NODE_MGMT`)
+    /// address of its admin endpoint (default: $NODE_MGMT)
     #[argh(option)]
     mgmt: Option<String>,
 }
--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -88,7 +88,7 @@
         // These two are not in the message, since the previous version does not know them: such a client is not
         // recognised when it is migrated.
         key: None,
-        again: false,
+        reconnecting: false,
     })
 }
 
--- a/src/protocol/platform/reply.rs
+++ b/src/protocol/platform/reply.rs
@@ -85,11 +85,11 @@
     }
     let status = alt((PONG.value(Status::Healthy), ERR.value(Status::Error), NO.value(Status::Unwanted)));
     let fields = opt(preceded(b' ', separated(0.., parse_field, b',')));
-    let Ok((status, fields)) = (status, fields).parse(line) else { return ProbeEnd::Nothing };
+    let Ok((status, fields)) = (status, fields).parse(line) else { return ProbeEnd::NoAnswer };
     let fields: Vec<Field<'_>> = fields.unwrap_or_default();
     match status {
         Status::Healthy => ProbeEnd::Answered(decode_load_report(&fields, utilisation_names)),
         Status::Error => ProbeEnd::Error(decode_load_report(&fields, utilisation_names)),
-        Status::Unwanted => ProbeEnd::Unwanted,
+        Status::Unwanted => ProbeEnd::Declined,
     }
 }
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -124,7 +124,7 @@
         b"t" => request.tenant = Some(to_text(value)).filter(|name| name != "0"),
         b"g" => request.group = Some(hex_uint::<_, u64, ContextError>.parse(value).ok()?),
         b"h" => request.load = Some(parse_non_negative_number(value)?),
-        b"again" => request.again = value == b"1",
+        b"again" => request.reconnecting = value == b"1",
         b"at" => request.established_at = Some(to_text(value)).filter(|name| !name.is_empty()),
         b"d" => {
             let wait_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_WAIT_MS)?;
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -25,7 +25,7 @@
 impl State {
     pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
         let Some(pool) = self.pools.get(pool_id) else { return };
-        let handshake_timeout = pool.config.greeting;
+        let handshake_timeout = pool.config.handshake_timeout;
         self.connections.insert(id, ClientConnection::new(pool_id, now));
         self.connections.set_timer(id, Some(now.plus(handshake_timeout)));
         self.admission.begin_waiting(now, id);
@@ -87,8 +87,8 @@
     fn is_at_connection_limit(&self, pool_id: PoolId) -> bool {
         let pool = &self.pools[pool_id];
         let replicated = self.replication.map().get(CONNECTION_LIMIT_KEY);
-        let limit = replicated.filter(|_| pool.config.from_store).and_then(|text| text.parse().ok());
-        let limit: usize = limit.unwrap_or(pool.config.most_held);
+        let limit = replicated.filter(|_| pool.config.uses_replicated_map).and_then(|text| text.parse().ok());
+        let limit: usize = limit.unwrap_or(pool.config.max_connections);
         let all: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
         pool.admitted.count() >= limit || all >= self.admission.budget().held
     }
@@ -119,7 +119,7 @@
         self.make_room(now);
         let pool = &mut self.pools[pool_id];
         pool.admitted.add(request);
-        let (key, again) = (request.key, request.again);
+        let (key, again) = (request.key, request.reconnecting);
         pool.rebalance
             .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting: again });
         if let Some(connection) = self.connections.get_mut(id) {
@@ -138,7 +138,7 @@
         wait: Option<Micros>,
     ) {
         let Some(connection) = self.connections.get(id) else { return };
-        let handshake_deadline = connection.connected_at.plus(self.pools[pool_id].config.greeting);
+        let handshake_deadline = connection.connected_at.plus(self.pools[pool_id].config.handshake_timeout);
         let deadline = wait.map_or(handshake_deadline, |wait| now.plus(wait));
         self.connections.set_phase(id, Phase::Connecting);
         let RequestProfile { class, tenant, group, load } = profile;
--- a/src/routing/connection_request.rs
+++ b/src/routing/connection_request.rs
@@ -22,5 +22,5 @@
     /// Hash of the flow's key, by which a returning client is recognised.
     pub key: Option<u64>,
     /// The client returns after its connection broke or was migrated.
-    pub again: bool,
+    pub reconnecting: bool,
 }
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -82,7 +82,7 @@
     fn collect_listed_endpoints(&self, pool_id: PoolId) -> BTreeMap<String, Endpoint> {
         let pool = &self.pools[pool_id];
         let mut endpoints = pool.listed.by_name().clone();
-        if pool.config.from_store {
+        if pool.config.uses_replicated_map {
             let replicated = self.replication.map().with_prefix(ENDPOINT_KEY_PREFIX);
             let added = replicated.filter_map(|(name, text)| stored_endpoint(name, text));
             endpoints.extend(added.map(|endpoint| (endpoint.name.clone(), endpoint)));
@@ -184,7 +184,7 @@
     /// Over which time a draining server's connections are migrated; none where it redirects them itself.
     fn drain_duration(&self, pool_id: PoolId, server: ServerId) -> Option<Micros> {
         let pool = &self.pools[pool_id];
-        match pool.config.drain_over {
+        match pool.config.drain_duration {
             0 => pool.is_excluded(server).then_some(EXCLUSION_DRAIN_DURATION),
             duration => Some(duration),
         }
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -70,7 +70,7 @@
     /// Sets an established connection's timer: for its migration, or for the silence of its server.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let max_silence = self.pools[connection.pool].config.silence;
+        let max_silence = self.pools[connection.pool].config.server_silence_timeout;
         let silent_from = connection.awaiting_server_since.unwrap_or(now);
         let silent_until = (max_silence > 0).then(|| silent_from.plus(max_silence));
         let due = connection.migrate_at.into_iter().chain(silent_until).min();
@@ -79,7 +79,7 @@
 
     pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let max_silence = self.pools[connection.pool].config.silence;
+        let max_silence = self.pools[connection.pool].config.server_silence_timeout;
         // A server that vanished closes nothing: its clients would wait for ever.
         let is_silent = max_silence > 0
             && connection.awaiting_server_since.is_some_and(|since| since.plus(max_silence) <= now);
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -41,8 +41,8 @@
         config: &PoolConfig,
     ) -> bool {
         let is_below_any_load = value < self.mean_load.mean() * MIN_LOAD_SHARE;
-        let is_possible = is_below_any_load || self.is_repeated(now, server, value) || !config.tells_load;
-        config.tells_delay && is_possible
+        let is_possible = is_below_any_load || self.is_repeated(now, server, value) || !config.reports_load;
+        config.reports_message_time && is_possible
     }
 
     fn is_repeated(&self, now: Time, server: ServerId, value: f64) -> bool {
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -42,21 +42,21 @@
     /// Where the endpoint list is watched; none where it comes from a file.
     pub discovery: Option<SocketAddr>,
     /// How long a client may take to send its request.
-    pub greeting: Micros,
+    pub handshake_timeout: Micros,
     /// Whether the replicated map may add servers and limit the connections.
-    pub from_store: bool,
+    pub uses_replicated_map: bool,
     /// The limit of connections where the replicated map holds none.
-    pub most_held: usize,
+    pub max_connections: usize,
     /// Time over which clients of a draining server are migrated; 0 where servers redirect them themselves.
-    pub drain_over: Micros,
+    pub drain_duration: Micros,
     /// An established connection whose server is silent for this long after a line is migrated; 0 for never.
-    pub silence: Micros,
+    pub server_silence_timeout: Micros,
     /// Whether servers report how long messages take.
-    pub tells_delay: bool,
+    pub reports_message_time: bool,
     /// Whether servers report the load of a connection, in the same form.
-    pub tells_load: bool,
+    pub reports_load: bool,
     /// Names under which a probe's answer may carry a server's utilisation, the preferred first.
-    pub reports: Vec<&'static str>,
+    pub load_report_fields: Vec<&'static str>,
     /// The longest time that a client waits for its answer.
     pub longest_wait: Micros,
     /// How established connections are migrated towards balance.
@@ -97,7 +97,7 @@
             priority_weights: classes.iter().map(|class| class.priority_weight).collect(),
             setup_objective: setup_objectives.min().unwrap_or(0),
             message_objective: self.settings.message_objective(),
-            reports_message_time: self.tells_delay,
+            reports_message_time: self.reports_message_time,
             migration_cost: *migration_cost,
             slow_start_duration: *slow_start_duration,
         }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -19,9 +19,9 @@
     /// It answered with an error, with a load report or without.
     Error(Option<LoadReport>),
     /// It answered that it must not be probed.
-    Unwanted,
+    Declined,
     /// There was no connection, or no answer in time.
-    Nothing,
+    NoAnswer,
 }
 
 /// One process of a server: a report does not count for the next one.
@@ -80,7 +80,7 @@
             pool: pool_id,
             server,
             address: endpoint.address.clone(),
-            names: pool.config.reports.clone(),
+            names: pool.config.load_report_fields.clone(),
             wait: probe_timeout(&pool.config.settings),
         });
     }
@@ -96,10 +96,10 @@
         let (outcome, report) = match end {
             ProbeEnd::Answered(report) => (Outcome::Ok, report),
             ProbeEnd::Error(report) => (Outcome::Error, report),
-            ProbeEnd::Unwanted => (Outcome::Rejected, None),
-            ProbeEnd::Nothing => (Outcome::TimedOut, None),
+            ProbeEnd::Declined => (Outcome::Rejected, None),
+            ProbeEnd::NoAnswer => (Outcome::TimedOut, None),
         };
-        if end == ProbeEnd::Unwanted {
+        if end == ProbeEnd::Declined {
             self.decline_probes(pool_id, probed);
         }
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -89,7 +89,7 @@
             let end = platform::parse_probe_answer(&line, &load_names);
             (end, Some(stream).filter(|_| matches!(end, ProbeEnd::Answered(_))))
         }
-        _ => (ProbeEnd::Nothing, None),
+        _ => (ProbeEnd::NoAnswer, None),
     };
     driver.feed(Input::ProbeCompleted { pool, server, end });
     stream.map(|stream| (ProbeTarget { server, address }, stream))
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -6,7 +6,7 @@
 fn accepts_the_shipped_operator_file() {
     let operator = parse_operator(include_bytes!("../deploy/irc.json")).expect("valid");
     assert_eq!((operator.irc.endpoints.len(), operator.store), (2, None));
-    assert_eq!(operator.irc.pool.greeting, 10_000_000);
+    assert_eq!(operator.irc.pool.handshake_timeout, 10_000_000);
 }
 
 #[test]
@@ -116,7 +116,7 @@
            "limits": {"peers": true, "probing": false}, "reporting": {"fields": [], "how": "off"},
            "charges": {"peer": 0.01}, "invariants": {"cold-share": 0.3, "tip-multiple": 4, "overload-for": 3000}"#,
     );
-    assert!(shop.peers.is_some() && shop.pool.tells_load && shop.pool.reports.is_empty());
+    assert!(shop.peers.is_some() && shop.pool.reports_load && shop.pool.load_report_fields.is_empty());
     assert!(!shop.pool.settings.probes && !shop.pool.settings.probe_reports);
     assert_eq!(
         (shop.pool.settings.slow_start_overload_factor, shop.pool.settings.slow_start_window),
@@ -130,8 +130,8 @@
            "charges": {"probe": 0.0021, "moves": 0.024},
            "invariants": {"cold-share": 0.17, "tip-multiple": 3, "overload-for": 2000, "warm-up": 24000}"#,
     );
-    assert!(meters.peers.is_none() && !meters.pool.tells_load && meters.pool.tells_delay);
-    assert_eq!(meters.pool.reports, ["x0", "utilization", "util"]);
+    assert!(meters.peers.is_none() && !meters.pool.reports_load && meters.pool.reports_message_time);
+    assert_eq!(meters.pool.load_report_fields, ["x0", "utilization", "util"]);
     let settings = &meters.pool.settings;
     assert!(settings.probes && settings.probe_reports);
     assert_eq!((settings.probe_cost, settings.connect_timeout), (0.0021, 100_000));
@@ -139,10 +139,13 @@
     // Without `report-x0`, the `x0` of a load report means something else.
     let without_report_x0 =
         platform(r#""reporting": {"fields": ["x0"], "how": "on_probe"}, "limits": {"probing": true}"#);
-    assert!(without_report_x0.pool.reports.is_empty() && !without_report_x0.pool.settings.probe_reports);
+    assert!(
+        without_report_x0.pool.load_report_fields.is_empty()
+            && !without_report_x0.pool.settings.probe_reports
+    );
     let off =
         platform(r#""reporting": {"fields": ["utilization"], "how": "off"}, "limits": {"probing": true}"#);
-    assert!(off.pool.reports.is_empty());
+    assert!(off.pool.load_report_fields.is_empty());
 }
 
 /// Ordinary clients alone hold a third of the descriptors, and their attempts as many again.
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -17,7 +17,7 @@
         ("PONG inflight=7,queue=2,util=0.61", ProbeEnd::Answered(report(0.61, Some(7.0)))),
         ("PONG x0=0.5,inflight=-3", ProbeEnd::Answered(report(0.5, None))),
         ("ERR x0=2", ProbeEnd::Error(report(2.0, None))),
-        ("NO", ProbeEnd::Unwanted),
+        ("NO", ProbeEnd::Declined),
     ];
     let invalid = [
         "",
@@ -33,7 +33,7 @@
     ];
     let invalid = invalid.map(|tail| (format!("PONG{tail}"), ProbeEnd::Answered(None)));
     let others = ["", "pong x0=1", "PONGx0=1", "UP 1", "BUSY", "PONG x0=1 util=2", "\u{0}"];
-    let others = others.map(|line| (line.to_owned(), ProbeEnd::Nothing));
+    let others = others.map(|line| (line.to_owned(), ProbeEnd::NoAnswer));
     let table = table.map(|(line, end)| (line.to_owned(), end));
     for (line, end) in table.into_iter().chain(invalid).chain(others) {
         assert_eq!(parse_probe_answer(line.as_bytes(), &NAMES), end, "{line:?}");
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -753,7 +753,7 @@
         connection,
         request: ConnectionRequest {
             key: migrated.last().map(|connection| connection.0),
-            again: true,
+            reconnecting: true,
             ..connection_request()
         },
     });
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -47,9 +47,9 @@
 /// At a site whose servers report no loads, message times of 99 ms were taken for loads, and no client left.
 #[test]
 fn takes_every_value_for_a_message_time_where_servers_report_no_loads() {
-    let migrated = |tells_load: bool| {
+    let migrated = |reports_load: bool| {
         let mut harness = ReducerHarness::new();
-        reload(&mut harness, PoolConfig { tells_load, ..reducer_harness::pool_config() });
+        reload(&mut harness, PoolConfig { reports_load, ..reducer_harness::pool_config() });
         let connections: Vec<ConnectionId> = (0..12).map(|_| harness.establish_connection()).collect();
         migrations_for_message_times(&mut harness, connections[0])
     };
@@ -63,7 +63,7 @@
     let mut config = reducer_harness::pool_config();
     config.settings.probes = true;
     config.settings.probe_reports = true;
-    config.reports = vec!["x0"];
+    config.load_report_fields = vec!["x0"];
     reload(&mut harness, config);
     harness
 }
@@ -96,8 +96,8 @@
     let mut first = probed_while_connecting(&mut harness, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
-    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::Nothing });
-    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::Nothing });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::NoAnswer });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::NoAnswer });
     harness.drain_server(1);
     let again = probed_while_connecting(&mut harness, 10);
     assert!(again.contains(&ServerId(3)) && again.iter().all(|server| *server == ServerId(3)), "{again:?}");
@@ -107,7 +107,7 @@
 fn does_not_probe_a_server_that_declined_until_it_restarts() {
     let mut harness = probing_harness();
     for server in probed_while_connecting(&mut harness, 10) {
-        harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeEnd::Unwanted });
+        harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeEnd::Declined });
     }
     assert_eq!(probed_while_connecting(&mut harness, 10), []);
     harness.restart_server(0);
