--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -93,10 +93,10 @@
 }
 
 fn parse_established_connection(input: &mut &[u8]) -> ModalResult<EstablishedConnection> {
-    let (ask, server, load, awaiting_server_since) =
+    let (request, server, load, awaiting_server_since) =
         (parse_connection_request, parse_text, optional(parse_number), optional(parse_time))
             .parse_next(input)?;
-    Ok(EstablishedConnection { request: ask, server, load, awaiting_server_since })
+    Ok(EstablishedConnection { request, server, load, awaiting_server_since })
 }
 
 fn parse_entry(input: &mut &[u8]) -> ModalResult<Part> {
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -107,12 +107,12 @@
     }
 
     fn established_connection(&mut self, established: &EstablishedConnection) -> &mut Encoder {
-        let ask = &established.request;
-        self.optional_text(&ask.id)
-            .text(&ask.class)
-            .optional_text(&ask.tenant)
-            .optional(&ask.group, |encoder, group| encoder.u64(*group))
-            .optional_f64(&ask.load)
+        let request = &established.request;
+        self.optional_text(&request.id)
+            .text(&request.class)
+            .optional_text(&request.tenant)
+            .optional(&request.group, |encoder, group| encoder.u64(*group))
+            .optional_f64(&request.load)
             .text(&established.server)
             .optional_f64(&established.load)
             .optional_time(&established.awaiting_server_since)
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -325,8 +325,8 @@
                     self.close_in_order();
                     self.driver.feed(Input::ClientDisconnected { connection });
                 }
-                Step::ConnectionRequested(ask) => {
-                    self.driver.feed(Input::ConnectionRequested { connection, request: ask });
+                Step::ConnectionRequested(request) => {
+                    self.driver.feed(Input::ConnectionRequested { connection, request });
                 }
                 Step::Up => {
                     self.established = true;
