--- a/src/connection_size.rs
+++ b/src/bookkeeping/connection_size.rs
@@ -1,6 +1,6 @@
 //! The size of a connection in slots: a slot is the load of a mean connection.
 
-use crate::running_mean::RunningMean;
+use super::RunningMean;
 use crate::types::ClassId;
 
 /// The most slots that one connection takes: an extreme figure must not close a server for good.
@@ -8,7 +8,7 @@
 
 /// Mean loads of connections, against which each connection is sized.
 #[derive(Debug)]
-pub(crate) struct ConnectionSizes {
+pub struct ConnectionSizes {
     /// Loads measured on established connections, of all classes and of each.
     measured: RunningMean,
     measured_by_class: Vec<RunningMean>,
@@ -18,7 +18,7 @@
 
 impl ConnectionSizes {
     /// Means without values, for so many classes.
-    pub(crate) fn new(classes: usize) -> ConnectionSizes {
+    pub fn new(classes: usize) -> ConnectionSizes {
         ConnectionSizes {
             measured: RunningMean::default(),
             measured_by_class: vec![RunningMean::default(); classes],
@@ -27,17 +27,17 @@
     }
 
     /// Changes the number of classes; classes that remain keep their values.
-    pub(crate) fn resize(&mut self, classes: usize) {
+    pub fn resize(&mut self, classes: usize) {
         self.measured_by_class.resize(classes, RunningMean::default());
     }
 
     /// Whether any load was measured yet.
-    pub(crate) fn has_measurements(&self) -> bool {
+    pub fn has_measurements(&self) -> bool {
         !self.measured.is_empty()
     }
 
     /// Slots of a new connection, by its announced load or else by the mean load of its class.
-    pub(crate) fn estimate(&mut self, class: ClassId, announced: Option<f64>) -> f64 {
+    pub fn estimate(&mut self, class: ClassId, announced: Option<f64>) -> f64 {
         if let Some(load) = announced.filter(|load| load.is_finite() && *load > 0.0) {
             return (load / self.announced.add(load)).min(MAX_CONNECTION_SLOTS);
         }
@@ -52,7 +52,7 @@
     }
 
     /// Adds a measured load and returns the slots of that connection; nothing for an invalid load.
-    pub(crate) fn record(&mut self, class: ClassId, load: f64) -> Option<f64> {
+    pub fn record(&mut self, class: ClassId, load: f64) -> Option<f64> {
         // One invalid figure would spoil the means for good.
         if !(load.is_finite() && load >= 0.0) {
             return None;
--- a/src/group_statistics.rs
+++ b/src/bookkeeping/group_statistics.rs
@@ -13,7 +13,7 @@
 
 /// Decaying counts of observed connections, by group.
 #[derive(Debug, Default)]
-pub(crate) struct GroupStatistics {
+pub struct GroupStatistics {
     observations_by_group: BTreeMap<GroupHash, f64>,
     /// All observations of connections that have a group.
     observations: f64,
@@ -21,7 +21,7 @@
 
 impl GroupStatistics {
     /// Counts an observed connection; one without a group is ignored.
-    pub(crate) fn record(&mut self, group: Option<GroupHash>) {
+    pub fn record(&mut self, group: Option<GroupHash>) {
         let Some(group) = group else { return };
         *self.observations_by_group.entry(group).or_insert(0.0) += 1.0;
         self.observations += 1.0;
@@ -31,7 +31,7 @@
     }
 
     /// The group's estimated share of all connections, from 0 to 1.
-    pub(crate) fn share(&self, group: GroupId) -> f64 {
+    pub fn share(&self, group: GroupId) -> f64 {
         let observed = self.observations_by_group.get(&group.short_hash()).copied().unwrap_or(0.0);
         observed / (self.observations + PRIOR_OBSERVATIONS)
     }
--- a/src/random.rs
+++ b/src/bookkeeping/random.rs
@@ -12,28 +12,24 @@
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Half to one and a half times `span`: balancers that failed together must not return together.
-pub(crate) fn jittered(rng: &mut impl Rng, span: Micros) -> Micros {
+pub fn jittered(rng: &mut impl Rng, span: Micros) -> Micros {
     (span as f64 * rng.random_range(0.5..1.5)) as Micros
 }
 
 /// A jittered wait after `failures` failures in a row: `initial`, doubled with each, up to `max`.
-pub(crate) fn jittered_backoff(rng: &mut impl Rng, initial: Micros, failures: u32, max: Micros) -> Micros {
+pub fn jittered_backoff(rng: &mut impl Rng, initial: Micros, failures: u32, max: Micros) -> Micros {
     jittered(rng, initial.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(max))
 }
 
 /// A number with exponential distribution of mean 1, the same for equal keys at every balancer.
-pub(crate) fn exponential_for(key: impl Hash) -> f64 {
+pub fn exponential_for(key: impl Hash) -> f64 {
     // The hash alone is not uniform for ids that follow one another.
     let uniform: f64 = Pcg64Mcg::seed_from_u64(FxBuildHasher.hash_one(key)).random();
     -(1.0 - uniform).ln()
 }
 
 /// One of the items at random, in proportion to its weight; none if no weight is above 0.
-pub(crate) fn draw_weighted<'a, T>(
-    rng: &mut impl Rng,
-    items: &'a [T],
-    weight: impl Fn(&T) -> f64,
-) -> Option<&'a T> {
+pub fn draw_weighted<'a, T>(rng: &mut impl Rng, items: &'a [T], weight: impl Fn(&T) -> f64) -> Option<&'a T> {
     let total: f64 = items.iter().map(&weight).sum();
     let mut remaining = if total > 0.0 { rng.random_range(0.0..total) } else { return None };
     let drawn = items.iter().find(|item| {
--- a/src/request_state.rs
+++ b/src/bookkeeping/request_state.rs
@@ -4,49 +4,49 @@
 
 /// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Attempt {
+pub struct Attempt {
     /// Number among the attempts of its request, from 0.
-    pub(crate) number: u32,
+    pub number: u32,
     /// The endpoint list's entry of its server when it was sent.
-    pub(crate) endpoint: EndpointEntry,
+    pub endpoint: EndpointEntry,
     /// The number of the server's process.
-    pub(crate) incarnation: u64,
+    pub incarnation: u64,
     /// When it was sent.
-    pub(crate) sent_at: Time,
+    pub sent_at: Time,
     /// It took the last free slot, or one over.
-    pub(crate) filled_last_slot: bool,
+    pub filled_last_slot: bool,
     /// Its connection is established.
-    pub(crate) established: bool,
+    pub established: bool,
 }
 
 /// A request from its arrival until it is answered and its last attempt has ended.
 #[derive(Debug, Default)]
-pub(crate) struct Request {
+pub struct Request {
     /// Its class.
-    pub(crate) class: ClassId,
+    pub class: ClassId,
     /// Its group, if any.
-    pub(crate) group: Option<GroupId>,
+    pub group: Option<GroupId>,
     /// Slots that it takes: its load over a mean connection's, as far as that is known.
-    pub(crate) slots: f64,
+    pub slots: f64,
     /// When it is answered at the latest.
-    pub(crate) due: Time,
+    pub due: Time,
     /// It has had its final answer.
-    pub(crate) answered: bool,
+    pub answered: bool,
     /// Its client was asked to reconnect.
-    pub(crate) migrating: bool,
+    pub migrating: bool,
     /// Attempts started so far.
-    pub(crate) attempts: u32,
+    pub attempts: u32,
     /// The attempt in flight, or its established connection.
-    pub(crate) attempt: Option<Attempt>,
+    pub attempt: Option<Attempt>,
     /// The server of the last attempt that ended.
-    pub(crate) last_server: Option<ServerId>,
+    pub last_server: Option<ServerId>,
     /// The first attempt that may have run.
-    pub(crate) may_have_run: Option<Attempt>,
+    pub may_have_run: Option<Attempt>,
 }
 
 impl Request {
     /// How long repeats of what may have run are still dropped.
-    pub(crate) fn window_left(&self, idempotency: Idempotency, now: Time) -> Option<Micros> {
+    pub fn window_left(&self, idempotency: Idempotency, now: Time) -> Option<Micros> {
         let Idempotency::IdempotencyKey { window, .. } = idempotency else { return None };
         self.may_have_run.map(|attempt| window.saturating_sub(now.since(attempt.sent_at)))
     }
@@ -54,9 +54,9 @@
 
 /// When a request has to be answered; the earliest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct AnswerDeadline {
+pub struct AnswerDeadline {
     /// When the answer is due.
-    pub(crate) due: Time,
+    pub due: Time,
     /// The request.
-    pub(crate) request: RequestId,
+    pub request: RequestId,
 }
--- a/src/server_state.rs
+++ b/src/bookkeeping/server_state.rs
@@ -2,48 +2,47 @@
 
 use std::collections::BTreeMap;
 
-use crate::held_connections::HeldConnections;
-use crate::request_state::Attempt;
+use super::{Attempt, HeldConnections};
 use crate::types::{EndpointEntry, EndpointState, LearnedState, LoadReport, ServerId, Time};
 
 /// One server as this balancer sees it.
 #[derive(Debug, Default)]
-pub(crate) struct Server {
+pub struct Server {
     /// Its latest entry in the endpoint list.
-    pub(crate) entry: EndpointEntry,
+    pub entry: EndpointEntry,
     /// When its process started, or when it was first listed if the listed start lies ahead.
-    pub(crate) started_at: Option<Time>,
+    pub started_at: Option<Time>,
     /// The number of its process: what an earlier one held is not released from a later one.
-    pub(crate) incarnation: u64,
+    pub incarnation: u64,
     /// The connections held there and their slots.
-    pub(crate) held: HeldConnections,
+    pub held: HeldConnections,
     /// Its ceiling, its health and what else was learned.
-    pub(crate) learned: LearnedState,
+    pub learned: LearnedState,
     /// Its last valid load report.
-    pub(crate) last_report: Option<LoadReport>,
+    pub last_report: Option<LoadReport>,
     /// Slots held there when that report came.
-    pub(crate) held_at_last_report: f64,
+    pub held_at_last_report: f64,
     /// Microseconds between sends if it were warm, as of its last send.
-    pub(crate) slow_start_interval: f64,
+    pub slow_start_interval: f64,
     /// When it was last probed.
-    pub(crate) last_probe: Option<Time>,
+    pub last_probe: Option<Time>,
 }
 
 impl Server {
     /// Whether its process runs and takes new connections.
-    pub(crate) fn is_serving(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.entry.state == EndpointState::Serving
     }
 
     /// An attempt that is sent to it now.
-    pub(crate) fn new_attempt(&self, number: u32, sent_at: Time) -> Attempt {
+    pub fn new_attempt(&self, number: u32, sent_at: Time) -> Attempt {
         let (endpoint, incarnation) = (self.entry, self.incarnation);
         Attempt { number, endpoint, incarnation, sent_at, filled_last_slot: false, established: false }
     }
 }
 
 /// The server of an attempt, if the process that it was sent to still runs.
-pub(crate) fn server_of<'a>(
+pub fn server_of<'a>(
     attempt: &Attempt,
     servers: &'a mut BTreeMap<ServerId, Server>,
 ) -> Option<&'a mut Server> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -80,6 +80,7 @@
 #![deny(missing_docs)]
 
 // The daemon's layers. The decision module depends on none of them; see `docs/design.md`.
+pub mod bookkeeping;
 pub mod peers;
 pub mod program;
 pub mod protocol;
@@ -87,14 +88,7 @@
 pub mod routing;
 pub mod transport;
 
-mod connection_size;
-mod group_statistics;
-mod held_connections;
 mod policy;
-mod random;
-mod request_state;
-mod running_mean;
-mod server_state;
 mod types;
 
 pub use policy::Balancer;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -26,10 +26,9 @@
 use rustc_hash::FxHashMap;
 
 use self::{admission::AdmissionRate, endpoint_list::EndpointWatch, selection::Totals};
-use crate::random::{draw_weighted, exponential_for, jittered, jittered_backoff};
-use crate::request_state::{AnswerDeadline, Attempt, Request};
-use crate::server_state::{server_of, Server};
-use crate::{connection_size::ConnectionSizes, group_statistics::GroupStatistics, types::*};
+use crate::bookkeeping::{draw_weighted, exponential_for, jittered, jittered_backoff, server_of};
+use crate::bookkeeping::{AnswerDeadline, Attempt, ConnectionSizes, GroupStatistics, Request, Server};
+use crate::types::*;
 
 /// A request is answered when this part of its time is left: the answer has to reach the client.
 const ANSWER_TIME_DIVISOR: u64 = 64;
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::PoolConfig;
-use crate::running_mean::RunningMean;
+use crate::bookkeeping::RunningMean;
 use crate::{ServerId, Time};
 
 /// A value under this share of the mean load is no load: the least load seen among 5,000 of them, of an idle
--- /dev/null
+++ b/tests/bookkeeping.rs
@@ -0,0 +1,96 @@
+//! What the decision module counts with, each part on its own.
+
+use connection_balancer::bookkeeping::*;
+use connection_balancer::{ClassId, GroupId, Idempotency, KeyScope, Time};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+
+#[test]
+fn running_mean_shrinks_towards_the_fallback_the_fewer_its_values() {
+    let mut mean = RunningMean::default();
+    assert_eq!((mean.mean(), mean.shrunk_towards(7.0)), (0.0, 7.0));
+    mean.add(10.0);
+    assert_eq!(mean.add(20.0), 15.0);
+    assert_eq!(mean.shrunk_towards(5.0), (30.0 + 3.0 * 5.0) / 5.0);
+}
+
+#[test]
+fn weighted_draw_follows_the_weights_and_skips_items_without_weight() {
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
+    let items = [("none", 0.0), ("one", 1.0), ("three", 3.0)];
+    let mut drawn = [0; 3];
+    for _ in 0..4_000 {
+        let item = draw_weighted(&mut rng, &items, |item| item.1).expect("some weight is above 0");
+        drawn[items.iter().position(|other| other.0 == item.0).expect("an item of the list")] += 1;
+    }
+    assert_eq!(drawn[0], 0);
+    assert!((900..1_100).contains(&drawn[1]), "{drawn:?}");
+    assert_eq!(draw_weighted(&mut rng, &items[..1], |item| item.1), None);
+}
+
+#[test]
+fn backoff_doubles_with_each_failure_up_to_its_maximum_with_jitter() {
+    let mut rng = Pcg64Mcg::seed_from_u64(2);
+    for (failures, wait) in [(0, 100), (1, 200), (3, 800), (10, 1_000), (u32::MAX, 1_000)] {
+        let jittered = jittered_backoff(&mut rng, 100, failures, 1_000);
+        assert!((wait / 2..=wait * 3 / 2).contains(&jittered), "{failures} failures: {jittered}");
+    }
+}
+
+#[test]
+fn exponential_draw_is_the_same_for_equal_keys_and_has_a_mean_of_one() {
+    assert_eq!(exponential_for((7, 8)), exponential_for((7, 8)));
+    let mean = (0..10_000).map(exponential_for).sum::<f64>() / 10_000.0;
+    assert!((0.95..1.05).contains(&mean), "{mean}");
+}
+
+#[test]
+fn groups_have_their_share_of_observations_and_old_ones_fade() {
+    let mut statistics = GroupStatistics::default();
+    (0..30).for_each(|_| statistics.record(Some(GroupId(1).short_hash())));
+    statistics.record(None);
+    assert_eq!(statistics.share(GroupId(1)), 30.0 / 40.0);
+    (0..2_000).for_each(|_| statistics.record(Some(GroupId(2).short_hash())));
+    assert_eq!(statistics.share(GroupId(1)), 0.0, "halved until it is forgotten");
+}
+
+#[test]
+fn a_group_costs_its_server_slots_once() {
+    let group = Some(GroupId(3));
+    let mut held = HeldConnections::default();
+    held.connecting = 2;
+    held.take_slots(group, 1.0);
+    held.take_slots(group, 1.0);
+    assert_eq!((held.slots, held.slots_freed(group, 1.0)), (4.0, 1.0), "two connections and their group");
+    held.connecting = 1;
+    held.free_slots(group, 1.0);
+    assert_eq!((held.slots, held.slots_freed(group, 1.0)), (3.0, 3.0), "the last one frees the group's");
+    held.connecting = 0;
+    held.free_slots(group, 1.0);
+    assert_eq!((held.slots, held.contains_group(group)), (0.0, false));
+}
+
+#[test]
+fn connections_are_sized_by_announced_load_then_by_class_and_never_beyond_the_maximum() {
+    let mut sizes = ConnectionSizes::new(2);
+    assert_eq!(sizes.estimate(ClassId(0), None), 1.0, "nothing is known yet");
+    assert_eq!(sizes.record(ClassId(0), f64::NAN), None);
+    sizes.record(ClassId(0), 100.0);
+    sizes.record(ClassId(1), 300.0);
+    assert!(sizes.estimate(ClassId(0), None) < 1.0 && sizes.estimate(ClassId(1), None) > 1.0);
+    assert_eq!(sizes.estimate(ClassId(0), Some(50.0)), 1.0, "the first announced load is the mean itself");
+    for _ in 0..1_000 {
+        sizes.record(ClassId(0), 1.0);
+    }
+    assert_eq!(sizes.record(ClassId(0), 1e12), Some(32.0));
+}
+
+#[test]
+fn a_key_protects_from_a_second_effect_for_its_window_only() {
+    let keyed = Idempotency::IdempotencyKey { scope: KeyScope::All, window: 100 };
+    let first = Server::default().new_attempt(0, Time(1_000));
+    let request = Request { may_have_run: Some(first), ..Request::default() };
+    assert_eq!(request.window_left(keyed, Time(1_040)), Some(60));
+    assert_eq!(request.window_left(keyed, Time(2_000)), Some(0));
+    assert_eq!(request.window_left(Idempotency::Idempotent, Time(1_040)), None);
+}
