--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -146,7 +146,7 @@
     if let Some(peers) = &platform.peers {
         match bind_shared_datagrams(peers.listen) {
             Ok(socket) => driver.start_gossip(pool, socket, peers),
-            // ReplicaMessage is a help; without it each balancer learns by itself.
+            // Gossip is a help; without it each balancer learns by itself.
             Err(error) => log_event!(LogEvent::GossipUnavailable { error: &error }),
         }
     }
