--- a/simulation/src/day/endpoint_list.rs
+++ b/simulation/src/day/endpoint_list.rs
@@ -19,7 +19,7 @@
             self.invariants.on_server_listed(self.now, balancer, server, in_use);
         }
         let endpoints = self.endpoints();
-        self.feed(balancer, Input::EndpointsUpdated { pool: 0, whole: true, endpoints });
+        self.feed(balancer, Input::EndpointsUpdated { pool: 0, is_snapshot: true, endpoints });
     }
 
     /// Changes a server's entry; the list reaches each balancer with its own delay.
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -29,7 +29,7 @@
         let mut balancer = IdleBalancer { state: new_reducer(&deployment, SEED, 0), now: 0 };
         balancer.feed(Input::EndpointsUpdated {
             pool: 0,
-            whole: true,
+            is_snapshot: true,
             endpoints: (0..SERVERS).map(|server| endpoint(server, Lifecycle::Ready, None)).collect(),
         });
         for n in 0..connections {
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -14,7 +14,7 @@
 /// A connection's mean load, in microseconds of work a second.
 pub const MEAN_LOAD_MICROS_PER_S: f64 = 60_000.0;
 /// What a reducer may hold; the model does not test its limits.
-const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
+const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
 /// The model's only zone.
 const ZONE: &str = "a";
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -150,7 +150,9 @@
 
     /// Slots held at a server and its ceiling: for gauges and tests.
     pub fn occupancy(&self, server: ServerId) -> Option<Occupancy> {
-        self.servers.get(&server).map(|s| Occupancy { held: s.held.slots, ceiling: s.learned.ceiling })
+        self.servers
+            .get(&server)
+            .map(|s| Occupancy { occupied_slots: s.held.slots, ceiling: s.learned.ceiling })
     }
 
     /// Groups of the connections that are established here, for other balancers.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -140,16 +140,16 @@
         }
         let needs_answer = !(answered || request.answered);
         let has_failed = !attempt.established && matches!(outcome, Outcome::TimedOut | Outcome::Error);
-        let has_shared_cause = has_failed && self.record_failed_setup(attempt.endpoint.server);
+        let is_correlated = has_failed && self.record_failed_setup(attempt.endpoint.server);
         self.release_attempt(id, &attempt, outcome);
-        if has_shared_cause {
+        if is_correlated {
             self.admission.decrease(self.now, self.now.since(attempt.sent_at), &self.settings);
             self.actions.push(Action::ReportSlowSetup);
         }
         match needs_answer {
             false => self.mark_answered(id),
             // What the servers share is not elsewhere, and each further attempt is in its queue.
-            true if has_shared_cause => self.send_final_answer(id, RefusalReason::SharedFault),
+            true if is_correlated => self.send_final_answer(id, RefusalReason::CorrelatedFailure),
             true => self.continue_request(id),
         }
     }
--- a/src/program/config/limits.rs
+++ b/src/program/config/limits.rs
@@ -68,12 +68,12 @@
         let buffer_memory = (self.memory_mb << 20) / 2;
         let max_buffers = buffer_memory / MIN_BUFFER_BYTES;
         // Ordinary clients alone may hold a third of all descriptors, with an attempt for each.
-        let held = (free_sockets * 3 / 8)
+        let admitted = (free_sockets * 3 / 8)
             .max(self.sockets / 3 + 1)
             .min(free_sockets * 7 / 16)
             .min(max_buffers * 3 / 8);
-        let waiting = (free_sockets - 2 * held).min(max_buffers / 4);
-        let buffer = buffer_memory / (waiting + 2 * held);
-        Budget { waiting, held, buffer: buffer.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES) }
+        let pending = (free_sockets - 2 * admitted).min(max_buffers / 4);
+        let buffer = buffer_memory / (pending + 2 * admitted);
+        Budget { pending, admitted, buffer: buffer.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES) }
     }
 }
--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -139,8 +139,8 @@
 }
 
 fn parse_share(input: &mut &[u8]) -> ModalResult<HandoverMessage> {
-    let (number, server, out) = (be_u64, parse_text, parse_flag).parse_next(input)?;
-    Ok(HandoverMessage::Share { number, server, out })
+    let (number, server, excluded) = (be_u64, parse_text, parse_flag).parse_next(input)?;
+    Ok(HandoverMessage::Share { number, server, excluded })
 }
 
 fn parse_message(input: &mut &[u8]) -> ModalResult<HandoverMessage> {
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -153,8 +153,8 @@
                 .text(front)
                 .established_connection(established)
                 .bytes(state),
-            HandoverMessage::Share { number, server, out } => {
-                self.byte(message_tag::SHARE).u64(*number).text(server).flag(*out)
+            HandoverMessage::Share { number, server, excluded } => {
+                self.byte(message_tag::SHARE).u64(*number).text(server).flag(*excluded)
             }
             HandoverMessage::Shared { number } => self.byte(message_tag::SHARED).u64(*number),
         }
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -86,7 +86,7 @@
         /// Name of the server.
         server: String,
         /// Whether it is excluded.
-        out: bool,
+        excluded: bool,
     },
     /// The other process has applied a [`HandoverMessage::Share`].
     Shared {
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -188,7 +188,7 @@
     /// Its version.
     pub generation: u64,
     /// It is the whole list, not changes only.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Its entries.
     pub endpoints: Vec<Endpoint>,
 }
@@ -218,7 +218,7 @@
 pub fn decode_endpoint_list(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
     Ok(EndpointListUpdate {
         generation: node.field("generation").number(0.0)? as u64,
-        whole: node.field("reset").flag(false)?,
+        is_snapshot: node.field("reset").flag(false)?,
         endpoints: node
             .field("instances")
             .elements()?
--- a/src/protocol/irc/mod.rs
+++ b/src/protocol/irc/mod.rs
@@ -15,7 +15,7 @@
 };
 use self::registration::Registration;
 use super::lines::{LineBuffer, LineRelay, NextLine};
-use super::{hash_client_key, Front, Step, CRLF};
+use super::{hash_client_key, Front, FrontEvent, CRLF};
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
 
@@ -98,7 +98,7 @@
     }
 
     /// Takes the client's next line that can be read; answers those that cannot.
-    fn next_client_line(&mut self, steps: &mut Vec<Step>) -> Option<Vec<u8>> {
+    fn next_client_line(&mut self, events: &mut Vec<FrontEvent>) -> Option<Vec<u8>> {
         loop {
             let next = self.client_lines.next_line(MAX_TAGGED_LINE_LENGTH);
             let was_skipping = std::mem::take(&mut self.is_skipping_line);
@@ -111,16 +111,16 @@
                 NextLine::TooLong => {
                     self.is_skipping_line = !self.client_lines.skip_line();
                     if !was_skipping {
-                        steps.push(Step::ToClient(self.input_too_long()));
+                        events.push(FrontEvent::ToClient(self.input_too_long()));
                     }
                 }
                 NextLine::Line(_) if was_skipping => {}
                 NextLine::Line(line) if is_too_long(&line) => {
-                    steps.push(Step::ToClient(self.input_too_long()));
+                    events.push(FrontEvent::ToClient(self.input_too_long()));
                 }
                 NextLine::Line(line) if line.contains(&0) => {
                     let reply = self.registration.numeric_reply(ERR_UNKNOWNERROR, ":Line with a NUL byte");
-                    steps.push(Step::ToClient(reply));
+                    events.push(FrontEvent::ToClient(reply));
                 }
                 NextLine::Line(line) => return Some(line),
             }
@@ -131,40 +131,40 @@
         self.registration.numeric_reply(ERR_INPUTTOOLONG, ":Input line was too long")
     }
 
-    fn read_registration(&mut self, steps: &mut Vec<Step>) {
+    fn read_registration(&mut self, events: &mut Vec<FrontEvent>) {
         while self.phase == Phase::Registering {
-            let steps_before = steps.len();
-            let line = self.next_client_line(steps);
-            // Each line that cannot be read has been answered by one step.
-            self.registration_lines += (steps.len() - steps_before) as u32;
-            let Some(line) = line else { return self.close_on_flood(steps) };
+            let events_before = events.len();
+            let line = self.next_client_line(events);
+            // Each line that cannot be read has been answered by one event.
+            self.registration_lines += (events.len() - events_before) as u32;
+            let Some(line) = line else { return self.close_on_flood(events) };
             self.registration_lines += 1;
             if self.registration_lines > MAX_REGISTRATION_LINES {
-                return self.close_on_flood(steps);
+                return self.close_on_flood(events);
             }
-            self.apply_registration_line(&line, steps);
+            self.apply_registration_line(&line, events);
             if self.phase == Phase::Registering && self.registration.is_complete() {
                 self.phase = Phase::Placing;
-                steps.push(Step::ConnectionRequested(self.connection_request()));
+                events.push(FrontEvent::ConnectionRequested(self.connection_request()));
             }
         }
     }
 
-    fn apply_registration_line(&mut self, line: &[u8], steps: &mut Vec<Step>) {
+    fn apply_registration_line(&mut self, line: &[u8], events: &mut Vec<FrontEvent>) {
         if line.is_empty() {
             return;
         }
         let Some(message) = parse_message(line) else {
             let reply = self.registration.numeric_reply(ERR_UNKNOWNCOMMAND, "* :Unknown command");
-            return steps.push(Step::ToClient(reply));
+            return events.push(FrontEvent::ToClient(reply));
         };
         let command = message.command.to_ascii_uppercase();
         if command == QUIT {
-            return self.close_client("Quit", steps);
+            return self.close_client("Quit", events);
         }
         let reply = self.registration.apply_command(&command, &message.params);
         if !reply.is_empty() {
-            steps.push(Step::ToClient(reply));
+            events.push(FrontEvent::ToClient(reply));
         }
     }
 
@@ -181,55 +181,55 @@
 
     /// Closes the connection of a client that sends more than it may before a server has accepted: one that never
     /// completes its registration could keep the front busy.
-    fn close_on_flood(&mut self, steps: &mut Vec<Step>) {
+    fn close_on_flood(&mut self, events: &mut Vec<FrontEvent>) {
         let is_too_far_ahead = self.phase == Phase::Placing && self.client_lines.len() > MAX_BYTES_AHEAD;
         if self.registration_lines > MAX_REGISTRATION_LINES
             || self.registration_bytes > MAX_REGISTRATION_BYTES
             || is_too_far_ahead
         {
             self.client_lines.take_all();
-            self.close_client("Excess Flood", steps);
+            self.close_client("Excess Flood", events);
         }
     }
 
-    fn close_client(&mut self, reason: &str, steps: &mut Vec<Step>) {
+    fn close_client(&mut self, reason: &str, events: &mut Vec<FrontEvent>) {
         self.phase = Phase::Closed;
-        steps.push(Step::ToClient(self.registration.closing_link(reason)));
-        steps.push(Step::Close);
+        events.push(FrontEvent::ToClient(self.registration.closing_link(reason)));
+        events.push(FrontEvent::Close);
     }
 
     /// Relays the client's lines to the server that has accepted it.
-    fn relay_to_server(&mut self, steps: &mut Vec<Step>) {
+    fn relay_to_server(&mut self, events: &mut Vec<FrontEvent>) {
         let mut lines = Vec::new();
-        while let Some(line) = self.next_client_line(steps) {
+        while let Some(line) = self.next_client_line(events) {
             self.has_quit |=
                 parse_message(&line).is_some_and(|message| message.command.eq_ignore_ascii_case(QUIT));
             lines.extend_from_slice(&line);
             lines.extend_from_slice(CRLF);
         }
         if !lines.is_empty() {
-            steps.push(Step::ToServer(lines));
+            events.push(FrontEvent::ToServer(lines));
         }
     }
 
-    fn relay_to_client(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn relay_to_client(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
         let bytes = self.relay.relay(bytes, MAX_TAGGED_LINE_LENGTH).into_bytes();
         if !bytes.is_empty() {
-            steps.push(Step::ToClient(bytes));
+            events.push(FrontEvent::ToClient(bytes));
         }
     }
 
     /// Reads the server's lines up to the one that decides the attempt; returns whether there was one.
-    fn read_verdict(&mut self, steps: &mut Vec<Step>) -> bool {
+    fn read_verdict(&mut self, events: &mut Vec<FrontEvent>) -> bool {
         loop {
             match self.server_lines.next_line(MAX_TAGGED_LINE_LENGTH) {
                 NextLine::Incomplete => return false,
                 NextLine::TooLong => {
-                    steps.push(Step::AttemptEnded(AttemptOutcome::Error));
+                    events.push(FrontEvent::AttemptEnded(AttemptOutcome::Error));
                     return true;
                 }
                 NextLine::Line(line) => {
-                    if self.apply_handshake_line(&line, steps) {
+                    if self.apply_handshake_line(&line, events) {
                         return true;
                     }
                 }
@@ -238,20 +238,20 @@
     }
 
     /// Reads a line of the server before its welcome; returns whether it decided the attempt.
-    fn apply_handshake_line(&mut self, line: &[u8], steps: &mut Vec<Step>) -> bool {
+    fn apply_handshake_line(&mut self, line: &[u8], events: &mut Vec<FrontEvent>) -> bool {
         let Some(message) = parse_message(line) else { return false };
         let terminated_line = [line, CRLF].concat();
         match &message.command.to_ascii_uppercase()[..] {
             PING => {
                 let token = message.params.first().copied().unwrap_or_default();
-                steps.push(Step::ToServer([b"PONG :", token, CRLF].concat()));
+                events.push(FrontEvent::ToServer([b"PONG :", token, CRLF].concat()));
                 return false;
             }
             CAP if !message.params.get(1).is_some_and(|verb| verb.eq_ignore_ascii_case(CAP_NAK)) => {
                 return false;
             }
-            CAP | ERROR => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
-            _ => return self.apply_handshake_numeric(message.numeric(), terminated_line, steps),
+            CAP | ERROR => events.push(FrontEvent::AttemptEnded(AttemptOutcome::Error)),
+            _ => return self.apply_handshake_numeric(message.numeric(), terminated_line, events),
         }
         true
     }
@@ -260,26 +260,28 @@
         &mut self,
         numeric: Option<u16>,
         line: Vec<u8>,
-        steps: &mut Vec<Step>,
+        events: &mut Vec<FrontEvent>,
     ) -> bool {
         match numeric {
             Some(RPL_WELCOME) => {
                 self.phase = Phase::Established;
                 let mut bytes = std::mem::take(&mut self.notices);
                 bytes.extend(line);
-                steps.push(Step::ToClient(bytes));
-                steps.push(Step::Up);
+                events.push(FrontEvent::ToClient(bytes));
+                events.push(FrontEvent::Accepted);
             }
             // The server is full, or wants its clients to connect elsewhere.
-            Some(RPL_TRYAGAIN | RPL_BOUNCE) => steps.push(Step::AttemptEnded(AttemptOutcome::Rejected)),
+            Some(RPL_TRYAGAIN | RPL_BOUNCE) => {
+                events.push(FrontEvent::AttemptEnded(AttemptOutcome::Rejected))
+            }
             // Another server would decide the same about the nickname or the password.
             Some(
                 ERR_NONICKNAMEGIVEN | ERR_ERRONEUSNICKNAME | ERR_NICKNAMEINUSE | ERR_NICKCOLLISION
                 | ERR_UNAVAILRESOURCE | ERR_PASSWDMISMATCH | ERR_YOUREBANNEDCREEP,
             ) => {
                 let error = self.registration.closing_link("Registration refused");
-                steps.push(Step::ToClient([line, error].concat()));
-                steps.push(Step::AttemptEnded(AttemptOutcome::VerdictForwarded));
+                events.push(FrontEvent::ToClient([line, error].concat()));
+                events.push(FrontEvent::AttemptEnded(AttemptOutcome::VerdictForwarded));
             }
             _ => {
                 if self.notices.len() + line.len() <= MAX_NOTICE_BYTES {
@@ -308,7 +310,7 @@
 }
 
 impl Front for Connection {
-    fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn client_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
         if self.phase == Phase::Closed {
             return;
         }
@@ -316,14 +318,14 @@
             self.registration_bytes += bytes.len();
         }
         self.client_lines.push(bytes);
-        self.read_registration(steps);
+        self.read_registration(events);
         // If the client were not read any further, its end would go unnoticed too, and a server would be sought for
         // nobody.
         if self.phase == Phase::Placing {
-            self.close_on_flood(steps);
+            self.close_on_flood(events);
         }
         if self.phase == Phase::Established {
-            self.relay_to_server(steps);
+            self.relay_to_server(events);
         }
     }
 
@@ -333,15 +335,15 @@
         self.registration.encode_for_server()
     }
 
-    fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn server_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
         if self.phase == Phase::Established {
-            return self.relay_to_client(bytes, steps);
+            return self.relay_to_client(bytes, events);
         }
         self.server_lines.push(bytes);
-        if self.read_verdict(steps) && self.phase == Phase::Established {
+        if self.read_verdict(events) && self.phase == Phase::Established {
             let remaining = self.server_lines.take_all();
-            self.relay_to_server(steps);
-            self.relay_to_client(&remaining, steps);
+            self.relay_to_server(events);
+            self.relay_to_client(&remaining, events);
         }
     }
 
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -33,7 +33,7 @@
 
 /// What a front makes of received bytes, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum FrontEvent {
     /// Send bytes to the client.
     ToClient(Vec<u8>),
     /// Send bytes to the server.
@@ -43,11 +43,11 @@
     /// The client requests a connection.
     ConnectionRequested(ConnectionRequest),
     /// The server accepted the connection.
-    Up,
+    Accepted,
     /// The server reported the connection's load.
     Load(f64),
     /// The server ended the attempt by a message. For [`AttemptOutcome::VerdictForwarded`] the client's answer is among
-    /// the steps before.
+    /// the events before.
     AttemptEnded(AttemptOutcome),
     /// The client broke its protocol before its request was complete, and has been answered: close its connection.
     Close,
@@ -56,11 +56,11 @@
 /// The protocol of one client connection, with the attempt that is made for it.
 pub trait Front {
     /// Takes bytes from the client.
-    fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
+    fn client_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>);
     /// Begins an attempt that may take `wait`; returns the bytes that open it at the server.
     fn open_attempt(&mut self, wait: Micros) -> Vec<u8>;
     /// Takes bytes from the server.
-    fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>);
+    fn server_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>);
     /// The server ended its side, or its connection broke: returns the attempt's outcome.
     fn server_ended(&mut self, broken: bool) -> AttemptOutcome;
     /// Encodes an answer to the client; empty where this protocol has none.
--- a/src/protocol/platform/mod.rs
+++ b/src/protocol/platform/mod.rs
@@ -9,7 +9,7 @@
 pub use request::{parse_greeting, Greeting, RequestTemplate};
 
 use super::lines::{LineBuffer, LineLengthValidator, LineRelay, NextLine};
-use super::{Front, Step, CRLF, MAX_LINE_LENGTH};
+use super::{Front, FrontEvent, CRLF, MAX_LINE_LENGTH};
 use crate::routing::{Answer, AttemptOutcome};
 use crate::Micros;
 
@@ -55,62 +55,62 @@
 }
 
 impl Connection {
-    fn read_greetings(&mut self, steps: &mut Vec<Step>) {
+    fn read_greetings(&mut self, events: &mut Vec<FrontEvent>) {
         while self.phase == Phase::Greeting {
             let line = match self.client_lines.next_line(MAX_LINE_LENGTH) {
                 NextLine::Line(line) => line,
                 NextLine::Incomplete => return,
-                NextLine::TooLong => return self.fail_protocol(steps),
+                NextLine::TooLong => return self.fail_protocol(events),
             };
             match parse_greeting(&line) {
                 Some(Greeting::Ping) if self.pings < MAX_PINGS => {
                     self.pings += 1;
-                    steps.push(Step::Ping([PONG, CRLF].concat()));
+                    events.push(FrontEvent::Ping([PONG, CRLF].concat()));
                 }
                 // A client has to wait for its answer: no bytes may follow its request.
                 Some(Greeting::Open { request, template }) if self.client_lines.is_empty() => {
                     self.phase = Phase::Placing;
                     self.request_template = template;
-                    steps.push(Step::ConnectionRequested(*request));
+                    events.push(FrontEvent::ConnectionRequested(*request));
                 }
-                _ => return self.fail_protocol(steps),
+                _ => return self.fail_protocol(events),
             }
         }
         if !self.client_lines.is_empty() {
-            self.fail_protocol(steps);
+            self.fail_protocol(events);
         }
     }
 
     /// Answers a client that broke the protocol with an error, and reads nothing more of it.
-    fn fail_protocol(&mut self, steps: &mut Vec<Step>) {
+    fn fail_protocol(&mut self, events: &mut Vec<FrontEvent>) {
         self.phase = Phase::Closed;
         self.client_lines.take_all();
-        steps.extend([Step::ToClient([ERR, CRLF].concat()), Step::Close]);
+        events.extend([FrontEvent::ToClient([ERR, CRLF].concat()), FrontEvent::Close]);
     }
 
     /// Reads the first line of the server, which decides the attempt.
-    fn read_verdict(&mut self, steps: &mut Vec<Step>) {
+    fn read_verdict(&mut self, events: &mut Vec<FrontEvent>) {
         let line = match self.server_lines.next_line(MAX_LINE_LENGTH) {
             NextLine::Line(line) => line,
             NextLine::Incomplete => return,
-            NextLine::TooLong => return steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
+            NextLine::TooLong => return events.push(FrontEvent::AttemptEnded(AttemptOutcome::Error)),
         };
         match parse_server_reply(&line) {
             ServerReply::Up => {
                 self.phase = Phase::Established;
-                steps.push(Step::ToClient([&line[..], CRLF].concat()));
-                steps.push(Step::Up);
+                events.push(FrontEvent::ToClient([&line[..], CRLF].concat()));
+                events.push(FrontEvent::Accepted);
             }
-            ServerReply::Busy => steps.push(Step::AttemptEnded(AttemptOutcome::Rejected)),
-            _ => steps.push(Step::AttemptEnded(AttemptOutcome::Error)),
+            ServerReply::Busy => events.push(FrontEvent::AttemptEnded(AttemptOutcome::Rejected)),
+            _ => events.push(FrontEvent::AttemptEnded(AttemptOutcome::Error)),
         }
     }
 
-    fn relay_to_client(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn relay_to_client(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
         let relayed = self.relay.relay(bytes, MAX_LINE_LENGTH);
         for line in relayed.lines.split_inclusive(|&b| b == b'\n') {
             match parse_server_reply(line.trim_ascii_end()) {
-                ServerReply::Load(load) => steps.push(Step::Load(load)),
+                ServerReply::Load(load) => events.push(FrontEvent::Load(load)),
                 ServerReply::Bye => self.announced_outcome = Some(AttemptOutcome::Served),
                 ServerReply::Move => self.announced_outcome = Some(AttemptOutcome::RedirectedByServer),
                 _ => {}
@@ -118,23 +118,23 @@
         }
         let bytes = relayed.into_bytes();
         if !bytes.is_empty() {
-            steps.push(Step::ToClient(bytes));
+            events.push(FrontEvent::ToClient(bytes));
         }
     }
 }
 
 impl Front for Connection {
-    fn client_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn client_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
         match self.phase {
             Phase::Closed => {}
             Phase::Established if self.client_validator.accept(bytes, MAX_LINE_LENGTH) => {
-                steps.push(Step::ToServer(bytes.to_vec()));
+                events.push(FrontEvent::ToServer(bytes.to_vec()));
             }
             // A line without an end would keep this balancer and a server busy forever.
-            Phase::Established => self.fail_protocol(steps),
+            Phase::Established => self.fail_protocol(events),
             Phase::Greeting | Phase::Placing => {
                 self.client_lines.push(bytes);
-                self.read_greetings(steps);
+                self.read_greetings(events);
             }
         }
     }
@@ -144,15 +144,15 @@
         self.request_template.with_wait(wait)
     }
 
-    fn server_sent(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    fn server_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
         if self.phase == Phase::Established {
-            return self.relay_to_client(bytes, steps);
+            return self.relay_to_client(bytes, events);
         }
         self.server_lines.push(bytes);
-        self.read_verdict(steps);
+        self.read_verdict(events);
         if self.phase == Phase::Established {
             let remaining = self.server_lines.take_all();
-            self.relay_to_client(&remaining, steps);
+            self.relay_to_client(&remaining, events);
         }
     }
 
--- a/src/rebalance/event.rs
+++ b/src/rebalance/event.rs
@@ -71,7 +71,7 @@
     /// It is listed for use and has not just failed.
     pub ready: bool,
     /// Slots held here.
-    pub held: f64,
+    pub occupied_slots: f64,
     /// The most slots that may be held here.
     pub ceiling: f64,
     /// Its weight in the endpoint list.
--- a/src/rebalance/fleet.rs
+++ b/src/rebalance/fleet.rs
@@ -15,7 +15,7 @@
         let mut fair_share = FairShare { total_weight: 0.0, total_slots: 0.0 };
         for server in servers.iter().filter(|server| server.ready) {
             fair_share.total_weight += server.weight;
-            fair_share.total_slots += server.held;
+            fair_share.total_slots += server.occupied_slots;
         }
         fair_share
     }
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -97,7 +97,7 @@
     /// `relieving`: moves off it have begun.
     pub fn pressure(&self, server: &ServerSnapshot, relieving: bool) -> Option<Pressure> {
         let fair = self.fair_share.of(server);
-        let excess = server.held - fair;
+        let excess = server.occupied_slots - fair;
         // Checked first, as it is cheap and true of most servers most of the time.
         if excess < MIN_EXCESS_SLOTS {
             return None;
@@ -137,10 +137,10 @@
         deviation: f64,
         relieving: bool,
     ) -> Pressure {
-        let excess = server.held - fair;
+        let excess = server.occupied_slots - fair;
         let threshold = INFERRED_THRESHOLDS.select(relieving) * deviation;
         // Only what random placement does not explain counts towards the inferred use.
-        let certainly_held = server.held - threshold * UNCERTAIN_NOISE_SHARE;
+        let certainly_held = server.occupied_slots - threshold * UNCERTAIN_NOISE_SHARE;
         let used = self.config.assumed_use * certainly_held / fair.max(1.0);
         Pressure {
             relative_message_time: relative_message_time_at(used),
--- a/src/rebalance/room.rs
+++ b/src/rebalance/room.rs
@@ -38,18 +38,18 @@
     let min_deviations =
         if started_recently(now, server) { MIN_ROOM_DEVIATIONS_RECENT_START } else { MIN_ROOM_DEVIATIONS };
     // By chance some server is always under its fair share; a client that is moved for that is moved for nothing.
-    if fair - server.held < min_deviations * fair.sqrt() {
+    if fair - server.occupied_slots < min_deviations * fair.sqrt() {
         return 0.0;
     }
     match server.last_fault {
         // A slow server shows few connections because that is all it can hold.
         Some(at) if now.since(at) < FAULT_COOLDOWN => 0.0,
-        Some(_) => server.ceiling.min(fair) * server.warmth - server.held,
+        Some(_) => server.ceiling.min(fair) * server.warmth - server.occupied_slots,
         None if server.warmth < 1.0 => {
             let slots_per_second = fair * 1e6 / context.slow_start_duration.max(1) as f64;
-            (fair * server.warmth - server.held).min(WARMING_ROOM_SECONDS * slots_per_second)
+            (fair * server.warmth - server.occupied_slots).min(WARMING_ROOM_SECONDS * slots_per_second)
         }
-        None => fair - server.held,
+        None => fair - server.occupied_slots,
     }
 }
 
--- a/src/rebalance/selection.rs
+++ b/src/rebalance/selection.rs
@@ -145,7 +145,7 @@
             };
             let units = movable_units(&self.view, &self.context, server.server);
             let mean_lifetime = self.view.mean_lifetime_seconds(now);
-            for unit in select_units(units, &pressure, server.held, mean_lifetime, limits) {
+            for unit in select_units(units, &pressure, server.occupied_slots, mean_lifetime, limits) {
                 self.rate.spend(unit.members.len());
                 free_slots -= unit.slots;
                 self.relieving.entry(server.server).or_insert(now);
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -80,7 +80,7 @@
     /// Lets a connection go, and returns its attempt. Its sockets stay open for a while.
     pub(super) fn release(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.remove(id)?;
-        self.admission.begin_waiting(now, id);
+        self.admission.add_pending(now, id);
         let pool = &mut self.pools[connection.pool];
         pool.rebalance.on_event(now, RebalanceEvent::ConnectionEnded { connection: id, natural: false });
         if connection.phase != Phase::Handshaking {
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -28,8 +28,8 @@
         let handshake_timeout = pool.config.handshake_timeout;
         self.connections.insert(id, ClientConnection::new(pool_id, now));
         self.connections.set_timer(id, Some(now.plus(handshake_timeout)));
-        self.admission.begin_waiting(now, id);
-        self.make_room(now);
+        self.admission.add_pending(now, id);
+        self.evict_idle_connection(now);
     }
 
     pub(super) fn on_handshake_timed_out(&mut self, now: Time, id: ConnectionId) {
@@ -90,7 +90,7 @@
         let limit = replicated.filter(|_| pool.config.uses_replicated_map).and_then(|text| text.parse().ok());
         let limit: usize = limit.unwrap_or(pool.config.max_connections);
         let all: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
-        pool.admitted.count() >= limit || all >= self.admission.budget().held
+        pool.admitted.count() >= limit || all >= self.admission.budget().admitted
     }
 
     /// Looks up the names in a request. None for one that names what is not configured, which servers could only
@@ -115,8 +115,8 @@
     }
 
     fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
-        self.admission.end_waiting(id);
-        self.make_room(now);
+        self.admission.remove_pending(id);
+        self.evict_idle_connection(now);
         let pool = &mut self.pools[pool_id];
         pool.admitted.add(request);
         let (key, again) = (request.key, request.reconnecting);
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -106,7 +106,7 @@
         /// Name of the server.
         server: String,
         /// Whether it is excluded now.
-        out: bool,
+        excluded: bool,
     },
     /// Store the names of the servers that an operator excluded on disk.
     PersistExclusions(Vec<String>),
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -28,12 +28,12 @@
         &mut self,
         now: Time,
         pool_id: PoolId,
-        whole: bool,
+        is_snapshot: bool,
         endpoints: Vec<Endpoint>,
     ) {
         // First, so that requests which the update takes off a server find a list that holds.
         self.confirm_endpoint_list(now, pool_id);
-        self.apply_endpoint_update(now, pool_id, whole, endpoints);
+        self.apply_endpoint_update(now, pool_id, is_snapshot, endpoints);
         self.notify_rebalancer(now, pool_id, RebalanceEvent::EndpointListReceived);
     }
 
@@ -42,11 +42,11 @@
         &mut self,
         now: Time,
         pool_id: PoolId,
-        whole: bool,
+        is_snapshot: bool,
         endpoints: Vec<Endpoint>,
     ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
-        pool.listed.apply(whole, endpoints);
+        pool.listed.apply(is_snapshot, endpoints);
         self.refresh_endpoints(now, pool_id);
     }
 
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -53,7 +53,7 @@
     pub(super) fn borrowed_descriptors(&self, budget: Budget) -> usize {
         match self.peer_process {
             Some(PeerProcess::Predecessor { open_descriptors }) => {
-                open_descriptors.min(budget.waiting * 3 / 4)
+                open_descriptors.min(budget.pending * 3 / 4)
             }
             _ => 0,
         }
@@ -95,7 +95,7 @@
             ever_listed: self.exclusions.names_ever_listed(),
             entries: self.replication.entries(),
             pools: pools.collect(),
-            left: self.admission.waiting_count(),
+            left: self.admission.pending_count(),
         }
     }
 
@@ -134,7 +134,7 @@
     pub(super) fn on_connection_transferred(&mut self, now: Time, id: ConnectionId) {
         let Some(pool) = self.connections.pool_of(id) else { return };
         let attempt = self.release(now, id);
-        self.admission.end_waiting(id);
+        self.admission.remove_pending(id);
         if let Some(attempt) = attempt {
             let (request, attempt, outcome) = (request_id(id), attempt.number, Outcome::Cancelled);
             self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
@@ -257,7 +257,7 @@
     ) {
         let timeout = now.plus(ACKNOWLEDGEMENT_TIMEOUT);
         self.hot_restart.pending_acknowledgements.insert(admin_client, timeout);
-        self.effects.push(Effect::ShareExclusion { admin_client, server, out: excluded });
+        self.effects.push(Effect::ShareExclusion { admin_client, server, excluded });
     }
 
     /// The peer process has taken in an exclusion, or will not.
@@ -290,7 +290,7 @@
     /// This process serves again.
     fn on_successor_lost(&mut self, now: Time) {
         self.effects.push(Effect::Log(LogEvent::SuccessorLost));
-        self.effects.push(Effect::SetAccepting { open: self.admission.has_room() });
+        self.effects.push(Effect::SetAccepting { open: self.admission.has_capacity() });
         self.refresh_all_endpoints(now);
     }
 
@@ -299,6 +299,6 @@
         for pool in &mut self.pools {
             pool.admitted.forget_predecessor();
         }
-        self.make_room(now);
+        self.evict_idle_connection(now);
     }
 }
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -103,7 +103,7 @@
         /// The pool.
         pool: PoolId,
         /// Whether this is the whole list, or only what changed.
-        whole: bool,
+        is_snapshot: bool,
         /// The servers listed or changed.
         endpoints: Vec<Endpoint>,
     },
@@ -182,7 +182,7 @@
         /// Name of the server.
         server: String,
         /// Whether it is excluded now.
-        out: bool,
+        excluded: bool,
     },
     /// The peer process has taken in an exclusion that was shared with it.
     ExclusionAcknowledged {
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -115,7 +115,7 @@
     }
 
     fn server_snapshot(&self, now: Time, server: ServerId) -> Option<ServerSnapshot> {
-        let Occupancy { held: in_flight, ceiling } = self.balancer.occupancy(server)?;
+        let Occupancy { occupied_slots, ceiling } = self.balancer.occupancy(server)?;
         let learned = self.balancer.learned_state(server)?;
         let endpoint = self.endpoints.get(server)?;
         let is_ready = self.endpoints.get_ready(server).is_some() && learned.consecutive_failures == 0;
@@ -124,7 +124,7 @@
         Some(ServerSnapshot {
             server,
             ready: is_ready,
-            held: in_flight,
+            occupied_slots,
             ceiling,
             weight: weight.unwrap_or(DEFAULT_WEIGHT),
             warmth: warmth.clamp(MIN_WARMTH, 1.0),
@@ -163,8 +163,8 @@
     }
 
     fn with_lowered_ceiling(&self, server: ServerId) -> Option<LearnedState> {
-        let in_flight = self.balancer.occupancy(server)?.held;
+        let occupied_slots = self.balancer.occupancy(server)?.occupied_slots;
         let learned = self.balancer.learned_state(server)?;
-        Some(LearnedState { ceiling: learned.ceiling.min(in_flight), ..learned })
+        Some(LearnedState { ceiling: learned.ceiling.min(occupied_slots), ..learned })
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -138,8 +138,8 @@
             Input::CachedEndpoints { pool, endpoints } => {
                 self.apply_endpoint_update(now, pool, true, endpoints);
             }
-            Input::EndpointsUpdated { pool, whole, endpoints } => {
-                self.on_endpoints_updated(now, pool, whole, endpoints);
+            Input::EndpointsUpdated { pool, is_snapshot, endpoints } => {
+                self.on_endpoints_updated(now, pool, is_snapshot, endpoints);
             }
             Input::EndpointWatchLost { pool, failure } => self.on_endpoint_watch_lost(now, pool, failure),
             Input::EndpointWatchSilent { pool, called_ago } => {
@@ -159,7 +159,7 @@
                 self.on_connection_received(now, connection, pool, established);
             }
             Input::PeerProcessLost => self.on_peer_process_lost(now),
-            Input::ExclusionShared { server, out } => self.on_exclusion_shared(now, &server, out),
+            Input::ExclusionShared { server, excluded } => self.on_exclusion_shared(now, &server, excluded),
             Input::ExclusionAcknowledged { admin_client } => self.on_exclusion_acknowledged(admin_client),
             Input::Listening => self.on_listening(),
             Input::AdminRequest { admin_client, call } => self.on_admin_request(now, admin_client, call),
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -54,8 +54,8 @@
     }
 
     /// Puts a whole list in place, or applies a change of it.
-    pub(super) fn apply(&mut self, whole: bool, endpoints: Vec<Endpoint>) {
-        if whole {
+    pub(super) fn apply(&mut self, is_snapshot: bool, endpoints: Vec<Endpoint>) {
+        if is_snapshot {
             self.by_name.clear();
         }
         for endpoint in endpoints {
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Connections without an attempt: they have not sent a request yet, or are ended and not yet closed.
-    pub waiting: usize,
+    pub pending: usize,
     /// Connections with a request that was admitted, established ones included.
-    pub held: usize,
+    pub admitted: usize,
     /// Bytes buffered for a side that does not read, before no more is read from the other.
     pub buffer: usize,
 }
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -30,7 +30,7 @@
             self.on_connection_timer(now, id);
         }
         if self.admission.gate_closed_until().is_some_and(|at| at <= now) {
-            self.make_room(now);
+            self.evict_idle_connection(now);
         }
         self.reply_to_overdue_admin_clients(now);
         self.send_digest_if_due(now);
--- a/src/transport/connection/client_side.rs
+++ b/src/transport/connection/client_side.rs
@@ -24,10 +24,12 @@
                 self.discarded_bytes += length;
             }
             Ok(Some(length)) => {
-                self.record(|tape, at| tape.record_data(at, Direction::FromClient, &buffer[..length]));
-                let mut steps = Vec::new();
-                self.front.client_sent(&buffer[..length], &mut steps);
-                self.take_steps(steps);
+                self.record(|recorder, at| {
+                    recorder.record_data(at, Direction::FromClient, &buffer[..length])
+                });
+                let mut events = Vec::new();
+                self.front.client_sent(&buffer[..length], &mut events);
+                self.apply_events(events);
             }
             Err(_) => self.on_client_broken(),
         }
@@ -43,10 +45,10 @@
     pub(super) fn flush_client(&mut self) {
         let flushed = self.client.flush();
         if let Some(recorded) = self.client.take_recorded() {
-            self.record(|tape, at| tape.record_data(at, Direction::ToClient, &recorded));
+            self.record(|recorder, at| recorder.record_data(at, Direction::ToClient, &recorded));
         }
         if self.client.is_write_finished() {
-            self.record(|tape, at| tape.record_close(at, Direction::ToClient, Close::Orderly));
+            self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, Close::Orderly));
         }
         if flushed.is_err() {
             self.on_client_broken();
@@ -56,7 +58,7 @@
     /// The client sends nothing more: it has left, and the server's side is closed in the same way.
     fn on_client_ended(&mut self) {
         self.client.set_read_ended();
-        self.record(|tape, at| tape.record_close(at, Direction::FromClient, Close::Orderly));
+        self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Orderly));
         if self.is_closing() {
             return;
         }
@@ -73,7 +75,7 @@
 
     fn on_client_broken(&mut self) {
         self.client.set_read_ended();
-        self.record(|tape, at| tape.record_close(at, Direction::FromClient, Close::Reset));
+        self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Reset));
         let resets_attempt = self.established && !self.client.is_write_closing();
         if let Some(attempt) = self.upstream.take_connected().filter(|_| resets_attempt) {
             attempt.reset_on_drop();
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -1,7 +1,7 @@
 //! One connection of a client, with the attempt that is open for it: a task that owns both sockets.
 //!
 //! [`SocketEnd`] is one socket with what is pending for it, [`Upstream`] the attempt. What comes from either
-//! side goes through the front's protocol ([`Front`]), whose [`Step`]s become inputs of the reducer; its
+//! side goes through the front's protocol ([`Front`]), whose [`FrontEvent`]s become inputs of the reducer; its
 //! effects come back as [`ConnectionCommand`]s.
 
 mod client_side;
@@ -20,7 +20,7 @@
 use super::commands::{ConnectionCommand, TransferredConnection};
 use super::driver::Driver;
 use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
-use crate::protocol::{Front, Step};
+use crate::protocol::{Front, FrontEvent};
 use crate::routing::{Answer, ConnectionId, EstablishedConnection, Input, PoolId};
 use crate::Micros;
 use socket_end::{wait_readable, wait_writable, SocketEnd};
@@ -58,7 +58,7 @@
     /// Bytes held for a side that does not read; no more are read from the other side.
     buffer_limit: usize,
     /// For a recording.
-    tape: Option<ConnectionRecorder>,
+    recorder: Option<ConnectionRecorder>,
     /// Set once the successor goes on with it.
     successor: Option<oneshot::Sender<TransferredConnection>>,
 }
@@ -71,24 +71,24 @@
     front: Box<dyn Front>,
 ) -> ConnectionId {
     let (id, commands) = driver.register_connection();
-    let tape = start_tape(driver, &stream);
+    let recorder = start_recording(driver, &stream);
     let mut connection = Connection::new(driver, id, front, stream);
-    if tape.is_some() {
+    if recorder.is_some() {
         connection.client.start_recording();
     }
-    connection.tape = tape;
+    connection.recorder = recorder;
     driver.feed(Input::ClientConnected { connection: id, pool });
     connection.spawn(commands);
     id
 }
 
-fn start_tape(driver: &Driver, stream: &TcpStream) -> Option<ConnectionRecorder> {
+fn start_recording(driver: &Driver, stream: &TcpStream) -> Option<ConnectionRecorder> {
     let addresses = stream.peer_addr().ok().zip(stream.local_addr().ok());
     let mut started = None;
     driver.record(|at| {
         let Some((client, front)) = addresses else { return Vec::new() };
-        let (tape, records) = ConnectionRecorder::start(at, client, front);
-        started = Some(tape);
+        let (recorder, records) = ConnectionRecorder::start(at, client, front);
+        started = Some(recorder);
         records
     });
     started
@@ -140,7 +140,7 @@
             discarded_bytes: 0,
             discard_server_output: false,
             buffer_limit: driver.buffer_limit(),
-            tape: None,
+            recorder: None,
             successor: None,
         }
     }
@@ -151,7 +151,9 @@
             let (driver, connection) = (self.driver.clone(), self.id);
             match self.successor.take() {
                 Some(successor) => self.transfer(successor),
-                None => self.record(|tape, at| tape.record_close(at, Direction::ToClient, Close::Orderly)),
+                None => {
+                    self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, Close::Orderly))
+                }
             }
             driver.deregister_connection(connection);
         });
@@ -221,8 +223,8 @@
     }
 
     fn record(&mut self, records: impl FnOnce(&mut ConnectionRecorder, Micros) -> Vec<u8>) {
-        if let Some(tape) = &mut self.tape {
-            self.driver.record(|at| records(tape, at));
+        if let Some(recorder) = &mut self.recorder {
+            self.driver.record(|at| records(recorder, at));
         }
     }
 
@@ -311,30 +313,30 @@
         }
     }
 
-    /// Takes the steps that the front made of what was read.
-    fn take_steps(&mut self, steps: Vec<Step>) {
+    /// Takes the events that the front made of what was read.
+    fn apply_events(&mut self, events: Vec<FrontEvent>) {
         let connection = self.id;
-        for step in steps {
-            match step {
-                Step::ToClient(bytes) => self.client.push(&bytes),
-                Step::ToServer(bytes) => self.forward_to_server(&bytes),
+        for event in events {
+            match event {
+                FrontEvent::ToClient(bytes) => self.client.push(&bytes),
+                FrontEvent::ToServer(bytes) => self.forward_to_server(&bytes),
                 _ if self.is_closing() => {}
-                Step::Ping(pong) if self.driver.is_serving() => self.client.push(&pong),
+                FrontEvent::Ping(pong) if self.driver.is_serving() => self.client.push(&pong),
                 // A client that this process took in could only be rejected.
-                Step::Ping(_) => {
+                FrontEvent::Ping(_) => {
                     self.close_in_order();
                     self.driver.feed(Input::ClientDisconnected { connection });
                 }
-                Step::ConnectionRequested(request) => {
+                FrontEvent::ConnectionRequested(request) => {
                     self.driver.feed(Input::ConnectionRequested { connection, request });
                 }
-                Step::Up => {
+                FrontEvent::Accepted => {
                     self.established = true;
                     self.driver.feed(Input::AttemptAccepted { connection, attempt: self.attempt_number });
                 }
-                Step::Load(load) => self.driver.feed(Input::LoadReported { connection, load }),
-                Step::AttemptEnded(end) => self.on_attempt_ended(end),
-                Step::Close => {
+                FrontEvent::Load(load) => self.driver.feed(Input::LoadReported { connection, load }),
+                FrontEvent::AttemptEnded(end) => self.on_attempt_ended(end),
+                FrontEvent::Close => {
                     self.discard_server_output = true;
                     self.close_in_order();
                     self.driver.feed(Input::ClientDisconnected { connection });
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -72,9 +72,9 @@
                 if self.established && !self.is_closing() {
                     self.driver.feed(Input::ServerActivity { connection: self.id });
                 }
-                let mut steps = Vec::new();
-                self.front.server_sent(&buffer[..length], &mut steps);
-                self.take_steps(steps);
+                let mut events = Vec::new();
+                self.front.server_sent(&buffer[..length], &mut events);
+                self.apply_events(events);
             }
             Err(_) => self.on_server_ended(true),
         }
@@ -116,7 +116,7 @@
             let _ = self.client.flush();
             self.client.reset_on_drop();
             self.client.set_read_ended();
-            self.record(|tape, at| tape.record_close(at, Direction::ToClient, Close::Reset));
+            self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, Close::Reset));
         }
         self.upstream.close_connected();
         self.close_in_order();
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -96,7 +96,7 @@
         let address = bound_address(&listener, irc.listen);
         irc.take_port(address);
         log_event!(LogEvent::IrcReconfigured { name: &irc.setup.name, address });
-        self.driver.feed(Input::EndpointsUpdated { pool, whole: true, endpoints: irc.endpoints });
+        self.driver.feed(Input::EndpointsUpdated { pool, is_snapshot: true, endpoints: irc.endpoints });
         let front = ActiveFront { pool, factory: irc_factory(irc.setup), listener };
         AcceptGate::open_front(&self.driver, IRC_FRONT, irc.listen, front)
             .replace(&self.driver, &mut self.irc);
--- a/src/transport/discovery_watch/connection.rs
+++ b/src/transport/discovery_watch/connection.rs
@@ -76,7 +76,7 @@
             return Err(DiscoveryError::Status { status: answer.status });
         }
         let update = http::parse_endpoint_list(&answer.body).map_err(DiscoveryError::InvalidList)?;
-        if !update.whole && since.is_none() {
+        if !update.is_snapshot && since.is_none() {
             return Err(DiscoveryError::UnexpectedChanges);
         }
         Ok(update)
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -222,7 +222,7 @@
     /// Whether an update changes a list older than the one that is held: it comes from another incarnation of
     /// discovery.
     fn is_outdated(&self, update: &EndpointListUpdate) -> bool {
-        !update.whole && self.generation.is_some_and(|held| update.generation < held)
+        !update.is_snapshot && self.generation.is_some_and(|held| update.generation < held)
     }
 
     fn log_update(&self, generation: u64, endpoints: &[Endpoint]) {
@@ -235,13 +235,13 @@
     }
 
     async fn apply_update(&mut self, update: EndpointListUpdate, called_at: Instant) {
-        let EndpointListUpdate { generation, whole, endpoints } = update;
+        let EndpointListUpdate { generation, is_snapshot, endpoints } = update;
         let is_unchanged = endpoints.is_empty() && self.generation == Some(generation);
         self.log_update(generation, &endpoints);
         self.answered_at = Instant::now();
         self.generation = Some(generation);
         self.hold = HOLD_TIMEOUT;
-        self.driver.feed(Input::EndpointsUpdated { pool: self.pool, whole, endpoints });
+        self.driver.feed(Input::EndpointsUpdated { pool: self.pool, is_snapshot, endpoints });
         if is_unchanged && called_at.elapsed() < MIN_CALL_INTERVAL {
             sleep(MIN_CALL_INTERVAL).await;
         }
--- a/src/transport/driver/mod.rs
+++ b/src/transport/driver/mod.rs
@@ -196,8 +196,8 @@
             Effect::TransferConnection { connection, pool, established } => {
                 self.transfer_connection(connection, pool, established);
             }
-            Effect::ShareExclusion { admin_client, server, out } => {
-                self.share_exclusion(admin_client, server, out);
+            Effect::ShareExclusion { admin_client, server, excluded } => {
+                self.share_exclusion(admin_client, server, excluded);
             }
             Effect::PersistExclusions(excluded) => self.persist_exclusions(&excluded),
             Effect::AdminReply { admin_client, reply } => self.send_admin_reply(admin_client, reply),
--- a/src/transport/fronts.rs
+++ b/src/transport/fronts.rs
@@ -55,7 +55,7 @@
         }
         if let Some(irc) = irc {
             let endpoints = irc.endpoints.clone();
-            fronts.driver.feed(Input::EndpointsUpdated { pool, whole: true, endpoints });
+            fronts.driver.feed(Input::EndpointsUpdated { pool, is_snapshot: true, endpoints });
             fronts.irc = Some(pool);
         }
         fronts
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -220,8 +220,8 @@
 
 async fn handle_message(driver: &Rc<Driver>, link: &Link, received: ReceivedMessage) -> io::Result<()> {
     match received.message {
-        HandoverMessage::Share { number, server, out } => {
-            driver.feed(Input::ExclusionShared { server, out });
+        HandoverMessage::Share { number, server, excluded } => {
+            driver.feed(Input::ExclusionShared { server, excluded });
             link.send(&HandoverMessage::Shared { number }, &[]).await
         }
         HandoverMessage::Shared { number } => {
@@ -261,7 +261,7 @@
 async fn send_message(driver: &Rc<Driver>, link: &Link, message: PeerProcessMessage) -> io::Result<()> {
     match message {
         PeerProcessMessage::ShareExclusion { admin_client, server, excluded } => {
-            let message = HandoverMessage::Share { number: admin_client.0, server, out: excluded };
+            let message = HandoverMessage::Share { number: admin_client.0, server, excluded };
             link.send(&message, &[]).await
         }
         PeerProcessMessage::TransferConnection { connection, pool, established } => {
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -16,7 +16,7 @@
     /// Its time is over.
     OutOfTime,
     /// Its attempt failed for what all servers share.
-    SharedFault,
+    CorrelatedFailure,
 }
 
 impl RefusalReason {
@@ -27,7 +27,7 @@
         RefusalReason::EndpointListExpired,
         RefusalReason::AttemptsSpent,
         RefusalReason::OutOfTime,
-        RefusalReason::SharedFault,
+        RefusalReason::CorrelatedFailure,
     ];
 
     /// The name in metrics and in the log.
@@ -38,7 +38,7 @@
             RefusalReason::EndpointListExpired => "endpoint_list_expired",
             RefusalReason::AttemptsSpent => "attempts_spent",
             RefusalReason::OutOfTime => "out_of_time",
-            RefusalReason::SharedFault => "shared_fault",
+            RefusalReason::CorrelatedFailure => "shared_fault",
         }
     }
 }
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Occupancy {
     /// Slots of its connections that are established or being set up.
-    pub held: f64,
+    pub occupied_slots: f64,
     /// The server's ceiling, in slots.
     pub ceiling: f64,
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -162,7 +162,7 @@
 
     /// Slots held at a server.
     pub(crate) fn held(&self, server: u32) -> f64 {
-        self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.held)
+        self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.occupied_slots)
     }
 
     /// The ceiling of a server, in slots.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -153,11 +153,14 @@
 fn budget_stays_within_the_limits() {
     for (sockets, memory_mb) in [(256, 32), (1024, 32), (1024, 192), (64, 8), (65_536, 16)] {
         let budget = Limits { sockets, memory_mb }.budget(true, true);
-        let all = budget.waiting + 2 * budget.held;
+        let all = budget.pending + 2 * budget.admitted;
         assert!(all + 36 <= sockets, "{budget:?} of {sockets}");
         assert!(all * budget.buffer <= memory_mb << 19, "{budget:?} of {memory_mb} MB");
-        assert!(budget.held >= sockets / 3 || !(256..=1024).contains(&sockets), "{budget:?} of {sockets}");
-        assert!(budget.waiting > 0 && budget.held > 0, "{budget:?}");
+        assert!(
+            budget.admitted >= sockets / 3 || !(256..=1024).contains(&sockets),
+            "{budget:?} of {sockets}"
+        );
+        assert!(budget.pending > 0 && budget.admitted > 0, "{budget:?}");
     }
     let parse_limits = |more: &str| {
         let text =
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -3,26 +3,26 @@
 use std::rc::Rc;
 
 use connection_balancer::protocol::platform::{parse_greeting, parse_server_reply, Greeting, ServerReply};
-use connection_balancer::protocol::{http, irc, platform, Front, Step};
+use connection_balancer::protocol::{http, irc, platform, Front, FrontEvent};
 use connection_balancer::routing::{Answer, AttemptOutcome, Lifecycle};
 use proptest::prelude::*;
 
-/// The output of a front: the bytes for each side, and the other steps in order.
+/// The output of a front: the bytes for each side, and the other events in order.
 #[derive(Debug, Default, PartialEq)]
 struct FrontOutput {
     to_client: Vec<u8>,
     to_server: Vec<u8>,
-    other_steps: Vec<Step>,
+    other_events: Vec<FrontEvent>,
 }
 
 impl FrontOutput {
-    fn add(&mut self, steps: Vec<Step>) {
-        for step in steps {
-            match step {
+    fn add(&mut self, events: Vec<FrontEvent>) {
+        for event in events {
+            match event {
                 // This balancer can serve, so the ping is answered.
-                Step::ToClient(bytes) | Step::Ping(bytes) => self.to_client.extend(bytes),
-                Step::ToServer(bytes) => self.to_server.extend(bytes),
-                other => self.other_steps.push(other),
+                FrontEvent::ToClient(bytes) | FrontEvent::Ping(bytes) => self.to_client.extend(bytes),
+                FrontEvent::ToServer(bytes) => self.to_server.extend(bytes),
+                other => self.other_events.push(other),
             }
         }
     }
@@ -41,12 +41,12 @@
     let mut output = FrontOutput::default();
     let mut feed = |front: &mut dyn Front, pieces: &[&[u8]], server: bool| {
         for piece in pieces {
-            let mut steps = Vec::new();
+            let mut events = Vec::new();
             match server {
-                true => front.server_sent(piece, &mut steps),
-                false => front.client_sent(piece, &mut steps),
+                true => front.server_sent(piece, &mut events),
+                false => front.client_sent(piece, &mut events),
             }
-            output.add(steps);
+            output.add(events);
         }
     };
     feed(&mut front, before, false);
@@ -99,14 +99,14 @@
         let whole = run_front(irc_front(), &[&registration], &[&attempt], &[b"PART #a\r\nhalf"]);
         let cut = run_front(irc_front(), &split_at(&registration, &cuts), &split_at(&attempt, &cuts), &[b"PART #a\r\nhalf"]);
         prop_assert_eq!(&cut.to_server, b"PONG :1\r\nJOIN #a\r\nPART #a\r\n");
-        prop_assert!(cut.other_steps.contains(&Step::Up));
+        prop_assert!(cut.other_events.contains(&FrontEvent::Accepted));
         prop_assert_eq!(cut, whole);
     }
 
     /// Whatever either side sends, nothing panics, and the buffers stay bounded.
     #[test]
     fn no_input_breaks_a_front_or_its_bounds(
-        steps in prop::collection::vec((any::<bool>(), prop::collection::vec(
+        events in prop::collection::vec((any::<bool>(), prop::collection::vec(
             prop_oneof![Just(b'\n'), Just(b' '), Just(b':'), Just(0), prop::sample::select(b"PINGOPENUPCAPBYE001=,@".to_vec()), any::<u8>()], 0..300)), 0..30),
         established in any::<bool>(),
     ) {
@@ -120,16 +120,16 @@
                 front.client_sent(request, &mut out);
                 front.open_attempt(1);
                 front.server_sent(acceptance, &mut out);
-                prop_assert!(out.contains(&Step::Up));
+                prop_assert!(out.contains(&FrontEvent::Accepted));
             }
-            for (server, bytes) in &steps {
+            for (server, bytes) in &events {
                 match server {
                     true => front.server_sent(bytes, &mut out),
                     false => front.client_sent(bytes, &mut out),
                 }
                 prop_assert!(front.buffered_bytes() <= 9000);
             }
-            prop_assert!(out.iter().filter(|step| matches!(step, Step::ConnectionRequested(_))).count() <= 1);
+            prop_assert!(out.iter().filter(|event| matches!(event, FrontEvent::ConnectionRequested(_))).count() <= 1);
             front.server_ended(true);
         }
     }
@@ -150,7 +150,7 @@
         let answer = http::parse_response(&bytes, false).unwrap().unwrap();
         prop_assert_eq!((answer.status, answer.close, answer.taken), (200, false, bytes.len()));
         let update = http::parse_endpoint_list(&answer.body).unwrap();
-        prop_assert_eq!((update.generation, update.whole, update.endpoints.len()), (41, true, 1));
+        prop_assert_eq!((update.generation, update.is_snapshot, update.endpoints.len()), (41, true, 1));
         prop_assert_eq!(update.endpoints[0].lifecycle, Lifecycle::Draining);
         prop_assert_eq!(update.endpoints[0].started.unwrap().0, 1_700_000_000_123_000);
     }
@@ -160,9 +160,9 @@
 #[test]
 fn only_the_wait_of_a_request_line_is_rewritten() {
     let mut front = platform::Connection::default();
-    let mut steps = Vec::new();
-    front.client_sent(OPEN, &mut steps);
-    let Some(Step::ConnectionRequested(request)) = steps.last() else { panic!("{steps:?}") };
+    let mut events = Vec::new();
+    front.client_sent(OPEN, &mut events);
+    let Some(FrontEvent::ConnectionRequested(request)) = events.last() else { panic!("{events:?}") };
     assert_eq!((request.class.as_str(), request.tenant.as_deref()), ("chat", Some("acme")));
     assert_eq!(
         (request.group, request.wait, request.load),
@@ -172,7 +172,7 @@
     assert_eq!(line, b"OPEN 9b1f 7f3a c=chat,t=acme,d=734,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n");
     // Without a `d`, the line is passed on unchanged.
     let mut front = platform::Connection::default();
-    front.client_sent(b"OPEN a b c=chat,at=s-00000001\r\n", &mut steps);
+    front.client_sent(b"OPEN a b c=chat,at=s-00000001\r\n", &mut events);
     assert_eq!(front.open_attempt(5), b"OPEN a b c=chat,at=s-00000001\r\n");
 }
 
@@ -203,7 +203,7 @@
         ("SYNTAX\r\n", AttemptOutcome::Error),
     ] {
         let output = run_front(platform::Connection::default(), &[OPEN], &[line.as_bytes()], &[]);
-        assert_eq!(output.other_steps.last(), Some(&Step::AttemptEnded(end)), "{line}");
+        assert_eq!(output.other_events.last(), Some(&FrontEvent::AttemptEnded(end)), "{line}");
     }
 }
 
@@ -241,20 +241,20 @@
         ("a long line", &long),
         ("commands at once", "OPEN a b c=chat,d=1\r\nOPEN b b c=chat,d=1\r\n"),
     ];
-    let rejection = [Step::ToClient(b"ERR\r\n".to_vec()), Step::Close];
+    let rejection = [FrontEvent::ToClient(b"ERR\r\n".to_vec()), FrontEvent::Close];
     for (what, text) in malformed {
         let mut front = platform::Connection::default();
-        let mut steps = Vec::new();
-        front.client_sent(text.as_bytes(), &mut steps);
-        assert_eq!(steps, rejection, "{what}");
+        let mut events = Vec::new();
+        front.client_sent(text.as_bytes(), &mut events);
+        assert_eq!(events, rejection, "{what}");
         // What the client sends after the error is ignored.
-        front.client_sent(b"OPEN a b c=chat,d=1\r\n", &mut steps);
-        assert_eq!(steps.len(), 2, "{what}");
+        front.client_sent(b"OPEN a b c=chat,d=1\r\n", &mut events);
+        assert_eq!(events.len(), 2, "{what}");
     }
     for text in ["PING\r\n", "OPEN a b c=chat,d=1\r\n", "OPEN a b at=s-00000001,c=chat\r\n"] {
-        let mut steps = Vec::new();
-        platform::Connection::default().client_sent(text.as_bytes(), &mut steps);
-        assert!(!steps.contains(&rejection[1]) && !steps.is_empty(), "{text}");
+        let mut events = Vec::new();
+        platform::Connection::default().client_sent(text.as_bytes(), &mut events);
+        assert!(!events.contains(&rejection[1]) && !events.is_empty(), "{text}");
     }
 }
 
@@ -269,7 +269,12 @@
         [(&again, b"", b""), (&pings, b"", b""), (OPEN, b"UP 1\r\n", &endless)];
     for (before, attempt, after) in cases {
         let output = run_front(platform::Connection::default(), &[before], &[attempt].map(|l| l), &[after]);
-        assert_eq!(output.other_steps.last(), Some(&Step::Close), "{}", String::from_utf8_lossy(before));
+        assert_eq!(
+            output.other_events.last(),
+            Some(&FrontEvent::Close),
+            "{}",
+            String::from_utf8_lossy(before)
+        );
     }
 }
 
@@ -293,19 +298,19 @@
         ("JOIN #a\r\n", " 451 "),
     ];
     for (text, answer) in cases {
-        let mut steps = Vec::new();
-        irc_front().client_sent(text.as_bytes(), &mut steps);
-        let reply = match &steps[..] {
-            [Step::ToClient(bytes)] => String::from_utf8_lossy(bytes).into_owned(),
-            _ => panic!("{text:?}: {steps:?}"),
+        let mut events = Vec::new();
+        irc_front().client_sent(text.as_bytes(), &mut events);
+        let reply = match &events[..] {
+            [FrontEvent::ToClient(bytes)] => String::from_utf8_lossy(bytes).into_owned(),
+            _ => panic!("{text:?}: {events:?}"),
         };
         assert!(reply.contains(answer), "{text:?}: {reply}");
     }
     // A client that floods is disconnected long before its registration times out.
     for flood in [b"FOO\r\n".repeat(100), vec![b'x'; 200 << 10], b"PING a\r\n".repeat(100)] {
-        let (mut front, mut steps) = (irc_front(), Vec::new());
-        flood.chunks(4096).for_each(|piece| front.client_sent(piece, &mut steps));
-        let ends = steps.iter().filter(|step| **step == Step::Close).count();
+        let (mut front, mut events) = (irc_front(), Vec::new());
+        flood.chunks(4096).for_each(|piece| front.client_sent(piece, &mut events));
+        let ends = events.iter().filter(|event| **event == FrontEvent::Close).count();
         assert_eq!(ends, 1, "{} bytes", flood.len());
     }
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -57,7 +57,7 @@
 
 impl CountedMetrics {
     fn new() -> CountedMetrics {
-        let budget = Budget { held: 12, ..reducer_harness::BUDGET };
+        let budget = Budget { admitted: 12, ..reducer_harness::BUDGET };
         CountedMetrics {
             harness: ReducerHarness::with_budget(budget),
             connections: Vec::new(),
@@ -316,7 +316,7 @@
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
     harness.feed(Input::CachedEndpoints { pool: 0, endpoints: Vec::new() });
     assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)), "there is no server");
-    harness.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: Vec::new() });
+    harness.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints: Vec::new() });
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
     harness.feed(Input::ShutdownRequested);
     assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)));
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -52,7 +52,7 @@
         let server = |n| ServerSnapshot {
             server: ServerId(n),
             ready: true,
-            held: 0.0,
+            occupied_slots: 0.0,
             ceiling: 4.0,
             weight: 1.0,
             warmth: 1.0,
@@ -87,7 +87,7 @@
 
     fn establish(&mut self, server: u32, count: usize, group: Option<u64>) -> Vec<ConnectionId> {
         let connections: Vec<ConnectionId> = (0..count).map(|_| self.establish_one(server, group)).collect();
-        self.servers[server as usize].ceiling = self.servers[server as usize].held;
+        self.servers[server as usize].ceiling = self.servers[server as usize].occupied_slots;
         connections
     }
 
@@ -96,7 +96,7 @@
         let (connection, key) = (ConnectionId(self.next), Some(self.next));
         let properties = Connection { server: ServerId(server), class: 0, group, load: None, key };
         self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: None });
-        self.servers[server as usize].held += 1.0;
+        self.servers[server as usize].occupied_slots += 1.0;
         connection
     }
 
@@ -108,7 +108,7 @@
         }
         let decision = self.rebalance.evaluate(self.now, self.conditions, &self.servers);
         for &Migration { connection, from } in &decision.moves {
-            self.servers[from.0 as usize].held -= 1.0;
+            self.servers[from.0 as usize].occupied_slots -= 1.0;
             self.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
         }
         decision
@@ -132,7 +132,7 @@
         let server = ServerId(self.servers.len() as u32 - 1);
         let properties = Connection { server, class: 0, group: None, load: None, key };
         self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: Some(setup) });
-        self.servers.last_mut().expect("a server").held += 1.0;
+        self.servers.last_mut().expect("a server").occupied_slots += 1.0;
     }
 
     fn hold_reason(&self) -> Option<HoldReason> {
@@ -306,7 +306,7 @@
     let metrics = harness.rebalance.metrics();
     assert!(metrics.moved > 0 && metrics.returned == metrics.moved, "{metrics:?}");
     // Now the last server is the one that is full.
-    harness.servers[3].held = 60.0;
+    harness.servers[3].occupied_slots = 60.0;
     for _ in 0..40 {
         harness.now = harness.now.plus(SECOND / 2);
         harness.notify(RebalanceEvent::MessageTimeReported { server: ServerId(3), took: 90_000 });
@@ -330,7 +330,7 @@
                 setup: Some(took),
             });
             harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: true });
-            harness.servers[server as usize].held -= 1.0;
+            harness.servers[server as usize].occupied_slots -= 1.0;
         }
     };
     complete_setups(&mut harness, 40_000, 1);
@@ -455,7 +455,7 @@
         for connection in harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)) {
             harness.return_client(connection, SETUP_TIME);
             // As many connect to the pressured server as leave it, and none to the empty one.
-            harness.servers[3].held -= 1.0;
+            harness.servers[3].occupied_slots -= 1.0;
             harness.establish_one(0, None);
         }
         held |= harness.hold_reason() == Some(HoldReason::NoEffect);
@@ -617,7 +617,7 @@
             _ => decisions.push(evaluate_checked(&mut harness, number, server)?),
         }
         if kind <= 3 {
-            harness.servers[server as usize].held += 1.0;
+            harness.servers[server as usize].occupied_slots += 1.0;
         }
         let metrics = harness.rebalance.metrics();
         prop_assert!(metrics.rate.is_finite() && (0.0..=20.0).contains(&metrics.rate));
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) const WAIT: Micros = 3_200_000;
 
 /// Limits that no test reaches unless it sets its own.
-pub(crate) const BUDGET: Budget = Budget { waiting: 100_000, held: 100_000, buffer: 8192 };
+pub(crate) const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
 
 /// The reducer's state, the time that it is handed, and the number of the last connection.
 pub(crate) struct ReducerHarness {
@@ -68,7 +68,7 @@
     pub(crate) fn with_budget(budget: Budget) -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(budget);
         let endpoints = harness.endpoints();
-        harness.feed(Input::EndpointsUpdated { pool: 0, whole: true, endpoints });
+        harness.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: true, endpoints });
         harness.feed(Input::Listening);
         harness
     }
@@ -153,11 +153,11 @@
     /// Has the list show that a server has restarted now.
     pub(crate) fn restart_server(&mut self, server: usize) -> Vec<Effect> {
         let server = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
-        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints: vec![server] })
+        self.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints: vec![server] })
     }
 
     pub(crate) fn update_endpoint(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
         let endpoints = vec![self.endpoint(server, lifecycle)];
-        self.feed(Input::EndpointsUpdated { pool: 0, whole: false, endpoints })
+        self.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints })
     }
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -351,7 +351,7 @@
 /// is aborted, but none whose request may still be on its way.
 #[test]
 fn aborts_the_oldest_connections_without_an_attempt_to_make_room() {
-    let mut harness = ReducerHarness::with_budget(Budget { waiting: 3, held: 2, buffer: 8192 });
+    let mut harness = ReducerHarness::with_budget(Budget { pending: 3, admitted: 2, buffer: 8192 });
     let silent = harness.connect_client();
     let answered = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -218,7 +218,8 @@
     let (new, _) = start_successor(&mut old);
     for mut harness in [old, new] {
         let effects = call(&mut harness, AdminCall::Exclude(server.clone()));
-        let share = Effect::ShareExclusion { admin_client: ADMIN_CLIENT, server: server.clone(), out: true };
+        let share =
+            Effect::ShareExclusion { admin_client: ADMIN_CLIENT, server: server.clone(), excluded: true };
         assert_eq!(effects.last(), Some(&share));
         assert_eq!(metrics(&mut harness).ejected, 1, "it takes effect here at once");
         assert_eq!(
@@ -243,7 +244,7 @@
         );
     }
     let mut other = ReducerHarness::new();
-    other.feed(Input::ExclusionShared { server: server.clone(), out: true });
+    other.feed(Input::ExclusionShared { server: server.clone(), excluded: true });
     assert_eq!(metrics(&mut other).ejected, 1);
 }
 
@@ -335,10 +336,10 @@
             HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
         }),
         established_message(),
-        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, out)| HandoverMessage::Share {
+        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, excluded)| HandoverMessage::Share {
             number,
             server,
-            out
+            excluded
         }),
     ]
 }
@@ -449,11 +450,11 @@
 
     /// Whichever process is called, the other is notified.
     fn exclude_or_readmit(&mut self, now: usize, server: &'static str) -> Result<(), TestCaseError> {
-        let out = !self.excluded.contains(&server);
-        self.excluded.retain(|excluded| *excluded != server);
-        self.excluded.extend(out.then_some(server));
+        let excluded = !self.excluded.contains(&server);
+        self.excluded.retain(|name| *name != server);
+        self.excluded.extend(excluded.then_some(server));
         (now.saturating_sub(1)..=now).try_for_each(|process| {
-            self.feed(process, Input::ExclusionShared { server: server.to_owned(), out })
+            self.feed(process, Input::ExclusionShared { server: server.to_owned(), excluded })
         })
     }
 
