--- a/simulation/src/clients.rs
+++ b/simulation/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients, drawn before the day: when they arrive, how long they want their connection, what load it has.
 
-use connection_balancer::Micros;
+use crate::deployment::VirtualTime;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
@@ -30,9 +30,9 @@
     /// Objective for a message, in microseconds.
     pub message_objective_micros: f64,
     /// Objective for setting a connection up.
-    pub setup_objective: Micros,
+    pub setup_objective: VirtualTime,
     /// How long clients wait for a connection.
-    pub max_wait: Micros,
+    pub max_wait: VirtualTime,
     /// Share of all arrivals.
     pub arrival_share: f64,
     /// Mean load of a connection.
@@ -65,9 +65,9 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     /// When it arrives; 0 for those that are connected at the start.
-    pub from: Micros,
+    pub from: VirtualTime,
     /// Until when it wants its connection.
-    pub until: Micros,
+    pub until: VirtualTime,
     /// Index of its class in [`CLASSES`].
     pub class: usize,
     /// Load, 1 being about the mean.
@@ -138,8 +138,8 @@
         };
         let load = (CLASSES[class].mean_load * self.load.sample(&mut self.rng)).min(MAX_LOAD);
         Client {
-            from: (from * 1e6) as Micros,
-            until: ((from + remaining.max(MIN_LIFETIME_SECONDS)) * 1e6) as Micros,
+            from: (from * 1e6) as VirtualTime,
+            until: ((from + remaining.max(MIN_LIFETIME_SECONDS)) * 1e6) as VirtualTime,
             class,
             load,
             group,
--- a/simulation/src/day/attempts.rs
+++ b/simulation/src/day/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at servers: their arrival, the setup, and their end.
 
+use crate::deployment::VirtualTime;
 use connection_balancer::routing::{AttemptOutcome, Input};
-use connection_balancer::Micros;
 
 use super::client_events::ClientPhase;
 use super::{AttemptRef, Day, Event, NETWORK_DELAY};
@@ -67,7 +67,7 @@
         let called = if self.now <= NETWORK_DELAY { self.now } else { self.store.call(self.now) };
         let setup = server.message_micros(self.now) * SETUP_MESSAGES;
         let server_incarnation = server.incarnation;
-        self.schedule(called + setup as Micros, Event::SetupCompletes { attempt, server_incarnation });
+        self.schedule(called + setup as VirtualTime, Event::SetupCompletes { attempt, server_incarnation });
     }
 
     /// A server has set up an attempt's connection: it is established, if the attempt is still wanted.
--- a/simulation/src/day/balancer.rs
+++ b/simulation/src/day/balancer.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::deployment::VirtualTime;
 use connection_balancer::routing::{ConnectionId, State};
-use connection_balancer::Micros;
 
 use super::Day;
 use crate::invariants::ConnectionRef;
@@ -37,8 +37,8 @@
     pub(super) connections: BTreeMap<ConnectionId, HeldConnection>,
     last_connection: u64,
     /// When its timer is due.
-    pub(super) next_due: Option<Micros>,
-    pub(super) died_at: Micros,
+    pub(super) next_due: Option<VirtualTime>,
+    pub(super) died_at: VirtualTime,
 }
 
 impl Balancer {
--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -1,9 +1,10 @@
 //! What clients do: connect, wait, come back, give up and leave.
 
+use connection_balancer::Micros;
 use std::collections::BTreeMap;
 
+use crate::deployment::VirtualTime;
 use connection_balancer::routing::{ConnectionRequest, Input};
-use connection_balancer::Micros;
 use rand::Rng;
 
 use super::{Balancer, Day, Event, NETWORK_DELAY};
@@ -13,15 +14,15 @@
 use crate::pool::server_name;
 
 /// The front goes on sending clients to a dead balancer for so long.
-const FRONT_DETECTION_TIME: Micros = 2 * SECOND;
+const FRONT_DETECTION_TIME: VirtualTime = 2 * SECOND;
 /// So often a client tries again soon after a rejection or a failure.
 const QUICK_RETRIES: u32 = 2;
 /// Time until a client comes back after a migration or a break.
-const RECONNECT_DELAY: std::ops::Range<Micros> = 100_000..1_300_000;
+const RECONNECT_DELAY: std::ops::Range<VirtualTime> = 100_000..1_300_000;
 /// Time until a client tries again without a Retry-After.
-const RETRY_DELAY: std::ops::Range<Micros> = 200_000..1_500_000;
+const RETRY_DELAY: std::ops::Range<VirtualTime> = 200_000..1_500_000;
 /// Additional time once its quick retries are used up.
-const SLOW_RETRY_DELAY: std::ops::Range<Micros> = 1_000_000..4_000_000;
+const SLOW_RETRY_DELAY: std::ops::Range<VirtualTime> = 1_000_000..4_000_000;
 
 /// Where a client is.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -93,7 +94,7 @@
             id: Some(format!("{balancer}-{}-{}", request.incarnation, connection.0)),
             class: class.name.to_owned(),
             group: profile.group,
-            wait: Some(class.max_wait),
+            wait: Some(Micros(class.max_wait)),
             key: Some(client as u64),
             reconnecting: self.client_states[client].reconnecting,
             established_at,
@@ -187,7 +188,7 @@
 
     /// A client's request was rejected or failed: it tries again after `retry_after`, or, where that is 0, after a
     /// random delay.
-    pub(super) fn reject_client(&mut self, client: usize, retry_after: Micros) {
+    pub(super) fn reject_client(&mut self, client: usize, retry_after: VirtualTime) {
         self.result.rejected += 1;
         let state = &mut self.client_states[client];
         let retries_used_up = state.quick_retries == 0;
--- a/simulation/src/day/event_queue.rs
+++ b/simulation/src/day/event_queue.rs
@@ -3,7 +3,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-use connection_balancer::Micros;
+use crate::deployment::VirtualTime;
 
 use super::balancer::BalancerRef;
 use crate::invariants::ConnectionRef;
@@ -45,7 +45,7 @@
 /// An event with its time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScheduledEvent {
-    pub(super) at: Micros,
+    pub(super) at: VirtualTime,
     /// Events of the same time happen in the order in which they were scheduled.
     sequence: u64,
     pub(super) event: Event,
@@ -79,7 +79,7 @@
 }
 
 impl EventQueue {
-    pub(super) fn push(&mut self, at: Micros, event: Event) {
+    pub(super) fn push(&mut self, at: VirtualTime, event: Event) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -9,8 +9,8 @@
 mod measurement;
 mod result;
 
+use crate::deployment::VirtualTime;
 use connection_balancer::routing::{reduce, Answer, ConnectionId, Effect, Input, Lifecycle};
-use connection_balancer::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -29,9 +29,9 @@
 pub use result::{DayResult, ServerSample};
 
 /// Time between two updates of the servers.
-const STEP_INTERVAL: Micros = 100_000;
+const STEP_INTERVAL: VirtualTime = 100_000;
 /// Time over the network, one way.
-const NETWORK_DELAY: Micros = 600;
+const NETWORK_DELAY: VirtualTime = 600;
 /// Speed of the slow server in [`Scenario::SlowServer`], over the others'.
 const SLOW_SERVER_SPEED: f64 = 0.7;
 /// Servers are of different sizes, over the deployment's capacity, which balancers do not know.
@@ -55,7 +55,7 @@
     deployment: &'a Deployment,
     clients: &'a [Client],
     seed: u64,
-    now: Micros,
+    now: VirtualTime,
     queue: EventQueue,
     balancers: Vec<Balancer>,
     servers: Vec<Server>,
@@ -132,7 +132,7 @@
         }
     }
 
-    fn schedule(&mut self, at: Micros, event: Event) {
+    fn schedule(&mut self, at: VirtualTime, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
 
@@ -212,7 +212,7 @@
             Answer::Migrated => self.migrate_client(client),
             Answer::Rejected(retry_after) => {
                 self.invariants.on_answer(self.now, request);
-                self.reject_client(client, retry_after);
+                self.reject_client(client, retry_after.0);
             }
             Answer::Failed | Answer::HandshakeTimedOut => {
                 self.invariants.on_answer(self.now, request);
--- a/simulation/src/deployment.rs
+++ b/simulation/src/deployment.rs
@@ -1,10 +1,12 @@
 //! What a day is played on: sizes, speeds and delays.
 
 use connection_balancer::rebalance::RebalanceConfig;
-use connection_balancer::Micros;
+
+/// The simulation's virtual time in microseconds: a moment since the start of the day, or a length of time.
+pub type VirtualTime = u64;
 
 /// Microseconds in a second.
-pub const SECOND: Micros = 1_000_000;
+pub const SECOND: VirtualTime = 1_000_000;
 
 /// Servers, balancers, clients and what is between them.
 #[derive(Clone, Debug)]
@@ -24,7 +26,7 @@
     /// The session store serves so many times the usual rate of new connections.
     pub store_rate_factor: f64,
     /// The most time by which a change of the endpoint list reaches a balancer late; it is half of this at least.
-    pub list_delay: Micros,
+    pub list_delay: VirtualTime,
     /// The probability that a client comes back after a migration.
     pub return_probability: f64,
     /// Whether servers report how long messages take.
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -1,8 +1,8 @@
 //! A balancer that only holds connections, for measuring what that costs.
 
+use crate::deployment::VirtualTime;
 use connection_balancer::rebalance::RebalanceConfig;
 use connection_balancer::routing::{reduce, ConnectionId, ConnectionRequest, Input, Lifecycle, State};
-use connection_balancer::Micros;
 
 use crate::clients::CLASSES;
 use crate::deployment::{Deployment, SECOND};
@@ -14,7 +14,7 @@
 /// One reducer that holds connections at twenty servers, a little unevenly, and gets no input but time.
 pub struct IdleBalancer {
     state: State,
-    now: Micros,
+    now: VirtualTime,
 }
 
 impl IdleBalancer {
--- a/simulation/src/invariants.rs
+++ b/simulation/src/invariants.rs
@@ -3,17 +3,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
+use crate::deployment::VirtualTime;
 use connection_balancer::routing::ConnectionId;
-use connection_balancer::Micros;
 
 /// A server gets no new attempt this long after the balancer was notified that it is draining.
-const DRAIN_GRACE: Micros = 250_000;
+const DRAIN_GRACE: VirtualTime = 250_000;
 /// The most attempts of a request.
 const MAX_ATTEMPTS: u32 = 6;
 /// A cold server can take so many times its warm rate of new load...
 const OVERLOAD_FACTOR: f64 = 4.0;
 /// ...over this window...
-const OVERLOAD_WINDOW: Micros = 3_000_000;
+const OVERLOAD_WINDOW: VirtualTime = 3_000_000;
 /// ...and a little more by chance.
 const OVERLOAD_TOLERANCE: f64 = 3.0;
 /// At that rate a server fills in this time, in seconds.
@@ -55,7 +55,7 @@
 /// A connection that was set up at a cold server.
 #[derive(Clone, Copy, Debug)]
 struct ColdSetup {
-    at: Micros,
+    at: VirtualTime,
     load: f64,
 }
 
@@ -64,7 +64,7 @@
 pub struct InvariantChecker {
     requests: BTreeMap<ConnectionRef, RequestRecord>,
     /// When each balancer was notified that a server is draining or gone.
-    leaving_since: BTreeMap<KnownServer, Micros>,
+    leaving_since: BTreeMap<KnownServer, VirtualTime>,
     /// Recent setups at servers that are cold.
     cold_setups: BTreeMap<usize, VecDeque<ColdSetup>>,
     /// Descriptions of what was violated.
@@ -73,7 +73,7 @@
 
 impl InvariantChecker {
     /// A balancer was notified that a server is in use, or that it is draining or gone.
-    pub fn on_server_listed(&mut self, now: Micros, balancer: usize, server: usize, in_use: bool) {
+    pub fn on_server_listed(&mut self, now: VirtualTime, balancer: usize, server: usize, in_use: bool) {
         let known = KnownServer { balancer, server };
         if in_use {
             self.leaving_since.remove(&known);
@@ -88,7 +88,7 @@
     }
 
     /// An attempt is opened.
-    pub fn on_attempt_opened(&mut self, now: Micros, request: ConnectionRef, server: usize) {
+    pub fn on_attempt_opened(&mut self, now: VirtualTime, request: ConnectionRef, server: usize) {
         let record = self.requests.entry(request).or_default();
         record.attempts += 1;
         if record.attempt_in_flight {
@@ -109,7 +109,7 @@
 
     /// A connection of this load begins to be set up at a server that has only this share of its capacity, which is
     /// counted in mean connections.
-    pub fn on_cold_setup(&mut self, now: Micros, server: usize, warmth: f64, capacity: f64, load: f64) {
+    pub fn on_cold_setup(&mut self, now: VirtualTime, server: usize, warmth: f64, capacity: f64, load: f64) {
         let recent = self.cold_setups.entry(server).or_default();
         recent.push_back(ColdSetup { at: now, load });
         while recent.front().is_some_and(|setup| now - setup.at > OVERLOAD_WINDOW) {
@@ -137,7 +137,7 @@
     }
 
     /// The request was established, rejected or failed.
-    pub fn on_answer(&mut self, now: Micros, request: ConnectionRef) {
+    pub fn on_answer(&mut self, now: VirtualTime, request: ConnectionRef) {
         let record = self.requests.entry(request).or_default();
         record.answers += 1;
         if record.answers > 1 {
@@ -146,7 +146,7 @@
     }
 
     /// The client has waited for its full time: it must have had an answer.
-    pub fn on_wait_ended(&mut self, now: Micros, request: ConnectionRef) {
+    pub fn on_wait_ended(&mut self, now: VirtualTime, request: ConnectionRef) {
         if self.requests.get(&request).is_none_or(|record| record.answers == 0) {
             self.violations.push(format!("{now}: {request} had no answer in its time"));
         }
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -1,5 +1,6 @@
 //! The pool settings and endpoint lists that the model's balancers get.
 
+use crate::deployment::VirtualTime;
 use connection_balancer::routing::Budget;
 use connection_balancer::routing::{Endpoint, Lifecycle, PoolConfig, ReplicationConfig, State};
 use connection_balancer::{Class, Idempotency, Micros, Settings, Time};
@@ -8,7 +9,7 @@
 use crate::deployment::{Deployment, SECOND};
 
 /// The day begins at this time of the reducers' clock.
-const CLOCK_ORIGIN: Micros = 1_000 * SECOND;
+const CLOCK_ORIGIN: VirtualTime = 1_000 * SECOND;
 /// Price of each client migrated once, as a share of all served value.
 pub const MIGRATION_COST: f64 = 0.025;
 /// A connection's mean load, in microseconds of work a second.
@@ -19,17 +20,17 @@
 const ZONE: &str = "a";
 
 /// A time of day on the reducers' clock.
-pub fn to_clock(at: Micros) -> Time {
+pub fn to_clock(at: VirtualTime) -> Time {
     Time(CLOCK_ORIGIN + at)
 }
 
 /// The time of day of a time on the reducers' clock.
-pub fn from_clock(at: Time) -> Micros {
+pub fn from_clock(at: Time) -> VirtualTime {
     at.0.saturating_sub(CLOCK_ORIGIN)
 }
 
 /// A reducer that knows its settings and no endpoints.
-pub fn new_reducer(deployment: &Deployment, seed: u64, now: Micros) -> State {
+pub fn new_reducer(deployment: &Deployment, seed: u64, now: VirtualTime) -> State {
     let pools = vec![pool_config(deployment, seed)];
     State::new(pools, ReplicationConfig::default(), BUDGET, to_clock(now))
 }
@@ -43,15 +44,15 @@
         settings: settings(deployment),
         seed,
         discovery: None,
-        handshake_timeout: 1_500_000,
+        handshake_timeout: Micros::from_millis(1_500),
         uses_replicated_map: false,
         max_connections: usize::MAX,
-        drain_duration: 0,
-        server_silence_timeout: 5_000_000,
+        drain_duration: Micros::ZERO,
+        server_silence_timeout: Micros::from_secs(5),
         reports_message_time: deployment.reports_message_time,
         reports_load: true,
         load_report_fields: Vec::new(),
-        longest_wait: 3_200_000,
+        longest_wait: Micros::from_millis(3_200),
         rebalance: deployment.rebalance,
         peers: None,
     }
@@ -60,11 +61,11 @@
 fn settings(deployment: &Deployment) -> Settings {
     let class = |profile: &ClassProfile| Class {
         priority_weight: profile.priority_weight,
-        setup_objective: profile.setup_objective,
+        setup_objective: Micros(profile.setup_objective),
         message_objective: if deployment.reports_message_time {
-            profile.message_objective_micros as Micros
+            Micros(profile.message_objective_micros as VirtualTime)
         } else {
-            0
+            Micros::ZERO
         },
         idempotency: Idempotency::Idempotent,
     };
@@ -74,14 +75,14 @@
         max_attempts: 6,
         cancel: true,
         retry_after: true,
-        max_retry_after: 1_500_000,
-        connect_timeout: 250_000,
+        max_retry_after: Micros::from_millis(1_500),
+        connect_timeout: Micros::from_millis(250),
         poll_required: true,
         migration_cost: MIGRATION_COST,
         slow_start_share: 0.34,
-        slow_start_duration: 8_800_000,
+        slow_start_duration: Micros::from_millis(8_800),
         slow_start_overload_factor: 4.0,
-        slow_start_window: 3_000_000,
+        slow_start_window: Micros::from_secs(3),
         ..Settings::default()
     }
 }
@@ -92,7 +93,7 @@
 }
 
 /// The endpoint of a server, whose address is its index.
-pub fn endpoint(server: usize, lifecycle: Lifecycle, started: Option<Micros>) -> Endpoint {
+pub fn endpoint(server: usize, lifecycle: Lifecycle, started: Option<VirtualTime>) -> Endpoint {
     Endpoint {
         name: server_name(server),
         address: server.to_string(),
--- a/simulation/src/scenario.rs
+++ b/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What goes wrong during a day.
 
-use connection_balancer::Micros;
+use crate::deployment::VirtualTime;
 
 use crate::deployment::Deployment;
 
@@ -75,14 +75,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
     /// Microseconds from the start of the day.
-    pub at: Micros,
+    pub at: VirtualTime,
     /// What happens.
     pub fault: Fault,
 }
 
 impl ScheduledFault {
     fn at_second(second: f64, fault: Fault) -> ScheduledFault {
-        ScheduledFault { at: (second * 1e6) as Micros, fault }
+        ScheduledFault { at: (second * 1e6) as VirtualTime, fault }
     }
 }
 
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use connection_balancer::Micros;
+use crate::deployment::VirtualTime;
 
 /// Time of a message on an idle server, in microseconds.
 const SERVICE_MICROS: f64 = 5_000.0;
@@ -45,7 +45,7 @@
     /// Numbers its processes.
     pub incarnation: u64,
     /// When the process started, if it did during the day.
-    pub started: Option<Micros>,
+    pub started: Option<VirtualTime>,
     /// Connections by client.
     connections: BTreeMap<usize, ServerConnection>,
     /// Number of each group's connections.
@@ -78,7 +78,7 @@
     }
 
     /// Its process starts, cold.
-    pub fn start(&mut self, now: Micros) {
+    pub fn start(&mut self, now: VirtualTime) {
         let incarnation = self.incarnation + 1;
         *self = Server { incarnation, started: Some(now), ..Server::new(self.capacity) };
     }
@@ -94,7 +94,7 @@
     }
 
     /// Share of its capacity that it has now: a third at the start, all after 8.8 s.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn warmth(&self, now: VirtualTime) -> f64 {
         let grown = self.started.map_or(1.0, |at| (now - at) as f64 / WARM_UP_MICROS);
         (INITIAL_WARMTH + WARMTH_GROWTH * grown).min(1.0)
     }
@@ -107,7 +107,7 @@
     }
 
     /// Begins to set a connection up.
-    pub fn add_connection(&mut self, now: Micros, client: usize, load: f64, group: Option<u64>) {
+    pub fn add_connection(&mut self, now: VirtualTime, client: usize, load: f64, group: Option<u64>) {
         self.connections.insert(client, ServerConnection { load, group });
         self.load += load;
         if let Some(group) = group {
@@ -134,13 +134,13 @@
     }
 
     /// Load over capacity.
-    pub fn utilisation(&self, now: Micros) -> f64 {
+    pub fn utilisation(&self, now: VirtualTime) -> f64 {
         let group_load = self.groups.len() as f64 * GROUP_LOADS;
         (self.load + group_load) / (self.capacity * self.warmth(now))
     }
 
     /// Serves for so many seconds.
-    pub fn advance(&mut self, now: Micros, seconds: f64) {
+    pub fn advance(&mut self, now: VirtualTime, seconds: f64) {
         self.backlog_seconds = (self.backlog_seconds + (self.utilisation(now) - 1.0) * seconds).max(0.0);
     }
 
@@ -150,12 +150,12 @@
     }
 
     /// The mean time of a message, in microseconds.
-    pub fn message_micros(&self, now: Micros) -> f64 {
+    pub fn message_micros(&self, now: VirtualTime) -> f64 {
         SERVICE_MICROS / (1.0 - self.utilisation(now).min(MAX_USE)) + self.backlog_seconds * 1e6
     }
 
     /// Share of messages within an objective, in microseconds.
-    pub fn share_within(&self, now: Micros, objective_micros: f64) -> f64 {
+    pub fn share_within(&self, now: VirtualTime, objective_micros: f64) -> f64 {
         1.0 - (-objective_micros / self.message_micros(now)).exp()
     }
 }
--- a/simulation/src/session_store.rs
+++ b/simulation/src/session_store.rs
@@ -1,11 +1,11 @@
 //! The session store: one queue, served in order at a bounded rate. Each new connection needs a call.
 
-use connection_balancer::Micros;
+use crate::deployment::VirtualTime;
 
 /// How many times longer calls take while the store is slow.
 const SLOW_FACTOR: f64 = 5.0;
 /// When the store is slow under [`StoreCondition::SlowMidway`].
-const SLOW_PERIOD: std::ops::Range<Micros> = 26_000_000..41_000_000;
+const SLOW_PERIOD: std::ops::Range<VirtualTime> = 26_000_000..41_000_000;
 
 /// How the session store performs during a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// Calls a second when it is not slow.
     rate_per_s: f64,
     condition: StoreCondition,
-    free_at: Micros,
+    free_at: VirtualTime,
 }
 
 impl SessionStore {
@@ -34,14 +34,14 @@
     }
 
     /// Adds a call to the queue; when it is answered.
-    pub fn call(&mut self, now: Micros) -> Micros {
+    pub fn call(&mut self, now: VirtualTime) -> VirtualTime {
         let slow = match self.condition {
             StoreCondition::Normal => false,
             StoreCondition::Slow => true,
             StoreCondition::SlowMidway => SLOW_PERIOD.contains(&now),
         };
         let service_micros = 1e6 / self.rate_per_s * if slow { SLOW_FACTOR } else { 1.0 };
-        self.free_at = self.free_at.max(now) + service_micros as Micros;
+        self.free_at = self.free_at.max(now) + service_micros as VirtualTime;
         self.free_at
     }
 }
--- a/src/bin/simulator-adapter/configuration.rs
+++ b/src/bin/simulator-adapter/configuration.rs
@@ -123,11 +123,11 @@
         let idempotency = parse_idempotency(reader, key)?;
         let message_objective = match message_objectives.get(index).filter(|&text| text != ABSENT) {
             Some(text) => parse_span(text).ok_or_else(|| reader.malformed(MESSAGE_OBJECTIVES))?,
-            None => 0,
+            None => Micros::ZERO,
         };
         let value = Class {
             priority_weight: reader.decimal(&key("gain"), 1.0)?,
-            setup_objective: reader.span(&key("objective"), 0)?,
+            setup_objective: reader.span(&key("objective"), Micros::ZERO)?,
             message_objective,
             idempotency,
         };
@@ -149,7 +149,9 @@
     };
     match reader.text(&key("repeat")) {
         Some("repeatable") => Ok(Idempotency::Idempotent),
-        Some("by_key") => Ok(Idempotency::IdempotencyKey { scope, window: reader.span(&key("window"), 0)? }),
+        Some("by_key") => {
+            Ok(Idempotency::IdempotencyKey { scope, window: reader.span(&key("window"), Micros::ZERO)? })
+        }
         Some("once") | None => Ok(Idempotency::NotIdempotent),
         Some(_) => Err(reader.malformed(&key("repeat"))),
     }
--- a/src/bin/simulator-adapter/values.rs
+++ b/src/bin/simulator-adapter/values.rs
@@ -5,7 +5,7 @@
 
 use connection_balancer::{Micros, Outcome, Time};
 
-const MICROS_PER_MILLI: Micros = 1000;
+const MICROS_PER_MILLI: u64 = 1000;
 /// Spans of time have to be below this, in milliseconds.
 const SPAN_LIMIT_MILLIS: f64 = 1e15;
 
@@ -21,11 +21,11 @@
 /// Milliseconds with a fraction, as whole microseconds.
 pub(crate) fn parse_span(text: &str) -> Option<Micros> {
     let millis = parse_decimal(text).filter(|millis| (0.0..SPAN_LIMIT_MILLIS).contains(millis))?;
-    Some((millis * MICROS_PER_MILLI as f64).round() as Micros)
+    Some(Micros::from_f64((millis * MICROS_PER_MILLI as f64).round()))
 }
 
 pub(crate) fn parse_time(text: &str) -> Option<Time> {
-    parse_span(text).map(Time)
+    parse_span(text).map(|span| Time(span.0))
 }
 
 pub(crate) fn parse_flag(text: &str) -> Option<bool> {
@@ -55,6 +55,7 @@
 
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:03}", self.0 / MICROS_PER_MILLI, self.0 % MICROS_PER_MILLI)
+        let Millis(Micros(micros)) = self;
+        write!(f, "{}.{:03}", micros / MICROS_PER_MILLI, micros % MICROS_PER_MILLI)
     }
 }
--- a/src/bookkeeping/random.rs
+++ b/src/bookkeeping/random.rs
@@ -13,7 +13,7 @@
 
 /// Half to one and a half times `span`: balancers that failed together must not return together.
 pub fn jittered(rng: &mut impl Rng, span: Micros) -> Micros {
-    (span as f64 * rng.random_range(0.5..1.5)) as Micros
+    Micros::from_f64(span.as_f64() * rng.random_range(0.5..1.5))
 }
 
 /// A jittered wait after `failures` failures in a row: `initial`, doubled with each, up to `max`.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,8 +30,8 @@
 //!
 //! let class = Class {
 //!     priority_weight: 1.0,
-//!     setup_objective: 300_000,
-//!     message_objective: 100_000,
+//!     setup_objective: Micros::from_millis(300),
+//!     message_objective: Micros::from_millis(100),
 //!     idempotency: Idempotency::Idempotent,
 //! };
 //! let settings = Settings { classes: vec![class], max_attempts: 3, ..Settings::default() };
@@ -54,13 +54,13 @@
 //! balancer.handle(now, restored, &mut actions);
 //!
 //! // A client asks for a connection.
-//! let (request, deadline) = (RequestId(1), now.plus(2_000_000));
+//! let (request, deadline) = (RequestId(1), now.plus(Micros::from_secs(2)));
 //! balancer.handle(now, Event::RequestArrived { request, class, tenant, group, load, deadline }, &mut actions);
 //! let mut timer = None;
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::StartAttempt { request, server, timeout, .. } => {
-//!             println!("connect {request:?} to {server:?} within {timeout} microseconds");
+//!             println!("connect {request:?} to {server:?} within {} microseconds", timeout.0);
 //!         }
 //!         Action::SetTimer(wait) => timer = Some(now.plus(wait)),
 //!         other => println!("{other:?}"),
@@ -69,10 +69,10 @@
 //! assert!(timer.is_some_and(|at| at < deadline));
 //!
 //! // The connection is established, and later ends.
-//! now = now.plus(20_000);
+//! now = now.plus(Micros::from_millis(20));
 //! balancer.handle(now, Event::ConnectionEstablished { request, attempt: 0 }, &mut actions);
 //! assert!(balancer.is_tracked(request));
-//! now = now.plus(60_000_000);
+//! now = now.plus(Micros::from_secs(60));
 //! let end = Event::AttemptEnded { request, attempt: 0, outcome: Outcome::Ok, answered: true };
 //! balancer.handle(now, end, &mut actions);
 //! assert!(!balancer.is_tracked(request));
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -156,7 +156,7 @@
         let objective = self.config.message_objective;
         match observation {
             Observation::SlowServer(_, took) => {
-                objective > 0 && took as f64 >= SLOW_MESSAGE_RATIO * objective as f64
+                objective > Micros::ZERO && took.as_f64() >= SLOW_MESSAGE_RATIO * objective.as_f64()
             }
             Observation::Dropped(_) | Observation::SlowSetUps => true,
         }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -42,11 +42,11 @@
 
     /// Raises the share evenly within a slow start: a queue longer than clients wait stays if more is let in.
     pub(super) fn raise(&mut self, now: Time, settings: &Settings) {
-        let full_rise = settings.slow_start_duration.max(1);
+        let full_rise = settings.slow_start_duration.max(Micros(1));
         let pause = full_rise / RISE_PAUSE_DIVISOR;
         let is_paused = self.last_failed_setup.as_ref().is_some_and(|last| now.since(last.at) < pause);
         let since = if is_paused { now } else { self.raised_until };
-        self.share = (self.share + now.since(since) as f64 / full_rise as f64).min(1.0);
+        self.share = (self.share + now.since(since).as_f64() / full_rise.as_f64()).min(1.0);
         self.raised_until = self.raised_until.max(now);
     }
 }
--- a/src/policy/ceilings.rs
+++ b/src/policy/ceilings.rs
@@ -9,7 +9,7 @@
 /// Share of the free slots that is left at a server where another balancer saw a drop.
 const PEER_DROP_FREE_SLOTS_FACTOR: f64 = 0.5;
 /// For so many fault windows a server that had a fault is taken to be at its limit.
-const LIMIT_FAULT_WINDOWS: Micros = 4;
+const LIMIT_FAULT_WINDOWS: u64 = 4;
 
 impl Balancer {
     pub(super) fn apply_measurement(&mut self, id: RequestId, measurement: Measurement) {
@@ -31,8 +31,8 @@
     /// Value is lost to slow messages long before a server rejects or drops.
     fn apply_message_time(&mut self, id: ServerId, took: Micros) {
         let objective = self.settings.message_objective();
-        let Some(server) = self.servers.get_mut(&id).filter(|_| objective > 0) else { return };
-        let lateness = took as f64 / objective as f64;
+        let Some(server) = self.servers.get_mut(&id).filter(|_| objective > Micros::ZERO) else { return };
+        let lateness = took.as_f64() / objective.as_f64();
         let is_slow = lateness >= SLOW_MESSAGE_RATIO;
         // Each measurement is of what is held now. Cut anew from the last cut, a ceiling would come to
         // nothing while accumulated work is done, and stay there afterwards.
@@ -50,16 +50,17 @@
     /// there, and takes no more of this one's. One that dropped has room again, but would get more than it
     /// bears if all balancers went on as before. All receive this, and must not all return at once.
     pub(super) fn apply_peer_observation(&mut self, id: ServerId, took: Option<Micros>) {
-        let objective = self.settings.message_objective().max(1);
-        let lateness = took.map(|took| took as f64 / objective as f64);
-        let delay = self.settings.peer_observation_hold() as f64 * self.rng.random::<f64>();
+        let objective = self.settings.message_objective().max(Micros(1));
+        let lateness = took.map(|took| took.as_f64() / objective.as_f64());
+        let delay = self.settings.peer_observation_hold().as_f64() * self.rng.random::<f64>();
         let matters = lateness.is_none_or(|lateness| lateness >= SLOW_MESSAGE_RATIO);
         let Some(server) = self.servers.get_mut(&id).filter(|_| matters) else { return };
         let (held, ceiling) = (server.held.slots, server.learned.ceiling);
         let limit_after_drop = held + (ceiling - held).max(0.0) * PEER_DROP_FREE_SLOTS_FACTOR;
         let limit = lateness.map_or(limit_after_drop, |lateness| held / (1.0 + lateness));
         server.learned.ceiling = ceiling.min(limit);
-        server.learned.last_fault = server.learned.last_fault.max(Some(self.now.plus(delay as Micros)));
+        server.learned.last_fault =
+            server.learned.last_fault.max(Some(self.now.plus(Micros::from_f64(delay))));
     }
 }
 
--- a/src/policy/endpoint_watch.rs
+++ b/src/policy/endpoint_watch.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 /// What discovery changes counts as notified after this long, whether or not it arrived.
-const NOTIFICATION_TIMEOUT: Micros = 6_000_000;
+const NOTIFICATION_TIMEOUT: Micros = Micros::from_secs(6);
 /// After so many failures in a row the wait for the endpoint list grows no more.
 const MAX_BACKOFF_FAILURES: u32 = 6;
 
@@ -106,6 +106,6 @@
     }
 
     pub(super) fn is_endpoint_list_expired(&self) -> bool {
-        self.endpoint_list_time_left() == Some(0)
+        self.endpoint_list_time_left() == Some(Micros::ZERO)
     }
 }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Between two migrations from one server: the first has to show its effect before the next.
-const MIGRATION_INTERVAL: Micros = 500_000;
+const MIGRATION_INTERVAL: Micros = Micros::from_millis(500);
 /// One migrates for so many slots held: enough to relieve the server, too few to overload the next.
 const SLOTS_PER_MIGRATION: f64 = 8.0;
 /// At so many times the objective no message is in time: staying is worth nothing...
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -116,7 +116,7 @@
             Event::EndpointWatchFailed(failure) => self.on_endpoint_watch_failed(failure),
             Event::RequestArrived { request, class, group, load, deadline, .. } => {
                 let slots = self.connection_sizes.estimate(class, load);
-                let due = Time(deadline.0 - deadline.since(self.now) / ANSWER_TIME_DIVISOR);
+                let due = deadline.minus(deadline.since(self.now) / ANSWER_TIME_DIVISOR);
                 self.admit_request(request, Request { class, group, slots, due, ..Request::default() });
             }
             Event::ConnectionRestored { request, class, group, load, server, .. } => {
@@ -136,7 +136,7 @@
             }
             Event::ClientLeft { request } => self.mark_answered(request),
             Event::PeerObservation { server, took } => self.apply_peer_observation(server, took),
-            Event::PeerSetupSlow => self.admission.decrease(self.now, 0, &self.settings),
+            Event::PeerSetupSlow => self.admission.decrease(self.now, Micros::ZERO, &self.settings),
             Event::PeerGroupSample(groups) => groups.iter().for_each(|&g| self.group_statistics.record(g)),
             Event::TimerFired => {}
             Event::ProbeCompleted { server, report, .. } => self.apply_load_report(server, report),
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -71,7 +71,7 @@
         request.attempts += 1;
         // Given up half way, it is set up all the same, for nobody: twice the work, mostly in vain, for a
         // slow session store. A server that is not there is known by the connection that cannot be opened.
-        let timeout = request.due.since(now).max(1);
+        let timeout = request.due.since(now).max(Micros(1));
         self.actions.push(Action::StartAttempt { request: id, server: to, timeout, within });
         if is_trial {
             self.eject(to);
@@ -85,7 +85,7 @@
             self.actions.push(Action::CancelAttempt { request: id, attempt });
         }
         // Rejected clients that are given one time come back as one wave. Two thirds are jittered up to all.
-        let longest = if self.settings.retry_after { self.settings.max_retry_after } else { 0 };
+        let longest = if self.settings.retry_after { self.settings.max_retry_after } else { Micros::ZERO };
         let retry_after = jittered(&mut self.rng, longest * 2 / 3);
         self.actions.push(match self.may_reject(id) {
             true => Action::Reject { request: id, reason, retry_after },
@@ -120,8 +120,8 @@
         }
         self.group_statistics.record(request.group.map(GroupId::short_hash));
         self.admission.last_failed_setup = None;
-        if objective > 0 && setup_time > objective {
-            self.admission.decrease(self.now, 0, &self.settings);
+        if objective > Micros::ZERO && setup_time > objective {
+            self.admission.decrease(self.now, Micros::ZERO, &self.settings);
             self.actions.push(Action::ReportSlowSetup);
         }
         self.mark_answered(id);
@@ -202,6 +202,6 @@
             Idempotency::IdempotencyKey { scope: KeyScope::Zone, .. } => server.entry.zone == first.zone,
             Idempotency::IdempotencyKey { scope: KeyScope::Cell, .. } => server.entry.cell == first.cell,
         };
-        recognises_key && self.window_left(idempotency, now) > Some(0)
+        recognises_key && self.window_left(idempotency, now) > Some(Micros::ZERO)
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -87,7 +87,7 @@
         self.peaks.held = self.peaks.held.max(totals.held);
         self.peaks.servers = self.peaks.servers.max(totals.servers);
         let factor = (totals.servers / totals.held).clamp(1.0, MAX_FAULT_WINDOW_FACTOR);
-        self.fault_window = (self.settings.max_retry_after as f64 * factor) as Micros;
+        self.fault_window = Micros::from_f64(self.settings.max_retry_after.as_f64() * factor);
     }
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -17,13 +17,13 @@
     /// and holds what reports show, or else at least what all have held. By what is held now it fills late.
     pub(super) fn slow_start_interval(&self) -> f64 {
         let balancers = f64::from(self.settings.balancers.max(1));
-        let duration = (self.settings.slow_start_duration as f64).max(1.0);
+        let duration = self.settings.slow_start_duration.as_f64().max(1.0);
         let peak_mean = self.peaks.held / f64::max(1.0, self.peaks.servers);
         let guessed_size = f64::max(1.0 / balancers, peak_mean) * GUESS_SAFETY_FACTOR;
         // What all may send a warm server in a window, and half of the rule's slack, less one from each.
         let rate = self.settings.slow_start_overload_factor / duration;
         let reported_size = self.connections_at_capacity;
-        let due = (rate * self.settings.slow_start_window as f64 * reported_size * balancers).max(1.0);
+        let due = (rate * self.settings.slow_start_window.as_f64() * reported_size * balancers).max(1.0);
         let slack = (SLACK_ROOTS * due.sqrt() + SLACK_CONNECTIONS - balancers).max(0.0);
         let size = guessed_size.max(reported_size * (1.0 + slack / due));
         1.0 / (rate * size).max(MIN_SLOW_START_SENDS / duration)
@@ -34,9 +34,9 @@
     /// together it gets its part on the mean; a part saved up is mostly not there when it is wanted.
     pub(super) fn take_slow_start_chance(&mut self) -> Option<f64> {
         let elapsed = self.now.since(std::mem::replace(&mut self.last_selection, self.now));
-        let elapsed = elapsed.min(self.settings.slow_start_window) as f64;
+        let elapsed = elapsed.min(self.settings.slow_start_window).as_f64();
         let (interval, servers) = (self.slow_start_interval(), self.serving().count() as f64);
-        (interval > self.settings.slow_start_duration as f64).then_some(elapsed * servers / interval)
+        (interval > self.settings.slow_start_duration.as_f64()).then_some(elapsed * servers / interval)
     }
 }
 
@@ -44,7 +44,7 @@
     /// The share of its capacity that it surely has by now.
     pub(super) fn warmth(&self, settings: &Settings, now: Time) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let elapsed = now.since(started_at) as f64 / settings.slow_start_duration.max(1) as f64;
+        let elapsed = now.since(started_at).as_f64() / settings.slow_start_duration.max(Micros(1)).as_f64();
         let initial = settings.slow_start_share;
         (initial + (1.0 - initial) * elapsed).clamp(MIN_WARMTH, 1.0)
     }
@@ -54,16 +54,16 @@
         let wait = wait / self.warmth(settings, now);
         let warm_at = self.started_at.map_or(now, |at| at.plus(settings.slow_start_duration));
         self.slow_start_interval = interval;
-        self.learned.next_slow_start_send = now.plus(wait as Micros).min(warm_at);
+        self.learned.next_slow_start_send = now.plus(Micros::from_f64(wait)).min(warm_at);
     }
 
     /// A wait from when less was known of what servers hold would keep a cold one empty.
     pub(super) fn shorten_wait(&mut self, now: Time, interval: f64) {
         if interval < self.slow_start_interval {
-            let left = self.learned.next_slow_start_send.since(now) as f64;
+            let left = self.learned.next_slow_start_send.since(now).as_f64();
             let shorter = left * interval / self.slow_start_interval;
             self.slow_start_interval = interval;
-            self.learned.next_slow_start_send = now.plus(shorter as Micros);
+            self.learned.next_slow_start_send = now.plus(Micros::from_f64(shorter));
         }
     }
 }
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -19,18 +19,18 @@
 const DEFAULT_CLASS: &str = "irc";
 
 /// Time that a client has to register, and then to be connected to a server.
-const DEFAULT_GIVE_UP: Micros = 10_000_000;
+const DEFAULT_GIVE_UP: Micros = Micros::from_secs(10);
 /// The share of that time that placing a client should take.
-const SETUP_OBJECTIVE_DIVISOR: Micros = 4;
+const SETUP_OBJECTIVE_DIVISOR: u64 = 4;
 const DEFAULT_MAX_ATTEMPTS: u32 = 6;
 const MAX_ATTEMPTS: u32 = 6;
 /// Key of the limit on attempts.
 const MAX_ATTEMPTS_KEY: &str = "legs";
-const DEFAULT_MAX_RETRY_AFTER: Micros = 10_000_000;
-const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
+const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_secs(10);
+const DEFAULT_CONNECT_TIMEOUT: Micros = Micros::from_secs(1);
 const DEFAULT_MAX_CONNECTIONS: f64 = 10_000.0;
 /// Time over which the clients of a draining server are migrated.
-const DEFAULT_DRAIN_DURATION: Micros = 20_000_000;
+const DEFAULT_DRAIN_DURATION: Micros = Micros::from_secs(20);
 
 const ROOT_KEYS: [&str; 16] = [
     "listen",
@@ -174,7 +174,7 @@
             setup_objective: class
                 .field("setup_aim_ms")
                 .duration_ms(terms.give_up / SETUP_OBJECTIVE_DIVISOR)?,
-            message_objective: 0,
+            message_objective: Micros::ZERO,
             idempotency: Idempotency::Idempotent,
         }],
         tenants: terms.tenant.iter().map(|_| Tenant::default()).collect(),
@@ -204,7 +204,7 @@
         uses_replicated_map: true,
         max_connections: root.field("limits").field("connections").number(DEFAULT_MAX_CONNECTIONS)? as usize,
         drain_duration: root.field("drain_over_ms").duration_ms(DEFAULT_DRAIN_DURATION)?,
-        server_silence_timeout: 0,
+        server_silence_timeout: Micros::ZERO,
         reports_message_time: false,
         reports_load: true,
         load_report_fields: Vec::new(),
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -8,10 +8,10 @@
 
 /// A client of the platform sends its first line at once, and has this long for it. A silent connection is to be
 /// closed within 3 s, the time in the accept queue included.
-const GREETING_TIMEOUT: Micros = 1_500_000;
+const GREETING_TIMEOUT: Micros = Micros::from_millis(1500);
 /// The platform's clients send a line every 2 s and are answered at once: after this long without an answer, the server
 /// of an established connection is taken to be lost. 7 s are allowed.
-const SERVER_SILENCE_TIMEOUT: Micros = 5_000_000;
+const SERVER_SILENCE_TIMEOUT: Micros = Micros::from_secs(5);
 /// The highest factor over the usual load at which slow start may see an overload.
 const MAX_OVERLOAD_FACTOR: f64 = 1e6;
 
@@ -29,12 +29,12 @@
         handshake_timeout: GREETING_TIMEOUT,
         uses_replicated_map: false,
         max_connections: usize::MAX,
-        drain_duration: 0,
+        drain_duration: Micros::ZERO,
         server_silence_timeout: SERVER_SILENCE_TIMEOUT,
         reports_message_time: family.field("tells-delay").flag(false)?,
         reports_load: family.field("tells-load").flag(true)?,
         load_report_fields: decode_report_fields(settings)?,
-        longest_wait: 0,
+        longest_wait: Micros::ZERO,
         rebalance: RebalanceConfig::default(),
         peers: None,
     };
@@ -53,13 +53,14 @@
     let message_objectives = settings.field("family-info").field("message-aim").elements()?;
     for (index, class) in settings.field("classes").elements()?.iter().enumerate() {
         push_unique_name(&mut pool.classes, &class.field("name"))?;
-        pool.longest_wait = pool.longest_wait.max(class.field("deadline").positive_duration_ms(0)?);
+        pool.longest_wait =
+            pool.longest_wait.max(class.field("deadline").positive_duration_ms(Micros::ZERO)?);
         classes.push(Class {
             priority_weight: class.field("gain").number(1.0)?,
-            setup_objective: class.field("objective").duration_ms(0)?,
+            setup_objective: class.field("objective").duration_ms(Micros::ZERO)?,
             message_objective: message_objectives
                 .get(index)
-                .map_or(Ok(0), |objective| objective.duration_ms(0))?,
+                .map_or(Ok(Micros::ZERO), |objective| objective.duration_ms(Micros::ZERO))?,
             idempotency: decode_idempotency(class)?,
         });
     }
@@ -188,5 +189,5 @@
     if !window.is_present() {
         return Err(window.error("is missing"));
     }
-    window.positive_duration_ms(0)
+    window.positive_duration_ms(Micros::ZERO)
 }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -32,7 +32,6 @@
 const HELD: &str = "held";
 const MILLI_PER_UNIT: f64 = 1000.0;
 const REFUSALS: &str = "refusals";
-const MICROS_PER_MILLISECOND: u64 = 1000;
 
 /// The end of a response with metrics.
 const END: &str = "END\r\n";
@@ -106,7 +105,7 @@
     }
     lines.counter("discovery_failures", metrics.discovery_failures);
     if let Some(age) = metrics.endpoint_list_age {
-        lines.gauge("endpoint_list_age_ms", age / MICROS_PER_MILLISECOND);
+        lines.gauge("endpoint_list_age_ms", age.as_millis());
     }
     for (front, moves) in &metrics.rebalance {
         let front = metric_name_part(front);
--- a/src/protocol/flows.rs
+++ b/src/protocol/flows.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::pcap::{Close, Segment};
-use crate::Micros;
+use crate::Time;
 
 /// The most bytes of a flow that wait for a missing one before it is taken to be lost.
 const MAX_WAITING_BYTES: usize = 256 << 10;
@@ -17,7 +17,7 @@
     /// The receiving side.
     pub to: SocketAddr,
     /// When it began.
-    pub start: Micros,
+    pub start: Time,
     /// Its start was not captured: the connection was open before.
     pub began_before_capture: bool,
     /// Its bytes, by when they could be read.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowChunk {
     /// When they could be read.
-    pub at: Micros,
+    pub at: Time,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnswerCount {
     /// The time.
-    pub at: Micros,
+    pub at: Time,
     /// The lines from the start up to that time.
     pub lines: usize,
 }
@@ -52,14 +52,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlowEnd {
     /// When it ended.
-    pub at: Micros,
+    pub at: Time,
     /// How it ended.
     pub close: Close,
 }
 
 impl Flow {
     /// How many lines the other side had sent by then.
-    pub fn answers_before(&self, at: Micros) -> usize {
+    pub fn answers_before(&self, at: Time) -> usize {
         self.answers.iter().take_while(|count| count.at <= at).last().map_or(0, |count| count.lines)
     }
 }
@@ -92,7 +92,7 @@
 struct Fin {
     /// Offset after the last byte.
     offset: usize,
-    at: Micros,
+    at: Time,
 }
 
 impl FlowAssembler {
@@ -148,7 +148,7 @@
     }
 
     /// Keeps bytes until those before them have arrived; of two segments at one offset, the longer.
-    fn add_early(&mut self, offset: usize, at: Micros, bytes: &[u8]) {
+    fn add_early(&mut self, offset: usize, at: Time, bytes: &[u8]) {
         let chunk = self.early.entry(offset).or_insert_with(|| FlowChunk { at, bytes: Vec::new() });
         if chunk.bytes.len() < bytes.len() {
             self.early_bytes += bytes.len() - chunk.bytes.len();
@@ -157,7 +157,7 @@
     }
 
     /// Appends the bytes whose turn has come.
-    fn append_early(&mut self, now: Micros) {
+    fn append_early(&mut self, now: Time) {
         while let Some(entry) = self.early.first_entry().filter(|entry| *entry.key() <= self.next_offset) {
             let (start, FlowChunk { bytes, .. }) = entry.remove_entry();
             self.early_bytes -= bytes.len();
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -10,6 +10,7 @@
 
 use super::json::{self, DecodeError, JsonNode};
 use crate::routing::{Endpoint, Lifecycle};
+use crate::Micros;
 use crate::Time;
 
 /// The longest response that is accepted, in bytes: many times what the list of the largest fleet needs.
@@ -207,7 +208,9 @@
             _ => return Err(lifecycle.error("ready, draining or gone is wanted")),
         },
         weight: node.field("weight").number(1.0)?,
-        started: Some(node.field("startedAtMs").duration_ms(0)?).filter(|&at| at > 0).map(Time),
+        started: Some(node.field("startedAtMs").duration_ms(Micros::ZERO)?)
+            .filter(|at| !at.is_zero())
+            .map(|at| Time(at.0)),
     })
 }
 
--- a/src/protocol/irc/mod.rs
+++ b/src/protocol/irc/mod.rs
@@ -29,9 +29,8 @@
 const MAX_NOTICE_BYTES: usize = 4096;
 /// The most bytes that a client may send ahead while a server is sought.
 const MAX_BYTES_AHEAD: usize = 8 << 10;
-const MICROS_PER_SECOND: Micros = 1_000_000;
 /// The shortest time after which a rejected client is asked to try again.
-const MIN_RETRY_AFTER_SECONDS: Micros = 1;
+const MIN_RETRY_AFTER_SECONDS: u64 = 1;
 
 /// What the front is configured with.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -272,7 +271,7 @@
             }
             // The server is full, or wants its clients to connect elsewhere.
             Some(RPL_TRYAGAIN | RPL_BOUNCE) => {
-                events.push(FrontEvent::AttemptEnded(AttemptOutcome::Rejected))
+                events.push(FrontEvent::AttemptEnded(AttemptOutcome::Rejected));
             }
             // Another server would decide the same about the nickname or the password.
             Some(
@@ -294,7 +293,7 @@
     }
 
     fn rejection(&self, wait: Micros) -> Vec<u8> {
-        let seconds = wait.div_ceil(MICROS_PER_SECOND).max(MIN_RETRY_AFTER_SECONDS);
+        let seconds = wait.as_secs_ceil().max(MIN_RETRY_AFTER_SECONDS);
         let text = format!("USER :Server load is too heavy. Please wait {seconds} s and try again.");
         let error = self.registration.closing_link(&format!("Try again in {seconds} s"));
         [self.registration.numeric_reply(RPL_TRYAGAIN, &text), error].concat()
--- a/src/protocol/json.rs
+++ b/src/protocol/json.rs
@@ -148,11 +148,11 @@
     /// # Errors
     /// See [`JsonNode`].
     pub fn duration_ms(&self, default: Micros) -> Result<Micros, DecodeError> {
-        let milliseconds = self.number(default as f64 / MICROS_PER_MS)?;
+        let milliseconds = self.number(default.as_f64() / MICROS_PER_MS)?;
         if milliseconds > MAX_DURATION_MS {
             return Err(self.error("too many milliseconds"));
         }
-        Ok((milliseconds * MICROS_PER_MS).round() as Micros)
+        Ok(Micros::from_f64((milliseconds * MICROS_PER_MS).round()))
     }
 
     /// A duration of more than 0 given in milliseconds, or the default.
@@ -161,7 +161,7 @@
     /// See [`JsonNode`].
     pub fn positive_duration_ms(&self, default: Micros) -> Result<Micros, DecodeError> {
         match self.duration_ms(default)? {
-            0 if self.is_present() => Err(self.error("more than 0 milliseconds are wanted")),
+            Micros::ZERO if self.is_present() => Err(self.error("more than 0 milliseconds are wanted")),
             duration => Ok(duration),
         }
     }
--- a/src/protocol/pcap.rs
+++ b/src/protocol/pcap.rs
@@ -9,7 +9,7 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::{ModalResult, Parser};
 
-use crate::Micros;
+use crate::Time;
 
 /// Magic numbers of files with times in microseconds and in nanoseconds, as read in big-endian order.
 const MAGIC_MICROS: u32 = 0xa1b2_c3d4;
@@ -39,7 +39,7 @@
 /// The upper bits of the link type describe frame check sequences.
 const LINK_TYPE_MASK: u32 = 0x0fff_ffff;
 
-const MICROS_PER_SECOND: Micros = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u32 = 1000;
 
 /// What is wrong with a file, and where.
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Segment {
     /// When it was captured.
-    pub at: Micros,
+    pub at: Time,
     /// Its sender.
     pub from: SocketAddr,
     /// Its receiver.
@@ -116,7 +116,7 @@
 }
 
 struct RecordHeader {
-    captured_at: Micros,
+    captured_at: Time,
     packet_length: u32,
 }
 
@@ -140,7 +140,7 @@
     let word = || u32::<_, ErrMode<ContextError>>(file.byte_order);
     let (seconds, fraction, packet_length, _) = (word(), word(), word(), word()).parse_next(input)?;
     let micros = if file.has_nanoseconds { fraction / NANOS_PER_MICRO } else { fraction };
-    let captured_at = Micros::from(seconds) * MICROS_PER_SECOND + Micros::from(micros);
+    let captured_at = Time(u64::from(seconds) * MICROS_PER_SECOND + u64::from(micros));
     Ok(RecordHeader { captured_at, packet_length })
 }
 
@@ -179,7 +179,7 @@
 }
 
 /// Parses a packet; none if it is not TCP over IP.
-fn parse_segment(link_type: u32, at: Micros, packet: &[u8]) -> Option<Segment> {
+fn parse_segment(link_type: u32, at: Time, packet: &[u8]) -> Option<Segment> {
     let sliced = match link_type {
         LINK_ETHERNET => LaxSlicedPacket::from_ethernet(packet).ok()?,
         _ => LaxSlicedPacket::from_ip(packet).ok()?,
@@ -241,7 +241,7 @@
 
 impl ConnectionRecorder {
     /// Begins with a connection that was just accepted. Returns the records of its handshake as well.
-    pub fn start(at: Micros, client: SocketAddr, front: SocketAddr) -> (ConnectionRecorder, Vec<u8>) {
+    pub fn start(at: Time, client: SocketAddr, front: SocketAddr) -> (ConnectionRecorder, Vec<u8>) {
         let mut recorder = ConnectionRecorder { client, front, next_seq: [1, 1], is_closed: [false; 2] };
         let syn = TcpFlags { syn: true, ..TcpFlags::default() };
         let syn_ack = TcpFlags { ack: true, ..syn };
@@ -252,7 +252,7 @@
     }
 
     /// Encodes the records of bytes that went in this direction; of an acknowledgement if there are none.
-    pub fn record_data(&mut self, at: Micros, direction: Direction, bytes: &[u8]) -> Vec<u8> {
+    pub fn record_data(&mut self, at: Time, direction: Direction, bytes: &[u8]) -> Vec<u8> {
         let ack = TcpFlags { ack: true, ..TcpFlags::default() };
         let index = direction as usize;
         if bytes.is_empty() {
@@ -267,7 +267,7 @@
     }
 
     /// Encodes the record of the end of a side; empty where that side had ended before.
-    pub fn record_close(&mut self, at: Micros, direction: Direction, close: Close) -> Vec<u8> {
+    pub fn record_close(&mut self, at: Time, direction: Direction, close: Close) -> Vec<u8> {
         let index = direction as usize;
         if std::mem::replace(&mut self.is_closed[index], true) {
             return Vec::new();
@@ -281,7 +281,7 @@
 
     fn encode_packet(
         &self,
-        at: Micros,
+        at: Time,
         direction: Direction,
         seq: u32,
         flags: TcpFlags,
@@ -319,9 +319,9 @@
     }
 }
 
-fn encode_record(at: Micros, packet: &[u8]) -> Vec<u8> {
+fn encode_record(at: Time, packet: &[u8]) -> Vec<u8> {
     let length = packet.len() as u32;
-    let (seconds, micros) = (at / MICROS_PER_SECOND, at % MICROS_PER_SECOND);
+    let (seconds, micros) = (at.0 / MICROS_PER_SECOND, at.0 % MICROS_PER_SECOND);
     let header = [seconds as u32, micros as u32, length, length];
     let mut record: Vec<u8> = header.iter().flat_map(|word| word.to_le_bytes()).collect();
     record.extend(packet);
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -19,13 +19,11 @@
 /// A server that dropped a connection.
 const DROPPED_V1: &[u8] = b"4";
 
-const MICROS_PER_MS: Micros = 1000;
-
 /// Encodes a message. A duration too long for its field is sent as the longest, of about a minute.
 pub fn encode(message: GossipMessage) -> Vec<u8> {
     let mut bytes = match message.observation {
         Observation::SlowServer(server, duration) => {
-            let duration_ms = u16::try_from(duration / MICROS_PER_MS).unwrap_or(u16::MAX);
+            let duration_ms = u16::try_from(duration.as_millis()).unwrap_or(u16::MAX);
             [SLOW_SERVER_V2, &server.0.to_be_bytes(), &duration_ms.to_be_bytes()].concat()
         }
         Observation::Dropped(server) => [DROPPED_V1, &server.0.to_be_bytes()].concat(),
@@ -37,7 +35,7 @@
 }
 
 fn parse_slow_server(input: &mut &[u8]) -> ModalResult<Observation> {
-    let duration = be_u16.map(|duration_ms| Micros::from(duration_ms) * MICROS_PER_MS);
+    let duration = be_u16.map(|duration_ms| Micros::from_millis(duration_ms.into()));
     let fields = (be_u32.map(ServerId), duration);
     fields.map(|(server, duration)| Observation::SlowServer(server, duration)).parse_next(input)
 }
--- a/src/protocol/platform/mod.rs
+++ b/src/protocol/platform/mod.rs
@@ -19,7 +19,7 @@
 const MOVE: &[u8] = b"MOVE";
 const PONG: &[u8] = b"PONG";
 
-const MICROS_PER_MS: Micros = 1000;
+const MICROS_PER_MS: u64 = 1000;
 /// The most pings on one connection.
 const MAX_PINGS: u32 = 8;
 
@@ -162,9 +162,9 @@
 
     fn encode_answer(&mut self, answer: Answer) -> Vec<u8> {
         match answer {
-            Answer::Rejected(0) => [BUSY, CRLF].concat(),
+            Answer::Rejected(Micros::ZERO) => [BUSY, CRLF].concat(),
             Answer::Rejected(wait) => {
-                let wait_ms = wait.div_ceil(MICROS_PER_MS).to_string();
+                let wait_ms = wait.as_millis_ceil().to_string();
                 [BUSY, b" ", wait_ms.as_bytes(), CRLF].concat()
             }
             Answer::Failed => [ERR, CRLF].concat(),
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -17,7 +17,7 @@
 /// The longest wait that is accepted in a request, in milliseconds: a day.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 /// The shortest wait that is sent to a server, in milliseconds.
-const MIN_FORWARDED_WAIT_MS: Micros = 1;
+const MIN_FORWARDED_WAIT_MS: u64 = 1;
 
 /// The first line of a client.
 #[derive(Debug, PartialEq)]
@@ -47,7 +47,7 @@
     pub(super) fn with_wait(&self, wait: Micros) -> Vec<u8> {
         let mut line = self.before_wait.clone();
         if let Some(after_wait) = &self.after_wait {
-            let wait_ms = (wait / MICROS_PER_MS).max(MIN_FORWARDED_WAIT_MS);
+            let wait_ms = wait.as_millis().max(MIN_FORWARDED_WAIT_MS);
             line.extend_from_slice(wait_ms.to_string().as_bytes());
             line.extend_from_slice(after_wait);
         }
@@ -128,7 +128,7 @@
         b"at" => request.established_at = Some(to_text(value)).filter(|name| !name.is_empty()),
         b"d" => {
             let wait_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_WAIT_MS)?;
-            request.wait = Some((wait_ms * MICROS_PER_MS as f64) as Micros);
+            request.wait = Some(Micros::from_f64(wait_ms * MICROS_PER_MS as f64));
         }
         _ => {}
     }
--- a/src/rebalance/absent.rs
+++ b/src/rebalance/absent.rs
@@ -7,7 +7,7 @@
 /// Absent clients that are remembered at the most, each with and without a key.
 const MAX_ABSENT: usize = 4096;
 /// A migrated client that has not come back by then has left, or is with another balancer.
-const ABSENCE_TIMEOUT: Micros = 5_000_000;
+const ABSENCE_TIMEOUT: Micros = Micros::from_secs(5);
 /// The first guess of how long a migrated client is absent, in microseconds.
 const INITIAL_MEAN_ABSENCE_MICROS: f64 = 700_000.0;
 /// The mean absence is an exponential mean over about so many returns.
@@ -50,7 +50,7 @@
     /// Forgets the client of this key, which asks again; whether it was absent.
     pub(super) fn remove_returned(&mut self, now: Time, key: Option<u64>) -> bool {
         let Some(client) = key.and_then(|key| self.by_key.remove(&key)) else { return false };
-        let absence = now.since(client.since) as f64;
+        let absence = now.since(client.since).as_f64();
         self.mean_absence_micros += (absence - self.mean_absence_micros) / MEAN_ABSENCE_RETURNS;
         true
     }
@@ -60,7 +60,7 @@
         let before = self.by_key.len();
         self.by_key.retain(|_, client| now.since(client.since) < ABSENCE_TIMEOUT);
         // When those without a key come back is not seen: they count as back after twice the usual time.
-        let usual = self.mean_absence_micros as Micros * 2;
+        let usual = Micros::from_f64(self.mean_absence_micros) * 2;
         self.without_key.retain(|client| now.since(client.since) < usual);
         before - self.by_key.len()
     }
--- a/src/rebalance/arrivals.rs
+++ b/src/rebalance/arrivals.rs
@@ -3,7 +3,7 @@
 use crate::{Micros, Time};
 
 /// Arrivals are counted over windows of this length.
-const WINDOW: Micros = 2_000_000;
+const WINDOW: Micros = Micros::from_secs(2);
 /// The usual count of a window is an exponential mean over about so many windows.
 const USUAL_WINDOWS: f64 = 16.0;
 /// A storm is so many times the usual count...
@@ -11,7 +11,7 @@
 /// ...and so many arrivals more.
 const STORM_MARGIN: f64 = 6.0;
 /// A storm is over after so long without a window that is too full.
-const STORM_COOLDOWN: Micros = 3_000_000;
+const STORM_COOLDOWN: Micros = Micros::from_secs(3);
 /// Windows without arrivals that count towards the usual at a time.
 const MAX_EMPTY_WINDOWS: u64 = 64;
 
@@ -41,7 +41,7 @@
 
     /// Closes the current window if its time is over.
     pub(super) fn advance(&mut self, now: Time) {
-        let windows = now.since(self.window_start) / WINDOW;
+        let windows = now.since(self.window_start).count_of(WINDOW);
         if windows == 0 {
             return;
         }
--- a/src/rebalance/effect.rs
+++ b/src/rebalance/effect.rs
@@ -7,7 +7,7 @@
 /// ...below this share of what it was.
 const REQUIRED_FALL: f64 = 0.9;
 /// The clients migrated last are still on their way: their effect shows so much later.
-const JUDGEMENT_DELAY: Micros = 1_500_000;
+const JUDGEMENT_DELAY: Micros = Micros::from_millis(1500);
 
 /// Compares the worst excess before and after some moves.
 #[derive(Debug, Default)]
--- a/src/rebalance/lifetime.rs
+++ b/src/rebalance/lifetime.rs
@@ -39,6 +39,6 @@
     }
 
     fn connection_seconds_until(&self, now: Time, established: usize) -> f64 {
-        self.connection_seconds + now.since(self.updated) as f64 / 1e6 * established as f64
+        self.connection_seconds + now.since(self.updated).as_f64() / 1e6 * established as f64
     }
 }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -55,11 +55,11 @@
 use view::{EstablishedConnection, View};
 
 /// Time between two evaluations, before jitter.
-const EVALUATION_INTERVAL: Micros = 500_000;
+const EVALUATION_INTERVAL: Micros = Micros::from_millis(500);
 /// Factors of the interval that are drawn: balancers must not act in step.
 const EVALUATION_JITTER: std::ops::Range<f64> = 0.8..1.2;
 /// How long it is remembered that moves off a server have begun, or that moves were meant for it.
-const MOVE_MEMORY: Micros = 10_000_000;
+const MOVE_MEMORY: Micros = Micros::from_secs(10);
 /// Sets this generator apart from others with the same seed.
 const SEED_SALT: u64 = 0x6d6f_7665;
 
@@ -214,7 +214,7 @@
 
     fn schedule_next_evaluation(&mut self, now: Time) {
         let jitter = self.rng.random_range(EVALUATION_JITTER);
-        self.next_evaluation = Some(now.plus((EVALUATION_INTERVAL as f64 * jitter) as Micros));
+        self.next_evaluation = Some(now.plus(Micros::from_f64(EVALUATION_INTERVAL.as_f64() * jitter)));
     }
 
     /// Remembers why moves are held; a change is logged only where it keeps moves from being made.
--- a/src/rebalance/move_rate.rs
+++ b/src/rebalance/move_rate.rs
@@ -17,7 +17,7 @@
 /// A cut divides the rate by this.
 const RATE_DECREASE_DIVISOR: f64 = 2.0;
 /// Moves count as recent for so long.
-const RECENT_MOVE: Micros = 3_000_000;
+const RECENT_MOVE: Micros = Micros::from_secs(3);
 /// The most of all established connections that may be moved in a second.
 const MAX_MOVED_SHARE_PER_S: f64 = 0.05;
 /// The tokens of so many seconds may be saved up...
@@ -25,11 +25,11 @@
 /// ...and at least so many.
 const MIN_SAVED_TOKENS: f64 = 2.0;
 /// The first hold lasts so long, and each that follows soon twice as long as the one before...
-const INITIAL_HOLD: Micros = 2_000_000;
+const INITIAL_HOLD: Micros = Micros::from_secs(2);
 /// ...up to this.
-const MAX_HOLD: Micros = 60_000_000;
+const MAX_HOLD: Micros = Micros::from_secs(60);
 /// After so long without a hold the next is short again.
-const HOLD_RESET_AFTER: Micros = 30_000_000;
+const HOLD_RESET_AFTER: Micros = Micros::from_secs(30);
 /// What a rejection costs at the most, in seconds of service: rejected clients stay away and try again.
 const REJECTION_COST_SECONDS: f64 = 5.0;
 /// Answers that the initial guess of no rejections counts for.
@@ -133,7 +133,7 @@
     /// Brings everything up to date: `established` connections there are, and `expired` migrated clients have not come
     /// back in their time.
     pub(super) fn advance(&mut self, now: Time, established: usize, expired: usize) {
-        let seconds = now.since(self.updated) as f64 / 1e6;
+        let seconds = now.since(self.updated).as_f64() / 1e6;
         self.updated = now;
         self.expire_holds(now);
         self.refill(now, seconds, established);
--- a/src/rebalance/precedence.rs
+++ b/src/rebalance/precedence.rs
@@ -5,11 +5,11 @@
 use crate::{Micros, Time};
 
 /// After a reload the endpoint list may be another one.
-const RELOAD_HOLD: Micros = 2_000_000;
+const RELOAD_HOLD: Micros = Micros::from_secs(2);
 /// After the list shrank: those servers' clients are on their way, and the list may be wrong.
-const SHRINKING_HOLD: Micros = 3_000_000;
+const SHRINKING_HOLD: Micros = Micros::from_secs(3);
 /// A server may go on draining for hours, with clients that never leave it: it must not hold moves for as long.
-const MAX_DRAINING_HOLD: Micros = 30_000_000;
+const MAX_DRAINING_HOLD: Micros = Micros::from_secs(30);
 /// A list has shrunk if less than this share of the servers in use is left.
 const SHRUNK_SHARE: f64 = 0.75;
 /// With fewer servers in use there is nothing to balance.
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -3,7 +3,7 @@
 use super::fleet::FairShare;
 use super::view::View;
 use super::{RebalanceConfig, RebalanceContext, ServerSnapshot};
-use crate::Time;
+use crate::{Micros, Time};
 
 /// At this use of a server's capacity messages take [`KNEE_MESSAGE_TIME`] of a tight objective, from which on servers
 /// report slow messages; the time grows as 1/(1 - use) (the mean of M/M/1 with shared service; Kleinrock, Queueing
@@ -107,7 +107,7 @@
         if noise.grouped_share > MIN_GROUPED_SHARE && excess < GROUPED_THRESHOLD * noise.deviation {
             return None;
         }
-        if self.context.reports_message_time && self.context.message_objective > 0 {
+        if self.context.reports_message_time && self.context.message_objective > Micros::ZERO {
             Some(self.measured_pressure(server, excess, noise.deviation, relieving))
         } else {
             Some(self.inferred_pressure(server, fair, noise.deviation, relieving))
@@ -124,7 +124,7 @@
     ) -> Pressure {
         let message_time = self.view.sustained_message_time(self.now, server.server);
         let relative_message_time =
-            message_time.map_or(0.0, |took| took as f64 / self.context.message_objective as f64);
+            message_time.map_or(0.0, |took| took.as_f64() / self.context.message_objective.as_f64());
         let threshold = MEASURED_THRESHOLDS.select(relieving) * deviation;
         let certain = relative_message_time > 0.0 && excess >= threshold;
         Pressure { relative_message_time, excess, certain }
--- a/src/rebalance/room.rs
+++ b/src/rebalance/room.rs
@@ -5,13 +5,13 @@
 use crate::{Micros, Time};
 
 /// A server that started longer ago than this has shown what it can hold.
-const RECENT_START: Micros = 60_000_000;
+const RECENT_START: Micros = Micros::from_secs(60);
 /// A server has room where it is so many deviations under its fair share: one that has started recently...
 const MIN_ROOM_DEVIATIONS_RECENT_START: f64 = 1.0;
 /// ...and any other.
 const MIN_ROOM_DEVIATIONS: f64 = 3.0;
 /// A server with a fault more recent than this has no room, whatever its ceiling is.
-const FAULT_COOLDOWN: Micros = 5_000_000;
+const FAULT_COOLDOWN: Micros = Micros::from_secs(5);
 /// Room of a server that is warming up: what fills it in so many seconds.
 const WARMING_ROOM_SECONDS: f64 = 2.0;
 
@@ -46,7 +46,7 @@
         Some(at) if now.since(at) < FAULT_COOLDOWN => 0.0,
         Some(_) => server.ceiling.min(fair) * server.warmth - server.occupied_slots,
         None if server.warmth < 1.0 => {
-            let slots_per_second = fair * 1e6 / context.slow_start_duration.max(1) as f64;
+            let slots_per_second = fair * 1e6 / context.slow_start_duration.max(Micros(1)).as_f64();
             (fair * server.warmth - server.occupied_slots).min(WARMING_ROOM_SECONDS * slots_per_second)
         }
         None => fair - server.occupied_slots,
--- a/src/rebalance/setup_times.rs
+++ b/src/rebalance/setup_times.rs
@@ -42,7 +42,7 @@
 
     /// Sets the tightest objective; 0 where there is none.
     pub(super) fn set_objective(&mut self, objective: Micros) {
-        self.objective_micros = objective as f64;
+        self.objective_micros = objective.as_f64();
     }
 
     pub(super) fn are_slow(&self) -> bool {
@@ -56,7 +56,7 @@
     /// Takes in a setup; whether setups have become slow with it.
     pub(super) fn record(&mut self, now: Time, took: Micros) -> bool {
         self.last_setup = now;
-        self.update_means(took as f64);
+        self.update_means(took.as_f64());
         if !self.slow && self.exceeds(1.0) {
             self.slow = true;
             return true;
--- a/src/rebalance/slow_reports.rs
+++ b/src/rebalance/slow_reports.rs
@@ -5,13 +5,13 @@
 /// So many of the last seconds a server has to have been slow.
 const MIN_STREAK: usize = 3;
 /// Reports older than this are forgotten.
-const STREAK_WINDOW: Micros = 4_000_000;
+const STREAK_WINDOW: Micros = Micros::from_secs(4);
 /// A server that is slow reports it every second; after so long without a report it is not.
-const REPORT_TIMEOUT: Micros = 2_500_000;
+const REPORT_TIMEOUT: Micros = Micros::from_millis(2500);
 /// Reports that come sooner after one another count once.
-const MIN_REPORT_INTERVAL: Micros = 500_000;
+const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(500);
 /// A message is slow from this part of the objective on.
-const SLOW_OBJECTIVE_DIVISOR: Micros = 3;
+const SLOW_OBJECTIVE_DIVISOR: u64 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct SlowReport {
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -52,8 +52,9 @@
     pub(super) fn reject_with_retry_after(&self, id: ConnectionId, wait: Micros) -> Answer {
         let pool = self.connections.pool_of(id);
         let settings = pool.map(|pool| &self.pools[pool].config.settings);
-        let longest =
-            settings.filter(|settings| settings.retry_after).map_or(0, |settings| settings.max_retry_after);
+        let longest = settings
+            .filter(|settings| settings.retry_after)
+            .map_or(Micros::ZERO, |settings| settings.max_retry_after);
         Answer::Rejected(wait.min(longest))
     }
 
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -6,9 +6,9 @@
 use crate::{Event, Micros, Outcome, ServerId, Time};
 
 /// How long after a failed attempt a connection from before the start is tried again.
-const RESTORE_RETRY_INTERVAL: Micros = 500_000;
+const RESTORE_RETRY_INTERVAL: Micros = Micros::from_millis(500);
 /// The cached endpoint list may be out of date: a server that it does not name may be listed within this time.
-const UNLISTED_SERVER_TIMEOUT: Micros = 2_000_000;
+const UNLISTED_SERVER_TIMEOUT: Micros = Micros::from_secs(2);
 
 impl State {
     /// Opens an attempt that the server has to accept within `timeout`, and that has to be written in full within
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -7,9 +7,9 @@
 use crate::{ClassId, Event, GroupId, Micros, Outcome, TenantId, Time};
 
 /// The Retry-After of rejections during a graceful shutdown: the front takes that long to notice it.
-pub(super) const SHUTDOWN_RETRY_AFTER: Micros = 400_000;
+pub(super) const SHUTDOWN_RETRY_AFTER: Micros = Micros::from_millis(400);
 /// How long attempts go on to restore a connection that was established before the start.
-const RESTORE_TIMEOUT: Micros = 30_000_000;
+const RESTORE_TIMEOUT: Micros = Micros::from_secs(30);
 /// Key of the replicated map that limits the connections of each pool.
 const CONNECTION_LIMIT_KEY: &str = "limit/connections";
 
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -14,7 +14,7 @@
 const EXCLUSION_VALUE_GONE: &str = "gone";
 /// Where draining servers redirect their clients themselves, those of an excluded server are migrated over this
 /// time: it does not know that it is to drain.
-const EXCLUSION_DRAIN_DURATION: Micros = 1_200_000;
+const EXCLUSION_DRAIN_DURATION: Micros = Micros::from_millis(1200);
 
 /// Connections that are migrated over the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -143,7 +143,7 @@
             }
         }
         for (group, connections) in groups {
-            self.migrate_gradually(now, &connections, 0, group.duration);
+            self.migrate_gradually(now, &connections, Micros::ZERO, group.duration);
         }
     }
 
@@ -179,7 +179,7 @@
     fn drain_duration(&self, pool_id: PoolId, server: ServerId) -> Option<Micros> {
         let pool = &self.pools[pool_id];
         match pool.config.drain_duration {
-            0 => pool.is_excluded(server).then_some(EXCLUSION_DRAIN_DURATION),
+            Micros::ZERO => pool.is_excluded(server).then_some(EXCLUSION_DRAIN_DURATION),
             duration => Some(duration),
         }
     }
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn on_endpoint_watch_silent(&mut self, now: Time, pool: PoolId, called_ago: Micros) {
-        let since = Time(now.0.saturating_sub(called_ago));
+        let since = now.minus(called_ago);
         self.pools[pool].count_discovery_failure();
         self.notify_rebalancer(now, pool, RebalanceEvent::EndpointListLost);
         self.dispatch(now, pool, Event::EndpointWatchSilent { since });
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -51,7 +51,7 @@
     ) -> Measurement {
         let pool = &mut self.pools[pool_id];
         pool.load_reports.add_message_time(now, server, message_time_ms);
-        let took = (message_time_ms.max(0.0) * MICROS_PER_MILLISECOND) as Micros;
+        let took = Micros::from_f64(message_time_ms.max(0.0) * MICROS_PER_MILLISECOND);
         pool.rebalance.on_event(now, RebalanceEvent::MessageTimeReported { server, took });
         self.broadcast_observation(now, pool_id, Observation::SlowServer(server, took));
         Measurement::MessageTime(took)
@@ -72,7 +72,7 @@
         let Some(connection) = self.connections.get(id) else { return };
         let max_silence = self.pools[connection.pool].config.server_silence_timeout;
         let silent_from = connection.awaiting_server_since.unwrap_or(now);
-        let silent_until = (max_silence > 0).then(|| silent_from.plus(max_silence));
+        let silent_until = (max_silence > Micros::ZERO).then(|| silent_from.plus(max_silence));
         let due = connection.migrate_at.into_iter().chain(silent_until).min();
         self.connections.set_timer(id, due);
     }
@@ -81,7 +81,7 @@
         let Some(connection) = self.connections.get(id) else { return };
         let max_silence = self.pools[connection.pool].config.server_silence_timeout;
         // A server that vanished closes nothing: its clients would wait for ever.
-        let is_silent = max_silence > 0
+        let is_silent = max_silence > Micros::ZERO
             && connection.awaiting_server_since.is_some_and(|since| since.plus(max_silence) <= now);
         let is_to_migrate = connection.migrate_at.is_some_and(|at| at <= now);
         if is_silent {
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -7,7 +7,7 @@
 
 /// At the limit, a connection without an attempt may be aborted after this time: a client that means to send its
 /// request does so at once, but the line has to arrive.
-const MIN_PENDING_TIME: Micros = 100_000;
+const MIN_PENDING_TIME: Micros = Micros::from_millis(100);
 
 /// The limits of all fronts, and the connections that have no attempt.
 pub(super) struct FrontAdmission {
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -13,7 +13,7 @@
 use crate::{Event, GroupId, Measurement, Micros, Outcome, ServerId, Time};
 
 /// How long a reply to an admin client waits for the peer process: it is due within 1 s.
-const ACKNOWLEDGEMENT_TIMEOUT: Micros = 500_000;
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros::from_millis(500);
 
 /// The other process, while there are two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -5,7 +5,7 @@
 
 use super::PoolConfig;
 use crate::bookkeeping::RunningMean;
-use crate::{ServerId, Time};
+use crate::{Micros, ServerId, Time};
 
 /// A value under this share of the mean load is no load: the least load seen among 5,000 of them, of an idle
 /// connection, was 1/52 of the mean.
@@ -13,7 +13,7 @@
 /// A slow server reports its message time every second: a value within this factor of the last one...
 const REPEATED_REPORT_FACTOR: f64 = 2.5;
 /// ...and within this time of it is the next report.
-const REPEATED_REPORT_TIMEOUT: crate::Micros = 1_300_000;
+const REPEATED_REPORT_TIMEOUT: Micros = Micros::from_millis(1_300);
 
 /// A server's report of how long a message takes there.
 #[derive(Clone, Copy, Debug)]
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -136,7 +136,7 @@
     /// The share of its capacity that a server has so long after its start; over 1 once it is warm.
     fn warmth(&self, now: Time, started: Time) -> f64 {
         let settings = &self.config.settings;
-        let progress = now.since(started) as f64 / settings.slow_start_duration.max(1) as f64;
+        let progress = now.since(started).as_f64() / settings.slow_start_duration.max(Micros(1)).as_f64();
         settings.slow_start_share + (1.0 - settings.slow_start_share) * progress
     }
 
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -91,11 +91,12 @@
     /// The part that concerns rebalancing.
     pub(super) fn rebalance_context(&self) -> rebalance::RebalanceContext {
         let Settings { classes, balancers, migration_cost, slow_start_duration, .. } = &self.settings;
-        let setup_objectives = classes.iter().map(|class| class.setup_objective).filter(|&aim| aim > 0);
+        let setup_objectives =
+            classes.iter().map(|class| class.setup_objective).filter(|&aim| aim > Micros::ZERO);
         rebalance::RebalanceContext {
             balancers: *balancers,
             priority_weights: classes.iter().map(|class| class.priority_weight).collect(),
-            setup_objective: setup_objectives.min().unwrap_or(0),
+            setup_objective: setup_objectives.min().unwrap_or(Micros::ZERO),
             message_objective: self.settings.message_objective(),
             reports_message_time: self.reports_message_time,
             migration_cost: *migration_cost,
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -9,7 +9,7 @@
 /// Connections for probes, in flight and kept open for the next: descriptors are reserved for them.
 pub const MAX_PROBES: usize = 16;
 /// Without a set-up objective, an answer may take this many times as long as a connect may.
-const ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS: Micros = 4;
+const ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS: u64 = 4;
 
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -116,7 +116,7 @@
 /// How long a probe may take: the time to connect, and then for the answer as long as a set-up may take.
 fn probe_timeout(settings: &Settings) -> Micros {
     let answer_timeout = match settings.setup_objective() {
-        0 => ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS * settings.connect_timeout,
+        Micros::ZERO => ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS * settings.connect_timeout,
         objective => objective,
     };
     settings.connect_timeout + answer_timeout
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -9,7 +9,7 @@
 use crate::{Micros, Time};
 
 /// A replica sends one of the others a digest this often.
-const DIGEST_INTERVAL: Micros = 500_000;
+const DIGEST_INTERVAL: Micros = Micros::from_millis(500);
 /// Keys with these prefixes change endpoint lists.
 const ENDPOINT_LIST_PREFIXES: [&str; 2] = [EXCLUSION_KEY_PREFIX, ENDPOINT_KEY_PREFIX];
 
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -6,16 +6,16 @@
 use crate::{Micros, Outcome, Time};
 
 /// A graceful shutdown takes as long as the longest wait of a client, at most this...
-const MAX_SHUTDOWN_WAIT: Micros = 3_000_000;
+const MAX_SHUTDOWN_WAIT: Micros = Micros::from_secs(3);
 /// ...and this on top, less than what the platform allows, so that the process exits in time.
-const SHUTDOWN_MARGIN: Micros = 400_000;
+const SHUTDOWN_MARGIN: Micros = Micros::from_millis(400);
 /// Migrations begin after this time, and are spread over the rest of the shutdown: all at once, or sooner than they
 /// must, the clients would come to other balancers while one of those may be starting.
-const FIRST_MIGRATION_DELAY: Micros = 50_000;
+const FIRST_MIGRATION_DELAY: Micros = Micros::from_millis(50);
 /// The last migration is this long before the end.
-const LAST_MIGRATION_MARGIN: Micros = 300_000;
+const LAST_MIGRATION_MARGIN: Micros = Micros::from_millis(300);
 /// The process stays this long without any connection: new ones arrive until the front notices the shutdown.
-const MIN_SHUTDOWN_DURATION: Micros = 1_000_000;
+const MIN_SHUTDOWN_DURATION: Micros = Micros::from_secs(1);
 
 /// When the process may exit.
 #[derive(Clone, Copy, Debug)]
@@ -61,11 +61,11 @@
         if self.shutdown.has_begun() {
             return;
         }
-        let longest_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or(0);
+        let longest_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or_default();
         let duration = longest_wait.min(MAX_SHUTDOWN_WAIT) + SHUTDOWN_MARGIN;
         // Where a successor serves, no new clients arrive here.
         let successor_serves = self.hot_restart.successor_serves();
-        let min_duration = if successor_serves { 0 } else { MIN_SHUTDOWN_DURATION.min(duration) };
+        let min_duration = if successor_serves { Micros::ZERO } else { MIN_SHUTDOWN_DURATION.min(duration) };
         self.shutdown.window =
             Some(ShutdownWindow { earliest_exit: now.plus(min_duration), latest_exit: now.plus(duration) });
         let established = self.connections.established_ids();
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -22,7 +22,7 @@
 use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
 use crate::protocol::{Front, FrontEvent};
 use crate::routing::{Answer, ConnectionId, EstablishedConnection, Input, PoolId};
-use crate::Micros;
+use crate::{Micros, Time};
 use socket_end::{wait_readable, wait_writable, SocketEnd};
 use upstream::{wait_connected, Upstream};
 
@@ -152,7 +152,9 @@
             match self.successor.take() {
                 Some(successor) => self.transfer(successor),
                 None => {
-                    self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, Close::Orderly))
+                    self.record(|recorder, at| {
+                        recorder.record_close(at, Direction::ToClient, Close::Orderly)
+                    });
                 }
             }
             driver.deregister_connection(connection);
@@ -222,7 +224,7 @@
         self.close_deadline.is_some()
     }
 
-    fn record(&mut self, records: impl FnOnce(&mut ConnectionRecorder, Micros) -> Vec<u8>) {
+    fn record(&mut self, records: impl FnOnce(&mut ConnectionRecorder, Time) -> Vec<u8>) {
         if let Some(recorder) = &mut self.recorder {
             self.driver.record(|at| records(recorder, at));
         }
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -191,7 +191,7 @@
     }
 
     fn feed_silence(&self, called_at: Instant) {
-        let called_ago = called_at.elapsed().as_micros() as Micros;
+        let called_ago = Micros(called_at.elapsed().as_micros() as u64);
         self.driver.feed(Input::EndpointWatchSilent { pool: self.pool, called_ago });
     }
 
@@ -265,7 +265,7 @@
 }
 
 fn micros(span: Micros) -> Duration {
-    Duration::from_micros(span)
+    Duration::from(span)
 }
 
 /// From 0 to 1, different in each process and at each call.
--- a/src/transport/driver/mod.rs
+++ b/src/transport/driver/mod.rs
@@ -28,7 +28,7 @@
     reduce, AdminClientId, AdminResponse, ConnectionId, Effect, EndpointWatchTiming, HandoverState, Input,
     PoolId, State,
 };
-use crate::{Micros, Time};
+use crate::Time;
 pub(super) use hot_restart::{NamedSocket, REPLICATION_SOCKET};
 
 /// Makes the protocol side of a front's connections.
@@ -53,11 +53,11 @@
 impl Clock {
     fn start() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started_at: Time(since_epoch.as_micros() as Micros), started: Instant::now() }
+        Clock { started_at: Time(since_epoch.as_micros() as u64), started: Instant::now() }
     }
 
     fn now(&self) -> Time {
-        Time(self.started_at.0 + self.started.elapsed().as_micros() as Micros)
+        Time(self.started_at.0 + self.started.elapsed().as_micros() as u64)
     }
 }
 
@@ -214,7 +214,7 @@
             match next_deadline {
                 None => deadline_changed.await,
                 Some(deadline) => {
-                    let wait = Duration::from_micros(deadline.since(self.now()));
+                    let wait = Duration::from(deadline.since(self.now()));
                     tokio::select! {
                         () = deadline_changed => {}
                         () = tokio::time::sleep(wait) => self.feed(Input::TimerFired),
--- a/src/transport/driver/observation.rs
+++ b/src/transport/driver/observation.rs
@@ -4,7 +4,7 @@
 use super::super::record::Recorder;
 use super::Driver;
 use crate::routing::ConnectionId;
-use crate::Micros;
+use crate::Time;
 
 impl Driver {
     /// Observes all connections from now on.
@@ -24,9 +24,9 @@
     }
 
     /// Adds to the recording, if there is one, what `records` makes at the present time.
-    pub(crate) fn record(&self, records: impl FnOnce(Micros) -> Vec<u8>) {
+    pub(crate) fn record(&self, records: impl FnOnce(Time) -> Vec<u8>) {
         if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
-            recorder.write(&records(self.now().0));
+            recorder.write(&records(self.now()));
         }
     }
 }
--- a/src/transport/driver/tasks.rs
+++ b/src/transport/driver/tasks.rs
@@ -58,7 +58,7 @@
         load_names: Vec<&'static str>,
         timeout: Micros,
     ) {
-        let timeout = Duration::from_micros(timeout);
+        let timeout = Duration::from(timeout);
         if let Some(probes) = self.probes.borrow().as_ref() {
             // The task ends only with this process.
             let _ = probes.send(ProbeCommand { pool, server, address, load_names, timeout });
--- a/src/transport/observation.rs
+++ b/src/transport/observation.rs
@@ -32,7 +32,7 @@
 }
 
 fn milliseconds(time: Micros) -> f64 {
-    time as f64 / 1000.0
+    time.as_f64() / 1000.0
 }
 
 impl fmt::Display for Observation {
--- a/src/transport/replay/mod.rs
+++ b/src/transport/replay/mod.rs
@@ -160,7 +160,7 @@
         pool,
         factory,
         listener: Mutex::new(listener),
-        first_start: flows.iter().map(|flow| flow.start).min().unwrap_or(0),
+        first_start: flows.iter().map(|flow| flow.start).min().unwrap_or_default(),
         started: Instant::now(),
         counts: RefCell::default(),
     });
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -19,7 +19,7 @@
 use crate::protocol::flows::{Flow, FlowChunk, FlowEnd};
 use crate::protocol::pcap::Close;
 use crate::routing::{ConnectionId, PoolId};
-use crate::Micros;
+use crate::Time;
 
 /// How long a flow waits, after its last recorded byte, for what still comes back.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -55,7 +55,7 @@
     pub(super) listener: Mutex<TcpListener>,
     pub(super) started: Instant,
     /// Recorded time of the first flow.
-    pub(super) first_start: Micros,
+    pub(super) first_start: Time,
     pub(super) counts: RefCell<FlowCounts>,
 }
 
@@ -66,7 +66,7 @@
         let mut counts = self.counts.borrow_mut();
         counts.played += 1;
         counts.served += usize::from(result.as_ref().is_ok_and(FlowReport::is_served));
-        let at_seconds = (flow.start - self.first_start) as f64 / MICROS_PER_SECOND;
+        let at_seconds = flow.start.since(self.first_start).as_f64() / MICROS_PER_SECOND;
         match result {
             Ok(report) => println!("{} at {at_seconds:.3} s: {report}", flow.from),
             Err(error) => println!("{} at {at_seconds:.3} s: {error}", flow.from),
@@ -74,8 +74,8 @@
     }
 
     /// When a recorded time comes in the replay.
-    fn replay_time(&self, recorded: Micros) -> Instant {
-        self.started + Duration::from_micros(recorded.saturating_sub(self.first_start))
+    fn replay_time(&self, recorded: Time) -> Instant {
+        self.started + Duration::from(recorded.since(self.first_start))
     }
 
     async fn play(&self, flow: &Flow) -> Result<FlowReport, FlowError> {
@@ -140,7 +140,7 @@
 
 impl Pacer<'_> {
     /// Waits for a recorded time, and for the answers that had come by then.
-    async fn wait(&mut self, recorded: Micros) {
+    async fn wait(&mut self, recorded: Time) {
         sleep_until(self.replay.replay_time(recorded)).await;
         let wanted = self.flow.answers_before(recorded);
         if self.in_step {
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -127,8 +127,8 @@
     /// The set-up objective over the time that a set-up took; 1 where no objective is known.
     pub(crate) fn setup_objective_ratio(&self, took: Micros) -> f64 {
         match self.setup_objective() {
-            0 => 1.0,
-            objective => objective as f64 / took.max(1) as f64,
+            Micros::ZERO => 1.0,
+            objective => objective.as_f64() / took.max(Micros(1)).as_f64(),
         }
     }
 
@@ -146,7 +146,7 @@
 
 /// The smallest objective that is not 0; 0 if there is none.
 fn tightest(objectives: impl Iterator<Item = Micros>) -> Micros {
-    objectives.filter(|&objective| objective > 0).min().unwrap_or(0)
+    objectives.filter(|&objective| objective > Micros::ZERO).min().unwrap_or(Micros::ZERO)
 }
 
 impl Default for Settings {
@@ -160,21 +160,21 @@
             max_attempts: 2,
             cancel: false,
             retry_after: false,
-            max_retry_after: 1_000_000,
-            connect_timeout: 250_000,
+            max_retry_after: Micros::from_secs(1),
+            connect_timeout: Micros::from_millis(250),
             poll_required: false,
-            poll_interval: 10_000_000,
+            poll_interval: Micros::from_secs(10),
             endpoints_pushed: false,
-            drain_grace: 250_000,
+            drain_grace: Micros::from_millis(250),
             probes: false,
             probe_reports: false,
             probe_cost: 0.0,
             cross_zone_cost: 0.0,
             migration_cost: 0.0,
             slow_start_share: 0.3,
-            slow_start_duration: 10_000_000,
+            slow_start_duration: Micros::from_secs(10),
             slow_start_overload_factor: 2.0,
-            slow_start_window: 2_000_000,
+            slow_start_window: Micros::from_secs(2),
         }
     }
 }
--- a/src/types/watch_timing.rs
+++ b/src/types/watch_timing.rs
@@ -10,19 +10,19 @@
 /// its bounds. What discovery lists counts as notified 6 s after it can be reached again: a wait is jittered up
 /// to half as much again, and an answer may take 2 s.
 const MAX_WAIT_FACTOR: u64 = 2;
-const MIN_MAX_WAIT: Micros = 1_000_000;
-const MAX_MAX_WAIT: Micros = 2_500_000;
+const MIN_MAX_WAIT: Micros = Micros::from_secs(1);
+const MAX_MAX_WAIT: Micros = Micros::from_millis(2500);
 /// Bounds of the time after the end of its hold in which a watch has to be answered. The shorter it is, the
 /// more calls fit into the time after which what a silent watch misses counts; but where all balancers of a
 /// large fleet give up calls that still wait for their turn, nothing that discovery does reaches anyone.
-const MIN_WATCH_ANSWER_TIMEOUT: Micros = 500_000;
-const MAX_WATCH_ANSWER_TIMEOUT: Micros = 2_000_000;
+const MIN_WATCH_ANSWER_TIMEOUT: Micros = Micros::from_millis(500);
+const MAX_WATCH_ANSWER_TIMEOUT: Micros = Micros::from_secs(2);
 /// Bounds of the time that the call may take which opens a silent watch anew.
-const MIN_WATCH_REOPENING_TIMEOUT: Micros = 2_000_000;
-const MAX_WATCH_REOPENING_TIMEOUT: Micros = 5_000_000;
+const MIN_WATCH_REOPENING_TIMEOUT: Micros = Micros::from_secs(2);
+const MAX_WATCH_REOPENING_TIMEOUT: Micros = Micros::from_secs(5);
 /// A watch that has fallen silent is opened anew after a random part of this: all balancers of a tier may find
 /// out in one instant.
-const MAX_WATCH_REOPENING_DELAY: Micros = 800_000;
+const MAX_WATCH_REOPENING_DELAY: Micros = Micros::from_millis(800);
 /// Bounds of the first wait after a failed call, as parts of the poll interval.
 const MIN_INITIAL_WAIT_DIVISOR: u64 = 64;
 const MAX_INITIAL_WAIT_DIVISOR: u64 = 4;
@@ -80,7 +80,7 @@
     /// machine serves nobody else.
     pub(crate) fn max_watch_reopening_delay(&self) -> Micros {
         if self.endpoints_pushed {
-            0
+            Micros::ZERO
         } else {
             MAX_WATCH_REOPENING_DELAY
         }
--- a/tests/bookkeeping.rs
+++ b/tests/bookkeeping.rs
@@ -1,7 +1,7 @@
 //! What the decision module counts with, each part on its own.
 
 use connection_balancer::bookkeeping::*;
-use connection_balancer::{ClassId, GroupId, Idempotency, KeyScope, Time};
+use connection_balancer::{ClassId, GroupId, Idempotency, KeyScope, Micros, Time};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -32,8 +32,8 @@
 fn backoff_doubles_with_each_failure_up_to_its_maximum_with_jitter() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     for (failures, wait) in [(0, 100), (1, 200), (3, 800), (10, 1_000), (u32::MAX, 1_000)] {
-        let jittered = jittered_backoff(&mut rng, 100, failures, 1_000);
-        assert!((wait / 2..=wait * 3 / 2).contains(&jittered), "{failures} failures: {jittered}");
+        let jittered = jittered_backoff(&mut rng, Micros(100), failures, Micros::from_millis(1));
+        assert!((wait / 2..=wait * 3 / 2).contains(&jittered.0), "{failures} failures: {jittered:?}");
     }
 }
 
@@ -87,10 +87,10 @@
 
 #[test]
 fn a_key_protects_from_a_second_effect_for_its_window_only() {
-    let keyed = Idempotency::IdempotencyKey { scope: KeyScope::All, window: 100 };
+    let keyed = Idempotency::IdempotencyKey { scope: KeyScope::All, window: Micros(100) };
     let first = Server::default().new_attempt(0, Time(1_000));
     let request = Request { may_have_run: Some(first), ..Request::default() };
-    assert_eq!(request.window_left(keyed, Time(1_040)), Some(60));
-    assert_eq!(request.window_left(keyed, Time(2_000)), Some(0));
+    assert_eq!(request.window_left(keyed, Time(1_040)), Some(Micros(60)));
+    assert_eq!(request.window_left(keyed, Time(2_000)), Some(Micros::ZERO));
     assert_eq!(request.window_left(Idempotency::Idempotent, Time(1_040)), None);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,11 +4,11 @@
 use connection_balancer::*;
 
 /// A millisecond in microseconds.
-pub(crate) const MS: u64 = 1_000;
+pub(crate) const MS: Micros = Micros::from_millis(1);
 /// A second in microseconds.
-pub(crate) const SECOND: u64 = 1_000_000;
+pub(crate) const SECOND: Micros = Micros::from_secs(1);
 /// When each test begins.
-pub(crate) const START: Time = Time(1_000 * SECOND);
+pub(crate) const START: Time = Time(1_000_000_000);
 
 /// A class with a set-up objective of 300 ms and a message objective of 100 ms.
 pub(crate) fn class(idempotency: Idempotency) -> Class {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,12 +1,13 @@
 //! Configuration: every error names the key that is wrong.
 
 use connection_balancer::program::config::{check_replicated_entry, parse_operator, parse_platform, Limits};
+use connection_balancer::Micros;
 
 #[test]
 fn accepts_the_shipped_operator_file() {
     let operator = parse_operator(include_bytes!("../deploy/irc.json")).expect("valid");
     assert_eq!((operator.irc.endpoints.len(), operator.store), (2, None));
-    assert_eq!(operator.irc.pool.handshake_timeout, 10_000_000);
+    assert_eq!(operator.irc.pool.handshake_timeout, Micros::from_secs(10));
 }
 
 #[test]
@@ -120,7 +121,7 @@
     assert!(!shop.pool.settings.probes && !shop.pool.settings.probe_reports);
     assert_eq!(
         (shop.pool.settings.slow_start_overload_factor, shop.pool.settings.slow_start_window),
-        (4.0, 3_000_000)
+        (4.0, Micros::from_secs(3))
     );
     let meters = platform(
         r#""balancers": 3, "family-info": {"message-aim": [100, 50, 100, 150], "tells-delay": true, "tells-load": false,
@@ -134,8 +135,8 @@
     assert_eq!(meters.pool.load_report_fields, ["x0", "utilization", "util"]);
     let settings = &meters.pool.settings;
     assert!(settings.probes && settings.probe_reports);
-    assert_eq!((settings.probe_cost, settings.connect_timeout), (0.0021, 100_000));
-    assert_eq!((settings.slow_start_share, settings.slow_start_duration), (0.17, 24_000_000));
+    assert_eq!((settings.probe_cost, settings.connect_timeout), (0.0021, Micros::from_millis(100)));
+    assert_eq!((settings.slow_start_share, settings.slow_start_duration), (0.17, Micros::from_secs(24)));
     // Without `report-x0`, the `x0` of a load report means something else.
     let without_report_x0 =
         platform(r#""reporting": {"fields": ["x0"], "how": "on_probe"}, "limits": {"probing": true}"#);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,9 +6,9 @@
 use connection_balancer::*;
 
 /// Of an objective of 100 ms: the server fills up.
-const SLOW: Measurement = Measurement::MessageTime(40 * MS);
+const SLOW: Measurement = Measurement::MessageTime(Micros::from_millis(40));
 /// Of the same objective: connections have to leave the server.
-const OVERLOADED: Measurement = Measurement::MessageTime(90 * MS);
+const OVERLOADED: Measurement = Measurement::MessageTime(Micros::from_millis(90));
 
 fn has_migration(harness: &Harness) -> bool {
     harness.actions.iter().any(|action| matches!(action, Action::Migrate { .. }))
@@ -57,7 +57,7 @@
     harness.arrive();
     assert_eq!(harness.attempted_server(), None);
     let retry_after = harness.rejection().expect("a rejection");
-    assert!(retry_after > 0 && retry_after <= 1_000_000);
+    assert!(retry_after > Micros::ZERO && retry_after <= Micros::from_secs(1));
 }
 
 #[test]
@@ -489,10 +489,10 @@
     for first in &with_reports {
         let window = settings.slow_start_window;
         let sent = with_reports.iter().filter(|at| *at >= first && at.since(*first) < window).count();
-        let age = first.plus(window).since(START) as f64 / settings.slow_start_duration as f64;
+        let age = first.plus(window).since(START).as_f64() / settings.slow_start_duration.as_f64();
         let warmth = (settings.slow_start_share + (1.0 - settings.slow_start_share) * age).min(1.0);
-        let bears = settings.slow_start_overload_factor * warmth * 24.0 * window as f64
-            / settings.slow_start_duration as f64;
+        let bears = settings.slow_start_overload_factor * warmth * 24.0 * window.as_f64()
+            / settings.slow_start_duration.as_f64();
         // Half of the slack that the rule leaves to chance, which is three roots and three.
         let most = bears + 1.5 * bears.sqrt() + 3.0;
         assert!(sent as f64 <= most, "{sent} in a window in which it bears {bears:.1}");
@@ -737,7 +737,7 @@
             _ => None,
         });
         let wait = wait.expect("it will be asked again");
-        assert!(wait > 0 && wait <= 12 * SECOND, "{wait}");
+        assert!(wait > Micros::ZERO && wait <= 12 * SECOND, "{wait:?}");
         harness.advance(wait);
         harness.handle(Event::TimerFired);
         assert!(harness.actions.contains(&Action::WatchEndpoints));
@@ -748,7 +748,7 @@
 /// discovery lists counts as notified 6 s after it can be reached again, of which an answer may take 2 s.
 #[test]
 fn polls_the_endpoint_list_in_time_however_long_discovery_was_down() {
-    const LONGEST_WAIT: Micros = 4 * SECOND;
+    const LONGEST_WAIT: Micros = Micros::from_secs(4);
     for (balancers, poll_interval) in [(1, 10_000), (4, 10_000), (40, 300), (300, 10_000), (900, 60_000)] {
         let poll_interval = poll_interval * MS;
         let longest_wait = LONGEST_WAIT.min(poll_interval * 3 / 2);
@@ -761,7 +761,7 @@
                 _ => None,
             });
             let wait = wait.expect("it will be asked again");
-            assert!(wait <= longest_wait, "{balancers} balancers, {failures} failures: {wait}");
+            assert!(wait <= longest_wait, "{balancers} balancers, {failures} failures: {wait:?}");
             harness.advance(wait);
             harness.handle(Event::TimerFired);
             assert!(harness.actions.contains(&Action::WatchEndpoints));
@@ -827,7 +827,7 @@
         }
         harness.advance(5 * MS);
     }
-    let part = settings.slow_start_window as f64 / settings.slow_start_duration as f64;
+    let part = settings.slow_start_window.as_f64() / settings.slow_start_duration.as_f64();
     assert!(sends <= 1.0 + settings.slow_start_overload_factor * part, "{sends}");
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,8 +12,8 @@
 /// that failed asked again within two and a half seconds.
 #[test]
 fn a_hundred_balancers_that_start_together_all_get_the_list_in_time() {
-    const SERVICE: u64 = 50 * MS;
-    const PATIENCE: u64 = 2 * SECOND;
+    const SERVICE: Micros = Micros::from_millis(50);
+    const PATIENCE: Micros = Micros::from_secs(2);
     const QUEUE: usize = 100;
     let settings = Settings { poll_required: true, balancers: 100, ..settings() };
     let list = endpoints(10);
@@ -219,8 +219,10 @@
 #[test]
 fn an_overloaded_session_store_empties_its_queue() {
     let outcome = |gossips: bool| {
-        let mut store =
-            SharedStore::new(300, StoreConfig { servers: 30, service: 12_500, max_queue: 160, gossips });
+        let mut store = SharedStore::new(
+            300,
+            StoreConfig { servers: 30, service: Micros(12_500), max_queue: 160, gossips },
+        );
         let pass = |store: &mut SharedStore, from: usize, to: usize| {
             (from..to).for_each(|ms| store.run_millisecond(if ms % 5 == 0 { 2 } else { 0 }, 1200 * MS));
         };
@@ -267,7 +269,7 @@
 #[test]
 fn admits_half_after_a_slow_set_up_where_no_objective_is_known() {
     let mut settings = Settings { max_attempts: 1, ..settings() };
-    settings.classes.iter_mut().for_each(|class| class.setup_objective = 0);
+    settings.classes.iter_mut().for_each(|class| class.setup_objective = Micros::ZERO);
     let mut store = SharedStore::with_settings(settings, StoreConfig::unbounded());
     store.handle(0, Event::PeerSetupSlow);
     store.run_millisecond(40, 500 * MS);
@@ -288,7 +290,7 @@
         (false, Vec::new()),
         (false, odd(|host| host.state = EndpointState::Draining)),
         (false, odd(|host| host.state = EndpointState::Gone)),
-        (true, odd(|host| host.started = Some(Time(START.0 - MS)))),
+        (true, odd(|host| host.started = Some(START.minus(MS)))),
         (true, odd(|host| host.started = Some(START))),
         (true, odd(|host| host.started = Some(START.plus(3600 * SECOND)))),
         (true, odd(|host| host.started = Some(Time(u64::MAX)))),
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -5,6 +5,7 @@
 use connection_balancer::protocol::platform::{parse_greeting, parse_server_reply, Greeting, ServerReply};
 use connection_balancer::protocol::{http, irc, platform, Front, FrontEvent};
 use connection_balancer::routing::{Answer, AttemptOutcome, Lifecycle};
+use connection_balancer::Micros;
 use proptest::prelude::*;
 
 /// The output of a front: the bytes for each side, and the other events in order.
@@ -50,7 +51,7 @@
         }
     };
     feed(&mut front, before, false);
-    front.open_attempt(250_000);
+    front.open_attempt(Micros::from_millis(250));
     feed(&mut front, attempt, true);
     feed(&mut front, after, false);
     output.to_client.extend(front.take_partial_line());
@@ -118,7 +119,7 @@
             let mut out = Vec::new();
             if established {
                 front.client_sent(request, &mut out);
-                front.open_attempt(1);
+                front.open_attempt(Micros(1));
                 front.server_sent(acceptance, &mut out);
                 prop_assert!(out.contains(&FrontEvent::Accepted));
             }
@@ -166,14 +167,14 @@
     assert_eq!((request.class.as_str(), request.tenant.as_deref()), ("chat", Some("acme")));
     assert_eq!(
         (request.group, request.wait, request.load),
-        (Some(0x5c0f_6e1a_2b3d_4c59), Some(2_000_500), Some(1.5))
+        (Some(0x5c0f_6e1a_2b3d_4c59), Some(Micros(2_000_500)), Some(1.5))
     );
-    let line = front.open_attempt(734_900);
+    let line = front.open_attempt(Micros(734_900));
     assert_eq!(line, b"OPEN 9b1f 7f3a c=chat,t=acme,d=734,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n");
     // Without a `d`, the line is passed on unchanged.
     let mut front = platform::Connection::default();
     front.client_sent(b"OPEN a b c=chat,at=s-00000001\r\n", &mut events);
-    assert_eq!(front.open_attempt(5), b"OPEN a b c=chat,at=s-00000001\r\n");
+    assert_eq!(front.open_attempt(Micros(5)), b"OPEN a b c=chat,at=s-00000001\r\n");
 }
 
 #[test]
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 
 use connection_balancer::protocol::admin;
 use connection_balancer::routing::*;
-use connection_balancer::WatchFailure;
+use connection_balancer::{Micros, WatchFailure};
 use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness};
@@ -159,7 +159,7 @@
     fn metrics_match_inputs_and_effects(steps in prop::collection::vec((0u8..12, 0usize..8, 1u64..500_000), 1..200)) {
         let mut counted = CountedMetrics::new();
         for (what, which, pause) in steps {
-            counted.harness.advance(pause);
+            counted.harness.advance(Micros(pause));
             counted.feed_and_compare(Input::TimerFired)?;
             let input = counted.next_input(what, which);
             counted.feed_and_compare(input)?;
@@ -173,7 +173,7 @@
         let mut harness = ReducerHarness::new();
         let (mut excluded, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, String, bool)>::new());
         for (what, server, pause) in steps {
-            harness.advance(pause);
+            harness.advance(Micros(pause));
             let name = reducer_harness::SERVERS[server].to_owned();
             let connection = attempts.keys().nth(server).copied().unwrap_or(ConnectionId(u64::MAX));
             let attempt = attempts.get(&connection).map_or(9, |attempt| attempt.0);
@@ -257,7 +257,7 @@
     let mut harness = ReducerHarness::new();
     let unanswered = WatchFailure::Unanswered;
     harness.feed(Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Rejected });
-    harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: 2_000_000 });
+    harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: Micros::from_secs(2) });
     harness.feed(Input::EndpointWatchLost { pool: 0, failure: unanswered });
     assert_eq!(metrics(&mut harness).discovery_failures, 2);
 }
@@ -303,7 +303,7 @@
     let (connection, _) = harness.forward_request();
     harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
     assert_eq!(metrics(&mut harness).ejected, 1);
-    harness.advance(60_000_000);
+    harness.advance(Micros::from_secs(60));
     assert_eq!(metrics(&mut harness).ejected, 0);
 }
 
@@ -362,7 +362,7 @@
             _ => None,
         }));
         steps += usize::from(migrated.len() > before);
-        harness.advance(100_000);
+        harness.advance(Micros::from_millis(100));
         effects = harness.feed(Input::TimerFired);
     }
     assert!(migrated.len() > 4 && migrated.len() < connections.len(), "{} migrated", migrated.len());
@@ -382,7 +382,7 @@
     let attempts_there = |harness: &mut ReducerHarness, count: usize| {
         let mut there = 0;
         for _ in 0..count {
-            harness.advance(50_000);
+            harness.advance(Micros::from_millis(50));
             let connection = harness.connect_client();
             let effects =
                 harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
--- a/tests/pcap.rs
+++ b/tests/pcap.rs
@@ -8,6 +8,7 @@
 
 use connection_balancer::protocol::flows::{self, FlowEnd};
 use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
+use connection_balancer::Time;
 use etherparse::PacketBuilder;
 use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
@@ -57,7 +58,7 @@
                 let bytes = encode_file(little, magic, link, fraction, &encode_packet(ethernet, ipv6));
                 let segments = pcap::read_segments(&bytes).expect("valid");
                 let [segment] = &segments[..] else { panic!("{segments:?}") };
-                assert_eq!(segment.at, 1_700_000_000_250_000);
+                assert_eq!(segment.at, Time(1_700_000_000_250_000));
                 assert_eq!(
                     (segment.seq, segment.to.port(), &segment.payload[..]),
                     (77, 6667, &b"NICK a"[..])
@@ -89,7 +90,7 @@
 fn segment(seq: u32, payload: &[u8]) -> Segment {
     let (from, to) = client_and_front();
     let flags = TcpFlags { ack: true, ..TcpFlags::default() };
-    Segment { at: 0, from, to, seq, flags, payload: payload.to_vec() }
+    Segment { at: Time(0), from, to, seq, flags, payload: payload.to_vec() }
 }
 
 fn with_syn(segment: Segment) -> Segment {
@@ -117,13 +118,13 @@
     let syn = with_syn(segment(100, b""));
     let all = [
         syn,
-        answer(5, 900, b"a\nb"),
-        answer(6, 900, b"a\nb"),
-        answer(7, 902, b"b\nc\n"),
+        answer(Time(5), 900, b"a\nb"),
+        answer(Time(6), 900, b"a\nb"),
+        answer(Time(7), 902, b"b\nc\n"),
         segment(101, b"x"),
     ];
     let flows = flows::reassemble_flows(&all, 6667);
-    let counts: Vec<usize> = [4, 5, 6, 7, 9].iter().map(|&at| flows[0].answers_before(at)).collect();
+    let counts: Vec<usize> = [4, 5, 6, 7, 9].iter().map(|&at| flows[0].answers_before(Time(at))).collect();
     assert_eq!(counts, [0, 1, 1, 3, 3]);
 }
 
@@ -186,19 +187,22 @@
 fn recorded_packets_have_valid_checksums_and_read_back() {
     let (client, front) = client_and_front();
     for (client, front) in [(client, front), ("[::1]:5".parse().unwrap(), "[::1]:6667".parse().unwrap())] {
-        let (mut recorder, records) = ConnectionRecorder::start(1_000_000, client, front);
+        let (mut recorder, records) = ConnectionRecorder::start(Time(1_000_000), client, front);
         let mut bytes = [pcap::encode_file_header(), records].concat();
-        bytes.extend(recorder.record_data(2_000_000, Direction::FromClient, &[b'x'; 3000]));
-        bytes.extend(recorder.record_data(2_000_000, Direction::ToClient, b"back"));
-        bytes.extend(recorder.record_close(3_000_000, Direction::FromClient, Close::Orderly));
+        bytes.extend(recorder.record_data(Time(2_000_000), Direction::FromClient, &[b'x'; 3000]));
+        bytes.extend(recorder.record_data(Time(2_000_000), Direction::ToClient, b"back"));
+        bytes.extend(recorder.record_close(Time(3_000_000), Direction::FromClient, Close::Orderly));
         assert_eq!(
-            recorder.record_close(3_000_000, Direction::FromClient, Close::Reset),
+            recorder.record_close(Time(3_000_000), Direction::FromClient, Close::Reset),
             Vec::<u8>::new(),
             "ended twice"
         );
         let flows = flows::reassemble_flows(&pcap::read_segments(&bytes).expect("valid"), 6667);
         let sent: usize = flows[0].chunks.iter().map(|chunk| chunk.bytes.len()).sum();
-        assert_eq!((sent, flows[0].end), (3000, Some(FlowEnd { at: 3_000_000, close: Close::Orderly })));
+        assert_eq!(
+            (sent, flows[0].end),
+            (3000, Some(FlowEnd { at: Time(3_000_000), close: Close::Orderly }))
+        );
         let mut at = 24;
         while at < bytes.len() {
             let length = u32::from_le_bytes(bytes[at + 8..at + 12].try_into().unwrap()) as usize;
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -8,7 +8,7 @@
 use connection_balancer::*;
 use proptest::prelude::*;
 
-const HOLDS: Micros = 2 * SECOND;
+const HOLDS: Micros = Micros::from_secs(2);
 
 fn slow(server: u32, ms: u64) -> Observation {
     Observation::SlowServer(ServerId(server), ms * MS)
@@ -38,11 +38,11 @@
         assert!(!peers.should_broadcast(START, slow(1, 49)), "under half of the aim messages are in time");
         assert!(peers.should_broadcast(START, own));
         peers.earn_credit();
-        assert!(!peers.should_broadcast(START.plus(holds - 1), own));
+        assert!(!peers.should_broadcast(START.plus(holds - Micros(1)), own));
         assert!(peers.should_broadcast(START.plus(holds), own));
         peers.earn_credit();
         assert!(peers.accept(START.plus(2 * holds), others));
-        assert!(!peers.should_broadcast(START.plus(3 * holds - 1), others));
+        assert!(!peers.should_broadcast(START.plus(3 * holds - Micros(1)), others));
         for alone in [gossip_config(1, 0.0), GossipConfig { enabled: false, ..gossip_config(3, 0.0) }] {
             assert!(
                 !Peers::new(alone, 7).should_broadcast(START, own),
@@ -152,7 +152,7 @@
 fn an_invalid_observation_changes_nothing() {
     let mut harness = Harness::new(settings(), &endpoints(2));
     harness.handle(Event::PeerObservation { server: ServerId(77), took: Some(300 * MS) });
-    harness.handle(Event::PeerObservation { server: ServerId(1), took: Some(0) });
+    harness.handle(Event::PeerObservation { server: ServerId(1), took: Some(Micros::ZERO) });
     assert_eq!((harness.ceiling(1), harness.ceiling(2)), (4.0, 4.0));
 }
 
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -13,23 +13,23 @@
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness, SERVERS};
 
-const SECOND: Micros = 1_000_000;
+const SECOND: Micros = Micros::from_secs(1);
 /// A message time that is slow by the objective of [`context`], in microseconds.
-const SLOW_MESSAGE_TIME: Micros = 80_000;
+const SLOW_MESSAGE_TIME: Micros = Micros::from_millis(80);
 /// Ids of connections of returned clients begin here.
 const RETURNED_CONNECTIONS: u64 = 10_000;
 /// A usual setup time.
-const SETUP_TIME: Micros = 30_000;
+const SETUP_TIME: Micros = Micros::from_millis(30);
 
 fn context() -> RebalanceContext {
     RebalanceContext {
         balancers: 1,
         priority_weights: vec![3.0, 2.0],
-        setup_objective: 300_000,
-        message_objective: 100_000,
+        setup_objective: Micros::from_millis(300),
+        message_objective: Micros::from_millis(100),
         reports_message_time: true,
         migration_cost: 0.025,
-        slow_start_duration: 8_800_000,
+        slow_start_duration: Micros::from_millis(8_800),
     }
 }
 
@@ -48,7 +48,7 @@
 
 impl RebalanceHarness {
     fn new(config: RebalanceConfig, context: RebalanceContext, servers: usize) -> RebalanceHarness {
-        let now = Time(1_000 * SECOND);
+        let now = Time(1_000_000_000);
         let server = |n| ServerSnapshot {
             server: ServerId(n),
             ready: true,
@@ -103,7 +103,7 @@
     /// Evaluates half a second later; the first server reports this message time each second.
     fn evaluate_after_half_second(&mut self, message_time: Option<Micros>) -> Decision {
         self.now = self.now.plus(SECOND / 2);
-        if let Some(took) = message_time.filter(|_| self.now.0.is_multiple_of(SECOND)) {
+        if let Some(took) = message_time.filter(|_| self.now.0.is_multiple_of(SECOND.0)) {
             self.notify(RebalanceEvent::MessageTimeReported { server: ServerId(0), took });
         }
         let decision = self.rebalance.evaluate(self.now, self.conditions, &self.servers);
@@ -196,7 +196,7 @@
     for reports_message_time in [true, false] {
         let context = RebalanceContext {
             reports_message_time,
-            message_objective: if reports_message_time { 100_000 } else { 0 },
+            message_objective: if reports_message_time { Micros::from_millis(100) } else { Micros::ZERO },
             ..context()
         };
         let mut harness = RebalanceHarness::new(config(), context, 4);
@@ -211,7 +211,7 @@
 fn migrates_beyond_placement_noise_where_servers_report_no_message_times() {
     let mut harness = RebalanceHarness::new(
         config(),
-        RebalanceContext { reports_message_time: false, message_objective: 0, ..context() },
+        RebalanceContext { reports_message_time: false, message_objective: Micros::ZERO, ..context() },
         4,
     );
     for server in 0..3 {
@@ -309,7 +309,10 @@
     harness.servers[3].occupied_slots = 60.0;
     for _ in 0..40 {
         harness.now = harness.now.plus(SECOND / 2);
-        harness.notify(RebalanceEvent::MessageTimeReported { server: ServerId(3), took: 90_000 });
+        harness.notify(RebalanceEvent::MessageTimeReported {
+            server: ServerId(3),
+            took: Micros::from_millis(90),
+        });
         let decision = harness.rebalance.evaluate(harness.now, harness.conditions, &harness.servers);
         assert!(decision.moves.iter().all(|migration| !returned.contains(&migration.connection)));
     }
@@ -327,7 +330,7 @@
             harness.notify(RebalanceEvent::ConnectionEstablished {
                 connection,
                 properties,
-                setup: Some(took),
+                setup: Some(Micros(took)),
             });
             harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: true });
             harness.servers[server as usize].occupied_slots -= 1.0;
@@ -360,7 +363,7 @@
         harness.notify(RebalanceEvent::ConnectionEstablished {
             connection,
             properties,
-            setup: Some(400_000),
+            setup: Some(Micros::from_millis(400)),
         });
     }
     harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
@@ -416,7 +419,7 @@
         let mut moved = Vec::new();
         while moved.is_empty() {
             moved = harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
-            assert!(harness.now < Time(2_000 * SECOND), "nobody moved");
+            assert!(harness.now < Time(2_000_000_000), "nobody moved");
         }
         harness.servers[3].started = Some(harness.now);
         for (n, connection) in moved.into_iter().enumerate() {
@@ -553,8 +556,11 @@
 /// A reload may bring another objective, by which message times are then judged.
 #[test]
 fn applies_another_message_objective_from_the_reload_on() {
-    let mut harness =
-        RebalanceHarness::new(config(), RebalanceContext { message_objective: 1_000_000, ..context() }, 4);
+    let mut harness = RebalanceHarness::new(
+        config(),
+        RebalanceContext { message_objective: Micros::from_secs(1), ..context() },
+        4,
+    );
     (0..3).for_each(|server| drop(harness.establish(server, if server == 0 { 40 } else { 20 }, None)));
     harness.servers[3].started = Some(harness.now);
     assert!(
@@ -609,7 +615,7 @@
     let mut decisions = Vec::new();
     for &step in steps {
         let (kind, number, server) = step;
-        harness.now = harness.now.plus(number * 10_000);
+        harness.now = harness.now.plus(Micros(number * 10_000));
         match kind {
             0..=9 => harness.notify(arbitrary_event(step)),
             10 => harness.servers[server as usize].ready ^= true,
@@ -636,9 +642,11 @@
         key: (number % 5 > 0).then_some(number),
     };
     match kind {
-        0..=3 => {
-            RebalanceEvent::ConnectionEstablished { connection, properties, setup: Some(number * 5_000) }
-        }
+        0..=3 => RebalanceEvent::ConnectionEstablished {
+            connection,
+            properties,
+            setup: Some(Micros(number * 5_000)),
+        },
         4 => RebalanceEvent::ConnectionEnded { connection, natural: server > 2 },
         5 => RebalanceEvent::ConnectionRequested { connection, key: Some(number), reconnecting: server > 2 },
         6 => RebalanceEvent::ConnectionRejected { connection },
@@ -658,7 +666,7 @@
     for _ in 0..3 {
         harness.now = harness.now.plus(SECOND);
         let server = ServerId(slow_server);
-        harness.notify(RebalanceEvent::MessageTimeReported { server, took: number * 10_000 });
+        harness.notify(RebalanceEvent::MessageTimeReported { server, took: Micros(number * 10_000) });
     }
     let known = (0..40).filter_map(|n| harness.rebalance.connection(ConnectionId(n))).count();
     let decision = harness.rebalance.evaluate(harness.now, harness.conditions, &harness.servers);
@@ -718,7 +726,7 @@
     let mut moved = Vec::new();
     for _ in 0..seconds {
         for tenth in 0..10 {
-            harness.advance(100_000);
+            harness.advance(Micros::from_millis(100));
             let mut effects = harness.feed(Input::TimerFired);
             if let (0, Some(&connection)) =
                 (tenth, connections.iter().find(|connection| !moved.contains(*connection)))
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -6,7 +6,7 @@
 
 pub(crate) const SERVERS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
 /// How long the client waits for its answer.
-pub(crate) const WAIT: Micros = 3_200_000;
+pub(crate) const WAIT: Micros = Micros::from_millis(3_200);
 
 /// Limits that no test reaches unless it sets its own.
 pub(crate) const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
@@ -27,8 +27,8 @@
 pub(crate) fn pool_config() -> PoolConfig {
     let class = Class {
         priority_weight: 1.0,
-        setup_objective: 300_000,
-        message_objective: 100_000,
+        setup_objective: Micros::from_millis(300),
+        message_objective: Micros::from_millis(100),
         idempotency: Idempotency::Idempotent,
     };
     PoolConfig {
@@ -45,11 +45,11 @@
         },
         seed: 7,
         discovery: None,
-        handshake_timeout: 10_000_000,
+        handshake_timeout: Micros::from_secs(10),
         uses_replicated_map: false,
         max_connections: usize::MAX,
-        drain_duration: 0,
-        server_silence_timeout: 5_000_000,
+        drain_duration: Micros::ZERO,
+        server_silence_timeout: Micros::from_secs(5),
         reports_message_time: true,
         reports_load: true,
         load_report_fields: Vec::new(),
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,6 +4,7 @@
 
 use connection_balancer::peers::{GossipMessage, Observation};
 use connection_balancer::routing::*;
+use connection_balancer::Micros;
 use connection_balancer::{Class, Idempotency, LoadReport, RefusalReason, ServerId, WatchFailure};
 use reducer_harness::{connection_request, ReducerHarness, SERVERS, WAIT};
 
@@ -11,7 +12,7 @@
 fn migrations_for_message_times(harness: &mut ReducerHarness, connection: ConnectionId) -> usize {
     let mut migrated = 0;
     for second in 0..20 {
-        harness.advance(1_000_000);
+        harness.advance(Micros::from_secs(1));
         let effects = harness.feed(Input::LoadReported { connection, load: 99.0 + f64::from(second) });
         migrated += count_migrations(&effects);
     }
@@ -84,7 +85,7 @@
     for _ in 0..connections {
         let (connection, _) = harness.forward_request();
         servers.extend(probed_servers(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
-        harness.advance(60_000_000);
+        harness.advance(Micros::from_secs(60));
     }
     servers
 }
@@ -124,7 +125,7 @@
         if restarts {
             harness.restart_server(0);
         }
-        harness.advance(60_000_000);
+        harness.advance(Micros::from_secs(60));
         harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(1), end: load_report(3.0) });
         (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
@@ -228,7 +229,7 @@
     let mut harness = ReducerHarness::new();
     let (idle, waiting) = (harness.establish_connection(), harness.establish_connection());
     harness.feed(Input::LineForwarded { connection: waiting });
-    harness.advance(5_000_001);
+    harness.advance(Micros(5_000_001));
     let effects = harness.feed(Input::TimerFired);
     let migrated = Effect::Answer { connection: waiting, answer: Answer::Migrated };
     assert!(effects.contains(&migrated), "{effects:?}");
@@ -244,8 +245,11 @@
     let late = harness.connect_client();
     let effects =
         harness.feed(Input::ConnectionRequested { connection: late, request: connection_request() });
-    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
-    harness.advance(3_400_000);
+    assert!(
+        matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(Micros(1..)), .. }]),
+        "{effects:?}"
+    );
+    harness.advance(Micros::from_millis(3_400));
     let effects = harness.feed(Input::TimerFired);
     assert!(
         effects.contains(&Effect::Answer { connection: established, answer: Answer::Migrated }),
@@ -265,7 +269,7 @@
     harness.feed(Input::ShutdownRequested);
     let (mut migrated, mut late, mut exit) = (0, 0, None);
     for tenth in 1..=37 {
-        harness.advance(100_000);
+        harness.advance(Micros::from_millis(100));
         for effect in harness.feed(Input::TimerFired) {
             let migrates = matches!(effect, Effect::Answer { answer: Answer::Migrated, .. });
             migrated += usize::from(migrates);
@@ -283,9 +287,9 @@
 fn stays_a_second_in_graceful_shutdown_without_connections() {
     let mut harness = ReducerHarness::new();
     assert!(!harness.feed(Input::ShutdownRequested).contains(&Effect::Exit));
-    harness.advance(400_000);
+    harness.advance(Micros::from_millis(400));
     assert!(!harness.feed(Input::TimerFired).contains(&Effect::Exit));
-    harness.advance(600_000);
+    harness.advance(Micros::from_millis(600));
     assert_eq!(harness.feed(Input::TimerFired).last(), Some(&Effect::Exit));
 }
 
@@ -310,7 +314,7 @@
     let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
     assert_eq!(*address, harness.address(SERVERS[1]));
     harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::ConnectFailed });
-    harness.advance(600_000);
+    harness.advance(Micros::from_millis(600));
     let effects = harness.feed(Input::TimerFired);
     assert!(
         matches!(&effects[..], [Effect::OpenAttempt { address: second, attempt: 1, .. }] if second == address),
@@ -327,7 +331,7 @@
     let request = ConnectionRequest { established_at: Some("s-0000dead".to_owned()), ..connection_request() };
     let mut effects = harness.feed(Input::ConnectionRequested { connection, request });
     for _ in 0..28 {
-        harness.advance(100_000);
+        harness.advance(Micros::from_millis(100));
         effects.extend(harness.feed(Input::TimerFired));
     }
     assert_eq!(effects.first(), Some(&Effect::Answer { connection, answer: Answer::Failed }));
@@ -341,7 +345,8 @@
     }
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
-    let [Effect::Answer { answer: Answer::Rejected(1..), .. }, Effect::Log(event)] = &effects[..] else {
+    let [Effect::Answer { answer: Answer::Rejected(Micros(1..)), .. }, Effect::Log(event)] = &effects[..]
+    else {
         panic!("{effects:?}");
     };
     assert_eq!(event, &LogEvent::RequestRefused { connection, reason: RefusalReason::NoServer });
@@ -364,7 +369,7 @@
         [Effect::SetAccepting { open: false }],
         "all may still send a request: the next have to wait"
     );
-    harness.advance(100_000);
+    harness.advance(Micros::from_millis(100));
     let effects = harness.feed(Input::TimerFired);
     assert_eq!(
         effects,
@@ -388,7 +393,10 @@
     let over = harness.connect_client();
     let effects =
         harness.feed(Input::ConnectionRequested { connection: over, request: connection_request() });
-    assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(1..), .. }]), "{effects:?}");
+    assert!(
+        matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(Micros(1..)), .. }]),
+        "{effects:?}"
+    );
 }
 
 #[test]
@@ -577,7 +585,7 @@
         fn rules_hold_under_random_steps(steps in prop::collection::vec((0u8..10, 0usize..8, 1u64..400_000), 1..200)) {
             let mut model = Model::new();
             for (what, which, pause) in steps {
-                model.harness.advance(pause);
+                model.harness.advance(Micros(pause));
                 let effects = model.harness.feed(Input::TimerFired);
                 model.check_effects(effects)?;
                 let effects = model.step(what, which, pause);
@@ -596,10 +604,10 @@
 #[test]
 fn takes_back_unwritten_requests_when_an_unreachable_discovery_is_back_and_overloaded() {
     let mut harness = ReducerHarness::new();
-    harness.advance(3_500_000);
-    harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: 3_500_000 });
+    harness.advance(Micros::from_millis(3_500));
+    harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: Micros::from_millis(3_500) });
     harness.feed(Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Unreachable });
-    harness.advance(4_000_000);
+    harness.advance(Micros::from_secs(4));
     let (forwarded, _) = harness.forward_request();
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
@@ -610,7 +618,10 @@
 
     let expired = LogEvent::RequestRefused { connection, reason: RefusalReason::EndpointListExpired };
     assert_eq!(effects[0], Effect::CloseAttempt { connection });
-    assert!(matches!(effects[1], Effect::Answer { answer: Answer::Rejected(1..), .. }), "{effects:?}");
+    assert!(
+        matches!(effects[1], Effect::Answer { answer: Answer::Rejected(Micros(1..)), .. }),
+        "{effects:?}"
+    );
     assert_eq!(
         effects[2..],
         [Effect::Log(expired), Effect::Log(LogEvent::EndpointListExpired { pool: "platform" })]
@@ -628,8 +639,8 @@
     let mut config = reducer_harness::pool_config();
     let first = Class {
         priority_weight: 9.0,
-        setup_objective: 1,
-        message_objective: 7,
+        setup_objective: Micros(1),
+        message_objective: Micros(7),
         idempotency: Idempotency::NotIdempotent,
     };
     config.settings.classes.insert(0, first);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -237,7 +237,7 @@
     }
 
     /// Advances the clock, with timers and time-outs in order.
-    fn wait(&mut self, span: u64) {
+    fn wait(&mut self, span: Micros) {
         let end = self.harness.now.plus(span);
         loop {
             let expiring = self.requests.iter().filter_map(|(id, tracked)| {
@@ -449,9 +449,9 @@
         for (i, first) in sends.iter().enumerate() {
             let cold = sends[i..].iter().filter(|at| at.since(START) < settings.slow_start_duration);
             let window = cold.take_while(|at| at.since(*first) < settings.slow_start_window);
-            let age = first.plus(settings.slow_start_window).since(START) as f64 / settings.slow_start_duration as f64;
+            let age = first.plus(settings.slow_start_window).since(START).as_f64() / settings.slow_start_duration.as_f64();
             let warmth = (settings.slow_start_share + (1.0 - settings.slow_start_share) * age).min(1.0);
-            let part = settings.slow_start_window as f64 / settings.slow_start_duration as f64;
+            let part = settings.slow_start_window.as_f64() / settings.slow_start_duration.as_f64();
             let most = 1.0 + settings.slow_start_overload_factor * warmth * size * part;
             prop_assert!(window.count() as f64 <= most);
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,7 +15,7 @@
 };
 use connection_balancer::routing::store::Entry;
 use connection_balancer::routing::*;
-use connection_balancer::{LearnedState, Time};
+use connection_balancer::{LearnedState, Micros, Time};
 use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 use reducer_harness::{connection_request, ReducerHarness, SERVERS};
@@ -101,7 +101,7 @@
     let at_successor = complete_transfer(&mut new, &mut old, established);
     assert_eq!((metrics(&mut old).outstanding, metrics(&mut new).outstanding), (0, 20));
     // The silence of a server counts from the first unanswered line, and only one connection has sent one.
-    new.advance(5_000_001);
+    new.advance(Micros(5_000_001));
     let effects = new.feed(Input::TimerFired);
     assert_eq!(
         effects.first(),
@@ -199,7 +199,7 @@
     let address = old.address(SERVERS[2]);
     start_successor(&mut old);
     for _ in 0..200 {
-        old.advance(20_000);
+        old.advance(Micros::from_millis(20));
         let connection = old.connect_client();
         for effect in old.feed(Input::ConnectionRequested { connection, request: connection_request() }) {
             assert!(
@@ -233,7 +233,7 @@
         );
         // A peer process that hangs, or is gone, delays no reply.
         call(&mut harness, AdminCall::Include(server.clone()));
-        harness.advance(500_000);
+        harness.advance(Micros::from_millis(500));
         assert_eq!(harness.feed(Input::TimerFired), vec![accepted.clone()]);
         call(&mut harness, AdminCall::Exclude(server.clone()));
         assert!(harness.feed(Input::PeerProcessLost).contains(&accepted));
@@ -369,7 +369,7 @@
     fn loses_no_connection_through_hot_restarts(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
         let mut model = Model { harnesses: vec![ReducerHarness::new()], ..Model::default() };
         for (what, which, pause) in steps {
-            model.harnesses.iter_mut().for_each(|harness| harness.advance(pause));
+            model.harnesses.iter_mut().for_each(|harness| harness.advance(Micros(pause)));
             model.step(what, which)?;
             for process in 0..model.harnesses.len() {
                 model.feed(process, Input::TimerFired)?;
