--- a/src/lib.rs
+++ b/src/lib.rs
@@ -83,13 +83,13 @@
 // The daemon's layers. The decision module depends on none of them; see `docs/design.md`.
 pub mod bookkeeping;
 pub mod peers;
+pub mod policy;
 pub mod program;
 pub mod protocol;
 pub mod rebalance;
 pub mod routing;
 pub mod transport;
 
-mod policy;
 mod types;
 
 pub use policy::Balancer;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,49 +1,100 @@
-//! Following the endpoint list: new, changed and removed servers.
-
-use super::*;
-
-/// Slots of a new server of mean weight, and the most that a heavier one gets.
-const INITIAL_SLOTS: f64 = 4.0;
-const MAX_INITIAL_SLOTS: f64 = 16.0;
-
-impl Balancer {
-    pub(super) fn replace_endpoints(&mut self, entries: &[EndpointEntry]) {
-        self.servers.values_mut().for_each(|s| s.entry.state = EndpointState::Gone);
-        self.apply_endpoint_update(entries);
-    }
-
-    pub(super) fn apply_endpoint_update(&mut self, entries: &[EndpointEntry]) {
-        self.endpoint_watch.on_list_applied();
-        entries.iter().for_each(|entry| self.apply_endpoint(entry));
-        // A server that is gone is forgotten once nothing is held there.
-        self.servers.retain(|_, s| s.entry.state != EndpointState::Gone || !s.held.is_empty());
-        let weights = self.serving().map(|s| s.entry.valid_weight());
-        let mean_weight = weights.sum::<f64>() / self.serving().count().max(1) as f64;
-        let interval = self.slow_start_interval();
-        for server in self.servers.values_mut().filter(|s| s.learned.ceiling == 0.0) {
-            // Rule 4: balancers that learn of a cold server together must not begin together.
-            let wait = interval * self.rng.random::<f64>();
-            server.schedule_next_send(&self.settings, self.now, wait, interval);
-            let slots = INITIAL_SLOTS * server.entry.valid_weight() / mean_weight.max(f64::MIN_POSITIVE);
-            server.learned.ceiling = slots.clamp(1.0, MAX_INITIAL_SLOTS);
-        }
+//! The servers of the endpoint list: new, changed and removed ones.
+//!
+//! A server that has started anew is another process: it holds no connection of the one before and inherits nothing
+//! that was learned of it. A server that is gone is forgotten once nothing is held there.
+
+use std::collections::BTreeMap;
+
+use super::request::Attempt;
+use super::server::Server;
+use crate::types::{EndpointEntry, EndpointState, ServerId, Time};
+
+/// The servers of the endpoint list, and those that are gone but still hold something.
+#[derive(Debug, Default)]
+pub struct ServerTable {
+    by_id: BTreeMap<ServerId, Server>,
+    /// The number of the newest server process.
+    last_incarnation: u64,
+}
+
+impl ServerTable {
+    /// The number of servers, with those that take no new connections.
+    pub fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
     }
 
-    fn apply_endpoint(&mut self, entry: &EndpointEntry) {
+    /// A server, if it is known.
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.by_id.get(&id)
+    }
+
+    /// A server, if it is known.
+    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// The server of an attempt, if the process that it was sent to still runs.
+    pub fn of_attempt(&mut self, attempt: &Attempt) -> Option<&mut Server> {
+        let server = self.by_id.get_mut(&attempt.endpoint.server);
+        server.filter(|server| server.incarnation == attempt.incarnation)
+    }
+
+    /// All servers, in the order of their ids.
+    pub fn iter(&self) -> impl Iterator<Item = &Server> + Clone {
+        self.by_id.values()
+    }
+
+    /// The servers that take new connections, in the order of their ids.
+    pub fn serving(&self) -> impl Iterator<Item = &Server> + Clone {
+        self.by_id.values().filter(|server| server.is_serving())
+    }
+
+    /// The servers that take new connections, in the order of their ids.
+    pub fn serving_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.by_id.values_mut().filter(|server| server.is_serving())
+    }
+
+    /// All servers whose concurrency limit is 0, in the order of their ids.
+    pub fn without_limit_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.by_id.values_mut().filter(|server| server.limit.is_zero())
+    }
+
+    /// The mean weight of the servers that take new connections; 0 if there are none.
+    pub fn mean_weight(&self) -> f64 {
+        let weights = self.serving().map(|server| server.entry.valid_weight());
+        weights.sum::<f64>() / self.serving().count().max(1) as f64
+    }
+
+    /// Takes over a whole list: a server that it does not name is gone.
+    pub fn replace(&mut self, entries: &[EndpointEntry], now: Time) {
+        self.by_id.values_mut().for_each(|server| server.entry.state = EndpointState::Gone);
+        self.update(entries, now);
+    }
+
+    /// Takes over changed entries of the list.
+    pub fn update(&mut self, entries: &[EndpointEntry], now: Time) {
+        entries.iter().for_each(|entry| self.update_entry(entry, now));
+        self.by_id.retain(|_, server| !server.is_forgettable());
+    }
+
+    fn update_entry(&mut self, entry: &EndpointEntry, now: Time) {
         self.last_incarnation += 1;
-        let incarnation = self.last_incarnation;
-        // A start that lies ahead, by another clock, would keep its server cold until then.
-        let started_at = entry.started.map(|at| at.min(self.now));
-        let new = Server { entry: *entry, started_at, incarnation, ..Server::default() };
-        match self.servers.get_mut(&entry.server) {
-            // A new process holds no connection of the old one and inherits nothing learned of it.
+        let new = Server::new(*entry, self.last_incarnation, now);
+        match self.by_id.get_mut(&entry.server) {
+            None => {
+                self.by_id.insert(entry.server, new);
+            }
             Some(server) if entry.started > server.entry.started => *server = new,
             Some(server) => {
                 let is_same_start = entry.started == server.entry.started;
-                server.started_at = server.started_at.filter(|_| is_same_start).or(started_at);
+                server.slow_start.on_listed_again(entry.started, is_same_start, now);
                 server.entry = *entry;
             }
-            None => drop(self.servers.insert(entry.server, new)),
         }
     }
 }
--- a/src/policy/endpoint_watch.rs
+++ b/src/policy/endpoint_watch.rs
@@ -1,111 +1,97 @@
-//! The watch on the endpoint list: when to ask for it again, and for how long what it brought may be used.
+//! The watch on the endpoint list: when discovery is called again after a failure.
 //!
-//! A watch that has fallen silent looks like one on which nothing happens. What it misses counts as notified
-//! [`NOTIFICATION_TIMEOUT`] after it fell silent, and from then on each listed server may be one that drains.
-//! So a list is a lease: each answer of discovery renews it, and without one it expires. Where discovery is
-//! down nothing changes that could count, and the old list stays in use.
+//! **Inputs.** Failed calls; the settings' poll interval (microseconds) and the number of balancers.
+//!
+//! **Rule.** An exponential backoff with jitter. The first wait is the time in which discovery serves a call of every
+//! balancer, the longest is twice that; both have bounds.
+//!
+//! **Why.** Discovery serves calls one after the other. Where many balancers have failed together, calls that come back
+//! before they can be served delay each other without end. What an agent on the balancer's own machine has counts as
+//! notified whether or not a watch is open, so it is called within the drain grace.
 
-use super::*;
+use rand::Rng;
 
-/// What discovery changes counts as notified after this long, whether or not it arrived.
-const NOTIFICATION_TIMEOUT: Micros = Micros::from_secs(6);
-/// After so many failures in a row the wait for the endpoint list grows no more.
+use crate::bookkeeping::jittered_backoff;
+use crate::types::{Micros, Settings, Time};
+
+/// After so many failures in a row the backoff grows no more.
 const MAX_BACKOFF_FAILURES: u32 = 6;
+/// Bounds of the first wait, as parts of the poll interval.
+const MIN_INITIAL_WAIT_DIVISOR: u64 = 64;
+const MAX_INITIAL_WAIT_DIVISOR: u64 = 4;
+/// The longest wait, as a multiple of the time in which discovery serves a call of every balancer...
+const LONGEST_WAIT_FACTOR: u64 = 2;
+/// ...and its bounds. What discovery lists counts as notified 6 s after discovery can be reached again; jitter makes a
+/// wait up to half as long again, and an answer may take 2 s.
+const LONGEST_WAIT_LOWER_BOUND: Micros = Micros::from_secs(1);
+const LONGEST_WAIT_UPPER_BOUND: Micros = Micros::from_millis(2500);
+/// The first and the longest wait where endpoints are pushed to an agent, as parts of the drain grace.
+const PUSHED_INITIAL_WAIT_DIVISOR: u64 = 8;
+const PUSHED_LONGEST_WAIT_DIVISOR: u64 = 4;
 
-/// Whether the endpoint list may have missed changes that count.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Lease {
-    /// No watch tells: there never was an answer, or the watch ended, as it does when discovery goes down.
-    #[default]
-    Unwatched,
-    /// Discovery has answered, and what it lists later comes on a watch.
-    Confirmed { at: Time },
-    /// The watch gave no answer when it was due.
-    Silent { since: Time, discovery_is_up: bool },
+/// The waits after failed calls, before jitter.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct WatchBackoff {
+    initial: Micros,
+    max: Micros,
 }
 
-impl Lease {
-    fn expires_at(self) -> Option<Time> {
-        match self {
-            Lease::Confirmed { at: since } | Lease::Silent { since, discovery_is_up: true } => {
-                Some(since.plus(NOTIFICATION_TIMEOUT))
-            }
-            Lease::Unwatched | Lease::Silent { discovery_is_up: false, .. } => None,
+impl WatchBackoff {
+    fn from_settings(settings: &Settings) -> WatchBackoff {
+        if settings.endpoints_pushed {
+            return WatchBackoff {
+                initial: settings.drain_grace / PUSHED_INITIAL_WAIT_DIVISOR,
+                max: settings.drain_grace / PUSHED_LONGEST_WAIT_DIVISOR,
+            };
         }
+        let interval = settings.poll_interval;
+        let all_served = settings.discovery_service_time();
+        let initial =
+            all_served.clamp(interval / MIN_INITIAL_WAIT_DIVISOR, interval / MAX_INITIAL_WAIT_DIVISOR);
+        let longest = all_served
+            .saturating_mul(LONGEST_WAIT_FACTOR)
+            .clamp(LONGEST_WAIT_LOWER_BOUND, LONGEST_WAIT_UPPER_BOUND);
+        WatchBackoff { initial, max: longest.min(interval) }
     }
 }
 
-/// The state of the watch.
-#[derive(Default)]
-pub(super) struct EndpointWatch {
-    /// When to ask for the endpoint list again.
-    pub(super) due: Option<Time>,
+/// When discovery is called for the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub struct EndpointWatch {
+    /// When the next call is made; none while one is under way.
+    next_call_at: Option<Time>,
     consecutive_failures: u32,
-    lease: Lease,
 }
 
 impl EndpointWatch {
-    /// A watch that is to be opened at `due`.
-    pub(super) fn opening_at(due: Option<Time>) -> EndpointWatch {
-        EndpointWatch { due, ..EndpointWatch::default() }
-    }
-
-    pub(super) fn on_list_applied(&mut self) {
-        self.consecutive_failures = 0;
-    }
-}
-
-impl Balancer {
-    pub(super) fn on_endpoint_list_confirmed(&mut self) {
-        self.endpoint_watch.lease = Lease::Confirmed { at: self.now };
+    /// A watch that is opened at `next_call_at`; none where lists come without a call.
+    pub fn new(next_call_at: Option<Time>) -> EndpointWatch {
+        EndpointWatch { next_call_at, consecutive_failures: 0 }
     }
 
-    /// Where lists are pushed, the agent is silent as well while discovery is down: that is assumed until it
-    /// answers.
-    pub(super) fn on_endpoint_watch_silent(&mut self, since: Time) {
-        let discovery_is_up = !self.settings.endpoints_pushed;
-        let since = match self.endpoint_watch.lease {
-            Lease::Confirmed { at: earlier } | Lease::Silent { since: earlier, .. } => since.min(earlier),
-            Lease::Unwatched => since,
-        };
-        self.endpoint_watch.lease = Lease::Silent { since, discovery_is_up };
+    /// When the next call is made; none while one is under way, or where lists come without a call.
+    pub fn next_call_at(&self) -> Option<Time> {
+        self.next_call_at
     }
 
-    /// Asks again after a growing, jittered wait, the longer the more balancers may have failed as well:
-    /// calls are served in turn, and calls that come again before that delay each other without end.
-    pub(super) fn on_endpoint_watch_failed(&mut self, failure: WatchFailure) {
-        self.note_failure_in_lease(failure);
-        if self.settings.poll_required {
-            let Backoff { initial, max } = self.settings.endpoint_watch_backoff();
-            let failures = self.endpoint_watch.consecutive_failures.min(MAX_BACKOFF_FAILURES);
-            let wait = jittered_backoff(&mut self.rng, initial, failures, max);
-            self.endpoint_watch.consecutive_failures += 1;
-            self.endpoint_watch.due = Some(self.now.plus(wait));
-        }
+    /// A list or a change of it was applied.
+    pub fn on_list_applied(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    fn note_failure_in_lease(&mut self, failure: WatchFailure) {
-        let Lease::Silent { discovery_is_up, .. } = &mut self.endpoint_watch.lease else {
-            self.endpoint_watch.lease = Lease::Unwatched;
+    /// A call failed: the next follows after a backoff.
+    pub fn on_call_failed(&mut self, now: Time, settings: &Settings, rng: &mut impl Rng) {
+        if !settings.poll_required {
             return;
-        };
-        *discovery_is_up = match failure {
-            WatchFailure::Unreachable => false,
-            WatchFailure::Unanswered => !self.settings.endpoints_pushed,
-            WatchFailure::Rejected => true,
-        };
-    }
-
-    /// Until when the endpoint list may be used; none where it does not expire.
-    pub fn endpoint_list_expires_at(&self) -> Option<Time> {
-        self.endpoint_watch.lease.expires_at()
-    }
-
-    pub(super) fn endpoint_list_time_left(&self) -> Option<Micros> {
-        self.endpoint_list_expires_at().map(|at| at.since(self.now))
+        }
+        let WatchBackoff { initial, max } = WatchBackoff::from_settings(settings);
+        let failures = self.consecutive_failures.min(MAX_BACKOFF_FAILURES);
+        self.next_call_at = Some(now.plus(jittered_backoff(rng, initial, failures, max)));
+        self.consecutive_failures += 1;
     }
 
-    pub(super) fn is_endpoint_list_expired(&self) -> bool {
-        self.endpoint_list_time_left() == Some(Micros::ZERO)
+    /// Whether a call is to be made now; from then on it is under way.
+    pub fn begin_call(&mut self, now: Time) -> bool {
+        self.next_call_at.take_if(|at| *at <= now).is_some()
     }
 }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -1,78 +1,127 @@
-//! Migration: an overloaded server gives up connections while others have room.
+//! Migration: an overloaded server gives up connections while others have free capacity.
+//!
+//! **What is decided.** How many connections of a server are asked to reconnect, and which.
+//!
+//! **Inputs.** An observation that a server is overloaded: a message time of half its objective or more (the lateness, a
+//! ratio), or a load report of a full server. The slots that are occupied there, the spare capacity of servers without
+//! recent faults, and the priority weight of each connection's class.
+//!
+//! **Rule.** At most every half a second, one connection for every eight occupied slots (with fewer, one with
+//! that probability), as far as there is spare capacity elsewhere. Spare capacity is divided by the number of servers that
+//! are not sound, since each of them may give up some at every balancer. Where messages take twice their objective or
+//! more, a tenth of the connections for each multiple of the objective leaves, up to half; there at least the one for
+//! every eight slots leaves even without spare capacity. Those leave first whose end frees the most slots for the
+//! priority weight, with the slots of their group if they are its last connection there.
+//!
+//! **Why.** The effect of a migration has to show before the next one is decided. Every balancer learns of an overloaded
+//! server, and many that hold little each would empty it together: in proportion to what is held, they move as large a
+//! part of the whole at any number of balancers. At twice the objective no message is in time, so that staying has no
+//! value, and messages become useful again for the rest once some have left.
+//!
+//! Migration for balance, without an overload, is decided in `src/rebalance/`.
 
-use super::*;
+use super::fault_window::FaultWindow;
+use super::server::Server;
+use crate::types::{Micros, Settings, Time};
 
-/// Between two migrations from one server: the first has to show its effect before the next.
+/// The shortest time between two migrations from one server.
 const MIGRATION_INTERVAL: Micros = Micros::from_millis(500);
-/// One migrates for so many slots held: enough to relieve the server, too few to overload the next.
+/// Messages that take this part of their objective, as a ratio, often miss it: connections have to leave.
+const MIGRATION_LATENESS: f64 = 0.5;
+/// Occupied slots for each connection that migrates.
 const SLOTS_PER_MIGRATION: f64 = 8.0;
-/// At so many times the objective no message is in time: staying is worth nothing...
-const USELESS_MESSAGE_RATIO: f64 = 2.0;
-/// ...and for each multiple of the objective this part of the connections migrates, up to the greatest share.
+/// At so many times the objective no message is in time.
+const USELESS_LATENESS: f64 = 2.0;
+/// The lateness is divided by this to give the share of connections that leave where no message is in time.
 const USELESS_SHARE_DIVISOR: f64 = 10.0;
+/// The largest such share.
 const MAX_USELESS_SHARE: f64 = 0.5;
-/// How far a server is taken to go over its ceiling for those that migrate.
+/// Slots that a migrated connection is taken to need beyond the ceiling of its next server.
 const MIGRATION_OVERFLOW_SLOTS: f64 = 4.0;
+/// The lowest priority weight that is taken for real: slots are divided by it.
 const MIN_PRIORITY_WEIGHT: f64 = 0.01;
 
-impl Balancer {
-    /// DEPARTURE: a server that has become too full gives up connections while others have room: those that
-    /// free the most slots for their worth, the group's included if it is the last of it here. Where messages
-    /// take many times their objective staying is worth nothing, and a good part leaves at each such report.
-    pub(super) fn migrate_some(&mut self, from: ServerId, lateness: f64) {
-        // Whoever is asked to come again would be rejected.
-        if self.is_endpoint_list_expired() {
-            return;
-        }
-        let may_migrate = |last: Option<Time>| last.is_none_or(|at| self.now.since(at) >= MIGRATION_INTERVAL);
-        let server = self.servers.get(&from).filter(|s| may_migrate(s.learned.last_migration));
-        let Some(server) = server else { return };
-        // Every balancer learns of an overloaded server; many that hold little each would empty it. One
-        // leaves for every few slots held here: as large a part of the whole at any number of balancers.
-        let proportional = (server.held.slots / SLOTS_PER_MIGRATION).clamp(0.0, 1.0);
-        let (mut useless, mut least) = (0.0, 0.0);
-        if lateness >= USELESS_MESSAGE_RATIO {
-            let share = (lateness / USELESS_SHARE_DIVISOR).min(MAX_USELESS_SHARE);
-            useless = server.held.established.len() as f64 * share;
-            // Some that leave make messages useful again for the rest.
-            least = proportional;
-        }
-        let wanted = f64::max(proportional, useless) + self.rng.random::<f64>();
-        let count = wanted.min(self.migration_room()).max(least) as usize;
-        for request in self.requests_by_relief(from).into_iter().take(count) {
-            self.servers.entry(from).and_modify(|s| s.learned.last_migration = Some(self.now));
-            self.requests.entry(request).and_modify(|r| r.migrating = true);
-            self.actions.push(Action::Migrate { request });
-        }
+/// Whether message times that take `lateness` times their objective make a server give up connections.
+pub fn is_overloaded(lateness: f64) -> bool {
+    lateness >= MIGRATION_LATENESS
+}
+
+/// When a connection was last asked to migrate away from a server.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LastMigration(Option<Time>);
+
+impl LastMigration {
+    /// What another process has learned.
+    pub fn new(at: Option<Time>) -> LastMigration {
+        LastMigration(at)
+    }
+
+    /// When it was, if there was any.
+    pub fn at(self) -> Option<Time> {
+        self.0
+    }
+
+    /// A connection is asked to migrate.
+    pub fn record(&mut self, now: Time) {
+        self.0 = Some(now);
     }
 
-    /// Room at sound servers for each overloaded one: every overloaded server may give up some, at every
-    /// balancer, and there must be room for all those.
-    fn migration_room(&self) -> f64 {
-        let (now, window) = (self.now, self.fault_window);
-        let (sound, overloaded): (Vec<_>, Vec<_>) =
-            self.serving().partition(|s| s.is_stable(now, window) && s.learned.consecutive_failures == 0);
-        let room = |s: &Server| {
-            let overflow = s.overflow_slots(now, window, MIGRATION_OVERFLOW_SLOTS);
-            (s.present_ceiling(&self.settings, now) + overflow - s.held.slots).max(0.0)
-        };
-        let ready = sound.into_iter().filter(|s| now >= s.learned.next_slow_start_send);
-        ready.map(room).sum::<f64>() / overloaded.len().max(1) as f64
+    /// Whether the effect of the last migration has had time to show.
+    pub fn allows_next(self, now: Time) -> bool {
+        self.0.is_none_or(|at| now.since(at) >= MIGRATION_INTERVAL)
+    }
+}
+
+/// The number of connections that are to leave a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MigrationNeed {
+    /// As many as are wanted, if there is spare capacity elsewhere.
+    wanted: f64,
+    /// As many as leave in any case.
+    least: f64,
+}
+
+impl MigrationNeed {
+    /// The need of a server whose messages take `lateness` times their objective; 0 if only its overload is known.
+    pub fn new(server: &Server, lateness: f64) -> MigrationNeed {
+        let occupied = server.connections.occupied_slots();
+        let proportional = (occupied / SLOTS_PER_MIGRATION).clamp(0.0, 1.0);
+        if lateness < USELESS_LATENESS {
+            return MigrationNeed { wanted: proportional, least: 0.0 };
+        }
+        let useless_share = (lateness / USELESS_SHARE_DIVISOR).min(MAX_USELESS_SHARE);
+        let useless = server.connections.established_count() as f64 * useless_share;
+        MigrationNeed { wanted: f64::max(proportional, useless), least: proportional }
     }
 
-    /// A server's connections that were not asked to migrate, those first that free the most for their worth.
-    fn requests_by_relief(&self, from: ServerId) -> Vec<RequestId> {
-        let Some(server) = self.servers.get(&from) else { return Vec::new() };
-        let relief = |id: &RequestId| {
-            let request = self.requests.get(id).filter(|r| !r.migrating)?;
-            // Worth alone does not show what becomes free: without measured loads all count alike.
-            let class = self.settings.class(request.class);
-            let class = class.filter(|_| self.connection_sizes.has_measurements());
-            let priority_weight = class.map_or(1.0, |c| c.priority_weight.max(MIN_PRIORITY_WEIGHT));
-            Some((server.held.slots_freed(request.group, request.slots) / priority_weight, *id))
-        };
-        let mut ranked: Vec<_> = server.held.established.iter().filter_map(relief).collect();
-        ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
-        ranked.into_iter().map(|(_, id)| id).collect()
+    /// The number of connections that leave. `random` is a draw from 0 to 1 that rounds up or down.
+    pub fn count(self, random: f64, spare_capacity: f64) -> usize {
+        (self.wanted + random).min(spare_capacity).max(self.least) as usize
     }
 }
+
+/// Slots at servers without failures and recent faults, for each server that has some.
+pub fn spare_capacity<'a>(
+    serving: impl Iterator<Item = &'a Server>,
+    settings: &Settings,
+    now: Time,
+    fault_window: FaultWindow,
+) -> f64 {
+    let is_sound =
+        |server: &&Server| server.limit.is_stable(now, fault_window) && !server.outlier.has_failures();
+    let (sound, overloaded): (Vec<_>, Vec<_>) = serving.partition(is_sound);
+    let spare_slots = |server: &Server| {
+        let ceiling = server.limit.ceiling() * server.slow_start.warmth(settings, now);
+        let overflow = server.limit.overflow_slots(now, fault_window, MIGRATION_OVERFLOW_SLOTS);
+        (ceiling + overflow - server.connections.occupied_slots()).max(0.0)
+    };
+    let ready = sound.into_iter().filter(|server| server.slow_start.is_ready(now));
+    ready.map(spare_slots).sum::<f64>() / overloaded.len().max(1) as f64
+}
+
+/// What the end of a connection relieves its server of: slots for each unit of priority weight. Where no loads are
+/// measured the weight does not show what becomes free, and all count alike: then it is none.
+pub fn relief(freed_slots: f64, priority_weight: Option<f64>) -> f64 {
+    let priority_weight = priority_weight.map_or(1.0, |weight| weight.max(MIN_PRIORITY_WEIGHT));
+    freed_slots / priority_weight
+}
--- /dev/null
+++ b/src/policy/observations.rs
@@ -0,0 +1,156 @@
+//! What is observed of servers, here and at other balancers, and what follows from it.
+//!
+//! The steps are here, in the order in which they happen; what each of them decides is in the module of its rule.
+
+use rand::Rng;
+
+use super::concurrency_limit::ReportedCapacity;
+use super::migration::{self, MigrationNeed};
+use super::probes::{self};
+use super::Balancer;
+use crate::types::{Action, LoadReport, Measurement, Micros, RequestId, ServerId};
+
+/// The lowest number of connections that is taken to fill this balancer's part of a server when a load report sets its
+/// ceiling: of many balancers each has next to nothing, against a few initial slots.
+const MIN_SLOTS_AT_CAPACITY: f64 = 4.0;
+
+impl Balancer {
+    /// Something was measured on an established connection.
+    pub(super) fn on_connection_measured(&mut self, id: RequestId, measurement: Measurement) {
+        let attempt = self.requests.get(id).and_then(|request| request.attempt);
+        let Some(server) = attempt.map(|attempt| attempt.endpoint.server) else { return };
+        match measurement {
+            Measurement::MessageTime(took) => self.on_message_time(server, took),
+            Measurement::Load(load) => self.on_load_measured(id, load),
+        }
+    }
+
+    /// A connection's load gives the slots that it occupies.
+    fn on_load_measured(&mut self, id: RequestId, load: f64) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(attempt) = request.attempt else { return };
+        if self.servers.get(attempt.endpoint.server).is_none() {
+            return;
+        }
+        let Some(slots) = self.connection_sizes.record(request.class, load) else { return };
+        if let Some(server) = self.servers.of_attempt(&attempt) {
+            server.connections.resize(slots - request.slots);
+        }
+        request.slots = slots;
+    }
+
+    /// A message on a connection of a server took this long.
+    fn on_message_time(&mut self, id: ServerId, took: Micros) {
+        let objective = self.settings.message_objective();
+        if objective.is_zero() {
+            return;
+        }
+        let Some(server) = self.servers.get_mut(id) else { return };
+        let lateness = took.as_f64() / objective.as_f64();
+        server.limit.on_message_time(self.now, server.connections.occupied_slots(), lateness);
+        if migration::is_overloaded(lateness) {
+            self.migrate_from(id, lateness);
+        }
+    }
+
+    /// Another balancer observed a fault of a server: slow messages, or a drop without a time. The fault counts from a
+    /// random time ahead, as all balancers receive this and must not all return at once.
+    pub(super) fn on_peer_observation(&mut self, id: ServerId, took: Option<Micros>) {
+        let objective = self.settings.message_objective().max(Micros(1));
+        let delay = self.settings.peer_observation_hold().as_f64() * self.rng.random::<f64>();
+        let fault_time = self.now.plus(Micros::from_f64(delay));
+        let Some(server) = self.servers.get_mut(id) else { return };
+        let occupied = server.connections.occupied_slots();
+        match took {
+            Some(took) => {
+                let lateness = took.as_f64() / objective.as_f64();
+                server.limit.on_peer_slow_messages(occupied, lateness, fault_time);
+            }
+            None => server.limit.on_peer_drop(occupied, fault_time),
+        }
+    }
+
+    /// A probe's load report came.
+    pub(super) fn on_load_report(&mut self, id: ServerId, report: Option<LoadReport>) {
+        let Some(report) = report.and_then(LoadReport::validated) else { return };
+        let Some(server) = self.servers.get_mut(id) else { return };
+        let occupied = server.connections.occupied_slots();
+        let Some(occupied_in_report) = server.load_reports.record(report, occupied) else { return };
+        self.update_connections_at_capacity(report.connections.is_some());
+        let slots_at_capacity = self.slow_start_budget.connections_at_capacity().max(MIN_SLOTS_AT_CAPACITY);
+        let reported =
+            ReportedCapacity { utilisation: report.utilisation, occupied_in_report, slots_at_capacity };
+        let Some(server) = self.servers.get_mut(id) else { return };
+        server.limit.on_load_report(self.now, self.fault_window, occupied, reported);
+        if report.utilisation >= 1.0 {
+            self.migrate_from(id, 0.0);
+        }
+    }
+
+    fn update_connections_at_capacity(&mut self, counts_all_balancers: bool) {
+        let serving = self.servers.serving();
+        let connections =
+            probes::connections_at_capacity(serving, counts_all_balancers, &self.settings, self.now);
+        if let Some(connections) = connections {
+            self.slow_start_budget.set_connections_at_capacity(connections);
+        }
+    }
+
+    /// Established connections pay for probes.
+    pub(super) fn send_probes(&mut self) {
+        let are_allowed = self.settings.probes && self.settings.probe_reports;
+        if !are_allowed || self.endpoint_lease.is_expired(self.now) {
+            return;
+        }
+        self.probe_credit.on_established(&self.settings, self.servers.len());
+        while self.probe_credit.spend() {
+            let least_recent =
+                self.servers.serving_mut().min_by_key(|server| server.load_reports.last_probe());
+            let Some(server) = least_recent else { return };
+            server.load_reports.on_probe_sent(self.now);
+            self.actions.push(Action::ProbeServer { server: server.entry.server });
+        }
+    }
+
+    /// A server is overloaded: asks some of its clients to reconnect. While the endpoint list is expired they would be
+    /// rejected.
+    fn migrate_from(&mut self, from: ServerId, lateness: f64) {
+        if self.endpoint_lease.is_expired(self.now) {
+            return;
+        }
+        let Some(server) =
+            self.servers.get(from).filter(|server| server.last_migration.allows_next(self.now))
+        else {
+            return;
+        };
+        let need = MigrationNeed::new(server, lateness);
+        let random = self.rng.random::<f64>();
+        let serving = self.servers.serving();
+        let spare = migration::spare_capacity(serving, &self.settings, self.now, self.fault_window);
+        let migrating = self.connections_by_relief(from).into_iter().take(need.count(random, spare));
+        for id in migrating {
+            if let Some(server) = self.servers.get_mut(from) {
+                server.last_migration.record(self.now);
+            }
+            if let Some(request) = self.requests.get_mut(id) {
+                request.is_migrating = true;
+            }
+            self.actions.push(Action::Migrate { request: id });
+        }
+    }
+
+    /// A server's connections that were not asked to migrate, those first whose end relieves it most.
+    fn connections_by_relief(&self, from: ServerId) -> Vec<RequestId> {
+        let Some(server) = self.servers.get(from) else { return Vec::new() };
+        let has_loads = self.connection_sizes.has_measurements();
+        let relief = |id: RequestId| {
+            let request = self.requests.get(id).filter(|request| !request.is_migrating)?;
+            let class = self.settings.class(request.class).filter(|_| has_loads);
+            let freed_slots = server.connections.slots_to_free(request.group, request.slots);
+            Some((migration::relief(freed_slots, class.map(|class| class.priority_weight)), id))
+        };
+        let mut ranked: Vec<_> = server.connections.established().filter_map(relief).collect();
+        ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
+        ranked.into_iter().map(|(_, id)| id).collect()
+    }
+}
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,60 +1,112 @@
-//! Outlier detection: failing servers are ejected for a while, and return by single trials.
+//! Outlier detection: a server that fails is ejected for a while and comes back by single trials.
+//!
+//! **What is decided.** Whether a server may be selected at all, whatever its free slots are.
+//!
+//! **Inputs.** The outcome of each attempt (success, failure, no answer) and when it was sent.
+//!
+//! **Rule.** A failure adds two to the server's failure count, an established connection takes one away. With a count
+//! above zero the server is ejected, and after its ejection it gets one attempt at a time: a trial. The ejection is an
+//! exponential backoff with jitter: the connect timeout, doubled for each count, up to the duration of a slow start.
+//! Each trial begins a new ejection, so that trials are at least that far apart. Failures of attempts that were sent
+//! before the last failure count as one with it.
+//!
+//! **Why.** A server that drops what it has accepted always shows free slots and would get every connection. A failure
+//! counts twice what a success takes away, so that a server which accepts and then drops does not pass for healthy.
+//!
+//! The metric `ejected` counts servers that [`Balancer::is_avoided`](crate::Balancer::is_avoided) names.
 
-use super::*;
+use rand::Rng;
 
-/// A failure counts twice what a success takes back: who accepts and then drops must not pass for healthy.
+use crate::bookkeeping::jittered_backoff;
+use crate::types::{LearnedState, Micros, Settings, Time};
+
+/// What a failure adds to the count; a success takes one away.
 const FAILURE_STEP: u32 = 2;
-const MAX_CONSECUTIVE_FAILURES: u32 = 16;
-
-impl Balancer {
-    /// A failure ejects its server for a jittered time, twice as long for each further failure. It returns by
-    /// single trials that far apart, closer by half with each that is established.
-    pub(super) fn record_failure(&mut self, id: ServerId, sent_at: Time) {
-        // What was sent before the last failure shows nothing new: many that fail together are one.
-        let is_new = |s: &&mut Server| s.learned.last_failure.is_none_or(|at| sent_at > at);
-        let Some(server) = self.servers.get_mut(&id).filter(is_new) else { return };
-        let failures = server.learned.consecutive_failures + FAILURE_STEP;
-        server.learned.last_failure = Some(self.now);
-        server.learned.consecutive_failures = failures.min(MAX_CONSECUTIVE_FAILURES);
-        self.eject(id);
-    }
-
-    /// Keeps a failing server from trials for a while.
-    pub(super) fn eject(&mut self, id: ServerId) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        let Settings { connect_timeout, slow_start_duration, .. } = self.settings;
-        let (failures, max) = (server.learned.consecutive_failures, slow_start_duration.max(connect_timeout));
-        let wait = jittered_backoff(&mut self.rng, connect_timeout, failures, max);
-        server.learned.ejected_until = self.now.plus(wait);
-    }
-
-    /// When most of the fleet looks failed the fault may be here, or pass, and rejecting everything would be
-    /// worse. Then ejected servers are tried before their time, the longest ejected first.
-    pub(super) fn select_last_resort(&self, id: RequestId) -> Option<ServerId> {
-        let (request, now, window) = (self.requests.get(&id)?, self.now, self.fault_window);
-        // More load on a fleet that drops and rejects would keep it from ever recovering.
-        let is_silent = |s: &&Server| s.learned.consecutive_failures > 0 && s.is_stable(now, window);
-        if self.serving().filter(is_silent).count() * 2 <= self.serving().count() {
-            return None;
-        }
-        self.serving()
-            .filter(is_silent)
-            .filter(|s| s.held.connecting == 0 && now >= s.learned.next_slow_start_send)
-            .filter(|s| request.may_run_at(s, self.settings.idempotency(request.class), now))
-            .min_by_key(|s| s.learned.ejected_until)
-            .map(|s| s.entry.server)
+/// The highest failure count.
+const MAX_FAILURES: u32 = 16;
+
+/// How long ejections last.
+#[derive(Clone, Copy, Debug)]
+pub struct EjectionTimes {
+    /// The time that is doubled for each count of a failure.
+    pub initial: Micros,
+    /// The longest, before jitter.
+    pub max: Micros,
+}
+
+impl EjectionTimes {
+    /// The times that follow from the settings.
+    pub fn from_settings(settings: &Settings) -> EjectionTimes {
+        let initial = settings.connect_timeout;
+        EjectionTimes { initial, max: settings.slow_start_duration.max(initial) }
     }
 }
 
-impl Server {
-    /// Whether it has no failures, or may have a single trial.
-    pub(super) fn is_healthy(&self, now: Time) -> bool {
-        let may_be_tried = self.held.connecting == 0 && now >= self.learned.ejected_until;
-        self.learned.consecutive_failures == 0 || may_be_tried
+/// The failures of one server, and its ejection.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct OutlierDetector {
+    failures: u32,
+    last_failure: Option<Time>,
+    ejected_until: Time,
+}
+
+impl OutlierDetector {
+    /// What another process has learned.
+    pub fn from_learned(learned: &LearnedState) -> OutlierDetector {
+        let LearnedState { consecutive_failures: failures, last_failure, ejected_until, .. } = *learned;
+        OutlierDetector { failures, last_failure, ejected_until }
+    }
+
+    /// The failure count: two for each failure, less one for each success since.
+    pub fn failures(&self) -> u32 {
+        self.failures
+    }
+
+    /// When the server last failed.
+    pub fn last_failure(&self) -> Option<Time> {
+        self.last_failure
+    }
+
+    /// Before this time a server with failures gets no trial.
+    pub fn ejected_until(&self) -> Time {
+        self.ejected_until
+    }
+
+    /// Whether the server has failures that no success has made up for. Its next attempt is a trial.
+    pub fn has_failures(&self) -> bool {
+        self.failures > 0
+    }
+
+    /// Whether the server may be selected: it has no failures, or may have a trial.
+    pub fn is_eligible(&self, now: Time, is_connecting: bool) -> bool {
+        !self.has_failures() || (!is_connecting && now >= self.ejected_until)
+    }
+
+    /// An attempt that was sent at `sent_at` failed: ejects the server.
+    pub fn on_failure(&mut self, now: Time, sent_at: Time, times: EjectionTimes, rng: &mut impl Rng) {
+        let is_known = self.last_failure.is_some_and(|at| sent_at <= at);
+        if is_known {
+            return;
+        }
+        self.last_failure = Some(now);
+        self.failures = (self.failures + FAILURE_STEP).min(MAX_FAILURES);
+        self.eject(now, times, rng);
+    }
+
+    /// An attempt starts; if it is a trial, the next one has to wait.
+    pub fn on_attempt_started(&mut self, now: Time, times: EjectionTimes, rng: &mut impl Rng) {
+        if self.has_failures() {
+            self.eject(now, times, rng);
+        }
+    }
+
+    /// A connection was established.
+    pub fn on_established(&mut self) {
+        self.failures = self.failures.saturating_sub(1);
     }
 
-    /// Whether it has not rejected, dropped or been slow within a fault window.
-    pub(super) fn is_stable(&self, now: Time, fault_window: Micros) -> bool {
-        self.learned.last_fault.is_none_or(|at| now.since(at) > fault_window)
+    fn eject(&mut self, now: Time, times: EjectionTimes, rng: &mut impl Rng) {
+        let wait = jittered_backoff(rng, times.initial, self.failures, times.max);
+        self.ejected_until = now.plus(wait);
     }
 }
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -1,68 +1,100 @@
-//! Probes: how many are sent, and what their load reports change.
+//! Probes: how many are sent, and what their load reports show of the size of servers.
+//!
+//! **What is decided.** When a server is asked for its load, and how many connections of this balancer a full server
+//! holds.
+//!
+//! **Inputs.** Established connections; the price of a probe for each request, as a fraction of the value of all
+//! requests; load reports: the utilisation (1 is full) and, if reported, the connections of all balancers.
+//!
+//! **Rule.** Each established connection earns credit for probes, a fixed small share of its value; a rejected one
+//! earns none. A whole credit sends a probe to the serving server that was probed least recently. The size of a server
+//! is what is held at all servers that have reported, over the sum of their utilisation, corrected for warmth.
+//!
+//! A report is some time old. What was held here when the previous report came is all that it surely contains, and a
+//! report that equals the previous one may be the same.
+//!
+//! What a report changes at its server is decided in `concurrency_limit`, and in `slow_start` for those that warm up.
 
-use super::*;
+use super::server::Server;
+use crate::types::{LoadReport, Settings, Time};
 
-/// Probes may cost this share of all worth.
-const PROBE_COST_SHARE: f64 = 0.004;
+/// The share of the value of all requests that probes may cost.
+const COST_SHARE: f64 = 0.004;
+/// The most probes for each established connection.
 const MAX_PROBES_PER_CONNECTION: f64 = 4.0;
-/// Reported utilisation up to which a ceiling lets a server fill: messages slow down before 1.
-const TARGET_UTILISATION: f64 = 0.85;
-/// Less reported utilisation in all shows nothing of how many connections fill a server.
+/// A lower sum of reported utilisation shows nothing of the size of servers.
 const MIN_TOTAL_UTILISATION: f64 = 0.1;
-/// The least number of connections that is taken to fill this balancer's part of a server.
-const MIN_CONNECTIONS_AT_CAPACITY: f64 = 4.0;
 
-impl Balancer {
-    /// Established connections pay for probes, a fixed small share of all worth; rejected ones do not.
-    pub(super) fn spend_probe_credit(&mut self) {
-        if !(self.settings.probes && self.settings.probe_reports) || self.is_endpoint_list_expired() {
-            return;
-        }
-        let cost = self.settings.probe_cost.max(PROBE_COST_SHARE / MAX_PROBES_PER_CONNECTION);
-        self.probe_credit = (self.probe_credit + PROBE_COST_SHARE / cost).min(self.servers.len() as f64);
-        while self.probe_credit >= 1.0 {
-            self.probe_credit -= 1.0;
-            let serving = self.servers.values_mut().filter(|s| s.is_serving());
-            let Some(server) = serving.min_by_key(|s| s.last_probe) else { return };
-            server.last_probe = Some(self.now);
-            self.actions.push(Action::ProbeServer { server: server.entry.server });
-        }
+/// Credit for probes, in probes.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ProbeCredit(f64);
+
+impl ProbeCredit {
+    /// A connection was established; there are `servers` servers, for which credit may be saved up.
+    pub fn on_established(&mut self, settings: &Settings, servers: usize) {
+        let cost = settings.probe_cost.max(COST_SHARE / MAX_PROBES_PER_CONNECTION);
+        self.0 = (self.0 + COST_SHARE / cost).min(servers as f64);
     }
 
-    /// A report sets the ceiling over what is held here by this balancer's part of the free capacity. The
-    /// part has a minimum: of many balancers' each is next to nothing, against a few initial slots.
-    pub(super) fn apply_load_report(&mut self, id: ServerId, report: Option<LoadReport>) {
-        let Some(report) = report.and_then(LoadReport::validated) else { return };
-        // A report is some time old, so what has come since the last one is not taken to be in it; and one
-        // equal to the last may be the same.
-        let is_new = |s: &&mut Server| s.last_report != Some(report);
-        let Some(server) = self.servers.get_mut(&id).filter(is_new) else { return };
-        server.last_report = Some(report);
-        let held_at_last = std::mem::replace(&mut server.held_at_last_report, server.held.slots);
-        let held_in_report = held_at_last.min(server.held.slots);
-        self.update_connections_at_capacity(report.connections.is_some());
-        let capacity = self.connections_at_capacity.max(MIN_CONNECTIONS_AT_CAPACITY);
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        if report.utilisation >= TARGET_UTILISATION {
-            server.decrease_ceiling(self.now, TARGET_UTILISATION / f64::max(1.0, report.utilisation));
-        } else if server.is_stable(self.now, self.fault_window) {
-            server.learned.ceiling = held_in_report + (TARGET_UTILISATION - report.utilisation) * capacity;
-        }
-        if report.utilisation >= 1.0 {
-            self.migrate_some(id, 0.0);
+    /// Spends the credit for one probe; false if there is not enough.
+    pub fn spend(&mut self) -> bool {
+        let is_enough = self.0 >= 1.0;
+        if is_enough {
+            self.0 -= 1.0;
         }
+        is_enough
     }
+}
+
+/// The probes of one server, and its last load report.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LoadReports {
+    last_probe: Option<Time>,
+    last_report: Option<LoadReport>,
+    /// Slots occupied when that report came.
+    occupied_at_last_report: f64,
+}
 
-    /// Estimates what fills a warm server, by the last reports of all.
-    fn update_connections_at_capacity(&mut self, counts_all_balancers: bool) {
-        let reported = || self.serving().filter_map(|s| Some((s, s.last_report?)));
-        let held = |s: &Server| s.held.established.len() as f64;
-        let connections: f64 = reported().map(|(s, r)| r.connections.unwrap_or(held(s))).sum();
-        let utilisation: f64 =
-            reported().map(|(s, r)| r.utilisation * s.warmth(&self.settings, self.now)).sum();
-        let balancers = if counts_all_balancers { self.settings.balancers.max(1) } else { 1 };
-        if utilisation >= MIN_TOTAL_UTILISATION {
-            self.connections_at_capacity = connections / utilisation / f64::from(balancers);
+impl LoadReports {
+    /// When the server was last probed.
+    pub fn last_probe(&self) -> Option<Time> {
+        self.last_probe
+    }
+
+    /// A probe is sent.
+    pub fn on_probe_sent(&mut self, now: Time) {
+        self.last_probe = Some(now);
+    }
+
+    /// A report came while `occupied` slots are occupied. Returns the slots that the report can already contain; none if
+    /// it equals the last one.
+    pub fn record(&mut self, report: LoadReport, occupied: f64) -> Option<f64> {
+        if self.last_report == Some(report) {
+            return None;
         }
+        self.last_report = Some(report);
+        let occupied_at_last_report = std::mem::replace(&mut self.occupied_at_last_report, occupied);
+        Some(occupied_at_last_report.min(occupied))
     }
 }
+
+/// This balancer's part of the connections at a full, warm server, by the last reports of all; none where these are too
+/// low to show it. `counts_all_balancers` tells whether reports count the connections of all balancers.
+pub fn connections_at_capacity<'a>(
+    serving: impl Iterator<Item = &'a Server> + Clone,
+    counts_all_balancers: bool,
+    settings: &Settings,
+    now: Time,
+) -> Option<f64> {
+    let reported = serving.filter_map(|server| Some((server, server.load_reports.last_report?)));
+    let established = |server: &Server| server.connections.established_count() as f64;
+    let connections: f64 = reported
+        .clone()
+        .map(|(server, report)| report.connections.unwrap_or_else(|| established(server)))
+        .sum();
+    let utilisation: f64 =
+        reported.map(|(server, report)| report.utilisation * server.slow_start.warmth(settings, now)).sum();
+    let balancers = if counts_all_balancers { settings.balancers.max(1) } else { 1 };
+    let is_meaningful = utilisation >= MIN_TOTAL_UTILISATION;
+    is_meaningful.then_some(connections / utilisation / f64::from(balancers))
+}
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,50 +1,60 @@
 //! The life of a request: admission, attempts and retries, and its one final answer.
+//!
+//! The steps are here, in the order in which they happen; what each of them decides is in the module of its rule.
 
-use super::*;
+use rand::Rng;
 
-/// What a ceiling keeps after a rejection or a drop: firm, as the server itself shows that it is too much.
-const REJECTION_FACTOR: f64 = 0.8;
-/// What it keeps after an attempt without an answer: only free slots are lost.
-const TIMEOUT_FACTOR: f64 = 1.0;
+use super::outlier_detection::EjectionTimes;
+use super::request::{Attempt, Request};
+use super::retry_policy::RetryState;
+use super::Balancer;
+use crate::bookkeeping::jittered;
+use crate::types::{Action, GroupId, Micros, Outcome, RefusalReason, RequestId, ServerId, Settings, Time};
 
 impl Balancer {
-    pub(super) fn admit_request(&mut self, id: RequestId, request: Request) {
-        if self.requests.contains_key(&id) {
+    /// A request arrived: it is admitted or shed.
+    pub(super) fn on_request_arrived(&mut self, id: RequestId, request: Request) {
+        if self.requests.contains(id) {
             return;
         }
-        self.deadlines.insert(AnswerDeadline { due: request.due, request: id });
-        self.requests.insert(id, request);
-        self.admission.raise(self.now, &self.settings);
-        // All that comes again at once would keep a session store in its queue for good.
-        match self.admission.share >= 1.0 || self.rng.random_bool(self.admission.share) {
-            true => self.continue_request(id),
-            false => self.send_final_answer(id, RefusalReason::AdmissionRate),
+        self.requests.insert_unanswered(id, request);
+        if self.admission_rate.admits(self.now, &self.settings, &mut self.rng) {
+            self.try_or_answer(id);
+        } else {
+            self.send_final_answer(id, RefusalReason::AdmissionRate);
         }
     }
 
-    /// A connection that was open at the start counts like one that was placed here.
-    pub(super) fn restore_connection(&mut self, id: RequestId, request: Request, at: ServerId) {
-        let is_new = !self.requests.contains_key(&id);
-        let Some(server) = self.servers.get_mut(&at).filter(|_| is_new) else { return };
-        server.held.take_slots(request.group, request.slots);
-        server.held.established.insert(id);
-        server.learned.ceiling = server.learned.ceiling.max(server.held.slots);
-        let attempt = Some(Attempt { established: true, ..server.new_attempt(0, Time(0)) });
+    /// A connection was established before this balancer started: it counts like one that was placed here.
+    pub(super) fn on_connection_restored(&mut self, id: RequestId, request: Request, at: ServerId) {
+        if self.requests.contains(id) {
+            return;
+        }
+        let Some(server) = self.servers.get_mut(at) else { return };
+        server.connections.restore(id, request.group, request.slots);
+        server.limit.on_connection_restored(server.connections.occupied_slots());
+        let mut retry = RetryState::default();
+        let attempt = Attempt {
+            number: retry.start_attempt(),
+            endpoint: server.entry,
+            incarnation: server.incarnation,
+            sent_at: Time(0),
+            fills_last_slot: false,
+            is_established: true,
+        };
         self.group_statistics.record(request.group.map(GroupId::short_hash));
-        self.requests.insert(id, Request { answered: true, attempts: 1, attempt, ..request });
+        self.requests.insert_answered(id, Request { retry, attempt: Some(attempt), ..request });
     }
 
-    /// The next step of a request without answer and without attempt in flight: an attempt, or the answer.
-    fn continue_request(&mut self, id: RequestId) {
-        let is_waiting = |r: &&Request| !r.answered && r.attempt.is_none();
-        let Some(request) = self.requests.get(&id).filter(is_waiting) else { return };
-        if self.now >= request.due {
-            return self.send_final_answer(id, RefusalReason::OutOfTime);
-        }
-        if request.attempts >= self.settings.max_attempts {
-            return self.send_final_answer(id, RefusalReason::AttemptsSpent);
-        }
-        if self.is_endpoint_list_expired() {
+    /// The next step of a request without an answer and without an attempt in flight: an attempt, or the answer.
+    fn try_or_answer(&mut self, id: RequestId) {
+        let is_pending = |request: &&Request| !request.is_answered && request.attempt.is_none();
+        let Some(request) = self.requests.get(id).filter(is_pending) else { return };
+        let refusal = request.retry.refusal(self.now, request.deadline, self.settings.max_attempts);
+        if let Some(reason) = refusal {
+            return self.send_final_answer(id, reason);
+        }
+        if self.endpoint_lease.is_expired(self.now) {
             return self.send_final_answer(id, RefusalReason::EndpointListExpired);
         }
         match self.select_server(id) {
@@ -53,155 +63,165 @@
         }
     }
 
-    /// The one place that starts attempts.
+    /// Starts an attempt; nothing else does.
     fn start_attempt(&mut self, id: RequestId, to: ServerId) {
-        let (interval, now) = (self.slow_start_interval(), self.now);
-        let list_time_left = self.endpoint_list_time_left();
-        let Some(server) = self.servers.get_mut(&to) else { return };
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let window_left = request.window_left(self.settings.idempotency(request.class), now);
+        let now = self.now;
+        let interval = self.slow_start_budget.pacing_interval(&self.settings);
+        let Some(server) = self.servers.get_mut(to) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let key_window_left = request.retry.key_window_left(self.settings.idempotency(request.class), now);
         // A connection may come up late: by then the server may drain, without a notification.
-        let within = window_left.into_iter().chain(list_time_left).min();
-        server.schedule_next_send(&self.settings, now, interval, interval);
-        server.held.take_slots(request.group, request.slots);
-        server.held.connecting += 1;
-        let is_trial = server.learned.consecutive_failures > 0;
-        let filled_last_slot = server.held.slots >= server.learned.ceiling;
-        request.attempt = Some(Attempt { filled_last_slot, ..server.new_attempt(request.attempts, now) });
-        request.attempts += 1;
-        // Given up half way, it is set up all the same, for nobody: twice the work, mostly in vain, for a
-        // slow session store. A server that is not there is known by the connection that cannot be opened.
-        let timeout = request.due.since(now).max(Micros(1));
-        self.actions.push(Action::StartAttempt { request: id, server: to, timeout, within });
-        if is_trial {
-            self.eject(to);
-        }
+        let write_timeout = key_window_left.into_iter().chain(self.endpoint_lease.time_left(now)).min();
+        server.slow_start.on_attempt_started(&self.settings, now, interval);
+        server.connections.start_attempt(request.group, request.slots);
+        request.attempt = Some(Attempt {
+            number: request.retry.start_attempt(),
+            endpoint: server.entry,
+            incarnation: server.incarnation,
+            sent_at: now,
+            fills_last_slot: server.connections.occupied_slots() >= server.limit.ceiling(),
+            is_established: false,
+        });
+        // An attempt has all of its client's time. Abandoned earlier, its set-up would still be served by the session
+        // store, for nobody, and the next attempt would join the same queue. A server that is not there is known by the
+        // connection that cannot be opened.
+        let timeout = request.deadline.since(now).max(Micros(1));
+        self.actions.push(Action::StartAttempt { request: id, server: to, timeout, within: write_timeout });
+        let times = EjectionTimes::from_settings(&self.settings);
+        server.outlier.on_attempt_started(now, times, &mut self.rng);
     }
 
-    /// The one place that answers. Rule 1: once; rule 2: rejected only where a retry is harmless.
+    /// Sends the final answer of a request that has no connection; nothing else does. It is sent once, and is a
+    /// rejection only where a retry is harmless.
     pub(super) fn send_final_answer(&mut self, id: RequestId, reason: RefusalReason) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.answered) else { return };
+        let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
         if let Some(Attempt { number: attempt, .. }) = request.attempt.filter(|_| self.settings.cancel) {
             self.actions.push(Action::CancelAttempt { request: id, attempt });
         }
-        // Rejected clients that are given one time come back as one wave. Two thirds are jittered up to all.
-        let longest = if self.settings.retry_after { self.settings.max_retry_after } else { Micros::ZERO };
-        let retry_after = jittered(&mut self.rng, longest * 2 / 3);
-        self.actions.push(match self.may_reject(id) {
-            true => Action::Reject { request: id, reason, retry_after },
-            false => Action::Fail { request: id, reason },
+        let retry_after = draw_retry_after(&self.settings, &mut self.rng);
+        self.actions.push(if self.may_reject(id) {
+            Action::Reject { request: id, reason, retry_after }
+        } else {
+            Action::Fail { request: id, reason }
         });
-        self.mark_answered(id);
+        self.requests.mark_answered(id);
     }
 
-    /// No answer is owed any more; what may remain is to wait for the attempt in flight.
-    pub(super) fn mark_answered(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.answered = true;
-        self.deadlines.remove(&AnswerDeadline { due: request.due, request: id });
-        if request.attempt.is_none() {
-            self.requests.remove(&id);
-        }
+    /// Whether a rejection, which promises that a retry is harmless, would be true for a request now.
+    pub fn may_reject(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        request.retry.may_reject(self.settings.idempotency(request.class), request.attempt.is_some())
     }
 
+    /// The connection of an attempt is established: that answers its request.
     pub(super) fn on_established(&mut self, id: RequestId, number: u32) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let is_pending = |a: &&mut Attempt| a.number == number && !a.established;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let is_pending = |attempt: &&mut Attempt| attempt.number == number && !attempt.is_established;
         let Some(attempt) = request.attempt.as_mut().filter(is_pending) else { return };
-        attempt.established = true;
-        let (setup_time, objective) = (self.now.since(attempt.sent_at), self.settings.setup_objective());
-        if let Some(server) = server_of(attempt, &mut self.servers) {
-            server.held.connecting -= 1;
-            server.held.established.insert(id);
-            server.learned.consecutive_failures = server.learned.consecutive_failures.saturating_sub(1);
-            if attempt.filled_last_slot {
-                server.learned.ceiling += 1.0;
+        attempt.is_established = true;
+        if let Some(server) = self.servers.of_attempt(attempt) {
+            server.connections.establish(id);
+            server.outlier.on_established();
+            if attempt.fills_last_slot {
+                server.limit.on_last_slot_established();
             }
         }
+        let setup_time = self.now.since(attempt.sent_at);
         self.group_statistics.record(request.group.map(GroupId::short_hash));
-        self.admission.last_failed_setup = None;
-        if objective > Micros::ZERO && setup_time > objective {
-            self.admission.decrease(self.now, Micros::ZERO, &self.settings);
+        let is_slow = self.admission_rate.on_setup_succeeded(self.now, setup_time, &self.settings);
+        if is_slow {
             self.actions.push(Action::ReportSlowSetup);
         }
-        self.mark_answered(id);
+        self.requests.mark_answered(id);
     }
 
+    /// An attempt ended, established or not. A request that is still owed its answer is tried again or answered.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32, outcome: Outcome, answered: bool) {
         if outcome == Outcome::Ok {
             self.on_established(id, number);
         }
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         // A late or repeated outcome must not release slots twice.
-        let Some(attempt) = request.attempt.take_if(|a| a.number == number) else { return };
-        request.last_server = Some(attempt.endpoint.server);
-        if !outcome.never_ran() {
-            request.may_have_run.get_or_insert(attempt);
-        }
-        let needs_answer = !(answered || request.answered);
-        let has_failed = !attempt.established && matches!(outcome, Outcome::TimedOut | Outcome::Error);
-        let is_correlated = has_failed && self.record_failed_setup(attempt.endpoint.server);
+        let Some(attempt) = request.attempt.take_if(|attempt| attempt.number == number) else { return };
+        request.retry.on_attempt_ended(attempt.endpoint, attempt.sent_at, outcome);
+        let needs_answer = !(answered || request.is_answered);
+        let is_correlated = self.record_setup_failure(&attempt, outcome);
         self.release_attempt(id, &attempt, outcome);
         if is_correlated {
-            self.admission.decrease(self.now, self.now.since(attempt.sent_at), &self.settings);
             self.actions.push(Action::ReportSlowSetup);
         }
-        match needs_answer {
-            false => self.mark_answered(id),
-            // What the servers share is not elsewhere, and each further attempt is in its queue.
-            true if is_correlated => self.send_final_answer(id, RefusalReason::CorrelatedFailure),
-            true => self.continue_request(id),
+        match (needs_answer, is_correlated) {
+            (false, _) => self.requests.mark_answered(id),
+            (true, true) => self.send_final_answer(id, RefusalReason::CorrelatedFailure),
+            (true, false) => self.try_or_answer(id),
         }
     }
 
-    /// Frees what an ended attempt held, and applies what its outcome shows of the server.
+    /// Whether the attempt failed to set up a connection, and that is correlated with another server's failure.
+    fn record_setup_failure(&mut self, attempt: &Attempt, outcome: Outcome) -> bool {
+        let has_failed = !attempt.is_established && matches!(outcome, Outcome::TimedOut | Outcome::Error);
+        let setup_time = self.now.since(attempt.sent_at);
+        let server = attempt.endpoint.server;
+        has_failed && self.admission_rate.on_setup_failed(self.now, server, setup_time, &self.settings)
+    }
+
+    /// Frees what an ended attempt occupied, and applies what its outcome shows of the server.
     fn release_attempt(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let Some(server) = server_of(attempt, &mut self.servers) else { return };
-        let now = self.now;
-        server.held.connecting -= u32::from(!attempt.established);
-        server.held.established.remove(&id);
-        server.held.free_slots(request.group, request.slots);
-        match (attempt.established, outcome) {
-            (_, Outcome::Rejected) | (true, Outcome::Reset) => server.decrease_ceiling(now, REJECTION_FACTOR),
-            (false, Outcome::TimedOut) => server.decrease_ceiling(now, TIMEOUT_FACTOR),
+        let Some(request) = self.requests.get(id) else { return };
+        let is_failure = is_server_failure(attempt, outcome, request.is_answered);
+        let Some(server) = self.servers.of_attempt(attempt) else { return };
+        if attempt.is_established {
+            server.connections.end_connection(id, request.group, request.slots);
+        } else {
+            server.connections.end_attempt(request.group, request.slots);
+        }
+        let occupied = server.connections.occupied_slots();
+        match (attempt.is_established, outcome) {
+            (_, Outcome::Rejected) | (true, Outcome::Reset) => {
+                server.limit.on_rejection_or_drop(self.now, occupied);
+            }
+            (false, Outcome::TimedOut) => server.limit.on_attempt_timed_out(self.now, occupied),
             _ => {}
         }
-        if attempt.established && outcome == Outcome::Reset && server.is_serving() {
+        if attempt.is_established && outcome == Outcome::Reset && server.is_serving() {
             self.actions.push(Action::ReportDrop { server: attempt.endpoint.server });
         }
-        // A server that drops what it has accepted always shows free slots, and would get every connection.
-        let is_failure = match outcome {
-            Outcome::Ok | Outcome::NotSent => false,
-            Outcome::Cancelled => !attempt.established && !request.answered,
-            _ => true,
-        };
         if is_failure {
-            self.record_failure(attempt.endpoint.server, attempt.sent_at);
+            self.record_server_failure(attempt.endpoint.server, attempt.sent_at);
         }
     }
 
-    /// Rule 2: whether a rejection, which promises that a retry is harmless, would be true.
-    pub fn may_reject(&self, id: RequestId) -> bool {
-        let Some(request) = self.requests.get(&id) else { return false };
-        match self.settings.idempotency(request.class) {
-            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
-            _ => request.may_have_run.is_none() && request.attempt.is_none(),
+    /// Answers the requests whose deadline has come. A server that has not answered by then has failed.
+    pub(super) fn answer_overdue_requests(&mut self) {
+        while let Some(id) = self.requests.next_overdue(self.now) {
+            if let Some(silent) = self.requests.get(id).and_then(|request| request.attempt) {
+                self.record_server_failure(silent.endpoint.server, silent.sent_at);
+            }
+            self.send_final_answer(id, RefusalReason::OutOfTime);
+        }
+    }
+
+    fn record_server_failure(&mut self, id: ServerId, sent_at: Time) {
+        let times = EjectionTimes::from_settings(&self.settings);
+        if let Some(server) = self.servers.get_mut(id) {
+            server.outlier.on_failure(self.now, sent_at, times, &mut self.rng);
         }
     }
 }
 
-impl Request {
-    /// Rule 2: once an attempt may have run, another goes only where it has no second effect.
-    pub(super) fn may_run_at(&self, server: &Server, idempotency: Idempotency, now: Time) -> bool {
-        let Some(first) = self.may_have_run.map(|attempt| attempt.endpoint) else { return true };
-        let recognises_key = match idempotency {
-            Idempotency::Idempotent => return true,
-            Idempotency::NotIdempotent => false,
-            Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
-            Idempotency::IdempotencyKey { scope: KeyScope::Zone, .. } => server.entry.zone == first.zone,
-            Idempotency::IdempotencyKey { scope: KeyScope::Cell, .. } => server.entry.cell == first.cell,
-        };
-        recognises_key && self.window_left(idempotency, now) > Some(Micros::ZERO)
+/// Whether an outcome counts as a failure of the server in outlier detection. A server that drops what it has accepted
+/// always shows free slots, and would otherwise get every connection.
+fn is_server_failure(attempt: &Attempt, outcome: Outcome, is_answered: bool) -> bool {
+    match outcome {
+        Outcome::Ok | Outcome::NotSent => false,
+        Outcome::Cancelled => !attempt.is_established && !is_answered,
+        _ => true,
     }
 }
+
+/// How long a rejected client should wait: two thirds of the longest wait, jittered up to all of it. Clients that are
+/// given one time come back as one wave. Zero where the settings allow no advice.
+fn draw_retry_after(settings: &Settings, rng: &mut impl Rng) -> Micros {
+    let longest = if settings.retry_after { settings.max_retry_after } else { Micros::ZERO };
+    jittered(rng, longest * 2 / 3)
+}
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,131 +1,193 @@
 //! Selection: which server gets a new connection.
+//!
+//! **What is decided.** One server of the candidates, or none; a request for which there is none is answered with
+//! [`RefusalReason::NoServer`](crate::RefusalReason::NoServer).
+//!
+//! **Inputs.** The candidates: servers that are listed as serving, are eligible by outlier detection, are not held back
+//! by slow start, and where the retry policy allows the request to run. For each its free slots, its overflow weight, its
+//! zone, and whether it holds the request's group. The choice changes no state.
+//!
+//! **Rule.** A server is drawn at random, in proportion to its free slots. Where no candidate has any, it is drawn in
+//! proportion to its overflow weight: its size over the square of what it holds, if it has had no fault within the fault
+//! window and the connection fits into its overflow. Two preferences narrow the draw:
+//!
+//! - *Group.* A group goes to candidates that hold it already, and otherwise to as many servers as it fills by its share
+//!   of all connections. Which ones is decided by a draw for group and server alone, weighted by the free slots, so that
+//!   balancers which see similar slots choose the same.
+//! - *Zone.* Where crossing zones has a cost, servers of the local zone come first while they hold little more than the
+//!   mean of all servers. The overflow draw has no such preference.
+//!
+//! Where most of the fleet looks failed, ejected servers are tried before their time as a last resort, the one with the
+//! earliest end of its ejection first.
+//!
+//! **Why.** Drawing in proportion to free slots is the "simple balancing" of "Insensitive Load Balancing" (Bonald,
+//! Jonckheere, Proutière, 2004): the fraction of blocked customers depends on the mean load alone, not on its
+//! distribution. There, customers are alike. Here connections differ in size, share the work of their group, and may
+//! cross zones.
 
-use super::*;
+use rand_pcg::Pcg64Mcg;
 
-/// A server of the local zone comes first while it holds less than so many times the mean, and a few slots.
+use super::fault_window::{FaultWindow, FleetOccupancy};
+use super::server::Server;
+use crate::bookkeeping::{draw_weighted, exponential_for};
+use crate::types::{GroupId, ServerId, Settings, Time, ZoneId};
+
+/// A server of the local zone comes first while it occupies at most so many times the mean of all servers...
 const LOCAL_ZONE_MEAN_FACTOR: f64 = 1.25;
+/// ...and so many slots.
 const LOCAL_ZONE_EXTRA_SLOTS: f64 = 4.0;
-/// The fault window is at most so many times the longest wait of rejected clients.
-const MAX_FAULT_WINDOW_FACTOR: f64 = 4.0;
-
-/// Slots held at all serving servers, and how many servers those are.
-#[derive(Clone, Copy, Default)]
-pub(super) struct Totals {
-    pub(super) held: f64,
-    pub(super) servers: f64,
-}
 
-/// A server that is ready for the request.
-struct Candidate {
+/// A server that is ready for a request.
+#[derive(Clone, Copy, Debug)]
+pub struct Candidate {
     server: ServerId,
-    in_local_zone: bool,
-    /// Slots held there.
-    held: f64,
-    shares_group: bool,
-    free: f64,
-    /// Its share when no server has free slots: the less the more it holds for its size.
+    zone: ZoneId,
+    occupied_slots: f64,
+    /// It holds connections of the request's group.
+    holds_group: bool,
+    free_slots: f64,
+    /// Its weight when no candidate has free slots; 0 if it may not exceed its ceiling.
     overflow_weight: f64,
 }
 
-/// What narrows the choice among candidates.
-#[derive(Clone, Copy)]
-struct Preferences {
+/// What a request asks of its server.
+#[derive(Clone, Copy, Debug)]
+pub struct Demand {
+    /// The group of its connection, if any.
+    pub group: Option<GroupId>,
+    /// Slots of its connection, without those of its group.
+    pub slots: f64,
+}
+
+impl Candidate {
+    /// A server as a candidate for a request.
+    pub fn new(
+        server: &Server,
+        demand: Demand,
+        settings: &Settings,
+        now: Time,
+        fault_window: FaultWindow,
+    ) -> Candidate {
+        let connections = &server.connections;
+        let occupied = connections.occupied_slots();
+        let needed = connections.slots_to_occupy(demand.group, demand.slots);
+        let limit = &server.limit;
+        let overflow_limit = limit.ceiling() + limit.overflow_slots(now, fault_window, needed);
+        let may_overflow = limit.is_stable(now, fault_window) && occupied + needed <= overflow_limit;
+        let overflow_weight = server.entry.valid_weight() / (1.0 + occupied).powi(2);
+        Candidate {
+            server: server.entry.server,
+            zone: server.entry.zone,
+            occupied_slots: occupied,
+            holds_group: connections.contains_group(demand.group),
+            free_slots: limit.free_slots(occupied, server.slow_start.warmth(settings, now), needed),
+            overflow_weight: if may_overflow { overflow_weight } else { 0.0 },
+        }
+    }
+}
+
+/// What narrows the draw among candidates.
+#[derive(Clone, Copy, Debug)]
+pub struct Preferences {
     group: Option<GroupId>,
     /// As many servers as the group fills by its share of all connections.
     group_servers: usize,
-    /// The most slots that a server of the local zone holds to come first; none where zones are alike.
-    local_zone_limit: Option<f64>,
+    local_zone: Option<LocalZone>,
+}
+
+/// The zone whose servers come first, and the most slots that these may occupy for that.
+#[derive(Clone, Copy, Debug)]
+struct LocalZone {
+    zone: ZoneId,
+    max_occupied_slots: f64,
 }
 
-impl Balancer {
-    /// DEPARTURES: a group goes to servers with room that hold it already, and else to as many as it fills,
-    /// the same at every balancer; where crossing zones costs, the local zone's with room come first.
-    pub(super) fn select_server(&mut self, id: RequestId) -> Option<ServerId> {
-        let (candidates, totals) = self.collect_candidates(id)?;
-        self.update_fault_window(totals);
-        let group = self.requests.get(&id)?.group;
-        let servers = |group| (self.group_statistics.share(group) * totals.servers).ceil().max(1.0) as usize;
-        let group_servers = group.map_or(0, servers);
-        // Ceilings rise with what is accepted. Were the local zone always first, all that returns at once
-        // after a restart would end there; a few connections more than elsewhere are worth a crossing.
-        let mean_held = LOCAL_ZONE_MEAN_FACTOR * totals.held / f64::max(totals.servers, 1.0);
-        let zones_differ = self.settings.cross_zone_cost > 0.0;
-        let local_zone_limit = zones_differ.then_some(mean_held + LOCAL_ZONE_EXTRA_SLOTS);
-        let preferences = Preferences { group, group_servers, local_zone_limit };
-        let in_overflow = Preferences { local_zone_limit: None, ..preferences };
-        let free = preferences.draw(&mut self.rng, &candidates, |c| c.free);
-        free.or_else(|| in_overflow.draw(&mut self.rng, &candidates, |c| c.overflow_weight))
-            .or_else(|| self.select_last_resort(id))
+impl Preferences {
+    /// The preferences for a connection whose group makes `group_share` (0 to 1) of all connections.
+    pub fn new(
+        group: Option<GroupId>,
+        group_share: f64,
+        fleet: FleetOccupancy,
+        settings: &Settings,
+    ) -> Preferences {
+        let servers_filled = (group_share * fleet.servers).ceil().max(1.0) as usize;
+        let group_servers = if group.is_some() { servers_filled } else { 0 };
+        // Ceilings rise with what is accepted. Were the local zone always first, all clients that return at once after a
+        // restart would end there; a few connections more than elsewhere are worth the cost of a crossing.
+        let mean_limit = LOCAL_ZONE_MEAN_FACTOR * fleet.occupied_slots / f64::max(fleet.servers, 1.0);
+        let max_occupied_slots = mean_limit + LOCAL_ZONE_EXTRA_SLOTS;
+        let zones_differ = settings.cross_zone_cost > 0.0;
+        let local_zone = zones_differ.then_some(LocalZone { zone: settings.zone, max_occupied_slots });
+        Preferences { group, group_servers, local_zone }
+    }
+
+    /// Draws a server by free slots, and where no candidate has any by overflow weight.
+    pub fn select(self, rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<ServerId> {
+        let in_overflow = Preferences { local_zone: None, ..self };
+        let free = self.draw(rng, candidates, |candidate| candidate.free_slots);
+        free.or_else(|| in_overflow.draw(rng, candidates, |candidate| candidate.overflow_weight))
     }
 
-    fn collect_candidates(&mut self, id: RequestId) -> Option<(Vec<Candidate>, Totals)> {
-        let (slow_start_chance, interval) = (self.take_slow_start_chance(), self.slow_start_interval());
-        let (request, now, window) = (self.requests.get(&id)?, self.now, self.fault_window);
-        let idempotency = self.settings.idempotency(request.class);
-        let (mut candidates, mut totals) = (Vec::with_capacity(self.servers.len()), Totals::default());
-        for server in self.servers.values_mut().filter(|s| s.is_serving()) {
-            server.restore_ceiling(now, window);
-            totals.servers += 1.0;
-            totals.held += server.held.slots;
-            let warmth = server.warmth(&self.settings, now);
-            server.shorten_wait(now, interval);
-            let chance = slow_start_chance.filter(|_| warmth < 1.0).map(|chance| (chance * warmth).min(1.0));
-            let is_due = now >= server.learned.next_slow_start_send;
-            let is_ready = chance.map_or(is_due, |chance| self.rng.random_bool(chance));
-            let is_other = request.last_server != Some(server.entry.server);
-            let is_safe = is_other && request.may_run_at(server, idempotency, now);
-            if is_ready && is_safe && server.is_healthy(now) {
-                candidates.push(server.as_candidate(request, &self.settings, now, window));
-            }
+    fn draw(
+        self,
+        rng: &mut Pcg64Mcg,
+        candidates: &[Candidate],
+        weight: fn(&Candidate) -> f64,
+    ) -> Option<ServerId> {
+        let mut preferred: Vec<_> = candidates.iter().filter(|candidate| weight(candidate) > 0.0).collect();
+        if preferred.iter().any(|candidate| candidate.holds_group) {
+            preferred.retain(|candidate| candidate.holds_group);
+        } else if let Some(group) = self.group {
+            preferred = self.servers_for_group(group, preferred, weight);
         }
-        Some((candidates, totals))
+        if preferred.iter().any(|candidate| self.is_local(candidate)) {
+            preferred.retain(|candidate| self.is_local(candidate));
+        }
+        draw_weighted(rng, &preferred, |candidate| weight(candidate)).map(|candidate| candidate.server)
     }
 
-    /// One of many balancers learns seldom of each server, and they all would try it again at once: where
-    /// less is held, faults count for longer.
-    fn update_fault_window(&mut self, totals: Totals) {
-        self.peaks.held = self.peaks.held.max(totals.held);
-        self.peaks.servers = self.peaks.servers.max(totals.servers);
-        let factor = (totals.servers / totals.held).clamp(1.0, MAX_FAULT_WINDOW_FACTOR);
-        self.fault_window = Micros::from_f64(self.settings.max_retry_after.as_f64() * factor);
+    /// The servers that a group fills. Many balancers with a few connections each would otherwise spread a group over
+    /// the whole fleet, and every server would bear the work of every group.
+    fn servers_for_group(
+        self,
+        group: GroupId,
+        candidates: Vec<&Candidate>,
+        weight: fn(&Candidate) -> f64,
+    ) -> Vec<&Candidate> {
+        let rank = |candidate: &Candidate| exponential_for((group, candidate.server)) / weight(candidate);
+        let mut ranked: Vec<_> =
+            candidates.into_iter().map(|candidate| (rank(candidate), candidate)).collect();
+        ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
+        ranked.into_iter().take(self.group_servers).map(|(_, candidate)| candidate).collect()
     }
-}
 
-impl Server {
-    fn as_candidate(&self, request: &Request, settings: &Settings, now: Time, window: Micros) -> Candidate {
-        let slots = self.held.slots_taken(request.group, request.slots);
-        let limit = self.learned.ceiling + self.overflow_slots(now, window, slots);
-        let may_overflow = self.is_stable(now, window) && self.held.slots + slots <= limit;
-        let overflow_weight = self.entry.valid_weight() / (1.0 + self.held.slots).powi(2);
-        Candidate {
-            server: self.entry.server,
-            in_local_zone: self.entry.zone == settings.zone,
-            held: self.held.slots,
-            shares_group: self.held.contains_group(request.group),
-            free: self.free_slots(settings, now, slots),
-            overflow_weight: if may_overflow { overflow_weight } else { 0.0 },
-        }
+    fn is_local(self, candidate: &Candidate) -> bool {
+        self.local_zone.is_some_and(|local| {
+            candidate.zone == local.zone && candidate.occupied_slots <= local.max_occupied_slots
+        })
     }
 }
 
-impl Preferences {
-    fn draw(self, rng: &mut Pcg64Mcg, all: &[Candidate], weight: fn(&Candidate) -> f64) -> Option<ServerId> {
-        let mut fitting: Vec<_> = all.iter().filter(|c| weight(c) > 0.0).collect();
-        if fitting.iter().any(|c| c.shares_group) {
-            fitting.retain(|c| c.shares_group);
-        } else if let Some(group) = self.group {
-            // Many balancers with a few connections each would spread a group over the whole fleet, and every
-            // server would pay for every group. As many servers as it fills come first by free room and a
-            // draw by group and server alone: balancers that see similar rooms choose the same.
-            let rank = |c: &Candidate| exponential_for((group, c.server)) / weight(c);
-            let mut ranked: Vec<_> = fitting.into_iter().map(|c| (rank(c), c)).collect();
-            ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
-            fitting = ranked.into_iter().take(self.group_servers).map(|(_, c)| c).collect();
-        }
-        let is_first = |c: &&Candidate| c.in_local_zone && self.local_zone_limit.is_some_and(|m| c.held <= m);
-        if fitting.iter().any(is_first) {
-            fitting.retain(is_first);
-        }
-        draw_weighted(rng, &fitting, |c| weight(c)).map(|c| c.server)
+/// The ejected server to try before its time when nothing else is left; `may_run_at` is what the retry policy allows.
+///
+/// Where most of the servers that serve have failed without any other fault, the cause may be on this balancer's side,
+/// or pass, and rejecting everything would be worse. Servers that drop and reject are not tried: more load would keep
+/// them from ever recovering.
+pub fn select_last_resort<'a>(
+    serving: impl Iterator<Item = &'a Server> + Clone,
+    now: Time,
+    fault_window: FaultWindow,
+    may_run_at: impl Fn(&Server) -> bool,
+) -> Option<ServerId> {
+    let is_silent =
+        |server: &&Server| server.outlier.has_failures() && server.limit.is_stable(now, fault_window);
+    let silent = serving.clone().filter(is_silent);
+    if silent.clone().count() * 2 <= serving.count() {
+        return None;
     }
+    silent
+        .filter(|server| !server.connections.has_attempt_in_flight() && server.slow_start.is_ready(now))
+        .filter(|server| may_run_at(server))
+        .min_by_key(|server| server.outlier.ejected_until())
+        .map(|server| server.entry.server)
 }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -6,7 +6,7 @@
     CeilingIncrease, Decision, HoldTransition, Migration, RebalanceEvent, RebalanceMetrics, ServerSnapshot,
     SystemConditions,
 };
-use crate::{LearnedState, Micros, Occupancy, Outcome, ServerId, Time};
+use crate::{Micros, Occupancy, Outcome, ServerId, Time};
 
 use super::pool::Pool;
 
@@ -96,14 +96,14 @@
         });
         self.effects.extend(log_event.map(Effect::Log));
         for CeilingIncrease { server, ceiling } in decision.ceilings {
-            self.pools[pool_id].raise_ceiling(server, ceiling);
+            self.pools[pool_id].balancer.raise_ceiling(server, ceiling);
         }
         for server in decision.lowered {
-            self.pools[pool_id].lower_ceiling(server);
+            self.pools[pool_id].balancer.lower_ceiling_to_occupancy(server);
         }
         for Migration { connection: id, from: server } in decision.moves {
             self.migrate(now, id, Outcome::Cancelled);
-            self.pools[pool_id].lower_ceiling_after_migration(now, server);
+            self.pools[pool_id].balancer.on_migrated_for_balance(now, server);
         }
     }
 }
@@ -139,32 +139,4 @@
         let progress = now.since(started).as_f64() / settings.slow_start_duration.max(Micros(1)).as_f64();
         settings.slow_start_share + (1.0 - settings.slow_start_share) * progress
     }
-
-    fn raise_ceiling(&mut self, server: ServerId, ceiling: f64) {
-        if let Some(learned) = self.balancer.learned_state(server) {
-            let raised = LearnedState { ceiling: learned.ceiling.max(ceiling), ..learned };
-            self.balancer.restore_learned_state(server, raised);
-        }
-    }
-
-    /// Lowers a server's ceiling to what is in flight there.
-    fn lower_ceiling(&mut self, server: ServerId) {
-        if let Some(lowered) = self.with_lowered_ceiling(server) {
-            self.balancer.restore_learned_state(server, lowered);
-        }
-    }
-
-    /// The slot that a migration frees may be the only free one, and would draw the same client again.
-    fn lower_ceiling_after_migration(&mut self, now: Time, server: ServerId) {
-        if let Some(lowered) = self.with_lowered_ceiling(server) {
-            let lowered = LearnedState { last_migration: Some(now), ..lowered };
-            self.balancer.restore_learned_state(server, lowered);
-        }
-    }
-
-    fn with_lowered_ceiling(&self, server: ServerId) -> Option<LearnedState> {
-        let occupied_slots = self.balancer.occupancy(server)?.occupied_slots;
-        let learned = self.balancer.learned_state(server)?;
-        Some(LearnedState { ceiling: learned.ceiling.min(occupied_slots), ..learned })
-    }
 }
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -20,4 +20,3 @@
 pub use load::{LoadReport, Measurement};
 pub use settings::{Class, Idempotency, KeyScope, Settings, Tenant};
 pub use time::{Micros, Time};
-pub(crate) use watch_timing::Backoff;
--- a/tests/bookkeeping.rs
+++ b/tests/bookkeeping.rs
@@ -1,7 +1,8 @@
 //! What the decision module counts with, each part on its own.
 
 use connection_balancer::bookkeeping::*;
-use connection_balancer::{ClassId, GroupId, Idempotency, KeyScope, Micros, Time};
+use connection_balancer::policy::retry_policy::RetryState;
+use connection_balancer::{ClassId, EndpointEntry, GroupId, Idempotency, KeyScope, Micros, Outcome, Time};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -57,17 +58,16 @@
 #[test]
 fn a_group_costs_its_server_slots_once() {
     let group = Some(GroupId(3));
-    let mut held = HeldConnections::default();
-    held.connecting = 2;
-    held.take_slots(group, 1.0);
-    held.take_slots(group, 1.0);
-    assert_eq!((held.slots, held.slots_freed(group, 1.0)), (4.0, 1.0), "two connections and their group");
-    held.connecting = 1;
-    held.free_slots(group, 1.0);
-    assert_eq!((held.slots, held.slots_freed(group, 1.0)), (3.0, 3.0), "the last one frees the group's");
-    held.connecting = 0;
-    held.free_slots(group, 1.0);
-    assert_eq!((held.slots, held.contains_group(group)), (0.0, false));
+    let mut connections = ServerConnections::default();
+    connections.start_attempt(group, 1.0);
+    connections.start_attempt(group, 1.0);
+    let slots = (connections.occupied_slots(), connections.slots_to_free(group, 1.0));
+    assert_eq!(slots, (4.0, 1.0), "two connections and their group");
+    connections.end_attempt(group, 1.0);
+    let slots = (connections.occupied_slots(), connections.slots_to_free(group, 1.0));
+    assert_eq!(slots, (3.0, 3.0), "the last one frees the group's");
+    connections.end_attempt(group, 1.0);
+    assert_eq!((connections.occupied_slots(), connections.contains_group(group)), (0.0, false));
 }
 
 #[test]
@@ -88,9 +88,9 @@
 #[test]
 fn a_key_protects_from_a_second_effect_for_its_window_only() {
     let keyed = Idempotency::IdempotencyKey { scope: KeyScope::All, window: Micros(100) };
-    let first = Server::default().new_attempt(0, Time(1_000));
-    let request = Request { may_have_run: Some(first), ..Request::default() };
-    assert_eq!(request.window_left(keyed, Time(1_040)), Some(Micros(60)));
-    assert_eq!(request.window_left(keyed, Time(2_000)), Some(Micros::ZERO));
-    assert_eq!(request.window_left(Idempotency::Idempotent, Time(1_040)), None);
+    let mut retry = RetryState::default();
+    retry.on_attempt_ended(EndpointEntry::default(), Time(1_000), Outcome::TimedOut);
+    assert_eq!(retry.key_window_left(keyed, Time(1_040)), Some(Micros(60)));
+    assert_eq!(retry.key_window_left(keyed, Time(2_000)), Some(Micros::ZERO));
+    assert_eq!(retry.key_window_left(Idempotency::Idempotent, Time(1_040)), None);
 }
