--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -1,22 +1,23 @@
 //! Admission rate: fewer new connections are admitted while what all servers share is slow.
 //!
 //! **What is decided.** Whether a new request is admitted or shed at once, with
-//! [`RefusalReason::AdmissionRate`](crate::RefusalReason::AdmissionRate); and whether the failure of an attempt is
-//! correlated with another server's, so that its request ends with
+//! [`RefusalReason::AdmissionRate`](crate::RefusalReason::AdmissionRate); and whether the failure of an
+//! attempt is correlated with another server's, so that its request ends with
 //! [`RefusalReason::CorrelatedFailure`](crate::RefusalReason::CorrelatedFailure) in place of a retry.
 //!
-//! **Inputs.** The time from an attempt to its established connection against the tightest set-up objective of all
-//! classes (microseconds); attempts that had an error or no answer; other balancers' observations of the same.
+//! **Inputs.** The time from an attempt to its established connection against the tightest set-up objective
+//! of all classes (microseconds); attempts that had an error or no answer; other balancers' observations of
+//! the same.
 //!
-//! **Rule.** The rate is the share of new requests that is admitted, from 0 to 1. It is halved, or cut more where a
-//! set-up took over twice its objective, when a set-up is slow, when two servers fail to set up connections within one
-//! slow start, or when a peer observes either; but once in two set-up objectives only, as what was admitted before is
-//! still being set up. Then it rises evenly, from 0 to 1 in the duration of a slow start. It does not rise for a quarter
-//! of that after a failed set-up, until one succeeds.
+//! **Rule.** The rate is the share of new requests that is admitted, from 0 to 1. It is halved, or cut more
+//! where a set-up took over twice its objective, when a set-up is slow, when two servers fail to set up
+//! connections within one slow start, or when a peer observes either; but once in two set-up objectives only,
+//! as what was admitted before is still being set up. Then it rises evenly, from 0 to 1 in the duration of a
+//! slow start. It does not rise for a quarter of that after a failed set-up, until one succeeds.
 //!
-//! **Why.** The session store behind all servers serves set-ups in a queue. Once the queue is longer than clients wait,
-//! every set-up is in vain and the queue stays. One server that fails may have a fault of its own; two have more in
-//! common, and a retry elsewhere would only join the same queue.
+//! **Why.** The session store behind all servers serves set-ups in a queue. Once the queue is longer than
+//! clients wait, every set-up is in vain and the queue stays. One server that fails may have a fault of its
+//! own; two have more in common, and a retry elsewhere would only join the same queue.
 
 use rand::Rng;
 
@@ -79,8 +80,8 @@
         self.decrease(now, MAX_REMAINING_FACTOR, settings);
     }
 
-    /// A set-up failed after `setup_time`. Returns whether the failure is correlated with a recent one at another
-    /// server, which decreases the rate.
+    /// A set-up failed after `setup_time`. Returns whether the failure is correlated with a recent one at
+    /// another server, which decreases the rate.
     pub fn on_setup_failed(
         &mut self,
         now: Time,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,27 +1,30 @@
 //! The concurrency limit of a server: how many slots this balancer may occupy there.
 //!
-//! **What is decided.** Each server has a ceiling in slots (one slot is the load of a mean connection). It bounds what
-//! this balancer alone holds there. Free slots, the ceiling less the occupied slots, are the weights of selection.
+//! **What is decided.** Each server has a ceiling in slots (one slot is the load of a mean connection). It
+//! bounds what this balancer alone holds there. Free slots, the ceiling less the occupied slots, are the
+//! weights of selection.
 //!
-//! **Inputs.** The outcome of attempts, the time that messages take against the tightest objective of all classes (the
-//! lateness, a ratio), load reports, and what other balancers observed.
+//! **Inputs.** The outcome of attempts, the time that messages take against the tightest objective of all
+//! classes (the lateness, a ratio), load reports, and what other balancers observed.
 //!
 //! **Rule.** The ceiling begins with a few slots in proportion to the server's weight.
 //!
 //! - *Increase*: by one slot when the connection that occupied the last free slot is established.
-//! - *Decrease*: to a part of what is occupied when the server rejects or drops, and to what is occupied when an
-//!   attempt has no answer. There is no minimum: a server that dropped its last connection must not have a free slot
-//!   at once.
-//! - *Measurement*: a message time sets the ceiling to what is occupied, less the later messages are. A load report
-//!   sets it to what is occupied and this balancer's part of the capacity that is left.
-//! - *Recovery*: without a fault for a fault window, a ceiling below what is occupied rises by one slot, once in each
-//!   fault window; after four windows it rises to what is occupied.
+//! - *Decrease*: to a part of what is occupied when the server rejects or drops, and to what is occupied when
+//!   an attempt has no answer. There is no minimum: a server that dropped its last connection must not have a
+//!   free slot at once.
+//! - *Measurement*: a message time sets the ceiling to what is occupied, less the later messages are. A load
+//!   report sets it to what is occupied and this balancer's part of the capacity that is left.
+//! - *Recovery*: without a fault for a fault window, a ceiling below what is occupied rises by one slot, once
+//!   in each fault window; after four windows it rises to what is occupied.
 //!
-//! **Faults.** A rejection, a drop, an attempt without an answer, slow messages and a peer's observation of these are
-//! faults. Within the [`FaultWindow`] after one a server has no overflow: it takes nothing beyond its ceiling.
+//! **Faults.** A rejection, a drop, an attempt without an answer, slow messages and a peer's observation of
+//! these are faults. Within the [`FaultWindow`] after one a server has no overflow: it takes nothing beyond
+//! its ceiling.
 //!
-//! **Why.** "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004) takes the slots of each server as given.
-//! Here nobody knows them, so they are learned as a congestion window is: additive increase, multiplicative decrease.
+//! **Why.** "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004) takes the slots of each server
+//! as given. Here nobody knows them, so they are learned as a congestion window is: additive increase,
+//! multiplicative decrease.
 
 use super::fault_window::FaultWindow;
 use crate::types::{LearnedState, Micros, Time};
@@ -33,13 +36,13 @@
 const MAX_INITIAL_SLOTS: f64 = 16.0;
 /// What remains of a ceiling, as a factor, after a rejection or a drop.
 const REJECTION_FACTOR: f64 = 0.8;
-/// What remains of a ceiling, as a factor, after an attempt without an answer: only the free slots are lost, since
-/// silence does not show that the server has too much.
+/// What remains of a ceiling, as a factor, after an attempt without an answer: only the free slots are lost,
+/// since silence does not show that the server has too much.
 const TIMEOUT_FACTOR: f64 = 1.0;
 /// What remains of the free slots, as a factor, where another balancer observed a drop.
 const PEER_DROP_FREE_SLOTS_FACTOR: f64 = 0.5;
-/// Messages that take this part of their objective, as a ratio, show that the server is filling up: value is lost to
-/// slow messages long before a server rejects or drops.
+/// Messages that take this part of their objective, as a ratio, show that the server is filling up: value is
+/// lost to slow messages long before a server rejects or drops.
 const SLOW_MESSAGE_LATENESS: f64 = 1.0 / 3.0;
 /// Reported utilisation up to which a ceiling lets a server fill: messages become slow before it is 1.
 const TARGET_UTILISATION: f64 = 0.85;
@@ -88,9 +91,10 @@
         !self.had_fault_within(now, fault_window.length())
     }
 
-    /// Free slots for a connection that needs `needed` slots, at a server that is warm to the share `warmth`; 0 if the
-    /// connection does not fit. As in the paper's circuit networks, a customer that needs several slots gets all of
-    /// them or is blocked; but half of a server's slots are enough, or small servers would take none.
+    /// Free slots for a connection that needs `needed` slots, at a server that is warm to the share `warmth`;
+    /// 0 if the connection does not fit. As in the paper's circuit networks, a customer that needs several
+    /// slots gets all of them or is blocked; but half of a server's slots are enough, or small servers would
+    /// take none.
     pub fn free_slots(&self, occupied: f64, warmth: f64, needed: f64) -> f64 {
         let ceiling = self.ceiling * warmth;
         let free = ceiling - occupied;
@@ -104,9 +108,9 @@
 
     /// Slots by which the ceiling may be exceeded for one connection that needs `needed` slots.
     ///
-    /// It is the whole connection: a limit of one slot would keep a heavy connection, or the first of a group, from a
-    /// server without a known fault, and its ceiling from ever rising. A server with a fault not long ago is at its
-    /// limit, and gets one slot.
+    /// It is the whole connection: a limit of one slot would keep a heavy connection, or the first of a
+    /// group, from a server without a known fault, and its ceiling from ever rising. A server with a fault
+    /// not long ago is at its limit, and gets one slot.
     pub fn overflow_slots(&self, now: Time, fault_window: FaultWindow, needed: f64) -> f64 {
         let is_at_limit = self.had_fault_within(now, AT_LIMIT_FAULT_WINDOWS * fault_window.length());
         MIN_OVERFLOW_SLOTS.max(if is_at_limit { MIN_OVERFLOW_SLOTS } else { needed })
@@ -123,11 +127,6 @@
         self.ceiling = slots.clamp(MIN_INITIAL_SLOTS, MAX_INITIAL_SLOTS);
     }
 
-    /// A connection from before the start was found here: the server bears at least what is occupied.
-    pub fn on_connection_restored(&mut self, occupied: f64) {
-        self.raise_to(occupied);
-    }
-
     /// The connection that occupied the last free slot is established.
     pub fn on_last_slot_established(&mut self) {
         self.ceiling += 1.0;
@@ -145,8 +144,8 @@
 
     /// A message took `lateness` times its objective.
     ///
-    /// Each measurement is of what is occupied now. Decreased again from the last decrease, a ceiling would fall to
-    /// nothing while accumulated work is done, and stay there.
+    /// Each measurement is of what is occupied now. Decreased again from the last decrease, a ceiling would
+    /// fall to nothing while accumulated work is done, and stay there.
     pub fn on_message_time(&mut self, now: Time, occupied: f64, lateness: f64) {
         let is_slow = lateness >= SLOW_MESSAGE_LATENESS;
         let factor = if is_slow { 1.0 / (1.0 + lateness) } else { 1.0 };
@@ -156,8 +155,8 @@
         }
     }
 
-    /// Another balancer observed that messages take `lateness` times their objective: with what all balancers hold
-    /// there the server is at its limit. The fault counts from `fault_time`, which may lie ahead.
+    /// Another balancer observed that messages take `lateness` times their objective: with what all balancers
+    /// hold there the server is at its limit. The fault counts from `fault_time`, which may lie ahead.
     pub fn on_peer_slow_messages(&mut self, occupied: f64, lateness: f64, fault_time: Time) {
         if lateness >= SLOW_MESSAGE_LATENESS {
             self.ceiling = self.ceiling.min(occupied / (1.0 + lateness));
@@ -165,15 +164,16 @@
         }
     }
 
-    /// Another balancer observed a drop. The server has capacity again, but would get more than it bears if all
-    /// balancers went on as before. The fault counts from `fault_time`, which may lie ahead.
+    /// Another balancer observed a drop. The server has capacity again, but would get more than it bears if
+    /// all balancers went on as before. The fault counts from `fault_time`, which may lie ahead.
     pub fn on_peer_drop(&mut self, occupied: f64, fault_time: Time) {
         let free = (self.ceiling - occupied).max(0.0);
         self.ceiling = self.ceiling.min(occupied + free * PEER_DROP_FREE_SLOTS_FACTOR);
         self.last_fault = self.last_fault.max(Some(fault_time));
     }
 
-    /// A load report came. Above the target utilisation it is a fault; below, it sets the ceiling of a stable server.
+    /// A load report came. Above the target utilisation it is a fault; below, it sets the ceiling of a stable
+    /// server.
     pub fn on_load_report(
         &mut self,
         now: Time,
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Recovers from decreases that went below what the server turns out to bear; its connections' loads grow, too.
+    /// Recovers from decreases that went below what the server turns out to bear; its connections' loads
+    /// grow, too.
     pub fn recover(&mut self, now: Time, fault_window: FaultWindow, occupied: f64, is_connecting: bool) {
         let window = fault_window.length();
         let wanted = occupied.max(1.0);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Raises the ceiling to `slots`, if it is lower.
+    /// The server is taken to bear `slots`: raises the ceiling to it, if it is lower.
     pub fn raise_to(&mut self, slots: f64) {
         self.ceiling = self.ceiling.max(slots);
     }
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,19 +1,19 @@
 //! The lease on the endpoint list: for how long the list may be used without an answer of discovery.
 //!
 //! **What is decided.** Whether the list has expired. While it has, requests are rejected with
-//! [`RefusalReason::EndpointListExpired`](crate::RefusalReason::EndpointListExpired), no attempt is started, nobody is
-//! migrated and no server is probed; established connections stay.
+//! [`RefusalReason::EndpointListExpired`](crate::RefusalReason::EndpointListExpired), no attempt is started,
+//! nobody is migrated and no server is probed; established connections stay.
 //!
-//! **Inputs.** Each answer of discovery, with or without a change (a confirmation); a watch that gave no answer when one
-//! was expected, with the time of its call; a failed call, with what it shows of discovery.
+//! **Inputs.** Each answer of discovery, with or without a change (a confirmation); a watch that gave no
+//! answer when one was expected, with the time of its call; a failed call, with what it shows of discovery.
 //!
-//! **Rule.** A confirmation begins a lease of [`NOTIFICATION_TIMEOUT`]. A watch that falls silent leaves the lease to
-//! run out, counted from the earlier of its call and the last confirmation. Without a watch, or where discovery is down,
-//! the list does not expire.
+//! **Rule.** A confirmation begins a lease of [`NOTIFICATION_TIMEOUT`]. A watch that falls silent leaves the
+//! lease to run out, counted from the earlier of its call and the last confirmation. Without a watch, or
+//! where discovery is down, the list does not expire.
 //!
-//! **Why.** A watch that has fallen silent looks like one on which nothing happens. Whatever discovery lists counts as
-//! notified after the timeout, whether or not it arrived; from then on each listed server may be one that drains. While
-//! discovery is down it lists nothing new, and the old list is as good as any.
+//! **Why.** A watch that has fallen silent looks like one on which nothing happens. Whatever discovery lists
+//! counts as notified after the timeout, whether or not it arrived; from then on each listed server may be
+//! one that drains. While discovery is down it lists nothing new, and the old list is as good as any.
 
 use crate::types::{Micros, Time, WatchFailure};
 
@@ -46,8 +46,8 @@
         *self = EndpointLease::Confirmed { at: now };
     }
 
-    /// The watch whose call was made at `called_at` gave no answer. Where lists are pushed to an agent, the agent is
-    /// silent while discovery is down: that is assumed until the agent answers.
+    /// The watch whose call was made at `called_at` gave no answer. Where lists are pushed to an agent, the
+    /// agent is silent while discovery is down: that is assumed until the agent answers.
     pub fn on_watch_silent(&mut self, called_at: Time, is_pushed: bool) {
         let since = match *self {
             EndpointLease::Confirmed { at: earlier } | EndpointLease::Silent { since: earlier, .. } => {
@@ -58,8 +58,8 @@
         *self = EndpointLease::Silent { since, discovery_is_up: !is_pushed };
     }
 
-    /// A call failed. A silent watch stays silent, but the failure shows whether discovery runs; any other watch has
-    /// ended.
+    /// A call failed. A silent watch stays silent, but the failure shows whether discovery runs; any other
+    /// watch has ended.
     pub fn on_watch_failed(&mut self, failure: WatchFailure, is_pushed: bool) {
         let EndpointLease::Silent { discovery_is_up, .. } = self else {
             *self = EndpointLease::Unwatched;
--- a/src/policy/endpoint_watch.rs
+++ b/src/policy/endpoint_watch.rs
@@ -2,12 +2,12 @@
 //!
 //! **Inputs.** Failed calls; the settings' poll interval (microseconds) and the number of balancers.
 //!
-//! **Rule.** An exponential backoff with jitter. The first wait is the time in which discovery serves a call of every
-//! balancer, the longest is twice that; both have bounds.
+//! **Rule.** An exponential backoff with jitter. The first wait is the time in which discovery serves a call
+//! of every balancer, the longest is twice that; both have bounds.
 //!
-//! **Why.** Discovery serves calls one after the other. Where many balancers have failed together, calls that come back
-//! before they can be served delay each other without end. What an agent on the balancer's own machine has counts as
-//! notified whether or not a watch is open, so it is called within the drain grace.
+//! **Why.** Discovery serves calls one after the other. Where many balancers have failed together, calls that
+//! come back before they can be served delay each other without end. What an agent on the balancer's own
+//! machine has counts as notified whether or not a watch is open, so it is called within the drain grace.
 
 use rand::Rng;
 
@@ -21,8 +21,8 @@
 const MAX_INITIAL_WAIT_DIVISOR: u64 = 4;
 /// The longest wait, as a multiple of the time in which discovery serves a call of every balancer...
 const LONGEST_WAIT_FACTOR: u64 = 2;
-/// ...and its bounds. What discovery lists counts as notified 6 s after discovery can be reached again; jitter makes a
-/// wait up to half as long again, and an answer may take 2 s.
+/// ...and its bounds. What discovery lists counts as notified 6 s after discovery can be reached again;
+/// jitter makes a wait up to half as long again, and an answer may take 2 s.
 const LONGEST_WAIT_LOWER_BOUND: Micros = Micros::from_secs(1);
 const LONGEST_WAIT_UPPER_BOUND: Micros = Micros::from_millis(2500);
 /// The first and the longest wait where endpoints are pushed to an agent, as parts of the drain grace.
--- a/src/policy/fault_window.rs
+++ b/src/policy/fault_window.rs
@@ -1,14 +1,14 @@
 //! The fault window: how long a fault of a server counts as recent.
 //!
-//! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and what this balancer holds at all
-//! servers that serve, in slots.
+//! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and what this balancer
+//! holds at all servers that serve, in slots.
 //!
-//! **Rule.** The window is the longest wait of a rejected client, times the number of servers for each occupied slot,
-//! between one and four.
+//! **Rule.** The window is the longest wait of a rejected client, times the number of servers for each
+//! occupied slot, between one and four.
 //!
-//! **Why.** Clients that a fault turned away come back within their longest wait. Where the balancer holds less than
-//! one slot per server it is one of many, seldom learns of a server's fault, and all of them would try that server again
-//! at once.
+//! **Why.** Clients that a fault turned away come back within their longest wait. Where the balancer holds
+//! less than one slot per server it is one of many, seldom learns of a server's fault, and all of them would
+//! try that server again at once.
 
 use crate::types::Micros;
 
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -2,21 +2,22 @@
 //!
 //! **What is decided.** How many connections of a server are asked to reconnect, and which.
 //!
-//! **Inputs.** An observation that a server is overloaded: a message time of half its objective or more (the lateness, a
-//! ratio), or a load report of a full server. The slots that are occupied there, the spare capacity of servers without
-//! recent faults, and the priority weight of each connection's class.
+//! **Inputs.** An observation that a server is overloaded: a message time of half its objective or more (the
+//! lateness, a ratio), or a load report of a full server. The slots that are occupied there, the spare
+//! capacity of servers without recent faults, and the priority weight of each connection's class.
 //!
 //! **Rule.** At most every half a second, one connection for every eight occupied slots (with fewer, one with
-//! that probability), as far as there is spare capacity elsewhere. Spare capacity is divided by the number of servers that
-//! are not sound, since each of them may give up some at every balancer. Where messages take twice their objective or
-//! more, a tenth of the connections for each multiple of the objective leaves, up to half; there at least the one for
-//! every eight slots leaves even without spare capacity. Those leave first whose end frees the most slots for the
-//! priority weight, with the slots of their group if they are its last connection there.
+//! that probability), as far as there is spare capacity elsewhere. Spare capacity is divided by the number of
+//! servers that are not sound, since each of them may give up some at every balancer. Where messages take
+//! twice their objective or more, a tenth of the connections for each multiple of the objective leaves, up to
+//! half; there at least the one for every eight slots leaves even without spare capacity. Those leave first
+//! whose end frees the most slots for the priority weight, with the slots of their group if they are its last
+//! connection there.
 //!
-//! **Why.** The effect of a migration has to show before the next one is decided. Every balancer learns of an overloaded
-//! server, and many that hold little each would empty it together: in proportion to what is held, they move as large a
-//! part of the whole at any number of balancers. At twice the objective no message is in time, so that staying has no
-//! value, and messages become useful again for the rest once some have left.
+//! **Why.** The effect of a migration has to show before the next one is decided. Every balancer learns of an
+//! overloaded server, and many that hold little each would empty it together: in proportion to what is held,
+//! they move as large a part of the whole at any number of balancers. At twice the objective no message is in
+//! time, so that staying has no value, and messages become useful again for the rest once some have left.
 //!
 //! Migration for balance, without an overload, is decided in `src/rebalance/`.
 
@@ -82,7 +83,8 @@
 }
 
 impl MigrationNeed {
-    /// The need of a server whose messages take `lateness` times their objective; 0 if only its overload is known.
+    /// The need of a server whose messages take `lateness` times their objective; 0 if only its overload is
+    /// known.
     pub fn new(server: &Server, lateness: f64) -> MigrationNeed {
         let occupied = server.connections.occupied_slots();
         let proportional = (occupied / SLOTS_PER_MIGRATION).clamp(0.0, 1.0);
@@ -119,8 +121,8 @@
     ready.map(spare_slots).sum::<f64>() / overloaded.len().max(1) as f64
 }
 
-/// What the end of a connection relieves its server of: slots for each unit of priority weight. Where no loads are
-/// measured the weight does not show what becomes free, and all count alike: then it is none.
+/// What the end of a connection relieves its server of: slots for each unit of priority weight. Where no
+/// loads are measured the weight does not show what becomes free, and all count alike: then it is none.
 pub fn relief(freed_slots: f64, priority_weight: Option<f64>) -> f64 {
     let priority_weight = priority_weight.map_or(1.0, |weight| weight.max(MIN_PRIORITY_WEIGHT));
     freed_slots / priority_weight
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,14 @@
 //! The decisions of one balancer. Its vocabulary (settings, events, actions) is in `src/types/`.
 //!
-//! The mechanism is that of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004): each server has a slot
-//! ceiling y, and connections of this balancer occupy x slots there. A new connection goes to a random ready server, in
-//! proportion to its free slots max(0, y - x). Where no ready server has any, it goes beyond the ceiling of a server
-//! without recent faults; where there is none of those either, it is rejected at once. The ceilings are learned.
+//! The mechanism is that of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004): each server
+//! has a slot ceiling y, and connections of this balancer occupy x slots there. A new connection goes to a
+//! random ready server, in proportion to its free slots max(0, y - x). Where no ready server has any, it goes
+//! beyond the ceiling of a server without recent faults; where there is none of those either, it is rejected
+//! at once. The ceilings are learned.
 //!
-//! Each rule is a type with private state in a module of its own, whose head tells what is decided, from which inputs, by
-//! what rule, and why. [`Balancer`] holds these types; its handlers list the steps that follow from each event.
+//! Each rule is a type with private state in a module of its own, whose head tells what is decided, from
+//! which inputs, by what rule, and why. [`Balancer`] holds these types; its handlers list the steps that
+//! follow from each event.
 //!
 //! | module | what it decides |
 //! | --- | --- |
@@ -22,8 +24,10 @@
 //! | [`migration`] | how many connections leave an overloaded server |
 //! | [`probes`] | when servers are asked for their load |
 //!
-//! The others keep state for these: [`endpoint_list`] the servers, [`request`] the requests, [`server`] the parts of one
-//! server. `requests.rs` and `observations.rs` have the steps for requests and for what is observed of servers.
+//! The others keep state for these: [`endpoint_list`] the servers, [`request`] the requests, [`server`] the
+//! parts of one server. `requests.rs`, `placement.rs` and `observations.rs` have the steps for requests, for
+//! the choice of a server and for what is observed of servers; `host.rs` what the program around may ask and
+//! set.
 #![deny(missing_docs)]
 
 pub mod admission_rate;
@@ -32,9 +36,11 @@
 pub mod endpoint_list;
 pub mod endpoint_watch;
 pub mod fault_window;
+mod host;
 pub mod migration;
 mod observations;
 pub mod outlier_detection;
+mod placement;
 pub mod probes;
 pub mod request;
 mod requests;
@@ -43,22 +49,19 @@
 pub mod server;
 pub mod slow_start;
 
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 use self::admission_rate::AdmissionRate;
 use self::endpoint_lease::EndpointLease;
 use self::endpoint_list::ServerTable;
 use self::endpoint_watch::EndpointWatch;
-use self::fault_window::{FaultWindow, FleetOccupancy};
+use self::fault_window::FaultWindow;
 use self::probes::ProbeCredit;
 use self::request::{Request, RequestTable};
-use self::selection::{Candidate, Preferences};
 use self::slow_start::SlowStartBudget;
 use crate::bookkeeping::{ConnectionSizes, GroupStatistics};
-use crate::types::{
-    Action, Event, GroupHash, LearnedState, Occupancy, RequestId, ServerId, Settings, Time, WatchFailure,
-};
+use crate::types::{Action, Event, Settings, Time, WatchFailure};
 
 /// Decides for one balancer. Same settings, seed and events: same actions.
 pub struct Balancer {
@@ -186,74 +189,6 @@
         self.endpoint_watch.on_call_failed(self.now, &self.settings, &mut self.rng);
     }
 
-    /// Selects a server for a request: updates the servers' limits and waits, collects the candidates, and draws one.
-    fn select_server(&mut self, id: RequestId) -> Option<ServerId> {
-        self.update_servers();
-        let fleet = self.fleet_occupancy();
-        let candidates = self.collect_candidates(id);
-        self.slow_start_budget.record_occupancy(fleet);
-        self.fault_window.adapt(self.settings.max_retry_after, fleet);
-        let group = self.requests.get(id)?.group;
-        let group_share = group.map_or(0.0, |group| self.group_statistics.share(group));
-        let preferences = Preferences::new(group, group_share, fleet, &self.settings);
-        preferences.select(&mut self.rng, &candidates).or_else(|| self.select_last_resort(id))
-    }
-
-    /// Lets ceilings recover, and shortens waits of slow start that were set when less was known.
-    fn update_servers(&mut self) {
-        let interval = self.slow_start_budget.pacing_interval(&self.settings);
-        for server in self.servers.serving_mut() {
-            let occupied = server.connections.occupied_slots();
-            let is_connecting = server.connections.has_attempt_in_flight();
-            server.limit.recover(self.now, self.fault_window, occupied, is_connecting);
-            server.slow_start.tighten_pacing(self.now, interval);
-        }
-    }
-
-    fn fleet_occupancy(&self) -> FleetOccupancy {
-        let mut fleet = FleetOccupancy::default();
-        for server in self.servers.serving() {
-            fleet.servers += 1.0;
-            fleet.occupied_slots += server.connections.occupied_slots();
-        }
-        fleet
-    }
-
-    /// The servers that are ready for a request: slow start does not hold them back, the retry policy allows the request
-    /// to run there, and they are not ejected.
-    fn collect_candidates(&mut self, id: RequestId) -> Vec<Candidate> {
-        let now = self.now;
-        let serving_count = self.servers.serving().count();
-        let probability = self.slow_start_budget.admission_probability(now, serving_count, &self.settings);
-        let Some(request) = self.requests.get(id) else { return Vec::new() };
-        let idempotency = self.settings.idempotency(request.class);
-        let mut candidates = Vec::with_capacity(self.servers.len());
-        for server in self.servers.serving() {
-            let warmth = server.slow_start.warmth(&self.settings, now);
-            let is_ready = match probability.filter(|_| warmth < 1.0) {
-                Some(probability) => self.rng.random_bool((probability * warmth).min(1.0)),
-                None => server.slow_start.is_ready(now),
-            };
-            let is_connecting = server.connections.has_attempt_in_flight();
-            if is_ready
-                && request.retry.may_try(&server.entry, idempotency, now)
-                && server.outlier.is_eligible(now, is_connecting)
-            {
-                let demand = request.demand();
-                candidates.push(Candidate::new(server, demand, &self.settings, now, self.fault_window));
-            }
-        }
-        candidates
-    }
-
-    fn select_last_resort(&self, id: RequestId) -> Option<ServerId> {
-        let request = self.requests.get(id)?;
-        let idempotency = self.settings.idempotency(request.class);
-        selection::select_last_resort(self.servers.serving(), self.now, self.fault_window, |server| {
-            request.retry.may_run_at(&server.entry, idempotency, self.now)
-        })
-    }
-
     fn watch_endpoints(&mut self) {
         if self.endpoint_watch.begin_call(self.now) {
             self.actions.push(Action::WatchEndpoints);
@@ -271,76 +206,3 @@
         self.actions.push(Action::SetTimer(next.since(self.now)));
     }
 }
-
-/// What the host may ask and set.
-impl Balancer {
-    /// Whether anything may still come or go for a request; if not, the host can forget it.
-    pub fn is_tracked(&self, request: RequestId) -> bool {
-        self.requests.contains(request)
-    }
-
-    /// Slots occupied at a server and its ceiling: for gauges and tests.
-    pub fn occupancy(&self, server: ServerId) -> Option<Occupancy> {
-        self.servers.get(server).map(|server| Occupancy {
-            occupied_slots: server.connections.occupied_slots(),
-            ceiling: server.limit.ceiling(),
-        })
-    }
-
-    /// Groups of the connections that are established here, for other balancers.
-    pub fn established_groups(&self) -> impl Iterator<Item = GroupHash> + '_ {
-        let established = self.servers.iter().flat_map(|server| server.connections.established());
-        established.filter_map(|id| Some(self.requests.get(id)?.group?.short_hash()))
-    }
-
-    /// Until when the endpoint list may be used; none where it does not expire.
-    pub fn endpoint_list_expires_at(&self) -> Option<Time> {
-        self.endpoint_lease.expires_at()
-    }
-
-    /// Whether selection avoids a listed server now: it is ejected, or had a recent fault and has no free slot.
-    pub fn is_avoided(&self, now: Time, server: ServerId) -> bool {
-        let Some(server) = self.servers.get(server) else { return false };
-        let is_full = server.connections.occupied_slots() >= server.limit.ceiling();
-        let is_connecting = server.connections.has_attempt_in_flight();
-        !server.outlier.is_eligible(now, is_connecting)
-            || (is_full && !server.limit.is_stable(now, self.fault_window))
-    }
-
-    /// What was learned of a server, for a balancer that takes the place of this one.
-    pub fn learned_state(&self, server: ServerId) -> Option<LearnedState> {
-        self.servers.get(server).map(server::Server::learned_state)
-    }
-
-    /// Takes over what another balancer learned of a listed server.
-    pub fn restore_learned_state(&mut self, server: ServerId, learned: LearnedState) {
-        if let Some(server) = self.servers.get_mut(server) {
-            server.restore_learned_state(&learned);
-        }
-    }
-
-    /// Rebalancing raises a server's ceiling to `slots`, if it is lower.
-    pub fn raise_ceiling(&mut self, server: ServerId, slots: f64) {
-        if let Some(server) = self.servers.get_mut(server) {
-            server.limit.raise_to(slots);
-            server.slow_start.fix_wait();
-        }
-    }
-
-    /// Rebalancing lowers a server's ceiling to what is occupied there.
-    pub fn lower_ceiling_to_occupancy(&mut self, server: ServerId) {
-        if let Some(server) = self.servers.get_mut(server) {
-            server.limit.lower_to(server.connections.occupied_slots());
-            server.slow_start.fix_wait();
-        }
-    }
-
-    /// Rebalancing has migrated a connection away from a server. The slot that it frees may be the only free one, and
-    /// would draw the same client again.
-    pub fn on_migrated_for_balance(&mut self, now: Time, server: ServerId) {
-        self.lower_ceiling_to_occupancy(server);
-        if let Some(server) = self.servers.get_mut(server) {
-            server.last_migration.record(now);
-        }
-    }
-}
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -1,6 +1,7 @@
 //! What is observed of servers, here and at other balancers, and what follows from it.
 //!
-//! The steps are here, in the order in which they happen; what each of them decides is in the module of its rule.
+//! The steps are here, in the order in which they happen; what each of them decides is in the module of its
+//! rule.
 
 use rand::Rng;
 
@@ -10,8 +11,8 @@
 use super::Balancer;
 use crate::types::{Action, LoadReport, Measurement, Micros, RequestId, ServerId};
 
-/// The lowest number of connections that is taken to fill this balancer's part of a server when a load report sets its
-/// ceiling: of many balancers each has next to nothing, against a few initial slots.
+/// The lowest number of connections that is taken to fill this balancer's part of a server when a load report
+/// sets its ceiling: of many balancers each has next to nothing, against a few initial slots.
 const MIN_SLOTS_AT_CAPACITY: f64 = 4.0;
 
 impl Balancer {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Another balancer observed a fault of a server: slow messages, or a drop without a time. The fault counts from a
-    /// random time ahead, as all balancers receive this and must not all return at once.
+    /// Another balancer observed a fault of a server: slow messages, or a drop without a time. The fault
+    /// counts from a random time ahead, as all balancers receive this and must not all return at once.
     pub(super) fn on_peer_observation(&mut self, id: ServerId, took: Option<Micros>) {
         let objective = self.settings.message_objective().max(Micros(1));
         let delay = self.settings.peer_observation_hold().as_f64() * self.rng.random::<f64>();
@@ -112,8 +113,8 @@
         }
     }
 
-    /// A server is overloaded: asks some of its clients to reconnect. While the endpoint list is expired they would be
-    /// rejected.
+    /// A server is overloaded: asks some of its clients to reconnect. While the endpoint list is expired they
+    /// would be rejected.
     fn migrate_from(&mut self, from: ServerId, lateness: f64) {
         if self.endpoint_lease.is_expired(self.now) {
             return;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -4,27 +4,38 @@
 //!
 //! **Inputs.** The outcome of each attempt (success, failure, no answer) and when it was sent.
 //!
-//! **Rule.** A failure adds two to the server's failure count, an established connection takes one away. With a count
-//! above zero the server is ejected, and after its ejection it gets one attempt at a time: a trial. The ejection is an
-//! exponential backoff with jitter: the connect timeout, doubled for each count, up to the duration of a slow start.
-//! Each trial begins a new ejection, so that trials are at least that far apart. Failures of attempts that were sent
-//! before the last failure count as one with it.
+//! **Rule.** A failure adds two to the server's failure count, an established connection takes one away. With
+//! a count above zero the server is ejected, and after its ejection it gets one attempt at a time: a trial.
+//! The ejection is an exponential backoff with jitter: the connect timeout, doubled for each count, up to the
+//! duration of a slow start. Each trial begins a new ejection, so that trials are at least that far apart.
+//! Failures of attempts that were sent before the last failure count as one with it.
 //!
-//! **Why.** A server that drops what it has accepted always shows free slots and would get every connection. A failure
-//! counts twice what a success takes away, so that a server which accepts and then drops does not pass for healthy.
+//! **Why.** A server that drops what it has accepted always shows free slots and would get every connection.
+//! A failure counts twice what a success takes away, so that a server which accepts and then drops does not
+//! pass for healthy.
 //!
 //! The metric `ejected` counts servers that [`Balancer::is_avoided`](crate::Balancer::is_avoided) names.
 
 use rand::Rng;
 
 use crate::bookkeeping::jittered_backoff;
-use crate::types::{LearnedState, Micros, Settings, Time};
+use crate::types::{LearnedState, Micros, Outcome, Settings, Time};
 
 /// What a failure adds to the count; a success takes one away.
 const FAILURE_STEP: u32 = 2;
 /// The highest failure count.
 const MAX_FAILURES: u32 = 16;
 
+/// Whether the outcome of an attempt counts as a failure of its server. A cancelled attempt does, if its
+/// request was still owed an answer.
+pub fn is_server_failure(outcome: Outcome, was_established: bool, is_answered: bool) -> bool {
+    match outcome {
+        Outcome::Ok | Outcome::NotSent => false,
+        Outcome::Cancelled => !was_established && !is_answered,
+        _ => true,
+    }
+}
+
 /// How long ejections last.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionTimes {
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -1,19 +1,22 @@
 //! Probes: how many are sent, and what their load reports show of the size of servers.
 //!
-//! **What is decided.** When a server is asked for its load, and how many connections of this balancer a full server
-//! holds.
+//! **What is decided.** When a server is asked for its load, and how many connections of this balancer a full
+//! server holds.
 //!
-//! **Inputs.** Established connections; the price of a probe for each request, as a fraction of the value of all
-//! requests; load reports: the utilisation (1 is full) and, if reported, the connections of all balancers.
+//! **Inputs.** Established connections; the price of a probe for each request, as a fraction of the value of
+//! all requests; load reports: the utilisation (1 is full) and, if reported, the connections of all
+//! balancers.
 //!
-//! **Rule.** Each established connection earns credit for probes, a fixed small share of its value; a rejected one
-//! earns none. A whole credit sends a probe to the serving server that was probed least recently. The size of a server
-//! is what is held at all servers that have reported, over the sum of their utilisation, corrected for warmth.
+//! **Rule.** Each established connection earns credit for probes, a fixed small share of its value; a
+//! rejected one earns none. A whole credit sends a probe to the serving server that was probed least
+//! recently. The size of a server is what is held at all servers that have reported, over the sum of their
+//! utilisation, corrected for warmth.
 //!
-//! A report is some time old. What was held here when the previous report came is all that it surely contains, and a
-//! report that equals the previous one may be the same.
+//! A report is some time old. What was held here when the previous report came is all that it surely
+//! contains, and a report that equals the previous one may be the same.
 //!
-//! What a report changes at its server is decided in `concurrency_limit`, and in `slow_start` for those that warm up.
+//! What a report changes at its server is decided in `concurrency_limit`, and in `slow_start` for those that
+//! warm up.
 
 use super::server::Server;
 use crate::types::{LoadReport, Settings, Time};
@@ -66,8 +69,8 @@
         self.last_probe = Some(now);
     }
 
-    /// A report came while `occupied` slots are occupied. Returns the slots that the report can already contain; none if
-    /// it equals the last one.
+    /// A report came while `occupied` slots are occupied. Returns the slots that the report can already
+    /// contain; none if it equals the last one.
     pub fn record(&mut self, report: LoadReport, occupied: f64) -> Option<f64> {
         if self.last_report == Some(report) {
             return None;
@@ -78,8 +81,9 @@
     }
 }
 
-/// This balancer's part of the connections at a full, warm server, by the last reports of all; none where these are too
-/// low to show it. `counts_all_balancers` tells whether reports count the connections of all balancers.
+/// This balancer's part of the connections at a full, warm server, by the last reports of all; none where
+/// these are too low to show it. `counts_all_balancers` tells whether reports count the connections of all
+/// balancers.
 pub fn connections_at_capacity<'a>(
     serving: impl Iterator<Item = &'a Server> + Clone,
     counts_all_balancers: bool,
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -32,7 +32,8 @@
     pub class: ClassId,
     /// Its group, if any.
     pub group: Option<GroupId>,
-    /// Slots of its connection, without those of its group: its load over a mean connection's, as far as known.
+    /// Slots of its connection, without those of its group: its load over a mean connection's, as far as
+    /// known.
     pub slots: f64,
     /// When it is answered at the latest.
     pub deadline: Time,
@@ -95,7 +96,8 @@
         self.by_id.insert(id, Request { is_answered: true, ..request });
     }
 
-    /// No answer is owed any more. The request is forgotten, unless its attempt is still in flight or established.
+    /// No answer is owed any more. The request is forgotten, unless its attempt is still in flight or
+    /// established.
     pub fn mark_answered(&mut self, id: RequestId) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         request.is_answered = true;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,15 +1,13 @@
 //! The life of a request: admission, attempts and retries, and its one final answer.
 //!
-//! The steps are here, in the order in which they happen; what each of them decides is in the module of its rule.
+//! The steps are here, in the order in which they happen; what each of them decides is in the module of its
+//! rule.
 
-use rand::Rng;
-
-use super::outlier_detection::EjectionTimes;
+use super::outlier_detection::{is_server_failure, EjectionTimes};
 use super::request::{Attempt, Request};
-use super::retry_policy::RetryState;
+use super::retry_policy::{self, RetryState};
 use super::Balancer;
-use crate::bookkeeping::jittered;
-use crate::types::{Action, GroupId, Micros, Outcome, RefusalReason, RequestId, ServerId, Settings, Time};
+use crate::types::{Action, GroupId, Micros, Outcome, RefusalReason, RequestId, ServerId, Time};
 
 impl Balancer {
     /// A request arrived: it is admitted or shed.
@@ -32,7 +30,7 @@
         }
         let Some(server) = self.servers.get_mut(at) else { return };
         server.connections.restore(id, request.group, request.slots);
-        server.limit.on_connection_restored(server.connections.occupied_slots());
+        server.limit.raise_to(server.connections.occupied_slots());
         let mut retry = RetryState::default();
         let attempt = Attempt {
             number: retry.start_attempt(),
@@ -46,7 +44,8 @@
         self.requests.insert_answered(id, Request { retry, attempt: Some(attempt), ..request });
     }
 
-    /// The next step of a request without an answer and without an attempt in flight: an attempt, or the answer.
+    /// The next step of a request without an answer and without an attempt in flight: an attempt, or the
+    /// answer.
     fn try_or_answer(&mut self, id: RequestId) {
         let is_pending = |request: &&Request| !request.is_answered && request.attempt.is_none();
         let Some(request) = self.requests.get(id).filter(is_pending) else { return };
@@ -82,23 +81,23 @@
             fills_last_slot: server.connections.occupied_slots() >= server.limit.ceiling(),
             is_established: false,
         });
-        // An attempt has all of its client's time. Abandoned earlier, its set-up would still be served by the session
-        // store, for nobody, and the next attempt would join the same queue. A server that is not there is known by the
-        // connection that cannot be opened.
+        // An attempt has all of its client's time. Abandoned earlier, its set-up would still be served by the
+        // session store, for nobody, and the next attempt would join the same queue. A server that is not
+        // there is known by the connection that cannot be opened.
         let timeout = request.deadline.since(now).max(Micros(1));
         self.actions.push(Action::StartAttempt { request: id, server: to, timeout, within: write_timeout });
         let times = EjectionTimes::from_settings(&self.settings);
         server.outlier.on_attempt_started(now, times, &mut self.rng);
     }
 
-    /// Sends the final answer of a request that has no connection; nothing else does. It is sent once, and is a
-    /// rejection only where a retry is harmless.
+    /// Sends the final answer of a request that has no connection; nothing else does. It is sent once, and is
+    /// a rejection only where a retry is harmless.
     pub(super) fn send_final_answer(&mut self, id: RequestId, reason: RefusalReason) {
         let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
         if let Some(Attempt { number: attempt, .. }) = request.attempt.filter(|_| self.settings.cancel) {
             self.actions.push(Action::CancelAttempt { request: id, attempt });
         }
-        let retry_after = draw_retry_after(&self.settings, &mut self.rng);
+        let retry_after = retry_policy::draw_retry_after(&self.settings, &mut self.rng);
         self.actions.push(if self.may_reject(id) {
             Action::Reject { request: id, reason, retry_after }
         } else {
@@ -135,7 +134,8 @@
         self.requests.mark_answered(id);
     }
 
-    /// An attempt ended, established or not. A request that is still owed its answer is tried again or answered.
+    /// An attempt ended, established or not. A request that is still owed its answer is tried again or
+    /// answered.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32, outcome: Outcome, answered: bool) {
         if outcome == Outcome::Ok {
             self.on_established(id, number);
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Whether the attempt failed to set up a connection, and that is correlated with another server's failure.
+    /// Whether the attempt failed to set up a connection, and that is correlated with another server's
+    /// failure.
     fn record_setup_failure(&mut self, attempt: &Attempt, outcome: Outcome) -> bool {
         let has_failed = !attempt.is_established && matches!(outcome, Outcome::TimedOut | Outcome::Error);
         let setup_time = self.now.since(attempt.sent_at);
@@ -168,7 +169,7 @@
     /// Frees what an ended attempt occupied, and applies what its outcome shows of the server.
     fn release_attempt(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
         let Some(request) = self.requests.get(id) else { return };
-        let is_failure = is_server_failure(attempt, outcome, request.is_answered);
+        let is_failure = is_server_failure(outcome, attempt.is_established, request.is_answered);
         let Some(server) = self.servers.of_attempt(attempt) else { return };
         if attempt.is_established {
             server.connections.end_connection(id, request.group, request.slots);
@@ -208,20 +209,3 @@
         }
     }
 }
-
-/// Whether an outcome counts as a failure of the server in outlier detection. A server that drops what it has accepted
-/// always shows free slots, and would otherwise get every connection.
-fn is_server_failure(attempt: &Attempt, outcome: Outcome, is_answered: bool) -> bool {
-    match outcome {
-        Outcome::Ok | Outcome::NotSent => false,
-        Outcome::Cancelled => !attempt.is_established && !is_answered,
-        _ => true,
-    }
-}
-
-/// How long a rejected client should wait: two thirds of the longest wait, jittered up to all of it. Clients that are
-/// given one time come back as one wave. Zero where the settings allow no advice.
-fn draw_retry_after(settings: &Settings, rng: &mut impl Rng) -> Micros {
-    let longest = if settings.retry_after { settings.max_retry_after } else { Micros::ZERO };
-    jittered(rng, longest * 2 / 3)
-}
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -1,30 +1,40 @@
 //! Retry policy: where a request may be tried again, when that ends, and what its client is told.
 //!
-//! **What is decided.** Whether an attempt may go to a server; whether another attempt is made at all; and whether the
-//! final answer without a connection is a rejection (a retry is harmless) or a failure (no promise).
+//! **What is decided.** Whether an attempt may go to a server; whether another attempt is made at all; and
+//! whether the final answer without a connection is a rejection (a retry is harmless) or a failure (no
+//! promise).
 //!
-//! **Inputs.** What the settings say of the request's class: whether repeating it is idempotent, or idempotent by a key
-//! that every server, the servers of a zone or of a cell recognise for a window of time (microseconds). The outcomes of
-//! its earlier attempts. The number of attempts that the settings allow. The deadline of its answer.
+//! **Inputs.** What the settings say of the request's class: whether repeating it is idempotent, or
+//! idempotent by a key that every server, the servers of a zone or of a cell recognise for a window of time
+//! (microseconds). The outcomes of its earlier attempts. The number of attempts that the settings allow. The
+//! deadline of its answer.
 //!
 //! **Rule.**
 //!
-//! - An attempt *may have run* unless its outcome proves that the request had no effect: it was rejected, never sent, or
-//!   not connected.
-//! - Once one may have run, a retry goes only to servers where it has no second effect: anywhere if the request is
-//!   idempotent, and nowhere if it is not. With a key, to the servers that recognise the key, within its window, which is
-//!   counted from the first attempt that may have run.
+//! - An attempt *may have run* unless its outcome proves that the request had no effect: it was rejected,
+//!   never sent, or not connected.
+//! - Once one may have run, a retry goes only to servers where it has no second effect: anywhere if the
+//!   request is idempotent, and nowhere if it is not. With a key, to the servers that recognise the key,
+//!   within its window, which is counted from the first attempt that may have run.
 //! - A retry never goes to the server of the last attempt.
 //! - No attempt begins after the deadline, or beyond the allowed number.
-//! - The answer is a rejection if the request is idempotent, also by a key that every server recognises, or if no
-//!   attempt may have run and none is in flight. Otherwise it is a failure.
+//! - A rejection advises a wait before the retry, where the settings allow it: a third to all of the longest
+//!   wait.
+//! - The answer is a rejection if the request is idempotent, also by a key that every server recognises, or
+//!   if no attempt may have run and none is in flight. Otherwise it is a failure.
 //!
-//! **Why.** A rejection promises the client that a retry is harmless, so it has to be true whatever became of the
-//! attempts.
+//! **Why.** A rejection promises the client that a retry is harmless, so it has to be true whatever became of
+//! the attempts.
 
-use crate::types::{EndpointEntry, Idempotency, KeyScope, Micros, Outcome, RefusalReason, ServerId, Time};
+use rand::Rng;
 
-/// The part of a client's time, as a divisor, that is left when it is answered: the answer has to reach the client.
+use crate::bookkeeping::jittered;
+use crate::types::{
+    EndpointEntry, Idempotency, KeyScope, Micros, Outcome, RefusalReason, ServerId, Settings, Time,
+};
+
+/// The part of a client's time, as a divisor, that is left when it is answered: the answer has to reach the
+/// client.
 const ANSWER_TIME_DIVISOR: u64 = 64;
 
 /// When a request of a client that gives up at `client_deadline` is answered at the latest.
@@ -32,6 +42,14 @@
     client_deadline.minus(client_deadline.since(now) / ANSWER_TIME_DIVISOR)
 }
 
+/// How long a rejected client should wait before a retry: two thirds of the longest wait that clients honour,
+/// jittered up to all of it. Clients that are given one time come back as one wave. Zero where the settings
+/// allow no advice.
+pub fn draw_retry_after(settings: &Settings, rng: &mut impl Rng) -> Micros {
+    let longest = if settings.retry_after { settings.max_retry_after } else { Micros::ZERO };
+    jittered(rng, longest * 2 / 3)
+}
+
 /// An attempt that may have had its effect.
 #[derive(Clone, Copy, Debug)]
 struct PossibleRun {
@@ -78,8 +96,8 @@
         self.last_server != Some(server.server) && self.may_run_at(server, idempotency, now)
     }
 
-    /// Whether the request may run at a server, as far as its earlier attempts are concerned: a second run there has no
-    /// second effect.
+    /// Whether the request may run at a server, as far as its earlier attempts are concerned: a second run
+    /// there has no second effect.
     pub fn may_run_at(&self, server: &EndpointEntry, idempotency: Idempotency, now: Time) -> bool {
         let Some(PossibleRun { endpoint: first, .. }) = self.first_possible_run else { return true };
         let Idempotency::IdempotencyKey { scope, .. } = idempotency else {
@@ -93,8 +111,8 @@
         recognises_key && self.key_window_left(idempotency, now) > Some(Micros::ZERO)
     }
 
-    /// For how long servers still recognise the key of a request that may have run; none without a key, or if it cannot
-    /// have run.
+    /// For how long servers still recognise the key of a request that may have run; none without a key, or if
+    /// it cannot have run.
     pub fn key_window_left(&self, idempotency: Idempotency, now: Time) -> Option<Micros> {
         let Idempotency::IdempotencyKey { window, .. } = idempotency else { return None };
         self.first_possible_run.map(|run| window.saturating_sub(now.since(run.sent_at)))
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,29 +1,29 @@
 //! Selection: which server gets a new connection.
 //!
-//! **What is decided.** One server of the candidates, or none; a request for which there is none is answered with
-//! [`RefusalReason::NoServer`](crate::RefusalReason::NoServer).
+//! **What is decided.** One server of the candidates, or none; a request for which there is none is answered
+//! with [`RefusalReason::NoServer`](crate::RefusalReason::NoServer).
 //!
-//! **Inputs.** The candidates: servers that are listed as serving, are eligible by outlier detection, are not held back
-//! by slow start, and where the retry policy allows the request to run. For each its free slots, its overflow weight, its
-//! zone, and whether it holds the request's group. The choice changes no state.
+//! **Inputs.** The candidates: servers that are listed as serving, are eligible by outlier detection, are not
+//! held back by slow start, and where the retry policy allows the request to run. For each its free slots,
+//! its overflow weight, its zone, and whether it holds the request's group. The choice changes no state.
 //!
-//! **Rule.** A server is drawn at random, in proportion to its free slots. Where no candidate has any, it is drawn in
-//! proportion to its overflow weight: its size over the square of what it holds, if it has had no fault within the fault
-//! window and the connection fits into its overflow. Two preferences narrow the draw:
+//! **Rule.** A server is drawn at random, in proportion to its free slots. Where no candidate has any, it is
+//! drawn in proportion to its overflow weight: its size over the square of what it holds, if it has had no
+//! fault within the fault window and the connection fits into its overflow. Two preferences narrow the draw:
 //!
-//! - *Group.* A group goes to candidates that hold it already, and otherwise to as many servers as it fills by its share
-//!   of all connections. Which ones is decided by a draw for group and server alone, weighted by the free slots, so that
-//!   balancers which see similar slots choose the same.
-//! - *Zone.* Where crossing zones has a cost, servers of the local zone come first while they hold little more than the
-//!   mean of all servers. The overflow draw has no such preference.
+//! - *Group.* A group goes to candidates that hold it already, and otherwise to as many servers as it fills
+//!   by its share of all connections. Which ones is decided by a draw for group and server alone, weighted by
+//!   the free slots, so that balancers which see similar slots choose the same.
+//! - *Zone.* Where crossing zones has a cost, servers of the local zone come first while they hold little
+//!   more than the mean of all servers. The overflow draw has no such preference.
 //!
-//! Where most of the fleet looks failed, ejected servers are tried before their time as a last resort, the one with the
-//! earliest end of its ejection first.
+//! Where most of the fleet looks failed, ejected servers are tried before their time as a last resort, the
+//! one with the earliest end of its ejection first.
 //!
-//! **Why.** Drawing in proportion to free slots is the "simple balancing" of "Insensitive Load Balancing" (Bonald,
-//! Jonckheere, Proutière, 2004): the fraction of blocked customers depends on the mean load alone, not on its
-//! distribution. There, customers are alike. Here connections differ in size, share the work of their group, and may
-//! cross zones.
+//! **Why.** Drawing in proportion to free slots is the "simple balancing" of "Insensitive Load Balancing"
+//! (Bonald, Jonckheere, Proutière, 2004): the fraction of blocked customers depends on the mean load alone,
+//! not on its distribution. There, customers are alike. Here connections differ in size, share the work of
+//! their group, and may cross zones.
 
 use rand_pcg::Pcg64Mcg;
 
@@ -112,8 +112,9 @@
     ) -> Preferences {
         let servers_filled = (group_share * fleet.servers).ceil().max(1.0) as usize;
         let group_servers = if group.is_some() { servers_filled } else { 0 };
-        // Ceilings rise with what is accepted. Were the local zone always first, all clients that return at once after a
-        // restart would end there; a few connections more than elsewhere are worth the cost of a crossing.
+        // Ceilings rise with what is accepted. Were the local zone always first, all clients that return at
+        // once after a restart would end there; a few connections more than elsewhere are worth the cost of a
+        // crossing.
         let mean_limit = LOCAL_ZONE_MEAN_FACTOR * fleet.occupied_slots / f64::max(fleet.servers, 1.0);
         let max_occupied_slots = mean_limit + LOCAL_ZONE_EXTRA_SLOTS;
         let zones_differ = settings.cross_zone_cost > 0.0;
@@ -146,8 +147,8 @@
         draw_weighted(rng, &preferred, |candidate| weight(candidate)).map(|candidate| candidate.server)
     }
 
-    /// The servers that a group fills. Many balancers with a few connections each would otherwise spread a group over
-    /// the whole fleet, and every server would bear the work of every group.
+    /// The servers that a group fills. Many balancers with a few connections each would otherwise spread a
+    /// group over the whole fleet, and every server would bear the work of every group.
     fn servers_for_group(
         self,
         group: GroupId,
@@ -168,11 +169,12 @@
     }
 }
 
-/// The ejected server to try before its time when nothing else is left; `may_run_at` is what the retry policy allows.
+/// The ejected server to try before its time when nothing else is left; `may_run_at` is what the retry policy
+/// allows.
 ///
-/// Where most of the servers that serve have failed without any other fault, the cause may be on this balancer's side,
-/// or pass, and rejecting everything would be worse. Servers that drop and reject are not tried: more load would keep
-/// them from ever recovering.
+/// Where most of the servers that serve have failed without any other fault, the cause may be on this
+/// balancer's side, or pass, and rejecting everything would be worse. Servers that drop and reject are not
+/// tried: more load would keep them from ever recovering.
 pub fn select_last_resort<'a>(
     serving: impl Iterator<Item = &'a Server> + Clone,
     now: Time,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,4 +1,5 @@
-//! One server as this balancer sees it: its entry in the endpoint list, what it holds, and the state of each rule.
+//! One server as this balancer sees it: its entry in the endpoint list, what it holds, and the state of each
+//! rule.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::migration::LastMigration;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,38 +1,41 @@
-//! Slow start: a server that has just started is filled no faster than it warms up, by all balancers together.
+//! Slow start: a server that has just started is filled no faster than it warms up, by all balancers
+//! together.
 //!
 //! **What is decided.** When a server that warms up may get its next attempt from this balancer.
 //!
-//! **Inputs.** The server's start, from the endpoint list; the settings of slow start (initial share of its capacity,
-//! duration, the overload factor and the window in which more than that fails the server); the number of balancers;
-//! what this balancer has held at most; what load reports show of a full server.
+//! **Inputs.** The server's start, from the endpoint list; the settings of slow start (initial share of its
+//! capacity, duration, the overload factor and the window in which more than that fails the server); the
+//! number of balancers; what this balancer has held at most; what load reports show of a full server.
 //!
-//! **Warmth.** The share of its capacity, from 0 to 1, that a server surely has: it rises evenly from the initial share
-//! at its start to 1 after the duration of a slow start.
+//! **Warmth.** The share of its capacity, from 0 to 1, that a server surely has: it rises evenly from the
+//! initial share at its start to 1 after the duration of a slow start.
 //!
-//! **Rule.** A server is filled over its slow start up to the size that a server is taken to have: what load reports
-//! show, or else half of the most that was held per server on the mean. The pacing interval is the time between two
-//! attempts of this balancer at that rate, were the server warm; divided by the warmth it is the wait after each
-//! attempt. The first wait is a random part of it: balancers that learn of a server together must not begin together.
-//! When more becomes known and the interval shrinks, a wait that has begun shrinks with it.
+//! **Rule.** A server is filled over its slow start up to the size that a server is taken to have: what load
+//! reports show, or else half of the most that was held per server on the mean. The pacing interval is the
+//! time between two attempts of this balancer at that rate, were the server warm; divided by the warmth it is
+//! the wait after each attempt. The first wait is a random part of it: balancers that learn of a server
+//! together must not begin together. When more becomes known and the interval shrinks, a wait that has begun
+//! shrinks with it.
 //!
 //! Where the interval is longer than a whole slow start, this balancer's part of the server is less than one
-//! connection. Then no wait is kept; each selection admits the server with a probability in proportion to the time since
-//! the last selection, so that all balancers together send their sum on the mean.
+//! connection. Then no wait is kept; each selection admits the server with a probability in proportion to the
+//! time since the last selection, so that all balancers together send their sum on the mean.
 //!
-//! **Why.** A cold server shows all its slots free and would attract every connection. It fails when, within the window,
-//! it gets more than is due, three standard deviations and three connections; the pacing uses half of the deviations.
-//! The size is not what is held now: the fewer servers were left, the slower would new ones be filled.
+//! **Why.** A cold server shows all its slots free and would attract every connection. It fails when, within
+//! the window, it gets more than is due, three standard deviations and three connections; the pacing uses
+//! half of the deviations. The size is not what is held now: the fewer servers were left, the slower would
+//! new ones be filled.
 
 use rand::Rng;
 
 use super::fault_window::FleetOccupancy;
 use crate::types::{LearnedState, Micros, Settings, Time};
 
-/// The share, as a factor, that all balancers together use of a server's size where it is only estimated from what this
-/// balancer holds.
+/// The share, as a factor, that all balancers together use of a server's size where it is only estimated from
+/// what this balancer holds.
 const ESTIMATE_SAFETY_FACTOR: f64 = 0.5;
-/// Connections above what is due in a window that all balancers together may send: so many standard deviations (the
-/// square root of what is due)...
+/// Connections above what is due in a window that all balancers together may send: so many standard
+/// deviations (the square root of what is due)...
 const MARGIN_DEVIATIONS: f64 = 3.0 / 2.0;
 /// ...and so many connections.
 const MARGIN_CONNECTIONS: f64 = 3.0;
@@ -41,7 +44,8 @@
 /// The lowest warmth: waits are divided by it.
 const MIN_WARMTH: f64 = 0.01;
 
-/// The time between two attempts of this balancer to a server in slow start, in microseconds, were the server warm.
+/// The time between two attempts of this balancer to a server in slow start, in microseconds, were the server
+/// warm.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct PacingInterval(f64);
 
@@ -93,8 +97,8 @@
         PacingInterval(1.0 / (rate * size).max(MIN_ATTEMPTS / duration))
     }
 
-    /// The probability by which this selection may use a warm server, if this balancer's part of a server is less than
-    /// one connection in a whole slow start; none where servers are paced by waits.
+    /// The probability by which this selection may use a warm server, if this balancer's part of a server is
+    /// less than one connection in a whole slow start; none where servers are paced by waits.
     pub fn admission_probability(&mut self, now: Time, serving: usize, settings: &Settings) -> Option<f64> {
         let since_last_selection = now.since(std::mem::replace(&mut self.last_selection, now));
         let elapsed = since_last_selection.min(settings.slow_start_window).as_f64();
@@ -107,7 +111,8 @@
 /// The slow start of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// When its process started, or when it was first listed if the listed start lies ahead; none if long ago.
+    /// When its process started, or when it was first listed if the listed start lies ahead; none if long
+    /// ago.
     started_at: Option<Time>,
     /// While it warms up: no attempt before this.
     next_attempt_at: Time,
@@ -116,8 +121,8 @@
 }
 
 impl SlowStart {
-    /// The slow start of a process that started at `started_at`. A start that lies ahead, by another clock, would keep
-    /// the server cold until then.
+    /// The slow start of a process that started at `started_at`. A start that lies ahead, by another clock,
+    /// would keep the server cold until then.
     pub fn of_process(started_at: Option<Time>, now: Time) -> SlowStart {
         SlowStart { started_at: started_at.map(|at| at.min(now)), ..SlowStart::default() }
     }
@@ -168,8 +173,8 @@
         self.set_wait(settings, now, interval.0, interval);
     }
 
-    /// Shortens the present wait if the interval has become shorter: a wait that was computed when less was known of
-    /// the size of servers would keep a cold one empty.
+    /// Shortens the present wait if the interval has become shorter: a wait that was computed when less was
+    /// known of the size of servers would keep a cold one empty.
     pub fn tighten_pacing(&mut self, now: Time, interval: PacingInterval) {
         let Some(previous) = self.interval.filter(|previous| interval < *previous) else { return };
         let remaining = self.next_attempt_at.since(now).as_f64();
