--- a/tests/glossary.rs
+++ b/tests/glossary.rs
@@ -1,8 +1,10 @@
-//! `docs/glossary.md` leads from the operators' words to terms that the code uses.
+//! The pages lead from the operators' words, and from each reason of a refusal, to terms that the code uses.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
+use connection_balancer::RefusalReason;
+
 /// The words of the operators' list: each begins the first cell of a row, or is one of several there.
 const OPERATORS_WORDS: [&str; 35] = [
     "turned away",
@@ -129,3 +131,17 @@
         assert!(!row.terms.is_empty(), "{} leads nowhere", row.words);
     }
 }
+
+#[test]
+fn the_on_call_page_leads_from_each_refusal_reason_to_a_module() {
+    let page = repository_file("docs/oncall.md");
+    let rows = page.lines().filter(|line| line.starts_with("| `"));
+    let decided: BTreeSet<&str> = rows
+        .filter_map(|row| row.trim_start_matches("| ").split_once(" | "))
+        .filter(|(_, rest)| code_terms(rest).any(|term| term.ends_with(".rs")))
+        .flat_map(|(reason, _)| code_terms(reason))
+        .collect();
+    for reason in RefusalReason::ALL {
+        assert!(decided.contains(reason.name()), "{} has no row that names a module", reason.name());
+    }
+}
