--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -19,8 +19,7 @@
 //!   in each fault window; after four windows it rises to what is occupied.
 //!
 //! **Faults.** A rejection, a drop, an attempt without an answer, slow messages and a peer's observation of
-//! these are faults. Within the [`FaultWindow`] after one a server has no overflow: it takes nothing beyond
-//! its ceiling.
+//! these are faults. Within the [`FaultWindow`] after one, a server takes nothing beyond its ceiling.
 //!
 //! **Why.** "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004) takes the slots of each server
 //! as given. Here nobody knows them, so they are learned as a congestion window is: additive increase,
