--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,4 +1,5 @@
-//! What the decisions count with: sizes of connections and groups, the connections at a server, and random draws.
+//! What the decisions count with: sizes of connections and groups, the connections at a server, and random
+//! draws.
 //!
 //! Nothing here chooses a server, a retry or a rejection: that is `src/policy/`.
 
--- a/src/bookkeeping/random.rs
+++ b/src/bookkeeping/random.rs
@@ -16,7 +16,8 @@
     Micros::from_f64(span.as_f64() * rng.random_range(0.5..1.5))
 }
 
-/// An exponential backoff: `initial`, doubled with each of `failures` failures in a row, up to `max`, and jittered.
+/// An exponential backoff: `initial`, doubled with each of `failures` failures in a row, up to `max`, and
+/// jittered.
 pub fn jittered_backoff(rng: &mut impl Rng, initial: Micros, failures: u32, max: Micros) -> Micros {
     let doublings = failures.min(MAX_DOUBLINGS);
     jittered(rng, initial.saturating_mul(1 << doublings).min(max))
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -2,20 +2,22 @@
 
 use super::{Micros, RequestId, ServerId};
 
-/// Why a request is answered without a server.
+/// Why a request is answered without a server. Each reason names the module that decides it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// Set-ups are slow at all servers: only a share of the requests is admitted.
+    /// Set-ups are slow at all servers: only a share of the requests is admitted (`policy::admission_rate`).
     AdmissionRate,
-    /// No server is ready for it.
+    /// No server is ready for it (`policy::selection`).
     NoServer,
-    /// The endpoint list is so old that servers in it may drain, and discovery does not say which.
+    /// The endpoint list is so old that servers in it may drain, and discovery does not say which
+    /// (`policy::endpoint_lease`).
     EndpointListExpired,
-    /// All attempts that it may have were made.
+    /// All attempts that it may have were made (`policy::retry_policy`).
     AttemptsSpent,
-    /// Its time is over.
+    /// Its deadline has come (`policy::retry_policy`).
     OutOfTime,
-    /// Its attempt failed for what all servers share.
+    /// Its attempt failed for a cause that servers share, as another server's attempt did just before
+    /// (`policy::admission_rate`).
     CorrelatedFailure,
 }
 
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -44,26 +44,27 @@
 /// What a balancer holds at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Occupancy {
-    /// Slots of its connections that are established or being set up.
+    /// Slots that its connections occupy, established or being set up.
     pub occupied_slots: f64,
     /// The server's ceiling, in slots.
     pub ceiling: f64,
 }
 
-/// What a balancer has learned of a server, apart from what it holds there.
+/// What a balancer has learned of a server, as a hot restart hands it over. Each rule of the decision module
+/// keeps its own part of this; see `src/policy/server.rs`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LearnedState {
     /// The ceiling, in slots.
     pub ceiling: f64,
     /// When it last rejected, dropped or was slow.
     pub last_fault: Option<Time>,
-    /// Failures in a row; while there are any it gets single trials.
+    /// Its failure count; while it is above 0 the server gets single trials.
     pub consecutive_failures: u32,
     /// When it last failed.
     pub last_failure: Option<Time>,
-    /// With failures: no trial before this.
+    /// With failures, it gets no trial before this.
     pub ejected_until: Time,
-    /// During slow start: no attempt before this.
+    /// During slow start, it gets no attempt before this.
     pub next_slow_start_send: Time,
     /// When a connection was last asked to migrate away from it.
     pub last_migration: Option<Time>,
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -36,11 +36,11 @@
 /// What a failed call for the endpoint list shows of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFailure {
-    /// It is not there: connections are refused, or never come up.
+    /// It does not run: connections are refused, or never established.
     Unreachable,
     /// It took the call and gave no answer in time.
     Unanswered,
-    /// It is there, or nothing shows that it is not: the answer was an error or cannot be read, or the
+    /// It runs, or nothing shows that it does not: the answer was an error or cannot be read, or the
     /// connection broke.
     Rejected,
 }
@@ -59,7 +59,7 @@
         /// When the call was made that is not answered.
         since: Time,
     },
-    /// The endpoint list could not be had, or a watch broke off. The old list remains.
+    /// A call for the endpoint list failed, or a watch broke off. The old list remains.
     EndpointWatchFailed(WatchFailure),
     /// A client asks for a connection: exactly one final answer is owed from now on.
     RequestArrived {
@@ -132,7 +132,7 @@
     PeerSetupSlow,
     /// Groups of some connections established at another balancer, drawn at random.
     PeerGroupSample(&'a [Option<GroupHash>]),
-    /// A timer that was asked for is due.
+    /// A timer that was asked for has fired.
     TimerFired,
     /// A probe ended.
     ProbeCompleted {
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -32,11 +32,11 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What a well-served second is worth.
+    /// The value of a second of a well-served connection, relative to the other classes.
     pub priority_weight: f64,
-    /// A connection set up within this time counts in full; 0 where unknown.
+    /// A connection that is set up within this time has its full value; 0 where unknown.
     pub setup_objective: Micros,
-    /// A message on an established connection is wanted within this time; 0 where unknown.
+    /// A message on an established connection is in time within this; 0 where unknown.
     pub message_objective: Micros,
     /// What a second attempt could do.
     pub idempotency: Idempotency,
@@ -62,7 +62,7 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a request beyond its tenant's quota is worth, as a fraction.
+    /// The priority weight of a request beyond its tenant's quota, as a fraction of one within it.
     pub over_quota_weight: f64,
     /// Attempts allowed for one request; never are two of them in flight together.
     pub max_attempts: u32,
@@ -87,19 +87,20 @@
     pub probes: bool,
     /// A probe's answer carries a load report.
     pub probe_reports: bool,
-    /// What one probe for each request would cost, as a fraction of all worth.
+    /// The cost of one probe for each request, as a fraction of the value of all requests.
     pub probe_cost: f64,
-    /// What it would cost if each request crossed zones once, as a fraction of all worth.
+    /// The cost if each request crossed zones once, as a fraction of the value of all requests.
     pub cross_zone_cost: f64,
-    /// What it would cost if each client migrated once, as a fraction of all worth.
+    /// The cost if each client migrated once, as a fraction of the value of all requests.
     pub migration_cost: f64,
-    /// A server starts with at least this share of its capacity...
+    /// The share of its capacity, from 0 to 1, that a server has at least when it starts.
     pub slow_start_share: f64,
-    /// ...and has all of it after this time at the latest.
+    /// A server has all of its capacity this long after its start at the latest.
     pub slow_start_duration: Micros,
-    /// A server in slow start that gets more than this multiple of its present capacity...
+    /// A server in slow start fails if it gets more than this multiple of its present capacity for
+    /// `slow_start_window`.
     pub slow_start_overload_factor: f64,
-    /// ...for this long fails.
+    /// See `slow_start_overload_factor`.
     pub slow_start_window: Micros,
 }
 
@@ -132,13 +133,13 @@
         }
     }
 
-    /// How long one observation of slow set-ups is enough: what was admitted before it is still being set up.
+    /// How long one observation of slow set-ups counts: what was admitted before it is still being set up.
     pub(crate) fn slow_setup_hold(&self) -> Micros {
         2 * self.setup_objective()
     }
 
-    /// About how long a server is avoided that another balancer observed a fault of: twice the time in which
-    /// the clients that were rejected because of it come again.
+    /// The longest time for which a server is avoided after another balancer observed a fault of it: twice
+    /// the longest wait of a client that was rejected because of it.
     pub(crate) fn peer_observation_hold(&self) -> Micros {
         2 * self.max_retry_after
     }
--- a/src/types/time.rs
+++ b/src/types/time.rs
@@ -11,7 +11,8 @@
 
 /// A length of time in whole microseconds.
 ///
-/// Unlike [`std::time::Duration`] it has the resolution of [`Time`], so that a division rounds alike on every host.
+/// Unlike [`std::time::Duration`] it has the resolution of [`Time`], so that a division rounds alike on every
+/// host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
