--- a/src/bookkeeping/group_statistics.rs
+++ b/src/bookkeeping/group_statistics.rs
@@ -1,4 +1,4 @@
-//! How large a part of all connections each group makes, by recent observations.
+//! How large a part of the connections that have a group each group makes, by recent observations.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The group's estimated share of all connections, from 0 to 1.
+    /// The estimated share of a group, from 0 to 1, of the connections that have a group.
     pub fn share(&self, group: GroupId) -> f64 {
         let observed = self.observations_by_group.get(&group.short_hash()).copied().unwrap_or(0.0);
         observed / (self.observations + PRIOR_OBSERVATIONS)
--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -3,17 +3,24 @@
 //! **What is decided.** Whether a new request is admitted or shed at once, with
 //! [`RefusalReason::AdmissionRate`](crate::RefusalReason::AdmissionRate); and whether the failure of an
 //! attempt is correlated with another server's, so that its request ends with
-//! [`RefusalReason::CorrelatedFailure`](crate::RefusalReason::CorrelatedFailure) in place of a retry.
+//! [`RefusalReason::CorrelatedFailure`](crate::RefusalReason::CorrelatedFailure) (`shared_fault` in log and
+//! metrics) in place of a retry.
 //!
 //! **Inputs.** The time from an attempt to its established connection against the tightest set-up objective
 //! of all classes (microseconds); attempts that had an error or no answer; other balancers' observations of
 //! the same.
 //!
-//! **Rule.** The rate is the share of new requests that is admitted, from 0 to 1. It is halved, or cut more
-//! where a set-up took over twice its objective, when a set-up is slow, when two servers fail to set up
-//! connections within one slow start, or when a peer observes either; but once in two set-up objectives only,
-//! as what was admitted before is still being set up. Then it rises evenly, from 0 to 1 in the duration of a
-//! slow start. It does not rise for a quarter of that after a failed set-up, until one succeeds.
+//! **Rule.** The rate is the share of new requests that is admitted, from 0 to 1.
+//!
+//! - A set-up over its objective, here, halves it; so does a peer's observation of slow or correlated
+//!   set-ups.
+//! - Failures at two servers within the duration of a slow start, with no connection established in between,
+//!   are correlated. They keep a half of it, or the objective over the time of the failed attempt if that is
+//!   less.
+//! - It is cut at most once in two set-up objectives, as what was admitted before is still being set up.
+//! - Once two objectives have passed without another such observation, whether that cut the rate or not, it
+//!   rises evenly, from 0 to 1 in the duration of a slow start. After a failed set-up it does not rise for a
+//!   quarter of that duration, or until a set-up succeeds.
 //!
 //! **Why.** The session store behind all servers serves set-ups in a queue. Once the queue is longer than
 //! clients wait, every set-up is in vain and the queue stays. One server that fails may have a fault of its
@@ -106,7 +113,8 @@
             self.last_decrease = Some(now);
             self.share *= factor;
         }
-        // Between two decreases the rate must not rise again, or it would never be low enough.
+        // Each observation postpones the rise: between two cuts the rate must not rise, or it would never be
+        // low enough.
         self.updated_at = now.plus(hold);
     }
 
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,25 +1,37 @@
 //! The concurrency limit of a server: how many slots this balancer may occupy there.
 //!
 //! **What is decided.** Each server has a ceiling in slots (one slot is the load of a mean connection). It
-//! bounds what this balancer alone holds there. Free slots, the ceiling less the occupied slots, are the
-//! weights of selection.
+//! bounds what this balancer alone occupies there. Selection draws servers by their free slots: the ceiling
+//! times the server's warmth, less the occupied slots.
 //!
-//! **Inputs.** The outcome of attempts, the time that messages take against the tightest objective of all
-//! classes (the lateness, a ratio), load reports, and what other balancers observed.
+//! **Inputs.** The outcome of attempts; the time of a message over the tightest message objective of all
+//! classes (a ratio); load reports (utilisation, 1 is full); what other balancers observed of these.
 //!
-//! **Rule.** The ceiling begins with a few slots in proportion to the server's weight.
+//! **Rule.**
 //!
+//! - *Start*: a few slots in proportion to the server's weight. A ceiling of 0 starts anew whenever an
+//!   endpoint list, or a change of it, is applied.
 //! - *Increase*: by one slot when the connection that occupied the last free slot is established.
-//! - *Decrease*: to a part of what is occupied when the server rejects or drops, and to what is occupied when
-//!   an attempt has no answer. There is no minimum: a server that dropped its last connection must not have a
-//!   free slot at once.
-//! - *Measurement*: a message time sets the ceiling to what is occupied, less the later messages are. A load
-//!   report sets it to what is occupied and this balancer's part of the capacity that is left.
-//! - *Recovery*: without a fault for a fault window, a ceiling below what is occupied rises by one slot, once
-//!   in each fault window; after four windows it rises to what is occupied.
+//! - *Decrease*: to 0.8 of what is occupied, or of the ceiling if that is less, when the server rejects an
+//!   attempt or drops a connection; to what is occupied when an attempt has no answer. There is no minimum: a
+//!   server that dropped its last connection must not have a free slot at once.
+//! - *Message time*: up to a third of the objective it sets the ceiling to what is occupied, above that to
+//!   what is occupied over (1 + ratio). So a message that is in time takes the free slots, too; the server
+//!   grows by its overflow.
+//! - *Load report*: of 0.85 or more, it keeps 0.85 of what is occupied, less if the utilisation is above 1.
+//!   Below that, at a server without a recent fault, it sets the ceiling to what is occupied and this
+//!   balancer's part of the capacity that is left up to 0.85.
+//! - *Peer*: slow messages elsewhere lower the ceiling as slow messages here do; a drop elsewhere takes half
+//!   of the free slots.
+//! - *Recovery*, looked at before each selection: if the ceiling is below what is occupied (or below 1), it
+//!   rises by one slot once in a fault window. After four fault windows without a fault or such a step, and
+//!   with no attempt in flight, it rises to what is occupied.
+//! - Rebalancing may raise it, or lower it to what is occupied (`src/rebalance/`).
 //!
-//! **Faults.** A rejection, a drop, an attempt without an answer, slow messages and a peer's observation of
-//! these are faults. Within the [`FaultWindow`] after one, a server takes nothing beyond its ceiling.
+//! **Faults.** A rejection, a drop, an attempt without an answer, slow messages, a load report of 0.85 or
+//! more, a peer's observation and a step of recovery set the time of the last fault. Within the
+//! [`FaultWindow`] after it, a server takes nothing beyond its ceiling; within four windows, one slot; after
+//! that, one whole connection. A refused connection is a failure (`outlier_detection`) and no fault.
 //!
 //! **Why.** "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004) takes the slots of each server
 //! as given. Here nobody knows them, so they are learned as a congestion window is: additive increase,
@@ -40,9 +52,9 @@
 const TIMEOUT_FACTOR: f64 = 1.0;
 /// What remains of the free slots, as a factor, where another balancer observed a drop.
 const PEER_DROP_FREE_SLOTS_FACTOR: f64 = 0.5;
-/// Messages that take this part of their objective, as a ratio, show that the server is filling up: value is
-/// lost to slow messages long before a server rejects or drops.
-const SLOW_MESSAGE_LATENESS: f64 = 1.0 / 3.0;
+/// Messages that take this part of their objective show that the server is filling up: value is lost to slow
+/// messages long before a server rejects or drops.
+const SLOW_MESSAGE_RATIO: f64 = 1.0 / 3.0;
 /// Reported utilisation up to which a ceiling lets a server fill: messages become slow before it is 1.
 const TARGET_UTILISATION: f64 = 0.85;
 /// Fault windows after a fault in which a server is taken to be at its limit.
@@ -57,7 +69,7 @@
     pub utilisation: f64,
     /// Slots of this balancer that the report can already contain.
     pub occupied_in_report: f64,
-    /// This balancer's part of a full server, in slots.
+    /// This balancer's part of a full server, in slots: one for each connection.
     pub slots_at_capacity: f64,
 }
 
@@ -86,7 +98,7 @@
     }
 
     /// Whether the server has had no fault within the fault window.
-    pub fn is_stable(&self, now: Time, fault_window: FaultWindow) -> bool {
+    pub fn has_no_recent_fault(&self, now: Time, fault_window: FaultWindow) -> bool {
         !self.had_fault_within(now, fault_window.length())
     }
 
@@ -112,7 +124,11 @@
     /// not long ago is at its limit, and gets one slot.
     pub fn overflow_slots(&self, now: Time, fault_window: FaultWindow, needed: f64) -> f64 {
         let is_at_limit = self.had_fault_within(now, AT_LIMIT_FAULT_WINDOWS * fault_window.length());
-        MIN_OVERFLOW_SLOTS.max(if is_at_limit { MIN_OVERFLOW_SLOTS } else { needed })
+        if is_at_limit {
+            MIN_OVERFLOW_SLOTS
+        } else {
+            needed.max(MIN_OVERFLOW_SLOTS)
+        }
     }
 
     /// Whether nothing may be held at the server: it is new, or its ceiling has fallen to nothing.
@@ -141,24 +157,25 @@
         self.decrease(now, occupied, TIMEOUT_FACTOR);
     }
 
-    /// A message took `lateness` times its objective.
+    /// A message took `objective_ratio` times its objective.
     ///
     /// Each measurement is of what is occupied now. Decreased again from the last decrease, a ceiling would
     /// fall to nothing while accumulated work is done, and stay there.
-    pub fn on_message_time(&mut self, now: Time, occupied: f64, lateness: f64) {
-        let is_slow = lateness >= SLOW_MESSAGE_LATENESS;
-        let factor = if is_slow { 1.0 / (1.0 + lateness) } else { 1.0 };
+    pub fn on_message_time(&mut self, now: Time, occupied: f64, objective_ratio: f64) {
+        let is_slow = objective_ratio >= SLOW_MESSAGE_RATIO;
+        let factor = if is_slow { 1.0 / (1.0 + objective_ratio) } else { 1.0 };
         self.ceiling = occupied * factor;
         if is_slow {
             self.last_fault = Some(now);
         }
     }
 
-    /// Another balancer observed that messages take `lateness` times their objective: with what all balancers
-    /// hold there the server is at its limit. The fault counts from `fault_time`, which may lie ahead.
-    pub fn on_peer_slow_messages(&mut self, occupied: f64, lateness: f64, fault_time: Time) {
-        if lateness >= SLOW_MESSAGE_LATENESS {
-            self.ceiling = self.ceiling.min(occupied / (1.0 + lateness));
+    /// Another balancer observed that messages take `objective_ratio` times their objective: with what all
+    /// balancers hold there the server is at its limit. The fault counts from `fault_time`, which may lie
+    /// ahead.
+    pub fn on_peer_slow_messages(&mut self, occupied: f64, objective_ratio: f64, fault_time: Time) {
+        if objective_ratio >= SLOW_MESSAGE_RATIO {
+            self.ceiling = self.ceiling.min(occupied / (1.0 + objective_ratio));
             self.last_fault = self.last_fault.max(Some(fault_time));
         }
     }
@@ -171,8 +188,8 @@
         self.last_fault = self.last_fault.max(Some(fault_time));
     }
 
-    /// A load report came. Above the target utilisation it is a fault; below, it sets the ceiling of a stable
-    /// server.
+    /// A load report came. From the target utilisation on it is a fault; below, it sets the ceiling of a
+    /// server without a recent fault.
     pub fn on_load_report(
         &mut self,
         now: Time,
@@ -183,7 +200,7 @@
         let ReportedCapacity { utilisation, occupied_in_report, slots_at_capacity } = reported;
         if utilisation >= TARGET_UTILISATION {
             self.decrease(now, occupied, TARGET_UTILISATION / f64::max(1.0, utilisation));
-        } else if self.is_stable(now, fault_window) {
+        } else if self.has_no_recent_fault(now, fault_window) {
             self.ceiling = occupied_in_report + (TARGET_UTILISATION - utilisation) * slots_at_capacity;
         }
     }
@@ -196,7 +213,7 @@
         if !is_connecting && !self.had_fault_within(now, AT_LIMIT_FAULT_WINDOWS * window) {
             self.raise_to(occupied);
         } else if self.ceiling < wanted && self.last_fault.is_some() && !self.had_fault_within(now, window) {
-            // The next slot follows after another fault window.
+            // Counted like a fault, so that the next slot follows after another fault window.
             self.last_fault = Some(now);
             self.ceiling = (self.ceiling + 1.0).min(wanted);
         }
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,19 +1,25 @@
 //! The lease on the endpoint list: for how long the list may be used without an answer of discovery.
 //!
-//! **What is decided.** Whether the list has expired. While it has, requests are rejected with
-//! [`RefusalReason::EndpointListExpired`](crate::RefusalReason::EndpointListExpired), no attempt is started,
-//! nobody is migrated and no server is probed; established connections stay.
+//! **What is decided.** Whether the list has expired. While it has, new requests and retries are refused with
+//! [`RefusalReason::EndpointListExpired`](crate::RefusalReason::EndpointListExpired), nobody is migrated for
+//! load and no server is probed; established connections stay. An attempt whose request is not written before
+//! the list expires is taken back.
 //!
 //! **Inputs.** Each answer of discovery, with or without a change (a confirmation); a watch that gave no
 //! answer when one was expected, with the time of its call; a failed call, with what it shows of discovery.
 //!
-//! **Rule.** A confirmation begins a lease of [`NOTIFICATION_TIMEOUT`]. A watch that falls silent leaves the
-//! lease to run out, counted from the earlier of its call and the last confirmation. Without a watch, or
-//! where discovery is down, the list does not expire.
+//! **Rule.** A confirmation begins a lease of 6 s. A watch that falls silent leaves the lease to run out,
+//! counted from the earlier of its call and the last confirmation. The list does not expire
+//!
+//! - before discovery has answered at all;
+//! - after a call that failed before the watch was silent: a watch that ends with an error ends as it does
+//!   when discovery goes down, and is opened anew after a backoff;
+//! - while a silent watch is known to be silent because discovery is down, which a refused connection shows,
+//!   or where lists are pushed an agent without an answer.
 //!
 //! **Why.** A watch that has fallen silent looks like one on which nothing happens. Whatever discovery lists
-//! counts as notified after the timeout, whether or not it arrived; from then on each listed server may be
-//! one that drains. While discovery is down it lists nothing new, and the old list is as good as any.
+//! counts as notified 6 s later, whether or not it arrived; from then on each listed server may be one that
+//! drains. While discovery is down it lists nothing new, and the old list is as good as any.
 
 use crate::types::{Micros, Time, WatchFailure};
 
--- a/src/policy/endpoint_watch.rs
+++ b/src/policy/endpoint_watch.rs
@@ -1,9 +1,14 @@
 //! The watch on the endpoint list: when discovery is called again after a failure.
 //!
-//! **Inputs.** Failed calls; the settings' poll interval (microseconds) and the number of balancers.
+//! **What is decided.** The wait before the next call, in microseconds. How long a call may take, and when a
+//! watch counts as silent, is decided in `src/types/watch_timing.rs`.
 //!
-//! **Rule.** An exponential backoff with jitter. The first wait is the time in which discovery serves a call
-//! of every balancer, the longest is twice that; both have bounds.
+//! **Inputs.** Failed calls; the settings' poll interval and the number of balancers.
+//!
+//! **Rule.** An exponential backoff with jitter, until a list or a change of it is applied; an answer without
+//! a change does not end it. The first wait is the time in which discovery serves a call of every balancer,
+//! the longest is twice that; both have bounds. Where lists are pushed to an agent, the waits are parts of
+//! the drain grace.
 //!
 //! **Why.** Discovery serves calls one after the other. Where many balancers have failed together, calls that
 //! come back before they can be served delay each other without end. What an agent on the balancer's own
--- a/src/policy/fault_window.rs
+++ b/src/policy/fault_window.rs
@@ -1,14 +1,17 @@
 //! The fault window: how long a fault of a server counts as recent.
 //!
+//! **What is decided.** For how long after a fault a server takes nothing beyond its ceiling, and how fast
+//! its ceiling recovers. What counts as a fault is told in `concurrency_limit`.
+//!
 //! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and what this balancer
-//! holds at all servers that serve, in slots.
+//! occupies at all servers that serve, in slots.
 //!
 //! **Rule.** The window is the longest wait of a rejected client, times the number of servers for each
-//! occupied slot, between one and four.
+//! occupied slot, between one and four. It is adapted at each selection, for what follows.
 //!
-//! **Why.** Clients that a fault turned away come back within their longest wait. Where the balancer holds
-//! less than one slot per server it is one of many, seldom learns of a server's fault, and all of them would
-//! try that server again at once.
+//! **Why.** Clients that were rejected because of a fault come back within their longest wait. Where the
+//! balancer occupies less than one slot per server it is one of many, seldom learns of a server's fault, and
+//! all of them would try that server again at once.
 
 use crate::types::Micros;
 
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -29,14 +29,14 @@
         self.endpoint_lease.expires_at()
     }
 
-    /// Whether selection avoids a listed server now: it is ejected, or had a recent fault and has no free
-    /// slot.
+    /// Whether a listed server counts as `ejected` in metrics: it is ejected, or it had a recent fault and is
+    /// full. Selection does not use this; it looks at each rule by itself.
     pub fn is_avoided(&self, now: Time, server: ServerId) -> bool {
         let Some(server) = self.servers.get(server) else { return false };
         let is_full = server.connections.occupied_slots() >= server.limit.ceiling();
         let is_connecting = server.connections.has_attempt_in_flight();
         !server.outlier.is_eligible(now, is_connecting)
-            || (is_full && !server.limit.is_stable(now, self.fault_window))
+            || (is_full && !server.limit.has_no_recent_fault(now, self.fault_window))
     }
 
     /// What was learned of a server, for a balancer that takes the place of this one.
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -3,23 +3,28 @@
 //! **What is decided.** How many connections of a server are asked to reconnect, and which.
 //!
 //! **Inputs.** An observation that a server is overloaded: a message time of half its objective or more (the
-//! lateness, a ratio), or a load report of a full server. The slots that are occupied there, the spare
-//! capacity of servers without recent faults, and the priority weight of each connection's class.
+//! ratio of the two), or a load report of a full server. The slots that are occupied there, the spare
+//! capacity of other servers, and the priority weight of each connection's class.
 //!
-//! **Rule.** At most every half a second, one connection for every eight occupied slots (with fewer, one with
-//! that probability), as far as there is spare capacity elsewhere. Spare capacity is divided by the number of
-//! servers that are not sound, since each of them may give up some at every balancer. Where messages take
-//! twice their objective or more, a tenth of the connections for each multiple of the objective leaves, up to
-//! half; there at least the one for every eight slots leaves even without spare capacity. Those leave first
-//! whose end frees the most slots for the priority weight, with the slots of their group if they are its last
-//! connection there.
+//! **Rule.** At most every half a second:
+//!
+//! - One connection leaves. With fewer than eight occupied slots it leaves with a probability of the slots
+//!   over eight.
+//! - Where messages take twice their objective or more, a tenth of the connections for each multiple of the
+//!   objective leaves, up to half, and at least one if eight slots are occupied.
+//! - No more leave than there is spare capacity, but for that last one: the free slots and the overflow at
+//!   servers with no failures and no recent fault, divided by the number of the other servers, as each of
+//!   those may give up some at every balancer.
+//! - Those leave first whose end frees the most slots for each unit of priority weight (of 1, where no load
+//!   has been measured). The last connection of a group frees the slots of its group, too.
 //!
 //! **Why.** The effect of a migration has to show before the next one is decided. Every balancer learns of an
-//! overloaded server, and many that hold little each would empty it together: in proportion to what is held,
-//! they move as large a part of the whole at any number of balancers. At twice the objective no message is in
-//! time, so that staying has no value, and messages become useful again for the rest once some have left.
+//! overloaded server; the more they are, the fewer slots each occupies there, and without the probability
+//! they would empty it together. At twice the objective no message is in time, so that staying has no value,
+//! and messages become useful again for the rest once some have left.
 //!
-//! Migration for balance, without an overload, is decided in `src/rebalance/`.
+//! Migration for balance, without an overload, is decided in `src/rebalance/`; it starts the half second,
+//! too.
 
 use super::fault_window::FaultWindow;
 use super::server::Server;
@@ -27,13 +32,13 @@
 
 /// The shortest time between two migrations from one server.
 const MIGRATION_INTERVAL: Micros = Micros::from_millis(500);
-/// Messages that take this part of their objective, as a ratio, often miss it: connections have to leave.
-const MIGRATION_LATENESS: f64 = 0.5;
-/// Occupied slots for each connection that migrates.
-const SLOTS_PER_MIGRATION: f64 = 8.0;
+/// Messages that take this part of their objective often miss it: connections have to leave.
+const MIGRATION_RATIO: f64 = 0.5;
+/// With so many occupied slots one connection migrates for certain.
+const SLOTS_FOR_CERTAIN_MIGRATION: f64 = 8.0;
 /// At so many times the objective no message is in time.
-const USELESS_LATENESS: f64 = 2.0;
-/// The lateness is divided by this to give the share of connections that leave where no message is in time.
+const USELESS_RATIO: f64 = 2.0;
+/// The ratio is divided by this to give the share of connections that leave where no message is in time.
 const USELESS_SHARE_DIVISOR: f64 = 10.0;
 /// The largest such share.
 const MAX_USELESS_SHARE: f64 = 0.5;
@@ -42,9 +47,9 @@
 /// The lowest priority weight that is taken for real: slots are divided by it.
 const MIN_PRIORITY_WEIGHT: f64 = 0.01;
 
-/// Whether message times that take `lateness` times their objective make a server give up connections.
-pub fn is_overloaded(lateness: f64) -> bool {
-    lateness >= MIGRATION_LATENESS
+/// Whether message times that take `objective_ratio` times their objective make a server give up connections.
+pub fn is_overloaded(objective_ratio: f64) -> bool {
+    objective_ratio >= MIGRATION_RATIO
 }
 
 /// When a connection was last asked to migrate away from a server.
@@ -83,17 +88,17 @@
 }
 
 impl MigrationNeed {
-    /// The need of a server whose messages take `lateness` times their objective; 0 if only its overload is
-    /// known.
-    pub fn new(server: &Server, lateness: f64) -> MigrationNeed {
+    /// The need of a server whose messages take `objective_ratio` times their objective; 0 if only its
+    /// overload is known.
+    pub fn new(server: &Server, objective_ratio: f64) -> MigrationNeed {
         let occupied = server.connections.occupied_slots();
-        let proportional = (occupied / SLOTS_PER_MIGRATION).clamp(0.0, 1.0);
-        if lateness < USELESS_LATENESS {
-            return MigrationNeed { wanted: proportional, least: 0.0 };
+        let probability = (occupied / SLOTS_FOR_CERTAIN_MIGRATION).clamp(0.0, 1.0);
+        if objective_ratio < USELESS_RATIO {
+            return MigrationNeed { wanted: probability, least: 0.0 };
         }
-        let useless_share = (lateness / USELESS_SHARE_DIVISOR).min(MAX_USELESS_SHARE);
+        let useless_share = (objective_ratio / USELESS_SHARE_DIVISOR).min(MAX_USELESS_SHARE);
         let useless = server.connections.established_count() as f64 * useless_share;
-        MigrationNeed { wanted: f64::max(proportional, useless), least: proportional }
+        MigrationNeed { wanted: f64::max(probability, useless), least: probability }
     }
 
     /// The number of connections that leave. `random` is a draw from 0 to 1 that rounds up or down.
@@ -102,15 +107,17 @@
     }
 }
 
-/// Slots at servers without failures and recent faults, for each server that has some.
+/// Spare slots at servers without failures and without a recent fault, divided by the number of the other
+/// servers.
 pub fn spare_capacity<'a>(
     serving: impl Iterator<Item = &'a Server>,
     settings: &Settings,
     now: Time,
     fault_window: FaultWindow,
 ) -> f64 {
-    let is_sound =
-        |server: &&Server| server.limit.is_stable(now, fault_window) && !server.outlier.has_failures();
+    let is_sound = |server: &&Server| {
+        server.limit.has_no_recent_fault(now, fault_window) && !server.outlier.has_failures()
+    };
     let (sound, overloaded): (Vec<_>, Vec<_>) = serving.partition(is_sound);
     let spare_slots = |server: &Server| {
         let ceiling = server.limit.ceiling() * server.slow_start.warmth(settings, now);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -24,6 +24,20 @@
 //! | [`migration`] | how many connections leave an overloaded server |
 //! | [`probes`] | when servers are asked for their load |
 //!
+//! What an outcome shows of its server is told apart: a *failure* counts in outlier detection, a *fault* in
+//! the concurrency limit, and both only if they are the server's own. A *slow* or *correlated* set-up counts
+//! in the admission rate.
+//!
+//! | outcome of an attempt | failure | fault | set-up |
+//! | --- | --- | --- | --- |
+//! | rejected | yes | yes | |
+//! | error | yes | | failed |
+//! | no answer in time | yes | yes | failed |
+//! | no connection could be opened | yes | | |
+//! | broken before it was established | yes | | |
+//! | dropped once established | yes | yes | |
+//! | cancelled while its request was owed an answer | yes | | |
+//!
 //! The others keep state for these: [`endpoint_list`] the servers, [`request`] the requests, [`server`] the
 //! parts of one server. `requests.rs`, `placement.rs` and `observations.rs` have the steps for requests, for
 //! the choice of a server and for what is observed of servers; `host.rs` what the program around may ask and
@@ -173,7 +187,8 @@
         }
     }
 
-    /// The endpoint list was applied: servers without a concurrency limit get their first one.
+    /// The endpoint list was applied: servers with a ceiling of 0, which are new or have lost all of it, get
+    /// the initial one and the first wait of a slow start.
     fn on_endpoints_applied(&mut self) {
         self.endpoint_watch.on_list_applied();
         let interval = self.slow_start_budget.pacing_interval(&self.settings);
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -7,12 +7,12 @@
 
 use super::concurrency_limit::ReportedCapacity;
 use super::migration::{self, MigrationNeed};
-use super::probes::{self};
+use super::probes;
 use super::Balancer;
 use crate::types::{Action, LoadReport, Measurement, Micros, RequestId, ServerId};
 
-/// The lowest number of connections that is taken to fill this balancer's part of a server when a load report
-/// sets its ceiling: of many balancers each has next to nothing, against a few initial slots.
+/// The fewest slots that this balancer's part of a full server is taken to have when a load report sets a
+/// ceiling: of many balancers each has next to nothing, against a few initial slots.
 const MIN_SLOTS_AT_CAPACITY: f64 = 4.0;
 
 impl Balancer {
@@ -47,10 +47,10 @@
             return;
         }
         let Some(server) = self.servers.get_mut(id) else { return };
-        let lateness = took.as_f64() / objective.as_f64();
-        server.limit.on_message_time(self.now, server.connections.occupied_slots(), lateness);
-        if migration::is_overloaded(lateness) {
-            self.migrate_from(id, lateness);
+        let objective_ratio = took.as_f64() / objective.as_f64();
+        server.limit.on_message_time(self.now, server.connections.occupied_slots(), objective_ratio);
+        if migration::is_overloaded(objective_ratio) {
+            self.migrate_from(id, objective_ratio);
         }
     }
 
@@ -64,8 +64,8 @@
         let occupied = server.connections.occupied_slots();
         match took {
             Some(took) => {
-                let lateness = took.as_f64() / objective.as_f64();
-                server.limit.on_peer_slow_messages(occupied, lateness, fault_time);
+                let objective_ratio = took.as_f64() / objective.as_f64();
+                server.limit.on_peer_slow_messages(occupied, objective_ratio, fault_time);
             }
             None => server.limit.on_peer_drop(occupied, fault_time),
         }
@@ -115,7 +115,7 @@
 
     /// A server is overloaded: asks some of its clients to reconnect. While the endpoint list is expired they
     /// would be rejected.
-    fn migrate_from(&mut self, from: ServerId, lateness: f64) {
+    fn migrate_from(&mut self, from: ServerId, objective_ratio: f64) {
         if self.endpoint_lease.is_expired(self.now) {
             return;
         }
@@ -124,7 +124,7 @@
         else {
             return;
         };
-        let need = MigrationNeed::new(server, lateness);
+        let need = MigrationNeed::new(server, objective_ratio);
         let random = self.rng.random::<f64>();
         let serving = self.servers.serving();
         let spare = migration::spare_capacity(serving, &self.settings, self.now, self.fault_window);
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -2,19 +2,23 @@
 //!
 //! **What is decided.** Whether a server may be selected at all, whatever its free slots are.
 //!
-//! **Inputs.** The outcome of each attempt (success, failure, no answer) and when it was sent.
+//! **Inputs.** The outcome of each attempt and when it was sent. Every outcome is a failure but: success, not
+//! sent, and cancelled after its request was answered or its connection established. An established
+//! connection that breaks is one, and so is an attempt without an answer when its request has to be answered.
 //!
-//! **Rule.** A failure adds two to the server's failure count, an established connection takes one away. With
-//! a count above zero the server is ejected, and after its ejection it gets one attempt at a time: a trial.
-//! The ejection is an exponential backoff with jitter: the connect timeout, doubled for each count, up to the
-//! duration of a slow start. Each trial begins a new ejection, so that trials are at least that far apart.
-//! Failures of attempts that were sent before the last failure count as one with it.
+//! **Rule.** A failure adds two to the server's failure count, up to 16; an established connection takes one
+//! away. A failure ejects the server for the connect timeout, doubled for each of the count, up to the
+//! duration of a slow start, and then times a random 0.5 to 1.5. After that it gets one attempt at a time: a
+//! trial. Each trial begins a new ejection, so that trials are at least that far apart. At a count of 0 the
+//! server is selected as before. Failures of attempts that were sent before the last failure count as one
+//! with it.
 //!
 //! **Why.** A server that drops what it has accepted always shows free slots and would get every connection.
 //! A failure counts twice what a success takes away, so that a server which accepts and then drops does not
 //! pass for healthy.
 //!
-//! The metric `ejected` counts servers that [`Balancer::is_avoided`](crate::Balancer::is_avoided) names.
+//! The metric `ejected` counts these servers, and those that are full and had a recent fault: see
+//! [`Balancer::is_avoided`](crate::Balancer::is_avoided).
 
 use rand::Rng;
 
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -3,17 +3,17 @@
 //! **What is decided.** When a server is asked for its load, and how many connections of this balancer a full
 //! server holds.
 //!
-//! **Inputs.** Established connections; the price of a probe for each request, as a fraction of the value of
+//! **Inputs.** Established connections; the cost of one probe for each request, as a fraction of the value of
 //! all requests; load reports: the utilisation (1 is full) and, if reported, the connections of all
 //! balancers.
 //!
-//! **Rule.** Each established connection earns credit for probes, a fixed small share of its value; a
+//! **Rule.** Each established connection earns credit for 0.004 over that cost probes, four at most; a
 //! rejected one earns none. A whole credit sends a probe to the serving server that was probed least
-//! recently. The size of a server is what is held at all servers that have reported, over the sum of their
-//! utilisation, corrected for warmth.
+//! recently. The size of a server is what is established at all servers that have reported, over the sum of
+//! their utilisation times their warmth.
 //!
-//! A report is some time old. What was held here when the previous report came is all that it surely
-//! contains, and a report that equals the previous one may be the same.
+//! A report is some time old: it surely contains only what was occupied here when the previous report came.
+//! One that equals the previous report may be the same, and is ignored.
 //!
 //! What a report changes at its server is decided in `concurrency_limit`, and in `slow_start` for those that
 //! warm up.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,7 +1,9 @@
 //! The life of a request: admission, attempts and retries, and its one final answer.
 //!
 //! The steps are here, in the order in which they happen; what each of them decides is in the module of its
-//! rule.
+//! rule. A request is refused for the first reason that applies: admission rate, deadline, number of
+//! attempts, expired endpoint list, no server; after a failed attempt, a correlated failure comes before
+//! these.
 
 use super::outlier_detection::{is_server_failure, EjectionTimes};
 use super::request::{Attempt, Request};
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -15,13 +15,16 @@
 //!   never sent, or not connected.
 //! - Once one may have run, a retry goes only to servers where it has no second effect: anywhere if the
 //!   request is idempotent, and nowhere if it is not. With a key, to the servers that recognise the key,
-//!   within its window, which is counted from the first attempt that may have run.
-//! - A retry never goes to the server of the last attempt.
-//! - No attempt begins after the deadline, or beyond the allowed number.
+//!   within its window, which is counted from the first attempt that may have run. If no server is left, the
+//!   request ends with `no_server`.
+//! - A retry does not go to the server of the last attempt, except as the last resort of `selection`.
+//! - No attempt begins after the deadline, or beyond the allowed number. The deadline is a little before the
+//!   client gives up: the answer has to reach the client.
+//! - The answer is a rejection if the request is idempotent, also by a key that every server recognises,
+//!   whatever is left of its window; or if no attempt may have run and none is in flight. Otherwise it is a
+//!   failure.
 //! - A rejection advises a wait before the retry, where the settings allow it: a third to all of the longest
 //!   wait.
-//! - The answer is a rejection if the request is idempotent, also by a key that every server recognises, or
-//!   if no attempt may have run and none is in flight. Otherwise it is a failure.
 //!
 //! **Why.** A rejection promises the client that a retry is harmless, so it has to be true whatever became of
 //! the attempts.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -3,22 +3,26 @@
 //! **What is decided.** One server of the candidates, or none; a request for which there is none is answered
 //! with [`RefusalReason::NoServer`](crate::RefusalReason::NoServer).
 //!
-//! **Inputs.** The candidates: servers that are listed as serving, are eligible by outlier detection, are not
-//! held back by slow start, and where the retry policy allows the request to run. For each its free slots,
-//! its overflow weight, its zone, and whether it holds the request's group. The choice changes no state.
+//! **Inputs.** The candidates, which `placement.rs` collects: servers that are listed as serving, are not
+//! ejected (`outlier_detection`), are not held back by `slow_start`, and where the `retry_policy` allows the
+//! request to run. For each its free slots, its overflow weight, its zone, and whether it holds the request's
+//! group. The choice changes no state.
 //!
-//! **Rule.** A server is drawn at random, in proportion to its free slots. Where no candidate has any, it is
-//! drawn in proportion to its overflow weight: its size over the square of what it holds, if it has had no
-//! fault within the fault window and the connection fits into its overflow. Two preferences narrow the draw:
+//! **Rule.** A server is drawn at random, in proportion to its free slots: its ceiling times its warmth, less
+//! the occupied slots; none if these are fewer than the connection needs and than half of that ceiling. Where
+//! no candidate has free slots, a server is drawn in proportion to its overflow weight: its weight over the
+//! square of (1 + occupied slots), if it has had no fault within the fault window and the connection fits
+//! into its overflow (`concurrency_limit`). Two preferences narrow the draw:
 //!
-//! - *Group.* A group goes to candidates that hold it already, and otherwise to as many servers as it fills
-//!   by its share of all connections. Which ones is decided by a draw for group and server alone, weighted by
-//!   the free slots, so that balancers which see similar slots choose the same.
-//! - *Zone.* Where crossing zones has a cost, servers of the local zone come first while they hold little
+//! - *Group.* A group goes to candidates that hold it already, and otherwise to as many servers as it fills:
+//!   its share of the connections that have a group, times the servers that serve. Which ones is decided by a
+//!   draw for group and server alone, weighted by the free slots, so that balancers which see similar slots
+//!   choose the same. A server needs two more slots for the first connection of a group.
+//! - *Zone.* Where crossing zones has a cost, servers of the local zone come first while they occupy little
 //!   more than the mean of all servers. The overflow draw has no such preference.
 //!
-//! Where most of the fleet looks failed, ejected servers are tried before their time as a last resort, the
-//! one with the earliest end of its ejection first.
+//! As a last resort, where more than half of the servers that serve have failures but no recent fault, one of
+//! these is tried before its ejection ends: the one whose ejection ends first, whatever its ceiling is.
 //!
 //! **Why.** Drawing in proportion to free slots is the "simple balancing" of "Insensitive Load Balancing"
 //! (Bonald, Jonckheere, Proutière, 2004): the fraction of blocked customers depends on the mean load alone,
@@ -73,7 +77,8 @@
         let needed = connections.slots_to_occupy(demand.group, demand.slots);
         let limit = &server.limit;
         let overflow_limit = limit.ceiling() + limit.overflow_slots(now, fault_window, needed);
-        let may_overflow = limit.is_stable(now, fault_window) && occupied + needed <= overflow_limit;
+        let may_overflow =
+            limit.has_no_recent_fault(now, fault_window) && occupied + needed <= overflow_limit;
         let overflow_weight = server.entry.valid_weight() / (1.0 + occupied).powi(2);
         Candidate {
             server: server.entry.server,
@@ -90,7 +95,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Preferences {
     group: Option<GroupId>,
-    /// As many servers as the group fills by its share of all connections.
+    /// As many servers as the group fills by its share of the connections that have a group.
     group_servers: usize,
     local_zone: Option<LocalZone>,
 }
@@ -103,7 +108,8 @@
 }
 
 impl Preferences {
-    /// The preferences for a connection whose group makes `group_share` (0 to 1) of all connections.
+    /// The preferences for a connection whose group makes `group_share` (0 to 1) of the connections that have
+    /// a group.
     pub fn new(
         group: Option<GroupId>,
         group_share: f64,
@@ -172,22 +178,23 @@
 /// The ejected server to try before its time when nothing else is left; `may_run_at` is what the retry policy
 /// allows.
 ///
-/// Where most of the servers that serve have failed without any other fault, the cause may be on this
-/// balancer's side, or pass, and rejecting everything would be worse. Servers that drop and reject are not
-/// tried: more load would keep them from ever recovering.
+/// Where most of the servers refuse connections or answer errors, without a rejection, a drop or a time-out,
+/// the cause may be on this balancer's side, or pass, and rejecting everything would be worse. Servers that
+/// drop and reject are not tried: more load would keep them from ever recovering.
 pub fn select_last_resort<'a>(
     serving: impl Iterator<Item = &'a Server> + Clone,
     now: Time,
     fault_window: FaultWindow,
     may_run_at: impl Fn(&Server) -> bool,
 ) -> Option<ServerId> {
-    let is_silent =
-        |server: &&Server| server.outlier.has_failures() && server.limit.is_stable(now, fault_window);
-    let silent = serving.clone().filter(is_silent);
-    if silent.clone().count() * 2 <= serving.count() {
+    let failed_without_fault = |server: &&Server| {
+        server.outlier.has_failures() && server.limit.has_no_recent_fault(now, fault_window)
+    };
+    let failed = serving.clone().filter(failed_without_fault);
+    if failed.clone().count() * 2 <= serving.count() {
         return None;
     }
-    silent
+    failed
         .filter(|server| !server.connections.has_attempt_in_flight() && server.slow_start.is_ready(now))
         .filter(|server| may_run_at(server))
         .min_by_key(|server| server.outlier.ejected_until())
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,30 +1,38 @@
 //! Slow start: a server that has just started is filled no faster than it warms up, by all balancers
 //! together.
 //!
-//! **What is decided.** When a server that warms up may get its next attempt from this balancer.
+//! **What is decided.** When a server that warms up may get its next attempt from this balancer, and by which
+//! share its ceiling counts until it is warm.
 //!
 //! **Inputs.** The server's start, from the endpoint list; the settings of slow start (initial share of its
 //! capacity, duration, the overload factor and the window in which more than that fails the server); the
-//! number of balancers; what this balancer has held at most; what load reports show of a full server.
+//! number of balancers; the most that this balancer has occupied; what load reports show of a full server.
 //!
 //! **Warmth.** The share of its capacity, from 0 to 1, that a server surely has: it rises evenly from the
-//! initial share at its start to 1 after the duration of a slow start.
+//! initial share at its start to 1 after the duration of a slow start. Its free slots are computed from the
+//! ceiling times the warmth.
 //!
-//! **Rule.** A server is filled over its slow start up to the size that a server is taken to have: what load
-//! reports show, or else half of the most that was held per server on the mean. The pacing interval is the
-//! time between two attempts of this balancer at that rate, were the server warm; divided by the warmth it is
-//! the wait after each attempt. The first wait is a random part of it: balancers that learn of a server
-//! together must not begin together. When more becomes known and the interval shrinks, a wait that has begun
-//! shrinks with it.
+//! **Rule.** Attempts are paced at the overload factor times the server's size, over the duration of a slow
+//! start. The pacing interval is the time between two attempts of this balancer at that rate; divided by the
+//! warmth it is the wait after each attempt. The size, in connections of this balancer, is the larger of two:
+//!
+//! - half of the most slots ever occupied, over the most servers that ever served (at least one connection
+//!   for all balancers together);
+//! - what load reports show, and a margin for what all balancers may send above it in a window.
+//!
+//! The first wait is a random part of a whole one: balancers that learn of a server together must not begin
+//! together. When more becomes known and the interval shrinks, a wait that has begun shrinks with it. All
+//! waits end when the server is warm.
 //!
 //! Where the interval is longer than a whole slow start, this balancer's part of the server is less than one
-//! connection. Then no wait is kept; each selection admits the server with a probability in proportion to the
-//! time since the last selection, so that all balancers together send their sum on the mean.
+//! connection. Then selection ignores the wait (migration and the last resort still keep it), and admits the
+//! server with a probability in proportion to the time since the last selection, so that all balancers
+//! together send their sum on the mean.
 //!
 //! **Why.** A cold server shows all its slots free and would attract every connection. It fails when, within
-//! the window, it gets more than is due, three standard deviations and three connections; the pacing uses
-//! half of the deviations. The size is not what is held now: the fewer servers were left, the slower would
-//! new ones be filled.
+//! the window, it gets more than is expected, three standard deviations and three connections; the margin
+//! uses half of the deviations. The size is not what is occupied now: the fewer servers were left, the slower
+//! would new ones be filled.
 
 use rand::Rng;
 
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -7,7 +7,8 @@
 pub enum RefusalReason {
     /// Set-ups are slow at all servers: only a share of the requests is admitted (`policy::admission_rate`).
     AdmissionRate,
-    /// No server is ready for it (`policy::selection`).
+    /// No server may take it: none is ready (`policy::selection`), or an earlier attempt may have run and
+    /// none recognises the repeat (`policy::retry_policy`).
     NoServer,
     /// The endpoint list is so old that servers in it may drain, and discovery does not say which
     /// (`policy::endpoint_lease`).
@@ -57,8 +58,8 @@
         /// Report [`Outcome::TimedOut`](crate::Outcome::TimedOut) after this time.
         timeout: Micros,
         /// Report [`Outcome::NotSent`](crate::Outcome::NotSent) if the request could not be written in full
-        /// within this time: an earlier attempt may have run, and after it the server would not recognise the
-        /// repeat.
+        /// within this time. After it the server would not recognise the repeat of an attempt that may have
+        /// run, or the endpoint list has expired.
         within: Option<Micros>,
     },
     /// Final answer: rejected; a retry is harmless.
