--- a/simulation/src/comparison.rs
+++ b/simulation/src/comparison.rs
@@ -102,6 +102,6 @@
 pub fn with_rebalancing(deployment: &Deployment, max_moves_per_s: f64) -> Deployment {
     let mut deployment = deployment.clone();
     deployment.rebalance.enabled = true;
-    deployment.rebalance.max_moves_per_s = max_moves_per_s;
+    deployment.rebalance.max_migrations_per_second = max_moves_per_s;
     deployment
 }
--- a/simulation/src/day/measurement.rs
+++ b/simulation/src/day/measurement.rs
@@ -112,7 +112,7 @@
         self.sample_quality();
         self.sample_servers();
         let metrics = self.balancers[0].state.rebalancing(0).unwrap_or_default();
-        self.result.rates.push(metrics.rate);
+        self.result.rates.push(metrics.migrations_per_second);
         self.result.hold_reasons.push(metrics.hold_reason);
         self.sample_groups();
     }
@@ -190,7 +190,7 @@
         self.result.served_value = value.served / value.requested.max(MIN_VALUE)
             - MIGRATION_COST * migrated as f64 / arrived.max(1) as f64;
         let metrics = self.balancers.iter().filter_map(|balancer| balancer.state.rebalancing(0));
-        self.result.migrations_for_balance = metrics.map(|metrics| metrics.moved).sum();
+        self.result.migrations_for_balance = metrics.map(|metrics| metrics.migrated).sum();
         if group_spread.groups > 0.0 {
             self.result.servers_per_group = group_spread.servers / group_spread.groups;
         }
--- a/src/program/config/rebalance.rs
+++ b/src/program/config/rebalance.rs
@@ -22,23 +22,23 @@
 fn decode_rebalance(node: &JsonNode<'_>) -> Result<RebalanceConfig, DecodeError> {
     node.reject_unknown_fields(&["on", "most_per_s", "margin", "assumed_use"])?;
     let default = RebalanceConfig::default();
-    let max_moves_per_s = node.field("most_per_s");
-    let margin = node.field("margin");
-    let assumed_use = node.field("assumed_use");
+    let max_migrations_per_second = node.field("most_per_s");
+    let min_gain_over_cost = node.field("margin");
+    let assumed_utilisation = node.field("assumed_use");
     let config = RebalanceConfig {
         enabled: node.field("on").flag(default.enabled)?,
-        max_moves_per_s: max_moves_per_s.number(default.max_moves_per_s)?,
-        margin: margin.number(default.margin)?,
-        assumed_use: assumed_use.number(default.assumed_use)?,
+        max_migrations_per_second: max_migrations_per_second.number(default.max_migrations_per_second)?,
+        min_gain_over_cost: min_gain_over_cost.number(default.min_gain_over_cost)?,
+        assumed_utilisation: assumed_utilisation.number(default.assumed_utilisation)?,
     };
-    if config.max_moves_per_s <= 0.0 {
-        return Err(max_moves_per_s.error("more than 0 is wanted; to move nobody set on to false"));
+    if config.max_migrations_per_second <= 0.0 {
+        return Err(max_migrations_per_second.error("more than 0 is wanted; to move nobody set on to false"));
     }
-    if config.margin < 1.0 {
-        return Err(margin.error("at least 1 is wanted: less moves clients at a loss"));
+    if config.min_gain_over_cost < 1.0 {
+        return Err(min_gain_over_cost.error("at least 1 is wanted: less moves clients at a loss"));
     }
-    if !(0.1..=0.9).contains(&config.assumed_use) {
-        return Err(assumed_use.error("a share from 0.1 to 0.9 is wanted"));
+    if !(0.1..=0.9).contains(&config.assumed_utilisation) {
+        return Err(assumed_utilisation.error("a share from 0.1 to 0.9 is wanted"));
     }
     Ok(config)
 }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -109,10 +109,13 @@
     }
     for (front, moves) in &metrics.rebalance {
         let front = metric_name_part(front);
-        lines.counter(&format!("rebalance.{front}.{MOVED}"), moves.moved);
+        lines.counter(&format!("rebalance.{front}.{MOVED}"), moves.migrated);
         lines.counter(&format!("rebalance.{front}.{RETURNED}"), moves.returned);
         lines.counter(&format!("rebalance.{front}.{REFUSED}"), moves.rejected);
-        lines.gauge(&format!("rebalance.{front}.{RATE_MILLI}"), (moves.rate * MILLI_PER_UNIT) as u64);
+        lines.gauge(
+            &format!("rebalance.{front}.{RATE_MILLI}"),
+            (moves.migrations_per_second * MILLI_PER_UNIT) as u64,
+        );
         lines
             .gauge(&format!("rebalance.{front}.{HELD}"), moves.hold_reason.map_or(0, |reason| reason.code()));
     }
--- a/src/rebalance/config.rs
+++ b/src/rebalance/config.rs
@@ -1,42 +1,47 @@
-//! The settings of moves for balance: the operator's, and those of the pool.
+//! The settings of rebalancing: the operator's, and those that follow from the pool's configuration.
 
 use crate::Micros;
 
 /// What the operator sets for one pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RebalanceConfig {
-    /// Whether any connection is migrated for balance.
+    /// Whether any client is migrated for balance.
     pub enabled: bool,
-    /// Clients a second that this balancer migrates at the most; infinite for as many as the learned rate allows.
-    pub max_moves_per_s: f64,
-    /// A move's gain has to be so many times its cost.
-    pub margin: f64,
-    /// Where servers do not report how long messages take: the share of their capacity that servers use on average.
-    pub assumed_use: f64,
+    /// The most clients that this balancer migrates in a second; infinite to leave the limit to the learned rate.
+    pub max_migrations_per_second: f64,
+    /// The least gain of a migration, as a multiple of its cost.
+    pub min_gain_over_cost: f64,
+    /// Mean utilisation that is assumed of servers that do not report message times, as a share of their capacity.
+    pub assumed_utilisation: f64,
 }
 
 impl Default for RebalanceConfig {
-    /// Disabled; when it is enabled, at most 2 moves a second that gain twice their cost.
+    /// Disabled; when it is enabled, at most two migrations a second that gain twice their cost.
     fn default() -> RebalanceConfig {
-        RebalanceConfig { enabled: false, max_moves_per_s: 2.0, margin: 2.0, assumed_use: 0.7 }
+        RebalanceConfig {
+            enabled: false,
+            max_migrations_per_second: 2.0,
+            min_gain_over_cost: 2.0,
+            assumed_utilisation: 0.7,
+        }
     }
 }
 
-/// The part of the pool's settings that concerns moves.
+/// The part of the pool's settings that rebalancing needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RebalanceContext {
     /// Balancers that share the servers, this one included.
     pub balancers: u32,
     /// Each class's priority weight: the value of one second of its service.
     pub priority_weights: Vec<f64>,
-    /// The tightest objective for setting a connection up, in microseconds; 0 where there is none.
+    /// The tightest latency objective of a connection setup; zero where there is none.
     pub setup_objective: Micros,
-    /// The tightest latency objective of a message, in microseconds; 0 where unknown.
+    /// The tightest latency objective of a message; zero where unknown.
     pub message_objective: Micros,
     /// Whether servers report how long messages take.
     pub reports_message_time: bool,
-    /// Price of each client migrated once, as a share of all served value.
+    /// Price of migrating a client once, as a share of the value that its whole connection delivers.
     pub migration_cost: f64,
-    /// A server that starts is warm after this time.
+    /// Time after which a server that has started is warm.
     pub slow_start_duration: Micros,
 }
--- a/src/rebalance/lifetime.rs
+++ b/src/rebalance/connection_lifetime.rs
@@ -1,17 +1,20 @@
 //! Estimates the mean lifetime of a connection.
+//!
+//! **Rule:** the time for which connections were established, divided by the number of natural ends: the maximum
+//! likelihood estimate of an exponential lifetime from right-censored data. A prior of [`PRIOR_ENDS`] ends after
+//! [`PRIOR_LIFETIME_SECONDS`] each counts in.
 
 use crate::Time;
 
-/// Ends that the initial guess of the mean lifetime counts for.
+/// Natural ends of which the prior consists.
 const PRIOR_ENDS: f64 = 3.0;
-/// The initial guess, in seconds.
+/// Mean lifetime of the prior.
 const PRIOR_LIFETIME_SECONDS: f64 = 30.0;
 
-/// Natural ends over the time that connections were established: the estimate of an exponential lifetime from
-/// censored data.
+/// The sums of the estimate.
 #[derive(Debug)]
 pub(super) struct LifetimeEstimator {
-    /// Sum of the time that connections were established, up to `updated`.
+    /// Time for which connections were established, summed over them, up to `updated`.
     connection_seconds: f64,
     updated: Time,
     natural_ends: f64,
@@ -22,7 +25,7 @@
         LifetimeEstimator { connection_seconds: 0.0, updated: now, natural_ends: 0.0 }
     }
 
-    /// Counts the time since the last call, in which so many connections were established.
+    /// Adds the time since the last call, in which this number of connections was established.
     pub(super) fn advance(&mut self, now: Time, established: usize) {
         self.connection_seconds = self.connection_seconds_until(now, established);
         self.updated = now;
--- a/src/rebalance/decision.rs
+++ b/src/rebalance/decision.rs
@@ -1,4 +1,4 @@
-//! What the rebalancer decides, and its metrics.
+//! The result of an evaluation.
 
 use super::HoldReason;
 use crate::{ConnectionId, ServerId};
@@ -6,17 +6,17 @@
 /// What is to be done after an evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
-    /// Migrate these connections.
-    pub moves: Vec<Migration>,
-    /// Raise these ceilings.
-    pub ceilings: Vec<CeilingIncrease>,
-    /// Lower the ceilings of these servers to what they hold.
-    pub lowered: Vec<ServerId>,
-    /// For the log: moves are held or may go on.
-    pub log: Option<HoldTransition>,
+    /// Connections to migrate.
+    pub migrations: Vec<Migration>,
+    /// Ceilings to raise.
+    pub ceiling_increases: Vec<CeilingIncrease>,
+    /// Servers whose ceilings are to be lowered to the slots that are occupied.
+    pub ceilings_to_lower: Vec<ServerId>,
+    /// For the log: rebalancing was put on hold or resumed.
+    pub hold_transition: Option<HoldTransition>,
 }
 
-/// A connection that is to leave its server.
+/// A connection that has to leave its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Migration {
     /// The connection.
@@ -25,35 +25,20 @@
     pub from: ServerId,
 }
 
-/// A server whose ceiling is too low for what may be expected of it.
+/// A ceiling that is too low for the capacity that the server is expected to have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CeilingIncrease {
     /// The server.
     pub server: ServerId,
-    /// The ceiling that it should have at least, in slots.
+    /// The least ceiling that it should have, in slots.
     pub ceiling: f64,
 }
 
-/// A change in whether moves are held, for the log.
+/// A change in whether rebalancing is on hold, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldTransition {
-    /// Moves are held for this reason from now on.
+    /// Nobody is migrated from now on, for this reason.
     Held(HoldReason),
-    /// Moves are no longer held.
+    /// Clients may be migrated again.
     Resumed,
 }
-
-/// Counts since the start of the process, the current rate and the current hold.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RebalanceMetrics {
-    /// Clients migrated for balance.
-    pub moved: u64,
-    /// Of those, the ones that came back to this balancer.
-    pub returned: u64,
-    /// Of those, the ones that were then rejected or failed.
-    pub rejected: u64,
-    /// Moves a second that are allowed now.
-    pub rate: f64,
-    /// Why nothing may be moved now.
-    pub hold_reason: Option<HoldReason>,
-}
--- a/src/rebalance/event.rs
+++ b/src/rebalance/event.rs
@@ -1,9 +1,9 @@
-//! What the rebalancer is notified of, and the state of a server that it evaluates.
+//! Events that the rebalancer is notified of.
 
-use super::view::Connection;
-use crate::{ConnectionId, Micros, ServerId, Time};
+use super::ConnectionProperties;
+use crate::{ConnectionId, Micros, ServerId};
 
-/// Something that happened to a connection, a server or the configuration.
+/// A change of a connection, a server, the endpoint list or the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RebalanceEvent {
     /// A client asks for a connection.
@@ -20,34 +20,34 @@
         /// The connection.
         connection: ConnectionId,
         /// Its server and its properties.
-        properties: Connection,
-        /// Time since it was requested at the server; none for one that was established before.
+        properties: ConnectionProperties,
+        /// Time from its request at the server to its establishment; none if it was established before.
         setup: Option<Micros>,
     },
     /// A connection reported its load.
     LoadReported {
         /// The connection.
         connection: ConnectionId,
-        /// In microseconds of work a second.
+        /// Microseconds of work a second.
         load: f64,
     },
-    /// A server reported how long a message takes there.
+    /// A server reported its message time.
     MessageTimeReported {
         /// The server.
         server: ServerId,
-        /// The time of a message.
+        /// How long a message takes there.
         took: Micros,
     },
-    /// A connection that was requested was rejected, or failed.
+    /// A requested connection was rejected, or failed.
     ConnectionRejected {
         /// The connection.
         connection: ConnectionId,
     },
-    /// A connection has ended here.
+    /// A connection has ended at this balancer.
     ConnectionEnded {
         /// The connection.
         connection: ConnectionId,
-        /// Whether it came to its own end: it was neither migrated nor cut off.
+        /// Whether its client ended it, rather than a migration or a fault.
         natural: bool,
     },
     /// The endpoint list has changed.
@@ -55,31 +55,10 @@
         /// Number of servers that it lists for use.
         ready: usize,
     },
-    /// The endpoint list cannot be had.
+    /// The endpoint list is unavailable.
     EndpointListLost,
     /// The endpoint list was received, with or without a change.
     EndpointListReceived,
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigurationReloaded,
 }
-
-/// A server, as the decision module and the endpoint list have it now.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerSnapshot {
-    /// The server.
-    pub server: ServerId,
-    /// It is listed for use and has not just failed.
-    pub ready: bool,
-    /// Slots held here.
-    pub occupied_slots: f64,
-    /// The most slots that may be held here.
-    pub ceiling: f64,
-    /// Its weight in the endpoint list.
-    pub weight: f64,
-    /// Share of its capacity that it surely has by now, 0 to 1.
-    pub warmth: f64,
-    /// When its process started, if not long ago.
-    pub started: Option<Time>,
-    /// When it last rejected, dropped or was slow, in this incarnation.
-    pub last_fault: Option<Time>,
-}
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -1,43 +1,65 @@
-//! Slow rebalancing: which established connections are asked to reconnect so that load evens out, when, and how many.
-//! `docs/rebalancing.md` gives the reasons.
+//! Rebalancing: which established connections are migrated so that load evens out, when, and how many.
 //!
-//! **What it does.** It is notified of what happens to connections and servers ([`Rebalance::on_event`]) and, when its
-//! time has come ([`Rebalance::due`]), of what the decision module knows of each server ([`Rebalance::evaluate`]). It
-//! answers with connections to migrate, and with changes of ceilings: lower where a server holds more than its fair
-//! share, so that new connections go elsewhere at no cost, and higher where nothing is known of a server that has just
-//! started. Where migrated clients go is decided by the decision module, by its own random draw.
+//! **Inputs.** Events of connections, servers, the endpoint list and the configuration ([`Rebalancer::on_event`]), and
+//! about twice a second the state of all servers ([`Rebalancer::evaluate`]). The unit of load is a slot: the load of a
+//! mean connection.
 //!
-//! **What it guarantees.** It migrates nobody unless a server is under pressure while another has room, and unless the
-//! gain is a margin over the cost; no group is split; nothing is moved while one of the [`SystemConditions`] takes
-//! precedence, while setups are slow, or while earlier moves turn out badly. No client that came back from a migration is
-//! migrated again. Its maps are bounded by the established connections, by the endpoint list, and by a constant number of
-//! absent clients.
+//! **Why are clients migrated now?** At an evaluation all of this has to be true:
+//! 1. Rebalancing is not on hold. The log and the metric `rebalance.FRONT.held` give the [`HoldReason`]: a condition
+//!    elsewhere (`hold_conditions.rs`), slow connection setups (`setup_times.rs`), or earlier migrations that turned out
+//!    badly (`migration_rate.rs`).
+//! 2. A server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
+//!    placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`).
+//! 3. Other servers have spare capacity (`spare_capacity.rs`).
+//! 4. There is a token (`token_bucket.rs`), and the slots that may be migrated are not used up: at most
+//!    `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated clients will still occupy
+//!    (`disconnected_clients.rs`).
 //!
-//! **What it may touch.** Nothing: no clock, no sockets, no files, no randomness but its own seeded one. The reducer
-//! (`src/routing/`) owns one for each pool and carries out its decisions.
+//! **Why these clients?** They are at the server with the slowest messages. Those that have reconnected before are
+//! excluded, and groups are migrated as a whole or not at all (`migration_candidates.rs`). Of the rest those are chosen
+//! whose migration gains most for its cost (`cost_benefit.rs`), in this order and within the limits (`selection.rs`).
+//!
+//! **Where do they go?** To any server that the policy selects when they reconnect, at random by free slots. Two changes
+//! of ceilings lead them, and new clients, to the right servers: that of a server under pressure is lowered to its
+//! occupied slots, and that of a server whose capacity is unknown is raised towards its fair share.
+//!
+//! **Guarantees.** Same settings, seed, events and times give the same migrations. Nobody who has reconnected after a
+//! migration is migrated again. Memory is bounded by the open connections, the endpoint list and a fixed number of
+//! disconnected clients. There is no access to clock, sockets or files: the reducer (`src/routing/`) owns one
+//! [`Rebalancer`] for each pool and carries out its decisions.
+//!
+//! `docs/rebalancing.md` explains the design.
 #![deny(missing_docs)]
 
-mod absent;
-mod arrivals;
+mod arrival_storm;
 mod config;
+mod connection_lifetime;
+mod cost_benefit;
 mod decision;
-mod effect;
+mod disconnected_clients;
 mod event;
-pub mod fleet;
+mod fair_share;
+mod group_locations;
+mod hold_backoff;
+mod hold_conditions;
 mod hold_reason;
-mod lifetime;
-pub mod move_rate;
-pub mod precedence;
-pub mod pressure;
-mod returns;
-pub mod room;
+mod mean_load;
+mod metrics;
+mod migration_candidates;
+mod migration_history;
+mod migration_outcome;
+mod migration_rate;
+mod observed_connections;
+mod placement_noise;
+mod pressure;
+mod reconnections;
+mod rejection_share;
 mod selection;
+mod server_snapshot;
 mod setup_times;
-mod slow_reports;
-pub mod units;
-pub mod view;
-
-use std::collections::BTreeMap;
+mod slow_message_reports;
+mod spare_capacity;
+mod token_bucket;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -45,62 +67,75 @@
 use crate::{ConnectionId, Micros, ServerId, Time};
 
 pub use config::{RebalanceConfig, RebalanceContext};
-pub use decision::{CeilingIncrease, Decision, HoldTransition, Migration, RebalanceMetrics};
-pub use event::{RebalanceEvent, ServerSnapshot};
+pub use decision::{CeilingIncrease, Decision, HoldTransition, Migration};
+pub use event::RebalanceEvent;
+pub use hold_conditions::SystemConditions;
 pub use hold_reason::HoldReason;
-use move_rate::MoveRate;
-use precedence::Precedence;
-pub use precedence::SystemConditions;
-use selection::MovePlan;
-use view::{EstablishedConnection, View};
+pub use metrics::RebalanceMetrics;
+pub use observed_connections::{ConnectionProperties, EstablishedConnection};
+pub use server_snapshot::ServerSnapshot;
+
+use cost_benefit::CostBenefit;
+use disconnected_clients::DisconnectedClients;
+use fair_share::FairShare;
+use hold_conditions::HoldConditions;
+use migration_candidates::candidates_at;
+use migration_history::MigrationHistory;
+use migration_rate::MigrationRate;
+use observed_connections::ObservedConnections;
+use pressure::{Pressure, PressureEstimator};
+use selection::{select_candidates, MigrationLimits};
+use spare_capacity::{CapacityEstimator, SpareCapacity};
 
 /// Time between two evaluations, before jitter.
 const EVALUATION_INTERVAL: Micros = Micros::from_millis(500);
-/// Factors of the interval that are drawn: balancers must not act in step.
+/// Factors of the interval, from which one is drawn: balancers must not act in step.
 const EVALUATION_JITTER: std::ops::Range<f64> = 0.8..1.2;
-/// How long it is remembered that moves off a server have begun, or that moves were meant for it.
-const MOVE_MEMORY: Micros = Micros::from_secs(10);
-/// Sets this generator apart from others with the same seed.
+/// Share of an excess, and of all spare capacity, that is migrated at once: other balancers see the same servers.
+const MIGRATED_SHARE: f64 = 0.5;
+/// Tokens that the migration of one client takes.
+const MIN_TOKENS: f64 = 1.0;
+/// Distinguishes this random generator from others with the same seed.
 const SEED_SALT: u64 = 0x6d6f_7665;
 
-/// Decides for one pool of one balancer. Same settings, seed, events and times: same moves.
+/// Rebalances one pool of one balancer.
 #[derive(Debug)]
-pub struct Rebalance {
+pub struct Rebalancer {
     config: RebalanceConfig,
     context: RebalanceContext,
-    view: View,
-    rate: MoveRate,
-    precedence: Precedence,
+    connections: ObservedConnections,
+    disconnected: DisconnectedClients,
+    hold_conditions: HoldConditions,
+    rate: MigrationRate,
+    history: MigrationHistory,
+    metrics: RebalanceMetrics,
     next_evaluation: Option<Time>,
     rng: Pcg64Mcg,
-    /// Servers that are being relieved, and since when: for them the lower threshold applies.
-    relieving: BTreeMap<ServerId, Time>,
-    /// Servers that moves were meant for, and when.
-    recently_filled: BTreeMap<ServerId, Time>,
-    metrics: RebalanceMetrics,
 }
 
-impl Rebalance {
-    /// One that knows its settings and nothing else.
-    pub fn new(config: RebalanceConfig, context: RebalanceContext, seed: u64, now: Time) -> Rebalance {
-        Rebalance {
+// ---- Settings and state ----
+
+impl Rebalancer {
+    /// A rebalancer without observations.
+    pub fn new(config: RebalanceConfig, context: RebalanceContext, seed: u64, now: Time) -> Rebalancer {
+        Rebalancer {
             config,
-            view: View::new(now, &context),
-            rate: MoveRate::new(now, &config, &context),
-            precedence: Precedence::new(now),
+            connections: ObservedConnections::new(now, context.message_objective),
+            disconnected: DisconnectedClients::new(),
+            hold_conditions: HoldConditions::new(now),
+            rate: MigrationRate::new(now, &config, &context),
+            history: MigrationHistory::default(),
+            metrics: RebalanceMetrics::default(),
             next_evaluation: config.enabled.then_some(now.plus(EVALUATION_INTERVAL)),
             rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT),
-            relieving: BTreeMap::new(),
-            recently_filled: BTreeMap::new(),
-            metrics: RebalanceMetrics::default(),
             context,
         }
     }
 
-    /// Applies other settings from now on; what was seen stays.
+    /// Applies other settings from now on, and keeps all observations.
     pub fn configure(&mut self, now: Time, config: RebalanceConfig, context: RebalanceContext) {
         self.rate.configure(&config, &context);
-        self.view.configure(&context);
+        self.connections.set_message_objective(context.message_objective);
         self.config = config;
         self.context = context;
         self.next_evaluation =
@@ -108,23 +143,27 @@
         self.on_event(now, RebalanceEvent::ConfigurationReloaded);
     }
 
-    /// When [`Rebalance::evaluate`] is wanted next; never while it is disabled.
-    pub fn due(&self) -> Option<Time> {
+    /// The time of the next evaluation; none while rebalancing is disabled.
+    pub fn next_evaluation(&self) -> Option<Time> {
         self.next_evaluation
     }
 
     /// The metrics now.
     pub fn metrics(&self) -> RebalanceMetrics {
-        let rate = if self.config.enabled { self.rate.allowed_per_s() } else { 0.0 };
-        RebalanceMetrics { rate, ..self.metrics }
+        let migrations_per_second = if self.config.enabled { self.rate.allowed_per_second() } else { 0.0 };
+        RebalanceMetrics { migrations_per_second, ..self.metrics }
     }
 
     /// An established connection: for tests.
     pub fn connection(&self, connection: ConnectionId) -> Option<EstablishedConnection> {
-        self.view.connection(connection)
+        self.connections.get(connection)
     }
+}
 
-    /// Takes in what happened.
+// ---- Observations ----
+
+impl Rebalancer {
+    /// Records an event.
     pub fn on_event(&mut self, now: Time, event: RebalanceEvent) {
         match event {
             RebalanceEvent::ConnectionRequested { connection, key, reconnecting } => {
@@ -133,26 +172,33 @@
             RebalanceEvent::ConnectionEstablished { connection, properties, setup } => {
                 self.on_established(now, connection, properties, setup);
             }
-            RebalanceEvent::LoadReported { connection, load } => self.view.on_load_reported(connection, load),
+            RebalanceEvent::LoadReported { connection, load } => {
+                self.connections.on_load_reported(connection, load);
+            }
             RebalanceEvent::MessageTimeReported { server, took } => {
-                self.view.on_message_time_reported(now, server, took);
+                self.connections.on_message_time_reported(now, server, took);
             }
             RebalanceEvent::ConnectionRejected { connection } => self.on_rejected(now, connection),
             RebalanceEvent::ConnectionEnded { connection, natural } => {
-                self.view.on_ended(now, connection, natural);
+                self.connections.on_ended(now, connection, natural);
+                self.disconnected.on_ended(connection);
             }
             RebalanceEvent::EndpointListChanged { ready } => {
-                self.precedence.on_endpoint_list_changed(now, ready);
+                self.hold_conditions.on_endpoint_list_changed(now, ready);
             }
-            RebalanceEvent::EndpointListLost => self.precedence.on_endpoint_list_lost(),
-            RebalanceEvent::EndpointListReceived => self.precedence.on_endpoint_list_received(),
-            RebalanceEvent::ConfigurationReloaded => self.precedence.on_reload(now),
+            RebalanceEvent::EndpointListLost => self.hold_conditions.on_endpoint_list_lost(),
+            RebalanceEvent::EndpointListReceived => self.hold_conditions.on_endpoint_list_received(),
+            RebalanceEvent::ConfigurationReloaded => self.hold_conditions.on_configuration_reloaded(now),
         }
     }
 
     fn on_requested(&mut self, now: Time, connection: ConnectionId, key: Option<u64>, reconnecting: bool) {
-        self.precedence.on_arrival(now);
-        if self.view.on_requested(now, connection, key, reconnecting) {
+        self.hold_conditions.on_arrival(now);
+        let returned = self.disconnected.on_requested(now, connection, key);
+        if returned || reconnecting {
+            self.connections.on_reconnecting(connection);
+        }
+        if returned {
             self.metrics.returned += 1;
             self.rate.on_returned();
         } else if reconnecting {
@@ -164,25 +210,31 @@
         &mut self,
         now: Time,
         connection: ConnectionId,
-        properties: view::Connection,
+        properties: ConnectionProperties,
         setup: Option<Micros>,
     ) {
-        // At a slow server a setup is slow too, which shows nothing of the session store.
-        if let Some(took) = setup.filter(|_| !self.view.reported_slow(now, properties.server)) {
+        // Setups at a slow server are slow for that reason, and show nothing of the session store.
+        let is_slow = self.connections.reported_slow(now, properties.server);
+        if let Some(took) = setup.filter(|_| !is_slow) {
             self.rate.on_setup(now, took);
         }
-        self.view.on_established(now, connection, properties);
+        self.connections.on_established(now, connection, properties);
     }
 
     fn on_rejected(&mut self, now: Time, connection: ConnectionId) {
         self.rate.on_rejected();
-        if self.view.on_rejected(connection) {
+        let was_migrated = self.disconnected.on_rejected(connection);
+        if was_migrated {
             self.metrics.rejected += 1;
             self.rate.on_migrated_rejected(now);
         }
     }
+}
+
+// ---- Evaluation ----
 
-    /// Decides who is to be migrated now. Each of the moves counts as made.
+impl Rebalancer {
+    /// Decides which connections are migrated now, and which ceilings are changed. The decision counts as carried out.
     pub fn evaluate(
         &mut self,
         now: Time,
@@ -194,22 +246,33 @@
             return Decision::default();
         }
         self.schedule_next_evaluation(now);
-        self.relieving.retain(|_, since| now.since(*since) < MOVE_MEMORY);
-        self.recently_filled.retain(|_, at| now.since(*at) < MOVE_MEMORY);
-        let expired = self.view.expire_absent(now);
-        self.rate.advance(now, self.view.established(), expired);
-        let ready = servers.iter().filter(|server| server.ready).count();
-        let rule = self.precedence.hold_reason(now, conditions, ready);
-        let hold_reason = rule.or_else(|| self.rate.hold_reason(now));
-        let mut decision = Decision::default();
-        if hold_reason.is_none() {
-            decision.ceilings = self.raise_unknown_ceilings(now, servers);
-            let MovePlan { moves, lowered } = self.plan_moves(now, servers);
-            decision.moves = moves;
-            decision.lowered = lowered;
+        self.update_observations(now);
+        let hold_reason = self.hold_reason(now, conditions, servers);
+        let hold_transition = self.record_hold_reason(hold_reason);
+        if hold_reason.is_some() {
+            return Decision { hold_transition, ..Decision::default() };
         }
-        decision.log = self.update_hold_reason(hold_reason);
-        decision
+        Decision { hold_transition, ..self.balance(now, servers) }
+    }
+
+    /// The steps of an evaluation while rebalancing is not on hold.
+    fn balance(&mut self, now: Time, servers: &[ServerSnapshot]) -> Decision {
+        let fair_share = FairShare::new(servers);
+        let ceiling_increases = self.capacity_estimator(now, fair_share).ceiling_increases(servers);
+        if fair_share.is_empty() {
+            return Decision { ceiling_increases, ..Decision::default() };
+        }
+        let pressures = self.estimate_pressures(now, servers, fair_share);
+        let ceilings_to_lower = pressures.iter().map(|pressure| pressure.server).collect();
+        let sources = self.migration_sources(pressures);
+        self.judge_outcome(now, &sources);
+        if sources.is_empty() || self.rate.tokens() < MIN_TOKENS {
+            return Decision { ceiling_increases, ceilings_to_lower, ..Decision::default() };
+        }
+        let spare = self.find_spare_capacity(now, servers, fair_share, &sources);
+        let migrations = self.select_migrations(now, sources, &spare);
+        self.record_migrations(now, &migrations, &spare);
+        Decision { migrations, ceiling_increases, ceilings_to_lower, hold_transition: None }
     }
 
     fn schedule_next_evaluation(&mut self, now: Time) {
@@ -217,13 +280,143 @@
         self.next_evaluation = Some(now.plus(Micros::from_f64(EVALUATION_INTERVAL.as_f64() * jitter)));
     }
 
-    /// Remembers why moves are held; a change is logged only where it keeps moves from being made.
-    fn update_hold_reason(&mut self, reason: Option<HoldReason>) -> Option<HoldTransition> {
+    fn update_observations(&mut self, now: Time) {
+        self.history.expire(now);
+        let timed_out = self.disconnected.expire(now);
+        self.rate.advance(now, self.connections.established(), timed_out);
+    }
+
+    /// Why nobody may be migrated now. Conditions elsewhere come before the outcome of migrations.
+    fn hold_reason(
+        &mut self,
+        now: Time,
+        conditions: SystemConditions,
+        servers: &[ServerSnapshot],
+    ) -> Option<HoldReason> {
+        let ready_servers = servers.iter().filter(|server| server.ready).count();
+        let condition = self.hold_conditions.hold_reason(now, conditions, ready_servers);
+        condition.or_else(|| self.rate.hold_reason(now))
+    }
+
+    /// Returns a change for the log; before the first migration a hold is not worth a line.
+    fn record_hold_reason(&mut self, reason: Option<HoldReason>) -> Option<HoldTransition> {
         let previous = std::mem::replace(&mut self.metrics.hold_reason, reason);
-        let relevant = self.metrics.moved > 0 || previous.is_some();
-        if previous == reason || !relevant {
+        let is_relevant = self.metrics.migrated > 0 || previous.is_some();
+        if previous == reason || !is_relevant {
             return None;
         }
         Some(reason.map_or(HoldTransition::Resumed, HoldTransition::Held))
     }
+
+    /// The pressure on each ready server that has any.
+    fn estimate_pressures(
+        &self,
+        now: Time,
+        servers: &[ServerSnapshot],
+        fair_share: FairShare,
+    ) -> Vec<Pressure> {
+        let estimator = PressureEstimator {
+            now,
+            config: &self.config,
+            context: &self.context,
+            connections: &self.connections,
+            fair_share,
+        };
+        let ready = servers.iter().filter(|server| server.ready);
+        ready
+            .filter_map(|server| estimator.estimate(server, self.history.is_being_relieved(server.server)))
+            .collect()
+    }
+
+    /// The servers that clients may be migrated away from. One that was recently filled must not pass the same clients
+    /// on, unless its pressure is measured.
+    fn migration_sources(&self, mut pressures: Vec<Pressure>) -> Vec<Pressure> {
+        let is_measured = self.context.reports_message_time;
+        pressures.retain(|pressure| {
+            let was_recently_filled = self.history.was_recently_filled(pressure.server);
+            pressure.is_certain && (is_measured || !was_recently_filled)
+        });
+        pressures
+    }
+
+    /// Judges earlier migrations by the largest excess that is left.
+    fn judge_outcome(&mut self, now: Time, sources: &[Pressure]) {
+        let max_excess_slots = sources.iter().map(|pressure| pressure.excess_slots).fold(0.0, f64::max);
+        self.rate.on_excess(now, max_excess_slots);
+    }
+
+    fn find_spare_capacity(
+        &self,
+        now: Time,
+        servers: &[ServerSnapshot],
+        fair_share: FairShare,
+        sources: &[Pressure],
+    ) -> Vec<SpareCapacity> {
+        let is_source = |server: ServerId| sources.iter().any(|pressure| pressure.server == server);
+        self.capacity_estimator(now, fair_share).find(servers, is_source)
+    }
+
+    fn capacity_estimator(&self, now: Time, fair_share: FairShare) -> CapacityEstimator<'_> {
+        CapacityEstimator { now, context: &self.context, connections: &self.connections, fair_share }
+    }
+
+    /// Selects clients at each source, the one with the slowest messages first, until spare capacity or tokens are used
+    /// up.
+    fn select_migrations(
+        &mut self,
+        now: Time,
+        mut sources: Vec<Pressure>,
+        spare: &[SpareCapacity],
+    ) -> Vec<Migration> {
+        sources.sort_by(Pressure::cmp_slowest_first);
+        let spare_slots = spare.iter().map(|capacity| capacity.slots).sum::<f64>();
+        let mut available_slots = spare_slots * MIGRATED_SHARE - self.disconnected.expected_slots();
+        let mut migrations = Vec::new();
+        for pressure in sources {
+            let limits = MigrationLimits {
+                tokens: self.rate.tokens(),
+                max_tokens: self.rate.max_tokens(),
+                slots: available_slots
+                    .min(pressure.excess_slots * MIGRATED_SHARE)
+                    .max(0.0)
+                    .min(pressure.occupied_slots),
+            };
+            let from = pressure.server;
+            let candidates = candidates_at(&self.connections, &self.context, from);
+            let cost_benefit = self.cost_benefit(now, pressure);
+            for candidate in select_candidates(candidates, &cost_benefit, limits) {
+                self.rate.on_migrated(now, candidate.members.len());
+                self.history.on_relieved(now, from);
+                available_slots -= candidate.slots;
+                migrations
+                    .extend(candidate.members.into_iter().map(|connection| Migration { connection, from }));
+            }
+        }
+        migrations
+    }
+
+    fn cost_benefit(&self, now: Time, pressure: Pressure) -> CostBenefit {
+        let mean_disconnected_seconds = self.disconnected.mean_disconnected_seconds();
+        let mean_lifetime_seconds = self.connections.mean_lifetime_seconds(now);
+        CostBenefit {
+            pressure,
+            mean_lifetime_seconds,
+            client_cost: self.rate.client_cost(mean_disconnected_seconds, mean_lifetime_seconds),
+            min_gain_over_cost: self.config.min_gain_over_cost,
+        }
+    }
+
+    /// Remembers the migrated clients until they reconnect, and the server that is expected to be filled by them.
+    fn record_migrations(&mut self, now: Time, migrations: &[Migration], spare: &[SpareCapacity]) {
+        let emptiest = spare.iter().max_by(|a, b| a.slots.total_cmp(&b.slots));
+        if let (false, Some(target)) = (migrations.is_empty(), emptiest) {
+            self.history.on_filled(now, target.server);
+        }
+        self.metrics.migrated += migrations.len() as u64;
+        for migration in migrations {
+            let Some(connection) = self.connections.get(migration.connection) else { continue };
+            let slots = self.connections.slots_of(&connection.properties);
+            self.disconnected.on_migrated(now, connection.properties.key, slots);
+        }
+    }
 }
--- /dev/null
+++ b/src/rebalance/observed_connections.rs
@@ -0,0 +1,215 @@
+//! The established connections of the pool, by server and by group, with what they and their servers have reported.
+//!
+//! One slot is the load of a mean connection; a connection's load is in microseconds of work a second. Memory is bounded
+//! by the number of open connections: nothing is kept of a server without connections.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::connection_lifetime::LifetimeEstimator;
+use super::group_locations::GroupLocations;
+use super::mean_load::MeanLoad;
+use super::slow_message_reports::SlowMessageReports;
+use crate::{ConnectionId, Micros, ServerId, Time};
+
+/// An established connection's properties.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConnectionProperties {
+    /// Its server.
+    pub server: ServerId,
+    /// The index of its class.
+    pub class: u16,
+    /// Its group.
+    pub group: Option<u64>,
+    /// The load that it reported last, in microseconds of work a second.
+    pub load: Option<f64>,
+    /// The key of its flow, by which its client is recognised when it reconnects.
+    pub key: Option<u64>,
+}
+
+/// An established connection, with its history at this balancer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EstablishedConnection {
+    /// Its properties.
+    pub properties: ConnectionProperties,
+    /// When it was established.
+    pub since: Time,
+    /// Whether its client reconnected after a migration or a break.
+    pub reconnected: bool,
+}
+
+/// An established connection without a group.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SingleConnection {
+    pub(super) id: ConnectionId,
+    pub(super) connection: EstablishedConnection,
+}
+
+/// A server's connections.
+#[derive(Debug, Default)]
+pub(super) struct ServerConnections {
+    /// Connections without a group.
+    pub(super) singles: Vec<SingleConnection>,
+    /// Groups, with their connections at this server.
+    pub(super) groups: BTreeMap<u64, Vec<ConnectionId>>,
+}
+
+#[derive(Debug, Default)]
+struct ObservedServer {
+    connections: BTreeSet<ConnectionId>,
+    slow_message_reports: SlowMessageReports,
+}
+
+/// The established connections and their servers.
+#[derive(Debug)]
+pub(super) struct ObservedConnections {
+    connections: BTreeMap<ConnectionId, EstablishedConnection>,
+    servers: BTreeMap<ServerId, ObservedServer>,
+    groups: GroupLocations,
+    mean_load: MeanLoad,
+    /// Connections whose clients report a migration or a break, at whichever balancer.
+    reconnecting: BTreeSet<ConnectionId>,
+    lifetime: LifetimeEstimator,
+    message_objective: Micros,
+}
+
+// ---- Events ----
+
+impl ObservedConnections {
+    pub(super) fn new(now: Time, message_objective: Micros) -> ObservedConnections {
+        ObservedConnections {
+            connections: BTreeMap::new(),
+            servers: BTreeMap::new(),
+            groups: GroupLocations::default(),
+            mean_load: MeanLoad::default(),
+            reconnecting: BTreeSet::new(),
+            lifetime: LifetimeEstimator::new(now),
+            message_objective,
+        }
+    }
+
+    pub(super) fn set_message_objective(&mut self, message_objective: Micros) {
+        self.message_objective = message_objective;
+    }
+
+    /// The client of this request was migrated, or its connection broke.
+    pub(super) fn on_reconnecting(&mut self, connection: ConnectionId) {
+        self.reconnecting.insert(connection);
+    }
+
+    pub(super) fn on_established(&mut self, now: Time, id: ConnectionId, properties: ConnectionProperties) {
+        self.remove(now, id);
+        if let Some(load) = properties.load {
+            self.mean_load.add(load);
+        }
+        self.servers.entry(properties.server).or_default().connections.insert(id);
+        if let Some(group) = properties.group {
+            self.groups.add_member(group, properties.server);
+        }
+        let reconnected = self.reconnecting.contains(&id);
+        self.connections.insert(id, EstablishedConnection { properties, since: now, reconnected });
+    }
+
+    pub(super) fn on_load_reported(&mut self, connection: ConnectionId, load: f64) {
+        let Some(connection) = self.connections.get_mut(&connection) else { return };
+        match connection.properties.load.replace(load) {
+            Some(old) => self.mean_load.replace(old, load),
+            None => self.mean_load.add(load),
+        }
+    }
+
+    /// Records a server's message time; that of a server without connections, which may not even be listed, is ignored.
+    pub(super) fn on_message_time_reported(&mut self, now: Time, server: ServerId, took: Micros) {
+        let Some(server) = self.servers.get_mut(&server) else { return };
+        server.slow_message_reports.record(now, took, self.message_objective);
+    }
+
+    /// A connection has ended; `natural` if its client ended it.
+    pub(super) fn on_ended(&mut self, now: Time, connection: ConnectionId, natural: bool) {
+        if self.remove(now, connection) && natural {
+            self.lifetime.on_natural_end();
+        }
+        self.reconnecting.remove(&connection);
+    }
+
+    /// Removes a connection. Returns whether it was established.
+    fn remove(&mut self, now: Time, id: ConnectionId) -> bool {
+        self.lifetime.advance(now, self.connections.len());
+        let Some(EstablishedConnection { properties, .. }) = self.connections.remove(&id) else {
+            return false;
+        };
+        if let Some(load) = properties.load {
+            self.mean_load.remove(load);
+        }
+        self.remove_from_server(properties.server, id);
+        if let Some(group) = properties.group {
+            self.groups.remove_member(group, properties.server);
+        }
+        true
+    }
+
+    fn remove_from_server(&mut self, server_id: ServerId, connection: ConnectionId) {
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.connections.remove(&connection);
+        if server.connections.is_empty() {
+            self.servers.remove(&server_id);
+        }
+    }
+}
+
+// ---- Queries ----
+
+impl ObservedConnections {
+    /// Number of established connections.
+    pub(super) fn established(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// An established connection.
+    pub(super) fn get(&self, connection: ConnectionId) -> Option<EstablishedConnection> {
+        self.connections.get(&connection).copied()
+    }
+
+    /// Slots that a connection occupies.
+    pub(super) fn slots_of(&self, properties: &ConnectionProperties) -> f64 {
+        self.mean_load.slots_of(properties.load)
+    }
+
+    /// Slots that these connections occupy, as far as they are established.
+    pub(super) fn total_slots_of(&self, connections: &[ConnectionId]) -> f64 {
+        let established = connections.iter().filter_map(|id| self.connections.get(id));
+        established.map(|connection| self.slots_of(&connection.properties)).sum()
+    }
+
+    /// A server's connections, single ones apart from groups.
+    pub(super) fn connections_at(&self, server: ServerId) -> ServerConnections {
+        let mut at_server = ServerConnections::default();
+        for id in self.servers.get(&server).into_iter().flat_map(|server| &server.connections) {
+            let Some(connection) = self.connections.get(id).copied() else { continue };
+            match connection.properties.group {
+                Some(group) => at_server.groups.entry(group).or_default().push(*id),
+                None => at_server.singles.push(SingleConnection { id: *id, connection }),
+            }
+        }
+        at_server
+    }
+
+    /// Number of a group's connections at other servers than this one.
+    pub(super) fn group_members_elsewhere(&self, group: u64, server: ServerId) -> usize {
+        self.groups.members_elsewhere(group, server)
+    }
+
+    /// Message time of a server that has been slow for a while.
+    pub(super) fn sustained_message_time(&self, now: Time, server: ServerId) -> Option<Micros> {
+        self.servers.get(&server)?.slow_message_reports.sustained_message_time(now)
+    }
+
+    /// Whether a server reported a slow message recently.
+    pub(super) fn reported_slow(&self, now: Time, server: ServerId) -> bool {
+        self.servers.get(&server).is_some_and(|server| server.slow_message_reports.any_recent(now))
+    }
+
+    /// Estimated mean lifetime of a connection, in seconds.
+    pub(super) fn mean_lifetime_seconds(&self, now: Time) -> f64 {
+        self.lifetime.mean_seconds(now, self.connections.len())
+    }
+}
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -1,151 +1,174 @@
-//! Which servers hold more than their fair share, and what moves off them gain. Pure functions.
+//! Which servers are overloaded compared with their fair share.
+//!
+//! **Decided:** for each ready server whether it is under pressure, how much, and whether that is certain enough to
+//! migrate established connections. Where it is not, only its ceiling is lowered, so that new connections go elsewhere.
+//!
+//! **Inputs:** occupied and fair slots of the server; the standard deviation of random placement in slots
+//! (`placement_noise.rs`); its message time over the tightest message objective, where servers report it; the
+//! operator's `assumed_use` where they do not.
+//!
+//! **Rule:** a server is under pressure if it holds at least [`MIN_EXCESS_SLOTS`] over its fair share and, where many of
+//! its connections are in groups, [`MIN_GROUPED_DEVIATIONS`] standard deviations. The pressure is certain
+//! - where servers report message times: if the server has reported slow messages for a while (`slow_message_reports.rs`)
+//!   and its excess is at least [`MEASURED_THRESHOLDS`]; a server that does not report any is not slow;
+//! - elsewhere: if its excess is at least [`INFERRED_THRESHOLDS`]. Its utilisation is then inferred: the assumed mean
+//!   utilisation times its slots, less a part of the noise, over its fair share.
+//!
+//! **Reason:** in an M/M/1 queue with processor sharing the mean message time grows as 1/(1 - utilisation) (Kleinrock,
+//! Queueing Systems, vol. 1), so a small excess at a busy server delays the messages of all its connections.
 
-use super::fleet::FairShare;
-use super::view::View;
+use std::cmp::Ordering;
+
+use super::fair_share::FairShare;
+use super::observed_connections::ObservedConnections;
+use super::placement_noise::PlacementNoise;
 use super::{RebalanceConfig, RebalanceContext, ServerSnapshot};
-use crate::{Micros, Time};
+use crate::{Micros, ServerId, Time};
 
-/// At this use of a server's capacity messages take [`KNEE_MESSAGE_TIME`] of a tight objective, from which on servers
-/// report slow messages; the time grows as 1/(1 - use) (the mean of M/M/1 with shared service; Kleinrock, Queueing
-/// Systems, vol. 1).
-const KNEE_USE: f64 = 0.85;
-/// Message time at [`KNEE_USE`], over the objective.
-const KNEE_MESSAGE_TIME: f64 = 1.0 / 3.0;
-/// At that use a load that is one part in n lower lowers the message time by about so many parts in n.
-const RELIEF_FACTOR: f64 = 5.0;
-/// An inferred use is never taken to be nearer to saturation than this.
-const MAX_INFERRED_USE: f64 = 0.97;
-/// The least relative message time that losses are computed for: avoids a division by zero.
+/// Utilisation at which servers begin to report slow messages.
+const SLOW_UTILISATION: f64 = 0.85;
+/// Message time over a tight objective at [`SLOW_UTILISATION`].
+const MESSAGE_TIME_AT_SLOW_UTILISATION: f64 = 1.0 / 3.0;
+/// Relative fall of the message time for a relative fall of the load: u/(1 - u) for 1/(1 - u), at u = 0.83.
+const MESSAGE_TIME_ELASTICITY: f64 = 5.0;
+/// The highest utilisation that is inferred, which bounds the inferred message time.
+const MAX_INFERRED_UTILISATION: f64 = 0.97;
+/// The least message time over the objective with which losses are computed: avoids a division by zero.
 const MIN_RELATIVE_MESSAGE_TIME: f64 = 0.01;
-/// Where servers report slow messages, deviations over the fair share at which moves begin and go on.
-const MEASURED_THRESHOLDS: Thresholds = Thresholds { start: 0.5, proceed: 0.25 };
-/// The same where pressure is only inferred from what servers hold.
-const INFERRED_THRESHOLDS: Thresholds = Thresholds { start: 2.5, proceed: 1.5 };
-/// Part of the threshold's noise that is not counted towards an inferred use.
-const UNCERTAIN_NOISE_SHARE: f64 = 0.5;
-/// A server so many slots over its fair share takes no new connection that another server can take.
+/// Thresholds where slow messages are reported.
+const MEASURED_THRESHOLDS: Hysteresis = Hysteresis { start_deviations: 0.5, continue_deviations: 0.25 };
+/// Thresholds where pressure is inferred from occupied slots alone.
+const INFERRED_THRESHOLDS: Hysteresis = Hysteresis { start_deviations: 2.5, continue_deviations: 1.5 };
+/// Share of the threshold's slots that is deducted from the occupied slots to infer the utilisation.
+const DEDUCTED_THRESHOLD_SHARE: f64 = 0.5;
+/// The least excess over the fair share that counts as pressure.
 const MIN_EXCESS_SLOTS: f64 = 1.0;
-/// Where more than this share of a server's connections is in groups...
-const MIN_GROUPED_SHARE: f64 = 0.1;
-/// ...its excess has to be so many deviations.
-const GROUPED_THRESHOLD: f64 = 2.0;
+/// Share of a server's connections in groups above which [`MIN_GROUPED_DEVIATIONS`] applies.
+const MAX_UNRESTRICTED_GROUPED_SHARE: f64 = 0.1;
+/// The least excess of a server with many grouped connections, in standard deviations: once its free slots are gone, the
+/// next members of its groups go to a second server, which then bears the groups' overhead as well.
+const MIN_GROUPED_DEVIATIONS: f64 = 2.0;
 
-/// Hysteresis: excess in standard deviations of random placement.
+/// Thresholds of the excess, in standard deviations of random placement.
 #[derive(Clone, Copy, Debug)]
-struct Thresholds {
-    /// Moves begin above this.
-    start: f64,
-    /// Once begun, they go on above this.
-    proceed: f64,
+struct Hysteresis {
+    /// Migrations begin at this.
+    start_deviations: f64,
+    /// Once begun, they continue down to this.
+    continue_deviations: f64,
 }
 
-impl Thresholds {
-    fn select(self, relieving: bool) -> f64 {
-        if relieving {
-            self.proceed
+impl Hysteresis {
+    fn deviations(self, is_being_relieved: bool) -> f64 {
+        if is_being_relieved {
+            self.continue_deviations
         } else {
-            self.start
+            self.start_deviations
         }
     }
 }
 
 /// The pressure on a server that holds more than its fair share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pressure {
+pub(super) struct Pressure {
+    /// The server.
+    pub(super) server: ServerId,
+    /// Slots that are occupied at it.
+    pub(super) occupied_slots: f64,
+    /// Occupied slots over its fair share.
+    pub(super) excess_slots: f64,
     /// Message time over the tightest objective.
-    pub relative_message_time: f64,
-    /// Slots that it holds over its fair share.
-    pub excess: f64,
-    /// Certain enough to migrate established connections; otherwise only new ones go elsewhere.
-    pub certain: bool,
+    pub(super) relative_message_time: f64,
+    /// Whether established connections may be migrated for it.
+    pub(super) is_certain: bool,
 }
 
 impl Pressure {
-    /// Share of messages that miss the objective, with exponential message times.
-    pub fn missed_share(&self) -> f64 {
-        (-1.0 / self.relative_message_time.max(MIN_RELATIVE_MESSAGE_TIME)).exp()
+    /// Orders by message time, then by excess, the largest first.
+    pub(super) fn cmp_slowest_first(&self, other: &Pressure) -> Ordering {
+        let by_message_time = other.relative_message_time.total_cmp(&self.relative_message_time);
+        by_message_time.then(other.excess_slots.total_cmp(&self.excess_slots))
     }
 
-    /// Connection-seconds a second that the remaining connections gain from each slot that is freed.
-    pub fn relief_per_slot(&self) -> f64 {
-        RELIEF_FACTOR * self.missed_share() / self.relative_message_time.max(MIN_RELATIVE_MESSAGE_TIME)
+    /// Share of messages that miss the objective, with exponentially distributed message times.
+    pub(super) fn missed_share(&self) -> f64 {
+        (-1.0 / self.relative_message_time.max(MIN_RELATIVE_MESSAGE_TIME)).exp()
     }
-}
 
-/// Message time over the objective at a use of the capacity.
-fn relative_message_time_at(used: f64) -> f64 {
-    KNEE_MESSAGE_TIME * (1.0 - KNEE_USE) / (1.0 - used.min(MAX_INFERRED_USE))
+    /// Seconds of good service that the remaining connections gain in each second from each slot that is freed.
+    pub(super) fn relief_per_slot(&self) -> f64 {
+        MESSAGE_TIME_ELASTICITY * self.missed_share()
+            / self.relative_message_time.max(MIN_RELATIVE_MESSAGE_TIME)
+    }
 }
 
-/// What the pressure on servers is assessed by.
+/// What the pressure on servers is estimated from.
 #[derive(Clone, Copy, Debug)]
-pub struct Assessment<'a> {
-    /// The pool's settings.
-    pub context: &'a RebalanceContext,
-    /// The operator's settings.
-    pub config: &'a RebalanceConfig,
-    /// The connections.
-    pub view: &'a View,
-    /// The fair share of each server.
-    pub fair_share: FairShare,
-    /// The current time.
-    pub now: Time,
+pub(super) struct PressureEstimator<'a> {
+    pub(super) now: Time,
+    pub(super) config: &'a RebalanceConfig,
+    pub(super) context: &'a RebalanceContext,
+    pub(super) connections: &'a ObservedConnections,
+    pub(super) fair_share: FairShare,
 }
 
-impl Assessment<'_> {
-    /// The pressure on a server that holds more than its fair share and more than random placement explains.
-    /// `relieving`: moves off it have begun.
-    pub fn pressure(&self, server: &ServerSnapshot, relieving: bool) -> Option<Pressure> {
-        let fair = self.fair_share.of(server);
-        let excess = server.occupied_slots - fair;
-        // Checked first, as it is cheap and true of most servers most of the time.
-        if excess < MIN_EXCESS_SLOTS {
+impl PressureEstimator<'_> {
+    /// The pressure on a server, if any. `is_being_relieved`: migrations away from it have begun.
+    pub(super) fn estimate(&self, server: &ServerSnapshot, is_being_relieved: bool) -> Option<Pressure> {
+        let fair_slots = self.fair_share.slots_of(server);
+        let excess_slots = server.occupied_slots - fair_slots;
+        // Checked first: it is cheap and excludes most servers.
+        if excess_slots < MIN_EXCESS_SLOTS {
             return None;
         }
-        let noise = self.view.placement_noise(server.server);
-        // Where free slots are gone a group's next members go elsewhere, and a second server pays for the group.
-        if noise.grouped_share > MIN_GROUPED_SHARE && excess < GROUPED_THRESHOLD * noise.deviation {
+        let noise = PlacementNoise::at(self.connections, server.server);
+        let is_grouped = noise.grouped_share > MAX_UNRESTRICTED_GROUPED_SHARE;
+        if is_grouped && excess_slots < MIN_GROUPED_DEVIATIONS * noise.deviation_slots {
             return None;
         }
         if self.context.reports_message_time && self.context.message_objective > Micros::ZERO {
-            Some(self.measured_pressure(server, excess, noise.deviation, relieving))
+            let threshold_slots = MEASURED_THRESHOLDS.deviations(is_being_relieved) * noise.deviation_slots;
+            Some(self.measured_pressure(server, excess_slots, threshold_slots))
         } else {
-            Some(self.inferred_pressure(server, fair, noise.deviation, relieving))
+            let threshold_slots = INFERRED_THRESHOLDS.deviations(is_being_relieved) * noise.deviation_slots;
+            Some(self.inferred_pressure(server, fair_slots, threshold_slots))
         }
     }
 
-    /// A server that could report slow messages and does not is not under pressure.
     fn measured_pressure(
         &self,
         server: &ServerSnapshot,
-        excess: f64,
-        deviation: f64,
-        relieving: bool,
+        excess_slots: f64,
+        threshold_slots: f64,
     ) -> Pressure {
-        let message_time = self.view.sustained_message_time(self.now, server.server);
+        let message_time = self.connections.sustained_message_time(self.now, server.server);
         let relative_message_time =
             message_time.map_or(0.0, |took| took.as_f64() / self.context.message_objective.as_f64());
-        let threshold = MEASURED_THRESHOLDS.select(relieving) * deviation;
-        let certain = relative_message_time > 0.0 && excess >= threshold;
-        Pressure { relative_message_time, excess, certain }
+        Pressure {
+            server: server.server,
+            occupied_slots: server.occupied_slots,
+            excess_slots,
+            relative_message_time,
+            is_certain: relative_message_time > 0.0 && excess_slots >= threshold_slots,
+        }
     }
 
-    fn inferred_pressure(
-        &self,
-        server: &ServerSnapshot,
-        fair: f64,
-        deviation: f64,
-        relieving: bool,
-    ) -> Pressure {
-        let excess = server.occupied_slots - fair;
-        let threshold = INFERRED_THRESHOLDS.select(relieving) * deviation;
-        // Only what random placement does not explain counts towards the inferred use.
-        let certainly_held = server.occupied_slots - threshold * UNCERTAIN_NOISE_SHARE;
-        let used = self.config.assumed_use * certainly_held / fair.max(1.0);
+    fn inferred_pressure(&self, server: &ServerSnapshot, fair_slots: f64, threshold_slots: f64) -> Pressure {
+        let excess_slots = server.occupied_slots - fair_slots;
+        let certainly_occupied = server.occupied_slots - threshold_slots * DEDUCTED_THRESHOLD_SHARE;
+        let utilisation = self.config.assumed_utilisation * certainly_occupied / fair_slots.max(1.0);
         Pressure {
-            relative_message_time: relative_message_time_at(used),
-            excess,
-            certain: excess >= threshold,
+            server: server.server,
+            occupied_slots: server.occupied_slots,
+            excess_slots,
+            relative_message_time: relative_message_time_at(utilisation),
+            is_certain: excess_slots >= threshold_slots,
         }
     }
 }
+
+/// Message time over the objective at a utilisation.
+fn relative_message_time_at(utilisation: f64) -> f64 {
+    MESSAGE_TIME_AT_SLOW_UTILISATION * (1.0 - SLOW_UTILISATION)
+        / (1.0 - utilisation.min(MAX_INFERRED_UTILISATION))
+}
--- a/src/rebalance/setup_times.rs
+++ b/src/rebalance/setup_times.rs
@@ -1,23 +1,32 @@
-//! Detects slow connection setups, whose cause is the session store behind the servers.
+//! Detects slow connection setups, whose cause is the session store that all servers share.
+//!
+//! **Decided:** whether setups are slow, during which nobody is migrated: each migration is one more setup.
+//!
+//! **Inputs:** the time of each setup in microseconds, without those at slow servers; the tightest setup objective.
+//!
+//! **Rule:** a fast mean (weight [`RECENT_MEAN_WEIGHT`]) is compared with a slow one (weight [`USUAL_MEAN_WEIGHT`]).
+//! Setups are slow when the recent mean exceeds [`SLOW_USUAL_MULTIPLE`] times the usual mean by more than
+//! [`SLOW_MIN_EXTRA_MICROS`], or exceeds [`SLOW_OBJECTIVE_SHARE`] of the objective. They are normal again below
+//! [`RECOVERY_SHARE`] of both limits, or after a time without setups.
 
 use crate::{Micros, Time};
 
-/// Weight of a new setup in the recent mean, which follows within a few...
-const RECENT_WEIGHT: f64 = 1.0 / 4.0;
-/// ...and in the usual mean, which follows within a hundred.
-const USUAL_WEIGHT: f64 = 1.0 / 128.0;
-/// So many setups have to be known before there is a usual time.
+/// Weight of a new setup in the recent mean, which follows within about four.
+const RECENT_MEAN_WEIGHT: f64 = 1.0 / 4.0;
+/// Weight of a new setup in the usual mean, which follows within about a hundred.
+const USUAL_MEAN_WEIGHT: f64 = 1.0 / 128.0;
+/// Number of setups from which on there is a usual time.
 const MIN_SETUPS: u32 = 16;
-/// Setups are slow at so many times the usual time...
-const SLOW_FACTOR: f64 = 2.0;
-/// ...and at least so much more: usual times of a millisecond vary by more than that for no reason.
-const SLOW_MARGIN_MICROS: f64 = 20_000.0;
-/// They are slow, too, at this share of the tightest objective.
+/// Setup time at which setups are slow, as a multiple of the usual time...
+const SLOW_USUAL_MULTIPLE: f64 = 2.0;
+/// ...plus this time: usual times of a millisecond vary by more than their multiple.
+const SLOW_MIN_EXTRA_MICROS: f64 = 20_000.0;
+/// Setup time at which setups are slow, as a share of the tightest objective.
 const SLOW_OBJECTIVE_SHARE: f64 = 1.0 / 2.0;
-/// Slow setups count as normal again below this share of both limits.
-const RECOVERED_SHARE: f64 = 0.6;
+/// Share of both limits below which setups are normal again.
+const RECOVERY_SHARE: f64 = 0.6;
 
-/// The mean setup times, in microseconds, and what they show of the store.
+/// The mean setup times, and whether setups are slow.
 #[derive(Debug)]
 pub(super) struct SetupTimes {
     objective_micros: f64,
@@ -40,7 +49,7 @@
         }
     }
 
-    /// Sets the tightest objective; 0 where there is none.
+    /// Sets the tightest objective; zero where there is none.
     pub(super) fn set_objective(&mut self, objective: Micros) {
         self.objective_micros = objective.as_f64();
     }
@@ -53,50 +62,51 @@
         self.recent_mean_micros / 1e6
     }
 
-    /// Takes in a setup; whether setups have become slow with it.
+    /// Records a setup. Returns whether setups have become slow with it.
     pub(super) fn record(&mut self, now: Time, took: Micros) -> bool {
         self.last_setup = now;
         self.update_means(took.as_f64());
-        if !self.slow && self.exceeds(1.0) {
+        if !self.slow && self.exceeds_limits(1.0) {
             self.slow = true;
             return true;
         }
-        if self.slow && !self.exceeds(RECOVERED_SHARE) {
+        if self.slow && !self.exceeds_limits(RECOVERY_SHARE) {
             self.slow = false;
         }
         false
     }
 
-    fn update_means(&mut self, took: f64) {
+    /// Setups no longer count as slow after a time without any: nothing else would show that the store has recovered.
+    pub(super) fn expire_slowness(&mut self, now: Time, timeout: Micros) {
+        if self.slow && now.since(self.last_setup) > timeout {
+            self.slow = false;
+            self.recent_mean_micros = self.usual_mean_micros;
+        }
+    }
+
+    fn update_means(&mut self, took_micros: f64) {
         if self.count == 0 {
-            self.recent_mean_micros = took;
-            self.usual_mean_micros = took;
+            self.recent_mean_micros = took_micros;
+            self.usual_mean_micros = took_micros;
         }
         self.count = self.count.saturating_add(1);
-        self.recent_mean_micros += (took - self.recent_mean_micros) * RECENT_WEIGHT;
-        // A slow store must not become the usual while it is slow.
-        let capped = took.min(self.slow_threshold());
-        let weight = (1.0 / f64::from(self.count)).max(USUAL_WEIGHT);
+        self.recent_mean_micros += (took_micros - self.recent_mean_micros) * RECENT_MEAN_WEIGHT;
+        // The time is capped so that a slow store does not become usual.
+        let capped = took_micros.min(self.usual_limit_micros());
+        let weight = (1.0 / f64::from(self.count)).max(USUAL_MEAN_WEIGHT);
         self.usual_mean_micros += (capped - self.usual_mean_micros) * weight;
     }
 
-    fn slow_threshold(&self) -> f64 {
-        self.usual_mean_micros * SLOW_FACTOR + SLOW_MARGIN_MICROS
+    fn usual_limit_micros(&self) -> f64 {
+        self.usual_mean_micros * SLOW_USUAL_MULTIPLE + SLOW_MIN_EXTRA_MICROS
     }
 
-    /// Whether the recent mean is over this share of the limits.
-    fn exceeds(&self, share: f64) -> bool {
-        let over_usual = self.count >= MIN_SETUPS && self.recent_mean_micros > self.slow_threshold() * share;
-        let limit = self.objective_micros * SLOW_OBJECTIVE_SHARE;
-        over_usual || limit > 0.0 && self.recent_mean_micros > limit * share
-    }
-
-    /// Setups no longer count as slow when there has been none for this long: where nothing is set up, nothing would
-    /// ever show that the store has recovered.
-    pub(super) fn expire_slowness(&mut self, now: Time, timeout: Micros) {
-        if self.slow && now.since(self.last_setup) > timeout {
-            self.slow = false;
-            self.recent_mean_micros = self.usual_mean_micros;
-        }
+    /// Whether the recent mean is over this share of either limit.
+    fn exceeds_limits(&self, share: f64) -> bool {
+        let exceeds_usual =
+            self.count >= MIN_SETUPS && self.recent_mean_micros > self.usual_limit_micros() * share;
+        let objective_limit = self.objective_micros * SLOW_OBJECTIVE_SHARE;
+        let exceeds_objective = objective_limit > 0.0 && self.recent_mean_micros > objective_limit * share;
+        exceeds_usual || exceeds_objective
     }
 }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -1,10 +1,9 @@
 //! Rebalancing, on the reducer's side: what it is notified of, and how its decisions are carried out.
 
 use super::{ConnectionId, Effect, LogEvent, PoolId, State};
-use crate::rebalance::view::Connection;
 use crate::rebalance::{
-    CeilingIncrease, Decision, HoldTransition, Migration, RebalanceEvent, RebalanceMetrics, ServerSnapshot,
-    SystemConditions,
+    CeilingIncrease, ConnectionProperties, Decision, HoldTransition, Migration, RebalanceEvent,
+    RebalanceMetrics, ServerSnapshot, SystemConditions,
 };
 use crate::{LearnedState, Micros, Occupancy, Outcome, ServerId, Time};
 
@@ -47,7 +46,7 @@
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
         let pool = connection.pool;
-        let properties = Connection {
+        let properties = ConnectionProperties {
             server: attempt.server,
             class: connection.class.unwrap_or_default().0,
             group: connection.request.group,
@@ -84,24 +83,24 @@
         SystemConditions {
             shutting_down: self.shutdown.has_begun(),
             hot_restart: self.hot_restart.has_peer_process(),
-            draining: self.connections_at_unready_servers(pool_id).count(),
+            draining_connections: self.connections_at_unready_servers(pool_id).count(),
         }
     }
 
     fn apply_decision(&mut self, now: Time, pool_id: PoolId, decision: Decision) {
         let pool = self.pools[pool_id].config.name;
-        let log_event = decision.log.map(|transition| match transition {
+        let log_event = decision.hold_transition.map(|transition| match transition {
             HoldTransition::Held(reason) => LogEvent::RebalancingHeld { pool, reason },
             HoldTransition::Resumed => LogEvent::RebalancingResumed { pool },
         });
         self.effects.extend(log_event.map(Effect::Log));
-        for CeilingIncrease { server, ceiling } in decision.ceilings {
+        for CeilingIncrease { server, ceiling } in decision.ceiling_increases {
             self.pools[pool_id].raise_ceiling(server, ceiling);
         }
-        for server in decision.lowered {
+        for server in decision.ceilings_to_lower {
             self.pools[pool_id].lower_ceiling(server);
         }
-        for Migration { connection: id, from: server } in decision.moves {
+        for Migration { connection: id, from: server } in decision.migrations {
             self.migrate(now, id, Outcome::Cancelled);
             self.pools[pool_id].lower_ceiling_after_migration(now, server);
         }
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -10,14 +10,14 @@
     server_id, ClassCounters, Endpoint, EndpointList, Lifecycle, Metrics, PoolConfig, PoolHandoverState,
 };
 use crate::peers::Peers;
-use crate::rebalance::Rebalance;
+use crate::rebalance::Rebalancer;
 use crate::{Balancer, ClassId, Micros, RefusalReason, ServerId, Time};
 
 /// The parts of a pool, each with its own invariants.
 pub(super) struct Pool {
     pub(super) config: PoolConfig,
     pub(super) balancer: Balancer,
-    pub(super) rebalance: Rebalance,
+    pub(super) rebalance: Rebalancer,
     /// Gossip with the other balancers of the tier.
     pub(super) peers: Peers,
     pub(super) probes: Probes,
@@ -83,7 +83,7 @@
         Pool {
             balancer: Balancer::new(config.settings.clone(), config.seed, now),
             peers: Peers::new(config.gossip_config(), config.seed),
-            rebalance: Rebalance::new(config.rebalance, config.rebalance_context(), config.seed, now),
+            rebalance: Rebalancer::new(config.rebalance, config.rebalance_context(), config.seed, now),
             probes: Probes::default(),
             endpoints: EndpointList::default(),
             listed: ListedEndpoints::default(),
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -8,7 +8,7 @@
     /// When [`super::Input::TimerFired`] is wanted next.
     pub fn next_due(&self) -> Option<Time> {
         let balancers = self.pools.iter().filter_map(|pool| pool.balancer_timer());
-        let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.due());
+        let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.next_evaluation());
         balancers
             .chain(rebalancing)
             .chain(self.connections.next_timer())
@@ -38,7 +38,7 @@
             if self.pools[pool].take_due_balancer_timer(now) {
                 self.dispatch(now, pool, Event::TimerFired);
             }
-            if self.pools[pool].rebalance.due().is_some_and(|at| at <= now) {
+            if self.pools[pool].rebalance.next_evaluation().is_some_and(|at| at <= now) {
                 self.rebalance(now, pool);
             }
         }
--- /dev/null
+++ b/tests/rebalance/invariants.rs
@@ -0,0 +1,110 @@
+//! Guarantees that hold whatever happens in whatever order.
+
+use connection_balancer::rebalance::{
+    CeilingIncrease, ConnectionProperties, Decision, Migration, RebalanceEvent,
+};
+use connection_balancer::{ConnectionId, Micros, ServerId};
+use proptest::prelude::*;
+use proptest::test_runner::FileFailurePersistence;
+
+use crate::harness::{config, context, RebalanceHarness, SECOND};
+
+proptest! {
+    // The same steps each run.
+    #![proptest_config(ProptestConfig {
+        // The saved cases are beside this file.
+        failure_persistence: Some(Box::new(FileFailurePersistence::WithSource("proptest-regressions"))),
+        rng_seed: proptest::test_runner::RngSeed::Fixed(9),
+        ..ProptestConfig::default()
+    })]
+
+    /// Whatever happens in whatever order: bounded, at most so many moves as tokens allow, each of an established
+    /// connection at a server in use, none twice; the same events give the same moves.
+    #[test]
+    fn keeps_its_guarantees_under_arbitrary_events(
+        steps in prop::collection::vec((0u8..14, 0u64..40, 0u32..5), 1..400)
+    ) {
+        prop_assert_eq!(replay(&steps)?, replay(&steps)?);
+    }
+}
+
+/// The kind of event, a number that the event's details derive from, and a server.
+type Step = (u8, u64, u32);
+
+/// Applies the steps to a new harness and checks the guarantees after each; the decisions.
+fn replay(steps: &[Step]) -> Result<Vec<Decision>, TestCaseError> {
+    let mut harness = RebalanceHarness::new(config(), context(), 5);
+    let mut decisions = Vec::new();
+    for &step in steps {
+        let (kind, number, server) = step;
+        harness.now = harness.now.plus(Micros(number * 10_000));
+        match kind {
+            0..=9 => harness.notify(arbitrary_event(step)),
+            10 => harness.servers[server as usize].ready ^= true,
+            11 => harness.servers[server as usize].started = Some(harness.now),
+            _ => decisions.push(evaluate_checked(&mut harness, number, server)?),
+        }
+        if kind <= 3 {
+            harness.servers[server as usize].occupied_slots += 1.0;
+        }
+        let metrics = harness.rebalance.metrics();
+        prop_assert!(
+            metrics.migrations_per_second.is_finite()
+                && (0.0..=20.0).contains(&metrics.migrations_per_second)
+        );
+        prop_assert!(metrics.returned <= metrics.migrated && metrics.rejected <= metrics.returned);
+    }
+    Ok(decisions)
+}
+
+fn arbitrary_event((kind, number, server): Step) -> RebalanceEvent {
+    let connection = ConnectionId(number);
+    let properties = ConnectionProperties {
+        server: ServerId(server),
+        class: (number % 3) as u16,
+        group: (number % 4 == 0).then_some(number % 3),
+        load: (number % 2 == 0).then_some(number as f64 * 10_000.0),
+        key: (number % 5 > 0).then_some(number),
+    };
+    match kind {
+        0..=3 => RebalanceEvent::ConnectionEstablished {
+            connection,
+            properties,
+            setup: Some(Micros(number * 5_000)),
+        },
+        4 => RebalanceEvent::ConnectionEnded { connection, natural: server > 2 },
+        5 => RebalanceEvent::ConnectionRequested { connection, key: Some(number), reconnecting: server > 2 },
+        6 => RebalanceEvent::ConnectionRejected { connection },
+        7 => RebalanceEvent::LoadReported { connection, load: number as f64 * 5_000.0 },
+        8 => RebalanceEvent::EndpointListChanged { ready: server as usize },
+        _ if server > 2 => RebalanceEvent::EndpointListLost,
+        _ => RebalanceEvent::EndpointListReceived,
+    }
+}
+
+/// Evaluates after three seconds of message times from a server, and checks the decision.
+fn evaluate_checked(
+    harness: &mut RebalanceHarness,
+    number: u64,
+    slow_server: u32,
+) -> Result<Decision, TestCaseError> {
+    for _ in 0..3 {
+        harness.now = harness.now.plus(SECOND);
+        let server = ServerId(slow_server);
+        harness.notify(RebalanceEvent::MessageTimeReported { server, took: Micros(number * 10_000) });
+    }
+    let known = (0..40).filter_map(|n| harness.rebalance.connection(ConnectionId(n))).count();
+    let decision = harness.rebalance.evaluate(harness.now, harness.conditions, &harness.servers);
+    let mut seen = std::collections::BTreeSet::new();
+    for &Migration { connection, from } in &decision.migrations {
+        prop_assert!(seen.insert(connection), "{connection:?} twice");
+        prop_assert!(harness.servers[from.0 as usize].ready);
+        let server = harness.rebalance.connection(connection).map(|known| known.properties.server);
+        prop_assert_eq!(server, Some(from));
+        harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
+    }
+    prop_assert!(decision.migrations.len() <= known);
+    let sound = |increase: &CeilingIncrease| increase.ceiling.is_finite() && increase.ceiling > 0.0;
+    prop_assert!(decision.ceiling_increases.iter().all(sound));
+    Ok(decision)
+}
--- /dev/null
+++ b/tests/rebalance/main.rs
@@ -0,0 +1,14 @@
+//! Rebalancing: its parts in virtual time, its place in the reducer, and its settings.
+
+#[path = "../reducer_harness/mod.rs"]
+mod reducer_harness;
+
+mod candidates;
+mod harness;
+mod holds;
+mod invariants;
+mod outcomes;
+mod pressure;
+mod reducer;
+mod settings;
+mod spare_capacity;
