--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -9,6 +9,7 @@
 use winnow::token::take_while;
 use winnow::Parser;
 
+use crate::rebalance::RebalanceMetrics;
 use crate::routing::{AdminCall, AdminResponse, Metrics};
 use crate::RefusalReason;
 
@@ -23,16 +24,39 @@
 const EXCLUDE: &[u8] = b"exclude";
 const INCLUDE: &[u8] = b"include";
 
-// Names of metrics.
-const METRIC_PREFIX: &str = "edge_node";
-const MOVED: &str = "moved";
-const RETURNED: &str = "returned";
-const REFUSED: &str = "refused";
-const RATE_MILLI: &str = "rate_milli";
-const HELD: &str = "held";
+/// Names of metrics, and of their parts.
+mod metric {
+    pub(super) const PREFIX: &str = "edge_node";
+    // Counts of each class, after `RESULTS` and the class's name.
+    pub(super) const RESULTS: &str = "results";
+    pub(super) const SUCCEEDED: &str = "succeeded";
+    pub(super) const DECLINED: &str = "declined";
+    pub(super) const ABORTED: &str = "aborted";
+    // Figures of all pools together.
+    pub(super) const FORWARDS: &str = "forwards";
+    pub(super) const OUTSTANDING: &str = "outstanding";
+    pub(super) const DISCOVERED: &str = "discovered";
+    pub(super) const EJECTED: &str = "ejected";
+    pub(super) const DISCOVERY_FAILURES: &str = "discovery_failures";
+    pub(super) const ENDPOINT_LIST_AGE_MS: &str = "endpoint_list_age_ms";
+    /// Rejections, before the name of their reason.
+    pub(super) const REFUSALS: &str = "refusals";
+    // Figures of rebalancing, after `REBALANCE` and the front's name.
+    pub(super) const REBALANCE: &str = "rebalance";
+    pub(super) const MIGRATED: &str = "moved";
+    pub(super) const RETURNED: &str = "returned";
+    pub(super) const REJECTED: &str = "refused";
+    /// Migrations that are allowed in a second, in thousandths.
+    pub(super) const RATE_MILLI: &str = "rate_milli";
+    /// Number of the hold's reason; 0 if there is no hold.
+    pub(super) const HOLD_REASON: &str = "held";
+}
+
 const MILLI_PER_UNIT: f64 = 1000.0;
-const REFUSALS: &str = "refusals";
 
+// Responses.
+const YES: &str = "YES";
+const NO: &str = "NO";
 /// The end of a response with metrics.
 const END: &str = "END\r\n";
 
@@ -83,50 +107,61 @@
 
     fn push(&mut self, name: &str, value: u64, kind: &str) {
         // Writing to a string cannot fail.
-        let _ = write!(self.0, "{METRIC_PREFIX}.{name}:{value}|{kind}\r\n");
+        let _ = write!(self.0, "{}.{name}:{value}|{kind}\r\n", metric::PREFIX);
     }
 }
 
 fn encode_metrics(metrics: &Metrics) -> String {
     let mut lines = MetricLines::default();
+    push_results(&mut lines, metrics);
+    lines.counter(metric::FORWARDS, metrics.forwards);
+    lines.gauge(metric::OUTSTANDING, metrics.outstanding);
+    lines.gauge(metric::DISCOVERED, metrics.discovered);
+    lines.gauge(metric::EJECTED, metrics.ejected);
+    push_refusals(&mut lines, metrics);
+    lines.counter(metric::DISCOVERY_FAILURES, metrics.discovery_failures);
+    if let Some(age) = metrics.endpoint_list_age {
+        lines.gauge(metric::ENDPOINT_LIST_AGE_MS, age.as_millis());
+    }
+    for (front, rebalance) in &metrics.rebalance {
+        push_rebalance(&mut lines, front, rebalance);
+    }
+    lines.0 + END
+}
+
+fn push_results(lines: &mut MetricLines, metrics: &Metrics) {
     for (class, counts) in &metrics.classes {
-        let class = metric_name_part(class);
-        lines.counter(&format!("results.{class}.succeeded"), counts.succeeded);
-        lines.counter(&format!("results.{class}.declined"), counts.declined);
-        lines.counter(&format!("results.{class}.aborted"), counts.aborted);
+        let prefix = format!("{}.{}", metric::RESULTS, metric_name_part(class));
+        lines.counter(&format!("{prefix}.{}", metric::SUCCEEDED), counts.succeeded);
+        lines.counter(&format!("{prefix}.{}", metric::DECLINED), counts.declined);
+        lines.counter(&format!("{prefix}.{}", metric::ABORTED), counts.aborted);
     }
-    lines.counter("forwards", metrics.forwards);
-    lines.gauge("outstanding", metrics.outstanding);
-    lines.gauge("discovered", metrics.discovered);
-    lines.gauge("ejected", metrics.ejected);
+}
+
+/// Writes a line for each reason, whether there was such a rejection or not.
+fn push_refusals(lines: &mut MetricLines, metrics: &Metrics) {
     for reason in RefusalReason::ALL {
         let count = metrics.refusals.get(&reason).copied().unwrap_or_default();
-        lines.counter(&format!("{REFUSALS}.{}", reason.name()), count);
-    }
-    lines.counter("discovery_failures", metrics.discovery_failures);
-    if let Some(age) = metrics.endpoint_list_age {
-        lines.gauge("endpoint_list_age_ms", age.as_millis());
+        lines.counter(&format!("{}.{}", metric::REFUSALS, reason.name()), count);
     }
-    for (front, moves) in &metrics.rebalance {
-        let front = metric_name_part(front);
-        lines.counter(&format!("rebalance.{front}.{MOVED}"), moves.migrated);
-        lines.counter(&format!("rebalance.{front}.{RETURNED}"), moves.returned);
-        lines.counter(&format!("rebalance.{front}.{REFUSED}"), moves.rejected);
-        lines.gauge(
-            &format!("rebalance.{front}.{RATE_MILLI}"),
-            (moves.migrations_per_second * MILLI_PER_UNIT) as u64,
-        );
-        lines
-            .gauge(&format!("rebalance.{front}.{HELD}"), moves.hold_reason.map_or(0, |reason| reason.code()));
-    }
-    lines.0 + END
+}
+
+fn push_rebalance(lines: &mut MetricLines, front: &str, rebalance: &RebalanceMetrics) {
+    let prefix = format!("{}.{}", metric::REBALANCE, metric_name_part(front));
+    let rate_milli = (rebalance.migrations_per_second * MILLI_PER_UNIT) as u64;
+    let hold_code = rebalance.hold_reason.map_or(0, |reason| reason.code());
+    lines.counter(&format!("{prefix}.{}", metric::MIGRATED), rebalance.migrated);
+    lines.counter(&format!("{prefix}.{}", metric::RETURNED), rebalance.returned);
+    lines.counter(&format!("{prefix}.{}", metric::REJECTED), rebalance.rejected);
+    lines.gauge(&format!("{prefix}.{}", metric::RATE_MILLI), rate_milli);
+    lines.gauge(&format!("{prefix}.{}", metric::HOLD_REASON), hold_code);
 }
 
 /// Encodes a response.
 pub fn encode_response(response: &AdminResponse) -> Vec<u8> {
     match response {
-        AdminResponse::Yes => b"YES\r\n".to_vec(),
-        AdminResponse::No(reason) => format!("NO {reason}\r\n").into_bytes(),
+        AdminResponse::Yes => format!("{YES}\r\n").into_bytes(),
+        AdminResponse::No(reason) => format!("{NO} {reason}\r\n").into_bytes(),
         AdminResponse::Metrics(metrics) => encode_metrics(metrics).into_bytes(),
     }
 }
--- /dev/null
+++ b/src/protocol/http/endpoint_list.rs
@@ -0,0 +1,89 @@
+//! The endpoint list in JSON.
+
+use crate::protocol::json::{self, DecodeError, JsonNode};
+use crate::routing::{Endpoint, Lifecycle};
+use crate::{Micros, Time};
+
+/// Keys of the list and of its entries.
+mod key {
+    pub(super) const GENERATION: &str = "generation";
+    /// Whether the list is complete, rather than changes.
+    pub(super) const IS_SNAPSHOT: &str = "reset";
+    pub(super) const ENDPOINTS: &str = "instances";
+    pub(super) const NAME: &str = "instanceId";
+    pub(super) const ADDRESS: &str = "hostPort";
+    pub(super) const ZONE: &str = "zone";
+    pub(super) const CELL: &str = "cell";
+    pub(super) const LIFECYCLE: &str = "lifecycle";
+    pub(super) const WEIGHT: &str = "weight";
+    /// Start of the process, in milliseconds; 0 if unknown.
+    pub(super) const STARTED_AT_MS: &str = "startedAtMs";
+}
+
+const LIFECYCLE_READY: &str = "ready";
+const LIFECYCLE_DRAINING: &str = "draining";
+const LIFECYCLE_GONE: &str = "gone";
+
+/// An endpoint list, or changes of it.
+#[derive(Debug, PartialEq)]
+pub struct EndpointListUpdate {
+    /// Its version.
+    pub generation: u64,
+    /// It is the whole list, not changes only.
+    pub is_snapshot: bool,
+    /// Its entries.
+    pub endpoints: Vec<Endpoint>,
+}
+
+fn decode_endpoint(node: &JsonNode<'_>) -> Result<Endpoint, DecodeError> {
+    let lifecycle = node.field(key::LIFECYCLE);
+    Ok(Endpoint {
+        name: node.field(key::NAME).required_text()?,
+        address: node.field(key::ADDRESS).required_text()?,
+        zone: node.field(key::ZONE).optional_text()?.unwrap_or_default(),
+        cell: node.field(key::CELL).number(0.0)? as u32,
+        lifecycle: match lifecycle.required_text()?.as_str() {
+            LIFECYCLE_READY => Lifecycle::Ready,
+            LIFECYCLE_DRAINING => Lifecycle::Draining,
+            LIFECYCLE_GONE => Lifecycle::Gone,
+            _ => return Err(lifecycle.error("ready, draining or gone is wanted")),
+        },
+        weight: node.field(key::WEIGHT).number(1.0)?,
+        started: Some(node.field(key::STARTED_AT_MS).duration_ms(Micros::ZERO)?)
+            .filter(|at| !at.is_zero())
+            .map(|at| Time(at.0)),
+    })
+}
+
+/// Decodes an endpoint list; whatever is absent has its default.
+///
+/// # Errors
+/// [`DecodeError`] with the key that is wrong.
+pub fn decode_endpoint_list(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
+    Ok(EndpointListUpdate {
+        generation: node.field(key::GENERATION).number(0.0)? as u64,
+        is_snapshot: node.field(key::IS_SNAPSHOT).flag(false)?,
+        endpoints: node
+            .field(key::ENDPOINTS)
+            .elements()?
+            .iter()
+            .map(decode_endpoint)
+            .collect::<Result<_, _>>()?,
+    })
+}
+
+/// Parses the body of a response.
+///
+/// # Errors
+/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+pub fn parse_endpoint_list(body: &[u8]) -> Result<EndpointListUpdate, DecodeError> {
+    let document = json::parse_document(body)?;
+    let root = JsonNode::root(&document);
+    // Without this check, a document of another kind would be decoded as an empty list.
+    for required in [key::GENERATION, key::ENDPOINTS] {
+        if !root.field(required).is_present() {
+            return Err(root.field(required).error("is missing"));
+        }
+    }
+    decode_endpoint_list(&root)
+}
--- a/src/protocol/http.rs
+++ b/src/protocol/http/response.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 of the discovery service: requests for the endpoint list, and the list in JSON.
+//! Responses of the discovery service: a head, and a body that is chunked, of a given length, or up to the end of the
+//! connection.
 
 use thiserror::Error;
 use winnow::ascii::{dec_uint, space0};
@@ -8,16 +9,19 @@
 use winnow::token::{take, take_till, take_while};
 use winnow::{ModalResult, Parser};
 
-use super::json::{self, DecodeError, JsonNode};
-use crate::routing::{Endpoint, Lifecycle};
-use crate::Micros;
-use crate::Time;
-
 /// The longest response that is accepted, in bytes: many times what the list of the largest fleet needs.
 pub const MAX_RESPONSE_LENGTH: usize = 4 << 20;
 /// The most hexadecimal digits of a chunk's size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
+// Headers, whose names are compared without regard to case.
+const CONTENT_LENGTH: &[u8] = b"content-length";
+const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
+const CONNECTION: &[u8] = b"connection";
+// Their values.
+const CHUNKED: &[u8] = b"chunked";
+const CLOSE: &[u8] = b"close";
+
 /// Why a response of the discovery service cannot be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
@@ -35,24 +39,6 @@
     Truncated,
 }
 
-/// A query for the changes of the endpoint list only.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ChangesQuery {
-    /// The generation since which changes are wanted.
-    pub generation: u64,
-    /// How long the response may be held until there are changes, in milliseconds.
-    pub hold_ms: u64,
-}
-
-/// Encodes a request for changes of the endpoint list, or else for the whole list.
-pub fn encode_request(host: &str, changes: Option<ChangesQuery>) -> Vec<u8> {
-    let query = changes.map_or(String::new(), |ChangesQuery { generation, hold_ms }| {
-        format!("?from={generation}&hold_ms={hold_ms}")
-    });
-    format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
-        .into_bytes()
-}
-
 /// What is used of a response's head.
 #[derive(Debug, PartialEq)]
 struct Head {
@@ -96,12 +82,12 @@
     let mut head = Head { status, content_length: None, chunked: false, close: false };
     for Header { name, value } in headers {
         let value = value.trim_ascii().to_ascii_lowercase();
-        if name.eq_ignore_ascii_case(b"content-length") {
+        if name.eq_ignore_ascii_case(CONTENT_LENGTH) {
             head.content_length = std::str::from_utf8(&value).ok().and_then(|text| text.parse().ok());
-        } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            head.chunked = value.ends_with(b"chunked");
-        } else if name.eq_ignore_ascii_case(b"connection") {
-            head.close = value == b"close";
+        } else if name.eq_ignore_ascii_case(TRANSFER_ENCODING) {
+            head.chunked = value.ends_with(CHUNKED);
+        } else if name.eq_ignore_ascii_case(CONNECTION) {
+            head.close = value == CLOSE;
         }
     }
     Ok(head)
@@ -182,67 +168,3 @@
     let close = head.close || (head.content_length.is_none() && !head.chunked);
     Ok(Some(Response { status: head.status, body, close, taken: bytes.len() - remaining.len() }))
 }
-
-/// An endpoint list, or changes of it.
-#[derive(Debug, PartialEq)]
-pub struct EndpointListUpdate {
-    /// Its version.
-    pub generation: u64,
-    /// It is the whole list, not changes only.
-    pub is_snapshot: bool,
-    /// Its entries.
-    pub endpoints: Vec<Endpoint>,
-}
-
-fn decode_endpoint(node: &JsonNode<'_>) -> Result<Endpoint, DecodeError> {
-    let lifecycle = node.field("lifecycle");
-    Ok(Endpoint {
-        name: node.field("instanceId").required_text()?,
-        address: node.field("hostPort").required_text()?,
-        zone: node.field("zone").optional_text()?.unwrap_or_default(),
-        cell: node.field("cell").number(0.0)? as u32,
-        lifecycle: match lifecycle.required_text()?.as_str() {
-            "ready" => Lifecycle::Ready,
-            "draining" => Lifecycle::Draining,
-            "gone" => Lifecycle::Gone,
-            _ => return Err(lifecycle.error("ready, draining or gone is wanted")),
-        },
-        weight: node.field("weight").number(1.0)?,
-        started: Some(node.field("startedAtMs").duration_ms(Micros::ZERO)?)
-            .filter(|at| !at.is_zero())
-            .map(|at| Time(at.0)),
-    })
-}
-
-/// Decodes an endpoint list; whatever is absent has its default.
-///
-/// # Errors
-/// [`DecodeError`] with the key that is wrong.
-pub fn decode_endpoint_list(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
-    Ok(EndpointListUpdate {
-        generation: node.field("generation").number(0.0)? as u64,
-        is_snapshot: node.field("reset").flag(false)?,
-        endpoints: node
-            .field("instances")
-            .elements()?
-            .iter()
-            .map(decode_endpoint)
-            .collect::<Result<_, _>>()?,
-    })
-}
-
-/// Parses the body of a response.
-///
-/// # Errors
-/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
-pub fn parse_endpoint_list(body: &[u8]) -> Result<EndpointListUpdate, DecodeError> {
-    let document = json::parse_document(body)?;
-    let root = JsonNode::root(&document);
-    // Without this check, a document of another kind would be decoded as an empty list.
-    for key in ["generation", "instances"] {
-        if !root.field(key).is_present() {
-            return Err(root.field(key).error("is missing"));
-        }
-    }
-    decode_endpoint_list(&root)
-}
--- a/src/protocol/irc/registration.rs
+++ b/src/protocol/irc/registration.rs
@@ -12,7 +12,7 @@
 /// The longest nickname in bytes.
 const MAX_NICK_LENGTH: usize = 64;
 
-/// What a client has registered with so far, and the replies that are addressed to it.
+/// What a client has registered with so far.
 #[derive(Debug, Default)]
 pub(super) struct Registration {
     config: Rc<IrcConfig>,
@@ -53,16 +53,6 @@
         self.nick.as_ref().map_or("*".into(), |nick| String::from_utf8_lossy(nick).into_owned())
     }
 
-    /// Encodes a numeric reply.
-    pub(super) fn numeric_reply(&self, numeric: u16, text: &str) -> Vec<u8> {
-        format!(":{} {numeric:03} {} {text}\r\n", self.config.name, self.display_nick()).into_bytes()
-    }
-
-    /// Encodes the `ERROR` that precedes the end of the client's connection.
-    pub(super) fn closing_link(&self, reason: &str) -> Vec<u8> {
-        format!("ERROR :Closing Link: {} ({reason})\r\n", self.display_nick()).into_bytes()
-    }
-
     /// Applies a command of the client, given in upper case, and returns the reply, which may be empty.
     pub(super) fn apply_command(&mut self, command: &[u8], params: &[&[u8]]) -> Vec<u8> {
         match (command, params) {
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -14,6 +14,28 @@
 const PING: &[u8] = b"PING";
 const OPEN: &[u8] = b"OPEN ";
 
+/// Names of the fields of a request.
+mod field_name {
+    /// Priority class.
+    pub(super) const CLASS: &[u8] = b"c";
+    pub(super) const TENANT: &[u8] = b"t";
+    /// Group that should share a server, a hexadecimal number.
+    pub(super) const GROUP: &[u8] = b"g";
+    /// Usual load, in the unit of the settings.
+    pub(super) const LOAD: &[u8] = b"h";
+    /// Whether the client was migrated or its connection broke.
+    pub(super) const RECONNECTING: &[u8] = b"again";
+    /// Server at which the connection is established already.
+    pub(super) const ESTABLISHED_AT: &[u8] = b"at";
+    /// Time that the client waits, in milliseconds.
+    pub(super) const WAIT_MS: &[u8] = b"d";
+}
+
+/// Value of the tenant field of a request without a tenant.
+const NO_TENANT: &str = "0";
+/// Value of a field that is a flag and set.
+const TRUE: &[u8] = b"1";
+
 /// The longest wait that is accepted in a request, in milliseconds: a day.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 /// The shortest wait that is sent to a server, in milliseconds.
@@ -33,12 +55,12 @@
     },
 }
 
-/// A client's request line around the value of its field `d`, the time that it waits.
+/// A client's request line around the value of its field for the time that the client waits.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestTemplate {
-    /// The line up to the value of `d`; all of it where there is no such field.
+    /// The line up to the value of that field; all of it where there is no such field.
     before_wait: Vec<u8>,
-    /// The line after the value of `d`, if it has that field.
+    /// The line after that value, if the field is there.
     after_wait: Option<Vec<u8>>,
 }
 
@@ -96,14 +118,14 @@
         key: Some(hash_client_key(open.key)),
         ..ConnectionRequest::default()
     };
-    // Only the value of `d` may change on its way; the rest has to stay as it was received.
+    // Only the value of the wait may change on its way; the rest has to stay as it was received.
     let mut template = RequestTemplate { before_wait: line.to_vec(), after_wait: None };
     let mut field_start = line.len() - open.fields_length;
     for (index, field) in open.fields.iter().enumerate() {
         if open.fields[..index].iter().any(|earlier| earlier.name == field.name) {
             return None;
         }
-        if field.name == b"d" {
+        if field.name == field_name::WAIT_MS {
             let value_start = field_start + field.name.len() + 1;
             template.before_wait = line[..value_start].to_vec();
             template.after_wait = Some(line[value_start + field.value.len()..].to_vec());
@@ -120,13 +142,15 @@
 fn apply_request_field(request: &mut ConnectionRequest, field: Field<'_>) -> Option<()> {
     let value = field.value;
     match field.name {
-        b"c" => request.class = to_text(value),
-        b"t" => request.tenant = Some(to_text(value)).filter(|name| name != "0"),
-        b"g" => request.group = Some(hex_uint::<_, u64, ContextError>.parse(value).ok()?),
-        b"h" => request.load = Some(parse_non_negative_number(value)?),
-        b"again" => request.reconnecting = value == b"1",
-        b"at" => request.established_at = Some(to_text(value)).filter(|name| !name.is_empty()),
-        b"d" => {
+        field_name::CLASS => request.class = to_text(value),
+        field_name::TENANT => request.tenant = Some(to_text(value)).filter(|name| name != NO_TENANT),
+        field_name::GROUP => request.group = Some(hex_uint::<_, u64, ContextError>.parse(value).ok()?),
+        field_name::LOAD => request.load = Some(parse_non_negative_number(value)?),
+        field_name::RECONNECTING => request.reconnecting = value == TRUE,
+        field_name::ESTABLISHED_AT => {
+            request.established_at = Some(to_text(value)).filter(|name| !name.is_empty());
+        }
+        field_name::WAIT_MS => {
             let wait_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_WAIT_MS)?;
             request.wait = Some(Micros::from_f64(wait_ms * MICROS_PER_MS as f64));
         }
