--- a/src/transport/daemon/mod.rs
+++ b/src/transport/daemon/mod.rs
@@ -1,37 +1,20 @@
 //! The daemon: its start, its reloads, and its end.
 
 mod reload;
+mod running;
 mod start;
 
-use std::path::PathBuf;
-use std::rc::Rc;
-
 use tokio::signal::unix::{signal, Signal, SignalKind};
-use tokio::sync::mpsc;
 
-use super::driver::Driver;
 use super::error::TransportError;
 use super::hot_restart;
-use super::listener::AcceptGate;
 use super::log_event::{log_event, LogEvent};
-use super::record::Recorder;
-use crate::program::config::{Config, Sources, StoreConfig};
+use super::record::{Recorder, RecordingConfig};
+use crate::program::config::Sources;
 use crate::routing::Input;
+use running::read_configuration;
 use start::Start;
 
-/// Names of the fronts, under which a successor is given their listeners.
-const PLATFORM_FRONT: &str = "platform";
-const IRC_FRONT: &str = "irc";
-
-/// Where the fronts' traffic is recorded.
-#[derive(Clone, Debug)]
-pub struct RecordingConfig {
-    /// The pcap file, which is created anew.
-    pub path: PathBuf,
-    /// Bytes that it may grow to.
-    pub max_bytes: usize,
-}
-
 /// Runs the daemon until its shutdown is complete, and records the fronts' traffic if that is configured.
 ///
 /// # Errors
@@ -44,10 +27,6 @@
     tokio::task::LocalSet::new().block_on(&runtime, run(sources, recorder))
 }
 
-fn read_configuration(sources: &Sources) -> Result<Config, TransportError> {
-    sources.read().map_err(|error| TransportError::Configuration(error.into()))
-}
-
 /// The signals that the daemon handles. One that nobody handles would end the process.
 struct Signals {
     hangup: Signal,
@@ -90,27 +69,3 @@
     log_event!(LogEvent::ShutDown);
     Ok(())
 }
-
-/// The daemon, with what a reload can change.
-struct Daemon {
-    driver: Rc<Driver>,
-    /// Reports that the process can exit.
-    exit: mpsc::UnboundedReceiver<()>,
-    sources: Sources,
-    store: Option<StoreConfig>,
-    platform: Option<AcceptGate>,
-    irc: Option<AcceptGate>,
-    mgmt: Option<AcceptGate>,
-}
-
-impl Daemon {
-    /// Waits until the last answers are written, those to connections that are still queued included.
-    async fn wait_for_last_answers(&self) {
-        let accept_queued = || {
-            for gate in [&self.platform, &self.irc].into_iter().flatten() {
-                gate.accept_queued(&self.driver);
-            }
-        };
-        self.driver.wait_for_connections(accept_queued).await;
-    }
-}
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -10,7 +10,7 @@
 use super::super::fronts::{irc_factory, platform_factory};
 use super::super::listener::{bound_address, AcceptGate};
 use super::super::log_event::{log_event, LogEvent};
-use super::{read_configuration, Daemon, IRC_FRONT, PLATFORM_FRONT};
+use super::running::{read_configuration, Daemon, IRC_FRONT, PLATFORM_FRONT};
 use crate::program::config::{Config, Irc, Platform, StoreConfig};
 use crate::routing::{Input, PoolId};
 
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -16,7 +16,7 @@
 use super::super::listener::{bind_shared_datagrams, bound_address, listen, AcceptGate};
 use super::super::log_event::{log_event, LogEvent};
 use super::super::{discovery_watch, excluded_servers, probes};
-use super::{Daemon, IRC_FRONT, PLATFORM_FRONT};
+use super::running::{Daemon, IRC_FRONT, PLATFORM_FRONT};
 use crate::program::config::{Config, Irc, Platform, Sources, StoreConfig};
 use crate::routing::{Input, PoolId};
 
--- a/src/transport/discovery_watch/error.rs
+++ b/src/transport/discovery_watch/error.rs
@@ -10,7 +10,7 @@
 
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
-pub(in crate::transport) enum DiscoveryError {
+pub(super) enum DiscoveryError {
     /// There was no answer in time.
     #[error("no answer in time")]
     TimedOut,
--- a/src/transport/discovery_watch/mod.rs
+++ b/src/transport/discovery_watch/mod.rs
@@ -16,8 +16,6 @@
 use super::driver::Driver;
 use crate::routing::PoolId;
 
-pub(super) use self::error::DiscoveryError;
-
 /// The task of a pool's watch.
 struct Watch {
     /// Where the watch is requested after it was lost.
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -2,6 +2,7 @@
 //!
 //! On-call staff look lines up by these texts, so each is written here in one piece.
 
+use std::error::Error;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +11,6 @@
 
 use tracing::Level;
 
-use super::discovery_watch::DiscoveryError;
 use super::error::TransportError;
 use crate::routing::{AttemptOutcome, ConnectionId};
 
@@ -48,7 +48,7 @@
     /// Discovery sent changes of an older endpoint list.
     EndpointListOutdated { generation: u64 },
     /// A call to discovery failed.
-    EndpointListFailed { error: &'a DiscoveryError, age: Duration },
+    EndpointListFailed { error: &'a dyn Error, age: Duration },
     /// An attempt of a request is made.
     AttemptOpened { connection: ConnectionId, attempt: u32, address: &'a str },
     /// An attempt is given up by this process.
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -4,11 +4,19 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-use super::daemon::RecordingConfig;
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
 use crate::protocol::pcap;
 
+/// Where the fronts' traffic is recorded.
+#[derive(Clone, Debug)]
+pub struct RecordingConfig {
+    /// The pcap file, which is created anew.
+    pub path: PathBuf,
+    /// Bytes that it may grow to.
+    pub max_bytes: usize,
+}
+
 /// An open recording.
 pub(super) struct Recorder {
     file: File,
