--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -11,8 +11,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::driver::Driver;
 use super::listener::accept_each;
+use super::pending_admin_calls::PendingAdminCalls;
+use super::reducer::ReducerHandle;
 use crate::protocol::admin;
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::routing::{AdminRejection, AdminResponse, Input};
@@ -25,6 +26,15 @@
 /// reset, and the answer lost.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
+/// What the tasks of admin clients need.
+#[derive(Clone)]
+pub(super) struct AdminContext {
+    /// The reducer, which the calls are for.
+    pub reducer: ReducerHandle,
+    /// Where they wait for their replies.
+    pub calls: PendingAdminCalls,
+}
+
 /// One admin client.
 struct AdminClient {
     task: JoinHandle<()>,
@@ -38,7 +48,7 @@
 
 impl AdminClients {
     /// Serves a new client. Where all places are taken, the oldest whose line has not come is closed.
-    fn serve(&mut self, driver: &Rc<Driver>, stream: TcpStream) {
+    fn serve(&mut self, context: &AdminContext, stream: TcpStream) {
         self.0.retain(|admin_client| !admin_client.task.is_finished());
         if self.0.len() >= MAX_ADMIN_CLIENTS {
             let oldest = self.0.iter().position(|admin_client| !admin_client.called.get()).unwrap_or(0);
@@ -47,23 +57,23 @@
             }
         }
         let called = Rc::new(Cell::new(false));
-        let task = tokio::task::spawn_local(serve_client(driver.clone(), stream, called.clone()));
+        let task = tokio::task::spawn_local(serve_client(context.clone(), stream, called.clone()));
         self.0.push_back(AdminClient { task, called });
     }
 }
 
 /// Accepts admin clients, for ever.
-pub(super) async fn accept_clients(driver: Rc<Driver>, listener: Rc<TcpListener>) {
+pub(super) async fn accept_clients(context: AdminContext, listener: Rc<TcpListener>) {
     let mut clients = AdminClients::default();
     let always_open = async |open: bool| {
         if !open {
             std::future::pending::<()>().await;
         }
     };
-    accept_each(&listener, always_open, async |stream| clients.serve(&driver, stream)).await;
+    accept_each(&listener, always_open, async |stream| clients.serve(&context, stream)).await;
 }
 
-async fn serve_client(driver: Rc<Driver>, mut stream: TcpStream, called: Rc<Cell<bool>>) {
+async fn serve_client(context: AdminContext, mut stream: TcpStream, called: Rc<Cell<bool>>) {
     let line = match timeout(CALL_TIMEOUT, read_line(&mut stream)).await {
         Ok(Err(CallLineError::Closed)) => return,
         Ok(result) => result,
@@ -71,7 +81,7 @@
     };
     called.set(true);
     let reply = match line {
-        Ok(line) => handle_call(&driver, &line).await,
+        Ok(line) => handle_call(&context, &line).await,
         Err(error) => AdminResponse::No(AdminRejection::InvalidCall(error.to_string())),
     };
     // Whether the client waited for its answer or not: it is sent by now.
@@ -112,9 +122,12 @@
     }
 }
 
-async fn handle_call(driver: &Driver, line: &[u8]) -> AdminResponse {
+async fn handle_call(context: &AdminContext, line: &[u8]) -> AdminResponse {
     match admin::parse_call(line) {
-        Ok(call) => driver.call(|admin_client| Input::AdminRequest { admin_client, call }).await,
+        Ok(call) => {
+            let input = |admin_client| Input::AdminRequest { admin_client, call };
+            context.calls.call(&context.reducer, input).await
+        }
         Err(_) => AdminResponse::No(AdminRejection::InvalidCall(admin::UnknownCall::EXPECTED.to_owned())),
     }
 }
--- /dev/null
+++ b/src/transport/assembly.rs
@@ -0,0 +1,89 @@
+//! Assembles the reducer: its state, its pools, and the dispatcher of its effects.
+//!
+//! The daemon and replays both begin with this; each then starts the tasks that it needs.
+
+use std::rc::Rc;
+
+use tokio::sync::mpsc::UnboundedReceiver;
+
+use super::admin_server::AdminContext;
+use super::clock::Clock;
+use super::connection::ConnectionContext;
+use super::driver::EffectDispatcher;
+use super::record::TrafficRecorder;
+use super::reducer::ReducerHandle;
+use crate::program::config::Config;
+use crate::routing::{Input, PoolId, ReplicationConfig, State};
+
+/// The reducer, what carries out its effects, and the pools of the fronts that are configured.
+pub(super) struct Assembly {
+    /// The reducer.
+    pub reducer: ReducerHandle,
+    /// Where its effects go.
+    pub effects: Rc<EffectDispatcher>,
+    /// Records the fronts' traffic.
+    pub recorder: TrafficRecorder,
+    /// Reports that the process can exit.
+    pub exit: UnboundedReceiver<()>,
+    /// Pool of the platform's front.
+    pub platform: Option<PoolId>,
+    /// Pool of the IRC front.
+    pub irc: Option<PoolId>,
+}
+
+impl Assembly {
+    /// Sets up the pools, and feeds the reducer the endpoints that the configuration holds; nothing listens
+    /// yet.
+    pub(super) fn new(config: &Config) -> Assembly {
+        let clock = Clock::start();
+        let (effects, exit) = EffectDispatcher::new();
+        let effects = Rc::new(effects);
+        let state = initial_state(config, clock);
+        let reducer = ReducerHandle::new(state, clock, effects.clone());
+        let recorder = TrafficRecorder::new(clock);
+        let mut assembly = Assembly { reducer, effects, recorder, exit, platform: None, irc: None };
+        assembly.feed_configured_endpoints(config);
+        assembly
+    }
+
+    fn feed_configured_endpoints(&mut self, config: &Config) {
+        let mut pool = 0;
+        if let Some(platform) = &config.platform {
+            let endpoints = platform.known.endpoints.clone();
+            self.reducer.feed(Input::CachedEndpoints { pool, endpoints });
+            self.platform = Some(pool);
+            pool += 1;
+        }
+        if let Some(irc) = &config.irc {
+            let endpoints = irc.endpoints.clone();
+            self.reducer.feed(Input::EndpointsUpdated { pool, is_snapshot: true, endpoints });
+            self.irc = Some(pool);
+        }
+    }
+
+    /// What the tasks of connections need.
+    pub(super) fn connection_context(&self) -> ConnectionContext {
+        ConnectionContext {
+            reducer: self.reducer.clone(),
+            connections: self.effects.connections.clone(),
+            recorder: self.recorder.clone(),
+        }
+    }
+
+    /// What the tasks of admin clients need.
+    pub(super) fn admin_context(&self) -> AdminContext {
+        AdminContext { reducer: self.reducer.clone(), calls: self.effects.admin_calls.clone() }
+    }
+}
+
+fn initial_state(config: &Config, clock: Clock) -> State {
+    let Config { platform, irc, store, budget, .. } = config;
+    let mut replication = ReplicationConfig::default();
+    if let Some(store) = store {
+        replication.node = store.node.clone();
+        replication.peers = store.peers.clone();
+    }
+    let platform_pool = platform.iter().map(|platform| platform.pool.clone());
+    let pools = platform_pool.chain(irc.iter().map(|irc| irc.pool.clone())).collect();
+    State::new(pools, replication, *budget, clock.started_at())
+}
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -1,7 +1,7 @@
-//! Commands from the driver to the tasks that carry them out.
+//! Commands for the tasks that carry out effects.
 //!
-//! Only types live here: the tasks import this module and the driver, and the driver imports none of the
-//! tasks.
+//! Only types live here: the tasks and the dispatcher of effects ([`driver`](super::driver)) import this
+//! module, and neither imports the other.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
--- a/src/transport/connection/client_side.rs
+++ b/src/transport/connection/client_side.rs
@@ -70,7 +70,7 @@
             }
             None => self.close_in_order(),
         }
-        self.driver.feed(Input::ClientDisconnected { connection: self.id });
+        self.context.reducer.feed(Input::ClientDisconnected { connection: self.id });
     }
 
     fn on_client_broken(&mut self) {
@@ -81,7 +81,7 @@
             attempt.reset_on_drop();
         }
         if !self.is_closing() {
-            self.driver.feed(Input::ClientDisconnected { connection: self.id });
+            self.context.reducer.feed(Input::ClientDisconnected { connection: self.id });
         }
         self.close_deadline = Some(Instant::now());
     }
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -9,7 +9,6 @@
 mod socket_end;
 mod upstream;
 
-use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::net::TcpStream;
@@ -18,7 +17,9 @@
 use tokio::time::{sleep_until, Instant};
 
 use super::commands::{ConnectionCommand, TransferredConnection};
-use super::driver::Driver;
+use super::connection_registry::ConnectionRegistry;
+use super::record::TrafficRecorder;
+use super::reducer::ReducerHandle;
 use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
 use crate::protocol::{Front, FrontEvent};
 use crate::routing::{Answer, ConnectionId, EstablishedConnection, Input, PoolId};
@@ -37,8 +38,19 @@
 /// be reset, which may destroy the answer; but a client that sends on for ever must not be read for ever.
 const MAX_DISCARDED_BYTES: usize = 128 << 10;
 
+/// What the task of a connection needs.
+#[derive(Clone)]
+pub(super) struct ConnectionContext {
+    /// The reducer, which is fed what happens.
+    pub reducer: ReducerHandle,
+    /// Where connections are registered.
+    pub connections: ConnectionRegistry,
+    /// Records the client's traffic.
+    pub recorder: TrafficRecorder,
+}
+
 struct Connection {
-    driver: Rc<Driver>,
+    context: ConnectionContext,
     id: ConnectionId,
     front: Box<dyn Front>,
     client: SocketEnd,
@@ -65,27 +77,27 @@
 
 /// Serves a client that has just connected to a pool's front.
 pub(super) fn start(
-    driver: &Rc<Driver>,
+    context: &ConnectionContext,
     pool: PoolId,
     stream: TcpStream,
     front: Box<dyn Front>,
 ) -> ConnectionId {
-    let (id, commands) = driver.register_connection();
-    let recorder = start_recording(driver, &stream);
-    let mut connection = Connection::new(driver, id, front, stream);
+    let (id, commands) = context.connections.register();
+    let recorder = start_recording(&context.recorder, &stream);
+    let mut connection = Connection::new(context, id, front, stream);
     if recorder.is_some() {
         connection.client.start_recording();
     }
     connection.recorder = recorder;
-    driver.feed(Input::ClientConnected { connection: id, pool });
+    context.reducer.feed(Input::ClientConnected { connection: id, pool });
     connection.spawn(commands);
     id
 }
 
-fn start_recording(driver: &Driver, stream: &TcpStream) -> Option<ConnectionRecorder> {
+fn start_recording(traffic: &TrafficRecorder, stream: &TcpStream) -> Option<ConnectionRecorder> {
     let addresses = stream.peer_addr().ok().zip(stream.local_addr().ok());
     let mut started = None;
-    driver.record(|at| {
+    traffic.record(|at| {
         let Some((client, front)) = addresses else { return Vec::new() };
         let (recorder, records) = ConnectionRecorder::start(at, client, front);
         started = Some(recorder);
@@ -104,17 +116,17 @@
 
 /// Goes on with a connection that a predecessor established.
 pub(super) fn adopt(
-    driver: &Rc<Driver>,
+    context: &ConnectionContext,
     pool: PoolId,
     sockets: AdoptedSockets,
     front: Box<dyn Front>,
     established: EstablishedConnection,
 ) {
-    let (id, commands) = driver.register_connection();
-    let mut connection = Connection::new(driver, id, front, sockets.client);
+    let (id, commands) = context.connections.register();
+    let mut connection = Connection::new(context, id, front, sockets.client);
     connection.upstream = Upstream::adopt(sockets.attempt);
     connection.established = true;
-    driver.feed(Input::ConnectionReceived { connection: id, pool, established });
+    context.reducer.feed(Input::ConnectionReceived { connection: id, pool, established });
     connection.spawn(commands);
 }
 
@@ -126,9 +138,14 @@
 }
 
 impl Connection {
-    fn new(driver: &Rc<Driver>, id: ConnectionId, front: Box<dyn Front>, stream: TcpStream) -> Connection {
+    fn new(
+        context: &ConnectionContext,
+        id: ConnectionId,
+        front: Box<dyn Front>,
+        stream: TcpStream,
+    ) -> Connection {
         Connection {
-            driver: driver.clone(),
+            context: context.clone(),
             id,
             front,
             client: SocketEnd::new(stream, Vec::new()),
@@ -139,7 +156,7 @@
             client_quiet_since: Instant::now(),
             discarded_bytes: 0,
             discard_server_output: false,
-            buffer_limit: driver.buffer_limit(),
+            buffer_limit: context.reducer.buffer_limit(),
             recorder: None,
             successor: None,
         }
@@ -148,7 +165,7 @@
     fn spawn(mut self, commands: UnboundedReceiver<ConnectionCommand>) {
         tokio::task::spawn_local(async move {
             self.run(commands).await;
-            let (driver, connection) = (self.driver.clone(), self.id);
+            let (context, connection) = (self.context.clone(), self.id);
             match self.successor.take() {
                 Some(successor) => self.transfer(successor),
                 None => {
@@ -157,7 +174,8 @@
                     });
                 }
             }
-            driver.deregister_connection(connection);
+            context.connections.deregister(connection);
+            context.reducer.feed(Input::SocketsClosed { connection });
         });
     }
 
@@ -226,7 +244,7 @@
 
     fn record(&mut self, records: impl FnOnce(&mut ConnectionRecorder, Time) -> Vec<u8>) {
         if let Some(recorder) = &mut self.recorder {
-            self.driver.record(|at| records(recorder, at));
+            self.context.recorder.record(|at| records(recorder, at));
         }
     }
 
@@ -245,7 +263,7 @@
             ConnectionCommand::CloseAttempt => self.upstream = Upstream::Idle,
             ConnectionCommand::CheckHandshake => {
                 self.read_client_until_asked();
-                self.driver.feed(Input::HandshakeTimedOut { connection: self.id });
+                self.context.reducer.feed(Input::HandshakeTimedOut { connection: self.id });
             }
             ConnectionCommand::SendAnswer(answer) => self.send_answer(answer),
         }
@@ -323,25 +341,27 @@
                 FrontEvent::ToClient(bytes) => self.client.push(&bytes),
                 FrontEvent::ToServer(bytes) => self.forward_to_server(&bytes),
                 _ if self.is_closing() => {}
-                FrontEvent::Ping(pong) if self.driver.is_serving() => self.client.push(&pong),
+                FrontEvent::Ping(pong) if self.context.reducer.is_serving() => self.client.push(&pong),
                 // A client that this process took in could only be rejected.
                 FrontEvent::Ping(_) => {
                     self.close_in_order();
-                    self.driver.feed(Input::ClientDisconnected { connection });
+                    self.context.reducer.feed(Input::ClientDisconnected { connection });
                 }
                 FrontEvent::ConnectionRequested(request) => {
-                    self.driver.feed(Input::ConnectionRequested { connection, request });
+                    self.context.reducer.feed(Input::ConnectionRequested { connection, request });
                 }
                 FrontEvent::Accepted => {
                     self.established = true;
-                    self.driver.feed(Input::AttemptAccepted { connection, attempt: self.attempt_number });
+                    self.context
+                        .reducer
+                        .feed(Input::AttemptAccepted { connection, attempt: self.attempt_number });
                 }
-                FrontEvent::Load(load) => self.driver.feed(Input::LoadReported { connection, load }),
+                FrontEvent::Load(load) => self.context.reducer.feed(Input::LoadReported { connection, load }),
                 FrontEvent::AttemptEnded(end) => self.on_attempt_ended(end),
                 FrontEvent::Close => {
                     self.discard_server_output = true;
                     self.close_in_order();
-                    self.driver.feed(Input::ClientDisconnected { connection });
+                    self.context.reducer.feed(Input::ClientDisconnected { connection });
                 }
             }
         }
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -26,7 +26,7 @@
         // The client's end may have come together with the connect.
         self.read_client_until_asked();
         // The connect may be seen before the timer that gives it up: then it is too late for the request.
-        if self.driver.is_overdue(self.id) {
+        if self.context.reducer.is_overdue(self.id) {
             self.upstream.close_connected();
         }
     }
@@ -46,7 +46,7 @@
         if !attempt.request_forwarded && attempt.end.pending_len() == 0 {
             attempt.request_forwarded = true;
             let (connection, attempt) = (self.id, self.attempt_number);
-            self.driver.feed(Input::RequestForwarded { connection, attempt });
+            self.context.reducer.feed(Input::RequestForwarded { connection, attempt });
         }
         true
     }
@@ -56,7 +56,7 @@
             attempt.push(bytes);
         }
         if self.established {
-            self.driver.feed(Input::LineForwarded { connection: self.id });
+            self.context.reducer.feed(Input::LineForwarded { connection: self.id });
         }
     }
 
@@ -70,7 +70,7 @@
             Ok(Some(_)) if self.discard_server_output => {}
             Ok(Some(length)) => {
                 if self.established && !self.is_closing() {
-                    self.driver.feed(Input::ServerActivity { connection: self.id });
+                    self.context.reducer.feed(Input::ServerActivity { connection: self.id });
                 }
                 let mut events = Vec::new();
                 self.front.server_sent(&buffer[..length], &mut events);
@@ -138,6 +138,6 @@
     fn report_attempt_end(&self, end: AttemptOutcome) {
         let (connection, attempt) = (self.id, self.attempt_number);
         log_event!(LogEvent::AttemptEnded { connection, attempt, end });
-        self.driver.feed(Input::AttemptEnded { connection, attempt, end });
+        self.context.reducer.feed(Input::AttemptEnded { connection, attempt, end });
     }
 }
--- a/src/transport/daemon/mod.rs
+++ b/src/transport/daemon/mod.rs
@@ -51,7 +51,7 @@
     crate::program::log::start(&config.log);
     let start = Start::begin(sources, config)?;
     let received = hot_restart::import_state(&start.hot_restart_socket).await;
-    start.driver().set_recorder(recorder);
+    start.set_recorder(recorder);
     let mut daemon = start.finish(received).await?;
     loop {
         tokio::select! {
@@ -60,9 +60,9 @@
                     log_event!(LogEvent::ReloadFailed { error: &error });
                 }
             }
-            _ = signals.terminate.recv() => daemon.driver.feed(Input::ShutdownRequested),
-            _ = signals.interrupt.recv() => daemon.driver.feed(Input::ShutdownRequested),
-            _ = daemon.exit.recv() => break,
+            _ = signals.terminate.recv() => daemon.assembly.reducer.feed(Input::ShutdownRequested),
+            _ = signals.interrupt.recv() => daemon.assembly.reducer.feed(Input::ShutdownRequested),
+            _ = daemon.assembly.exit.recv() => break,
         }
     }
     daemon.wait_for_last_answers().await;
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -5,12 +5,11 @@
 
 use tokio::net::TcpListener;
 
-use super::super::driver::ActiveFront;
 use super::super::error::TransportError;
-use super::super::fronts::{irc_factory, platform_factory};
+use super::super::fronts::{irc_factory, platform_factory, ActiveFront};
 use super::super::listener::{bound_address, AcceptGate};
 use super::super::log_event::{log_event, LogEvent};
-use super::running::{read_configuration, Daemon, IRC_FRONT, PLATFORM_FRONT};
+use super::running::{open_admin_endpoint, read_configuration, Daemon, IRC_FRONT, PLATFORM_FRONT};
 use crate::program::config::{Config, Irc, Platform, StoreConfig};
 use crate::routing::{Input, PoolId};
 
@@ -54,7 +53,7 @@
         let pools = platform_pool.chain(irc.iter().map(|irc| irc.part.pool.clone())).collect();
         let peers = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
         self.store = store;
-        self.driver.feed(Input::ConfigurationChanged { pools, peers, budget });
+        self.assembly.reducer.feed(Input::ConfigurationChanged { pools, peers, budget });
         self.reload_admin_endpoint(mgmt);
         let irc_pool = usize::from(platform.is_some());
         if let Some(platform) = platform {
@@ -71,8 +70,7 @@
             // Admin clients that are connected are not cut off.
             Some(Bound { part: wanted, .. }) if self.mgmt.as_ref().is_some_and(|old| old.is_at(wanted)) => {}
             Some(Bound { part: wanted, listener }) => {
-                let gate = AcceptGate::open_admin_endpoint(&self.driver, wanted, listener);
-                gate.replace(&self.driver, &mut self.mgmt);
+                open_admin_endpoint(&self.assembly, wanted, listener).replace(&mut self.mgmt);
             }
             None => {
                 if let Some(old) = self.mgmt.take() {
@@ -87,8 +85,7 @@
         let address = bound_address(&listener, platform.listen);
         log_event!(LogEvent::PlatformReconfigured { name: &platform.name, address });
         let front = ActiveFront { pool, factory: platform_factory(), listener };
-        AcceptGate::open_front(&self.driver, PLATFORM_FRONT, platform.listen, front)
-            .replace(&self.driver, &mut self.platform);
+        self.open_front(PLATFORM_FRONT, platform.listen, front).replace(&mut self.platform);
     }
 
     fn reload_irc(&mut self, pool: PoolId, irc: Bound<Irc>) {
@@ -96,9 +93,12 @@
         let address = bound_address(&listener, irc.listen);
         irc.take_port(address);
         log_event!(LogEvent::IrcReconfigured { name: &irc.setup.name, address });
-        self.driver.feed(Input::EndpointsUpdated { pool, is_snapshot: true, endpoints: irc.endpoints });
+        self.assembly.reducer.feed(Input::EndpointsUpdated {
+            pool,
+            is_snapshot: true,
+            endpoints: irc.endpoints,
+        });
         let front = ActiveFront { pool, factory: irc_factory(irc.setup), listener };
-        AcceptGate::open_front(&self.driver, IRC_FRONT, irc.listen, front)
-            .replace(&self.driver, &mut self.irc);
+        self.open_front(IRC_FRONT, irc.listen, front).replace(&mut self.irc);
     }
 }
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -1,23 +1,25 @@
 //! The start: what the configuration and the predecessor give is put in place, in the order that both need.
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
 use tokio::net::{TcpListener, UdpSocket};
-use tokio::sync::mpsc;
 
+use super::super::assembly::Assembly;
 use super::super::commands::WatchCommand;
-use super::super::driver::{ActiveFront, Driver, REPLICATION_SOCKET};
+use super::super::datagrams::{GossipSocket, ReplicationSocket};
+use super::super::driver::{AddressedReplicaMessage, EntryToPersist};
 use super::super::error::TransportError;
-use super::super::files::{Files, OpenedFiles};
-use super::super::fronts::{irc_factory, platform_factory, Fronts};
-use super::super::hot_restart::{self, ReceivedState};
+use super::super::files::{Files, OpenedFiles, SharedFiles};
+use super::super::fronts::{irc_factory, platform_factory, ActiveFront, ActiveFronts};
+use super::super::hot_restart::{self, ExportedState, HotRestartContext, ReceivedState, REPLICATION_SOCKET};
 use super::super::listener::{bind_shared_datagrams, bound_address, listen, AcceptGate};
 use super::super::log_event::{log_event, LogEvent};
+use super::super::record::Recorder;
 use super::super::{discovery_watch, excluded_servers, probes};
-use super::running::{Daemon, IRC_FRONT, PLATFORM_FRONT};
-use crate::program::config::{Config, Irc, Platform, Sources, StoreConfig};
+use super::running::{open_admin_endpoint, Daemon, IRC_FRONT, PLATFORM_FRONT};
+use crate::program::config::{Config, Irc, PeersAt, Platform, Sources, StoreConfig};
 use crate::routing::{Input, PoolId};
 
 /// A front that is configured, with its pool.
@@ -46,21 +48,21 @@
     /// ready.
     pub(super) fn begin(sources: Sources, config: Config) -> Result<Start, TransportError> {
         let admin_listener = config.mgmt.map(listen).transpose()?;
-        let Fronts { driver, exit, platform, irc } = Fronts::set_up(&config);
+        let assembly = Assembly::new(&config);
         let admin_endpoint = config.mgmt.zip(admin_listener);
-        let mgmt = admin_endpoint
-            .map(|(wanted, listener)| AcceptGate::open_admin_endpoint(&driver, wanted, listener));
+        let mgmt = admin_endpoint.map(|(wanted, listener)| open_admin_endpoint(&assembly, wanted, listener));
         let hot_restart_socket = hot_restart::socket_path(&config);
-        Ok(Start {
-            daemon: Daemon { driver, exit, sources, store: config.store, platform: None, irc: None, mgmt },
-            platform: PooledFront::zip(platform, config.platform),
-            irc: PooledFront::zip(irc, config.irc),
-            hot_restart_socket,
-        })
+        let platform = PooledFront::zip(assembly.platform, config.platform);
+        let irc = PooledFront::zip(assembly.irc, config.irc);
+        let fronts = ActiveFronts::default();
+        let store = config.store;
+        let daemon = Daemon { assembly, fronts, sources, store, platform: None, irc: None, mgmt };
+        Ok(Start { daemon, platform, irc, hot_restart_socket })
     }
 
-    pub(super) fn driver(&self) -> &Rc<Driver> {
-        &self.daemon.driver
+    /// Records the fronts' traffic, if there is a recorder.
+    pub(super) fn set_recorder(&self, recorder: Option<Recorder>) {
+        self.daemon.assembly.recorder.set_recorder(recorder);
     }
 
     /// Goes on with what the predecessor exported, if it did, and begins to serve.
@@ -68,25 +70,27 @@
         mut self,
         mut received: Option<ReceivedState>,
     ) -> Result<Daemon, TransportError> {
-        let driver = self.driver().clone();
-        if let Some(store) = &self.daemon.store {
-            start_store(&driver, store, received.as_mut()).await?;
-        }
-        driver.set_hot_restart_socket(self.hot_restart_socket.clone());
-        driver.feed(self.restored_state(received.as_mut()));
+        let reducer = self.daemon.assembly.reducer.clone();
+        let store = match &self.daemon.store {
+            Some(store) => Some(start_store(&self.daemon.assembly, store, received.as_mut()).await?),
+            None => None,
+        };
+        self.persist_exclusions();
+        reducer.feed(self.restored_state(received.as_mut()));
         if let Some(PooledFront { pool, config: platform }) = self.platform.take() {
-            let gate = start_platform(&driver, pool, &platform, received.as_mut())?;
+            let gate = start_platform(&self.daemon, pool, &platform, received.as_mut())?;
             self.daemon.platform = Some(gate);
         }
         if let Some(PooledFront { pool, config: irc }) = self.irc.take() {
-            self.daemon.irc = Some(start_irc(&driver, pool, irc, received.as_mut())?);
+            self.daemon.irc = Some(start_irc(&self.daemon, pool, irc, received.as_mut())?);
         }
-        driver.feed(Input::Listening);
+        reducer.feed(Input::Listening);
+        let context = self.hot_restart_context(store);
         if let Some(received) = received {
-            tokio::task::spawn_local(hot_restart::run_as_successor(driver.clone(), received));
+            tokio::task::spawn_local(hot_restart::run_as_successor(context.clone(), received));
         }
-        hot_restart::offer_state(driver.clone(), &self.hot_restart_socket);
-        tokio::task::spawn_local(driver.run_timer());
+        hot_restart::offer_state(context, &self.hot_restart_socket);
+        tokio::task::spawn_local(reducer.run_timer());
         Ok(self.daemon)
     }
 
@@ -99,20 +103,58 @@
             },
         }
     }
+
+    /// Persists the exclusions by operators from now on.
+    fn persist_exclusions(&self) {
+        let hot_restart_socket = self.hot_restart_socket.clone();
+        let persist = move |excluded: Vec<String>| {
+            excluded_servers::persist_excluded(&hot_restart_socket, &excluded);
+        };
+        self.daemon.assembly.effects.exclusions.register(persist);
+    }
+
+    /// What a hot restart needs. The state that the reducer exports goes there from now on.
+    fn hot_restart_context(&self, store: Option<OpenStore>) -> HotRestartContext {
+        let effects = &self.daemon.assembly.effects;
+        let (files, replication) = match store {
+            Some(store) => (store.files, Some(store.replication)),
+            None => (None, None),
+        };
+        let exported_state = ExportedState::default();
+        let (exported, open_files) = (exported_state.clone(), files.clone());
+        effects.exported_state.register(move |state| {
+            exported.set(state);
+            // Two processes that append to one file would corrupt it.
+            if let Some(files) = &open_files {
+                files.close();
+            }
+        });
+        HotRestartContext {
+            connections: self.daemon.assembly.connection_context(),
+            fronts: self.daemon.fronts.clone(),
+            peer_process: effects.peer_process.clone(),
+            exported_state,
+            files,
+            replication,
+        }
+    }
+}
+
+/// The replicated map's files and socket.
+struct OpenStore {
+    /// None where the map is kept in memory alone.
+    files: Option<SharedFiles>,
+    replication: ReplicationSocket,
 }
 
 /// Restores the replicated map from its files, and begins to replicate.
 async fn start_store(
-    driver: &Rc<Driver>,
+    assembly: &Assembly,
     store: &StoreConfig,
     received: Option<&mut ReceivedState>,
-) -> Result<(), TransportError> {
+) -> Result<OpenStore, TransportError> {
     // Only now, after a predecessor has exported its state, does nobody else write to the files.
-    if let Some(folder) = &store.data {
-        let OpenedFiles { files, entries } = Files::open(folder)?;
-        driver.set_files(files);
-        driver.feed(Input::StateRestored { entries, excluded_by_operator: Vec::new() });
-    }
+    let files = store.data.as_deref().map(|folder| open_files(assembly, folder)).transpose()?;
     let inherited = received.and_then(|received| received.take_socket(REPLICATION_SOCKET));
     let socket = match inherited {
         Some(socket) => UdpSocket::from_std(std::net::UdpSocket::from(socket)),
@@ -122,30 +164,63 @@
     let socket = socket.map_err(|source| TransportError::Listen { address, source })?;
     let address = socket.local_addr().unwrap_or(address);
     log_event!(LogEvent::ReplicationOpen { node: &store.node, address });
-    driver.start_replication(socket);
-    Ok(())
+    let replication = ReplicationSocket::new(socket);
+    start_replication(assembly, &replication);
+    Ok(OpenStore { files, replication })
+}
+
+/// Opens the replicated map's files, and persists entries there from now on.
+fn open_files(assembly: &Assembly, folder: &Path) -> Result<SharedFiles, TransportError> {
+    let OpenedFiles { files, entries } = Files::open(folder)?;
+    let files = SharedFiles::new(files);
+    let persisting = files.clone();
+    assembly.effects.entries.register(move |EntryToPersist { key, entry }| persisting.persist(&key, &entry));
+    assembly.reducer.feed(Input::StateRestored { entries, excluded_by_operator: Vec::new() });
+    Ok(files)
+}
+
+/// Exchanges replica messages on a socket from now on.
+fn start_replication(assembly: &Assembly, socket: &ReplicationSocket) {
+    let sending = socket.clone();
+    assembly
+        .effects
+        .replica_messages
+        .register(move |AddressedReplicaMessage { to, message }| sending.send(to, &message));
+    let receiving = socket.clone().receive(assembly.reducer.clone(), assembly.effects.accepting.clone());
+    tokio::task::spawn_local(receiving);
+}
+
+/// Exchanges gossip for a pool on a socket from now on.
+fn start_gossip(assembly: &Assembly, pool: PoolId, socket: UdpSocket, peers: &PeersAt) {
+    let socket = GossipSocket::new(socket, peers.all);
+    let sending = socket.clone();
+    assembly.effects.gossip.register(move |message| sending.broadcast(message));
+    tokio::task::spawn_local(socket.receive(assembly.reducer.clone(), pool, peers.from.clone()));
+}
+
+/// Starts the probes of servers and the watch on a pool's endpoint list.
+fn start_discovery(assembly: &Assembly, pool: PoolId, discovery: SocketAddr, generation: u64) {
+    let Assembly { reducer, effects, .. } = assembly;
+    let commands = effects.probes.open_channel();
+    tokio::task::spawn_local(probes::run_probes(reducer.clone(), commands));
+    let commands = effects.watches.open_channel();
+    tokio::task::spawn_local(discovery_watch::run_watches(reducer.clone(), commands));
+    effects.watches.pass(WatchCommand::Start { pool, discovery, generation: Some(generation) });
 }
 
 /// Starts the platform's front, with the watch, the probes and the gossip of its pool.
 fn start_platform(
-    driver: &Rc<Driver>,
+    daemon: &Daemon,
     pool: PoolId,
     platform: &Platform,
     received: Option<&mut ReceivedState>,
 ) -> Result<AcceptGate, TransportError> {
     if let Some(discovery) = platform.pool.discovery {
-        let (probes, commands) = mpsc::unbounded_channel();
-        driver.set_probes(probes);
-        tokio::task::spawn_local(probes::run_probes(driver.clone(), commands));
-        let (watches, commands) = mpsc::unbounded_channel();
-        driver.set_watches(watches);
-        tokio::task::spawn_local(discovery_watch::run_watches(driver.clone(), commands));
-        let generation = Some(platform.known.generation);
-        driver.send_watch_command(WatchCommand::Start { pool, discovery, generation });
+        start_discovery(&daemon.assembly, pool, discovery, platform.known.generation);
     }
     if let Some(peers) = &platform.peers {
         match bind_shared_datagrams(peers.listen) {
-            Ok(socket) => driver.start_gossip(pool, socket, peers),
+            Ok(socket) => start_gossip(&daemon.assembly, pool, socket, peers),
             // Gossip is a help; without it each balancer learns by itself.
             Err(error) => log_event!(LogEvent::GossipUnavailable { error: &error }),
         }
@@ -154,11 +229,11 @@
     let address = bound_address(&listener, platform.listen);
     log_event!(LogEvent::PlatformListening { name: &platform.name, address });
     let front = ActiveFront { pool, factory: platform_factory(), listener };
-    Ok(AcceptGate::open_front(driver, PLATFORM_FRONT, platform.listen, front))
+    Ok(daemon.open_front(PLATFORM_FRONT, platform.listen, front))
 }
 
 fn start_irc(
-    driver: &Rc<Driver>,
+    daemon: &Daemon,
     pool: PoolId,
     mut irc: Irc,
     received: Option<&mut ReceivedState>,
@@ -168,7 +243,7 @@
     let address = bound_address(&listener, irc.listen);
     log_event!(LogEvent::IrcListening { name: &irc.setup.name, address });
     let front = ActiveFront { pool, factory: irc_factory(irc.setup), listener };
-    Ok(AcceptGate::open_front(driver, IRC_FRONT, irc.listen, front))
+    Ok(daemon.open_front(IRC_FRONT, irc.listen, front))
 }
 
 /// The listener that the predecessor exported for a front, if it is at the configured address, or else a new
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -9,76 +9,87 @@
 
 use tokio::net::UdpSocket;
 
-use super::driver::Driver;
+use super::accepting::Accepting;
 use super::log_event::{log_event, LogEvent};
+use super::reducer::ReducerHandle;
 use crate::peers::GossipMessage;
-use crate::program::config::PeersAt;
 use crate::protocol::{gossip, peers};
 use crate::routing::store::ReplicaMessage;
-use crate::routing::Input;
+use crate::routing::{Input, PoolId};
 
 /// Wait after a failed receive. Where a peer is down, its machine reports that on the next call: there is
 /// nothing else to do about it.
 const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The socket for gossip, and the address that all balancers of the tier listen on.
-pub(super) struct GossipSocket {
-    socket: Rc<UdpSocket>,
-    broadcast: SocketAddr,
-}
+/// The socket for replica messages. Clones are handles of the same socket.
+#[derive(Clone)]
+pub(super) struct ReplicationSocket(Rc<UdpSocket>);
 
-impl Driver {
-    /// Receives replica messages on this socket from now on, and sends them from there.
-    pub(super) fn start_replication(self: &Rc<Self>, socket: UdpSocket) {
-        let socket = Rc::new(socket);
-        *self.replication.borrow_mut() = Some(socket.clone());
-        tokio::task::spawn_local(receive_replica_messages(self.clone(), socket));
+impl ReplicationSocket {
+    pub(super) fn new(socket: UdpSocket) -> ReplicationSocket {
+        ReplicationSocket(Rc::new(socket))
     }
 
-    /// Receives gossip for a pool on this socket from now on, and sends it from there.
-    pub(super) fn start_gossip(self: &Rc<Self>, pool: usize, socket: UdpSocket, at: &PeersAt) {
-        let socket = Rc::new(socket);
-        *self.gossip.borrow_mut() = Some(GossipSocket { socket: socket.clone(), broadcast: at.all });
-        tokio::task::spawn_local(receive_gossip(self.clone(), pool, socket, at.from.clone()));
+    /// The system's socket.
+    pub(super) fn socket(&self) -> &UdpSocket {
+        &self.0
     }
 
-    pub(super) fn send_replica_message(&self, to: SocketAddr, message: &ReplicaMessage) {
-        if let (Some(socket), Some(bytes)) = (self.replication.borrow().as_ref(), gossip::encode(message)) {
-            let _ = socket.try_send_to(&bytes, to);
+    /// Sends a message. One that does not fit a datagram is dropped.
+    pub(super) fn send(&self, to: SocketAddr, message: &ReplicaMessage) {
+        if let Some(bytes) = gossip::encode(message) {
+            let _ = self.0.try_send_to(&bytes, to);
         }
     }
 
-    pub(super) fn broadcast_gossip(&self, message: GossipMessage) {
-        if let Some(gossip) = self.gossip.borrow().as_ref() {
-            let _ = gossip.socket.try_send_to(&peers::encode(message), gossip.broadcast);
+    /// Feeds the messages that come to the reducer, for ever.
+    pub(super) async fn receive(self, reducer: ReducerHandle, accepting: Accepting) {
+        let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
+        loop {
+            // While a peer process serves, the messages are for that one.
+            accepting.wait_until(true).await;
+            match self.0.recv_from(&mut bytes).await {
+                Ok((length, from)) => match gossip::decode(&bytes[..length]) {
+                    Some(gossip) => reducer.feed(Input::ReplicaMessage { from, gossip }),
+                    None => log_event!(LogEvent::ReplicaMessageUnreadable { from }),
+                },
+                Err(_) => tokio::time::sleep(RECEIVE_RETRY_INTERVAL).await,
+            }
         }
     }
 }
 
-async fn receive_replica_messages(driver: Rc<Driver>, socket: Rc<UdpSocket>) {
-    let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
-    loop {
-        // While a peer process serves, the messages are for that one.
-        driver.wait_until_accepting(true).await;
-        match socket.recv_from(&mut bytes).await {
-            Ok((length, from)) => match gossip::decode(&bytes[..length]) {
-                Some(gossip) => driver.feed(Input::ReplicaMessage { from, gossip }),
-                None => log_event!(LogEvent::ReplicaMessageUnreadable { from }),
-            },
-            Err(_) => tokio::time::sleep(RECEIVE_RETRY_INTERVAL).await,
-        }
-    }
+/// The socket for gossip, and the address that all balancers of the tier listen on. Clones are handles of the
+/// same socket.
+#[derive(Clone)]
+pub(super) struct GossipSocket {
+    socket: Rc<UdpSocket>,
+    broadcast: SocketAddr,
 }
 
-async fn receive_gossip(driver: Rc<Driver>, pool: usize, socket: Rc<UdpSocket>, known: Vec<SocketAddr>) {
-    let mut bytes = [0; peers::MAX_DATAGRAM_LENGTH + 1];
-    loop {
-        match socket.recv_from(&mut bytes).await {
-            Ok((length, from)) => match peers::decode(&bytes[..length]).filter(|_| known.contains(&from)) {
-                Some(message) => driver.feed(Input::GossipReceived { pool, message }),
-                None => log_event!(LogEvent::GossipUnreadable { from }),
-            },
-            Err(_) => tokio::time::sleep(RECEIVE_RETRY_INTERVAL).await,
+impl GossipSocket {
+    pub(super) fn new(socket: UdpSocket, broadcast: SocketAddr) -> GossipSocket {
+        GossipSocket { socket: Rc::new(socket), broadcast }
+    }
+
+    /// Sends a message to all balancers of the tier.
+    pub(super) fn broadcast(&self, message: GossipMessage) {
+        let _ = self.socket.try_send_to(&peers::encode(message), self.broadcast);
+    }
+
+    /// Feeds the messages that come from known addresses to the reducer, for ever.
+    pub(super) async fn receive(self, reducer: ReducerHandle, pool: PoolId, known: Vec<SocketAddr>) {
+        let mut bytes = [0; peers::MAX_DATAGRAM_LENGTH + 1];
+        loop {
+            match self.socket.recv_from(&mut bytes).await {
+                Ok((length, from)) => {
+                    match peers::decode(&bytes[..length]).filter(|_| known.contains(&from)) {
+                        Some(message) => reducer.feed(Input::GossipReceived { pool, message }),
+                        None => log_event!(LogEvent::GossipUnreadable { from }),
+                    }
+                }
+                Err(_) => tokio::time::sleep(RECEIVE_RETRY_INTERVAL).await,
+            }
         }
     }
 }
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -4,7 +4,6 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::pin::Pin;
-use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::sync::mpsc;
@@ -14,8 +13,8 @@
 use super::error::DiscoveryError;
 use crate::protocol::http::EndpointListUpdate;
 use crate::routing::{Endpoint, EndpointWatchTiming, Input, Lifecycle, PoolId};
-use crate::transport::driver::Driver;
 use crate::transport::log_event::{log_event, LogEvent};
+use crate::transport::reducer::ReducerHandle;
 use crate::Micros;
 
 /// How long discovery holds a call while nothing changes. Its changes count as known 6 s later at the latest,
@@ -48,7 +47,7 @@
 
 /// Follows one pool's endpoint list.
 pub(super) struct EndpointListFollower {
-    driver: Rc<Driver>,
+    reducer: ReducerHandle,
     pool: PoolId,
     discovery: SocketAddr,
     /// The connection of the last answer, for the next call.
@@ -66,13 +65,13 @@
 impl EndpointListFollower {
     /// A follower that has the list of this generation, if of any.
     pub(super) fn new(
-        driver: Rc<Driver>,
+        reducer: ReducerHandle,
         pool: PoolId,
         discovery: SocketAddr,
         generation: Option<u64>,
     ) -> EndpointListFollower {
         EndpointListFollower {
-            driver,
+            reducer,
             pool,
             discovery,
             connection: None,
@@ -93,7 +92,7 @@
             log_event!(LogEvent::EndpointListFailed { error: &error, age: self.answered_at.elapsed() });
             // What was requested before this failure has been done.
             while requested.try_recv().is_ok() {}
-            self.driver.feed(Input::EndpointWatchLost { pool: self.pool, failure: error.watch_failure() });
+            self.reducer.feed(Input::EndpointWatchLost { pool: self.pool, failure: error.watch_failure() });
         }
     }
 
@@ -138,7 +137,7 @@
         let connection = self.connection.take().unwrap_or_else(|| DiscoveryConnection::new(self.discovery));
         let since = self.generation.map(|generation| Since { generation, hold: self.hold });
         let hold = since.map_or(Duration::ZERO, |since| since.hold);
-        let timing = self.driver.endpoint_watch_timing(self.pool);
+        let timing = self.reducer.endpoint_watch_timing(self.pool);
         let called_at = Instant::now() + delay;
         let silent_at = (!hold.is_zero()).then(|| called_at + hold + micros(timing.answer_timeout));
         let limit = self.call_limit(&timing);
@@ -186,13 +185,13 @@
         log_event!(LogEvent::EndpointListRetried { age: self.answered_at.elapsed() });
         self.feed_silence(called_at);
         self.hold = Duration::ZERO;
-        let timing = self.driver.endpoint_watch_timing(self.pool);
+        let timing = self.reducer.endpoint_watch_timing(self.pool);
         micros(timing.max_reopening_delay).mul_f64(random_fraction())
     }
 
     fn feed_silence(&self, called_at: Instant) {
         let called_ago = Micros(called_at.elapsed().as_micros() as u64);
-        self.driver.feed(Input::EndpointWatchSilent { pool: self.pool, called_ago });
+        self.reducer.feed(Input::EndpointWatchSilent { pool: self.pool, called_ago });
     }
 
     /// Applies what a call has brought.
@@ -241,7 +240,7 @@
         self.answered_at = Instant::now();
         self.generation = Some(generation);
         self.hold = HOLD_TIMEOUT;
-        self.driver.feed(Input::EndpointsUpdated { pool: self.pool, is_snapshot, endpoints });
+        self.reducer.feed(Input::EndpointsUpdated { pool: self.pool, is_snapshot, endpoints });
         if is_unchanged && called_at.elapsed() < MIN_CALL_INTERVAL {
             sleep(MIN_CALL_INTERVAL).await;
         }
--- a/src/transport/discovery_watch/mod.rs
+++ b/src/transport/discovery_watch/mod.rs
@@ -6,14 +6,13 @@
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::rc::Rc;
 
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
 use self::follower::EndpointListFollower;
 use super::commands::WatchCommand;
-use super::driver::Driver;
+use super::reducer::ReducerHandle;
 use crate::routing::PoolId;
 
 /// The task of a pool's watch.
@@ -24,7 +23,7 @@
 }
 
 /// Keeps a watch for each pool, as the commands come.
-pub(super) async fn run_watches(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
+pub(super) async fn run_watches(reducer: ReducerHandle, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
     let mut watches: HashMap<PoolId, Watch> = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
@@ -35,7 +34,7 @@
                 }
             }
             WatchCommand::Start { pool, discovery, generation } => {
-                let watch = start_watch(&driver, pool, discovery, generation);
+                let watch = start_watch(&reducer, pool, discovery, generation);
                 if let Some(old) = watches.insert(pool, watch) {
                     old.task.abort();
                 }
@@ -44,11 +43,16 @@
     }
 }
 
-fn start_watch(driver: &Rc<Driver>, pool: PoolId, discovery: SocketAddr, generation: Option<u64>) -> Watch {
+fn start_watch(
+    reducer: &ReducerHandle,
+    pool: PoolId,
+    discovery: SocketAddr,
+    generation: Option<u64>,
+) -> Watch {
     let (requests, requested) = mpsc::channel(1);
     // The reducer requested it with the first list, before there was a task to take the request. There is
     // room for one.
     let _ = requests.try_send(());
-    let follower = EndpointListFollower::new(driver.clone(), pool, discovery, generation);
+    let follower = EndpointListFollower::new(reducer.clone(), pool, discovery, generation);
     Watch { requests, task: tokio::task::spawn_local(follower.run(requested)) }
 }
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -1,9 +1,11 @@
 //! Files of the replicated map: a journal that every entry is appended to, and a snapshot that replaces it
 //! when it has grown long. Both are sequences of records: length, its complement, checksum, entry.
 
+use std::cell::RefCell;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
+use std::rc::Rc;
 
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
@@ -198,6 +200,32 @@
     }
 }
 
+/// The files of a replicated map, as what persists entries and the hot restart share them. Clones are handles
+/// of the same files.
+#[derive(Clone)]
+pub(super) struct SharedFiles(Rc<RefCell<Files>>);
+
+impl SharedFiles {
+    pub(super) fn new(files: Files) -> SharedFiles {
+        SharedFiles(Rc::new(RefCell::new(files)))
+    }
+
+    /// As [`Files::persist`].
+    pub(super) fn persist(&self, key: &str, entry: &Entry) {
+        self.0.borrow_mut().persist(key, entry);
+    }
+
+    /// As [`Files::close`].
+    pub(super) fn close(&self) {
+        self.0.borrow_mut().close();
+    }
+
+    /// As [`Files::reopen`].
+    pub(super) fn reopen(&self, store: &ReplicatedMap) {
+        self.0.borrow_mut().reopen(store);
+    }
+}
+
 /// Reads a file; one that is not there is empty.
 fn read_file(path: &Path) -> Result<Vec<u8>, TransportError> {
     match fs::read(path) {
--- a/src/transport/fronts.rs
+++ b/src/transport/fronts.rs
@@ -1,13 +1,16 @@
-//! The reducer with the pools of the fronts that feed it.
+//! The fronts: what makes their connections, and which of them accept.
 
+use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::net::TcpListener;
 
-use super::driver::{ConnectionFactory, Driver};
-use crate::program::config::Config;
-use crate::protocol::{irc, platform};
-use crate::routing::{Input, PoolId, ReplicationConfig, State};
+use crate::protocol::{irc, platform, Front};
+use crate::routing::PoolId;
+
+/// Makes the protocol side of a front's connections.
+pub(super) type ConnectionFactory = Rc<dyn Fn() -> Box<dyn Front>>;
 
 /// Makes connections of the platform's protocol.
 pub(super) fn platform_factory() -> ConnectionFactory {
@@ -20,44 +23,60 @@
     Rc::new(move || Box::new(irc::Connection::new(config.clone())))
 }
 
-/// A driver, and the pools of the fronts that are configured.
-pub(super) struct Fronts {
-    /// The driver with the reducer.
-    pub driver: Rc<Driver>,
-    /// Reports that the process can exit.
-    pub exit: UnboundedReceiver<()>,
-    /// Pool of the platform's front.
-    pub platform: Option<PoolId>,
-    /// Pool of the IRC front.
-    pub irc: Option<PoolId>,
+/// A front that accepts connections.
+#[derive(Clone)]
+pub(super) struct ActiveFront {
+    /// Its pool.
+    pub pool: PoolId,
+    /// Makes its connections.
+    pub factory: ConnectionFactory,
+    /// Accepts them.
+    pub listener: Rc<TcpListener>,
+}
+
+/// A connection that is new to a front.
+pub(super) struct FrontConnection {
+    /// The front's pool.
+    pub pool: PoolId,
+    /// The connection's protocol side.
+    pub front: Box<dyn Front>,
 }
 
-impl Fronts {
-    /// Sets up the pools, and feeds the reducer the endpoints that the configuration holds; nothing listens
-    /// yet.
-    pub(super) fn set_up(config: &Config) -> Fronts {
-        let Config { platform, irc, store, budget, .. } = config;
-        let mut replication = ReplicationConfig::default();
-        if let Some(store) = store {
-            replication.node = store.node.clone();
-            replication.peers = store.peers.clone();
-        }
-        let platform_pool = platform.iter().map(|platform| platform.pool.clone());
-        let pools = platform_pool.chain(irc.iter().map(|irc| irc.pool.clone())).collect();
-        let (driver, exit) = Driver::new(|now| State::new(pools, replication, *budget, now));
-        let mut fronts = Fronts { driver, exit, platform: None, irc: None };
-        let mut pool = 0;
-        if let Some(platform) = platform {
-            let endpoints = platform.known.endpoints.clone();
-            fronts.driver.feed(Input::CachedEndpoints { pool, endpoints });
-            fronts.platform = Some(pool);
-            pool += 1;
-        }
-        if let Some(irc) = irc {
-            let endpoints = irc.endpoints.clone();
-            fronts.driver.feed(Input::EndpointsUpdated { pool, is_snapshot: true, endpoints });
-            fronts.irc = Some(pool);
-        }
-        fronts
+/// A front's name, and its listener.
+pub(super) struct NamedListener {
+    /// The name.
+    pub name: &'static str,
+    /// The listener.
+    pub listener: Rc<TcpListener>,
+}
+
+/// The fronts that accept connections, by name. Clones are handles of the same fronts.
+#[derive(Clone, Default)]
+pub(super) struct ActiveFronts(Rc<RefCell<BTreeMap<&'static str, ActiveFront>>>);
+
+impl ActiveFronts {
+    /// Registers a front, in the place of an earlier one of that name.
+    pub(super) fn register(&self, name: &'static str, front: ActiveFront) {
+        self.0.borrow_mut().insert(name, front);
+    }
+
+    /// A new connection of the front of that name, if there is one.
+    pub(super) fn new_connection(&self, name: &str) -> Option<FrontConnection> {
+        let fronts = self.0.borrow();
+        fronts.get(name).map(|front| FrontConnection { pool: front.pool, front: (front.factory)() })
+    }
+
+    /// The name of a pool's front.
+    pub(super) fn name_of(&self, pool: PoolId) -> Option<&'static str> {
+        let fronts = self.0.borrow();
+        fronts.iter().find(|(_, front)| front.pool == pool).map(|(name, _)| *name)
+    }
+
+    /// The listeners, in the order of their fronts' names.
+    pub(super) fn listeners(&self) -> Vec<NamedListener> {
+        let fronts = self.0.borrow();
+        let listeners =
+            fronts.iter().map(|(&name, front)| NamedListener { name, listener: front.listener.clone() });
+        listeners.collect()
     }
 }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -1,5 +1,6 @@
 //! Listening sockets, and what accepts connections from them.
 
+use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,11 +10,9 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::JoinHandle;
 
-use super::driver::{ActiveFront, ConnectionFactory, Driver};
+use super::accepting::Accepting;
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
-use super::{admin_server, connection};
-use crate::routing::PoolId;
 
 /// Connections that may wait to be accepted: a burst of reconnecting clients fits.
 const LISTEN_BACKLOG: i32 = 1024;
@@ -59,47 +58,48 @@
     listener.local_addr().unwrap_or(wanted)
 }
 
+/// Starts the task of a connection that was accepted.
+pub(super) type ConnectionStarter = Rc<dyn Fn(TcpStream)>;
+
 /// A listener, and the task that accepts its connections.
 pub(super) struct AcceptGate {
     /// The address as configured, perhaps with port 0.
     wanted: SocketAddr,
     listener: Rc<TcpListener>,
     task: JoinHandle<()>,
-    /// What takes its connections; none for the admin endpoint.
+    /// The front that takes its connections; none for the admin endpoint.
     front: Option<GateFront>,
 }
 
 /// The front behind a gate.
+#[derive(Clone)]
 struct GateFront {
-    pool: PoolId,
-    factory: ConnectionFactory,
+    accepting: Accepting,
+    start_connection: ConnectionStarter,
 }
 
 impl AcceptGate {
-    /// Registers a front and accepts its connections.
+    /// Accepts a front's connections, whenever the fronts accept any.
     pub(super) fn open_front(
-        driver: &Rc<Driver>,
-        name: &'static str,
+        accepting: &Accepting,
         wanted: SocketAddr,
-        front: ActiveFront,
+        listener: Rc<TcpListener>,
+        start_connection: ConnectionStarter,
     ) -> AcceptGate {
-        let ActiveFront { pool, factory, listener } = front;
-        let active = ActiveFront { pool, factory: factory.clone(), listener: listener.clone() };
-        driver.register_front(name, active);
-        let front = Some(GateFront { pool, factory: factory.clone() });
-        let accepting = accept_connections(driver.clone(), listener.clone(), pool, factory);
-        AcceptGate { wanted, listener, task: tokio::task::spawn_local(accepting), front }
+        let front = GateFront { accepting: accepting.clone(), start_connection };
+        let accept_connections = accept_connections(listener.clone(), front.clone());
+        let task = tokio::task::spawn_local(accept_connections);
+        AcceptGate { wanted, listener, task, front: Some(front) }
     }
 
-    /// Accepts admin clients.
+    /// Runs the task that accepts admin clients.
     pub(super) fn open_admin_endpoint(
-        driver: &Rc<Driver>,
         wanted: SocketAddr,
         listener: Rc<TcpListener>,
+        accept_clients: impl Future<Output = ()> + 'static,
     ) -> AcceptGate {
         log_event!(LogEvent::AdminEndpointOpen { address: bound_address(&listener, wanted) });
-        let accepting = admin_server::accept_clients(driver.clone(), listener.clone());
-        AcceptGate { wanted, listener, task: tokio::task::spawn_local(accepting), front: None }
+        AcceptGate { wanted, listener, task: tokio::task::spawn_local(accept_clients), front: None }
     }
 
     /// Whether this gate was configured with that address.
@@ -123,12 +123,12 @@
     }
 
     /// Takes the place of an old gate, which accepts nothing more.
-    pub(super) fn replace(self, driver: &Rc<Driver>, old: &mut Option<AcceptGate>) {
+    pub(super) fn replace(self, old: &mut Option<AcceptGate>) {
         let listener = self.listener.clone();
         if let Some(old) = old.replace(self) {
             old.close();
             if !Rc::ptr_eq(&old.listener, &listener) {
-                old.accept_queued(driver);
+                old.accept_queued();
             }
         }
     }
@@ -140,30 +140,26 @@
 
     /// Accepts what waits in the listener's queue, unless a successor listens on the same socket and accepts
     /// it. Closed with the listener, these connections would be reset without an answer.
-    pub(super) fn accept_queued(&self, driver: &Rc<Driver>) {
-        let Some(front) = self.front.as_ref().filter(|_| driver.is_accepting()) else { return };
+    pub(super) fn accept_queued(&self) {
+        let Some(front) = self.front.as_ref().filter(|front| front.accepting.is_on()) else { return };
         // The runtime may not have learned of them yet, so the system itself is asked.
         while let Ok((socket, _)) = socket2::SockRef::from(&*self.listener).accept() {
             let stream = socket.set_nonblocking(true).map(|()| std::net::TcpStream::from(socket));
             if let Ok(stream) = stream.and_then(TcpStream::from_std) {
-                connection::start(driver, front.pool, stream, (front.factory)());
+                (front.start_connection)(stream);
             }
         }
     }
 }
 
-async fn accept_connections(
-    driver: Rc<Driver>,
-    listener: Rc<TcpListener>,
-    pool: PoolId,
-    factory: ConnectionFactory,
-) {
+async fn accept_connections(listener: Rc<TcpListener>, front: GateFront) {
+    let GateFront { accepting, start_connection } = front;
     let start_connection = async |stream| {
-        connection::start(&driver, pool, stream, factory());
+        start_connection(stream);
         // Where many come at once, none may be judged before its first line could be read.
         tokio::task::yield_now().await;
     };
-    let wait_until_accepting = async |open| driver.wait_until_accepting(open).await;
+    let wait_until_accepting = async |open| accepting.wait_until(open).await;
     accept_each(&listener, wait_until_accepting, start_connection).await;
 }
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,14 +1,25 @@
 //! Sockets and timers on tokio, on one thread. Nothing is decided here: what comes in is fed to the reducer,
 //! and its effects are carried out.
 //!
-//! `driver` does both; `daemon` starts everything and reloads the configuration. Each other module
-//! is one kind of socket or file.
+//! Modules depend in one direction only:
+//!
+//! 1. `clock`, `commands`, `error`, `log_event`, `observation`, `outlet` and the registries that tasks share
+//!    (`accepting`, `connection_registry`, `fronts`, `peer_process`, `record`) depend on no task.
+//! 2. `reducer` is the handle that every task holds: it feeds inputs and reads the clock.
+//! 3. Each kind of task or socket has a module: `connection`, `listener`, `admin_server`, `discovery_watch`,
+//!    `probes`, `datagrams`, `hot_restart`.
+//! 4. `driver` dispatches effects to channels and registered consumers, and knows none of the tasks.
+//! 5. `assembly` puts the reducer and the driver together; `daemon` and `replay` start the tasks.
 #![deny(missing_docs)]
 
+mod accepting;
 mod admin_client;
 mod admin_server;
+mod assembly;
+mod clock;
 mod commands;
 mod connection;
+mod connection_registry;
 mod daemon;
 mod datagrams;
 mod discovery_watch;
@@ -18,11 +29,16 @@
 pub mod files;
 mod fronts;
 mod hot_restart;
+mod id_sequence;
 mod listener;
 mod log_event;
 mod observation;
+mod outlet;
+mod peer_process;
+mod pending_admin_calls;
 mod probes;
 mod record;
+mod reducer;
 mod replay;
 
 pub use admin_client::{call_admin_endpoint, write_store_entry, ClientError};
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -2,7 +2,6 @@
 //! cached for the next, since each new connection costs its server more than the probe does.
 
 use std::collections::HashMap;
-use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,7 +11,7 @@
 use tokio::time::{timeout, Instant};
 
 use super::commands::ProbeCommand;
-use super::driver::Driver;
+use super::reducer::ReducerHandle;
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::protocol::{platform, MAX_LINE_LENGTH};
 use crate::routing::{Input, ProbeEnd, MAX_PROBES};
@@ -44,7 +43,7 @@
 }
 
 /// Carries out probes as the commands come, for ever.
-pub(super) async fn run_probes(driver: Rc<Driver>, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
+pub(super) async fn run_probes(reducer: ReducerHandle, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
     let mut cache = ConnectionCache::new();
     let mut in_flight = JoinSet::new();
     loop {
@@ -54,7 +53,7 @@
                 let Some(command) = command else { return };
                 let target = ProbeTarget { server: command.server, address: command.address.clone() };
                 let cached = cache.remove(&target).map(|cached| cached.stream);
-                in_flight.spawn_local(carry_out_probe(driver.clone(), command, cached));
+                in_flight.spawn_local(carry_out_probe(reducer.clone(), command, cached));
             }
             Some(done) = in_flight.join_next() => {
                 let has_room = cache.len() + in_flight.len() < MAX_PROBES;
@@ -78,7 +77,7 @@
 
 /// Carries out one probe. Returns its connection if that can be cached: the report came in full.
 async fn carry_out_probe(
-    driver: Rc<Driver>,
+    reducer: ReducerHandle,
     command: ProbeCommand,
     cached: Option<TcpStream>,
 ) -> Option<(ProbeTarget, TcpStream)> {
@@ -91,7 +90,7 @@
         }
         _ => (ProbeEnd::NoAnswer, None),
     };
-    driver.feed(Input::ProbeCompleted { pool, server, end });
+    reducer.feed(Input::ProbeCompleted { pool, server, end });
     stream.map(|stream| (ProbeTarget { server, address }, stream))
 }
 
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -1,12 +1,16 @@
 //! Recordings of the fronts' traffic: a pcap file up to a size.
 
+use std::cell::RefCell;
 use std::fs::File;
 use std::io::Write;
 use std::path::PathBuf;
+use std::rc::Rc;
 
+use super::clock::Clock;
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
 use crate::protocol::pcap;
+use crate::Time;
 
 /// Where the fronts' traffic is recorded.
 #[derive(Clone, Debug)]
@@ -62,3 +66,29 @@
         }
     }
 }
+
+/// Adds records to the recording, if there is one. Clones are handles of the same recording.
+#[derive(Clone)]
+pub(super) struct TrafficRecorder {
+    clock: Clock,
+    recorder: Rc<RefCell<Option<Recorder>>>,
+}
+
+impl TrafficRecorder {
+    /// A handle that records nothing yet.
+    pub(super) fn new(clock: Clock) -> TrafficRecorder {
+        TrafficRecorder { clock, recorder: Rc::default() }
+    }
+
+    /// Records the fronts' traffic from now on, if there is a recorder.
+    pub(super) fn set_recorder(&self, recorder: Option<Recorder>) {
+        *self.recorder.borrow_mut() = recorder;
+    }
+
+    /// Adds to the recording, if there is one, what `records` makes at the present time.
+    pub(super) fn record(&self, records: impl FnOnce(Time) -> Vec<u8>) {
+        if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
+            recorder.write(&records(self.clock.now()));
+        }
+    }
+}
--- a/src/transport/replay/mod.rs
+++ b/src/transport/replay/mod.rs
@@ -15,7 +15,8 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
-use super::fronts::{irc_factory, platform_factory, Fronts};
+use super::assembly::Assembly;
+use super::fronts::{irc_factory, platform_factory};
 use crate::program::config::{read_file, Config};
 use crate::protocol::flows::{self, Flow};
 use crate::protocol::pcap::{self, PcapError};
@@ -143,20 +144,20 @@
 }
 
 async fn play_all(flows: Vec<Flow>, config: Config, front: FrontKind) -> Result<(), ReplayError> {
-    let fronts = Fronts::set_up(&config);
+    let assembly = Assembly::new(&config);
     let factory = match (front, config.irc) {
         (FrontKind::Irc, Some(irc)) => irc_factory(irc.setup),
         _ => platform_factory(),
     };
     let pool = match front {
-        FrontKind::Platform => fronts.platform,
-        FrontKind::Irc => fronts.irc,
+        FrontKind::Platform => assembly.platform,
+        FrontKind::Irc => assembly.irc,
     };
-    fronts.driver.start_observing();
-    tokio::task::spawn_local(fronts.driver.clone().run_timer());
+    assembly.reducer.start_observing();
+    tokio::task::spawn_local(assembly.reducer.clone().run_timer());
     let listener = TcpListener::bind(LOOPBACK).await.map_err(ReplayError::Listen)?;
     let replay = Rc::new(Replay {
-        driver: fronts.driver.clone(),
+        context: assembly.connection_context(),
         pool,
         factory,
         listener: Mutex::new(listener),
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -13,8 +13,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::super::connection;
-use super::super::driver::{ConnectionFactory, Driver};
+use super::super::connection::{self, ConnectionContext};
+use super::super::fronts::ConnectionFactory;
 use super::report::FlowReport;
 use crate::protocol::flows::{Flow, FlowChunk, FlowEnd};
 use crate::protocol::pcap::Close;
@@ -48,7 +48,7 @@
 
 /// What all flows of a replay share.
 pub(super) struct Replay {
-    pub(super) driver: Rc<Driver>,
+    pub(super) context: ConnectionContext,
     pub(super) pool: Option<PoolId>,
     pub(super) factory: ConnectionFactory,
     /// The front's listener. Flows connect one after the other, so that each finds its own other end.
@@ -90,7 +90,7 @@
         let _writer = end_flow(&mut pacer, writer).await;
         Ok(FlowReport {
             answered_bytes: wait_for_end(reading).await,
-            observations: self.driver.observations(connection),
+            observations: self.context.reducer.observations(connection),
             cut: sent.is_err(),
             gap: flow.gap,
             headless: flow.began_before_capture,
@@ -103,7 +103,7 @@
         let stream = TcpStream::connect(listener.local_addr()?).await?;
         let (accepted, _) = listener.accept().await?;
         let pool = self.pool.ok_or(FlowError::NoFront)?;
-        let connection = connection::start(&self.driver, pool, accepted, (self.factory)());
+        let connection = connection::start(&self.context, pool, accepted, (self.factory)());
         Ok((stream, connection))
     }
 }
