--- a/src/program/config/limits.rs
+++ b/src/program/config/limits.rs
@@ -2,8 +2,9 @@
 
 use crate::protocol::json::{DecodeError, JsonNode};
 use crate::routing::{Budget, MAX_PROBES};
-use crate::transport::MAX_ADMIN_CLIENTS;
 
+/// Admin clients at a time: their descriptors are reserved.
+pub const MAX_ADMIN_CLIENTS: usize = 10;
 /// Descriptors that are not connections: listeners, discovery, the log and what the runtime needs.
 const RESERVED_SOCKETS: usize = 20;
 /// Descriptors of the admin endpoint: its listener, its clients, and one more client before the oldest is closed.
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -10,7 +10,7 @@
 mod sources;
 
 pub use error::{ConfigError, ReplicatedEntryError};
-pub use limits::Limits;
+pub use limits::{Limits, MAX_ADMIN_CLIENTS};
 pub use operator::{parse_operator, Irc, Operator, StoreConfig};
 pub use platform::{parse_platform, PeersAt, Platform};
 pub use rebalance::parse_rebalance;
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -14,12 +14,11 @@
 use super::listener::accept_each;
 use super::pending_admin_calls::PendingAdminCalls;
 use super::reducer::ReducerHandle;
+use crate::program::config::MAX_ADMIN_CLIENTS;
 use crate::protocol::admin;
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::routing::{AdminRejection, AdminResponse, Input};
 
-/// Admin clients at a time: their descriptors are reserved.
-pub const MAX_ADMIN_CLIENTS: usize = 10;
 /// A client sends its line at once. Some send nothing, or half of it, and stay.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a client has to close after its answer. Closed over what it still sends, the connection would be
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -42,7 +42,6 @@
 mod replay;
 
 pub use admin_client::{call_admin_endpoint, write_store_entry, ClientError};
-pub use admin_server::MAX_ADMIN_CLIENTS;
 pub use daemon::serve;
 pub use error::TransportError;
 pub use record::RecordingConfig;
