--- a/tests/fake_servers/mod.rs
+++ b/tests/fake_servers/mod.rs
@@ -1,7 +1,7 @@
 //! Servers, clients and a discovery on loopback for tests over real sockets, and the daemon between them.
 #![allow(dead_code)]
 
-pub(crate) mod discovery_service;
+pub(crate) mod discovery;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -439,56 +439,7 @@
     }
 }
 
-/// A discovery whose every answer the test gives.
-pub(crate) struct Discovery {
-    pub address: SocketAddr,
-    calls: Receiver<(String, TcpStream)>,
-}
-
-impl Discovery {
-    pub(crate) fn start() -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (sender, calls) = channel();
-        std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let sender = sender.clone();
-                std::thread::spawn(move || {
-                    let reader = BufReader::new(stream.try_clone().expect("a clone"));
-                    for line in reader.lines().map_while(Result::ok).filter(|line| line.starts_with("GET ")) {
-                        drop(sender.send((line, stream.try_clone().expect("a clone"))));
-                    }
-                });
-            }
-        });
-        Discovery { address, calls }
-    }
-
-    /// The next call, which waits for [`send_endpoint_list`] or its end.
-    pub(crate) fn call(&self) -> (String, TcpStream) {
-        self.calls.recv_timeout(MAX_WAIT).expect("a call")
-    }
-}
-
-/// Answers a call to discovery.
-pub(crate) fn send_endpoint_list(mut call: &TcpStream, list: &str) {
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-    call.write_all((head + list).as_bytes()).expect("written");
-}
-
 /// Resets a connection, whoever else holds a copy of its descriptor.
 pub(crate) fn reset_connection(stream: TcpStream) {
     rustix::net::connect_unspec(&stream).expect("broken off");
 }
-
-/// An endpoint as discovery writes it.
-pub(crate) fn endpoint(name: &str, address: SocketAddr, lifecycle: &str) -> String {
-    format!(
-        r#"{{"instanceId": "{name}", "hostPort": "{address}", "zone": "a", "lifecycle": "{lifecycle}", "weight": 1.0}}"#
-    )
-}
-
-/// An endpoint list as discovery writes it: the whole list or changes.
-pub(crate) fn endpoint_list(generation: u32, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"generation": {generation}, "reset": {whole}, "instances": [{}]}}"#, entries.join(","))
-}
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -7,6 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use fake_servers::discovery::{endpoint_list, Discovery, Reply};
 use fake_servers::{irc_config, Client, Daemon};
 
 /// A platform server that accepts each connection, reports its load, and echoes its lines.
@@ -73,28 +74,11 @@
 }
 
 /// A discovery service without updates: one that is unavailable would hold back all rebalancing.
-fn start_discovery() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    std::thread::spawn(move || {
-        for mut stream in listener.incoming().flatten() {
-            std::thread::spawn(move || {
-                let mut first = true;
-                for line in BufReader::new(stream.try_clone().expect("a clone")).lines().map_while(Result::ok)
-                {
-                    if line.is_empty() {
-                        if !std::mem::take(&mut first) {
-                            std::thread::sleep(Duration::from_secs(3));
-                        }
-                        let body = r#"{"generation": 1, "reset": false, "instances": []}"#;
-                        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-                        let _ = stream.write_all((head + body).as_bytes());
-                    }
-                }
-            });
-        }
-    });
-    address
+fn start_discovery() -> Discovery {
+    let unchanged = endpoint_list(1, false, &[]);
+    let discovery = Discovery::scripted(vec![Reply::Body(unchanged.clone())]);
+    discovery.set_reply(Reply::LateBody(unchanged, Duration::from_secs(3)));
+    discovery
 }
 
 /// Requests a connection, and returns the answer as well.
@@ -108,7 +92,8 @@
 #[test]
 fn migrates_a_client_of_an_overloaded_server_to_the_server_with_room() {
     let (overloaded, fresh) = (PlatformServer::start("UP overloaded"), PlatformServer::start("UP fresh"));
-    let text = config(&overloaded, &fresh).replace("127.0.0.1:9", &start_discovery().to_string());
+    let discovery = start_discovery();
+    let text = config(&overloaded, &fresh).replace("127.0.0.1:9", &discovery.address.to_string());
     let file = std::env::temp_dir().join(format!("connection-balancer-moves-{}.json", std::process::id()));
     std::fs::write(&file, r#"{"platform": {"on": true, "most_per_s": 20}}"#).expect("written");
     let path = file.to_str().expect("a name").to_owned();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -2,17 +2,16 @@
 
 mod fake_servers;
 
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use fake_servers::{endpoint, endpoint_list, irc_config, wait_until, Client, Daemon, MAX_WAIT};
+use fake_servers::discovery::{endpoint, endpoint_list, Discovery, Reply};
+use fake_servers::{irc_config, wait_until, Client, Daemon, MAX_WAIT};
 
 type Lines = Arc<Mutex<Vec<String>>>;
-/// Calls to discovery, with their times.
-type Calls = Arc<Mutex<Vec<(Instant, String)>>>;
 
 /// A shop server that sends lines back and keeps what it was sent. A `silent` one sends nothing after `UP`.
 fn start_server(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
@@ -39,48 +38,6 @@
     (address, lines)
 }
 
-/// In place of a status: the answer breaks off in its body.
-const CUT: u16 = 0;
-
-/// Discovery: keeps when it was called with what, and answers each call by the next of these, then by none.
-fn start_discovery(answers: Vec<(u16, String)>) -> (SocketAddr, Calls) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let calls = Calls::default();
-    let (kept, answers) = (calls.clone(), Arc::new(Mutex::new(answers.into_iter())));
-    std::thread::spawn(move || {
-        for mut stream in listener.incoming().flatten() {
-            let (kept, answers) = (kept.clone(), answers.clone());
-            std::thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                let mut line = String::new();
-                while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
-                    if line.starts_with("GET ") {
-                        kept.lock().unwrap().push((Instant::now(), line.trim_end().to_owned()));
-                    }
-                    if line == "\r\n" {
-                        let Some((status, body)) = answers.lock().unwrap().next() else {
-                            // A watch on which nothing happens.
-                            let _ = reader.read_to_end(&mut Vec::new());
-                            return;
-                        };
-                        if status == CUT {
-                            let head = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n", body.len());
-                            let _ = stream.write_all(&(head + &body).as_bytes()[..60]);
-                            let _ = stream.shutdown(Shutdown::Both);
-                            return;
-                        }
-                        let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
-                        let _ = stream.write_all((head + &body).as_bytes());
-                    }
-                    line.clear();
-                }
-            });
-        }
-    });
-    (address, calls)
-}
-
 fn config(discovery: SocketAddr, known: &str) -> String {
     let limits = r#"{"sockets": 160, "memory_mb": 32}"#;
     format!(
@@ -111,19 +68,20 @@
         false,
         &[endpoint("s-00000001", old, "draining"), endpoint("s-00000002", new, "ready")],
     );
-    let answers = vec![(200, first), (503, String::new()), (200, endpoint_list(3, false, &[]))];
-    let (at, calls) = start_discovery(answers);
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
+    let replies = vec![Reply::Body(first), Reply::Status(503), Reply::Body(endpoint_list(3, false, &[]))];
+    let discovery = Discovery::scripted(replies);
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
 
     wait_until("the watch was renewed, and asked for again after it failed", || {
-        calls.lock().unwrap().len() >= 4
+        discovery.received_calls().len() >= 4
     });
-    let calls = calls.lock().unwrap().clone();
+    let calls = discovery.received_calls();
     let froms: Vec<_> =
-        calls.iter().map(|(_, call)| call.split("from=").nth(1).unwrap()[..1].to_owned()).collect();
+        calls.iter().map(|call| call.request.split("from=").nth(1).unwrap()[..1].to_owned()).collect();
     assert_eq!(froms, ["1", "2", "2", "3"]);
-    assert!(calls[1].0 - calls[0].0 < Duration::from_millis(200), "renewed too late");
-    assert!(calls[0].1.contains("&hold_ms="), "{}", calls[0].1);
+    assert!(calls[1].at - calls[0].at < Duration::from_millis(200), "renewed too late");
+    assert!(calls[0].request.contains("&hold_ms="), "{}", calls[0].request);
     for _ in 0..5 {
         assert_eq!(connect_and_open(&daemon).read_line(), "UP new");
     }
@@ -167,10 +125,10 @@
 }
 
 fn start_probing_daemon(shop: SocketAddr) -> Daemon {
-    let (at, _) = start_discovery(Vec::new());
+    let discovery = Discovery::scripted(Vec::new());
     let known = endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]);
     let more = r#""family-info": {"report-x0": "load"}, "reporting": {"how": "on_probe", "fields": ["x0"]}, "zones""#;
-    let text = config(at, &known).replacen(r#""zones""#, more, 1);
+    let text = config(discovery.address, &known).replacen(r#""zones""#, more, 1);
     let text = text.replacen(
         r#""limits": {"connect-timeout": 2000"#,
         r#""limits": {"probing": true, "connect-timeout": 50"#,
@@ -221,18 +179,18 @@
 #[test]
 fn reopens_a_silent_watch_before_what_it_misses_counts() {
     let (shop, _) = start_server("UP 1", false);
-    let (at, calls) = start_discovery(Vec::new());
-    let text = config(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let discovery = Discovery::scripted(Vec::new());
+    let text = config(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
     let text = text.replacen(r#""must-ask-in": 2000"#, r#""must-ask-in": 10000"#, 1);
     let text = text.replacen(r#""zones""#, r#""balancers": 300, "zones""#, 1);
     let _daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
 
-    wait_until("it was asked anew", || calls.lock().unwrap().len() >= 2);
-    let calls = calls.lock().unwrap();
-    let after = calls[1].0 - calls[0].0;
+    wait_until("it was asked anew", || discovery.received_calls().len() >= 2);
+    let calls = discovery.received_calls();
+    let after = calls[1].at - calls[0].at;
 
     assert!(after < Duration::from_secs(6), "asked anew after {after:?}");
-    assert!(calls[1].1.contains("from=1&"), "{}", calls[1].1);
+    assert!(calls[1].request.contains("from=1&"), "{}", calls[1].request);
 }
 
 #[test]
@@ -240,20 +198,22 @@
     let ((old, _), (new, _)) = (start_server("UP old", false), start_server("UP new", false));
     let changes = [endpoint("s-00000001", old, "gone"), endpoint("s-00000002", new, "ready")];
     // What comes after it is a watch on which nothing happens.
-    let (at, calls) = start_discovery(vec![(CUT, endpoint_list(2, false, &changes))]);
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
+    let discovery = Discovery::scripted(vec![Reply::InterruptedBody(endpoint_list(2, false, &changes))]);
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
 
-    wait_until("it was asked again", || calls.lock().unwrap().len() >= 2);
+    wait_until("it was asked again", || discovery.received_calls().len() >= 2);
 
-    assert!(calls.lock().unwrap().iter().all(|(_, call)| call.contains("from=1&")));
+    assert!(discovery.received_calls().iter().all(|call| call.request.contains("from=1&")));
     assert_eq!(connect_and_open(&daemon).read_line(), "UP old");
 }
 
 #[test]
 fn forwards_lines_in_pieces_and_closes_in_both_directions() {
     let (shop, lines) = start_server("UP 1", false);
-    let (at, _) = start_discovery(Vec::new());
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let discovery = Discovery::scripted(Vec::new());
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
 
     let mut client = Client::connect(&daemon.platform);
     for piece in ["PI", "NG\r", "\nOPEN 9b1f 7f3a c=ch", "at,d=3000\r", "\n"] {
@@ -273,8 +233,9 @@
 #[test]
 fn migrates_a_client_whose_server_is_silent() {
     let (shop, _) = start_server("UP 1", true);
-    let (at, _) = start_discovery(Vec::new());
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let discovery = Discovery::scripted(Vec::new());
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
 
     let mut client = connect_and_open(&daemon);
     assert_eq!(client.read_line(), "UP 1");
@@ -287,8 +248,8 @@
 
 #[test]
 fn rejects_at_once_with_retry_after_without_servers() {
-    let (at, _) = start_discovery(Vec::new());
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[]));
+    let discovery = Discovery::scripted(Vec::new());
+    let daemon = start_daemon(discovery.address, &endpoint_list(1, true, &[]));
 
     let since = Instant::now();
     let answer = connect_and_open(&daemon).read_to_end();
@@ -315,8 +276,9 @@
         }
         *count.lock().unwrap() |= 1;
     });
-    let (at, _) = start_discovery(Vec::new());
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let discovery = Discovery::scripted(Vec::new());
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
 
     let mut client = connect_and_open(&daemon);
     assert_eq!(client.read_line(), "UP 1");
@@ -329,8 +291,9 @@
 #[test]
 fn migrates_players_and_answers_new_clients_at_sigterm_and_exits_in_time() {
     let (shop, _) = start_server("UP 1", false);
-    let (at, _) = start_discovery(Vec::new());
-    let mut daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let discovery = Discovery::scripted(Vec::new());
+    let mut daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
 
     let mut established: Vec<Client> = (0..5).map(|_| connect_and_open(&daemon)).collect();
     established.iter_mut().for_each(|client| assert_eq!(client.read_line(), "UP 1"));
@@ -350,44 +313,36 @@
 fn replaces_the_watch_and_keeps_connections_at_sighup_and_ignores_an_invalid_file() {
     let ((old, _), (new, _)) = (start_server("UP old", false), start_server("UP new", false));
     let known = endpoint_list(7, true, &[endpoint("s-00000001", old, "ready")]);
-    let ((first, first_calls), (second, calls)) = (
-        start_discovery(Vec::new()),
-        start_discovery(vec![(
-            200,
-            endpoint_list(
-                1,
-                true,
-                &[endpoint("s-00000001", old, "draining"), endpoint("s-00000002", new, "ready")],
-            ),
-        )]),
-    );
-    let mut daemon = start_daemon(first, &known);
+    let next = [endpoint("s-00000001", old, "draining"), endpoint("s-00000002", new, "ready")];
+    let first = Discovery::scripted(Vec::new());
+    let second = Discovery::scripted(vec![Reply::Body(endpoint_list(1, true, &next))]);
+    let mut daemon = start_daemon(first.address, &known);
 
     let mut established = connect_and_open(&daemon);
     assert_eq!(established.read_line(), "UP old");
-    wait_until("the first watch", || first_calls.lock().unwrap().len() == 1);
+    wait_until("the first watch", || first.received_calls().len() == 1);
 
-    daemon.reload("config.json", &config(second, &known).replace("3000", r#""soon""#));
+    daemon.reload("config.json", &config(second.address, &known).replace("3000", r#""soon""#));
     let line = daemon.log_line("the old configuration stays in force");
     assert!(line.contains("settings.classes[0].deadline: "), "{line}");
-    assert!(calls.lock().unwrap().is_empty());
+    assert!(second.received_calls().is_empty());
 
     // Several in a row, as a hasty operator sends them.
     for _ in 0..3 {
-        daemon.reload("config.json", &config(second, &known));
+        daemon.reload("config.json", &config(second.address, &known));
     }
     // The generation of another discovery means nothing here: the whole list is asked for, then changes of it.
-    wait_until("the new watch", || calls.lock().unwrap().len() == 2);
-    let calls = calls.lock().unwrap().clone();
-    assert!(calls[0].1.starts_with("GET /v1/servers HTTP"), "{}", calls[0].1);
-    assert!(calls[1].1.contains("?from=1&"), "{}", calls[1].1);
+    wait_until("the new watch", || second.received_calls().len() == 2);
+    let calls = second.received_calls();
+    assert!(calls[0].request.starts_with("GET /v1/servers HTTP"), "{}", calls[0].request);
+    assert!(calls[1].request.contains("?from=1&"), "{}", calls[1].request);
     assert_eq!(connect_and_open(&daemon).read_line(), "UP new");
     established.send_line("M 1");
     assert_eq!(established.read_line(), "M 1");
 
     daemon.signal("-TERM");
     daemon.log_line("leaving");
-    daemon.reload("config.json", &config(first, &known));
+    daemon.reload("config.json", &config(first.address, &known));
     daemon.log_line(", reconfigured");
 
     assert_eq!(established.read_to_end(), "MOVE\r\n");
@@ -400,8 +355,9 @@
 #[test]
 fn answers_or_closes_bad_clients_while_it_serves_others() {
     let (shop, lines) = start_server("UP 1", false);
-    let (at, _) = start_discovery(Vec::new());
-    let daemon = start_daemon(at, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let discovery = Discovery::scripted(Vec::new());
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
 
     let since = Instant::now();
     let silent: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.platform)).collect();
@@ -438,22 +394,22 @@
 /// counts as known after 6 s: a server that drained meanwhile would have been sent more.
 #[test]
 fn gives_up_a_silent_watch_before_its_updates_count_as_known() {
-    let (at, calls) = start_discovery(vec![(200, endpoint_list(1, false, &[]))]);
-    let _daemon = start_daemon(at, &endpoint_list(1, true, &[]));
+    let discovery = Discovery::scripted(vec![Reply::Body(endpoint_list(1, false, &[]))]);
+    let _daemon = start_daemon(discovery.address, &endpoint_list(1, true, &[]));
 
-    wait_until("it is asked again", || calls.lock().unwrap().len() == 3);
-    let calls = calls.lock().unwrap().clone();
+    wait_until("it is asked again", || discovery.received_calls().len() == 3);
+    let calls = discovery.received_calls();
 
-    assert!(calls[2].0 - calls[1].0 < Duration::from_secs(9), "it is late by more than a busy machine");
+    assert!(calls[2].at - calls[1].at < Duration::from_secs(9), "it is late by more than a busy machine");
     // A held one would look silent as well while nothing changes.
-    assert!(calls[2].1.contains("?from=1&hold_ms=0 "), "{}", calls[2].1);
+    assert!(calls[2].request.contains("?from=1&hold_ms=0 "), "{}", calls[2].request);
 }
 
 /// A server's slow messages are gossiped to the tier, once; what comes from unknown addresses is ignored.
 #[test]
 fn gossips_slow_servers_and_applies_gossip_of_the_tier_only() {
     let ((first, _), (second, _)) = (start_server("UP 1", false), start_server("UP 2", false));
-    let (at, _) = start_discovery(Vec::new());
+    let discovery = Discovery::scripted(Vec::new());
     let tier = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port");
     let all = tier.local_addr().expect("an address");
@@ -461,7 +417,7 @@
     let settings =
         r#""settings": {"family-info": {"tells-delay": true, "message-aim": [100]}, "balancers": 2,"#;
     let servers = [endpoint("s-00000001", first, "ready"), endpoint("s-00000002", second, "ready")];
-    let text = config(at, &endpoint_list(1, true, &servers))
+    let text = config(discovery.address, &endpoint_list(1, true, &servers))
         .replace(r#""settings": {"#, &format!("{peers} {settings}"));
     let text = text.replace(r#""retry-after": true"#, r#""retry-after": true, "peers": true"#);
     let daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -8,10 +8,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use fake_servers::{
-    endpoint, endpoint_list, irc_config, reset_connection, send_endpoint_list, wait_until, Client, Daemon,
-    Discovery, ManualServer,
-};
+use fake_servers::discovery::{endpoint, endpoint_list, Discovery};
+use fake_servers::{irc_config, reset_connection, wait_until, Client, Daemon, ManualServer};
 
 /// Settings that differ from test to test.
 struct TestSettings {
@@ -43,7 +41,7 @@
 
     /// A daemon whose list from before its start has these servers, and its discovery.
     fn start(&self, servers: &[&ManualServer]) -> (Daemon, Discovery) {
-        let discovery = Discovery::start();
+        let discovery = Discovery::by_test();
         let config = self.config("127.0.0.1:0", discovery.address, &ready_list(1, servers));
         (Daemon::start(&irc_config(&[], ""), Some(&config)), discovery)
     }
@@ -277,9 +275,9 @@
     let mut client = open_and_wait(&daemon);
     let mut attempt = first.accept();
     assert!(attempt.read_line().starts_with("OPEN "));
-    send_endpoint_list(&discovery.call().1, &endpoint_list(2, false, &[nth_endpoint(1, &second, "ready")]));
+    discovery.next_call().send_endpoint_list(&endpoint_list(2, false, &[nth_endpoint(1, &second, "ready")]));
     // The list is in place when the next watch begins.
-    let _watch = discovery.call();
+    let _watch = discovery.next_call();
     reset_connection(attempt.into_stream());
     // Its connect to the second server is in flight, and completes after its window.
     std::thread::sleep(Duration::from_millis(900));
@@ -314,11 +312,12 @@
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
 
     let mut client = open_and_wait(&daemon);
-    send_endpoint_list(
-        &discovery.call().1,
-        &endpoint_list(2, false, &[nth_endpoint(0, &server, "draining")]),
-    );
-    let _watch = discovery.call();
+    discovery.next_call().send_endpoint_list(&endpoint_list(
+        2,
+        false,
+        &[nth_endpoint(0, &server, "draining")],
+    ));
+    let _watch = discovery.next_call();
     assert!(client.read_to_end().starts_with("BUSY"));
     server.empty_queue();
 
@@ -352,10 +351,10 @@
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
 
     let mut client = open_and_wait(&daemon);
-    let (_, watch) = discovery.call();
+    let watch = discovery.next_call();
     daemon.suspend();
     server.empty_queue();
-    send_endpoint_list(&watch, &endpoint_list(2, false, &[nth_endpoint(0, &server, "draining")]));
+    watch.send_endpoint_list(&endpoint_list(2, false, &[nth_endpoint(0, &server, "draining")]));
     let mut attempt = server.accept();
     daemon.resume();
     if attempt.read_line().starts_with("OPEN ") {
@@ -448,7 +447,7 @@
     let (mut client, mut attempt) = establish(&daemon, &server);
     attempt.stream.write_all(b"M 1\r\nhal").expect("written");
     assert_eq!(client.read_line(), "M 1");
-    send_endpoint_list(&discovery.call().1, &endpoint_list(2, false, &[nth_endpoint(0, &server, "gone")]));
+    discovery.next_call().send_endpoint_list(&endpoint_list(2, false, &[nth_endpoint(0, &server, "gone")]));
 
     assert_eq!(client.read_to_end(), "MOVE\r\n");
     assert_eq!(attempt.read_to_end(), "");
@@ -586,7 +585,7 @@
     for reloaded in [false, true] {
         let (mut daemon, discovery) = TestSettings::default().start(&[]);
 
-        let (_, _silent) = discovery.call();
+        let _silent = discovery.next_call();
         daemon.suspend();
         let mut client = connect_and_open(&daemon, 9000);
         if reloaded {
@@ -607,7 +606,7 @@
 fn rejects_with_retry_after_a_request_that_outlives_the_process() {
     for (allowed, wanted) in [("true", "BUSY 400\r\n"), ("false", "BUSY\r\n")] {
         let server = ManualServer::start_with_full_queue();
-        let discovery = Discovery::start();
+        let discovery = Discovery::by_test();
         let config =
             TestSettings::default().config("127.0.0.1:0", discovery.address, &ready_list(1, &[&server]));
         let config = config.replace(r#""retry-after": true"#, &format!(r#""retry-after": {allowed}"#));
@@ -707,8 +706,8 @@
         client.read_line()
     };
     assert_eq!(ping(), "");
-    send_endpoint_list(&discovery.call().1, &ready_list(2, &[&server]));
-    let _watch = discovery.call();
+    discovery.next_call().send_endpoint_list(&ready_list(2, &[&server]));
+    let _watch = discovery.next_call();
     assert_eq!(ping(), "PONG");
     daemon.signal("-TERM");
     daemon.log_line("leaving");
@@ -722,19 +721,19 @@
     let (old, new) = (ManualServer::start(), ManualServer::start());
     let (daemon, before) = TestSettings::default().start(&[&old]);
 
-    let after = Discovery::start();
-    let (_, call) = before.call();
+    let after = Discovery::by_test();
+    let call = before.next_call();
     daemon.suspend();
-    send_endpoint_list(&call, &ready_list(99, &[&old]));
+    call.send_endpoint_list(&ready_list(99, &[&old]));
     daemon.reload(
         "config.json",
         &TestSettings::default().config("127.0.0.1:0", after.address, &ready_list(1, &[&old])),
     );
     daemon.resume();
-    let (asked, call) = after.call();
-    assert!(asked.starts_with("GET /v1/servers HTTP"), "{asked}");
-    send_endpoint_list(&call, &endpoint_list(2, true, &[nth_endpoint(1, &new, "ready")]));
-    let _watch = after.call();
+    let call = after.next_call();
+    assert!(call.request.starts_with("GET /v1/servers HTTP"), "{}", call.request);
+    call.send_endpoint_list(&endpoint_list(2, true, &[nth_endpoint(1, &new, "ready")]));
+    let _watch = after.next_call();
     let (_client, _attempt) = establish(&daemon, &new);
 
     assert!(old.try_accept().is_none());
@@ -744,18 +743,18 @@
 #[test]
 fn requests_the_whole_list_when_the_generation_goes_back() {
     let (old, new) = (ManualServer::start(), ManualServer::start());
-    let discovery = Discovery::start();
+    let discovery = Discovery::by_test();
     let known = endpoint_list(50, true, &[nth_endpoint(0, &old, "ready")]);
     let config = TestSettings::default().config("127.0.0.1:0", discovery.address, &known);
     let daemon = Daemon::start(&irc_config(&[], ""), Some(&config));
 
-    let (asked, call) = discovery.call();
-    assert!(asked.contains("from=50&"), "{asked}");
-    send_endpoint_list(&call, &endpoint_list(3, false, &[]));
-    let (asked, call) = discovery.call();
-    assert!(asked.starts_with("GET /v1/servers HTTP"), "{asked}");
-    send_endpoint_list(&call, &endpoint_list(3, true, &[nth_endpoint(1, &new, "ready")]));
-    let _watch = discovery.call();
+    let call = discovery.next_call();
+    assert!(call.request.contains("from=50&"), "{}", call.request);
+    call.send_endpoint_list(&endpoint_list(3, false, &[]));
+    let call = discovery.next_call();
+    assert!(call.request.starts_with("GET /v1/servers HTTP"), "{}", call.request);
+    call.send_endpoint_list(&endpoint_list(3, true, &[nth_endpoint(1, &new, "ready")]));
+    let _watch = discovery.next_call();
     let (_client, _attempt) = establish(&daemon, &new);
 
     assert!(old.try_accept().is_none());
@@ -772,12 +771,12 @@
     let (_daemon, discovery) = settings.start(&[&server]);
 
     for _ in 0..2 {
-        let (_, call) = discovery.call();
+        let call = discovery.next_call();
         let since = Instant::now();
-        reset_connection(call);
-        let again = discovery.call();
+        reset_connection(call.stream);
+        let again = discovery.next_call();
         assert!(since.elapsed() < Duration::from_millis(250), "asked again after {:?}", since.elapsed());
-        reset_connection(again.1);
+        reset_connection(again.stream);
     }
 }
 
@@ -789,12 +788,12 @@
 
     let mut since = Instant::now();
     for generation in 2..6 {
-        let (asked, call) = discovery.call();
+        let call = discovery.next_call();
         assert!(since.elapsed() < Duration::from_secs(1), "asked again after {:?}", since.elapsed());
-        assert!(asked.contains(&format!("from={}&", generation - 1)), "{asked}");
+        assert!(call.request.contains(&format!("from={}&", generation - 1)), "{}", call.request);
         daemon.suspend();
-        send_endpoint_list(&call, &endpoint_list(generation, false, &[]));
-        call.shutdown(Shutdown::Both).expect("closed");
+        call.send_endpoint_list(&endpoint_list(generation, false, &[]));
+        call.stream.shutdown(Shutdown::Both).expect("closed");
         since = Instant::now();
         daemon.resume();
     }
@@ -806,15 +805,15 @@
     let server = ManualServer::start();
     let (_daemon, discovery) = TestSettings::default().start(&[&server]);
 
-    let (_, call) = discovery.call();
-    send_endpoint_list(&call, &endpoint_list(2, false, &[]));
+    let call = discovery.next_call();
+    call.send_endpoint_list(&endpoint_list(2, false, &[]));
     for _ in 0..2 {
-        let (_, mut call) = discovery.call();
+        let call = discovery.next_call();
         let since = Instant::now();
-        call.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").expect("written");
-        let (_, call) = discovery.call();
+        call.send_status(503);
+        let call = discovery.next_call();
         assert!(since.elapsed() >= Duration::from_millis(50), "asked again after {:?}", since.elapsed());
-        send_endpoint_list(&call, &endpoint_list(2, false, &[]));
+        call.send_endpoint_list(&endpoint_list(2, false, &[]));
     }
 }
 
@@ -829,16 +828,13 @@
         // The second of these is an answer to the call for the whole list, which the first one leads to.
         let calls: Vec<_> = (0..6)
             .map(|_| {
-                let (asked, call) = discovery.call();
-                let whole = !asked.contains("from=");
-                send_endpoint_list(
-                    &call,
-                    nonsense.unwrap_or(&endpoint_list(
-                        1,
-                        whole,
-                        &[nth_endpoint(0, &server, "ready")][..usize::from(whole)],
-                    )),
-                );
+                let call = discovery.next_call();
+                let whole = !call.request.contains("from=");
+                call.send_endpoint_list(nonsense.unwrap_or(&endpoint_list(
+                    1,
+                    whole,
+                    &[nth_endpoint(0, &server, "ready")][..usize::from(whole)],
+                )));
                 Instant::now()
             })
             .collect();
@@ -856,11 +852,11 @@
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
 
-    let (_, mut call) = discovery.call();
-    call.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("written");
+    let call = discovery.next_call();
+    (&call.stream).write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("written");
     let chunk = [b"1000\r\n", &[b' '; 0x1000][..], b"\r\n"].concat();
-    while call.write_all(&chunk).is_ok() {}
-    let (_, call) = discovery.call();
-    send_endpoint_list(&call, &endpoint_list(2, false, &[]));
+    while (&call.stream).write_all(&chunk).is_ok() {}
+    let call = discovery.next_call();
+    call.send_endpoint_list(&endpoint_list(2, false, &[]));
     let (_client, _attempt) = establish(&daemon, &server);
 }
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -15,8 +15,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use fake_servers::discovery_service::{DiscoveryService, Service};
-use fake_servers::{endpoint, endpoint_list, irc_config, wait_until, Client, Daemon, ManualServer};
+use fake_servers::discovery::{endpoint, endpoint_list, Discovery, Reply};
+use fake_servers::{irc_config, wait_until, Client, Daemon, ManualServer};
 
 /// What a silent watch misses counts as notified after this long.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
@@ -74,7 +74,7 @@
     )
 }
 
-fn start_daemon(discovery: &DiscoveryService, delivery: &str, known: &[String]) -> Daemon {
+fn start_daemon(discovery: &Discovery, delivery: &str, known: &[String]) -> Daemon {
     Daemon::start(&irc_config(&[], ""), Some(&config(discovery.address, delivery, known)))
 }
 
@@ -86,12 +86,12 @@
 }
 
 /// Waits until discovery has answered as many daemons, and holds the next call of each.
-fn wait_for_watches(discovery: &DiscoveryService, daemons: usize) {
-    wait_until("the first calls are held", || discovery.held_calls() == daemons);
-    let before = discovery.answers();
+fn wait_for_watches(discovery: &Discovery, daemons: usize) {
+    wait_until("the first calls are held", || discovery.open_calls() == daemons);
+    let before = discovery.lists_sent();
     discovery.publish_unchanged();
     wait_until("the watches go on", || {
-        discovery.answers() == before + daemons && discovery.held_calls() == daemons
+        discovery.lists_sent() == before + daemons && discovery.open_calls() == daemons
     });
 }
 
@@ -116,12 +116,11 @@
     let (draining, other) = (RecordingServer::start(), RecordingServer::start());
     let entry = |server: &RecordingServer, name, lifecycle| endpoint(name, server.address, lifecycle);
     let known = [entry(&draining, "s-00000001", "ready"), entry(&other, "s-00000002", "ready")];
-    let discovery =
-        DiscoveryService::start(&[("s-00000001", known[0].clone()), ("s-00000002", known[1].clone())]);
+    let discovery = Discovery::serving(&[("s-00000001", known[0].clone()), ("s-00000002", known[1].clone())]);
     let daemons: Vec<Daemon> = (0..DAEMONS).map(|_| start_daemon(&discovery, "on_request", &known)).collect();
     wait_for_watches(&discovery, DAEMONS);
 
-    discovery.silence_held_calls(Service::Overloaded);
+    discovery.silence_open_calls(Reply::Status(503));
     let silent_since = Instant::now();
     discovery.publish("s-00000001", entry(&draining, "s-00000001", "draining"));
     let recovery = silent_since + NOTIFIED_AFTER + Duration::from_secs(2);
@@ -142,7 +141,7 @@
         "a request arrived at the draining server so long after the grace"
     );
 
-    discovery.set_service(Service::Answers);
+    discovery.set_reply(Reply::EndpointList);
     for daemon in &daemons {
         wait_until("clients are served again", || connect_and_open(&daemon.platform).read_line() == "UP 1");
     }
@@ -154,11 +153,11 @@
 fn does_not_forward_when_the_connect_completes_after_a_silent_watch_may_have_missed_a_drain() {
     let mut draining = ManualServer::start_with_full_queue();
     let known = [endpoint("s-00000001", draining.address, "ready")];
-    let discovery = DiscoveryService::start(&[("s-00000001", known[0].clone())]);
+    let discovery = Discovery::serving(&[("s-00000001", known[0].clone())]);
     let daemon = start_daemon(&discovery, "on_request", &known);
     wait_for_watches(&discovery, 1);
 
-    discovery.silence_held_calls(Service::Overloaded);
+    discovery.silence_open_calls(Reply::Status(503));
     let silent_since = Instant::now();
     discovery.publish("s-00000001", endpoint("s-00000001", draining.address, "draining"));
     let mut client = connect_and_open(&daemon.platform);
@@ -174,24 +173,24 @@
 #[test]
 fn learns_of_a_drain_that_a_silent_watch_missed_before_it_counts() {
     std::thread::scope(|scope| {
-        let slow = Service::Slow(Duration::from_millis(1200));
+        let late = Reply::LateEndpointList(Duration::from_millis(1200));
         let cases = [
-            ("on_request", Service::Answers, true),
-            ("on_request", Service::Answers, false),
-            ("on_request", slow, true),
-            ("pushed", Service::Answers, true),
+            ("on_request", Reply::EndpointList, true),
+            ("on_request", Reply::EndpointList, false),
+            ("on_request", late, true),
+            ("pushed", Reply::EndpointList, true),
         ];
-        for (delivery, service, drains) in cases {
+        for (delivery, reply, drains) in cases {
             scope.spawn(move || {
                 let (draining, other) = (RecordingServer::start(), RecordingServer::start());
                 let entry = |server: &RecordingServer, name, state| endpoint(name, server.address, state);
                 let known = [entry(&draining, "s-00000001", "ready"), entry(&other, "s-00000002", "ready")];
                 let entries = [("s-00000001", known[0].clone()), ("s-00000002", known[1].clone())];
-                let discovery = DiscoveryService::start(&entries);
+                let discovery = Discovery::serving(&entries);
                 let daemon = start_daemon(&discovery, delivery, &known);
                 wait_for_watches(&discovery, 1);
 
-                discovery.silence_held_calls(service);
+                discovery.silence_open_calls(reply);
                 let counts_at = Instant::now() + NOTIFIED_AFTER;
                 if drains {
                     discovery.publish("s-00000001", entry(&draining, "s-00000001", "draining"));
@@ -214,15 +213,15 @@
 /// come late, as all do then, is none that has fallen silent.
 #[test]
 fn keeps_serving_by_its_list_while_discovery_is_down_or_slow() {
-    type Outage = fn(&DiscoveryService);
+    type Outage = fn(&Discovery);
     let cases: [(&str, &str, Outage); 4] = [
-        ("a silent agent", "pushed", |discovery| discovery.silence_held_calls(Service::Silent)),
-        ("a process that is gone", "on_request", |discovery| discovery.silence_held_calls(Service::Down)),
+        ("a silent agent", "pushed", |discovery| discovery.silence_open_calls(Reply::Silence)),
+        ("a process that is gone", "on_request", |discovery| discovery.stop_listening()),
         ("answers that come late", "on_request", |discovery| {
-            discovery.set_service(Service::Slow(Duration::from_millis(2400)));
+            discovery.set_reply(Reply::LateEndpointList(Duration::from_millis(2400)));
         }),
         ("watches that end and 503", "on_request", |discovery| {
-            discovery.reset_held_calls(Service::Overloaded);
+            discovery.reset_open_calls(Reply::Status(503));
         }),
     ];
     std::thread::scope(|scope| {
@@ -230,7 +229,7 @@
             scope.spawn(move || {
                 let server = RecordingServer::start();
                 let known = [endpoint("s-00000001", server.address, "ready")];
-                let discovery = DiscoveryService::start(&[("s-00000001", known[0].clone())]);
+                let discovery = Discovery::serving(&[("s-00000001", known[0].clone())]);
                 let daemon = start_daemon(&discovery, delivery, &known);
                 wait_for_watches(&discovery, 1);
 
