--- a/tests/irc.rs
+++ b/tests/daemon/irc.rs
@@ -1,10 +1,8 @@
 //! The IRC front from end to end: clients and servers here are fakes on loopback.
 
-mod fake_servers;
-
 use std::time::Duration;
 
-use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
+use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 
 fn start_front(servers: &[&Server], more: &str) -> Daemon {
     Daemon::start(&irc_config(servers, more), None)
@@ -114,7 +112,7 @@
     let rest = client.read_to_end();
     assert_eq!(rest, "ERROR :Closing Link: fred (Registration timed out)\r\n");
     // Too late: the connection is over, whatever still comes.
-    let _ = std::io::Write::write_all(&mut client.stream, b"USER u 0 * :late\r\n");
+    let _ = std::io::Write::write_all(&mut client.stream(), b"USER u 0 * :late\r\n");
     std::thread::sleep(Duration::from_millis(300));
 
     assert_eq!(server.count(), 0);
@@ -254,7 +252,7 @@
     client.expect_line("PRIVMSG #a :fine");
 
     let mut flood = Client::connect(&daemon.irc);
-    let _ = std::io::Write::write_all(&mut flood.stream, "JOIN #a\r\n".repeat(200).as_bytes());
+    let _ = std::io::Write::write_all(&mut flood.stream(), "JOIN #a\r\n".repeat(200).as_bytes());
     flood.expect_line("ERROR :Closing Link: * (Excess Flood)");
     Client::register(&daemon.irc, "nora").expect_line("001 nora");
 }
--- a/tests/moves.rs
+++ b/tests/daemon/migration.rs
@@ -1,14 +1,12 @@
 //! Rebalancing over sockets: a client that is migrated returns and is established at the server with room.
 
-mod fake_servers;
-
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use fake_servers::discovery::{endpoint_list, Discovery, Reply};
-use fake_servers::{irc_config, Client, Daemon};
+use crate::fake_servers::discovery::{endpoint_list, Discovery, Reply};
+use crate::fake_servers::{irc_config, Client, Daemon};
 
 /// A platform server that accepts each connection, reports its load, and echoes its lines.
 struct PlatformServer {
--- a/tests/pcap.rs
+++ b/tests/daemon/pcap.rs
@@ -1,7 +1,5 @@
 //! Captures: reading, reassembly of flows, recording, and the replay of a recording.
 
-mod fake_servers;
-
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Command, Output};
@@ -10,9 +8,10 @@
 use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
 use connection_balancer::Time;
 use etherparse::PacketBuilder;
-use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 
+use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
+
 /// A file with one packet, in this byte order, with this magic number, link type and fraction of a second.
 fn encode_file(little: bool, magic: u32, link: u32, fraction: u32, packet: &[u8]) -> Vec<u8> {
     let word = |n: u32| if little { n.to_le_bytes() } else { n.to_be_bytes() };
--- /dev/null
+++ b/tests/daemon/platform/endpoint_list.rs
@@ -0,0 +1,127 @@
+//! The watch on the endpoint list: updates, failures, silence and reloads.
+
+use std::time::Duration;
+
+use super::{config, connect_and_open, start_daemon, start_server};
+use crate::fake_servers::discovery::{endpoint, endpoint_list, Discovery, Reply};
+use crate::fake_servers::{irc_config, wait_until, Daemon};
+
+#[test]
+fn follows_endpoint_updates_and_renews_the_watch_after_a_failure() {
+    let ((old, old_lines), (new, new_lines)) = (start_server("UP old", false), start_server("UP new", false));
+    let first = endpoint_list(
+        2,
+        false,
+        &[endpoint("s-00000001", old, "draining"), endpoint("s-00000002", new, "ready")],
+    );
+    let replies = vec![Reply::Body(first), Reply::Status(503), Reply::Body(endpoint_list(3, false, &[]))];
+    let discovery = Discovery::scripted(replies);
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
+
+    wait_until("the watch was renewed, and asked for again after it failed", || {
+        discovery.received_calls().len() >= 4
+    });
+    let calls = discovery.received_calls();
+    let froms: Vec<_> =
+        calls.iter().map(|call| call.request.split("from=").nth(1).unwrap()[..1].to_owned()).collect();
+    assert_eq!(froms, ["1", "2", "2", "3"]);
+    assert!(calls[1].at - calls[0].at < Duration::from_millis(200), "renewed too late");
+    assert!(calls[0].request.contains("&hold_ms="), "{}", calls[0].request);
+    for _ in 0..5 {
+        assert_eq!(connect_and_open(&daemon).read_line(), "UP new");
+    }
+
+    assert!(old_lines.lock().unwrap().is_empty());
+    assert!(new_lines.lock().unwrap()[0].contains(" 7f3a c=chat,d="));
+}
+
+/// Seen on `join+mass` (seeds 401 to 412, seven of twelve): all 300 watches fell silent at once, each was given up after
+/// 5.5 s and asked for again 1 to 4 s later, while what it missed counts as known after 6 s.
+#[test]
+fn reopens_a_silent_watch_before_what_it_misses_counts() {
+    let (shop, _) = start_server("UP 1", false);
+    let discovery = Discovery::scripted(Vec::new());
+    let text = config(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", shop, "ready")]));
+    let text = text.replacen(r#""must-ask-in": 2000"#, r#""must-ask-in": 10000"#, 1);
+    let text = text.replacen(r#""zones""#, r#""balancers": 300, "zones""#, 1);
+    let _daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
+
+    wait_until("it was asked anew", || discovery.received_calls().len() >= 2);
+    let calls = discovery.received_calls();
+    let after = calls[1].at - calls[0].at;
+
+    assert!(after < Duration::from_secs(6), "asked anew after {after:?}");
+    assert!(calls[1].request.contains("from=1&"), "{}", calls[1].request);
+}
+
+#[test]
+fn ignores_an_interrupted_endpoint_list_and_requests_it_again() {
+    let ((old, _), (new, _)) = (start_server("UP old", false), start_server("UP new", false));
+    let changes = [endpoint("s-00000001", old, "gone"), endpoint("s-00000002", new, "ready")];
+    // What comes after it is a watch on which nothing happens.
+    let discovery = Discovery::scripted(vec![Reply::InterruptedBody(endpoint_list(2, false, &changes))]);
+    let daemon =
+        start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", old, "ready")]));
+
+    wait_until("it was asked again", || discovery.received_calls().len() >= 2);
+
+    assert!(discovery.received_calls().iter().all(|call| call.request.contains("from=1&")));
+    assert_eq!(connect_and_open(&daemon).read_line(), "UP old");
+}
+
+/// Seen on the bench: with no handler SIGHUP ended the process, and every connection with it.
+#[test]
+fn replaces_the_watch_and_keeps_connections_at_sighup_and_ignores_an_invalid_file() {
+    let ((old, _), (new, _)) = (start_server("UP old", false), start_server("UP new", false));
+    let known = endpoint_list(7, true, &[endpoint("s-00000001", old, "ready")]);
+    let next = [endpoint("s-00000001", old, "draining"), endpoint("s-00000002", new, "ready")];
+    let first = Discovery::scripted(Vec::new());
+    let second = Discovery::scripted(vec![Reply::Body(endpoint_list(1, true, &next))]);
+    let mut daemon = start_daemon(first.address, &known);
+
+    let mut established = connect_and_open(&daemon);
+    assert_eq!(established.read_line(), "UP old");
+    wait_until("the first watch", || first.received_calls().len() == 1);
+
+    daemon.reload("config.json", &config(second.address, &known).replace("3000", r#""soon""#));
+    let line = daemon.log_line("the old configuration stays in force");
+    assert!(line.contains("settings.classes[0].deadline: "), "{line}");
+    assert!(second.received_calls().is_empty());
+
+    // Several in a row, as a hasty operator sends them.
+    for _ in 0..3 {
+        daemon.reload("config.json", &config(second.address, &known));
+    }
+    // The generation of another discovery means nothing here: the whole list is asked for, then changes of it.
+    wait_until("the new watch", || second.received_calls().len() == 2);
+    let calls = second.received_calls();
+    assert!(calls[0].request.starts_with("GET /v1/servers HTTP"), "{}", calls[0].request);
+    assert!(calls[1].request.contains("?from=1&"), "{}", calls[1].request);
+    assert_eq!(connect_and_open(&daemon).read_line(), "UP new");
+    established.send_line("M 1");
+    assert_eq!(established.read_line(), "M 1");
+
+    daemon.signal("-TERM");
+    daemon.log_line("leaving");
+    daemon.reload("config.json", &config(first.address, &known));
+    daemon.log_line(", reconfigured");
+
+    assert_eq!(established.read_to_end(), "MOVE\r\n");
+    assert!(daemon.wait_for_exit());
+}
+
+/// Seen on the bench: watches fell silent, and were given up only after 12.5 s, while what discovery has
+/// counts as known after 6 s: a server that drained meanwhile would have been sent more.
+#[test]
+fn gives_up_a_silent_watch_before_its_updates_count_as_known() {
+    let discovery = Discovery::scripted(vec![Reply::Body(endpoint_list(1, false, &[]))]);
+    let _daemon = start_daemon(discovery.address, &endpoint_list(1, true, &[]));
+
+    wait_until("it is asked again", || discovery.received_calls().len() == 3);
+    let calls = discovery.received_calls();
+
+    assert!(calls[2].at - calls[1].at < Duration::from_secs(9), "it is late by more than a busy machine");
+    // A held one would look silent as well while nothing changes.
+    assert!(calls[2].request.contains("?from=1&hold_ms=0 "), "{}", calls[2].request);
+}
--- /dev/null
+++ b/tests/daemon/platform/mod.rs
@@ -0,0 +1,62 @@
+//! The platform's front from end to end, with fake shop servers and a fake discovery.
+
+mod clients;
+mod endpoint_list;
+mod gossip;
+mod probes;
+
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+
+use crate::fake_servers::{irc_config, Client, Daemon};
+
+type Lines = Arc<Mutex<Vec<String>>>;
+
+/// A shop server that sends lines back and keeps what it was sent. A `silent` one sends nothing after `UP`.
+fn start_server(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
+    let kept = lines.clone();
+    std::thread::spawn(move || {
+        for mut stream in listener.incoming().flatten() {
+            let kept = kept.clone();
+            std::thread::spawn(move || {
+                for line in BufReader::new(stream.try_clone().expect("a clone")).lines().map_while(Result::ok)
+                {
+                    kept.lock().unwrap().push(line.clone());
+                    let open = line.starts_with("OPEN ");
+                    let answer = if open { up } else { &line };
+                    if open || !silent {
+                        let _ = stream.write_all(format!("{answer}\r\n").as_bytes());
+                    }
+                }
+                kept.lock().unwrap().push("end".to_owned());
+            });
+        }
+    });
+    (address, lines)
+}
+
+fn config(discovery: SocketAddr, known: &str) -> String {
+    let limits = r#"{"sockets": 160, "memory_mb": 32}"#;
+    format!(
+        r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "{discovery}", "seed": "5", "known": {known}, "limits": {limits},
+            "settings": {{"discovery": "on_request", "zones": ["a"],
+              "classes": [{{"name": "chat", "deadline": 3000, "repeat": "repeatable"}}],
+              "invariants": {{"must-ask-in": 2000}},
+              "limits": {{"connect-timeout": 2000, "try-limit": 6, "cancel": true, "retry-after": true}}}}}}"#
+    )
+}
+
+fn start_daemon(discovery: SocketAddr, known: &str) -> Daemon {
+    Daemon::start(&irc_config(&[], ""), Some(&config(discovery, known)))
+}
+
+fn connect_and_open(daemon: &Daemon) -> Client {
+    static COUNT: AtomicUsize = AtomicUsize::new(0);
+    let mut client = Client::connect(&daemon.platform);
+    client.send_line(&format!("OPEN id{} 7f3a c=chat,d=3000", COUNT.fetch_add(1, Ordering::Relaxed)));
+    client
+}
--- a/tests/stale_list.rs
+++ b/tests/daemon/stale_list.rs
@@ -7,16 +7,14 @@
 //! after 6 s. Shown by the log lines that were added for it, on a day of the same kind: 13.26 s call, 13.27 s change, 18.26 s
 //! asked anew, 19.59 s request to the draining server, 19.97 s list; no call of that process had an error. Others had 503.
 
-mod fake_servers;
-
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use fake_servers::discovery::{endpoint, endpoint_list, Discovery, Reply};
-use fake_servers::{irc_config, wait_until, Client, Daemon, ManualServer};
+use crate::fake_servers::discovery::{endpoint, endpoint_list, Discovery, Reply};
+use crate::fake_servers::{irc_config, wait_until, Client, Daemon, ManualServer};
 
 /// What a silent watch misses counts as notified after this long.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
--- a/tests/store.rs
+++ b/tests/daemon/store.rs
@@ -1,15 +1,14 @@
 //! The replicated map: a model under loss, reordering and restarts, and two daemons that share one.
 
-mod fake_servers;
-
 use std::collections::BTreeMap;
 
 use connection_balancer::protocol::gossip;
 use connection_balancer::routing::store::{Entry, ReplicaMessage, ReplicatedMap};
 use connection_balancer::routing::LogEvent;
-use fake_servers::{wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 
+use crate::fake_servers::{wait_until, Behaviour, Client, Daemon, Server};
+
 fn entries_of(store: &ReplicatedMap) -> BTreeMap<String, Entry> {
     store.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -126,16 +126,22 @@
     assert!(named > 30, "paths are found in the pages: {named}");
 }
 
-#[test]
-fn tests_named_in_the_page_of_races_exist() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
-    let mut sources = String::new();
-    for entry in std::fs::read_dir(root).expect("tests/ can be read") {
-        let path = entry.expect("an entry of tests/ can be read").path();
-        if path.extension().is_some_and(|extension| extension == "rs") {
+/// Adds the text of each source file in a folder and its subfolders.
+fn add_sources(folder: &Path, sources: &mut String) {
+    for entry in std::fs::read_dir(folder).expect("a folder of tests can be read") {
+        let path = entry.expect("an entry of a folder can be read").path();
+        if path.is_dir() {
+            add_sources(&path, sources);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
             sources.push_str(&std::fs::read_to_string(path).expect("a test file can be read"));
         }
     }
+}
+
+#[test]
+fn tests_named_in_the_page_of_races_exist() {
+    let mut sources = String::new();
+    add_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests"), &mut sources);
     let page = read("docs/races.md");
     let codes = page.split('`').skip(1).step_by(2);
     let is_test = |code: &&str| {
--- a/tests/operators.rs
+++ b/tests/reducer/admin.rs
@@ -1,18 +1,13 @@
-//! The admin endpoint: its calls, its metrics, and how it bears many clients.
-
-mod fake_servers;
-mod reducer_harness;
+//! Calls of the admin endpoint: metrics, readiness, and exclusion of servers.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::io::Write;
-use std::net::Shutdown;
 
 use connection_balancer::protocol::admin;
 use connection_balancer::routing::*;
 use connection_balancer::{Micros, WatchFailure};
-use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
-use reducer_harness::{connection_request, ReducerHarness};
+
+use crate::reducer_harness::{connection_request, pool_config, ReducerHarness, BUDGET, SERVERS};
 
 fn call(harness: &mut ReducerHarness, call: AdminCall) -> AdminResponse {
     match call_with(harness, call).pop() {
@@ -57,7 +52,7 @@
 
 impl CountedMetrics {
     fn new() -> CountedMetrics {
-        let budget = Budget { admitted: 12, ..reducer_harness::BUDGET };
+        let budget = Budget { admitted: 12, ..BUDGET };
         CountedMetrics {
             harness: ReducerHarness::with_budget(budget),
             connections: Vec::new(),
@@ -174,7 +169,7 @@
         let (mut excluded, mut attempts) = (BTreeSet::new(), BTreeMap::<ConnectionId, (u32, String, bool)>::new());
         for (what, server, pause) in steps {
             harness.advance(Micros(pause));
-            let name = reducer_harness::SERVERS[server].to_owned();
+            let name = SERVERS[server].to_owned();
             let connection = attempts.keys().nth(server).copied().unwrap_or(ConnectionId(u64::MAX));
             let attempt = attempts.get(&connection).map_or(9, |attempt| attempt.0);
             let effects = match what {
@@ -189,7 +184,7 @@
                 2 => harness.update_endpoint(server, Lifecycle::Gone),
                 3 => harness.update_endpoint(server, Lifecycle::Ready),
                 4 => {
-                    let (pools, peers, budget) = (vec![reducer_harness::pool_config()], Vec::new(), reducer_harness::BUDGET);
+                    let (pools, peers, budget) = (vec![pool_config()], Vec::new(), BUDGET);
                     harness.feed(Input::ConfigurationChanged { pools, peers, budget })
                 }
                 5 => {
@@ -284,7 +279,7 @@
 #[test]
 fn logs_an_exclusion_and_a_readmission_once() {
     let mut harness = ReducerHarness::new();
-    let server = reducer_harness::SERVERS[1].to_owned();
+    let server = SERVERS[1].to_owned();
     let logged = |effects: Vec<Effect>| -> Vec<LogEvent> {
         let event = |effect| if let Effect::Log(event) = effect { Some(event) } else { None };
         effects.into_iter().filter_map(event).collect()
@@ -325,7 +320,7 @@
 #[test]
 fn excludes_and_readmits_a_server_by_name_only_if_it_was_ever_listed() {
     let mut harness = ReducerHarness::new();
-    let server = reducer_harness::SERVERS[1].to_owned();
+    let server = SERVERS[1].to_owned();
     let unlisted = "s-0000dead".to_owned();
     for call_of in [AdminCall::Exclude, AdminCall::Include] {
         assert!(matches!(call(&mut harness, call_of(unlisted.clone())), AdminResponse::No(_)));
@@ -352,7 +347,7 @@
 fn migrates_clients_of_an_excluded_server_gradually_and_soon() {
     let mut harness = ReducerHarness::new();
     let connections: Vec<ConnectionId> = (0..60).map(|_| harness.establish_connection()).collect();
-    let server = reducer_harness::SERVERS[2].to_owned();
+    let server = SERVERS[2].to_owned();
     let (mut migrated, mut steps) = (BTreeSet::new(), 0);
     let mut effects = call_with(&mut harness, AdminCall::Exclude(server));
     for _ in 0..15 {
@@ -377,8 +372,7 @@
     for _ in 0..60 {
         harness.establish_connection();
     }
-    let (server, address) =
-        (reducer_harness::SERVERS[2].to_owned(), harness.address(reducer_harness::SERVERS[2]));
+    let (server, address) = (SERVERS[2].to_owned(), harness.address(SERVERS[2]));
     let attempts_there = |harness: &mut ReducerHarness, count: usize| {
         let mut there = 0;
         for _ in 0..count {
@@ -402,82 +396,3 @@
     assert!(first <= 8, "{first} of 20 in the first second: it is cold");
     assert!(first + attempts_there(&mut harness, 80) > 0, "unused for 5 s");
 }
-
-/// A daemon with an IRC front and one server.
-fn start_daemon(more: &str) -> Daemon {
-    let server = Server::start(Behaviour::Welcome);
-    Daemon::start(&irc_config(&[&server], more), None)
-}
-
-fn admin_call(mgmt: &str, call: &str) -> String {
-    let mut admin_client = Client::connect(mgmt);
-    admin_client.send_line(call);
-    admin_client.read_to_end()
-}
-
-/// Some clients send nothing, or half of a call, and stay connected; and they may be many.
-#[test]
-fn answers_calls_beside_many_silent_clients_and_closes_those() {
-    let daemon = start_daemon("");
-    let mut silent_clients: Vec<Client> = (0..60).map(|_| Client::connect(&daemon.mgmt)).collect();
-    for admin_client in silent_clients.iter_mut().step_by(2) {
-        // Those that were closed already cannot be written to.
-        let _ = admin_client.stream.write_all(b"read");
-    }
-    assert_eq!(admin_call(&daemon.mgmt, "readyz"), "YES\r\n");
-    assert!(admin_call(&daemon.mgmt, "telemetry").ends_with("END\r\n"));
-    for admin_client in &mut silent_clients {
-        let reply = admin_client.read_to_end();
-        assert!(reply.is_empty() || reply.starts_with("NO "), "{reply}");
-    }
-}
-
-#[test]
-fn rejects_invalid_calls_with_a_reason_and_joins_the_pieces_of_a_call() {
-    let daemon = start_daemon("");
-    for bad in ["", "readyz now", "READYZ", "GET / HTTP/1.1", &"x".repeat(5000)] {
-        let reply = admin_call(&daemon.mgmt, bad);
-        assert!(reply.starts_with("NO ") && reply.len() > 5, "{bad}: {reply}");
-    }
-    let mut admin_client = Client::connect(&daemon.mgmt);
-    for piece in ["re", "ady", "z\r", "\n"] {
-        admin_client.stream.write_all(piece.as_bytes()).expect("written");
-        std::thread::sleep(std::time::Duration::from_millis(10));
-    }
-    assert_eq!(admin_client.read_to_end(), "YES\r\n");
-    // A line that was cut off may have been the start of another call.
-    let mut admin_client = Client::connect(&daemon.mgmt);
-    admin_client.stream.write_all(b"readyz").expect("written");
-    admin_client.stream.shutdown(Shutdown::Write).expect("ended");
-    assert!(admin_client.read_to_end().starts_with("NO "));
-}
-
-#[test]
-fn reload_moves_the_admin_endpoint() {
-    let daemon = start_daemon("");
-    let server = Server::start(Behaviour::Welcome);
-    let reload = |mgmt: &str| {
-        daemon.reload("irc.json", &irc_config(&[&server], "").replace("\"mgmt\": \"127.0.0.1:0\",", mgmt));
-    };
-    reload("\"mgmt\": \"127.0.0.2:0\",");
-    let line = daemon.log_line("admin endpoint open on 127.0.0.2:");
-    let new_address = line.rsplit(' ').next().expect("an address");
-    assert_eq!(admin_call(new_address, "readyz"), "YES\r\n");
-    wait_until("the old endpoint is closed", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
-    reload("");
-    wait_until("no endpoint is left", || std::net::TcpStream::connect(new_address).is_err());
-}
-
-/// As JSON, each line is one object; the levels are followed by module.
-#[test]
-fn logs_json_lines_where_configured() {
-    let json = |levels: &str| format!(r#", "log": {{"format": "json", "levels": "{levels}"}}"#);
-    let mut daemon = Daemon::start(&irc_config(&[], &json("info")), None);
-    daemon.signal("-TERM");
-    let line = daemon.log_line(&LogEvent::ShutdownStarted { connections: 0 }.to_string());
-    let mut bytes = line.clone().into_bytes();
-    let event = simd_json::to_owned_value(&mut bytes).unwrap_or_else(|e| panic!("{line}: {e}"));
-    let event = format!("{event:?}");
-    assert!(event.contains("INFO") && event.contains("connection_balancer::transport"), "{event}");
-    assert!(daemon.wait_for_exit());
-}
--- /dev/null
+++ b/tests/reducer/hot_restart/messages.rs
@@ -0,0 +1,104 @@
+//! The messages of a hot restart as they are written and read.
+
+use connection_balancer::protocol::hot_restart::{decode, encode, HandoverMessage, Part};
+use connection_balancer::routing::store::Entry;
+use connection_balancer::routing::*;
+use connection_balancer::{LearnedState, Time};
+use proptest::prelude::*;
+
+fn maybe_time() -> impl Strategy<Value = Option<Time>> {
+    prop::option::of(any::<u64>().prop_map(Time))
+}
+
+fn name() -> impl Strategy<Value = String> {
+    "[ -~]{0,40}"
+}
+
+fn learned_state() -> impl Strategy<Value = LearnedState> {
+    (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
+        |(ceiling, at, failures, failed_at, until)| LearnedState {
+            ceiling,
+            consecutive_failures: failures,
+            last_failure: failed_at,
+            ejected_until: Time(until),
+            next_slow_start_send: Time(until / 2),
+            last_fault: at,
+            last_migration: at,
+        },
+    )
+}
+
+fn endpoint() -> impl Strategy<Value = Endpoint> {
+    (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
+        |(name, zone, cell, ready, weight, started)| Endpoint {
+            address: format!("{name}:1"),
+            lifecycle: if ready { Lifecycle::Ready } else { Lifecycle::Draining },
+            name,
+            zone,
+            cell,
+            weight,
+            started,
+        },
+    )
+}
+
+fn any_request() -> impl Strategy<Value = ConnectionRequest> {
+    (prop::option::of(name()), name(), prop::option::of(any::<u64>()), prop::option::of(0.0..9.0f64))
+        .prop_map(|(id, class, group, load)| ConnectionRequest {
+            tenant: id.clone(),
+            id,
+            class,
+            group,
+            load,
+            ..ConnectionRequest::default()
+        })
+}
+
+fn established_message() -> impl Strategy<Value = HandoverMessage> {
+    (name(), any_request(), maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
+        |(server, request, awaiting_server_since, state)| {
+            let load = request.load;
+            let established = EstablishedConnection { load, request, server, awaiting_server_since };
+            HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
+        },
+    )
+}
+
+fn messages() -> impl Strategy<Value = HandoverMessage> {
+    prop_oneof![
+        prop::sample::select(vec![HandoverMessage::Take, HandoverMessage::Done, HandoverMessage::Serving]),
+        name().prop_map(HandoverMessage::Socket),
+        (name(), endpoint(), prop::option::of(learned_state())).prop_map(|(pool, endpoint, learned)| {
+            HandoverMessage::Part(Part::Endpoint { pool, endpoint, learned })
+        }),
+        ("[a-z]{1,40}", 1u64..99, prop::option::of(name())).prop_map(|(key, counter, value)| {
+            HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
+        }),
+        established_message(),
+        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, excluded)| HandoverMessage::Share {
+            number,
+            server,
+            excluded
+        }),
+    ]
+}
+
+proptest! {
+    /// With its end cut off, or with anything behind it, it is no message.
+    #[test]
+    fn reads_messages_as_they_were_written(message in messages(), cut in any::<prop::sample::Index>()) {
+        let mut bytes = encode(&message).expect("fits");
+        prop_assert_eq!(decode(&bytes), Some(message));
+        prop_assert_eq!(decode(&bytes[..cut.index(bytes.len())]), None);
+        bytes.push(0);
+        prop_assert_eq!(decode(&bytes), None);
+    }
+
+    #[test]
+    fn reads_or_ignores_any_bytes(mut bytes in prop::collection::vec(any::<u8>(), 0..300), has_magic in any::<bool>()) {
+        if has_magic {
+            bytes.splice(0..0, *b"SGH1");
+        }
+        let _ = decode(&bytes);
+    }
+}
--- /dev/null
+++ b/tests/reducer/probes.rs
@@ -0,0 +1,82 @@
+//! Probes of servers for their load.
+
+use connection_balancer::routing::*;
+use connection_balancer::{LoadReport, Micros, ServerId};
+
+use crate::harness::reload;
+use crate::reducer_harness::{pool_config, ReducerHarness};
+
+/// A reducer whose servers may be probed.
+fn probing_harness() -> ReducerHarness {
+    let mut harness = ReducerHarness::new();
+    let mut config = pool_config();
+    config.settings.probes = true;
+    config.settings.probe_reports = true;
+    config.load_report_fields = vec!["x0"];
+    reload(&mut harness, config);
+    harness
+}
+
+fn probed_servers(effects: &[Effect]) -> Vec<ServerId> {
+    let server =
+        |effect: &Effect| if let Effect::ProbeServer { server, .. } = effect { Some(*server) } else { None };
+    effects.iter().filter_map(server).collect()
+}
+
+fn load_report(utilisation: f64) -> ProbeEnd {
+    ProbeEnd::Answered(Some(LoadReport { utilisation, connections: None }))
+}
+
+/// Establishes connections, a minute apart, and returns the servers that were probed meanwhile.
+fn probed_while_connecting(harness: &mut ReducerHarness, connections: usize) -> Vec<ServerId> {
+    let mut servers = Vec::new();
+    for _ in 0..connections {
+        let (connection, _) = harness.forward_request();
+        servers.extend(probed_servers(&harness.feed(Input::AttemptAccepted { connection, attempt: 0 })));
+        harness.advance(Micros::from_secs(60));
+    }
+    servers
+}
+
+/// A server that does not answer is busy enough, and one that drains may be sent nothing new.
+#[test]
+fn probes_a_server_once_at_a_time_and_not_while_it_drains() {
+    let mut harness = probing_harness();
+    let mut first = probed_while_connecting(&mut harness, 30);
+    first.sort();
+    assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::NoAnswer });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::NoAnswer });
+    harness.drain_server(1);
+    let again = probed_while_connecting(&mut harness, 10);
+    assert!(again.contains(&ServerId(3)) && again.iter().all(|server| *server == ServerId(3)), "{again:?}");
+}
+
+#[test]
+fn does_not_probe_a_server_that_declined_until_it_restarts() {
+    let mut harness = probing_harness();
+    for server in probed_while_connecting(&mut harness, 10) {
+        harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeEnd::Declined });
+    }
+    assert_eq!(probed_while_connecting(&mut harness, 10), []);
+    harness.restart_server(0);
+    assert_eq!(probed_while_connecting(&mut harness, 10), [ServerId(1)]);
+}
+
+/// A server that has restarted is cold: what it reported before does not count. One that reports more than its
+/// capacity is sent nothing more.
+#[test]
+fn ignores_a_load_report_of_an_earlier_incarnation() {
+    let placed = |restarts: bool| {
+        let mut harness = probing_harness();
+        probed_while_connecting(&mut harness, 10);
+        if restarts {
+            harness.restart_server(0);
+        }
+        harness.advance(Micros::from_secs(60));
+        harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(1), end: load_report(3.0) });
+        (0..10).filter(|_| harness.forward_request().1 == 0).count()
+    };
+    assert_eq!(placed(false), 0, "it has three times the load that it can bear");
+    assert!(placed(true) > 0, "that was the incarnation before");
+}
--- /dev/null
+++ b/tests/reducer/reload.rs
@@ -0,0 +1,40 @@
+//! A new configuration while connections are open.
+
+use connection_balancer::routing::*;
+use connection_balancer::{Class, Idempotency, Micros};
+
+use crate::harness::reload;
+use crate::reducer_harness::{pool_config, ReducerHarness};
+
+/// Established connections and attempts in flight go on, classes keep their numbers whatever their order in the file,
+/// and the watch moves to the new address.
+#[test]
+fn reload_keeps_connections_and_moves_the_watch() {
+    let mut harness = ReducerHarness::new();
+    let (established, (placing, server)) = (harness.establish_connection(), harness.forward_request());
+    let mut config = pool_config();
+    let first = Class {
+        priority_weight: 9.0,
+        setup_objective: Micros(1),
+        message_objective: Micros(7),
+        idempotency: Idempotency::NotIdempotent,
+    };
+    config.settings.classes.insert(0, first);
+    config.classes.insert(0, "alerts".to_owned());
+    config.discovery = Some("127.0.0.1:9".parse().expect("an address"));
+    let effects = reload(&mut harness, config.clone());
+    let discovery = config.discovery.expect("set above");
+    assert_eq!(effects, [Effect::WatchEndpointsAt { pool: 0, discovery }]);
+    let effects = reload(&mut harness, config);
+    assert_eq!(effects, [], "the same address needs no new watch");
+    // Taken for the class that is first now, which may not be retried, it would fail here.
+    let effects =
+        harness.feed(Input::AttemptEnded { connection: placing, attempt: 0, end: AttemptOutcome::Reset });
+    assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
+    assert_eq!(
+        harness.drain_server(server),
+        [],
+        "its connection is established, or retried elsewhere already"
+    );
+    assert_eq!(harness.feed(Input::ServerActivity { connection: established }), []);
+}
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -1,5 +1,4 @@
 //! A reducer with five servers and a clock that the test advances.
-#![allow(dead_code)]
 
 use connection_balancer::routing::*;
 use connection_balancer::*;
@@ -73,15 +72,8 @@
         harness
     }
 
-    /// A reducer that does not listen yet, and has nothing but a cached endpoint list.
-    pub(crate) fn with_cached_endpoints() -> ReducerHarness {
-        let mut harness = ReducerHarness::without_endpoints(BUDGET);
-        let endpoints = harness.endpoints();
-        harness.feed(Input::CachedEndpoints { pool: 0, endpoints });
-        harness
-    }
-
-    fn without_endpoints(budget: Budget) -> ReducerHarness {
+    /// A reducer that does not listen yet, and has no endpoint list.
+    pub(crate) fn without_endpoints(budget: Budget) -> ReducerHarness {
         let now = Time(1_000_000_000);
         ReducerHarness {
             state: State::new(vec![pool_config()], ReplicationConfig::default(), budget, now),
@@ -90,7 +82,8 @@
         }
     }
 
-    fn endpoints(&self) -> Vec<Endpoint> {
+    /// All servers, ready.
+    pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
         (0..SERVERS.len()).map(|server| self.endpoint(server, Lifecycle::Ready)).collect()
     }
 
@@ -104,11 +97,6 @@
         Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
     }
 
-    /// The index of the server at an address.
-    pub(crate) fn server_at(&self, address: &str) -> usize {
-        SERVERS.iter().position(|server| self.address(server) == address).expect("a listed server")
-    }
-
     pub(crate) fn feed(&mut self, input: Input) -> Vec<Effect> {
         reduce(&mut self.state, self.now, input)
     }
@@ -128,24 +116,6 @@
         (connection, self.feed(Input::ClientConnected { connection, pool: 0 }))
     }
 
-    /// A connection whose first attempt is written in full, and the index of its server.
-    pub(crate) fn forward_request(&mut self) -> (ConnectionId, usize) {
-        let connection = self.connect_client();
-        let effects = self.feed(Input::ConnectionRequested { connection, request: connection_request() });
-        let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
-            panic!("no attempt: {effects:?}")
-        };
-        let server = self.server_at(address);
-        self.feed(Input::RequestForwarded { connection, attempt: 0 });
-        (connection, server)
-    }
-
-    pub(crate) fn establish_connection(&mut self) -> ConnectionId {
-        let (connection, _) = self.forward_request();
-        self.feed(Input::AttemptAccepted { connection, attempt: 0 });
-        connection
-    }
-
     pub(crate) fn drain_server(&mut self, server: usize) -> Vec<Effect> {
         self.update_endpoint(server, Lifecycle::Draining)
     }
