--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -94,7 +94,7 @@
             id: Some(format!("{balancer}-{}-{}", request.incarnation, connection.0)),
             class: class.name.to_owned(),
             group: profile.group,
-            wait: Some(Micros(class.max_wait)),
+            timeout: Some(Micros(class.max_wait)),
             key: Some(client as u64),
             reconnecting: self.client_states[client].reconnecting,
             established_at,
--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -176,7 +176,7 @@
         for effect in effects {
             self.carry_out(balancer, effect);
         }
-        let next_due = self.balancers[balancer].state.next_due().map(from_clock);
+        let next_due = self.balancers[balancer].state.next_deadline().map(from_clock);
         if next_due != self.balancers[balancer].next_due {
             self.balancers[balancer].next_due = next_due;
             let balancer = self.balancers[balancer].reference(balancer);
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -63,7 +63,7 @@
     /// Lets so many seconds pass.
     pub fn run_seconds(&mut self, seconds: u64) {
         let end = self.now + seconds * SECOND;
-        while let Some(due) = self.state.next_due().map(from_clock).filter(|due| *due < end) {
+        while let Some(due) = self.state.next_deadline().map(from_clock).filter(|due| *due < end) {
             self.now = due.max(self.now + 1);
             self.feed(Input::TimerFired);
         }
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -54,7 +54,7 @@
         load_report_fields: Vec::new(),
         longest_wait: Micros::from_millis(3_200),
         rebalance: deployment.rebalance,
-        peers: None,
+        gossip_price: None,
     }
 }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,152 +1,122 @@
-//! Gossip between the balancers of one tier: which server's messages are slow, which server dropped an
-//! established connection, that set-ups are slow everywhere, and, along with each such observation, the
-//! groups of some connections that are established at its sender.
+//! Gossip between the balancers of one tier.
 //!
-//! One of a hundred balancers holds a connection or two at few servers. It learns that a server is slow by
-//! placing a connection there, and all the others would learn it in the same way. So the first balancer that
-//! observes it passes it on, in one datagram to all. Messages may be lost or late, and nothing waits for one:
-//! without them each balancer learns by itself. Not every server reports its message times: a drop alone
-//! shows that a server got too much. Set-ups slow down everywhere when what all servers share is slow. The
-//! sampled groups fit into bytes that are paid for anyway: from them all balancers learn alike how large each
-//! group is, and so on how many servers it belongs.
+//! In a tier of a hundred balancers, each has only a few connections at any server. It would learn that a server is slow
+//! by placing a connection there, and so would all others. Instead, the first balancer that observes something sends it to
+//! all others in one datagram each. What is observed:
 //!
-//! Guarantees: what is spent on messages stays a small fixed share of all worth, whatever the price and the
-//! number of balancers, and a balancer does not broadcast an observation of a server while an earlier one
-//! still holds. The module is pure: its clock is handed in. Where a new connection goes is decided by the
-//! policy alone.
+//! - messages at a server are slow;
+//! - a server dropped an established connection, by which also balancers whose servers do not report message times learn
+//!   that it is overloaded;
+//! - set-ups are slow at all servers, as happens when something that they share is slow.
+//!
+//! Messages may be lost or late, and nothing waits for one: without them each balancer learns by itself.
+//!
+//! Rule: an observation made here is broadcast if
+//!
+//! 1. gossip is enabled and there is another balancer;
+//! 2. the others would change something by it: a message time has to reach `SLOW_MESSAGE_RATIO` of the message objective;
+//! 3. no earlier observation of the same subject still holds (`recent_observations`);
+//! 4. the credit pays for it (`credit`).
+//!
+//! Each message also carries a sample of groups (`group_sample`). What the balancer does about an observation of another
+//! is decided in `src/policy/`. The module is pure: its clock is handed in, and its random draws are seeded.
 #![deny(missing_docs)]
 
-use std::collections::BTreeMap;
+mod credit;
+mod group_sample;
+mod message;
+mod recent_observations;
 
-use rand::seq::IteratorRandom;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::{GroupHash, Micros, ServerId, Time};
+use credit::MessageCredit;
+use recent_observations::RecentObservations;
 
-/// The share of all worth that messages may cost.
-const MAX_COST_SHARE: f64 = 0.01;
-/// A shorter datagram is paid for like one of so many bytes (`docs/fleet.md`).
-const MIN_PAID_BYTES: f64 = 16.0;
-/// The price is for so many bytes delivered with each request.
-const PRICED_BYTES: f64 = 256.0;
-/// A server whose messages take this share of their objective is reported: many of them miss it.
+pub use group_sample::{GroupSample, MAX_SAMPLED_GROUPS};
+pub use message::{GossipMessage, Observation};
+
+use crate::{GroupHash, Micros, Time};
+
+/// The least share of the message objective that a message time has to reach to be sent. Many messages of a server with
+/// this mean time miss the objective.
 const SLOW_MESSAGE_RATIO: f64 = 0.5;
-/// The most messages that can be saved up.
-const MAX_CREDIT: f64 = 3.0;
-/// Distinguishes the random draws of gossip from those of the policy, which has the same seed.
+/// Changes the seed, so that the draws differ from those of the policy, which has the same seed.
 const SEED_MASK: u64 = u64::from_be_bytes(*b"the tier");
-/// The number of groups sent along with an observation: as many as fit into the bytes that are paid for at
-/// least.
-pub const SAMPLE: usize = 4;
 
 /// How the balancers of a pool may gossip.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GossipConfig {
-    /// Gossip is allowed, and the other balancers can be reached.
+    /// Whether gossip is allowed, and the other balancers can be reached.
     pub enabled: bool,
     /// The number of balancers, this one included.
     pub balancers: u32,
-    /// What 256 bytes delivered for each request cost, as a share of all worth; 0 where they cost nothing.
+    /// The price of 256 bytes sent with each request, as a share of the value delivered; 0 where they cost nothing.
     pub price: f64,
-    /// A message is wanted within this time; 0 where unknown.
+    /// The time within which a message should be answered; 0 where no class has such an objective.
     pub message_objective: Micros,
-    /// How long an observation of a server holds.
+    /// For how long an observation of a server holds.
     pub observation_hold: Micros,
-    /// How long an observation of slow set-ups holds.
+    /// For how long an observation of slow set-ups holds.
     pub slow_setup_hold: Micros,
 }
 
-/// What a balancer observed.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Observation {
-    /// Messages at this server take so long.
-    SlowServer(ServerId, Micros),
-    /// This server dropped an established connection.
-    Dropped(ServerId),
-    /// Set-ups are slow, or fail, because of what all servers share.
-    SlowSetUps,
-}
-
-/// Groups of connections established at a message's sender, drawn at random; `None` where there are no more.
-pub type Sample = [Option<GroupHash>; SAMPLE];
-
-/// One gossip message.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GossipMessage {
-    /// What was observed.
-    pub observation: Observation,
-    /// Groups of connections established at the sender.
-    pub groups: Sample,
-}
-
-/// What an observation is of.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
-    SetUps,
-    Server(ServerId),
-}
-
-/// Decides which observations are broadcast, and records those that other balancers sent.
+/// Decides which observations are broadcast, and records those of other balancers.
 pub struct Peers {
     config: GossipConfig,
     rng: Pcg64Mcg,
-    /// Messages that may still be sent. Part of one buys a message with that probability: where each of many
-    /// balancers serves few connections, none would ever have saved up a whole one.
-    credit: f64,
-    /// When each subject was last observed, here or by another balancer.
-    last_observed: BTreeMap<Subject, Time>,
+    credit: MessageCredit,
+    observations: RecentObservations,
 }
 
 impl Peers {
-    /// Gossip without observations so far.
+    /// Gossip without observations so far, and with the credit of one connection.
     pub fn new(config: GossipConfig, seed: u64) -> Peers {
-        let rng = Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK);
-        let mut peers = Peers { config, rng, credit: 0.0, last_observed: BTreeMap::new() };
+        let mut peers = Peers {
+            config,
+            rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK),
+            credit: MessageCredit::default(),
+            observations: RecentObservations::default(),
+        };
         peers.earn_credit();
         peers
     }
 
-    /// Replaces the configuration; credit and observations stay.
+    /// Replaces the configuration. Credit and observations are kept.
     pub fn configure(&mut self, config: GossipConfig) {
         self.config = config;
     }
 
-    /// A connection was established here: it pays for a part of a message, or for several.
+    /// Adds the credit of a connection that was established here.
     pub fn earn_credit(&mut self) {
-        let receivers = f64::from(self.config.balancers.saturating_sub(1));
-        let cost = self.config.price * MIN_PAID_BYTES / PRICED_BYTES * receivers;
-        let earned = if cost > 0.0 { MAX_COST_SHARE / cost } else { MAX_CREDIT };
-        self.credit = (self.credit + earned).min(MAX_CREDIT);
+        self.credit.earn(self.config.price, self.config.balancers);
     }
 
-    /// Whether an observation made here is to be broadcast; if so, it is paid for and recorded.
+    /// Whether an observation made here is to be broadcast. If so, it is paid for and recorded.
     pub fn should_broadcast(&mut self, now: Time, observation: Observation) -> bool {
-        let is_possible = self.config.enabled && self.config.balancers > 1;
-        // All balancers that hold a connection at a server observe it in the same second.
-        if !(is_possible && self.is_relevant(observation)) || self.is_known(now, observation) {
+        let has_receivers = self.config.enabled && self.config.balancers > 1;
+        if !has_receivers || !self.is_relevant(observation) {
             return false;
         }
-        let probability = self.credit.min(1.0);
-        self.credit -= probability;
-        let is_sent = self.rng.random_bool(probability);
+        if self.observations.is_known(now, observation, &self.config) {
+            return false;
+        }
+        let is_sent = self.credit.spend(&mut self.rng);
         if is_sent {
-            self.record(now, observation);
+            self.observations.record(now, observation, &self.config);
         }
         is_sent
     }
 
-    /// Draws the groups that go along with an observation, from those of all connections established here.
-    pub fn sample_groups(&mut self, established: impl Iterator<Item = GroupHash>) -> Sample {
-        let mut sample = [None; SAMPLE];
-        established.map(Some).choose_multiple_fill(&mut self.rng, &mut sample);
-        sample
+    /// Draws the groups that a message carries from those of all connections established here.
+    pub fn sample_groups(&mut self, established: impl Iterator<Item = GroupHash>) -> GroupSample {
+        group_sample::draw_sample(&mut self.rng, established)
     }
 
-    /// Records an observation that another balancer sent. Returns whether it is to be applied.
-    pub fn accept(&mut self, now: Time, observation: Observation) -> bool {
+    /// Records an observation of another balancer. Returns whether it is to be applied.
+    pub fn record_received(&mut self, now: Time, observation: Observation) -> bool {
         if self.config.enabled {
-            self.record(now, observation);
+            self.observations.record(now, observation, &self.config);
         }
         self.config.enabled
     }
@@ -155,41 +125,10 @@
     fn is_relevant(&self, observation: Observation) -> bool {
         let objective = self.config.message_objective;
         match observation {
-            Observation::SlowServer(_, took) => {
-                objective > Micros::ZERO && took.as_f64() >= SLOW_MESSAGE_RATIO * objective.as_f64()
+            Observation::SlowServer(_, message_time) => {
+                objective > Micros::ZERO && message_time.as_f64() >= SLOW_MESSAGE_RATIO * objective.as_f64()
             }
             Observation::Dropped(_) | Observation::SlowSetUps => true,
         }
     }
-
-    /// Whether an earlier observation of the same subject still holds.
-    fn is_known(&self, now: Time, observation: Observation) -> bool {
-        let hold = match observation {
-            Observation::SlowServer(..) | Observation::Dropped(_) => self.config.observation_hold,
-            Observation::SlowSetUps => self.config.slow_setup_hold,
-        };
-        self.last_observed.get(&observation.subject()).is_some_and(|at| now.since(*at) < hold)
-    }
-
-    /// Records when a subject was observed. Servers come and go under ever new numbers: what holds no more is
-    /// forgotten, so that the memory stays bounded.
-    fn record(&mut self, now: Time, observation: Observation) {
-        let longest = self.config.observation_hold.max(self.config.slow_setup_hold);
-        self.last_observed.retain(|_, at| now.since(*at) < longest);
-        self.last_observed.insert(observation.subject(), now);
-    }
-}
-
-impl Observation {
-    /// The observed server, if it is of one.
-    pub fn server(self) -> Option<ServerId> {
-        match self {
-            Observation::SlowServer(server, _) | Observation::Dropped(server) => Some(server),
-            Observation::SlowSetUps => None,
-        }
-    }
-
-    fn subject(self) -> Subject {
-        self.server().map_or(Subject::SetUps, Subject::Server)
-    }
 }
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -210,7 +210,7 @@
         load_report_fields: Vec::new(),
         longest_wait: terms.give_up,
         rebalance: RebalanceConfig::default(),
-        peers: None,
+        gossip_price: None,
     })
 }
 
--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -51,9 +51,9 @@
     let discovery = decode_address(&root.field("discovery"))?;
     let mut pool = pool::decode_platform_pool(&root.field("settings"), decode_seed(&root.field("seed"))?)?;
     pool.discovery = Some(discovery);
-    let peers = decode_peers(&root)?.filter(|_| pool.peers.is_some());
+    let peers = decode_peers(&root)?.filter(|_| pool.gossip_price.is_some());
     // Without addresses there is nobody to gossip with.
-    pool.peers = pool.peers.filter(|_| peers.is_some());
+    pool.gossip_price = pool.gossip_price.filter(|_| peers.is_some());
     Ok(Platform {
         name: root.field("name").optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
         listen,
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -36,10 +36,10 @@
         load_report_fields: decode_report_fields(settings)?,
         longest_wait: Micros::ZERO,
         rebalance: RebalanceConfig::default(),
-        peers: None,
+        gossip_price: None,
     };
     if settings.field("limits").field("peers").flag(false)? {
-        pool.peers = Some(settings.field("charges").field("peer").number(0.0)?);
+        pool.gossip_price = Some(settings.field("charges").field("peer").number(0.0)?);
     }
     let classes = decode_classes(settings, &mut pool)?;
     let tenants = decode_tenants(settings, &mut pool)?;
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -55,9 +55,9 @@
     let name = || name().verify_map(|name: &[u8]| String::from_utf8(name.to_vec()).ok());
     let mut call = alt((
         READYZ.value(AdminCall::Ready),
-        TELEMETRY.value(AdminCall::Telemetry),
+        TELEMETRY.value(AdminCall::Metrics),
         preceded((EXCLUDE, space1), name()).map(AdminCall::Exclude),
-        preceded((INCLUDE, space1), name()).map(AdminCall::Include),
+        preceded((INCLUDE, space1), name()).map(AdminCall::Readmit),
     ));
     Parser::<_, _, ContextError>::parse(&mut call, line).map_err(|_| UnknownCall)
 }
--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -83,7 +83,7 @@
         tenant: optional(parse_text).parse_next(input)?,
         group: optional(be_u64).parse_next(input)?,
         load: optional(parse_number).parse_next(input)?,
-        wait: None,
+        timeout: None,
         established_at: None,
         // These two are not in the message, since the previous version does not know them: such a client is not
         // recognised when it is migrated.
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -8,7 +8,7 @@
 pub use encode::encode;
 
 use crate::routing::store::Entry;
-use crate::routing::{Endpoint, EstablishedConnection, HandoverState};
+use crate::routing::{Endpoint, EstablishedConnection, ExportedEndpoint, HandoverState, Readmission};
 use crate::{LearnedState, Time};
 
 /// The longest message, in bytes.
@@ -139,20 +139,18 @@
     parts.extend(state.ever_listed.into_iter().map(Part::EverListed));
     parts.extend(state.entries.into_iter().map(|(key, entry)| Part::Entry(key, entry)));
     for (name, pool) in state.pools {
-        parts.extend(pool.endpoints.into_iter().map(|(endpoint, learned)| Part::Endpoint {
-            pool: name.clone(),
-            endpoint,
-            learned,
+        parts.extend(pool.endpoints.into_iter().map(|ExportedEndpoint { endpoint, learned }| {
+            Part::Endpoint { pool: name.clone(), endpoint, learned }
         }));
         let readmitted = pool.readmitted.into_iter();
-        parts.extend(readmitted.map(|(server, since)| Part::Readmitted {
+        parts.extend(readmitted.map(|Readmission { server, at }| Part::Readmitted {
             pool: name.clone(),
             server,
-            since,
+            since: at,
         }));
         parts.extend(pool.ids.into_iter().map(|id| Part::Id { pool: name.clone(), id }));
     }
-    parts.push(Part::Left(state.left as u64));
+    parts.push(Part::Left(state.open_descriptors as u64));
     parts
 }
 
@@ -163,12 +161,12 @@
         Part::EverListed(server) => state.ever_listed.push(server),
         Part::Entry(key, entry) => state.entries.push((key, entry)),
         Part::Endpoint { pool, endpoint, learned } => {
-            state.pools.entry(pool).or_default().endpoints.push((endpoint, learned));
+            state.pools.entry(pool).or_default().endpoints.push(ExportedEndpoint { endpoint, learned });
         }
         Part::Readmitted { pool, server, since } => {
-            state.pools.entry(pool).or_default().readmitted.push((server, since));
+            state.pools.entry(pool).or_default().readmitted.push(Readmission { server, at: since });
         }
         Part::Id { pool, id } => state.pools.entry(pool).or_default().ids.push(id),
-        Part::Left(left) => state.left = left as usize,
+        Part::Left(count) => state.open_descriptors = count as usize,
     }
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -4,7 +4,7 @@
 use winnow::combinator::{alt, preceded};
 use winnow::{ModalResult, Parser};
 
-use crate::peers::{GossipMessage, Observation, Sample, SAMPLE};
+use crate::peers::{GossipMessage, GroupSample, Observation, MAX_SAMPLED_GROUPS};
 use crate::{GroupHash, Micros, ServerId};
 
 /// The longest datagram that the platform carries, in bytes.
@@ -40,14 +40,14 @@
     fields.map(|(server, duration)| Observation::SlowServer(server, duration)).parse_next(input)
 }
 
-fn parse_groups(input: &mut &[u8]) -> ModalResult<Sample> {
-    let count = u8.verify(|count| usize::from(*count) <= SAMPLE);
+fn parse_groups(input: &mut &[u8]) -> ModalResult<GroupSample> {
+    let count = u8.verify(|count| usize::from(*count) <= MAX_SAMPLED_GROUPS);
     let groups: Vec<GroupHash> = length_repeat(count, be_u16.map(GroupHash)).parse_next(input)?;
     Ok(std::array::from_fn(|index| groups.get(index).copied()))
 }
 
-fn no_groups(_: &mut &[u8]) -> ModalResult<Sample> {
-    Ok(Sample::default())
+fn no_groups(_: &mut &[u8]) -> ModalResult<GroupSample> {
+    Ok(GroupSample::default())
 }
 
 fn parse_message(input: &mut &[u8]) -> ModalResult<GossipMessage> {
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -112,7 +112,7 @@
         field_start += field.name.len() + field.value.len() + 2;
     }
     // A request without a wait is valid only for a connection that was established before.
-    let has_wait = request.wait.is_some() || request.established_at.is_some();
+    let has_wait = request.timeout.is_some() || request.established_at.is_some();
     (has_wait && !request.class.is_empty()).then_some(Greeting::Open { request: Box::new(request), template })
 }
 
@@ -128,7 +128,7 @@
         b"at" => request.established_at = Some(to_text(value)).filter(|name| !name.is_empty()),
         b"d" => {
             let wait_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_WAIT_MS)?;
-            request.wait = Some(Micros::from_f64(wait_ms * MICROS_PER_MS as f64));
+            request.timeout = Some(Micros::from_f64(wait_ms * MICROS_PER_MS as f64));
         }
         _ => {}
     }
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,21 +1,31 @@
-//! Calls of admin clients.
+//! The execution of admin calls: readiness, metrics, exclusion and readmission.
+//!
+//! A process is ready while it can serve new requests: its fronts listen, every pool has an endpoint list, no successor
+//! of a hot restart serves, and no graceful shutdown has begun.
+//!
+//! An exclusion is applied before the reply. While there is a peer process, the reply also waits for its acknowledgement
+//! ([`super::hot_restart`]). Until the fronts listen exclusions are rejected, because the names that an operator may use
+//! are not known yet.
+//!
+//! Apart from whether the fronts listen, this module owns no state.
 
 use super::{AdminCall, AdminClientId, AdminRejection, AdminResponse, Effect, Metrics, State};
 use crate::Time;
 
 impl State {
+    /// Executes a call and replies, at once or after the peer process's acknowledgement.
     pub(super) fn on_admin_request(&mut self, now: Time, admin_client: AdminClientId, call: AdminCall) {
         match call {
             AdminCall::Ready => {
                 let reply = self.readiness().map_or_else(AdminResponse::No, |()| AdminResponse::Yes);
                 self.reply_to_admin_client(admin_client, reply);
             }
-            AdminCall::Telemetry => {
+            AdminCall::Metrics => {
                 let reply = AdminResponse::Metrics(self.metrics(now));
                 self.reply_to_admin_client(admin_client, reply);
             }
             AdminCall::Exclude(server) => self.exclude_or_readmit(now, admin_client, server, true),
-            AdminCall::Include(server) => self.exclude_or_readmit(now, admin_client, server, false),
+            AdminCall::Readmit(server) => self.exclude_or_readmit(now, admin_client, server, false),
         }
     }
 
@@ -23,7 +33,7 @@
         self.effects.push(Effect::AdminReply { admin_client, reply });
     }
 
-    /// Excludes or readmits a server. While there is a peer process, that one has to take it in before the reply.
+    /// Excludes or readmits a server, and shares that with the peer process, if there is one.
     fn exclude_or_readmit(&mut self, now: Time, admin_client: AdminClientId, server: String, excluded: bool) {
         if let Err(rejection) = self.try_set_exclusion(now, &server, excluded) {
             return self.reply_to_admin_client(admin_client, AdminResponse::No(rejection));
@@ -35,29 +45,26 @@
     }
 
     fn try_set_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> Result<(), AdminRejection> {
-        if !self.listening {
+        if !self.is_listening {
             return Err(AdminRejection::NotReady);
         }
         if !self.is_known_server(server) {
             return Err(AdminRejection::UnknownServer(server.to_owned()));
         }
-        if !self.set_exclusion(now, server, excluded) {
-            return Err(AdminRejection::StoreFull);
-        }
-        Ok(())
+        self.set_exclusion(now, server, excluded).map_err(AdminRejection::NotStored)
     }
 
-    /// The fronts listen: one of the conditions of readiness.
+    /// Records that the fronts listen.
     pub(super) fn on_listening(&mut self) {
-        self.listening = true;
+        self.is_listening = true;
     }
 
-    /// Whether this process can serve.
+    /// Whether this process can serve new requests.
     pub fn serves(&self) -> bool {
         self.readiness().is_ok()
     }
 
-    /// Whether this process can serve, or why not.
+    /// Succeeds if this process can serve new requests, or says why it cannot.
     fn readiness(&self) -> Result<(), AdminRejection> {
         if self.shutdown.has_begun() {
             return Err(AdminRejection::ShuttingDown);
@@ -65,7 +72,7 @@
         if self.hot_restart.successor_serves() {
             return Err(AdminRejection::ReplacedBySuccessor);
         }
-        if !self.listening {
+        if !self.is_listening {
             return Err(AdminRejection::NotListening);
         }
         if !self.pools.iter().all(|pool| pool.listed.is_usable()) {
--- a/src/routing/admin_call.rs
+++ b/src/routing/admin_call.rs
@@ -1,20 +1,21 @@
-//! Calls of admin clients and the replies to them.
-
-use std::fmt;
+//! Calls of admin clients, and the replies to them.
+//!
+//! Their encoding is in `src/protocol/admin.rs`, except for the texts of [`AdminRejection`].
 
+use super::store::WriteError;
 use super::Metrics;
 
-/// What an operator calls for at the admin endpoint.
+/// A call of an operator at the admin endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCall {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve.
     Ready,
-    /// The metrics.
-    Telemetry,
-    /// Exclude the server of this name.
+    /// Requests the metrics.
+    Metrics,
+    /// Excludes the server of this name.
     Exclude(String),
-    /// Readmit the server of this name.
-    Include(String),
+    /// Readmits the server of this name.
+    Readmit(String),
 }
 
 /// The reply to an [`AdminCall`].
@@ -22,47 +23,40 @@
 pub enum AdminResponse {
     /// The process is ready, or the change took effect.
     Yes,
-    /// Not so, and why.
+    /// The process is not ready, or the change was rejected.
     No(AdminRejection),
     /// The metrics as they are now.
     Metrics(Metrics),
 }
 
 /// Why a call is answered with no. The texts go over the wire and are part of the admin protocol.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRejection {
     /// A graceful shutdown has begun.
+    #[error("leaving")]
     ShuttingDown,
     /// The successor of a hot restart serves.
+    #[error("another process serves in its place")]
     ReplacedBySuccessor,
     /// The fronts do not listen yet.
+    #[error("not listening yet")]
     NotListening,
     /// Some pool has no endpoint list yet.
+    #[error("no routing table yet")]
     NoEndpointList,
-    /// Exclusions are not taken before the fronts listen.
+    /// Exclusions are not accepted before the fronts listen.
+    #[error("not ready yet")]
     NotReady,
     /// No endpoint list ever named this server.
+    #[error("no host {0} was ever listed")]
     UnknownServer(String),
-    /// The replicated map takes no more entries.
-    StoreFull,
+    /// The replicated map cannot take the exclusion.
+    #[error("the store is full")]
+    NotStored(#[source] WriteError),
     /// The process ended before it replied.
+    #[error("no answer")]
     NoReply,
-    /// The line is no call; the text says what is expected.
+    /// The line is no call. The text says what is expected.
+    #[error("{0}")]
     InvalidCall(String),
 }
-
-impl fmt::Display for AdminRejection {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            AdminRejection::ShuttingDown => write!(formatter, "leaving"),
-            AdminRejection::ReplacedBySuccessor => write!(formatter, "another process serves in its place"),
-            AdminRejection::NotListening => write!(formatter, "not listening yet"),
-            AdminRejection::NoEndpointList => write!(formatter, "no routing table yet"),
-            AdminRejection::NotReady => write!(formatter, "not ready yet"),
-            AdminRejection::UnknownServer(server) => write!(formatter, "no host {server} was ever listed"),
-            AdminRejection::StoreFull => write!(formatter, "the store is full"),
-            AdminRejection::NoReply => write!(formatter, "no answer"),
-            AdminRejection::InvalidCall(expected) => write!(formatter, "{expected}"),
-        }
-    }
-}
--- a/src/routing/admitted_connections.rs
+++ b/src/routing/admitted_connections.rs
@@ -1,11 +1,13 @@
-//! The admitted connections of one pool: how many there are, and by which ids their clients know them.
+//! The admitted connections of one pool: their number, and the ids that their clients gave them.
+//!
+//! No two open connections may have the same id. During a hot restart this also holds for connections that the
+//! predecessor still serves, so their ids are recorded apart until each connection is transferred or the predecessor ends.
 
 use std::collections::BTreeSet;
 
 use super::ConnectionRequest;
 
-/// Counts a pool's admitted connections. No two open ones may share an id, also while a predecessor of a hot
-/// restart serves some of them.
+/// The number of a pool's admitted connections, and the request ids in use.
 #[derive(Default)]
 pub(super) struct AdmittedConnections {
     count: usize,
@@ -25,6 +27,7 @@
         request.id.as_ref().is_some_and(is_open)
     }
 
+    /// Adds a connection of this process.
     pub(super) fn add(&mut self, request: &ConnectionRequest) {
         self.count += 1;
         self.request_ids.extend(request.id.clone());
@@ -38,6 +41,7 @@
         self.add(request);
     }
 
+    /// Removes a connection that has ended or was transferred.
     pub(super) fn remove(&mut self, request: &ConnectionRequest) {
         self.count -= 1;
         if let Some(id) = &request.id {
@@ -50,12 +54,12 @@
         self.request_ids.iter().cloned().collect()
     }
 
-    /// Notes the ids that are open at the predecessor.
+    /// Adds the ids of connections that are open at the predecessor.
     pub(super) fn import_request_ids(&mut self, ids: &[String]) {
         self.request_ids_at_predecessor.extend(ids.iter().cloned());
     }
 
-    /// The predecessor is gone: nothing is open there.
+    /// Removes the ids of the predecessor's connections, after it has ended.
     pub(super) fn forget_predecessor(&mut self) {
         self.request_ids_at_predecessor.clear();
     }
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -1,4 +1,10 @@
-//! Answers to clients, and the end of their connections.
+//! Final answers to clients, and the end of their connections.
+//!
+//! Each request has exactly one final answer. It is sent and counted in [`State::send_answer`] alone, and the connection's
+//! record is removed with it, so that no later input can lead to a second one. A connection that was established counts
+//! as succeeded when it is established; its end is not counted.
+//!
+//! This module owns no state; the counters are the pool's.
 
 use super::connection_table::{Attempt, Phase};
 use super::dispatch::request_id;
@@ -7,15 +13,15 @@
 use crate::{Event, Micros, Outcome, Time};
 
 impl State {
-    /// Answers a client and lets its connection go. One that has ended meanwhile must not be answered again.
+    /// Answers a client and removes its connection, unless that has ended already.
     pub(super) fn answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         if self.connections.contains(id) {
             self.send_answer(now, id, answer);
-            self.release(now, id);
+            self.remove_connection(now, id);
         }
     }
 
-    /// Sends an answer and counts it: no other place does.
+    /// Sends an answer and counts it.
     pub(super) fn send_answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         match answer {
             Answer::Rejected(_) => {
@@ -26,14 +32,13 @@
                 self.count_outcome(id, |counters| counters.aborted += 1);
                 self.notify_declined(now, id);
             }
-            // An established connection was counted when it was established, and without a request there is no
-            // class.
+            // A migrated connection was counted when it was established. Without a request there is no class.
             Answer::Migrated | Answer::HandshakeTimedOut => {}
         }
         self.effects.push(Effect::Answer { connection: id, answer });
     }
 
-    /// Counts an outcome in its connection's class, if it named one that is configured.
+    /// Counts an outcome for a connection's class, if that is configured.
     pub(super) fn count_outcome(&mut self, id: ConnectionId, count: impl FnOnce(&mut ClassCounters)) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(class) = connection.class else { return };
@@ -42,32 +47,33 @@
         }
     }
 
-    /// Whether a client may be rejected: whether a retry of its request is harmless.
+    /// Whether a client may be rejected, which tells it that a retry of its request is harmless.
     pub(super) fn may_reject(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         self.pools[connection.pool].balancer.may_reject(request_id(id))
     }
 
-    /// A rejection that advises the client when to retry, as far as the settings allow.
-    pub(super) fn reject_with_retry_after(&self, id: ConnectionId, wait: Micros) -> Answer {
+    /// A rejection with this Retry-After, limited to the pool's longest. It is 0 where the settings rule out any advice.
+    pub(super) fn reject_with_retry_after(&self, id: ConnectionId, retry_after: Micros) -> Answer {
         let pool = self.connections.pool_of(id);
         let settings = pool.map(|pool| &self.pools[pool].config.settings);
         let longest = settings
             .filter(|settings| settings.retry_after)
             .map_or(Micros::ZERO, |settings| settings.max_retry_after);
-        Answer::Rejected(wait.min(longest))
+        Answer::Rejected(retry_after.min(longest))
     }
 
-    /// Ends a connection that was answered, or is owed no answer any more, with the attempt that it may have.
+    /// Ends a connection that was answered or needs no answer, together with its attempt. `outcome` is what the balancer
+    /// counts for the server.
     pub(super) fn end_connection(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         let Some(connection) = self.connections.get(id) else { return };
         let (pool, phase) = (connection.pool, connection.phase);
-        // Those that were migrated or cut off have been reported as such before: this second report is ignored.
+        // The rebalancer ignores this report where the connection was reported as migrated or broken before.
         let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
         self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionEnded { connection: id, natural });
-        let attempt = self.release(now, id).map(|attempt| attempt.number);
+        let attempt = self.remove_connection(now, id).map(|attempt| attempt.number);
         let attempt = match phase {
-            // To the decision module a restored connection is established by attempt 0, however many there were.
+            // The balancer knows a restored connection as established by attempt 0, however many attempts were made.
             Phase::Restoring { .. } => Some(0),
             _ => attempt,
         };
@@ -78,8 +84,8 @@
         }
     }
 
-    /// Lets a connection go, and returns its attempt. Its sockets stay open for a while.
-    pub(super) fn release(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
+    /// Removes a connection's record, and returns its attempt. Its sockets are closed later, so it becomes pending.
+    pub(super) fn remove_connection(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
         let pool = &mut self.pools[connection.pool];
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,41 +1,68 @@
-//! Attempts: from their opening until their connection is established, or they fail.
+//! Attempts to set up a request's connection at a server: opening, deadlines, acceptance and failure.
+//!
+//! A request has at most one attempt in flight. The balancer chooses its server and, after a failure, whether to retry
+//! (`src/policy/`). This module gives each attempt its number and these deadlines, and the earliest is the timer of the
+//! connection:
+//!
+//! - to connect, the pool's connect timeout;
+//! - to have its request written in full, where the balancer limits that: a server may recognise a repeated request
+//!   for a limited time only, and the endpoint list may expire;
+//! - to be accepted by the server, the timeout that the balancer gives.
+//!
+//! Reports of an earlier attempt are ignored by their number.
+//!
+//! A connection in [`Phase::Restoring`] belongs to one server, where it was established before this process started. It
+//! is retried there every [`RESTORE_RETRY_INTERVAL`], without the balancer, until its deadline or the most attempts
+//! of a request are reached.
+//!
+//! The attempts themselves are kept in the connection table; this module owns no state.
 
 use super::connection_table::{Attempt, Phase};
 use super::dispatch::request_id;
 use super::{Answer, AttemptOutcome, ConnectionId, Effect, State};
 use crate::{Event, Micros, Outcome, ServerId, Time};
 
-/// How long after a failed attempt a connection from before the start is tried again.
+/// The time from a failed attempt to restore a connection to the next one.
 const RESTORE_RETRY_INTERVAL: Micros = Micros::from_millis(500);
-/// The cached endpoint list may be out of date: a server that it does not name may be listed within this time.
+/// For how long a connection is restored at a server that is not listed. The list may still be the cached one, which
+/// may not name the server.
 const UNLISTED_SERVER_TIMEOUT: Micros = Micros::from_secs(2);
 
 impl State {
-    /// Opens an attempt that the server has to accept within `timeout`, and that has to be written in full within
-    /// `forward_within`, if given.
+    /// Opens an attempt that the server has to accept within `acceptance_timeout`. Its request has to be written in full
+    /// within `forwarding_timeout`, if given.
     pub(super) fn open_attempt(
         &mut self,
         now: Time,
         id: ConnectionId,
         server: ServerId,
-        timeout: Micros,
-        forward_within: Option<Micros>,
+        acceptance_timeout: Micros,
+        forwarding_timeout: Option<Micros>,
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let pool = &self.pools[connection.pool];
         let number = connection.attempts;
         connection.attempts += 1;
-        let accept_by = now.plus(timeout);
-        let forward_by = forward_within.map(|within| now.plus(within));
-        let attempt = Attempt { number, server, forwarded: false, since: now, accept_by, forward_by };
-        self.connections.begin_attempt(id, attempt);
+        let attempt = Attempt {
+            number,
+            server,
+            forwarded_at: None,
+            acceptance_deadline: now.plus(acceptance_timeout),
+            forwarding_deadline: forwarding_timeout.map(|timeout| now.plus(timeout)),
+        };
+        let connect_deadline = now.plus(pool.config.settings.connect_timeout);
         let address = pool.endpoints.get(server).map_or(String::new(), |endpoint| endpoint.address.clone());
-        self.effects.push(Effect::OpenAttempt { connection: id, attempt: number, address, wait: timeout });
-        let connect_by = now.plus(pool.config.settings.connect_timeout);
-        let due = accept_by.min(connect_by);
-        self.connections.set_timer(id, Some(forward_by.map_or(due, |forward_by| forward_by.min(due))));
+        self.connections.begin_attempt(id, attempt);
+        self.connections.set_timer(id, Some(attempt.first_deadline(connect_deadline)));
+        self.effects.push(Effect::OpenAttempt {
+            connection: id,
+            attempt: number,
+            address,
+            timeout: acceptance_timeout,
+        });
     }
 
+    /// Counts a request that is written in full, and gives the server the rest of its time to accept.
     pub(super) fn on_request_forwarded(&mut self, now: Time, id: ConnectionId, number: u32) {
         if self.connections.mark_forwarded(now, id, number) {
             self.forwarded_requests += 1;
@@ -43,15 +70,16 @@
         self.schedule_acceptance_timer(id);
     }
 
-    /// Once an attempt is written in full, the server has the rest of its time to accept.
+    /// Sets the timer of a connection whose request is written to the deadline for the server's acceptance.
     fn schedule_acceptance_timer(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let forwarded = connection.attempt().filter(|attempt| attempt.forwarded);
+        let forwarded = connection.attempt().filter(Attempt::is_forwarded);
         if let (Some(attempt), true) = (forwarded, connection.phase != Phase::Established) {
-            self.connections.set_timer(id, Some(attempt.accept_by));
+            self.connections.set_timer(id, Some(attempt.acceptance_deadline));
         }
     }
 
+    /// Establishes a connection whose attempt the server has accepted.
     pub(super) fn on_attempt_accepted(&mut self, now: Time, id: ConnectionId, number: u32) {
         let Some(attempt) = self.connections.attempt(id, number) else { return };
         let migrate_at = self.shutdown.migration_time(now);
@@ -63,7 +91,7 @@
         let was_placed = connection.phase == Phase::Connecting;
         connection.phase = Phase::Established;
         connection.migrate_at = migrate_at;
-        let setup_time = (was_placed && attempt.forwarded).then(|| now.since(attempt.since));
+        let setup_time = attempt.forwarded_at.filter(|_| was_placed).map(|at| now.since(at));
         self.count_outcome(id, |counters| counters.succeeded += 1);
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, setup_time);
@@ -75,14 +103,15 @@
         self.transfer_connection(id);
     }
 
+    /// Retries a request whose attempt failed, where that may help, or ends its connection.
     pub(super) fn on_attempt_ended(&mut self, now: Time, id: ConnectionId, number: u32, end: AttemptOutcome) {
         if self.connections.attempt(id, number).is_none() {
             return;
         }
         let Some(phase) = self.connections.get(id).map(|connection| connection.phase) else { return };
         match phase {
-            Phase::Restoring { until, .. } if now < until => {
-                self.connections.take_attempt(id);
+            Phase::Restoring { deadline, .. } if now < deadline => {
+                self.connections.remove_attempt(id);
                 self.connections.set_timer(id, Some(now.plus(RESTORE_RETRY_INTERVAL)));
             }
             Phase::Connecting if end != AttemptOutcome::VerdictForwarded => {
@@ -92,7 +121,7 @@
         }
     }
 
-    /// With this attempt its connection ends, too.
+    /// Ends a connection together with its attempt.
     fn on_last_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, end: AttemptOutcome) {
         if phase != Phase::Established && end == AttemptOutcome::VerdictForwarded {
             self.count_outcome(id, |counters| counters.declined += 1);
@@ -103,42 +132,51 @@
         self.end_connection(now, id, outcome_of(end));
     }
 
-    /// An attempt failed whose client still waits for its answer: the decision module may retry.
+    /// Reports a failed attempt to the balancer, which retries the request or answers it.
     pub(super) fn on_attempt_failed(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         let Some(pool) = self.connections.pool_of(id) else { return };
-        let Some(attempt) = self.connections.take_attempt(id) else { return };
+        let Some(attempt) = self.connections.remove_attempt(id) else { return };
         self.connections.set_timer(id, None);
         let (request, attempt, answered) = (request_id(id), attempt.number, false);
         self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
-    /// Goes on restoring a connection from before the start: another attempt, or once its server is listed, or
-    /// never again.
-    pub(super) fn continue_restoring(&mut self, now: Time, id: ConnectionId, until: Time, server: ServerId) {
+    /// Takes the next step of restoring a connection: opens an attempt, waits until its server is listed, or fails the
+    /// request.
+    pub(super) fn continue_restoring(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        deadline: Time,
+        server: ServerId,
+    ) {
         if !self.connections.contains(id) {
             return;
         }
-        if !self.may_restore(now, id, until, server) {
+        if !self.may_restore(now, id, deadline, server) {
             self.send_answer(now, id, Answer::Failed);
             self.end_connection(now, id, Outcome::Reset);
             return;
         }
-        if self.connections.take_attempt(id).is_some() {
+        if self.connections.remove_attempt(id).is_some() {
             self.effects.push(Effect::CloseAttempt { connection: id });
         }
         if self.is_listed(id, server) {
-            self.open_attempt(now, id, server, until.since(now), None);
+            self.open_attempt(now, id, server, deadline.since(now), None);
         } else {
             self.connections.set_timer(id, Some(now.plus(RESTORE_RETRY_INTERVAL)));
         }
     }
 
-    /// Whether another attempt may follow. A client may name a server that never existed: it is answered soon.
-    fn may_restore(&self, now: Time, id: ConnectionId, until: Time, server: ServerId) -> bool {
+    /// Whether another attempt to restore a connection may follow. A client may name a server that never existed, so
+    /// one that is not listed is awaited for a short time only.
+    fn may_restore(&self, now: Time, id: ConnectionId, deadline: Time, server: ServerId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let max_attempts = self.pools[connection.pool].config.settings.max_attempts;
-        let may_be_listed_yet = now.since(connection.connected_at) < UNLISTED_SERVER_TIMEOUT;
-        now < until && connection.attempts < max_attempts && (self.is_listed(id, server) || may_be_listed_yet)
+        let may_still_be_listed = now.since(connection.connected_at) < UNLISTED_SERVER_TIMEOUT;
+        now < deadline
+            && connection.attempts < max_attempts
+            && (self.is_listed(id, server) || may_still_be_listed)
     }
 
     fn is_listed(&self, id: ConnectionId, server: ServerId) -> bool {
@@ -150,7 +188,7 @@
 /// How an attempt's end counts for its server.
 fn outcome_of(end: AttemptOutcome) -> Outcome {
     match end {
-        // A verdict is an answer like any other: the server works.
+        // A server that forwards its own verdict works as it should.
         AttemptOutcome::Served | AttemptOutcome::VerdictForwarded => Outcome::Ok,
         AttemptOutcome::RedirectedByServer => Outcome::Cancelled,
         AttemptOutcome::Error => Outcome::Error,
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,4 +1,19 @@
-//! Clients: who connects, what they request, and how many are admitted.
+//! Requests of clients: from a new connection's handshake to the admission of its request.
+//!
+//! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake timeout.
+//! These checks follow in order, and the first that fails ends the connection:
+//!
+//! 1. Graceful shutdown: the request is rejected with a Retry-After, unless a successor of a hot restart serves.
+//! 2. Connection limits: the pool's (from the replicated map where it holds one, or else from the configuration) and
+//!    that of all fronts. Above either, the request is rejected with half the longest Retry-After.
+//! 3. Names: a class or tenant that is not configured, and an id that an open connection has, fail the request. A
+//!    rejection would invite a retry, which could not succeed.
+//!
+//! An admitted request goes to the pool's balancer, which chooses a server, rejects or fails it (`src/policy/`). A
+//! request of a connection that was established before this process started returns to its server instead
+//! ([`Phase::Restoring`]).
+//!
+//! The state of a connection is kept in the connection table; this module owns none.
 
 use super::connection_table::{ClientConnection, Phase};
 use super::dispatch::request_id;
@@ -6,14 +21,14 @@
 use crate::rebalance::RebalanceEvent;
 use crate::{ClassId, Event, GroupId, Micros, Outcome, TenantId, Time};
 
-/// The Retry-After of rejections during a graceful shutdown: the front takes that long to notice it.
+/// The Retry-After of rejections during a graceful shutdown. By then new clients are sent to other balancers.
 pub(super) const SHUTDOWN_RETRY_AFTER: Micros = Micros::from_millis(400);
-/// How long attempts go on to restore a connection that was established before the start.
+/// For how long attempts are made to restore a connection that was established before the start.
 const RESTORE_TIMEOUT: Micros = Micros::from_secs(30);
-/// Key of the replicated map that limits the connections of each pool.
+/// Key of the replicated map whose value limits the connections of each pool.
 const CONNECTION_LIMIT_KEY: &str = "limit/connections";
 
-/// What the decision module has to know of a request.
+/// What the balancer needs to know of a request to place it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestProfile {
     pub(super) class: ClassId,
@@ -23,6 +38,7 @@
 }
 
 impl State {
+    /// Adds an accepted connection, whose request has to arrive within the pool's handshake timeout.
     pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
         let Some(pool) = self.pools.get(pool_id) else { return };
         let handshake_timeout = pool.config.handshake_timeout;
@@ -32,12 +48,15 @@
         self.evict_idle_connection(now);
     }
 
+    /// Answers a client whose request did not arrive in time. Feeding this input is the driver's part of
+    /// [`super::Effect::CheckHandshake`]: all that the client has sent was read before.
     pub(super) fn on_handshake_timed_out(&mut self, now: Time, id: ConnectionId) {
         if self.connections.get_handshaking(id).is_some() {
             self.answer(now, id, Answer::HandshakeTimedOut);
         }
     }
 
+    /// Admits a request, or answers it at once.
     pub(super) fn on_connection_requested(
         &mut self,
         now: Time,
@@ -56,45 +75,47 @@
         self.admit(now, id, pool_id, &request);
         match &request.established_at {
             Some(server) => self.restore_connection(now, id, pool_id, profile, server),
-            None => self.place_connection(now, id, pool_id, profile, request.wait),
+            None => self.place_connection(now, id, pool_id, profile, request.timeout),
         }
     }
 
-    /// Notes a connection's class, by which all that becomes of it is counted.
+    /// Records a connection's class, by which its outcome is counted.
     fn classify_connection(&mut self, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
-        // Classes that are no longer configured have an empty name, which must not be matched.
-        let class = Some(&request.class).filter(|class| !class.is_empty());
-        let class = class.and_then(|class| self.pools[pool_id].config.class_id(class));
+        // A class that is no longer configured has an empty name, which must not be matched.
+        let name = Some(&request.class).filter(|name| !name.is_empty());
+        let class = name.and_then(|name| self.pools[pool_id].config.class_id(name));
         if let Some(connection) = self.connections.get_mut(id) {
             connection.class = class;
         }
     }
 
-    /// The rejection of a request for which there is no room, or no time.
+    /// The rejection of a request during a shutdown, or at a connection limit.
     fn check_admission(&self, id: ConnectionId, pool_id: PoolId) -> Option<Answer> {
-        // During a graceful shutdown clients still arrive, and are better served elsewhere. Where a successor
-        // serves on the same machine, those that came here before are served as usual.
+        // Clients that arrive during a graceful shutdown are served sooner by another balancer. Where a successor
+        // serves on this machine, no new ones arrive, and those that connected before are served here.
         if self.shutdown.has_begun() && !self.hot_restart.successor_serves() {
             return Some(self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
         }
         if self.is_at_connection_limit(pool_id) {
-            let wait = self.pools[pool_id].config.settings.max_retry_after / 2;
-            return Some(self.reject_with_retry_after(id, wait));
+            let retry_after = self.pools[pool_id].config.settings.max_retry_after / 2;
+            return Some(self.reject_with_retry_after(id, retry_after));
         }
         None
     }
 
     fn is_at_connection_limit(&self, pool_id: PoolId) -> bool {
         let pool = &self.pools[pool_id];
-        let replicated = self.replication.map().get(CONNECTION_LIMIT_KEY);
-        let limit = replicated.filter(|_| pool.config.uses_replicated_map).and_then(|text| text.parse().ok());
-        let limit: usize = limit.unwrap_or(pool.config.max_connections);
-        let all: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
-        pool.admitted.count() >= limit || all >= self.admission.budget().admitted
+        let replicated_limit = self.replication.map().get(CONNECTION_LIMIT_KEY);
+        let usable_limit = replicated_limit.filter(|_| pool.config.uses_replicated_map);
+        let parsed_limit = usable_limit.and_then(|text| text.parse().ok());
+        let limit: usize = parsed_limit.unwrap_or(pool.config.max_connections);
+        let admitted_in_all_pools: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
+        pool.admitted.count() >= limit || admitted_in_all_pools >= self.admission.budget().admitted
     }
 
-    /// Looks up the names in a request. None for one that names what is not configured, which servers could only
-    /// reject; and for one whose id is that of an open connection, as whoever counts by id would confuse the two.
+    /// Looks up the names in a request. Returns `None` for a class or tenant that is not configured, which servers
+    /// would reject, and for an id that an open connection has, because clients and servers tell connections apart by
+    /// their ids.
     fn profile_request(
         &self,
         id: ConnectionId,
@@ -103,8 +124,8 @@
     ) -> Option<RequestProfile> {
         let pool = &self.pools[pool_id];
         let class = self.connections.get(id).and_then(|connection| connection.class)?;
-        // Tenants that are no longer configured have an empty name, which must not be matched.
         let named_tenant = request.tenant.as_deref();
+        // A tenant that is no longer configured has an empty name, which must not be matched.
         let tenant =
             named_tenant.filter(|name| !name.is_empty()).and_then(|name| pool.config.tenant_id(name));
         let is_unknown_tenant = named_tenant.is_some() && tenant.is_none() && !pool.config.tenants.is_empty();
@@ -114,32 +135,34 @@
         Some(RequestProfile { class, tenant, group: request.group.map(GroupId), load: request.load })
     }
 
+    /// Counts a request among the admitted ones and stops the handshake timer.
     fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         self.admission.remove_pending(id);
         self.evict_idle_connection(now);
         let pool = &mut self.pools[pool_id];
         pool.admitted.add(request);
-        let (key, again) = (request.key, request.reconnecting);
+        let ConnectionRequest { key, reconnecting, .. } = *request;
         pool.rebalance
-            .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting: again });
+            .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting });
         if let Some(connection) = self.connections.get_mut(id) {
             connection.request = request.clone();
         }
         self.connections.set_timer(id, None);
     }
 
-    /// Has the decision module choose a server.
+    /// Has the balancer choose a server. The client waits for its answer for `timeout`, or, without one, until the end
+    /// of its handshake timeout.
     fn place_connection(
         &mut self,
         now: Time,
         id: ConnectionId,
         pool_id: PoolId,
         profile: RequestProfile,
-        wait: Option<Micros>,
+        timeout: Option<Micros>,
     ) {
         let Some(connection) = self.connections.get(id) else { return };
         let handshake_deadline = connection.connected_at.plus(self.pools[pool_id].config.handshake_timeout);
-        let deadline = wait.map_or(handshake_deadline, |wait| now.plus(wait));
+        let deadline = timeout.map_or(handshake_deadline, |timeout| now.plus(timeout));
         self.connections.set_phase(id, Phase::Connecting);
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
@@ -147,7 +170,7 @@
         self.dispatch(now, pool_id, event);
     }
 
-    /// Sets a connection up again at the server where it was established before this process started.
+    /// Restores a connection at the server where it was established before this process started.
     fn restore_connection(
         &mut self,
         now: Time,
@@ -157,15 +180,16 @@
         server: &str,
     ) {
         let server = server_id(server);
-        let until = now.plus(RESTORE_TIMEOUT);
-        self.connections.set_phase(id, Phase::Restoring { until, server });
+        let deadline = now.plus(RESTORE_TIMEOUT);
+        self.connections.set_phase(id, Phase::Restoring { deadline, server });
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
         let event = Event::ConnectionRestored { request, class, tenant, group, load, server };
         self.dispatch(now, pool_id, event);
-        self.continue_restoring(now, id, until, server);
+        self.continue_restoring(now, id, deadline, server);
     }
 
+    /// Ends a connection whose client has closed it. No answer is owed any more.
     pub(super) fn on_client_disconnected(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let pool = connection.pool;
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -1,4 +1,9 @@
-//! A reload of the configuration.
+//! Reload of the configuration.
+//!
+//! The new configuration is complete and checked when it arrives here, and is put in place in one step. Connections,
+//! exclusions and what was learned of servers are kept. So is the endpoint list, until the watch at a new discovery address
+//! delivers another. Classes, tenants and zones keep their numbers ([`PoolConfig::replacing`]), by which connections and
+//! the balancer refer to them. The number of pools does not change.
 
 use std::net::SocketAddr;
 
@@ -6,8 +11,7 @@
 use crate::Time;
 
 impl State {
-    /// Puts another configuration in place, all at once. Exclusions, connections and what was learned of servers
-    /// stay, and so does the endpoint list until a new discovery service sends another.
+    /// Replaces the configuration of all pools, the other replicas and the limits of the fronts.
     pub(super) fn on_configuration_changed(
         &mut self,
         now: Time,
@@ -23,6 +27,7 @@
         self.replication.set_peers(now, peers);
     }
 
+    /// Replaces a pool's configuration, and begins a new watch if its discovery address has changed.
     fn configure_pool(&mut self, now: Time, pool_id: PoolId, config: PoolConfig) {
         let pool = &mut self.pools[pool_id];
         let config = config.replacing(&pool.config);
--- a/src/routing/connection_request.rs
+++ b/src/routing/connection_request.rs
@@ -5,7 +5,7 @@
 /// A client's request for a connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConnectionRequest {
-    /// The client's own id for the connection, if it gives one: no two open connections may share it.
+    /// The client's own id for the connection, if it gives one. No two open connections may have the same.
     pub id: Option<String>,
     /// Name of its class.
     pub class: String,
@@ -15,12 +15,12 @@
     pub group: Option<u64>,
     /// Its usual load, in the unit of the settings.
     pub load: Option<f64>,
-    /// How long the client waits from now on; without it, what is left of the handshake's time.
-    pub wait: Option<Micros>,
+    /// How long the client waits for its answer from now on. Without it, until the end of the handshake timeout.
+    pub timeout: Option<Micros>,
     /// Name of the server at which the connection was established before this process started.
     pub established_at: Option<String>,
     /// Hash of the flow's key, by which a returning client is recognised.
     pub key: Option<u64>,
-    /// The client returns after its connection broke or was migrated.
+    /// Whether the client returns after its connection broke or was migrated.
     pub reconnecting: bool,
 }
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -1,4 +1,13 @@
-//! The open connections with their timers, and which of them have an attempt at which server.
+//! The table of open connections, with two indexes: their timers, and their attempts by server.
+//!
+//! Owns each client connection's record from its accept to its end. A connection has at most one timer and at most one
+//! attempt. Both are private to this module, and every change of them updates the index, so that
+//!
+//! - the first timer is found without a search over all connections;
+//! - the connections at one server are found without a search, when it drains or is removed.
+//!
+//! Handlers set the other fields of a record. All iteration is in the order of connection numbers, or of servers and
+//! then connection numbers: the same inputs give the same effects in the same order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,16 +19,16 @@
 pub(super) enum Phase {
     /// Connected, without a request.
     Handshaking,
-    /// Requested; the client waits for its answer.
+    /// Requested and admitted, without an answer yet.
     Connecting,
-    /// Established at a server before this process started; attempts to set it up again there go on for a while.
+    /// Established before this process started, and not yet accepted again by its server.
     Restoring {
-        /// When the attempts end.
-        until: Time,
-        /// The server.
+        /// No attempt is made after this time.
+        deadline: Time,
+        /// The server at which the connection was established.
         server: ServerId,
     },
-    /// The server accepted: lines go both ways.
+    /// Accepted by the server: lines are relayed in both directions.
     Established,
 }
 
@@ -29,18 +38,28 @@
     /// Counted from 0 for each connection.
     pub(super) number: u32,
     pub(super) server: ServerId,
-    /// Whether the request is written in full.
-    pub(super) forwarded: bool,
-    /// When the request was written in full; before that, when the attempt was opened.
-    pub(super) since: Time,
+    /// When the request was written in full.
+    pub(super) forwarded_at: Option<Time>,
     /// By when the server has to accept.
-    pub(super) accept_by: Time,
-    /// By when the request has to be written, where a server knows a repeated request for a limited time only,
-    /// or where the endpoint list expires.
-    pub(super) forward_by: Option<Time>,
+    pub(super) acceptance_deadline: Time,
+    /// By when the request has to be written in full, where that is limited.
+    pub(super) forwarding_deadline: Option<Time>,
+}
+
+impl Attempt {
+    /// Whether the request is written in full.
+    pub(super) fn is_forwarded(&self) -> bool {
+        self.forwarded_at.is_some()
+    }
+
+    /// The earliest of its deadlines while it has no connection to the server yet.
+    pub(super) fn first_deadline(&self, connect_deadline: Time) -> Time {
+        let deadline = self.acceptance_deadline.min(connect_deadline);
+        earliest(self.forwarding_deadline, deadline)
+    }
 }
 
-/// One connection of a client. The table keeps its timer and its attempt in step with its indexes.
+/// The record of one client's connection.
 pub(super) struct ClientConnection {
     pub(super) pool: PoolId,
     pub(super) class: Option<ClassId>,
@@ -48,12 +67,12 @@
     /// The load in its server's last report.
     pub(super) load: Option<f64>,
     pub(super) phase: Phase,
-    /// How many attempts were opened so far.
+    /// The number of attempts opened so far.
     pub(super) attempts: u32,
     pub(super) connected_at: Time,
-    /// When it is to be migrated.
+    /// When the connection is to be migrated.
     pub(super) migrate_at: Option<Time>,
-    /// When the first line went to the server that has not been answered since.
+    /// When the earliest line without an answer of the server was forwarded.
     pub(super) awaiting_server_since: Option<Time>,
     attempt: Option<Attempt>,
     timer: Option<Time>,
@@ -82,7 +101,7 @@
         self.attempt
     }
 
-    /// When its timer fires.
+    /// The time at which the timer fires, if it is set.
     pub(super) fn timer(&self) -> Option<Time> {
         self.timer
     }
@@ -98,17 +117,18 @@
 /// Ordered by time, and then by connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionTimer {
-    due: Time,
+    deadline: Time,
     connection: ConnectionId,
 }
 
+/// A server of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolServer {
     pool: PoolId,
     server: ServerId,
 }
 
-/// All open connections. Each has at most one timer and one attempt, which the indexes hold as long as it does.
+/// All open connections, indexed by timer and by server.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     connections: BTreeMap<ConnectionId, ClientConnection>,
@@ -123,7 +143,7 @@
 
     /// Removes a connection with its timer and its attempt, which the returned record still names.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<ClientConnection> {
-        let attempt = self.take_attempt(id);
+        let attempt = self.remove_attempt(id);
         self.set_timer(id, None);
         let mut connection = self.connections.remove(&id)?;
         connection.attempt = attempt;
@@ -143,7 +163,7 @@
         self.get(id).filter(|connection| connection.phase == Phase::Established)
     }
 
-    /// The connection, if its client still has to send its request.
+    /// The connection, if no request has arrived on it yet.
     pub(super) fn get_handshaking(&self, id: ConnectionId) -> Option<&ClientConnection> {
         self.get(id).filter(|connection| connection.phase == Phase::Handshaking)
     }
@@ -184,89 +204,91 @@
 
     // ---- Timers ----
 
-    /// Sets a connection's one timer, or stops it.
-    pub(super) fn set_timer(&mut self, id: ConnectionId, due: Option<Time>) {
+    /// Replaces a connection's timer, or stops it.
+    pub(super) fn set_timer(&mut self, id: ConnectionId, deadline: Option<Time>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if let Some(old) = std::mem::replace(&mut connection.timer, due) {
-            self.timers.remove(&ConnectionTimer { due: old, connection: id });
+        if let Some(replaced) = std::mem::replace(&mut connection.timer, deadline) {
+            self.timers.remove(&ConnectionTimer { deadline: replaced, connection: id });
         }
-        if let Some(due) = due {
-            self.timers.insert(ConnectionTimer { due, connection: id });
+        if let Some(deadline) = deadline {
+            self.timers.insert(ConnectionTimer { deadline, connection: id });
         }
     }
 
     /// When the first timer fires.
     pub(super) fn next_timer(&self) -> Option<Time> {
-        self.timers.first().map(|timer| timer.due)
+        self.timers.first().map(|timer| timer.deadline)
     }
 
-    /// Stops the first timer that is due, and returns its connection.
-    pub(super) fn pop_due_timer(&mut self, now: Time) -> Option<ConnectionId> {
-        let id = self.timers.first().filter(|timer| timer.due <= now)?.connection;
+    /// Stops the first timer if it has expired, and returns its connection.
+    pub(super) fn pop_expired_timer(&mut self, now: Time) -> Option<ConnectionId> {
+        let id = self.timers.first().filter(|timer| timer.deadline <= now)?.connection;
         self.set_timer(id, None);
         Some(id)
     }
 
     // ---- Attempts ----
 
-    /// Makes this the connection's attempt.
+    /// Gives a connection its attempt. An earlier one has to be removed first.
     pub(super) fn begin_attempt(&mut self, id: ConnectionId, attempt: Attempt) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.attempt = Some(attempt);
-        let place = PoolServer { pool: connection.pool, server: attempt.server };
-        self.by_server.entry(place).or_default().insert(id);
+        let server = PoolServer { pool: connection.pool, server: attempt.server };
+        self.by_server.entry(server).or_default().insert(id);
     }
 
-    /// Takes a connection's attempt from it.
-    pub(super) fn take_attempt(&mut self, id: ConnectionId) -> Option<Attempt> {
+    /// Removes and returns a connection's attempt.
+    pub(super) fn remove_attempt(&mut self, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.get_mut(&id)?;
         let attempt = connection.attempt.take()?;
-        let place = PoolServer { pool: connection.pool, server: attempt.server };
-        if let Some(connections) = self.by_server.get_mut(&place) {
+        let server = PoolServer { pool: connection.pool, server: attempt.server };
+        if let Some(connections) = self.by_server.get_mut(&server) {
             connections.remove(&id);
             if connections.is_empty() {
-                self.by_server.remove(&place);
+                self.by_server.remove(&server);
             }
         }
         Some(attempt)
     }
 
-    /// The connection's attempt, if it is the one of this number: late reports of an ended attempt must change
-    /// nothing.
+    /// The connection's attempt, if it has this number. Late reports of an earlier attempt find none.
     pub(super) fn attempt(&self, id: ConnectionId, number: u32) -> Option<Attempt> {
         self.get(id)?.attempt.filter(|attempt| attempt.number == number)
     }
 
-    /// Notes that an attempt's request is written in full; false if that was known, or the attempt has ended.
+    /// Records that an attempt's request is written in full. Returns false if that was known, or the attempt has ended.
     pub(super) fn mark_forwarded(&mut self, now: Time, id: ConnectionId, number: u32) -> bool {
         let attempt = self.connections.get_mut(&id).and_then(|connection| connection.attempt.as_mut());
-        let Some(attempt) = attempt.filter(|attempt| attempt.number == number && !attempt.forwarded) else {
-            return false;
-        };
-        attempt.forwarded = true;
-        attempt.since = now;
+        let is_unforwarded = |attempt: &&mut Attempt| attempt.number == number && !attempt.is_forwarded();
+        let Some(attempt) = attempt.filter(is_unforwarded) else { return false };
+        attempt.forwarded_at = Some(now);
         true
     }
 
-    /// Has an attempt whose request is not written yet given up at this time, if not sooner.
-    pub(super) fn limit_forwarding(&mut self, id: ConnectionId, by: Time) {
+    /// Limits the time by which the request of a connection's attempt may be written. An earlier deadline is kept.
+    pub(super) fn limit_forwarding(&mut self, id: ConnectionId, deadline: Time) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let is_pending = connection.phase == Phase::Connecting;
-        let Some(attempt) = connection.attempt.as_mut().filter(|a| is_pending && !a.forwarded) else {
+        let is_connecting = connection.phase == Phase::Connecting;
+        let attempt = connection.attempt.as_mut();
+        let Some(attempt) = attempt.filter(|attempt| is_connecting && !attempt.is_forwarded()) else {
             return;
         };
-        attempt.forward_by = Some(attempt.forward_by.map_or(by, |earlier| earlier.min(by)));
-        let due = connection.timer.map_or(by, |earlier| earlier.min(by));
-        self.set_timer(id, Some(due));
+        attempt.forwarding_deadline = Some(earliest(attempt.forwarding_deadline, deadline));
+        let timer = earliest(connection.timer, deadline);
+        self.set_timer(id, Some(timer));
     }
 
     /// All connections with an attempt at a pool's servers, by server and then by connection.
     pub(super) fn placed(&self, pool: PoolId) -> impl Iterator<Item = PlacedConnection> + '_ {
         let first = PoolServer { pool, server: ServerId(0) };
         let last = PoolServer { pool, server: ServerId(u32::MAX) };
-        self.by_server.range(first..=last).flat_map(|(place, connections)| {
-            let server = place.server;
+        self.by_server.range(first..=last).flat_map(|(&PoolServer { server, .. }, connections)| {
             connections.iter().map(move |&connection| PlacedConnection { connection, server })
         })
     }
 }
+
+/// The earlier of an optional deadline and another one.
+fn earliest(earlier: Option<Time>, deadline: Time) -> Time {
+    earlier.map_or(deadline, |earlier| earlier.min(deadline))
+}
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -1,4 +1,4 @@
-//! What the reducer wants done outside.
+//! Effects: what the reducer asks the driver to do outside of its state.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::peers::GossipMessage;
 use crate::{Micros, ServerId};
 
-/// One thing to do. Effects are carried out in the order in which they are returned.
+/// One action of the driver. Effects are executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Connect to a server and send the request.
@@ -21,8 +21,8 @@
         attempt: u32,
         /// The server's address.
         address: String,
-        /// How long the server may take, which it is sent along with the request.
-        wait: Micros,
+        /// How long the server may take to accept. The request carries it, too.
+        timeout: Micros,
     },
     /// Close the attempt in flight.
     CloseAttempt {
@@ -36,8 +36,8 @@
         /// The answer.
         answer: Answer,
     },
-    /// Read once more from a client whose handshake is over its time, and feed
-    /// [`super::Input::HandshakeTimedOut`] if there still is no request.
+    /// Read once more from a client whose handshake timeout has passed, and feed
+    /// [`super::Input::HandshakeTimedOut`] if there is no request.
     CheckHandshake {
         /// The connection.
         connection: ConnectionId,
@@ -49,7 +49,7 @@
     },
     /// Open or close the accept gate of the fronts.
     SetAccepting {
-        /// Whether connections are accepted from now on; else they wait in the listeners' queues.
+        /// Whether connections are accepted from now on. Otherwise they stay in the listeners' queues.
         open: bool,
     },
     /// Send an observation to the other balancers of the tier.
@@ -62,17 +62,17 @@
         server: ServerId,
         /// Its address.
         address: String,
-        /// Names under which its report may carry the load; the first that is there counts.
+        /// Names under which its report may carry the utilisation. The first one that the report contains is used.
         names: Vec<&'static str>,
-        /// How long to wait for the answer.
-        wait: Micros,
+        /// How long the connect and the answer may take together.
+        timeout: Micros,
     },
-    /// Watch a pool's endpoint list, starting with what was missed.
+    /// Resume the watch on a pool's endpoint list, beginning with the changes since the last answer.
     WatchEndpoints {
         /// The pool.
         pool: PoolId,
     },
-    /// Stop the watch and start one at another address, which begins with the whole list.
+    /// Stop the watch on a pool's endpoint list and start one at another address, which begins with a snapshot.
     WatchEndpointsAt {
         /// The pool.
         pool: PoolId,
@@ -96,7 +96,7 @@
         connection: ConnectionId,
         /// Its pool.
         pool: PoolId,
-        /// What the successor has to know of it.
+        /// The state with which the successor continues it.
         established: EstablishedConnection,
     },
     /// Send an exclusion or readmission to the peer process.
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -1,4 +1,23 @@
-//! Updates of the endpoint list, and what they mean for connections.
+//! Updates of the endpoint list, and the connections that they drain.
+//!
+//! The list in effect is derived anew after every change of one of its sources, in this order:
+//!
+//! 1. what discovery or the operator's file lists;
+//! 2. servers that the replicated map adds, where the pool uses it;
+//! 3. readmitted servers, which count as just started;
+//! 4. while a successor of a hot restart serves: servers that are warming up, which drain here. Each process would
+//!    otherwise fill them at the full rate of their slow start;
+//! 5. excluded servers, which drain or are removed. An exclusion neither adds a server nor makes one ready.
+//!
+//! The result goes to the balancer and to the rebalancer. Then connections leave servers that are not ready any more:
+//!
+//! - An attempt whose request is not written yet is closed, and the balancer retries the request elsewhere.
+//! - Connections at a server that is not listed any more are migrated at once.
+//! - Connections at a draining server are migrated one by one over the pool's `drain_duration`. Where that is zero,
+//!   servers redirect their clients themselves, except an excluded one, which does not know that it drains.
+//!
+//! The lists are kept by the pool ([`super::pool::ListedEndpoints`], [`super::endpoints::EndpointList`]); this module
+//! owns no state.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +27,14 @@
 use crate::rebalance::RebalanceEvent;
 use crate::{EndpointState, Event, Micros, Outcome, ServerId, Time};
 
-/// Keys of the replicated map that add a server to the list: the server's name follows.
+/// Prefix of the replicated map's keys that add a server to the list. The server's name follows.
 pub(super) const ENDPOINT_KEY_PREFIX: &str = "host/";
-/// The value of an exclusion that takes a server out of the list.
+/// The value of an exclusion that removes a server from the list. Any other value has it drain.
 const EXCLUSION_VALUE_GONE: &str = "gone";
-/// Where draining servers redirect their clients themselves, those of an excluded server are migrated over this
-/// time: it does not know that it is to drain.
+/// Time over which the clients of an excluded server are migrated, where draining servers redirect theirs themselves.
 const EXCLUSION_DRAIN_DURATION: Micros = Micros::from_millis(1200);
 
-/// Connections that are migrated over the same time.
+/// Connections that are migrated together: those of one server over one duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DrainGroup {
     server: ServerId,
@@ -24,6 +42,7 @@
 }
 
 impl State {
+    /// Handles an update that discovery sent or the operator's file holds.
     pub(super) fn on_endpoints_updated(
         &mut self,
         now: Time,
@@ -31,13 +50,13 @@
         is_snapshot: bool,
         endpoints: Vec<Endpoint>,
     ) {
-        // First, so that requests which the update takes off a server find a list that holds.
+        // Requests that the update takes from a server can be retried only while the list has not expired.
         self.confirm_endpoint_list(now, pool_id);
         self.apply_endpoint_update(now, pool_id, is_snapshot, endpoints);
         self.notify_rebalancer(now, pool_id, RebalanceEvent::EndpointListReceived);
     }
 
-    /// Puts a whole list in place, or applies a change of it.
+    /// Replaces a pool's list by a snapshot, or applies a delta to it.
     pub(super) fn apply_endpoint_update(
         &mut self,
         now: Time,
@@ -56,17 +75,17 @@
         }
     }
 
-    /// Makes a pool's endpoint list anew from what is listed, excluded and replicated, and drains the connections
-    /// of servers that are not ready by it.
+    /// Derives a pool's endpoint list from its sources, publishes it, and drains the connections of servers that are not
+    /// ready.
     pub(super) fn refresh_endpoints(&mut self, now: Time, pool_id: PoolId) {
         let mut endpoints = self.collect_listed_endpoints(pool_id);
-        self.exclusions.note_listed(endpoints.keys());
+        self.exclusions.record_listed(endpoints.keys());
         let excluded = self.excluded_servers();
         let pool = &mut self.pools[pool_id];
         let slow_start_duration = pool.slow_start_duration();
         pool.exclusions.replace(now, excluded, slow_start_duration);
         pool.exclusions.apply_readmissions(&mut endpoints);
-        self.leave_cold_servers_to_successor(now, pool_id, &mut endpoints);
+        self.drain_warming_servers(now, pool_id, &mut endpoints);
         self.apply_exclusions(pool_id, &mut endpoints);
         self.publish_endpoints(now, pool_id, endpoints);
         self.drain_connections(now, pool_id);
@@ -84,14 +103,8 @@
         endpoints
     }
 
-    /// While a successor serves, servers that warm up get no connections from here: two processes that each fill
-    /// them as fast as they bear would overload them.
-    fn leave_cold_servers_to_successor(
-        &self,
-        now: Time,
-        pool_id: PoolId,
-        endpoints: &mut BTreeMap<String, Endpoint>,
-    ) {
+    /// Has servers that are warming up drain while a successor serves, since the successor fills them.
+    fn drain_warming_servers(&self, now: Time, pool_id: PoolId, endpoints: &mut BTreeMap<String, Endpoint>) {
         if !self.hot_restart.successor_serves() {
             return;
         }
@@ -103,8 +116,7 @@
         }
     }
 
-    /// Has excluded servers drain, or takes them out. Only servers of this balancer's own list may be used, and none
-    /// that this list has draining: so nothing is added here, and nothing is made ready.
+    /// Has excluded servers drain, or removes them.
     fn apply_exclusions(&self, pool_id: PoolId, endpoints: &mut BTreeMap<String, Endpoint>) {
         for name in self.pools[pool_id].exclusions.excluded() {
             if self.replication.map().get(&exclusion_key(name)) == Some(EXCLUSION_VALUE_GONE) {
@@ -115,7 +127,7 @@
         }
     }
 
-    /// Puts the list in effect: here, in rebalancing and in the decision module.
+    /// Replaces the list in effect, and hands it to the rebalancer and the balancer.
     fn publish_endpoints(&mut self, now: Time, pool_id: PoolId, endpoints: BTreeMap<String, Endpoint>) {
         let pool = &mut self.pools[pool_id];
         let entries = pool.endpoints.replace(endpoints.into_values(), &pool.config.zones);
@@ -124,7 +136,7 @@
         self.dispatch(now, pool_id, Event::EndpointsReplaced(&entries));
     }
 
-    /// Connections with an attempt at a server that gets no new ones, by server and then by connection.
+    /// Connections with an attempt at a server that is not ready, by server and then by connection.
     pub(super) fn connections_at_unready_servers(
         &self,
         pool_id: PoolId,
@@ -133,7 +145,7 @@
         self.connections.placed(pool_id).filter(|placed| endpoints.get_ready(placed.server).is_none())
     }
 
-    /// Moves connections off servers that drain or are gone.
+    /// Retries or migrates the connections at servers that are not ready.
     fn drain_connections(&mut self, now: Time, pool_id: PoolId) {
         let placed: Vec<PlacedConnection> = self.connections_at_unready_servers(pool_id).collect();
         let mut groups: BTreeMap<DrainGroup, Vec<ConnectionId>> = BTreeMap::new();
@@ -147,7 +159,8 @@
         }
     }
 
-    /// Does at once what cannot wait, and returns the group with which the connection is to migrate otherwise.
+    /// Retries or migrates a connection at once where it must not stay, or else returns the group with which it is
+    /// migrated gradually, if it is.
     fn drain_connection(
         &mut self,
         now: Time,
@@ -157,8 +170,8 @@
     ) -> Option<DrainGroup> {
         let connection = self.connections.get(id)?;
         match connection.phase {
-            // What is not written yet must not reach a server that drains.
-            Phase::Connecting if connection.attempt().is_some_and(|attempt| !attempt.forwarded) => {
+            // A draining server must not receive new requests.
+            Phase::Connecting if connection.attempt().is_some_and(|attempt| !attempt.is_forwarded()) => {
                 self.effects.push(Effect::CloseAttempt { connection: id });
                 self.on_attempt_failed(now, id, Outcome::NotSent);
                 None
@@ -175,7 +188,7 @@
         }
     }
 
-    /// Over which time a draining server's connections are migrated; none where it redirects them itself.
+    /// The time over which a draining server's connections are migrated. `None` where it redirects them itself.
     fn drain_duration(&self, pool_id: PoolId, server: ServerId) -> Option<Micros> {
         let pool = &self.pools[pool_id];
         match pool.config.drain_duration {
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,4 +1,16 @@
-//! Established connections: what passes over them, what their servers report, and their migration.
+//! Established connections: silence of their servers, load reports, and migration.
+//!
+//! - **Silence.** A server that fails may close nothing, and its clients would wait without end. From the first line
+//!   without an answer on, a server has the pool's `server_silence_timeout`, after which the connection is migrated and
+//!   the server's fault is reported to the balancer. The timer is not moved with each line: where it fires too early,
+//!   it is set again.
+//! - **Load reports.** A value is the connection's load or the server's message time ([`super::load_reports`]). Either
+//!   is recorded, and goes to the rebalancer and the balancer; a message time also goes to the other balancers by
+//!   gossip.
+//! - **Migration.** The client is asked to reconnect and both sides are closed. Several connections are migrated one by
+//!   one at equal intervals, since all of them at once would overload the other servers.
+//!
+//! The connections are kept in the connection table; this module owns no state.
 
 use super::dispatch::request_id;
 use super::{Answer, ConnectionId, PoolId, State};
@@ -9,13 +21,14 @@
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
 impl State {
-    /// A line went to the server: from the first one without an answer on, its silence counts.
+    /// Records when the earliest line without an answer was forwarded.
     pub(super) fn on_line_forwarded(&mut self, now: Time, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.awaiting_server_since.get_or_insert(now);
         }
     }
 
+    /// Records that the server has sent something, which counts as its answer to all lines before.
     pub(super) fn on_server_activity(&mut self, id: ConnectionId) {
         if self.connections.get_established(id).is_none() {
             return;
@@ -25,24 +38,25 @@
         }
     }
 
+    /// Records a load report and hands it to the balancer.
     pub(super) fn on_load_reported(&mut self, now: Time, id: ConnectionId, value: f64) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
-        // A single value that is not a number, or negative, would spoil the means for good.
+        // Running means would never recover from a value that is negative or not a number.
         if !(value.is_finite() && value >= 0.0) {
             return;
         }
         let pool_id = connection.pool;
         let pool = &self.pools[pool_id];
         let measurement = if pool.load_reports.is_message_time(now, attempt.server, value, &pool.config) {
-            self.take_message_time(now, pool_id, attempt.server, value)
+            self.record_message_time(now, pool_id, attempt.server, value)
         } else {
-            self.take_load(now, pool_id, id, value)
+            self.record_load(now, pool_id, id, value)
         };
         self.dispatch(now, pool_id, Event::ConnectionMeasured { request: request_id(id), measurement });
     }
 
-    fn take_message_time(
+    fn record_message_time(
         &mut self,
         now: Time,
         pool_id: PoolId,
@@ -51,13 +65,14 @@
     ) -> Measurement {
         let pool = &mut self.pools[pool_id];
         pool.load_reports.add_message_time(now, server, message_time_ms);
-        let took = Micros::from_f64(message_time_ms.max(0.0) * MICROS_PER_MILLISECOND);
-        pool.rebalance.on_event(now, RebalanceEvent::MessageTimeReported { server, took });
-        self.broadcast_observation(now, pool_id, Observation::SlowServer(server, took));
-        Measurement::MessageTime(took)
+        let message_time = Micros::from_f64(message_time_ms.max(0.0) * MICROS_PER_MILLISECOND);
+        let event = RebalanceEvent::MessageTimeReported { server, took: message_time };
+        pool.rebalance.on_event(now, event);
+        self.broadcast_observation(now, pool_id, Observation::SlowServer(server, message_time));
+        Measurement::MessageTime(message_time)
     }
 
-    fn take_load(&mut self, now: Time, pool_id: PoolId, id: ConnectionId, load: f64) -> Measurement {
+    fn record_load(&mut self, now: Time, pool_id: PoolId, id: ConnectionId, load: f64) -> Measurement {
         let pool = &mut self.pools[pool_id];
         pool.load_reports.add_load(load);
         pool.rebalance.on_event(now, RebalanceEvent::LoadReported { connection: id, load });
@@ -67,41 +82,42 @@
         Measurement::Load(load)
     }
 
-    /// Sets an established connection's timer: for its migration, or for the silence of its server.
+    /// Sets an established connection's timer to its migration or the end of its server's silence timeout, whichever
+    /// comes first.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let max_silence = self.pools[connection.pool].config.server_silence_timeout;
-        let silent_from = connection.awaiting_server_since.unwrap_or(now);
-        let silent_until = (max_silence > Micros::ZERO).then(|| silent_from.plus(max_silence));
-        let due = connection.migrate_at.into_iter().chain(silent_until).min();
-        self.connections.set_timer(id, due);
+        let silence_timeout = self.pools[connection.pool].config.server_silence_timeout;
+        let silent_since = connection.awaiting_server_since.unwrap_or(now);
+        let silence_deadline = (silence_timeout > Micros::ZERO).then(|| silent_since.plus(silence_timeout));
+        let deadline = connection.migrate_at.into_iter().chain(silence_deadline).min();
+        self.connections.set_timer(id, deadline);
     }
 
+    /// Migrates a connection whose time has come, or whose server has been silent for too long.
     pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let max_silence = self.pools[connection.pool].config.server_silence_timeout;
-        // A server that vanished closes nothing: its clients would wait for ever.
-        let is_silent = max_silence > Micros::ZERO
-            && connection.awaiting_server_since.is_some_and(|since| since.plus(max_silence) <= now);
-        let is_to_migrate = connection.migrate_at.is_some_and(|at| at <= now);
-        if is_silent {
+        let silence_timeout = self.pools[connection.pool].config.server_silence_timeout;
+        let is_server_silent = silence_timeout > Micros::ZERO
+            && connection.awaiting_server_since.is_some_and(|since| since.plus(silence_timeout) <= now);
+        let is_migration_time = connection.migrate_at.is_some_and(|at| at <= now);
+        if is_server_silent {
             self.migrate(now, id, Outcome::Reset);
-        } else if is_to_migrate {
+        } else if is_migration_time {
             self.migrate(now, id, Outcome::Cancelled);
         } else {
             self.schedule_established_timer(now, id);
         }
     }
 
-    /// Has the client reconnect, and closes both sides.
+    /// Asks a client to reconnect, and closes both sides. `outcome` is what the balancer counts for the server.
     pub(super) fn migrate(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         self.send_answer(now, id, Answer::Migrated);
         self.notify_interrupted(now, id);
         self.end_connection(now, id, outcome);
     }
 
-    /// Has connections migrate one by one, starting after `delay` and spread over `duration`: all at once would
-    /// overload the other servers. Those that are to migrate sooner already do.
+    /// Schedules the migration of connections at equal intervals within `duration`, which begins after `delay`. A
+    /// connection whose migration is scheduled for an earlier time keeps that time.
     pub(super) fn migrate_gradually(
         &mut self,
         now: Time,
@@ -113,8 +129,8 @@
         for (index, &id) in connections.iter().enumerate() {
             let migrate_at = now.plus(delay + interval * index as u64 + interval / 2);
             let Some(connection) = self.connections.get_mut(id) else { continue };
-            let earliest = connection.migrate_at.map_or(migrate_at, |earlier| earlier.min(migrate_at));
-            connection.migrate_at = Some(earliest);
+            let scheduled = connection.migrate_at.map_or(migrate_at, |earlier| earlier.min(migrate_at));
+            connection.migrate_at = Some(scheduled);
             self.schedule_established_timer(now, id);
         }
     }
--- a/src/routing/exclusions.rs
+++ b/src/routing/exclusions.rs
@@ -1,16 +1,30 @@
-//! Servers that an operator excluded: the names that count, and what an exclusion means for each pool.
+//! Exclusions: servers that an operator takes out of use, and readmits later.
+//!
+//! An excluded server gets no new connections and its clients are migrated ([`super::endpoint_updates`]), whatever the
+//! endpoint list says of it. Where the exclusions are kept:
+//!
+//! - with a replicated map, in the map, so that one call holds at all nodes;
+//! - without one, in [`OperatorExclusions`], which is persisted in a file and shared with the peer process of a hot
+//!   restart.
+//!
+//! An operator may name any server that was ever listed, so that one can be excluded while it is not listed, but not an
+//! arbitrary name, which would mostly be a misspelling.
+//!
+//! [`PoolExclusions`] owns the exclusions in effect at one pool, and the servers that were readmitted within the last
+//! slow start. A readmitted server counts as started at its readmission. It has mostly restarted, which the endpoint
+//! list may not show yet, and must then be filled no faster than any server that is warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Effect, Endpoint, LogEvent, State};
+use super::store::WriteError;
+use super::{Effect, Endpoint, LogEvent, Readmission, State};
 use crate::{Micros, Time};
 
-/// Keys of the replicated map that exclude a server: the server's name follows.
+/// Prefix of the replicated map's keys that exclude a server. The server's name follows.
 pub(super) const EXCLUSION_KEY_PREFIX: &str = "life/";
-/// The value with which an operator's exclusion is written: the server gets no new connections.
+/// The value of an operator's exclusion in the replicated map: the server drains.
 const EXCLUSION_VALUE_DRAINING: &str = "draining";
-/// Names kept of servers that were ever listed: where servers come and go under ever new names, all of them would
-/// fill the memory.
+/// The number of server names that are remembered. Servers may come and go under ever new names.
 const MAX_SERVER_NAMES: usize = 20_000;
 
 /// The key that excludes a server in the replicated map.
@@ -18,7 +32,7 @@
     format!("{EXCLUSION_KEY_PREFIX}{server}")
 }
 
-/// The servers that an operator excluded where no replicated map holds that, and the names that an operator may use.
+/// The servers that an operator excluded without a replicated map, and the names that an operator may use.
 #[derive(Default)]
 pub(super) struct OperatorExclusions {
     excluded: BTreeSet<String>,
@@ -27,6 +41,7 @@
 }
 
 impl OperatorExclusions {
+    /// Names of the excluded servers, sorted.
     pub(super) fn names(&self) -> Vec<String> {
         self.excluded.iter().cloned().collect()
     }
@@ -35,13 +50,14 @@
         self.ever_listed.iter().cloned().collect()
     }
 
-    /// Adds what an earlier process knew.
+    /// Adds the exclusions and names of an earlier process.
     pub(super) fn import(&mut self, excluded: Vec<String>, ever_listed: Vec<String>) {
         self.excluded.extend(excluded);
         self.ever_listed.extend(ever_listed);
     }
 
-    pub(super) fn note_listed<'a>(&mut self, names: impl Iterator<Item = &'a String>) {
+    /// Records that servers of these names are listed.
+    pub(super) fn record_listed<'a>(&mut self, names: impl Iterator<Item = &'a String>) {
         if self.ever_listed.len() > MAX_SERVER_NAMES {
             self.ever_listed.clear();
         }
@@ -52,7 +68,7 @@
         self.ever_listed.contains(server)
     }
 
-    /// Returns whether that is a change.
+    /// Excludes or readmits a server. Returns whether that is a change.
     fn set(&mut self, server: &str, excluded: bool) -> bool {
         if excluded {
             self.excluded.insert(server.to_owned())
@@ -66,7 +82,7 @@
 #[derive(Default)]
 pub(super) struct PoolExclusions {
     excluded: BTreeSet<String>,
-    /// Servers that were excluded, and when they were readmitted, as long as they count as warming up for that.
+    /// When each server was readmitted that still counts as warming up for its readmission.
     readmitted: BTreeMap<String, Time>,
 }
 
@@ -79,23 +95,24 @@
         self.excluded.iter()
     }
 
-    pub(super) fn readmitted(&self) -> Vec<(String, Time)> {
-        self.readmitted.iter().map(|(name, &at)| (name.clone(), at)).collect()
+    pub(super) fn readmitted(&self) -> Vec<Readmission> {
+        self.readmitted.iter().map(|(name, &at)| Readmission { server: name.clone(), at }).collect()
     }
 
-    pub(super) fn import_readmitted(&mut self, readmitted: &[(String, Time)]) {
-        self.readmitted.extend(readmitted.iter().cloned());
+    /// Adds the readmissions of an earlier process.
+    pub(super) fn import_readmitted(&mut self, readmitted: &[Readmission]) {
+        let added = readmitted.iter().cloned();
+        self.readmitted.extend(added.map(|Readmission { server, at }| (server, at)));
     }
 
-    /// Puts these exclusions in place of the old ones; servers that are not excluded any more are readmitted now.
+    /// Replaces the exclusions. Servers that are not excluded any more are readmitted now.
     pub(super) fn replace(&mut self, now: Time, excluded: BTreeSet<String>, slow_start_duration: Micros) {
         self.readmitted.extend(self.excluded.difference(&excluded).map(|name| (name.clone(), now)));
         self.readmitted.retain(|name, at| now.since(*at) < slow_start_duration && !excluded.contains(name));
         self.excluded = excluded;
     }
 
-    /// Has readmitted servers warm up. A server that was excluded has mostly restarted, which the list may not show
-    /// yet: what was learned of it before is of no use, and it must not be filled faster than a cold one.
+    /// Has readmitted servers count as started when they were readmitted, unless they have started since.
     pub(super) fn apply_readmissions(&self, endpoints: &mut BTreeMap<String, Endpoint>) {
         for (name, &at) in &self.readmitted {
             if let Some(endpoint) = endpoints.get_mut(name) {
@@ -106,7 +123,7 @@
 }
 
 impl State {
-    /// The names of all servers that are excluded, by the operator at this process or in the replicated map.
+    /// The names of all excluded servers: those of this process and those in the replicated map.
     pub(super) fn excluded_servers(&self) -> BTreeSet<String> {
         let mut excluded = self.exclusions.excluded.clone();
         let replicated = self.replication.map().with_prefix(EXCLUSION_KEY_PREFIX);
@@ -120,9 +137,18 @@
             || self.pools.iter().any(|pool| pool.exclusions.contains(server))
     }
 
-    /// Excludes or readmits a server; false if the replicated map has no room for that.
-    pub(super) fn set_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> bool {
-        if self.replication.is_on() {
+    /// Excludes or readmits a server.
+    ///
+    /// # Errors
+    ///
+    /// The replicated map cannot take the entry.
+    pub(super) fn set_exclusion(
+        &mut self,
+        now: Time,
+        server: &str,
+        excluded: bool,
+    ) -> Result<(), WriteError> {
+        if self.replication.is_enabled() {
             return self.write_exclusion(now, server, excluded);
         }
         if self.exclusions.set(server, excluded) {
@@ -134,22 +160,27 @@
             self.persist_exclusions();
             self.refresh_all_endpoints(now);
         }
-        true
+        Ok(())
     }
 
-    fn write_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> bool {
+    /// Writes an exclusion or readmission to the replicated map, if it is a change.
+    fn write_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> Result<(), WriteError> {
         let key = exclusion_key(server);
         let is_excluded = self.replication.map().get(&key).is_some();
-        is_excluded == excluded || self.write_entry(now, &key, excluded.then_some(EXCLUSION_VALUE_DRAINING))
+        if is_excluded == excluded {
+            return Ok(());
+        }
+        self.write_entry(now, &key, excluded.then_some(EXCLUSION_VALUE_DRAINING))
     }
 
+    /// Has the exclusions of this process stored on disk.
     pub(super) fn persist_exclusions(&mut self) {
         self.effects.push(Effect::PersistExclusions(self.exclusions.names()));
     }
 
-    /// An operator excluded or readmitted a server at the peer process.
+    /// Applies an exclusion or readmission that an operator made at the peer process.
     pub(super) fn on_exclusion_shared(&mut self, now: Time, server: &str, excluded: bool) {
-        // The operator is answered by the peer process: there is nobody here to report a full map to.
+        // The peer process replies to the operator, and reports a full map if its own is full.
         let _ = self.set_exclusion(now, server, excluded);
     }
 }
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -1,20 +1,29 @@
-//! Capacity for clients that connect: connections without an attempt use up descriptors, so they are limited.
+//! Admission at the sockets: how many connections without an attempt may be open, and when the fronts accept.
+//!
+//! Owns the limits of all fronts ([`Budget`]) and the set of pending connections: those that have sent no request yet,
+//! and those that are answered but whose sockets are not closed yet. Each of them uses a descriptor of the process and
+//! nothing that limits admitted connections applies to it, so clients that connect without a request could use up all
+//! descriptors.
+//!
+//! Rule: while fewer than `Budget::pending` connections are pending, less what the predecessor of a hot restart still
+//! uses, the fronts accept. At the limit, the oldest pending connection is aborted once it is [`MIN_PENDING_TIME`] old.
+//! While all are younger, the accept gate is closed and new clients stay in the listeners' queues.
 
 use std::collections::BTreeMap;
 
 use super::{Budget, ConnectionId, Effect, State};
 use crate::{Micros, Time};
 
-/// At the limit, a connection without an attempt may be aborted after this time: a client that means to send its
-/// request does so at once, but the line has to arrive.
+/// The age from which a pending connection may be aborted at the limit. A client that means to send a request does so
+/// at once, but its line needs time to arrive.
 const MIN_PENDING_TIME: Micros = Micros::from_millis(100);
 
 /// The limits of all fronts, and the connections that have no attempt.
 pub(super) struct FrontAdmission {
     budget: Budget,
-    /// Connections that have sent no request yet, or are ended and not yet closed; since when.
+    /// Connections without a request, and ended ones whose sockets are open; since when each is pending.
     pending: BTreeMap<ConnectionId, Time>,
-    /// While the accept gate is closed: when there may be room again.
+    /// While the accept gate is closed: when the oldest pending connection may be aborted.
     gate_closed_until: Option<Time>,
 }
 
@@ -40,12 +49,12 @@
         self.budget = budget;
     }
 
-    /// Notes that a connection has no attempt from now on.
+    /// Records that a connection has no attempt from now on.
     pub(super) fn add_pending(&mut self, now: Time, id: ConnectionId) {
         self.pending.insert(id, now);
     }
 
-    /// Notes that a connection was admitted, transferred or closed.
+    /// Records that a connection was admitted, transferred or closed.
     pub(super) fn remove_pending(&mut self, id: ConnectionId) {
         self.pending.remove(&id);
     }
@@ -54,17 +63,17 @@
         self.pending.len()
     }
 
-    /// When there may be room again, while there is none.
+    /// While the accept gate is closed: when it is checked again.
     pub(super) fn gate_closed_until(&self) -> Option<Time> {
         self.gate_closed_until
     }
 
-    pub(super) fn has_capacity(&self) -> bool {
+    pub(super) fn is_gate_open(&self) -> bool {
         self.gate_closed_until.is_none()
     }
 
-    /// Looks for room, given how many descriptors a peer process uses.
-    fn check_capacity(&self, now: Time, borrowed_descriptors: usize) -> Capacity {
+    /// Whether one more connection fits, given how many descriptors a predecessor uses of this process's share.
+    fn capacity(&self, now: Time, borrowed_descriptors: usize) -> Capacity {
         if self.pending.len() + borrowed_descriptors < self.budget.pending {
             return Capacity::Available;
         }
@@ -80,19 +89,17 @@
 }
 
 impl State {
-    /// Makes room for the next connection. Hundreds of clients that connect without a request, or do not close
-    /// when they are answered, would use up the descriptors: the oldest of them is aborted, and while all are too
-    /// recent for that, the accept gate is closed.
+    /// Aborts the oldest pending connections until the next client fits, and opens or closes the accept gate.
     pub(super) fn evict_idle_connection(&mut self, now: Time) {
-        let borrowed = self.hot_restart.borrowed_descriptors(self.admission.budget);
+        let borrowed_descriptors = self.hot_restart.borrowed_descriptors(self.admission.budget);
         let closed_until = loop {
-            match self.admission.check_capacity(now, borrowed) {
+            match self.admission.capacity(now, borrowed_descriptors) {
                 Capacity::Available => break None,
                 Capacity::NotBefore(time) => break Some(time),
                 Capacity::AfterAborting(id) => self.abort_connection(now, id),
             }
         };
-        if closed_until.is_some() == self.admission.has_capacity() {
+        if closed_until.is_some() == self.admission.is_gate_open() {
             let open = closed_until.is_none() && !self.hot_restart.successor_accepts();
             self.effects.push(Effect::SetAccepting { open });
         }
@@ -100,12 +107,12 @@
     }
 
     fn abort_connection(&mut self, now: Time, id: ConnectionId) {
-        self.release(now, id);
+        self.remove_connection(now, id);
         self.admission.remove_pending(id);
         self.effects.push(Effect::AbortConnection { connection: id });
     }
 
-    /// All sockets of a connection are closed.
+    /// Handles the end of a connection's last socket.
     pub(super) fn on_sockets_closed(&mut self, now: Time, id: ConnectionId) {
         self.admission.remove_pending(id);
         self.evict_idle_connection(now);
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -1,5 +1,19 @@
-//! Hot restart: a successor process takes over from its predecessor. What one exports the other imports, and what
-//! an operator changes meanwhile both have to know.
+//! Hot restart: a successor process takes over sockets, state and established connections from its predecessor.
+//!
+//! Owns which peer process there is, and the admin clients whose reply waits for its acknowledgement. The steps:
+//!
+//! 1. The successor requests the predecessor's state. The predecessor stops accepting, since connections that it accepted
+//!    later would be missing from what it exports, and exports a [`HandoverState`].
+//! 2. The successor imports it, listens, and reports that it serves.
+//! 3. The predecessor transfers each established connection, and each other one as soon as it is established. From then
+//!    on only the successor fills servers that are warming up ([`super::endpoint_updates`]).
+//! 4. While both processes live, an exclusion made at either is shared with the other. The operator's reply waits for
+//!    the acknowledgement, for at most [`ACKNOWLEDGEMENT_TIMEOUT`].
+//! 5. When the link to the peer process ends, a predecessor accepts again, and a successor has all descriptors and
+//!    request ids to itself.
+//!
+//! While the predecessor lives, its sockets use descriptors of the limit that both processes share, so the successor
+//! accepts fewer pending connections.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +26,26 @@
 };
 use crate::{Event, GroupId, Measurement, Micros, Outcome, ServerId, Time};
 
-/// How long a reply to an admin client waits for the peer process: it is due within 1 s.
+/// The longest wait of an admin client's reply for the peer process. Admin clients expect a reply within 1 s.
 const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros::from_millis(500);
 
-/// The other process, while there are two.
+/// The other process of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PeerProcess {
-    /// It has requested this process's state and does not serve yet.
+    /// Has requested this process's state and does not serve yet.
     StartingSuccessor,
-    /// It serves in this process's place.
+    /// Serves in this process's place.
     Successor,
-    /// It served before this process, and still uses descriptors, which this process may use the fewer of.
+    /// Served before this process. Its connections without an attempt used this many descriptors when it exported its
+    /// state.
     Predecessor { open_descriptors: usize },
 }
 
-/// The peer process, and the admin clients whose reply waits for it.
+/// The peer process, and the admin clients whose reply waits for its acknowledgement.
 #[derive(Default)]
 pub(super) struct HotRestart {
     peer_process: Option<PeerProcess>,
-    /// Until when each reply waits.
+    /// When the wait of each reply ends.
     pending_acknowledgements: BTreeMap<AdminClientId, Time>,
 }
 
@@ -43,13 +58,13 @@
         self.peer_process == Some(PeerProcess::Successor)
     }
 
-    /// Whether a successor accepts what connects, or is about to.
+    /// Whether a successor accepts new connections, or is about to.
     pub(super) fn successor_accepts(&self) -> bool {
         matches!(self.peer_process, Some(PeerProcess::StartingSuccessor | PeerProcess::Successor))
     }
 
-    /// How many descriptors of this process's share a predecessor uses. At most three quarters of those for
-    /// connections that wait: with all of them in use no client could connect.
+    /// How many descriptors for pending connections a predecessor uses. At most three quarters of the budget are counted,
+    /// so that clients can connect at this process in any case.
     pub(super) fn borrowed_descriptors(&self, budget: Budget) -> usize {
         match self.peer_process {
             Some(PeerProcess::Predecessor { open_descriptors }) => {
@@ -59,28 +74,27 @@
         }
     }
 
-    /// When the next reply stops waiting.
+    /// When the wait of the next reply ends.
     pub(super) fn next_acknowledgement_timeout(&self) -> Option<Time> {
         self.pending_acknowledgements.values().copied().min()
     }
 
-    /// The admin clients whose reply waits.
-    fn waiting_admin_clients(&self) -> Vec<AdminClientId> {
+    /// The admin clients whose reply waits for an acknowledgement.
+    fn pending_admin_clients(&self) -> Vec<AdminClientId> {
         self.pending_acknowledgements.keys().copied().collect()
     }
 
-    /// The admin clients whose reply has waited long enough.
-    fn overdue_admin_clients(&self, now: Time) -> Vec<AdminClientId> {
-        let overdue = self.pending_acknowledgements.iter().filter(|(_, timeout)| **timeout <= now);
-        overdue.map(|(&admin_client, _)| admin_client).collect()
+    /// The admin clients whose wait for an acknowledgement has ended.
+    fn timed_out_admin_clients(&self, now: Time) -> Vec<AdminClientId> {
+        let timed_out = self.pending_acknowledgements.iter().filter(|(_, deadline)| **deadline <= now);
+        timed_out.map(|(&admin_client, _)| admin_client).collect()
     }
 }
 
-// ---- At the process that is replaced ----
+// ---- At the predecessor ----
 
 impl State {
-    /// A successor requests this process's state. Until it serves nothing is accepted here, or the state would be
-    /// out of date.
+    /// Stops accepting and exports this process's state to a successor.
     pub(super) fn on_successor_started(&mut self) {
         self.hot_restart.peer_process = Some(PeerProcess::StartingSuccessor);
         let state = self.export_state();
@@ -95,11 +109,11 @@
             ever_listed: self.exclusions.names_ever_listed(),
             entries: self.replication.entries(),
             pools: pools.collect(),
-            left: self.admission.pending_count(),
+            open_descriptors: self.admission.pending_count(),
         }
     }
 
-    /// The successor serves: established connections are transferred to it, and cold servers are its to fill.
+    /// Transfers all established connections to the successor, which serves from now on.
     pub(super) fn on_successor_ready(&mut self, now: Time) {
         if self.hot_restart.peer_process != Some(PeerProcess::StartingSuccessor) {
             return;
@@ -112,7 +126,7 @@
         }
     }
 
-    /// Transfers a connection to the successor, if it serves and the connection is established.
+    /// Transfers a connection to the successor, if that serves and the connection is established.
     pub(super) fn transfer_connection(&mut self, id: ConnectionId) {
         if !self.hot_restart.successor_serves() {
             return;
@@ -130,14 +144,19 @@
         self.effects.push(Effect::TransferConnection { connection: id, pool, established });
     }
 
-    /// A connection's sockets are with the successor: nothing of it is left here, and it has not ended.
+    /// Removes a connection whose sockets the successor has. It goes on there, so it counts as neither ended nor failed.
     pub(super) fn on_connection_transferred(&mut self, now: Time, id: ConnectionId) {
         let Some(pool) = self.connections.pool_of(id) else { return };
-        let attempt = self.release(now, id);
+        let attempt = self.remove_connection(now, id);
         self.admission.remove_pending(id);
         if let Some(attempt) = attempt {
-            let (request, attempt, outcome) = (request_id(id), attempt.number, Outcome::Cancelled);
-            self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered: true });
+            let event = Event::AttemptEnded {
+                request: request_id(id),
+                attempt: attempt.number,
+                outcome: Outcome::Cancelled,
+                answered: true,
+            };
+            self.dispatch(now, pool, event);
         }
     }
 }
@@ -145,9 +164,11 @@
 // ---- At the successor ----
 
 impl State {
-    /// Takes in what the predecessor knew.
+    /// Imports the predecessor's state. What was learned of servers comes last, since the balancer keeps it for listed
+    /// servers only.
     pub(super) fn import_state(&mut self, now: Time, state: HandoverState) {
-        self.hot_restart.peer_process = Some(PeerProcess::Predecessor { open_descriptors: state.left });
+        let open_descriptors = state.open_descriptors;
+        self.hot_restart.peer_process = Some(PeerProcess::Predecessor { open_descriptors });
         self.exclusions.import(state.excluded_by_operator, state.ever_listed);
         self.replication.import_entries(state.entries);
         self.persist_exclusions();
@@ -160,7 +181,7 @@
         }
     }
 
-    /// An established connection arrived from the predecessor, and goes on here.
+    /// Continues an established connection that the predecessor transferred.
     pub(super) fn on_connection_received(
         &mut self,
         now: Time,
@@ -180,13 +201,13 @@
         }
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, None);
-        // If its server drains or is gone, so must the connection.
+        // The connection has to leave a server that drains or is not listed, as the others there did.
         if !was_listed || self.pools[pool_id].endpoints.get_ready(server).is_none() {
             self.refresh_endpoints(now, pool_id);
         }
     }
 
-    /// Adds a transferred connection to the table, and returns what the decision module has to know of its request.
+    /// Adds a transferred connection to the table, and returns what the balancer needs to know of its request.
     fn insert_received_connection(
         &mut self,
         now: Time,
@@ -197,7 +218,8 @@
     ) -> RequestProfile {
         let config = &self.pools[pool_id].config;
         let request = established.request;
-        // The predecessor admitted it: a class that is not configured here is counted nowhere, but served.
+        // The predecessor admitted the connection, so it is served even if its class is not configured here. It is then
+        // counted in no class.
         let class = config.class_id(&request.class);
         let tenant = request.tenant.as_deref().and_then(|name| config.tenant_id(name));
         let profile = RequestProfile {
@@ -213,12 +235,18 @@
         connection.attempts = 1;
         connection.awaiting_server_since = established.awaiting_server_since;
         self.connections.insert(id, connection);
-        let attempt =
-            Attempt { number: 0, server, forwarded: true, since: now, accept_by: now, forward_by: None };
+        let attempt = Attempt {
+            number: 0,
+            server,
+            forwarded_at: Some(now),
+            acceptance_deadline: now,
+            forwarding_deadline: None,
+        };
         self.connections.begin_attempt(id, attempt);
         profile
     }
 
+    /// Reports a transferred connection to the balancer.
     fn restore_in_balancer(
         &mut self,
         now: Time,
@@ -233,7 +261,7 @@
         self.dispatch(now, pool_id, event);
     }
 
-    /// Takes in the load that a transferred connection's server reported last.
+    /// Records the load that a transferred connection's server reported last.
     fn restore_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.load = Some(load);
@@ -244,10 +272,10 @@
     }
 }
 
-// ---- At both ----
+// ---- At both processes ----
 
 impl State {
-    /// Has the reply to an admin client wait until the peer process has taken in an exclusion.
+    /// Shares an exclusion with the peer process. The admin client's reply waits for the acknowledgement.
     pub(super) fn share_exclusion(
         &mut self,
         now: Time,
@@ -255,29 +283,29 @@
         server: String,
         excluded: bool,
     ) {
-        let timeout = now.plus(ACKNOWLEDGEMENT_TIMEOUT);
-        self.hot_restart.pending_acknowledgements.insert(admin_client, timeout);
+        let deadline = now.plus(ACKNOWLEDGEMENT_TIMEOUT);
+        self.hot_restart.pending_acknowledgements.insert(admin_client, deadline);
         self.effects.push(Effect::ShareExclusion { admin_client, server, excluded });
     }
 
-    /// The peer process has taken in an exclusion, or will not.
+    /// Replies to an admin client whose exclusion the peer process has applied, or whose wait for that has ended.
     pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
         if self.hot_restart.pending_acknowledgements.remove(&admin_client).is_some() {
             self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
         }
     }
 
-    /// An operator gets a reply in time, whether the peer process has acknowledged or not.
-    pub(super) fn reply_to_overdue_admin_clients(&mut self, now: Time) {
-        for admin_client in self.hot_restart.overdue_admin_clients(now) {
+    /// Replies to admin clients whose wait has ended. The exclusion holds at this process.
+    pub(super) fn reply_to_timed_out_admin_clients(&mut self, now: Time) {
+        for admin_client in self.hot_restart.timed_out_admin_clients(now) {
             self.on_exclusion_acknowledged(admin_client);
         }
     }
 
-    /// The peer process is gone, for whatever reason.
+    /// Handles the end of the peer process or of the link to it.
     pub(super) fn on_peer_process_lost(&mut self, now: Time) {
         let peer_process = self.hot_restart.peer_process.take();
-        for admin_client in self.hot_restart.waiting_admin_clients() {
+        for admin_client in self.hot_restart.pending_admin_clients() {
             self.on_exclusion_acknowledged(admin_client);
         }
         match peer_process {
@@ -287,14 +315,14 @@
         }
     }
 
-    /// This process serves again.
+    /// Serves again in place of the successor.
     fn on_successor_lost(&mut self, now: Time) {
         self.effects.push(Effect::Log(LogEvent::SuccessorLost));
-        self.effects.push(Effect::SetAccepting { open: self.admission.has_capacity() });
+        self.effects.push(Effect::SetAccepting { open: self.admission.is_gate_open() });
         self.refresh_all_endpoints(now);
     }
 
-    /// What the predecessor had open is open nowhere any more, and its descriptors are free.
+    /// Releases the request ids and descriptors that the predecessor used.
     fn on_predecessor_lost(&mut self, now: Time) {
         for pool in &mut self.pools {
             pool.admitted.forget_predecessor();
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -1,4 +1,4 @@
-//! What happens outside of the reducer.
+//! Inputs: what happened outside of the reducer. Each has one handler, `State::on_…`.
 
 use std::net::SocketAddr;
 
@@ -28,12 +28,13 @@
         /// What it requested.
         request: ConnectionRequest,
     },
-    /// All that the client has sent was read, and there was no request: see [`super::Effect::CheckHandshake`].
+    /// All that a client has sent was read after its handshake timeout, and there was no request: see
+    /// [`super::Effect::CheckHandshake`].
     HandshakeTimedOut {
         /// The connection.
         connection: ConnectionId,
     },
-    /// A client left.
+    /// A client closed its connection.
     ClientDisconnected {
         /// The connection.
         connection: ConnectionId,
@@ -50,7 +51,7 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The server accepted: lines are forwarded both ways from here on.
+    /// The server accepted an attempt. Lines are relayed in both directions from now on.
     AttemptAccepted {
         /// The connection.
         connection: ConnectionId,
@@ -66,7 +67,7 @@
         /// How it ended.
         end: AttemptOutcome,
     },
-    /// A line went to the server of an established connection.
+    /// A client's line was forwarded to the server of an established connection.
     LineForwarded {
         /// The connection.
         connection: ConnectionId,
@@ -80,31 +81,31 @@
     LoadReported {
         /// The connection.
         connection: ConnectionId,
-        /// Its load in microseconds of work a second; or, where the settings have servers report that, the
-        /// milliseconds that a message takes there.
+        /// The connection's load in microseconds of work a second. Where the settings have servers report that, it may
+        /// also be the time that a message takes at the server, in milliseconds.
         load: f64,
     },
-    /// What an earlier process stored was read back.
+    /// The state that an earlier process stored was read.
     StateRestored {
         /// Entries of the replicated map, by key.
         entries: Vec<(String, Entry)>,
-        /// Servers excluded by an operator, where no replicated map holds that.
+        /// Names of servers that an operator excluded without a replicated map.
         excluded_by_operator: Vec<String>,
     },
-    /// An endpoint list from before the start, which may be out of date.
+    /// An endpoint list of before the start was read. It may be out of date.
     CachedEndpoints {
         /// The pool.
         pool: PoolId,
         /// All servers of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// Discovery sent an endpoint list or a change of it.
+    /// Discovery sent an update of an endpoint list, or the operator's file was read.
     EndpointsUpdated {
         /// The pool.
         pool: PoolId,
-        /// Whether this is the whole list, or only what changed.
+        /// Whether the update is a snapshot of the list, or else a delta.
         is_snapshot: bool,
-        /// The servers listed or changed.
+        /// The listed or changed servers.
         endpoints: Vec<Endpoint>,
     },
     /// Another balancer of the tier sent an observation.
@@ -127,22 +128,22 @@
     EndpointWatchLost {
         /// The pool.
         pool: PoolId,
-        /// What that shows of discovery.
+        /// What is known of discovery by that.
         failure: WatchFailure,
     },
-    /// A call that watches a pool's endpoint list was not answered when it was due; it is made anew.
+    /// A poll of a pool's endpoint list had no answer in time. The driver repeats it.
     EndpointWatchSilent {
         /// The pool.
         pool: PoolId,
-        /// How long ago the call was made.
+        /// How long ago the poll was sent.
         called_ago: Micros,
     },
-    /// Another replica, or an operator's command, sent this.
+    /// A message of another replica or of an operator's command arrived.
     ReplicaMessage {
         /// Its sender.
         from: SocketAddr,
         /// The message.
-        gossip: ReplicaMessage,
+        message: ReplicaMessage,
     },
     /// The configuration was read again.
     ConfigurationChanged {
@@ -159,7 +160,7 @@
     SuccessorStarted,
     /// The successor serves.
     SuccessorReady,
-    /// The sockets of an established connection are with the successor.
+    /// The successor has the sockets of an established connection.
     ConnectionTransferred {
         /// The connection.
         connection: ConnectionId,
@@ -172,7 +173,7 @@
         connection: ConnectionId,
         /// Its pool.
         pool: PoolId,
-        /// What the predecessor knew of it.
+        /// The state with which the predecessor transferred it.
         established: EstablishedConnection,
     },
     /// The peer process of a hot restart ended, or the link to it broke.
@@ -184,9 +185,9 @@
         /// Whether it is excluded now.
         excluded: bool,
     },
-    /// The peer process has taken in an exclusion that was shared with it.
+    /// The peer process has applied an exclusion that was shared with it.
     ExclusionAcknowledged {
-        /// The admin client that waits for that.
+        /// The admin client whose reply waits for the acknowledgement.
         admin_client: AdminClientId,
     },
     /// An admin client called.
@@ -198,6 +199,6 @@
     },
     /// A graceful shutdown was requested.
     ShutdownRequested,
-    /// The time of [`super::State::next_due`] has come.
+    /// The time of [`super::State::next_deadline`] has been reached.
     TimerFired,
 }
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -1,4 +1,6 @@
-//! What the reducer logs.
+//! The log lines of the reducer.
+//!
+//! Each event has one line, and `docs/oncall.md` a row for each line: a test compares the two, by the literals below.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,7 +11,7 @@
 use crate::rebalance::HoldReason;
 use crate::RefusalReason;
 
-/// One line of the log. The on-call page lists the texts below: keep one literal template for each variant.
+/// One line of the log. Each variant has one literal template.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// An operator excluded a server.
@@ -62,31 +64,31 @@
         /// Connections that are open now.
         connections: usize,
     },
-    /// A request is answered without a server.
+    /// A request is rejected or failed without a server.
     RequestRefused {
         /// Its connection.
         connection: ConnectionId,
-        /// Why.
+        /// Why there was no server.
         reason: RefusalReason,
     },
-    /// A pool's endpoint list is too old to be used: requests are refused from now on.
+    /// A pool's endpoint list has expired. Requests are rejected from now on.
     EndpointListExpired {
         /// Name of the pool's front.
         pool: &'static str,
     },
-    /// Discovery has answered, and requests are placed again.
+    /// Discovery has confirmed a list that had expired. Requests are placed again.
     EndpointListRestored {
         /// Name of the pool's front.
         pool: &'static str,
     },
-    /// No connection of a pool is migrated for balance from now on.
-    RebalancingHeld {
+    /// Migration for balance is paused at a pool.
+    RebalancingPaused {
         /// Name of the pool's front.
         pool: &'static str,
-        /// Why not.
+        /// Why it is paused.
         reason: HoldReason,
     },
-    /// Connections of a pool may be migrated for balance again.
+    /// Migration for balance is resumed at a pool.
     RebalancingResumed {
         /// Name of the pool's front.
         pool: &'static str,
@@ -94,7 +96,7 @@
 }
 
 impl LogEvent {
-    /// The level at which the line is logged: what comes with each request is for debugging.
+    /// The level at which the line is logged. Lines that come with each request are logged at debug level.
     pub(crate) fn level(&self) -> Level {
         match self {
             LogEvent::RequestRefused { .. } => Level::DEBUG,
@@ -134,7 +136,7 @@
                 write!(formatter, "successor is gone: this process accepts connections again")
             }
             LogEvent::ShutdownStarted { connections } => {
-                write!(formatter, "leaving: {connections} connections to migrate")
+                write!(formatter, "draining: {connections} connections to migrate")
             }
             LogEvent::RequestRefused { connection, reason } => {
                 write!(formatter, "connection {} refused: {}", connection.0, reason.name())
@@ -142,17 +144,17 @@
             LogEvent::EndpointListExpired { pool } => {
                 write!(
                     formatter,
-                    "{pool}: endpoint list expired, requests are refused until discovery answers"
+                    "{pool}: endpoint list expired, requests are rejected until discovery answers"
                 )
             }
             LogEvent::EndpointListRestored { pool } => {
                 write!(formatter, "{pool}: endpoint list confirmed, requests are placed again")
             }
-            LogEvent::RebalancingHeld { pool, reason } => {
-                write!(formatter, "{pool}: rebalancing held: {reason}")
+            LogEvent::RebalancingPaused { pool, reason } => {
+                write!(formatter, "{pool}: rebalancing paused: {reason}")
             }
             LogEvent::RebalancingResumed { pool } => {
-                write!(formatter, "{pool}: rebalancing may go on")
+                write!(formatter, "{pool}: rebalancing resumed")
             }
         }
     }
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -1,4 +1,6 @@
-//! The metrics that the balancer reports.
+//! The metrics that the balancer reports: counters since the start of the process, and gauges.
+//!
+//! The fields are named as the metrics are on the wire (`src/protocol/admin.rs`).
 
 use std::collections::BTreeMap;
 
@@ -19,7 +21,7 @@
 /// Counts since the process started, and gauges as they are now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// Of every configured class, by its name.
+    /// Outcomes of every configured class, by its name.
     pub classes: BTreeMap<String, ClassCounters>,
     /// Attempts written in full.
     pub forwards: u64,
@@ -29,13 +31,13 @@
     pub discovered: u64,
     /// Listed servers that are excluded or ejected now.
     pub ejected: u64,
-    /// Requests that were answered without a server, by reason.
+    /// Requests that were rejected or failed without a server, by reason.
     pub refusals: BTreeMap<RefusalReason, u64>,
-    /// Calls for the endpoint list that failed.
+    /// Polls of the endpoint list that failed.
     pub discovery_failures: u64,
     /// The time since discovery last sent an endpoint list or confirmed it, of the pool where that is longest;
     /// `None` where no list was received.
     pub endpoint_list_age: Option<Micros>,
-    /// Of each front that rebalances, by its name.
+    /// Metrics of rebalancing, by the name of the front, where it is on.
     pub rebalance: BTreeMap<String, RebalanceMetrics>,
 }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -1,4 +1,14 @@
-//! Rebalancing, on the reducer's side: what it is notified of, and how its decisions are carried out.
+//! The reducer's side of rebalancing: notifications to the rebalancer, and the execution of its decisions.
+//!
+//! The rebalancer (`src/rebalance/`, one for each pool) decides which established connections migrate for balance. It
+//! sees the connections through [`RebalanceEvent`]s and the servers through a snapshot taken for each decision:
+//! occupied slots and ceiling (in slots), weight, share of the capacity while warming up (0 to 1) and the last fault.
+//!
+//! A decision consists of migrations, of ceilings to raise and of ceilings to lower. The balancer keeps the ceilings;
+//! this module changes them through its learned state. After a migration, the ceiling of the server falls to its
+//! occupied slots: the slot that has become free might be the only one anywhere, and the same client would return to it.
+//!
+//! This module owns no state.
 
 use super::{ConnectionId, Effect, LogEvent, PoolId, State};
 use crate::rebalance::view::Connection;
@@ -24,14 +34,14 @@
         }
     }
 
-    /// A connection was rejected or failed.
+    /// Reports a connection that was rejected or failed.
     pub(super) fn notify_declined(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.pool_of(id) {
             self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionRejected { connection: id });
         }
     }
 
-    /// An established connection is migrated or redirected before its client ends it.
+    /// Reports an established connection that is migrated or redirected before its client ends it.
     pub(super) fn notify_interrupted(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.pool_of(id) {
             self.notify_rebalancer(
@@ -42,8 +52,9 @@
         }
     }
 
-    /// A connection is established; `setup` is the time from its request to that, where it was placed here.
-    pub(super) fn notify_established(&mut self, now: Time, id: ConnectionId, setup: Option<Micros>) {
+    /// Reports an established connection. `setup_time` is the time from its forwarded request to the server's acceptance,
+    /// where it was placed here.
+    pub(super) fn notify_established(&mut self, now: Time, id: ConnectionId, setup_time: Option<Micros>) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
         let pool = connection.pool;
@@ -57,11 +68,11 @@
         self.notify_rebalancer(
             now,
             pool,
-            RebalanceEvent::ConnectionEstablished { connection: id, properties, setup },
+            RebalanceEvent::ConnectionEstablished { connection: id, properties, setup: setup_time },
         );
     }
 
-    /// Metrics of a pool's rebalancing, where it is on: for models and tests.
+    /// Metrics of a pool's rebalancing, where it is on, for simulations and tests.
     pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
         let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.enabled)?;
         Some(pool.rebalance.metrics())
@@ -71,7 +82,7 @@
 // ---- Decisions ----
 
 impl State {
-    /// Has a pool's rebalancing decide which connections migrate, and carries that out.
+    /// Has the rebalancer of a pool decide which connections migrate, and executes its decision.
     pub(super) fn rebalance(&mut self, now: Time, pool_id: PoolId) {
         let conditions = self.system_conditions(pool_id);
         let pool = &mut self.pools[pool_id];
@@ -80,6 +91,7 @@
         self.apply_decision(now, pool_id, decision);
     }
 
+    /// What may rule out migrations for balance at the moment.
     fn system_conditions(&self, pool_id: PoolId) -> SystemConditions {
         SystemConditions {
             shutting_down: self.shutdown.has_begun(),
@@ -91,7 +103,7 @@
     fn apply_decision(&mut self, now: Time, pool_id: PoolId, decision: Decision) {
         let pool = self.pools[pool_id].config.name;
         let log_event = decision.log.map(|transition| match transition {
-            HoldTransition::Held(reason) => LogEvent::RebalancingHeld { pool, reason },
+            HoldTransition::Held(reason) => LogEvent::RebalancingPaused { pool, reason },
             HoldTransition::Resumed => LogEvent::RebalancingResumed { pool },
         });
         self.effects.extend(log_event.map(Effect::Log));
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,26 @@
-//! The reducer: every change of the balancer's state goes through [`reduce`], which performs no input or output
-//! and reads no clock. What has to be done outside is returned as [`Effect`]s.
+//! The reducer: all state of the daemon, and the one function that changes it.
 //!
-//! It owns the decision module's balancers, one for each pool of servers, and translates between the two: a
-//! connection here is a request there, under the same number.
+//! [`reduce`] takes an [`Input`] (something that happened outside) and the time, changes the [`State`], and returns
+//! [`Effect`]s (what has to be done outside) in order. It performs no input or output, reads no clock and has no randomness
+//! but seeded draws: the same configuration and inputs give the same effects. The driver in `src/transport/` feeds
+//! inputs and executes effects.
+//!
+//! Each kind of input has one handler, `State::on_…`, in the module of its concern:
+//!
+//! | concern | modules |
+//! | --- | --- |
+//! | capacity at the sockets, requests, answers | `front_admission`, `client`, `answers` |
+//! | attempts and established connections | `attempts`, `established`, `connection_table` |
+//! | the balancer's events and actions | `dispatch` |
+//! | migration for balance | `migration` |
+//! | endpoint list | `endpoint_updates`, `endpoint_watch`, `endpoints` |
+//! | exclusions and admin calls | `exclusions`, `admin` |
+//! | replicated map | `store`, `replication` |
+//! | hot restart, shutdown, configuration | `hot_restart`, `shutdown`, `configuration` |
+//! | gossip, health checks, load reports | `gossip`, `probes`, `load_reports` |
+//!
+//! Each pool of servers has a balancer (`src/policy/`), which decides where a request goes. A connection here is a request
+//! there, under the same number.
 #![deny(missing_docs)]
 
 mod admin;
@@ -14,6 +32,7 @@
 mod configuration;
 mod connection_request;
 mod connection_table;
+mod digest;
 mod dispatch;
 mod effect;
 mod endpoint_updates;
@@ -21,6 +40,7 @@
 mod endpoints;
 mod established;
 mod exclusions;
+mod fnv;
 mod front_admission;
 mod gossip;
 mod handover_state;
@@ -35,6 +55,8 @@
 mod pool;
 mod pool_config;
 mod probes;
+mod repair_position;
+mod replica_message;
 mod replication;
 mod shutdown;
 pub mod store;
@@ -54,7 +76,9 @@
 pub use effect::Effect;
 pub use endpoint_watch::EndpointWatchTiming;
 pub use endpoints::{server_id, stored_endpoint, Endpoint, Lifecycle};
-pub use handover_state::{EstablishedConnection, HandoverState, PoolHandoverState};
+pub use handover_state::{
+    EstablishedConnection, ExportedEndpoint, HandoverState, PoolHandoverState, Readmission,
+};
 pub use ids::{AdminClientId, ConnectionId, PoolId};
 pub use input::Input;
 pub use log_event::LogEvent;
@@ -75,21 +99,21 @@
     hot_restart: HotRestart,
     shutdown: Shutdown,
     /// Whether the fronts listen.
-    listening: bool,
+    is_listening: bool,
     /// Attempts written in full since the start.
     forwarded_requests: u64,
     /// Effects of the input that is being handled.
     effects: Vec<Effect>,
 }
 
-/// Applies one input to the state and returns what is to be done, in order. The state changes in no other way.
+/// Applies one input to the state, and returns what has to be done, in order. The state changes in no other way.
 pub fn reduce(state: &mut State, now: Time, input: Input) -> Vec<Effect> {
     state.handle_input(now, input);
     std::mem::take(&mut state.effects)
 }
 
 impl State {
-    /// A balancer that knows its configuration and nothing else.
+    /// The state of a process that has just started with this configuration.
     pub fn new(pools: Vec<PoolConfig>, replication: ReplicationConfig, budget: Budget, now: Time) -> State {
         State {
             pools: pools.into_iter().map(|config| Pool::new(config, now)).collect(),
@@ -99,18 +123,18 @@
             replication: Replication::new(replication, now),
             hot_restart: HotRestart::default(),
             shutdown: Shutdown::default(),
-            listening: false,
+            is_listening: false,
             forwarded_requests: 0,
             effects: Vec::new(),
         }
     }
 
-    /// The limits of all fronts together.
+    /// The limits of all fronts.
     pub fn budget(&self) -> Budget {
         self.admission.budget()
     }
 
-    /// Hands an input to its handler in the module of its concern. It is long for its one arm for each input.
+    /// Hands an input to its handler, in one arm for each kind of input.
     fn handle_input(&mut self, now: Time, input: Input) {
         match input {
             Input::ClientConnected { connection, pool } => self.on_client_connected(now, connection, pool),
@@ -147,7 +171,7 @@
             }
             Input::GossipReceived { pool, message } => self.on_gossip_received(now, pool, message),
             Input::ProbeCompleted { pool, server, end } => self.on_probe_completed(now, pool, server, end),
-            Input::ReplicaMessage { from, gossip } => self.on_replica_message(now, from, gossip),
+            Input::ReplicaMessage { from, message } => self.on_replica_message(now, from, message),
             Input::ConfigurationChanged { pools, peers, budget } => {
                 self.on_configuration_changed(now, pools, peers, budget);
             }
@@ -166,6 +190,6 @@
             Input::ShutdownRequested => self.on_shutdown_requested(now),
             Input::TimerFired => self.on_timer_fired(now),
         }
-        self.finish_shutdown_if_due(now);
+        self.finish_shutdown_if_complete(now);
     }
 }
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what clients are answered.
+//! Outcomes of attempts, and final answers to clients.
 
 use std::fmt;
 
@@ -15,13 +15,13 @@
     Error,
     /// The server rejected the request without processing it.
     Rejected,
-    /// No connection, or it broke before the request was written in full.
+    /// The server could not be reached, or the connection broke before the request was written in full.
     ConnectFailed,
     /// The connection broke or ended without an answer after the request was written.
     Reset,
-    /// This machine had no socket left for the attempt: not a fault of the server.
+    /// This machine had no socket left for the attempt, which is no fault of the server.
     OutOfSockets,
-    /// The server's own verdict was forwarded to the client, which needs no other answer.
+    /// The server's own final answer was forwarded to the client, which needs no other.
     VerdictForwarded,
 }
 
@@ -43,12 +43,13 @@
 /// A final answer, or the notice that an established connection is migrated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Rejected; the client should retry after this time, 0 for no advice.
+    /// The request was not processed, and a retry is harmless. The client should wait for this time before it, or gets no
+    /// such advice where it is 0.
     Rejected(Micros),
-    /// Failed.
+    /// The request failed. A server may have processed it.
     Failed,
-    /// The request did not arrive within the handshake's time.
+    /// No request arrived within the handshake timeout.
     HandshakeTimedOut,
-    /// The client should reconnect at once: its server drains, or this balancer shuts down.
+    /// The client should reconnect at once, since its connection is migrated.
     Migrated,
 }
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -1,4 +1,19 @@
-//! One pool of servers: its configuration, its balancer, and all that is known of its servers and connections.
+//! One pool of servers: the servers of one front, with their endpoint list and their balancer.
+//!
+//! [`Pool`] composes the parts, each of which keeps its own state and invariants:
+//!
+//! | part | decides or records |
+//! | --- | --- |
+//! | `balancer` | server, retry and rejection for each request; occupancy and what is learned of servers |
+//! | `rebalance` | which established connections migrate for balance |
+//! | `peers` | which observations are sent to the other balancers |
+//! | `probes` | health checks in flight |
+//! | `listed`, `endpoints` | the list as received, and the list in effect |
+//! | `exclusions` | excluded and readmitted servers |
+//! | `admitted` | number and request ids of admitted connections |
+//! | `load_reports` | whether a reported value is a load or a message time |
+//!
+//! The pool itself owns its metrics and its balancer's timer.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +22,14 @@
 use super::load_reports::LoadReports;
 use super::probes::Probes;
 use super::{
-    server_id, ClassCounters, Endpoint, EndpointList, Lifecycle, Metrics, PoolConfig, PoolHandoverState,
+    server_id, ClassCounters, Endpoint, EndpointList, ExportedEndpoint, Lifecycle, Metrics, PoolConfig,
+    PoolHandoverState,
 };
 use crate::peers::Peers;
 use crate::rebalance::Rebalance;
 use crate::{Balancer, ClassId, Micros, RefusalReason, ServerId, Time};
 
-/// The parts of a pool, each with its own invariants.
+/// The parts of a pool.
 pub(super) struct Pool {
     pub(super) config: PoolConfig,
     pub(super) balancer: Balancer,
@@ -21,12 +37,12 @@
     /// Gossip with the other balancers of the tier.
     pub(super) peers: Peers,
     pub(super) probes: Probes,
-    /// The endpoint list in effect: the listed servers, less those that are excluded.
+    /// The endpoint list in effect, derived from `listed`, the replicated map and the exclusions.
     pub(super) endpoints: EndpointList,
     /// The endpoint list as discovery or the operator's file has it.
     pub(super) listed: ListedEndpoints,
-    /// Whether the log says that the endpoint list has expired.
-    pub(super) reported_expiry: bool,
+    /// Whether the endpoint list's expiry is logged, and its confirmation is not yet.
+    pub(super) is_expiry_logged: bool,
     pub(super) exclusions: PoolExclusions,
     pub(super) admitted: AdmittedConnections,
     pub(super) load_reports: LoadReports,
@@ -34,9 +50,9 @@
     class_counters: Vec<ClassCounters>,
     /// Requests that were answered without a server.
     refusals: BTreeMap<RefusalReason, u64>,
-    /// Calls for the endpoint list that failed.
+    /// Polls of the endpoint list that failed.
     discovery_failures: u64,
-    /// When the balancer wants [`crate::Event::TimerFired`].
+    /// When the balancer has to be handed [`crate::Event::TimerFired`].
     balancer_timer: Option<Time>,
 }
 
@@ -44,7 +60,7 @@
 #[derive(Default)]
 pub(super) struct ListedEndpoints {
     by_name: BTreeMap<String, Endpoint>,
-    /// When the list was last received or confirmed; `None` while it is just the cached one.
+    /// When the list was last received or confirmed. `None` for a cached list of before the start.
     received_at: Option<Time>,
 }
 
@@ -53,7 +69,7 @@
         &self.by_name
     }
 
-    /// Puts a whole list in place, or applies a change of it.
+    /// Replaces the list by a snapshot, or applies a delta to it.
     pub(super) fn apply(&mut self, is_snapshot: bool, endpoints: Vec<Endpoint>) {
         if is_snapshot {
             self.by_name.clear();
@@ -71,8 +87,8 @@
         self.received_at = Some(now);
     }
 
-    /// Whether the pool can serve by this list. With discovery down no process would ever be ready, though the
-    /// cached list may do.
+    /// Whether the pool can serve by this list. A cached list suffices, or no process could start while discovery is
+    /// down.
     pub(super) fn is_usable(&self) -> bool {
         self.received_at.is_some() || !self.by_name.is_empty()
     }
@@ -87,7 +103,7 @@
             probes: Probes::default(),
             endpoints: EndpointList::default(),
             listed: ListedEndpoints::default(),
-            reported_expiry: false,
+            is_expiry_logged: false,
             exclusions: PoolExclusions::default(),
             admitted: AdmittedConnections::default(),
             load_reports: LoadReports::default(),
@@ -99,7 +115,7 @@
         }
     }
 
-    /// Puts another configuration in place; connections and what was learned of servers stay.
+    /// Replaces the configuration. Connections and what was learned of servers are kept.
     pub(super) fn configure(&mut self, now: Time, config: PoolConfig) {
         self.balancer.configure(config.settings.clone());
         self.peers.configure(config.gossip_config());
@@ -114,18 +130,14 @@
         self.balancer_timer
     }
 
-    /// Sets the balancer's timer, unless it fires sooner.
+    /// Sets the balancer's timer, unless it is set to an earlier time.
     pub(super) fn set_balancer_timer(&mut self, at: Time) {
         self.balancer_timer = Some(self.balancer_timer.map_or(at, |earlier| earlier.min(at)));
     }
 
-    /// Stops the balancer's timer if it is due, and returns whether it was.
-    pub(super) fn take_due_balancer_timer(&mut self, now: Time) -> bool {
-        let is_due = self.balancer_timer.is_some_and(|at| at <= now);
-        if is_due {
-            self.balancer_timer = None;
-        }
-        is_due
+    /// Stops the balancer's timer if it has expired, and returns whether it had.
+    pub(super) fn clear_expired_balancer_timer(&mut self, now: Time) -> bool {
+        self.balancer_timer.take_if(|at| *at <= now).is_some()
     }
 
     // ---- Metrics ----
@@ -160,7 +172,7 @@
             *metrics.refusals.entry(reason).or_default() += count;
         }
         metrics.discovery_failures += self.discovery_failures;
-        // A list from the operator's file does not age.
+        // Only a watched list has an age.
         let received_at = self.listed.received_at.filter(|_| self.config.discovery.is_some());
         metrics.endpoint_list_age = metrics.endpoint_list_age.max(received_at.map(|at| now.since(at)));
         if self.config.rebalance.enabled {
@@ -179,38 +191,41 @@
 
     // ---- Hot restart ----
 
-    /// What a successor has to know.
+    /// The state of this pool for a successor.
     pub(super) fn export_state(&self) -> PoolHandoverState {
-        let learned = |endpoint: &Endpoint| self.balancer.learned_state(server_id(&endpoint.name));
-        let listed = self.listed.by_name.values();
+        let export = |endpoint: &Endpoint| ExportedEndpoint {
+            endpoint: endpoint.clone(),
+            learned: self.balancer.learned_state(server_id(&endpoint.name)),
+        };
         PoolHandoverState {
-            endpoints: listed.map(|endpoint| (endpoint.clone(), learned(endpoint))).collect(),
+            endpoints: self.listed.by_name.values().map(export).collect(),
             readmitted: self.exclusions.readmitted(),
             ids: self.admitted.request_ids(),
         }
     }
 
-    /// Takes in what the predecessor knew of the servers and connections, but for what it learned.
+    /// Imports the predecessor's endpoint list, readmissions and request ids.
     pub(super) fn import_state(&mut self, state: &PoolHandoverState) {
         self.exclusions.import_readmitted(&state.readmitted);
         self.admitted.import_request_ids(&state.ids);
-        // Without discovery the list is in this process's own configuration.
+        // Without discovery, the list comes from this process's own configuration.
         if self.config.discovery.is_some() && !state.endpoints.is_empty() {
-            let named = state.endpoints.iter().map(|(endpoint, _)| (endpoint.name.clone(), endpoint.clone()));
-            self.listed.by_name = named.collect();
+            let endpoints = state.endpoints.iter().map(|exported| &exported.endpoint);
+            let by_name = endpoints.map(|endpoint| (endpoint.name.clone(), endpoint.clone()));
+            self.listed.by_name = by_name.collect();
         }
     }
 
-    /// Takes in what the predecessor learned of the servers; they have to be in the list by now.
+    /// Imports what the predecessor learned of servers. They have to be in the list in effect by then.
     pub(super) fn import_learned_state(&mut self, state: &PoolHandoverState) {
-        for (endpoint, learned) in &state.endpoints {
+        for ExportedEndpoint { endpoint, learned } in &state.endpoints {
             if let Some(learned) = *learned {
                 self.balancer.restore_learned_state(server_id(&endpoint.name), learned);
             }
         }
     }
 
-    /// How long a server counts as warming up after its start.
+    /// For how long a server counts as warming up after its start.
     pub(super) fn slow_start_duration(&self) -> Micros {
         self.config.settings.slow_start_duration
     }
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -1,4 +1,7 @@
 //! The reducer's configuration: its pools of servers, its replicas and the limits of its fronts.
+//!
+//! The program reads it from the settings files (`src/program/config/`). [`PoolConfig`] also derives the parts that concern
+//! gossip and rebalancing, and numbers a reloaded configuration like the one before.
 
 use std::net::SocketAddr;
 
@@ -13,14 +16,14 @@
     pub peers: Vec<SocketAddr>,
 }
 
-/// What all fronts together may use, given the limits of this machine.
+/// Limits of all fronts together, derived from the limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Connections without an attempt: they have not sent a request yet, or are ended and not yet closed.
+    /// Connections without an attempt: those without a request, and answered ones whose sockets are open.
     pub pending: usize,
-    /// Connections with a request that was admitted, established ones included.
+    /// Connections whose request was admitted, established ones included.
     pub admitted: usize,
-    /// Bytes buffered for a side that does not read, before no more is read from the other.
+    /// Bytes buffered for one side of a connection before no more is read from the other side.
     pub buffer: usize,
 }
 
@@ -35,15 +38,15 @@
     pub tenants: Vec<String>,
     /// Names of the zones, in the order of their [`crate::ZoneId`]s.
     pub zones: Vec<String>,
-    /// Settings of the decision module.
+    /// Settings of the balancer.
     pub settings: Settings,
     /// Seed of the random draws.
     pub seed: u64,
-    /// Where the endpoint list is watched; none where it comes from a file.
+    /// Address at which the endpoint list is watched. `None` where it comes from a file.
     pub discovery: Option<SocketAddr>,
     /// How long a client may take to send its request.
     pub handshake_timeout: Micros,
-    /// Whether the replicated map may add servers and limit the connections.
+    /// Whether entries of the replicated map may add servers and limit the connections.
     pub uses_replicated_map: bool,
     /// The limit of connections where the replicated map holds none.
     pub max_connections: usize,
@@ -55,14 +58,15 @@
     pub reports_message_time: bool,
     /// Whether servers report the load of a connection, in the same form.
     pub reports_load: bool,
-    /// Names under which a probe's answer may carry a server's utilisation, the preferred first.
+    /// Names under which a probe's answer may carry a server's utilisation, in the order of preference.
     pub load_report_fields: Vec<&'static str>,
     /// The longest time that a client waits for its answer.
     pub longest_wait: Micros,
     /// How established connections are migrated towards balance.
     pub rebalance: rebalance::RebalanceConfig,
-    /// Price of 256 bytes of gossip, in requests; none where the balancers of the tier do not gossip.
-    pub peers: Option<f64>,
+    /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` where the balancers of the
+    /// tier do not gossip.
+    pub gossip_price: Option<f64>,
 }
 
 impl PoolConfig {
@@ -76,11 +80,11 @@
         self.tenants.iter().position(|tenant| tenant == name).map(|index| TenantId(index as u16))
     }
 
-    /// The part that concerns gossip between the balancers of the tier.
+    /// The configuration of gossip between the balancers of the tier.
     pub(super) fn gossip_config(&self) -> peers::GossipConfig {
         peers::GossipConfig {
-            enabled: self.peers.is_some(),
-            price: self.peers.unwrap_or(0.0),
+            enabled: self.gossip_price.is_some(),
+            price: self.gossip_price.unwrap_or(0.0),
             balancers: self.settings.balancers,
             message_objective: self.settings.message_objective(),
             observation_hold: self.settings.peer_observation_hold(),
@@ -88,15 +92,15 @@
         }
     }
 
-    /// The part that concerns rebalancing.
+    /// What the rebalancer has to know of the configuration.
     pub(super) fn rebalance_context(&self) -> rebalance::RebalanceContext {
         let Settings { classes, balancers, migration_cost, slow_start_duration, .. } = &self.settings;
-        let setup_objectives =
-            classes.iter().map(|class| class.setup_objective).filter(|&aim| aim > Micros::ZERO);
+        let setup_objectives = classes.iter().map(|class| class.setup_objective);
+        let configured_objectives = setup_objectives.filter(|&objective| objective > Micros::ZERO);
         rebalance::RebalanceContext {
             balancers: *balancers,
             priority_weights: classes.iter().map(|class| class.priority_weight).collect(),
-            setup_objective: setup_objectives.min().unwrap_or(Micros::ZERO),
+            setup_objective: configured_objectives.min().unwrap_or(Micros::ZERO),
             message_objective: self.settings.message_objective(),
             reports_message_time: self.reports_message_time,
             migration_cost: *migration_cost,
@@ -104,21 +108,22 @@
         }
     }
 
-    /// This configuration as the successor of `old`. Open connections refer to their class, tenant and zone by
-    /// number, so names keep theirs; a number whose name is no longer configured has an empty name.
+    /// This configuration, numbered like the `old` one that it replaces. Connections and the balancer refer to classes,
+    /// tenants and zones by number, so each name keeps its number. A number whose name is no longer configured has an
+    /// empty name.
     pub(super) fn replacing(mut self, old: &PoolConfig) -> PoolConfig {
         let settings = &mut self.settings;
-        let own_zone = self.zones.get(settings.zone.0 as usize).cloned();
+        let local_zone = self.zones.get(settings.zone.0 as usize).cloned();
         self.classes = renumber(&old.classes, &old.settings.classes, &self.classes, &mut settings.classes);
         self.tenants = renumber(&old.tenants, &old.settings.tenants, &self.tenants, &mut settings.tenants);
         self.zones = renumber(&old.zones, &old.zones, &self.zones, &mut self.zones.clone());
-        let own_zone = own_zone.and_then(|own| self.zones.iter().position(|zone| *zone == own));
-        settings.zone = ZoneId(own_zone.unwrap_or(0) as u16);
+        let local_index = local_zone.and_then(|local| self.zones.iter().position(|zone| *zone == local));
+        settings.zone = ZoneId(local_index.unwrap_or(0) as u16);
         self
     }
 }
 
-/// Returns the names in an order in which the old ones keep their places, and puts `new_items` in that order.
+/// Returns the names in an order in which the old ones keep their positions, and sorts `new_items` in that order.
 fn renumber<T: Clone>(
     old_names: &[String],
     old_items: &[T],
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -1,28 +1,39 @@
-//! Graceful shutdown: clients are migrated one by one, late ones are rejected, and then the process exits.
+//! Graceful shutdown: established connections are migrated one by one, new requests are rejected, and the process exits.
+//!
+//! Owns the window of time within which the process exits. Rule:
+//!
+//! - The latest exit is the longest time that a client waits for its answer, at most [`MAX_ANSWER_WAIT`], plus
+//!   [`EXIT_MARGIN`] after the request for the shutdown. Requests in flight can so still be answered.
+//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after it, when no connection is left. Until the clients learn of the
+//!   shutdown, new ones arrive and need an answer. Where a successor of a hot restart serves, none arrive, and the
+//!   process exits as soon as it is empty.
+//! - Migrations are spread evenly between [`FIRST_MIGRATION_DELAY`] and [`LAST_MIGRATION_MARGIN`] before the latest exit.
+//!   All at once they would overload the other balancers, of which one may be starting.
+//! - New requests are rejected with a Retry-After ([`super::client`]). At the latest exit, whoever is left is migrated,
+//!   rejected where a retry is harmless, or failed.
 
 use super::client::SHUTDOWN_RETRY_AFTER;
 use super::connection_table::Phase;
 use super::{Answer, ConnectionId, Effect, LogEvent, State};
 use crate::{Micros, Outcome, Time};
 
-/// A graceful shutdown takes as long as the longest wait of a client, at most this...
-const MAX_SHUTDOWN_WAIT: Micros = Micros::from_secs(3);
-/// ...and this on top, less than what the platform allows, so that the process exits in time.
-const SHUTDOWN_MARGIN: Micros = Micros::from_millis(400);
-/// Migrations begin after this time, and are spread over the rest of the shutdown: all at once, or sooner than they
-/// must, the clients would come to other balancers while one of those may be starting.
+/// The longest wait of a client for its answer that a shutdown takes into account.
+const MAX_ANSWER_WAIT: Micros = Micros::from_secs(3);
+/// The time from the longest wait of a client to the latest exit. The platform kills the process a little later.
+const EXIT_MARGIN: Micros = Micros::from_millis(400);
+/// The time from the request for a shutdown to the first migration.
 const FIRST_MIGRATION_DELAY: Micros = Micros::from_millis(50);
-/// The last migration is this long before the end.
+/// The time from the last migration to the latest exit.
 const LAST_MIGRATION_MARGIN: Micros = Micros::from_millis(300);
-/// The process stays this long without any connection: new ones arrive until the front notices the shutdown.
+/// The least duration of a shutdown without a successor, even where no connection is open.
 const MIN_SHUTDOWN_DURATION: Micros = Micros::from_secs(1);
 
 /// When the process may exit.
 #[derive(Clone, Copy, Debug)]
 struct ShutdownWindow {
-    /// From then on, if no connection is open.
+    /// From this time on the process exits if no connection is open.
     earliest_exit: Time,
-    /// Then at the latest.
+    /// At this time the process exits in any case.
     latest_exit: Time,
 }
 
@@ -32,7 +43,7 @@
     /// Set once it has begun.
     window: Option<ShutdownWindow>,
     /// Whether the exit was ordered.
-    finished: bool,
+    is_finished: bool,
 }
 
 impl Shutdown {
@@ -40,30 +51,30 @@
         self.window.is_some()
     }
 
-    /// When the shutdown may be finished, as far as time decides that.
-    pub(super) fn next_due(&self, no_connections: bool) -> Option<Time> {
-        let window = self.window.filter(|_| !self.finished)?;
-        Some(if no_connections { window.earliest_exit } else { window.latest_exit })
+    /// When the process exits if no connection is opened or closed until then.
+    pub(super) fn next_exit(&self, has_connections: bool) -> Option<Time> {
+        let window = self.window.filter(|_| !self.is_finished)?;
+        Some(if has_connections { window.latest_exit } else { window.earliest_exit })
     }
 
-    /// When a connection that is established now has to migrate.
+    /// When a connection that is established now has to migrate, if a shutdown has begun.
     pub(super) fn migration_time(&self, now: Time) -> Option<Time> {
         self.window.map(|window| window.latest_exit.min(now.plus(FIRST_MIGRATION_DELAY)))
     }
 
-    fn is_due(&self, now: Time, no_connections: bool) -> bool {
-        self.next_due(no_connections).is_some_and(|due| now >= due)
+    fn is_exit_time(&self, now: Time, has_connections: bool) -> bool {
+        self.next_exit(has_connections).is_some_and(|exit_at| exit_at <= now)
     }
 }
 
 impl State {
+    /// Begins a graceful shutdown: schedules the migrations and the exit.
     pub(super) fn on_shutdown_requested(&mut self, now: Time) {
         if self.shutdown.has_begun() {
             return;
         }
-        let longest_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or_default();
-        let duration = longest_wait.min(MAX_SHUTDOWN_WAIT) + SHUTDOWN_MARGIN;
-        // Where a successor serves, no new clients arrive here.
+        let answer_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or_default();
+        let duration = answer_wait.min(MAX_ANSWER_WAIT) + EXIT_MARGIN;
         let successor_serves = self.hot_restart.successor_serves();
         let min_duration = if successor_serves { Micros::ZERO } else { MIN_SHUTDOWN_DURATION.min(duration) };
         self.shutdown.window =
@@ -75,26 +86,27 @@
         self.effects.push(Effect::Log(LogEvent::ShutdownStarted { connections }));
     }
 
-    /// Answers all clients that are left and orders the exit, once it is time for that.
-    pub(super) fn finish_shutdown_if_due(&mut self, now: Time) {
-        if !self.shutdown.is_due(now, self.connections.is_empty()) {
+    /// At the time of the exit: answers all clients that are left, and orders the exit once. Clients that connect before
+    /// the process has ended are rejected like those before them.
+    pub(super) fn finish_shutdown_if_complete(&mut self, now: Time) {
+        if !self.shutdown.is_exit_time(now, !self.connections.is_empty()) {
             return;
         }
-        // Done once only: clients that connect before the process is gone are rejected like the earlier ones.
-        self.shutdown.finished = true;
+        self.shutdown.is_finished = true;
         for id in self.connections.ids() {
             self.finish_connection(now, id);
         }
         self.effects.push(Effect::Exit);
     }
 
+    /// Ends a connection that is open at the time of the exit.
     fn finish_connection(&mut self, now: Time, id: ConnectionId) {
         let answer = match self.connections.get(id).map(|connection| connection.phase) {
             Some(Phase::Handshaking) => {
                 return self.effects.push(Effect::CheckHandshake { connection: id });
             }
             Some(Phase::Established) => Answer::Migrated,
-            // Its client may wait for longer than this process lives: elsewhere it can still be served.
+            // The client may wait for longer than this process lives, and another balancer can still serve it.
             Some(Phase::Connecting) if self.may_reject(id) => {
                 self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER)
             }
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -1,41 +1,44 @@
-//! Time: when the reducer wants to be called next, and what is due then.
+//! Timers: when the reducer has to be called next, and what is done then.
+//!
+//! The reducer has no timers of its own: the driver asks for the earliest deadline of all parts of the state after each
+//! input, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
 
 use super::connection_table::Phase;
 use super::{ConnectionId, Effect, State};
 use crate::{Event, Outcome, Time};
 
 impl State {
-    /// When [`super::Input::TimerFired`] is wanted next.
-    pub fn next_due(&self) -> Option<Time> {
+    /// The time at which [`super::Input::TimerFired`] has to be fed next.
+    pub fn next_deadline(&self) -> Option<Time> {
         let balancers = self.pools.iter().filter_map(|pool| pool.balancer_timer());
         let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.due());
         balancers
             .chain(rebalancing)
             .chain(self.connections.next_timer())
             .chain(self.hot_restart.next_acknowledgement_timeout())
-            .chain(self.shutdown.next_due(self.connections.is_empty()))
+            .chain(self.shutdown.next_exit(!self.connections.is_empty()))
             .chain(self.replication.next_digest_at())
             .chain(self.admission.gate_closed_until())
             .min()
     }
 
-    /// Whether a connection's timer is due, and [`super::Input::TimerFired`] has not been fed since.
-    pub fn overdue_by(&self, now: Time, id: ConnectionId) -> bool {
-        self.connections.get(id).and_then(|connection| connection.timer()).is_some_and(|due| due <= now)
+    /// Whether a connection's timer has expired, and [`super::Input::TimerFired`] has not been fed since.
+    pub fn is_timer_expired(&self, now: Time, id: ConnectionId) -> bool {
+        self.connections.get(id).and_then(|connection| connection.timer()).is_some_and(|timer| timer <= now)
     }
 
-    /// Does all that is due. The order matters: answers to clients come first.
+    /// Handles all expired timers. Those of connections come first, so that clients are answered in time.
     pub(super) fn on_timer_fired(&mut self, now: Time) {
-        while let Some(id) = self.connections.pop_due_timer(now) {
+        while let Some(id) = self.connections.pop_expired_timer(now) {
             self.on_connection_timer(now, id);
         }
         if self.admission.gate_closed_until().is_some_and(|at| at <= now) {
             self.evict_idle_connection(now);
         }
-        self.reply_to_overdue_admin_clients(now);
-        self.send_digest_if_due(now);
+        self.reply_to_timed_out_admin_clients(now);
+        self.send_scheduled_digest(now);
         for pool in 0..self.pools.len() {
-            if self.pools[pool].take_due_balancer_timer(now) {
+            if self.pools[pool].clear_expired_balancer_timer(now) {
                 self.dispatch(now, pool, Event::TimerFired);
             }
             if self.pools[pool].rebalance.due().is_some_and(|at| at <= now) {
@@ -49,21 +52,22 @@
         match connection.phase {
             Phase::Handshaking => self.effects.push(Effect::CheckHandshake { connection: id }),
             Phase::Connecting => self.on_attempt_timer(now, id),
-            Phase::Restoring { until, server } => self.continue_restoring(now, id, until, server),
+            Phase::Restoring { deadline, server } => self.continue_restoring(now, id, deadline, server),
             Phase::Established => self.on_established_timer(now, id),
         }
     }
 
-    /// The attempt of a connecting client is out of time, for its connection, its request or its acceptance.
+    /// Ends an attempt that has missed one of its deadlines: to connect, to be written in full or to be accepted.
     fn on_attempt_timer(&mut self, now: Time, id: ConnectionId) {
         let attempt = self.connections.get(id).and_then(|connection| connection.attempt());
-        let is_forwarded = attempt.is_some_and(|attempt| attempt.forwarded);
-        let is_past_forwarding =
-            attempt.and_then(|attempt| attempt.forward_by).is_some_and(|forward_by| forward_by <= now);
-        let outcome = match (is_forwarded, is_past_forwarding) {
-            (true, _) => Outcome::TimedOut,
-            (false, true) => Outcome::NotSent,
-            (false, false) => Outcome::ConnectFailed,
+        let is_forwarded = attempt.is_some_and(|attempt| attempt.is_forwarded());
+        let forwarding_deadline = attempt.and_then(|attempt| attempt.forwarding_deadline);
+        let outcome = if is_forwarded {
+            Outcome::TimedOut
+        } else if forwarding_deadline.is_some_and(|deadline| deadline <= now) {
+            Outcome::NotSent
+        } else {
+            Outcome::ConnectFailed
         };
         self.effects.push(Effect::CloseAttempt { connection: id });
         self.on_attempt_failed(now, id, outcome);
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -62,7 +62,7 @@
         driver.wait_until_accepting(true).await;
         match socket.recv_from(&mut bytes).await {
             Ok((length, from)) => match gossip::decode(&bytes[..length]) {
-                Some(gossip) => driver.feed(Input::ReplicaMessage { from, gossip }),
+                Some(message) => driver.feed(Input::ReplicaMessage { from, message }),
                 None => log_event!(LogEvent::ReplicaMessageUnreadable { from }),
             },
             Err(_) => tokio::time::sleep(RECEIVE_RETRY_INTERVAL).await,
--- a/src/transport/driver/connections.rs
+++ b/src/transport/driver/connections.rs
@@ -52,7 +52,7 @@
 
     /// Whether a deadline of a connection has passed that the reducer has not been fed yet.
     pub(crate) fn is_overdue(&self, connection: ConnectionId) -> bool {
-        self.state.borrow().overdue_by(self.now(), connection)
+        self.state.borrow().is_timer_expired(self.now(), connection)
     }
 
     /// Whether this process can serve.
--- a/src/transport/driver/mod.rs
+++ b/src/transport/driver/mod.rs
@@ -24,6 +24,7 @@
 use super::observation::Observer;
 use super::record::Recorder;
 use crate::protocol::Front;
+use crate::routing::store::AddressedReplicaMessage;
 use crate::routing::{
     reduce, AdminClientId, AdminResponse, ConnectionId, Effect, EndpointWatchTiming, HandoverState, Input,
     PoolId, State,
@@ -148,9 +149,9 @@
         }
         let (effects, deadline_changed) = {
             let mut state = self.state.borrow_mut();
-            let deadline = state.next_due();
+            let deadline = state.next_deadline();
             let effects = reduce(&mut state, self.now(), input);
-            (effects, state.next_due() != deadline)
+            (effects, state.next_deadline() != deadline)
         };
         for effect in effects {
             if let Some(observer) = self.observer.borrow_mut().as_mut() {
@@ -166,9 +167,12 @@
     // Longer than other functions: it only dispatches, with one arm for each effect.
     fn carry_out(&self, effect: Effect) {
         match effect {
-            Effect::OpenAttempt { connection, attempt, address, wait } => {
+            Effect::OpenAttempt { connection, attempt, address, timeout } => {
                 log_event!(LogEvent::AttemptOpened { connection, attempt, address: &address });
-                self.send_command(connection, ConnectionCommand::OpenAttempt { attempt, address, wait });
+                self.send_command(
+                    connection,
+                    ConnectionCommand::OpenAttempt { attempt, address, wait: timeout },
+                );
             }
             Effect::CloseAttempt { connection } => {
                 log_event!(LogEvent::AttemptClosed { connection });
@@ -183,14 +187,16 @@
             }
             Effect::SetAccepting { open } => self.set_accepting(open),
             Effect::BroadcastGossip(message) => self.broadcast_gossip(message),
-            Effect::ProbeServer { pool, server, address, names, wait } => {
-                self.send_probe(pool, server, address, names, wait);
+            Effect::ProbeServer { pool, server, address, names, timeout } => {
+                self.send_probe(pool, server, address, names, timeout);
             }
             Effect::WatchEndpoints { pool } => self.send_watch_command(WatchCommand::Resume { pool }),
             Effect::WatchEndpointsAt { pool, discovery } => {
                 self.send_watch_command(WatchCommand::Start { pool, discovery, generation: None });
             }
-            Effect::SendReplicaMessage((to, message)) => self.send_replica_message(to, &message),
+            Effect::SendReplicaMessage(AddressedReplicaMessage { to, message }) => {
+                self.send_replica_message(to, &message);
+            }
             Effect::PersistEntry { key, entry } => self.persist_entry(&key, &entry),
             Effect::ExportState(state) => self.export_state(*state),
             Effect::TransferConnection { connection, pool, established } => {
@@ -209,7 +215,7 @@
     /// Feeds the reducer whenever one of its deadlines has passed, for ever.
     pub(super) async fn run_timer(self: Rc<Self>) {
         loop {
-            let next_deadline = self.state.borrow().next_due();
+            let next_deadline = self.state.borrow().next_deadline();
             let deadline_changed = self.deadline_changed.notified();
             match next_deadline {
                 None => deadline_changed.await,
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -222,9 +222,9 @@
             LogEvent::ImportTimedOut { socket } => {
                 write!(formatter, "{}: no state imported: no answer in time", socket.display())
             }
-            LogEvent::ExportFailed { error } => write!(formatter, "hot restart given up: {error}"),
+            LogEvent::ExportFailed { error } => write!(formatter, "hot restart aborted: {error}"),
             LogEvent::ExportTimedOut => {
-                write!(formatter, "hot restart given up: the successor does not serve in time")
+                write!(formatter, "hot restart aborted: the successor does not serve in time")
             }
             LogEvent::PeerProcessFailed { error } => write!(formatter, "peer process: {error}"),
         }
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -166,7 +166,7 @@
     let Some(FrontEvent::ConnectionRequested(request)) = events.last() else { panic!("{events:?}") };
     assert_eq!((request.class.as_str(), request.tenant.as_deref()), ("chat", Some("acme")));
     assert_eq!(
-        (request.group, request.wait, request.load),
+        (request.group, request.timeout, request.load),
         (Some(0x5c0f_6e1a_2b3d_4c59), Some(Micros(2_000_500)), Some(1.5))
     );
     let line = front.open_attempt(Micros(734_900));
--- a/tests/irc.rs
+++ b/tests/irc.rs
@@ -199,7 +199,7 @@
     let mut slow = Client::connect(&daemon.irc);
     slow.send_line("NICK kim");
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
     slow.send_line("USER u 0 * :late");
     slow.expect_line(" 263 kim ");
     established.expect_line(" 010 jan ");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -8,6 +8,7 @@
 use std::net::Shutdown;
 
 use connection_balancer::protocol::admin;
+use connection_balancer::routing::store::WriteError;
 use connection_balancer::routing::*;
 use connection_balancer::{Micros, WatchFailure};
 use fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
@@ -26,7 +27,7 @@
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
-    match call(harness, AdminCall::Telemetry) {
+    match call(harness, AdminCall::Metrics) {
         AdminResponse::Metrics(metrics) => metrics,
         other => panic!("{other:?}"),
     }
@@ -184,7 +185,7 @@
                 }
                 1 => {
                     excluded.remove(&harness.address(&name));
-                    call_with(&mut harness, AdminCall::Include(name))
+                    call_with(&mut harness, AdminCall::Readmit(name))
                 }
                 2 => harness.update_endpoint(server, Lifecycle::Gone),
                 3 => harness.update_endpoint(server, Lifecycle::Ready),
@@ -234,7 +235,7 @@
 fn writes_metrics_under_their_agreed_names_and_in_order() {
     let mut harness = ReducerHarness::new();
     let text = |harness: &mut ReducerHarness| {
-        String::from_utf8(admin::encode_response(&call(harness, AdminCall::Telemetry))).unwrap()
+        String::from_utf8(admin::encode_response(&call(harness, AdminCall::Metrics))).unwrap()
     };
     let classes = "edge_node.results.chat.succeeded:0|c\r\nedge_node.results.chat.declined:0|c\r\n\
         edge_node.results.chat.aborted:0|c\r\nedge_node.results.wallet.succeeded:0|c\r\n\
@@ -272,7 +273,7 @@
         (AdminRejection::NoEndpointList, "NO no routing table yet\r\n"),
         (AdminRejection::NotReady, "NO not ready yet\r\n"),
         (AdminRejection::UnknownServer("s-1".to_owned()), "NO no host s-1 was ever listed\r\n"),
-        (AdminRejection::StoreFull, "NO the store is full\r\n"),
+        (AdminRejection::NotStored(WriteError::MapFull), "NO the store is full\r\n"),
         (AdminRejection::NoReply, "NO no answer\r\n"),
         (AdminRejection::InvalidCall("readyz is wanted".to_owned()), "NO readyz is wanted\r\n"),
     ];
@@ -292,7 +293,7 @@
     let excluded = logged(call_with(&mut harness, AdminCall::Exclude(server.clone())));
     assert_eq!(excluded, [LogEvent::ServerExcluded { server: server.clone() }]);
     assert_eq!(logged(call_with(&mut harness, AdminCall::Exclude(server.clone()))), [], "it is excluded");
-    let readmitted = logged(call_with(&mut harness, AdminCall::Include(server.clone())));
+    let readmitted = logged(call_with(&mut harness, AdminCall::Readmit(server.clone())));
     assert_eq!(readmitted, [LogEvent::ServerReadmitted { server }]);
 }
 
@@ -327,7 +328,7 @@
     let mut harness = ReducerHarness::new();
     let server = reducer_harness::SERVERS[1].to_owned();
     let unlisted = "s-0000dead".to_owned();
-    for call_of in [AdminCall::Exclude, AdminCall::Include] {
+    for call_of in [AdminCall::Exclude, AdminCall::Readmit] {
         assert!(matches!(call(&mut harness, call_of(unlisted.clone())), AdminResponse::No(_)));
     }
     for _ in 0..3 {
@@ -339,7 +340,7 @@
     assert_eq!(call(&mut harness, AdminCall::Exclude(server.clone())), AdminResponse::Yes);
     harness.update_endpoint(1, Lifecycle::Ready);
     assert_eq!(metrics(&mut harness).ejected, 1, "no list ends an exclusion");
-    assert_eq!(call(&mut harness, AdminCall::Include(server)), AdminResponse::Yes);
+    assert_eq!(call(&mut harness, AdminCall::Readmit(server)), AdminResponse::Yes);
     assert_eq!(metrics(&mut harness).ejected, 0, "one call readmits it after any number of exclusions");
 }
 
@@ -397,7 +398,7 @@
     };
     call(&mut harness, AdminCall::Exclude(server.clone()));
     assert_eq!(attempts_there(&mut harness, 40), 0);
-    call(&mut harness, AdminCall::Include(server));
+    call(&mut harness, AdminCall::Readmit(server));
     let first = attempts_there(&mut harness, 20);
     assert!(first <= 8, "{first} of 20 in the first second: it is cold");
     assert!(first + attempts_there(&mut harness, 80) > 0, "unused for 5 s");
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, SAMPLE};
+use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, MAX_SAMPLED_GROUPS};
 use connection_balancer::protocol::peers::{decode, encode, MAX_DATAGRAM_LENGTH};
 use connection_balancer::*;
 use proptest::prelude::*;
@@ -41,7 +41,7 @@
         assert!(!peers.should_broadcast(START.plus(holds - Micros(1)), own));
         assert!(peers.should_broadcast(START.plus(holds), own));
         peers.earn_credit();
-        assert!(peers.accept(START.plus(2 * holds), others));
+        assert!(peers.record_received(START.plus(2 * holds), others));
         assert!(!peers.should_broadcast(START.plus(3 * holds - Micros(1)), others));
         for alone in [gossip_config(1, 0.0), GossipConfig { enabled: false, ..gossip_config(3, 0.0) }] {
             assert!(
@@ -162,7 +162,7 @@
         server: Option<u32>,
         dropped: bool,
         ms in 0..200_000u64,
-        marks in proptest::collection::vec(any::<u16>(), 0..=SAMPLE),
+        marks in proptest::collection::vec(any::<u16>(), 0..=MAX_SAMPLED_GROUPS),
         junk: Vec<u8>,
     ) {
         let message = |ms| GossipMessage {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -336,7 +336,7 @@
     established.iter_mut().for_each(|client| assert_eq!(client.read_line(), "UP 1"));
     let since = Instant::now();
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
     assert!(connect_and_open(&daemon).read_to_end().starts_with("BUSY "));
     established.iter_mut().for_each(|client| assert_eq!(client.read_to_end(), "MOVE\r\n"));
     assert!(daemon.wait_for_exit());
@@ -386,7 +386,7 @@
     assert_eq!(established.read_line(), "M 1");
 
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
     daemon.reload("config.json", &config(first, &known));
     daemon.log_line(", reconfigured");
 
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -545,7 +545,7 @@
     let (mut daemon, _discovery) = TestSettings::default().start(&[&server]);
 
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
     daemon.suspend();
     let mut client = connect_and_open(&daemon, 9000);
     // The stay of a process that holds nothing is over meanwhile.
@@ -615,7 +615,7 @@
 
         let mut waiting = open_and_wait(&daemon);
         daemon.signal("-TERM");
-        daemon.log_line("leaving");
+        daemon.log_line("draining: ");
         let mut late = connect_and_open(&daemon, 9000);
 
         assert_eq!(late.read_to_end(), wanted);
@@ -711,7 +711,7 @@
     let _watch = discovery.call();
     assert_eq!(ping(), "PONG");
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
 
     assert_eq!(ping(), "");
 }
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -750,7 +750,7 @@
     assert!(!migrated.is_empty(), "nobody moved");
     assert!(migrated.iter().all(|connection| connections[..25].contains(connection)));
     let reply =
-        harness.feed(Input::AdminRequest { admin_client: AdminClientId(1), call: AdminCall::Telemetry });
+        harness.feed(Input::AdminRequest { admin_client: AdminClientId(1), call: AdminCall::Metrics });
     let Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) = reply.last() else {
         panic!("{reply:?}")
     };
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -20,7 +20,7 @@
 
 /// A request that any server may take.
 pub(crate) fn connection_request() -> ConnectionRequest {
-    ConnectionRequest { class: "chat".to_owned(), wait: Some(WAIT), ..ConnectionRequest::default() }
+    ConnectionRequest { class: "chat".to_owned(), timeout: Some(WAIT), ..ConnectionRequest::default() }
 }
 
 /// The configuration of the harness's one pool.
@@ -55,7 +55,7 @@
         load_report_fields: Vec::new(),
         longest_wait: WAIT,
         rebalance: rebalance::RebalanceConfig::default(),
-        peers: None,
+        gossip_price: None,
     }
 }
 
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -186,7 +186,7 @@
     let tier_member = || {
         let mut harness = ReducerHarness::new();
         let mut config = reducer_harness::pool_config();
-        (config.settings.balancers, config.peers) = (300, Some(0.0));
+        (config.settings.balancers, config.gossip_price) = (300, Some(0.0));
         reload(&mut harness, config);
         harness
     };
@@ -568,7 +568,7 @@
             for &(connection, _) in &self.connections {
                 self.harness.feed(Input::ClientDisconnected { connection });
             }
-            let (admin_client, call) = (AdminClientId(0), AdminCall::Telemetry);
+            let (admin_client, call) = (AdminClientId(0), AdminCall::Metrics);
             let effects = self.harness.feed(Input::AdminRequest { admin_client, call });
             let [Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }] = &effects[..] else {
                 panic!("{effects:?}")
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -6,7 +6,8 @@
 
 use connection_balancer::protocol::gossip;
 use connection_balancer::routing::store::{Entry, ReplicaMessage, ReplicatedMap};
-use connection_balancer::routing::LogEvent;
+use connection_balancer::routing::{server_id, LogEvent};
+use connection_balancer::ServerId;
 use fake_servers::{wait_until, Behaviour, Client, Daemon, Server};
 use proptest::prelude::*;
 
@@ -93,7 +94,7 @@
         if let Some(ReplicaMessage::Entry { key, entry }) = gossip::decode(&bytes) {
             let mut store = ReplicatedMap::new("n");
             store.merge_remote_entry(&key, entry);
-            prop_assert!(store.write("life/h", None).is_some(), "writing has to go on");
+            prop_assert!(store.write("life/h", None).is_ok(), "writing has to go on");
         }
     }
 }
@@ -104,10 +105,10 @@
 fn a_write_after_a_restart_from_nothing_wins() {
     let mut stores = [ReplicatedMap::new("a"), ReplicatedMap::new("b"), ReplicatedMap::new("c")];
     for _ in 0..9 {
-        stores[1].write("life/h", None);
+        stores[1].write("life/h", None).expect("fits");
     }
     (0..2).for_each(|_| exchange(&mut stores, 1, 2, |_| false));
-    stores[0].write("life/h", Some("draining"));
+    stores[0].write("life/h", Some("draining")).expect("fits");
     for _ in 0..3 {
         exchange(&mut stores, 0, 1, |_| false);
     }
@@ -117,8 +118,8 @@
 #[test]
 fn rejects_entries_that_do_not_fit_a_datagram() {
     let mut store = ReplicatedMap::new("n");
-    assert!(store.write(&"k".repeat(73), None).is_none());
-    assert!(store.write("k", Some(&"v".repeat(97))).is_none());
+    assert!(store.write(&"k".repeat(73), None).is_err());
+    assert!(store.write("k", Some(&"v".repeat(97))).is_err());
     let longest = store.write(&"k".repeat(72), Some(&"v".repeat(96))).expect("fits");
     let entry = Entry { node: "n".repeat(32), ..longest };
     over_the_wire(&ReplicaMessage::Entry { key: "k".repeat(72), entry });
@@ -164,3 +165,44 @@
     wait_until("the folder is there", || data.join("store.journal").exists());
     let _ = std::fs::remove_dir_all(&data);
 }
+
+/// Replicas of different versions compare their digests, so the bytes must not change.
+#[test]
+fn the_digest_of_known_entries_keeps_its_bytes() {
+    let mut store = ReplicatedMap::new("node-1");
+    store.write("limit/connections", Some("500")).expect("fits");
+    store.write("life/s-1", Some("draining")).expect("fits");
+    store.write("life/s-1", None).expect("fits");
+
+    let mut expected = [0; 16];
+    expected[4] = 0x611a_a67e_c5bf_0c82;
+    expected[13] = 0x51a6_a332_4768_74b8;
+    assert_eq!(store.digest(), expected);
+}
+
+/// The entries that repair a digest are drawn anew for each, from the same series in every process.
+#[test]
+fn the_entries_sent_for_a_digest_begin_at_the_same_places() {
+    let mut store = ReplicatedMap::new("node-1");
+    for number in 0..50 {
+        store.write(&format!("key/{number:02}"), Some("value")).expect("fits");
+    }
+    let empty = ReplicatedMap::new("node-2").digest();
+
+    let first_keys = [(); 6].map(|()| match store.repair(&empty).first() {
+        Some(ReplicaMessage::Entry { key, .. }) => key.clone(),
+        other => panic!("{other:?}"),
+    });
+
+    assert_eq!(first_keys.join(" "), "key/00 key/07 key/24 key/37 key/36 key/25");
+}
+
+/// Balancers place groups alike only if all of them number the servers alike.
+#[test]
+fn servers_keep_their_numbers() {
+    assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
+    // Reference values of FNV-1a with 32 bits.
+    assert_eq!(server_id(""), ServerId(0x811c_9dc5));
+    assert_eq!(server_id("a"), ServerId(0xe40c_292c));
+    assert_eq!(server_id("foobar"), ServerId(0xbf9c_f968));
+}
