--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -28,7 +28,7 @@
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
-    match call(harness, AdminCall::Telemetry).pop() {
+    match call(harness, AdminCall::Metrics).pop() {
         Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) => metrics,
         other => panic!("{other:?}"),
     }
@@ -150,7 +150,7 @@
     old.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
     call(&mut old, AdminCall::Exclude(SERVERS[3].to_owned()));
     call(&mut old, AdminCall::Exclude(SERVERS[4].to_owned()));
-    call(&mut old, AdminCall::Include(SERVERS[4].to_owned()));
+    call(&mut old, AdminCall::Readmit(SERVERS[4].to_owned()));
     let ejected = metrics(&mut old).ejected;
     let open = old.connect_client();
     old.feed(Input::ConnectionRequested {
@@ -168,7 +168,7 @@
     let mut next = export_state(&mut new);
     let (pool, before) = (next.pools.get_mut("platform").expect("there"), &exported.pools["platform"]);
     pool.ids.clone_from(&before.ids);
-    next.left = exported.left;
+    next.open_descriptors = exported.open_descriptors;
     assert_eq!(next, exported);
     // The id of a connection that is open at the predecessor is not free as long as that process may be there.
     let mut third = ReducerHarness::new();
@@ -195,7 +195,7 @@
         old.establish_connection();
     }
     call(&mut old, AdminCall::Exclude(SERVERS[2].to_owned()));
-    call(&mut old, AdminCall::Include(SERVERS[2].to_owned()));
+    call(&mut old, AdminCall::Readmit(SERVERS[2].to_owned()));
     let address = old.address(SERVERS[2]);
     start_successor(&mut old);
     for _ in 0..200 {
@@ -232,13 +232,13 @@
             "answered once"
         );
         // A peer process that hangs, or is gone, delays no reply.
-        call(&mut harness, AdminCall::Include(server.clone()));
+        call(&mut harness, AdminCall::Readmit(server.clone()));
         harness.advance(Micros::from_millis(500));
         assert_eq!(harness.feed(Input::TimerFired), vec![accepted.clone()]);
         call(&mut harness, AdminCall::Exclude(server.clone()));
         assert!(harness.feed(Input::PeerProcessLost).contains(&accepted));
         assert_eq!(
-            call(&mut harness, AdminCall::Include(server.clone())).last(),
+            call(&mut harness, AdminCall::Readmit(server.clone())).last(),
             Some(&accepted),
             "it is alone again"
         );
@@ -680,7 +680,7 @@
         }
         if n == 2 {
             // It has asked, and hangs: the daemon does not wait for it for ever.
-            old.log_line("hot restart given up: the successor does not serve in time");
+            old.log_line("hot restart aborted: the successor does not serve in time");
         }
         drop(successor);
         assert_eq!(connect_platform_client(&old, 1 + n as u32).read_line(), "UP 1", "after {n}");
