--- a/src/peers/credit.rs
+++ b/src/peers/credit.rs
@@ -1,12 +1,14 @@
-//! The credit that pays for gossip messages, so that their cost is a small fixed share of the value delivered.
+//! The credit that pays for gossip messages, so that their cost is a small fixed share of the value
+//! delivered.
 //!
-//! Inputs: the price of gossip and the number of balancers. A message is one datagram to each other balancer, and its cost
-//! is counted in the value of one connection. Rule:
+//! Inputs: the price of gossip and the number of balancers. A message is one datagram to each other balancer,
+//! and its cost is counted in the value of one connection. Rule:
 //!
-//! - Each connection that is established here earns [`MAX_COST_SHARE`] of its value, as a number of messages. At most
-//!   [`MAX_CREDIT`] messages are saved up.
-//! - A message costs one unit of credit. Less than one unit buys a message with the corresponding probability, and is
-//!   spent in any case. In a large tier each balancer has few connections, and would rarely save up a complete unit.
+//! - Each connection that is established here earns [`MAX_COST_SHARE`] of its value, as a number of messages.
+//!   At most [`MAX_CREDIT`] messages are saved up.
+//! - A message costs one unit of credit. Less than one unit buys a message with the corresponding
+//!   probability, and is spent in any case. In a large tier each balancer has few connections, and would
+//!   rarely save up a complete unit.
 
 use rand::Rng;
 
@@ -26,8 +28,8 @@
 }
 
 impl MessageCredit {
-    /// Adds what one established connection pays for. `price` is the price of 256 bytes with each request, as a share of
-    /// the value delivered.
+    /// Adds what one established connection pays for. `price` is the price of 256 bytes with each request, as
+    /// a share of the value delivered.
     pub(super) fn earn(&mut self, price: f64, balancers: u32) {
         let receivers = f64::from(balancers.saturating_sub(1));
         let message_cost = price * MIN_CHARGED_BYTES / PRICED_BYTES * receivers;
--- a/src/peers/group_sample.rs
+++ b/src/peers/group_sample.rs
@@ -1,8 +1,9 @@
 //! Samples of groups: the groups of a few connections that are established at a message's sender.
 //!
-//! Connections of one group should be placed at few servers, and all balancers have to agree at how many. Each balancer
-//! sees only its own connections, so from the samples of all messages all balancers estimate alike how large each group
-//! is. A sample fits into the bytes that a datagram is charged for at least, so it costs nothing.
+//! Connections of one group should be placed at few servers, and all balancers have to agree at how many.
+//! Each balancer sees only its own connections, so from the samples of all messages all balancers estimate
+//! alike how large each group is. A sample fits into the bytes that a datagram is charged for at least, so it
+//! costs nothing.
 //!
 //! Connections are drawn at random, with equal probability, so that larger groups are sampled more often.
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,12 +1,12 @@
 //! Gossip between the balancers of one tier.
 //!
-//! In a tier of a hundred balancers, each has only a few connections at any server. It would learn that a server is slow
-//! by placing a connection there, and so would all others. Instead, the first balancer that observes something sends it to
-//! all others in one datagram each. What is observed:
+//! In a tier of a hundred balancers, each has only a few connections at any server. It would learn that a
+//! server is slow by placing a connection there, and so would all others. Instead, the first balancer that
+//! observes something sends it to all others in one datagram each. What is observed:
 //!
 //! - messages at a server are slow;
-//! - a server dropped an established connection, by which also balancers whose servers do not report message times learn
-//!   that it is overloaded;
+//! - a server dropped an established connection, by which also balancers whose servers do not report message
+//!   times learn that it is overloaded;
 //! - set-ups are slow at all servers, as happens when something that they share is slow.
 //!
 //! Messages may be lost or late, and nothing waits for one: without them each balancer learns by itself.
@@ -14,12 +14,14 @@
 //! Rule: an observation made here is broadcast if
 //!
 //! 1. gossip is enabled and there is another balancer;
-//! 2. the others would change something by it: a message time has to reach `SLOW_MESSAGE_RATIO` of the message objective;
+//! 2. the others would change something by it: a message time has to reach `SLOW_MESSAGE_RATIO` of the
+//!    message objective;
 //! 3. no earlier observation of the same subject still holds (`recent_observations`);
 //! 4. the credit pays for it (`credit`).
 //!
-//! Each message also carries a sample of groups (`group_sample`). What the balancer does about an observation of another
-//! is decided in `src/policy/`. The module is pure: its clock is handed in, and its random draws are seeded.
+//! Each message also carries a sample of groups (`group_sample`). What the balancer does about an observation
+//! of another is decided in `src/policy/`. The module is pure: its clock is handed in, and its random draws
+//! are seeded.
 #![deny(missing_docs)]
 
 mod credit;
@@ -38,8 +40,8 @@
 
 use crate::{GroupHash, Micros, Time};
 
-/// The least share of the message objective that a message time has to reach to be sent. Many messages of a server with
-/// this mean time miss the objective.
+/// The least share of the message objective that a message time has to reach to be sent. Many messages of a
+/// server with this mean time miss the objective.
 const SLOW_MESSAGE_RATIO: f64 = 0.5;
 /// Changes the seed, so that the draws differ from those of the policy, which has the same seed.
 const SEED_MASK: u64 = u64::from_be_bytes(*b"the tier");
@@ -51,7 +53,8 @@
     pub enabled: bool,
     /// The number of balancers, this one included.
     pub balancers: u32,
-    /// The price of 256 bytes sent with each request, as a share of the value delivered; 0 where they cost nothing.
+    /// The price of 256 bytes sent with each request, as a share of the value delivered; 0 where they cost
+    /// nothing.
     pub price: f64,
     /// The time within which a message should be answered; 0 where no class has such an objective.
     pub message_objective: Micros,
--- a/src/peers/recent_observations.rs
+++ b/src/peers/recent_observations.rs
@@ -1,7 +1,7 @@
 //! Recent observations, by which balancers avoid repeating one another.
 //!
-//! All balancers with a connection at a slow server observe that at the same time. While an observation holds, further
-//! ones of the same subject are known and need not be sent.
+//! All balancers with a connection at a slow server observe that at the same time. While an observation
+//! holds, further ones of the same subject are known and need not be sent.
 
 use std::collections::BTreeMap;
 
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,11 +1,11 @@
 //! The execution of admin calls: readiness, metrics, exclusion and readmission.
 //!
-//! A process is ready while it can serve new requests: its fronts listen, every pool has an endpoint list, no successor
-//! of a hot restart serves, and no graceful shutdown has begun.
+//! A process is ready while it can serve new requests: its fronts listen, every pool has an endpoint list, no
+//! successor of a hot restart serves, and no graceful shutdown has begun.
 //!
-//! An exclusion is applied before the reply. While there is a peer process, the reply also waits for its acknowledgement
-//! ([`super::hot_restart`]). Until the fronts listen exclusions are rejected, because the names that an operator may use
-//! are not known yet.
+//! An exclusion is applied before the reply. While there is a peer process, the reply also waits for its
+//! acknowledgement ([`super::hot_restart`]). Until the fronts listen exclusions are rejected, because the
+//! names that an operator may use are not known yet.
 //!
 //! Apart from whether the fronts listen, this module owns no state.
 
--- a/src/routing/admitted_connections.rs
+++ b/src/routing/admitted_connections.rs
@@ -1,7 +1,8 @@
 //! The admitted connections of one pool: their number, and the ids that their clients gave them.
 //!
-//! No two open connections may have the same id. During a hot restart this also holds for connections that the
-//! predecessor still serves, so their ids are recorded apart until each connection is transferred or the predecessor ends.
+//! No two open connections may have the same id. During a hot restart this also holds for connections that
+//! the predecessor still serves, so their ids are recorded apart until each connection is transferred or the
+//! predecessor ends.
 
 use std::collections::BTreeSet;
 
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -1,8 +1,8 @@
 //! Final answers to clients, and the end of their connections.
 //!
-//! Each request has exactly one final answer. It is sent and counted in [`State::send_answer`] alone, and the connection's
-//! record is removed with it, so that no later input can lead to a second one. A connection that was established counts
-//! as succeeded when it is established; its end is not counted.
+//! Each request has exactly one final answer. It is sent and counted in [`State::send_answer`] alone, and the
+//! connection's record is removed with it, so that no later input can lead to a second one. A connection that
+//! was established counts as succeeded when it is established; its end is not counted.
 //!
 //! This module owns no state; the counters are the pool's.
 
@@ -53,7 +53,8 @@
         self.pools[connection.pool].balancer.may_reject(request_id(id))
     }
 
-    /// A rejection with this Retry-After, limited to the pool's longest. It is 0 where the settings rule out any advice.
+    /// A rejection with this Retry-After, limited to the pool's longest. It is 0 where the settings rule out
+    /// any advice.
     pub(super) fn reject_with_retry_after(&self, id: ConnectionId, retry_after: Micros) -> Answer {
         let pool = self.connections.pool_of(id);
         let settings = pool.map(|pool| &self.pools[pool].config.settings);
@@ -63,8 +64,8 @@
         Answer::Rejected(retry_after.min(longest))
     }
 
-    /// Ends a connection that was answered or needs no answer, together with its attempt. `outcome` is what the balancer
-    /// counts for the server.
+    /// Ends a connection that was answered or needs no answer, together with its attempt. `outcome` is what
+    /// the balancer counts for the server.
     pub(super) fn end_connection(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         let Some(connection) = self.connections.get(id) else { return };
         let (pool, phase) = (connection.pool, connection.phase);
@@ -73,7 +74,8 @@
         self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionEnded { connection: id, natural });
         let attempt = self.remove_connection(now, id).map(|attempt| attempt.number);
         let attempt = match phase {
-            // The balancer knows a restored connection as established by attempt 0, however many attempts were made.
+            // The balancer knows a restored connection as established by attempt 0, however many attempts
+            // were made.
             Phase::Restoring { .. } => Some(0),
             _ => attempt,
         };
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Removes a connection's record, and returns its attempt. Its sockets are closed later, so it becomes pending.
+    /// Removes a connection's record, and returns its attempt. Its sockets are closed later, so it becomes
+    /// pending.
     pub(super) fn remove_connection(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,19 +1,19 @@
 //! Attempts to set up a request's connection at a server: opening, deadlines, acceptance and failure.
 //!
-//! A request has at most one attempt in flight. The balancer chooses its server and, after a failure, whether to retry
-//! (`src/policy/`). This module gives each attempt its number and these deadlines, and the earliest is the timer of the
-//! connection:
+//! A request has at most one attempt in flight. The balancer chooses its server and, after a failure, whether
+//! to retry (`src/policy/`). This module gives each attempt its number and these deadlines, and the earliest
+//! is the timer of the connection:
 //!
 //! - to connect, the pool's connect timeout;
-//! - to have its request written in full, where the balancer limits that: a server may recognise a repeated request
-//!   for a limited time only, and the endpoint list may expire;
+//! - to have its request written in full, where the balancer limits that: a server may recognise a repeated
+//!   request for a limited time only, and the endpoint list may expire;
 //! - to be accepted by the server, the timeout that the balancer gives.
 //!
 //! Reports of an earlier attempt are ignored by their number.
 //!
-//! A connection in [`Phase::Restoring`] belongs to one server, where it was established before this process started. It
-//! is retried there every [`RESTORE_RETRY_INTERVAL`], without the balancer, until its deadline or the most attempts
-//! of a request are reached.
+//! A connection in [`Phase::Restoring`] belongs to one server, where it was established before this process
+//! started. It is retried there every [`RESTORE_RETRY_INTERVAL`], without the balancer, until its deadline or
+//! the most attempts of a request are reached.
 //!
 //! The attempts themselves are kept in the connection table; this module owns no state.
 
@@ -24,13 +24,13 @@
 
 /// The time from a failed attempt to restore a connection to the next one.
 const RESTORE_RETRY_INTERVAL: Micros = Micros::from_millis(500);
-/// For how long a connection is restored at a server that is not listed. The list may still be the cached one, which
-/// may not name the server.
+/// For how long a connection is restored at a server that is not listed. The list may still be the cached
+/// one, which may not name the server.
 const UNLISTED_SERVER_TIMEOUT: Micros = Micros::from_secs(2);
 
 impl State {
-    /// Opens an attempt that the server has to accept within `acceptance_timeout`. Its request has to be written in full
-    /// within `forwarding_timeout`, if given.
+    /// Opens an attempt that the server has to accept within `acceptance_timeout`. Its request has to be
+    /// written in full within `forwarding_timeout`, if given.
     pub(super) fn open_attempt(
         &mut self,
         now: Time,
@@ -39,24 +39,17 @@
         acceptance_timeout: Micros,
         forwarding_timeout: Option<Micros>,
     ) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
-        let pool = &self.pools[connection.pool];
-        let number = connection.attempts;
-        connection.attempts += 1;
-        let attempt = Attempt {
-            number,
-            server,
-            forwarded_at: None,
-            acceptance_deadline: now.plus(acceptance_timeout),
-            forwarding_deadline: forwarding_timeout.map(|timeout| now.plus(timeout)),
-        };
+        let Some(pool) = self.connections.pool_of(id).map(|pool| &self.pools[pool]) else { return };
         let connect_deadline = now.plus(pool.config.settings.connect_timeout);
+        let acceptance_deadline = now.plus(acceptance_timeout);
+        let forwarding_deadline = forwarding_timeout.map(|timeout| now.plus(timeout));
         let address = pool.endpoints.get(server).map_or(String::new(), |endpoint| endpoint.address.clone());
-        self.connections.begin_attempt(id, attempt);
+        let attempt = self.connections.begin_attempt(id, server, acceptance_deadline, forwarding_deadline);
+        let Some(attempt) = attempt else { return };
         self.connections.set_timer(id, Some(attempt.first_deadline(connect_deadline)));
         self.effects.push(Effect::OpenAttempt {
             connection: id,
-            attempt: number,
+            attempt: attempt.number,
             address,
             timeout: acceptance_timeout,
         });
@@ -82,15 +75,13 @@
     /// Establishes a connection whose attempt the server has accepted.
     pub(super) fn on_attempt_accepted(&mut self, now: Time, id: ConnectionId, number: u32) {
         let Some(attempt) = self.connections.attempt(id, number) else { return };
-        let migrate_at = self.shutdown.migration_time(now);
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get(id) else { return };
         if connection.phase == Phase::Established {
             return;
         }
         let pool = connection.pool;
         let was_placed = connection.phase == Phase::Connecting;
-        connection.phase = Phase::Established;
-        connection.migrate_at = migrate_at;
+        self.connections.record_established(id, self.shutdown.migration_time(now));
         let setup_time = attempt.forwarded_at.filter(|_| was_placed).map(|at| now.since(at));
         self.count_outcome(id, |counters| counters.succeeded += 1);
         self.schedule_established_timer(now, id);
@@ -141,8 +132,8 @@
         self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
-    /// Takes the next step of restoring a connection: opens an attempt, waits until its server is listed, or fails the
-    /// request.
+    /// Takes the next step of restoring a connection: opens an attempt, waits until its server is listed, or
+    /// fails the request.
     pub(super) fn continue_restoring(
         &mut self,
         now: Time,
@@ -168,8 +159,8 @@
         }
     }
 
-    /// Whether another attempt to restore a connection may follow. A client may name a server that never existed, so
-    /// one that is not listed is awaited for a short time only.
+    /// Whether another attempt to restore a connection may follow. A client may name a server that never
+    /// existed, so one that is not listed is awaited for a short time only.
     fn may_restore(&self, now: Time, id: ConnectionId, deadline: Time, server: ServerId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let max_attempts = self.pools[connection.pool].config.settings.max_attempts;
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,17 +1,19 @@
 //! Requests of clients: from a new connection's handshake to the admission of its request.
 //!
-//! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake timeout.
-//! These checks follow in order, and the first that fails ends the connection:
+//! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake
+//! timeout. These checks follow in order, and the first that fails ends the connection:
 //!
-//! 1. Graceful shutdown: the request is rejected with a Retry-After, unless a successor of a hot restart serves.
-//! 2. Connection limits: the pool's (from the replicated map where it holds one, or else from the configuration) and
-//!    that of all fronts. Above either, the request is rejected with half the longest Retry-After.
-//! 3. Names: a class or tenant that is not configured, and an id that an open connection has, fail the request. A
-//!    rejection would invite a retry, which could not succeed.
+//! 1. Graceful shutdown: the request is rejected with a Retry-After, unless a successor of a hot restart
+//!    serves.
+//! 2. Connection limits: the pool's (from the replicated map where it holds one, or else from the
+//!    configuration) and that of all fronts. Above either, the request is rejected with half the longest
+//!    Retry-After.
+//! 3. Names: a class or tenant that is not configured, and an id that an open connection has, fail the
+//!    request. A rejection would invite a retry, which could not succeed.
 //!
-//! An admitted request goes to the pool's balancer, which chooses a server, rejects or fails it (`src/policy/`). A
-//! request of a connection that was established before this process started returns to its server instead
-//! ([`Phase::Restoring`]).
+//! An admitted request goes to the pool's balancer, which chooses a server, rejects or fails it
+//! (`src/policy/`). A request of a connection that was established before this process started returns to its
+//! server instead ([`Phase::Restoring`]).
 //!
 //! The state of a connection is kept in the connection table; this module owns none.
 
@@ -84,15 +86,14 @@
         // A class that is no longer configured has an empty name, which must not be matched.
         let name = Some(&request.class).filter(|name| !name.is_empty());
         let class = name.and_then(|name| self.pools[pool_id].config.class_id(name));
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.class = class;
-        }
+        self.connections.record_class(id, class);
     }
 
     /// The rejection of a request during a shutdown, or at a connection limit.
     fn check_admission(&self, id: ConnectionId, pool_id: PoolId) -> Option<Answer> {
-        // Clients that arrive during a graceful shutdown are served sooner by another balancer. Where a successor
-        // serves on this machine, no new ones arrive, and those that connected before are served here.
+        // Clients that arrive during a graceful shutdown are served sooner by another balancer. Where a
+        // successor serves on this machine, no new ones arrive, and those that connected before are served
+        // here.
         if self.shutdown.has_begun() && !self.hot_restart.successor_serves() {
             return Some(self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
         }
@@ -113,9 +114,9 @@
         pool.admitted.count() >= limit || admitted_in_all_pools >= self.admission.budget().admitted
     }
 
-    /// Looks up the names in a request. Returns `None` for a class or tenant that is not configured, which servers
-    /// would reject, and for an id that an open connection has, because clients and servers tell connections apart by
-    /// their ids.
+    /// Looks up the names in a request. Returns `None` for a class or tenant that is not configured, which
+    /// servers would reject, and for an id that an open connection has, because clients and servers tell
+    /// connections apart by their ids.
     fn profile_request(
         &self,
         id: ConnectionId,
@@ -144,14 +145,11 @@
         let ConnectionRequest { key, reconnecting, .. } = *request;
         pool.rebalance
             .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting });
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.request = request.clone();
-        }
-        self.connections.set_timer(id, None);
+        self.connections.record_admission(id, request);
     }
 
-    /// Has the balancer choose a server. The client waits for its answer for `timeout`, or, without one, until the end
-    /// of its handshake timeout.
+    /// Has the balancer choose a server. The client waits for its answer for `timeout`, or, without one,
+    /// until the end of its handshake timeout.
     fn place_connection(
         &mut self,
         now: Time,
--- a/src/routing/connection_request.rs
+++ b/src/routing/connection_request.rs
@@ -15,7 +15,8 @@
     pub group: Option<u64>,
     /// Its usual load, in the unit of the settings.
     pub load: Option<f64>,
-    /// How long the client waits for its answer from now on. Without it, until the end of the handshake timeout.
+    /// How long the client waits for its answer from now on. Without it, until the end of the handshake
+    /// timeout.
     pub timeout: Option<Micros>,
     /// Name of the server at which the connection was established before this process started.
     pub established_at: Option<String>,
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -1,17 +1,18 @@
 //! The table of open connections, with two indexes: their timers, and their attempts by server.
 //!
-//! Owns each client connection's record from its accept to its end. A connection has at most one timer and at most one
-//! attempt. Both are private to this module, and every change of them updates the index, so that
+//! Owns each client connection's record from its accept to its end. A connection has at most one timer and at
+//! most one attempt. Both are private to this module, and every change of them updates the index, so that
 //!
 //! - the first timer is found without a search over all connections;
 //! - the connections at one server are found without a search, when it drains or is removed.
 //!
-//! Handlers set the other fields of a record. All iteration is in the order of connection numbers, or of servers and
-//! then connection numbers: the same inputs give the same effects in the same order.
+//! Handlers read a record and change it only through the table's methods, each of which is named for an
+//! event. All iteration is in the order of connection numbers, or of servers and then connection numbers, so
+//! that the same inputs give the same effects in the same order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{ConnectionId, ConnectionRequest, PoolId};
+use super::{ConnectionId, ConnectionRequest, EstablishedConnection, PoolId};
 use crate::{ClassId, ServerId, Time};
 
 /// How far a connection has come.
@@ -96,6 +97,23 @@
         }
     }
 
+    /// A connection that the predecessor of a hot restart established, with the class that its request names
+    /// here.
+    pub(super) fn transferred(
+        pool: PoolId,
+        now: Time,
+        class: Option<ClassId>,
+        established: EstablishedConnection,
+    ) -> ClientConnection {
+        ClientConnection {
+            class,
+            request: established.request,
+            phase: Phase::Established,
+            awaiting_server_since: established.awaiting_server_since,
+            ..ClientConnection::new(pool, now)
+        }
+    }
+
     /// The attempt in flight or accepted.
     pub(super) fn attempt(&self) -> Option<Attempt> {
         self.attempt
@@ -154,10 +172,6 @@
         self.connections.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut ClientConnection> {
-        self.connections.get_mut(&id)
-    }
-
     /// The connection, if it is established.
     pub(super) fn get_established(&self, id: ConnectionId) -> Option<&ClientConnection> {
         self.get(id).filter(|connection| connection.phase == Phase::Established)
@@ -196,6 +210,63 @@
         self.get(id).map(|connection| connection.pool)
     }
 
+    // ---- Events of a connection ----
+
+    /// Records the class that a connection's request names, if it is configured.
+    pub(super) fn record_class(&mut self, id: ConnectionId, class: Option<ClassId>) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.class = class;
+        }
+    }
+
+    /// Records an admitted request, and stops the handshake timer.
+    pub(super) fn record_admission(&mut self, id: ConnectionId, request: &ConnectionRequest) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.request = request.clone();
+        }
+        self.set_timer(id, None);
+    }
+
+    /// Records that a connection is established, and when it is to be migrated, if that is known already.
+    pub(super) fn record_established(&mut self, id: ConnectionId, migrate_at: Option<Time>) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.phase = Phase::Established;
+            connection.migrate_at = migrate_at;
+        }
+    }
+
+    /// Schedules the migration of a connection, unless it is scheduled for an earlier time.
+    pub(super) fn schedule_migration(&mut self, id: ConnectionId, migrate_at: Time) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.migrate_at = Some(earliest(connection.migrate_at, migrate_at));
+        }
+    }
+
+    /// Records a line that was forwarded to the server.
+    pub(super) fn record_forwarded_line(&mut self, now: Time, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.awaiting_server_since.get_or_insert(now);
+        }
+    }
+
+    /// Records that the server of an established connection has sent something, which counts as its answer to
+    /// all lines before.
+    pub(super) fn record_server_activity(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            if connection.phase == Phase::Established {
+                connection.awaiting_server_since = None;
+            }
+        }
+    }
+
+    /// Records the load that a connection's server has reported.
+    pub(super) fn record_load(&mut self, id: ConnectionId, load: f64) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.load = Some(load);
+        }
+    }
+
+    /// Moves a connection to another phase of its set-up.
     pub(super) fn set_phase(&mut self, id: ConnectionId, phase: Phase) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.phase = phase;
@@ -229,12 +300,23 @@
 
     // ---- Attempts ----
 
-    /// Gives a connection its attempt. An earlier one has to be removed first.
-    pub(super) fn begin_attempt(&mut self, id: ConnectionId, attempt: Attempt) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+    /// Gives a connection its next attempt, and returns that. An earlier one has to be removed first.
+    pub(super) fn begin_attempt(
+        &mut self,
+        id: ConnectionId,
+        server: ServerId,
+        acceptance_deadline: Time,
+        forwarding_deadline: Option<Time>,
+    ) -> Option<Attempt> {
+        let connection = self.connections.get_mut(&id)?;
+        let number = connection.attempts;
+        let attempt =
+            Attempt { number, server, forwarded_at: None, acceptance_deadline, forwarding_deadline };
+        connection.attempts += 1;
         connection.attempt = Some(attempt);
-        let server = PoolServer { pool: connection.pool, server: attempt.server };
+        let server = PoolServer { pool: connection.pool, server };
         self.by_server.entry(server).or_default().insert(id);
+        Some(attempt)
     }
 
     /// Removes and returns a connection's attempt.
@@ -256,7 +338,8 @@
         self.get(id)?.attempt.filter(|attempt| attempt.number == number)
     }
 
-    /// Records that an attempt's request is written in full. Returns false if that was known, or the attempt has ended.
+    /// Records that an attempt's request is written in full. Returns false if that was known, or the attempt
+    /// has ended.
     pub(super) fn mark_forwarded(&mut self, now: Time, id: ConnectionId, number: u32) -> bool {
         let attempt = self.connections.get_mut(&id).and_then(|connection| connection.attempt.as_mut());
         let is_unforwarded = |attempt: &&mut Attempt| attempt.number == number && !attempt.is_forwarded();
@@ -265,7 +348,8 @@
         true
     }
 
-    /// Limits the time by which the request of a connection's attempt may be written. An earlier deadline is kept.
+    /// Limits the time by which the request of a connection's attempt may be written. An earlier deadline is
+    /// kept.
     pub(super) fn limit_forwarding(&mut self, id: ConnectionId, deadline: Time) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let is_connecting = connection.phase == Phase::Connecting;
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -1,10 +1,11 @@
 //! The interface to the balancers: events go in, and the actions that a balancer returns are executed.
 //!
-//! A balancer (`src/policy/`) decides and has no side effects. This module translates its actions into effects and calls of
-//! other handlers, in the order in which they were returned. An action may lead to further events and so to further
-//! actions, which are appended.
+//! A balancer (`src/policy/`) decides and has no side effects. This module translates its actions into
+//! effects and calls of other handlers, in the order in which they were returned. An action may lead to
+//! further events and so to further actions, which are appended.
 //!
-//! Where the balancer rejects or fails a request, its reason is counted in the metrics and logged, both here alone.
+//! Where the balancer rejects or fails a request, its reason is counted in the metrics and logged, both here
+//! alone.
 //!
 //! This module owns no state.
 
@@ -21,7 +22,8 @@
         self.pools[pool].balancer.handle(now, event, &mut actions);
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
-            // A cancelled attempt may lead to further actions. They are executed after those that were returned first.
+            // A cancelled attempt may lead to further actions. They are executed after those that were
+            // returned first.
             actions.extend(self.apply_action(now, pool, action));
         }
     }
@@ -72,7 +74,7 @@
     /// Logs that a pool's endpoint list has expired, once until it is confirmed.
     fn log_endpoint_list_expiry(&mut self, pool: PoolId) {
         let pool = &mut self.pools[pool];
-        if !std::mem::replace(&mut pool.is_expiry_logged, true) {
+        if pool.record_expiry() {
             let pool = pool.config.name;
             self.effects.push(Effect::Log(LogEvent::EndpointListExpired { pool }));
         }
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -62,7 +62,8 @@
         server: ServerId,
         /// Its address.
         address: String,
-        /// Names under which its report may carry the utilisation. The first one that the report contains is used.
+        /// Names under which its report may carry the utilisation. The first one that the report contains is
+        /// used.
         names: Vec<&'static str>,
         /// How long the connect and the answer may take together.
         timeout: Micros,
@@ -72,7 +73,8 @@
         /// The pool.
         pool: PoolId,
     },
-    /// Stop the watch on a pool's endpoint list and start one at another address, which begins with a snapshot.
+    /// Stop the watch on a pool's endpoint list and start one at another address, which begins with a
+    /// snapshot.
     WatchEndpointsAt {
         /// The pool.
         pool: PoolId,
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -5,19 +5,21 @@
 //! 1. what discovery or the operator's file lists;
 //! 2. servers that the replicated map adds, where the pool uses it;
 //! 3. readmitted servers, which count as just started;
-//! 4. while a successor of a hot restart serves: servers that are warming up, which drain here. Each process would
-//!    otherwise fill them at the full rate of their slow start;
+//! 4. while a successor of a hot restart serves: servers that are warming up, which drain here. Each process
+//!    would otherwise fill them at the full rate of their slow start;
 //! 5. excluded servers, which drain or are removed. An exclusion neither adds a server nor makes one ready.
 //!
-//! The result goes to the balancer and to the rebalancer. Then connections leave servers that are not ready any more:
+//! The result goes to the balancer and to the rebalancer. Then connections leave servers that are not ready
+//! any more:
 //!
 //! - An attempt whose request is not written yet is closed, and the balancer retries the request elsewhere.
 //! - Connections at a server that is not listed any more are migrated at once.
-//! - Connections at a draining server are migrated one by one over the pool's `drain_duration`. Where that is zero,
-//!   servers redirect their clients themselves, except an excluded one, which does not know that it drains.
+//! - Connections at a draining server are migrated one by one over the pool's `drain_duration`. Where that is
+//!   zero, servers redirect their clients themselves, except an excluded one, which does not know that it
+//!   drains.
 //!
-//! The lists are kept by the pool ([`super::pool::ListedEndpoints`], [`super::endpoints::EndpointList`]); this module
-//! owns no state.
+//! The lists are kept by the pool ([`super::listed_endpoints::ListedEndpoints`],
+//! [`super::endpoints::EndpointList`]); this module owns no state.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +33,8 @@
 pub(super) const ENDPOINT_KEY_PREFIX: &str = "host/";
 /// The value of an exclusion that removes a server from the list. Any other value has it drain.
 const EXCLUSION_VALUE_GONE: &str = "gone";
-/// Time over which the clients of an excluded server are migrated, where draining servers redirect theirs themselves.
+/// Time over which the clients of an excluded server are migrated, where draining servers redirect theirs
+/// themselves.
 const EXCLUSION_DRAIN_DURATION: Micros = Micros::from_millis(1200);
 
 /// Connections that are migrated together: those of one server over one duration.
@@ -75,8 +78,8 @@
         }
     }
 
-    /// Derives a pool's endpoint list from its sources, publishes it, and drains the connections of servers that are not
-    /// ready.
+    /// Derives a pool's endpoint list from its sources, publishes it, and drains the connections of servers
+    /// that are not ready.
     pub(super) fn refresh_endpoints(&mut self, now: Time, pool_id: PoolId) {
         let mut endpoints = self.collect_listed_endpoints(pool_id);
         self.exclusions.record_listed(endpoints.keys());
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Retries or migrates a connection at once where it must not stay, or else returns the group with which it is
-    /// migrated gradually, if it is.
+    /// Retries or migrates a connection at once where it must not stay, or else returns the group with which
+    /// it is migrated gradually, if it is.
     fn drain_connection(
         &mut self,
         now: Time,
@@ -188,7 +191,8 @@
         }
     }
 
-    /// The time over which a draining server's connections are migrated. `None` where it redirects them itself.
+    /// The time over which a draining server's connections are migrated. `None` where it redirects them
+    /// itself.
     fn drain_duration(&self, pool_id: PoolId, server: ServerId) -> Option<Micros> {
         let pool = &self.pools[pool_id];
         match pool.config.drain_duration {
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,8 +1,9 @@
 //! The endpoint list in effect at a pool, and the numbers by which the balancer knows servers.
 //!
-//! Servers have names in endpoint lists, logs and admin calls, and numbers in the balancer and in gossip. The number is
-//! the hexadecimal number at the end of the name, or else a hash of the name. All balancers must derive the same number
-//! from a name: from it they choose the same servers for a group, and gossip carries only the number.
+//! Servers have names in endpoint lists, logs and admin calls, and numbers in the balancer and in gossip. The
+//! number is the hexadecimal number at the end of the name, or else a hash of the name. All balancers must
+//! derive the same number from a name: from it they choose the same servers for a group, and gossip carries
+//! only the number.
 //!
 //! [`EndpointList`] owns the list in effect, ordered by number. How that list is derived is in
 //! [`super::endpoint_updates`].
@@ -64,8 +65,8 @@
         self.endpoints.keys().copied()
     }
 
-    /// Replaces the list, and returns it in the balancer's terms. `zones` are the configured names, in the order of
-    /// their [`ZoneId`]s.
+    /// Replaces the list, and returns it in the balancer's terms. `zones` are the configured names, in the
+    /// order of their [`ZoneId`]s.
     pub(super) fn replace(
         &mut self,
         endpoints: impl Iterator<Item = Endpoint>,
@@ -95,8 +96,8 @@
     }
 }
 
-/// Parses a server's entry in the replicated map: its address, then its zone and its weight if given, with spaces in
-/// between. Returns `None` where the address or the weight cannot be parsed.
+/// Parses a server's entry in the replicated map: its address, then its zone and its weight if given, with
+/// spaces in between. Returns `None` where the address or the weight cannot be parsed.
 pub fn stored_endpoint(name: &str, text: &str) -> Option<Endpoint> {
     let mut fields = text.split_ascii_whitespace();
     let address = fields.next()?.parse::<std::net::SocketAddr>().ok()?.to_string();
@@ -116,8 +117,8 @@
 /// Length of the hexadecimal number at the end of a server's name.
 const SERVER_NUMBER_DIGITS: usize = 8;
 
-/// A server's number: the one at the end of its name (`s-5be2a07c`), or the hash of a name without one. It is the same
-/// at every balancer.
+/// A server's number: the one at the end of its name (`s-5be2a07c`), or the hash of a name without one. It is
+/// the same at every balancer.
 pub fn server_id(name: &str) -> ServerId {
     let last_part = name.rsplit('-').next().filter(|part| part.len() == SERVER_NUMBER_DIGITS);
     let number = last_part.and_then(|part| u32::from_str_radix(part, 16).ok());
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,14 +1,14 @@
 //! Established connections: silence of their servers, load reports, and migration.
 //!
-//! - **Silence.** A server that fails may close nothing, and its clients would wait without end. From the first line
-//!   without an answer on, a server has the pool's `server_silence_timeout`, after which the connection is migrated and
-//!   the server's fault is reported to the balancer. The timer is not moved with each line: where it fires too early,
-//!   it is set again.
-//! - **Load reports.** A value is the connection's load or the server's message time ([`super::load_reports`]). Either
-//!   is recorded, and goes to the rebalancer and the balancer; a message time also goes to the other balancers by
-//!   gossip.
-//! - **Migration.** The client is asked to reconnect and both sides are closed. Several connections are migrated one by
-//!   one at equal intervals, since all of them at once would overload the other servers.
+//! - **Silence.** A server that fails may close nothing, and its clients would wait without end. From the
+//!   first line without an answer on, a server has the pool's `server_silence_timeout`, after which the
+//!   connection is migrated and the server's fault is reported to the balancer. The timer is not moved with
+//!   each line: where it fires too early, it is set again.
+//! - **Load reports.** A value is the connection's load or the server's message time
+//!   ([`super::load_reports`]). Either is recorded, and goes to the rebalancer and the balancer; a message
+//!   time also goes to the other balancers by gossip.
+//! - **Migration.** The client is asked to reconnect and both sides are closed. Several connections are
+//!   migrated one by one at equal intervals, since all of them at once would overload the other servers.
 //!
 //! The connections are kept in the connection table; this module owns no state.
 
@@ -21,21 +21,14 @@
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
 impl State {
-    /// Records when the earliest line without an answer was forwarded.
+    /// Records a client's line, from which on its server's silence may count.
     pub(super) fn on_line_forwarded(&mut self, now: Time, id: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.awaiting_server_since.get_or_insert(now);
-        }
+        self.connections.record_forwarded_line(now, id);
     }
 
-    /// Records that the server has sent something, which counts as its answer to all lines before.
+    /// Records that the server is not silent.
     pub(super) fn on_server_activity(&mut self, id: ConnectionId) {
-        if self.connections.get_established(id).is_none() {
-            return;
-        }
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.awaiting_server_since = None;
-        }
+        self.connections.record_server_activity(id);
     }
 
     /// Records a load report and hands it to the balancer.
@@ -76,14 +69,12 @@
         let pool = &mut self.pools[pool_id];
         pool.load_reports.add_load(load);
         pool.rebalance.on_event(now, RebalanceEvent::LoadReported { connection: id, load });
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.load = Some(load);
-        }
+        self.connections.record_load(id, load);
         Measurement::Load(load)
     }
 
-    /// Sets an established connection's timer to its migration or the end of its server's silence timeout, whichever
-    /// comes first.
+    /// Sets an established connection's timer to its migration or the end of its server's silence timeout,
+    /// whichever comes first.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let silence_timeout = self.pools[connection.pool].config.server_silence_timeout;
@@ -109,15 +100,16 @@
         }
     }
 
-    /// Asks a client to reconnect, and closes both sides. `outcome` is what the balancer counts for the server.
+    /// Asks a client to reconnect, and closes both sides. `outcome` is what the balancer counts for the
+    /// server.
     pub(super) fn migrate(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         self.send_answer(now, id, Answer::Migrated);
         self.notify_interrupted(now, id);
         self.end_connection(now, id, outcome);
     }
 
-    /// Schedules the migration of connections at equal intervals within `duration`, which begins after `delay`. A
-    /// connection whose migration is scheduled for an earlier time keeps that time.
+    /// Schedules the migration of connections at equal intervals within `duration`, which begins after
+    /// `delay`. A connection whose migration is scheduled for an earlier time keeps that time.
     pub(super) fn migrate_gradually(
         &mut self,
         now: Time,
@@ -128,9 +120,7 @@
         let interval = duration / connections.len().max(1) as u64;
         for (index, &id) in connections.iter().enumerate() {
             let migrate_at = now.plus(delay + interval * index as u64 + interval / 2);
-            let Some(connection) = self.connections.get_mut(id) else { continue };
-            let scheduled = connection.migrate_at.map_or(migrate_at, |earlier| earlier.min(migrate_at));
-            connection.migrate_at = Some(scheduled);
+            self.connections.schedule_migration(id, migrate_at);
             self.schedule_established_timer(now, id);
         }
     }
--- a/src/routing/exclusions.rs
+++ b/src/routing/exclusions.rs
@@ -1,18 +1,19 @@
 //! Exclusions: servers that an operator takes out of use, and readmits later.
 //!
-//! An excluded server gets no new connections and its clients are migrated ([`super::endpoint_updates`]), whatever the
-//! endpoint list says of it. Where the exclusions are kept:
+//! An excluded server gets no new connections and its clients are migrated ([`super::endpoint_updates`]),
+//! whatever the endpoint list says of it. Where the exclusions are kept:
 //!
 //! - with a replicated map, in the map, so that one call holds at all nodes;
-//! - without one, in [`OperatorExclusions`], which is persisted in a file and shared with the peer process of a hot
-//!   restart.
+//! - without one, in [`OperatorExclusions`], which is persisted in a file and shared with the peer process of
+//!   a hot restart.
 //!
-//! An operator may name any server that was ever listed, so that one can be excluded while it is not listed, but not an
-//! arbitrary name, which would mostly be a misspelling.
+//! An operator may name any server that was ever listed, so that one can be excluded while it is not listed,
+//! but not an arbitrary name, which would mostly be a misspelling.
 //!
-//! [`PoolExclusions`] owns the exclusions in effect at one pool, and the servers that were readmitted within the last
-//! slow start. A readmitted server counts as started at its readmission. It has mostly restarted, which the endpoint
-//! list may not show yet, and must then be filled no faster than any server that is warming up.
+//! [`PoolExclusions`] owns the exclusions in effect at one pool, and the servers that were readmitted within
+//! the last slow start. A readmitted server counts as started at its readmission. It has mostly restarted,
+//! which the endpoint list may not show yet, and must then be filled no faster than any server that is
+//! warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +25,7 @@
 pub(super) const EXCLUSION_KEY_PREFIX: &str = "life/";
 /// The value of an operator's exclusion in the replicated map: the server drains.
 const EXCLUSION_VALUE_DRAINING: &str = "draining";
-/// The number of server names that are remembered. Servers may come and go under ever new names.
+/// The largest number of server names that are remembered. Servers may come and go under ever new names.
 const MAX_SERVER_NAMES: usize = 20_000;
 
 /// The key that excludes a server in the replicated map.
--- a/src/routing/fnv.rs
+++ b/src/routing/fnv.rs
@@ -1,7 +1,8 @@
 //! The FNV-1a hash (Fowler, Noll and Vo) with 32 and 64 bits.
 //!
-//! Server numbers and digests of the replicated map are compared between balancers, also of different versions. The
-//! hash must therefore never change, which the standard library does not promise of its hashers.
+//! Server numbers and digests of the replicated map are compared between balancers, also of different
+//! versions. The hash must therefore never change, which the standard library does not promise of its
+//! hashers.
 
 const OFFSET_BASIS_32: u32 = 0x811c_9dc5;
 const PRIME_32: u32 = 0x0100_0193;
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -1,21 +1,22 @@
 //! Admission at the sockets: how many connections without an attempt may be open, and when the fronts accept.
 //!
-//! Owns the limits of all fronts ([`Budget`]) and the set of pending connections: those that have sent no request yet,
-//! and those that are answered but whose sockets are not closed yet. Each of them uses a descriptor of the process and
-//! nothing that limits admitted connections applies to it, so clients that connect without a request could use up all
-//! descriptors.
+//! Owns the limits of all fronts ([`Budget`]) and the set of pending connections: those that have sent no
+//! request yet, and those that are answered but whose sockets are not closed yet. Each of them uses a
+//! descriptor of the process and nothing that limits admitted connections applies to it, so clients that
+//! connect without a request could use up all descriptors.
 //!
-//! Rule: while fewer than `Budget::pending` connections are pending, less what the predecessor of a hot restart still
-//! uses, the fronts accept. At the limit, the oldest pending connection is aborted once it is [`MIN_PENDING_TIME`] old.
-//! While all are younger, the accept gate is closed and new clients stay in the listeners' queues.
+//! Rule: while fewer than `Budget::pending` connections are pending, less what the predecessor of a hot
+//! restart still uses, the fronts accept. At the limit, the oldest pending connection is aborted once it is
+//! [`MIN_PENDING_TIME`] old. While all are younger, the accept gate is closed and new clients stay in the
+//! listeners' queues.
 
 use std::collections::BTreeMap;
 
 use super::{Budget, ConnectionId, Effect, State};
 use crate::{Micros, Time};
 
-/// The age from which a pending connection may be aborted at the limit. A client that means to send a request does so
-/// at once, but its line needs time to arrive.
+/// The age from which a pending connection may be aborted at the limit. A client that means to send a request
+/// does so at once, but its line needs time to arrive.
 const MIN_PENDING_TIME: Micros = Micros::from_millis(100);
 
 /// The limits of all fronts, and the connections that have no attempt.
@@ -72,7 +73,8 @@
         self.gate_closed_until.is_none()
     }
 
-    /// Whether one more connection fits, given how many descriptors a predecessor uses of this process's share.
+    /// Whether one more connection fits, given how many descriptors a predecessor uses of this process's
+    /// share.
     fn capacity(&self, now: Time, borrowed_descriptors: usize) -> Capacity {
         if self.pending.len() + borrowed_descriptors < self.budget.pending {
             return Capacity::Available;
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -1,8 +1,8 @@
 //! The reducer's side of gossip: observations that this balancer sends and receives.
 //!
-//! Whether an observation is sent or applied is decided in `src/peers/`, which also limits what gossip costs. A received
-//! observation is applied only if it concerns a listed server: others mean nothing here, and their number is unbounded.
-//! The sampled groups of a message go to the balancer before the observation.
+//! Whether an observation is sent or applied is decided in `src/peers/`, which also limits what gossip costs.
+//! A received observation is applied only if it concerns a listed server: others mean nothing here, and their
+//! number is unbounded. The sampled groups of a message go to the balancer before the observation.
 //!
 //! This module owns no state.
 
@@ -25,8 +25,8 @@
         self.dispatch(now, pool_id, event_of(message.observation));
     }
 
-    /// Sends an observation to the other balancers if the credit pays for it, with a sample of the groups of connections
-    /// that are established here.
+    /// Sends an observation to the other balancers if the credit pays for it, with a sample of the groups of
+    /// connections that are established here.
     pub(super) fn broadcast_observation(&mut self, now: Time, pool_id: PoolId, observation: Observation) {
         let pool = &mut self.pools[pool_id];
         if pool.peers.should_broadcast(now, observation) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// An observation as an event of the decision module.
+/// The balancer's event for an observation.
 fn event_of(observation: Observation) -> Event<'static> {
     match observation {
         Observation::SlowServer(server, took) => Event::PeerObservation { server, took: Some(took) },
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -1,24 +1,26 @@
-//! Hot restart: a successor process takes over sockets, state and established connections from its predecessor.
+//! Hot restart: a successor process takes over sockets, state and established connections from its
+//! predecessor.
 //!
-//! Owns which peer process there is, and the admin clients whose reply waits for its acknowledgement. The steps:
+//! Owns which peer process there is, and the admin clients whose reply waits for its acknowledgement. The
+//! steps:
 //!
-//! 1. The successor requests the predecessor's state. The predecessor stops accepting, since connections that it accepted
-//!    later would be missing from what it exports, and exports a [`HandoverState`].
+//! 1. The successor requests the predecessor's state. The predecessor stops accepting, since connections that
+//!    it accepted later would be missing from what it exports, and exports a [`HandoverState`].
 //! 2. The successor imports it, listens, and reports that it serves.
-//! 3. The predecessor transfers each established connection, and each other one as soon as it is established. From then
-//!    on only the successor fills servers that are warming up ([`super::endpoint_updates`]).
-//! 4. While both processes live, an exclusion made at either is shared with the other. The operator's reply waits for
-//!    the acknowledgement, for at most [`ACKNOWLEDGEMENT_TIMEOUT`].
-//! 5. When the link to the peer process ends, a predecessor accepts again, and a successor has all descriptors and
-//!    request ids to itself.
+//! 3. The predecessor transfers each established connection, and each other one as soon as it is established.
+//!    From then on only the successor fills servers that are warming up ([`super::endpoint_updates`]).
+//! 4. While both processes live, an exclusion made at either is shared with the other. The operator's reply
+//!    waits for the acknowledgement, for at most [`ACKNOWLEDGEMENT_TIMEOUT`].
+//! 5. When the link to the peer process ends, a predecessor accepts again, and a successor has all
+//!    descriptors and request ids to itself.
 //!
-//! While the predecessor lives, its sockets use descriptors of the limit that both processes share, so the successor
-//! accepts fewer pending connections.
+//! While the predecessor lives, its sockets use descriptors of the limit that both processes share, so the
+//! successor accepts fewer pending connections.
 
 use std::collections::BTreeMap;
 
 use super::client::RequestProfile;
-use super::connection_table::{Attempt, ClientConnection, Phase};
+use super::connection_table::ClientConnection;
 use super::dispatch::request_id;
 use super::{
     server_id, AdminClientId, AdminResponse, Budget, ConnectionId, Effect, EstablishedConnection,
@@ -36,8 +38,8 @@
     StartingSuccessor,
     /// Serves in this process's place.
     Successor,
-    /// Served before this process. Its connections without an attempt used this many descriptors when it exported its
-    /// state.
+    /// Served before this process. Its connections without an attempt used this many descriptors when it
+    /// exported its state.
     Predecessor { open_descriptors: usize },
 }
 
@@ -63,8 +65,8 @@
         matches!(self.peer_process, Some(PeerProcess::StartingSuccessor | PeerProcess::Successor))
     }
 
-    /// How many descriptors for pending connections a predecessor uses. At most three quarters of the budget are counted,
-    /// so that clients can connect at this process in any case.
+    /// How many descriptors for pending connections a predecessor uses. At most three quarters of the budget
+    /// are counted, so that clients can connect at this process in any case.
     pub(super) fn borrowed_descriptors(&self, budget: Budget) -> usize {
         match self.peer_process {
             Some(PeerProcess::Predecessor { open_descriptors }) => {
@@ -144,7 +146,7 @@
         self.effects.push(Effect::TransferConnection { connection: id, pool, established });
     }
 
-    /// Removes a connection whose sockets the successor has. It goes on there, so it counts as neither ended nor failed.
+    /// Removes a connection whose sockets the successor has. It continues there, so no end of it is reported.
     pub(super) fn on_connection_transferred(&mut self, now: Time, id: ConnectionId) {
         let Some(pool) = self.connections.pool_of(id) else { return };
         let attempt = self.remove_connection(now, id);
@@ -164,8 +166,8 @@
 // ---- At the successor ----
 
 impl State {
-    /// Imports the predecessor's state. What was learned of servers comes last, since the balancer keeps it for listed
-    /// servers only.
+    /// Imports the predecessor's state. What was learned of servers comes last, since the balancer keeps it
+    /// for listed servers only.
     pub(super) fn import_state(&mut self, now: Time, state: HandoverState) {
         let open_descriptors = state.open_descriptors;
         self.hot_restart.peer_process = Some(PeerProcess::Predecessor { open_descriptors });
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Adds a transferred connection to the table, and returns what the balancer needs to know of its request.
+    /// Adds a transferred connection to the table, and returns what the balancer needs to know of its
+    /// request.
     fn insert_received_connection(
         &mut self,
         now: Time,
@@ -217,9 +220,9 @@
         established: EstablishedConnection,
     ) -> RequestProfile {
         let config = &self.pools[pool_id].config;
-        let request = established.request;
-        // The predecessor admitted the connection, so it is served even if its class is not configured here. It is then
-        // counted in no class.
+        let request = &established.request;
+        // The predecessor admitted the connection, so it is served even if its class is not configured here.
+        // It is then counted in no class.
         let class = config.class_id(&request.class);
         let tenant = request.tenant.as_deref().and_then(|name| config.tenant_id(name));
         let profile = RequestProfile {
@@ -228,21 +231,11 @@
             group: request.group.map(GroupId),
             load: request.load,
         };
-        let mut connection = ClientConnection::new(pool_id, now);
-        connection.class = class;
-        connection.request = request;
-        connection.phase = Phase::Established;
-        connection.attempts = 1;
-        connection.awaiting_server_since = established.awaiting_server_since;
+        let connection = ClientConnection::transferred(pool_id, now, class, established);
         self.connections.insert(id, connection);
-        let attempt = Attempt {
-            number: 0,
-            server,
-            forwarded_at: Some(now),
-            acceptance_deadline: now,
-            forwarding_deadline: None,
-        };
-        self.connections.begin_attempt(id, attempt);
+        if let Some(attempt) = self.connections.begin_attempt(id, server, now, None) {
+            self.connections.mark_forwarded(now, id, attempt.number);
+        }
         profile
     }
 
@@ -263,9 +256,7 @@
 
     /// Records the load that a transferred connection's server reported last.
     fn restore_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.load = Some(load);
-        }
+        self.connections.record_load(id, load);
         self.pools[pool_id].load_reports.add_load(load);
         let measurement = Measurement::Load(load);
         self.dispatch(now, pool_id, Event::ConnectionMeasured { request: request_id(id), measurement });
@@ -288,7 +279,8 @@
         self.effects.push(Effect::ShareExclusion { admin_client, server, excluded });
     }
 
-    /// Replies to an admin client whose exclusion the peer process has applied, or whose wait for that has ended.
+    /// Replies to an admin client whose exclusion the peer process has applied, or whose wait for that has
+    /// ended.
     pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
         if self.hot_restart.pending_acknowledgements.remove(&admin_client).is_some() {
             self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -81,8 +81,8 @@
     LoadReported {
         /// The connection.
         connection: ConnectionId,
-        /// The connection's load in microseconds of work a second. Where the settings have servers report that, it may
-        /// also be the time that a message takes at the server, in milliseconds.
+        /// The connection's load in microseconds of work a second. Where the settings have servers report
+        /// that, it may also be the time that a message takes at the server, in milliseconds.
         load: f64,
     },
     /// The state that an earlier process stored was read.
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -1,15 +1,16 @@
 //! Load reports of servers: a connection's load, or the time that a message takes at the server.
 //!
-//! Both may arrive in the same form, as one number, so they are told apart by value. A message time that counted as a load
-//! would make the slowest server look idle, and it would receive more connections.
+//! Both may arrive in the same form, as one number, so they are told apart by value. A message time that
+//! counted as a load would make the slowest server look idle, and it would receive more connections.
 //!
 //! Owns, for each pool, the mean of all loads (in the settings' unit) and each server's last message time (in
 //! milliseconds). Rule, where servers report message times at all: a value is a message time if
 //!
 //! - servers do not report loads; or
 //! - it is below [`MIN_LOAD_SHARE`] of the mean load, which the load of no connection is; or
-//! - it resembles the server's last message time. A slow server repeats its report every second, so a value within
-//!   [`REPEATED_REPORT_FACTOR`] of the last one and [`REPEATED_REPORT_TIMEOUT`] after it is the next report.
+//! - it resembles the server's last message time. A slow server repeats its report every second, so a value
+//!   within [`REPEATED_REPORT_FACTOR`] of the last one and [`REPEATED_REPORT_TIMEOUT`] after it is the next
+//!   report.
 
 use std::collections::BTreeMap;
 
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -1,6 +1,7 @@
 //! The log lines of the reducer.
 //!
-//! Each event has one line, and `docs/oncall.md` a row for each line: a test compares the two, by the literals below.
+//! Each event has one line, and `docs/oncall.md` a row for each line: a test compares the two, by the
+//! literals below.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -139,7 +140,7 @@
                 write!(formatter, "draining: {connections} connections to migrate")
             }
             LogEvent::RequestRefused { connection, reason } => {
-                write!(formatter, "connection {} refused: {}", connection.0, reason.name())
+                write!(formatter, "connection {} rejected or failed: {}", connection.0, reason.name())
             }
             LogEvent::EndpointListExpired { pool } => {
                 write!(
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -35,8 +35,8 @@
     pub refusals: BTreeMap<RefusalReason, u64>,
     /// Polls of the endpoint list that failed.
     pub discovery_failures: u64,
-    /// The time since discovery last sent an endpoint list or confirmed it, of the pool where that is longest;
-    /// `None` where no list was received.
+    /// The time since discovery last sent an endpoint list or confirmed it, of the pool where that is
+    /// longest; `None` where no list was received.
     pub endpoint_list_age: Option<Micros>,
     /// Metrics of rebalancing, by the name of the front, where it is on.
     pub rebalance: BTreeMap<String, RebalanceMetrics>,
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -1,12 +1,14 @@
 //! The reducer's side of rebalancing: notifications to the rebalancer, and the execution of its decisions.
 //!
-//! The rebalancer (`src/rebalance/`, one for each pool) decides which established connections migrate for balance. It
-//! sees the connections through [`RebalanceEvent`]s and the servers through a snapshot taken for each decision:
-//! occupied slots and ceiling (in slots), weight, share of the capacity while warming up (0 to 1) and the last fault.
+//! The rebalancer (`src/rebalance/`, one for each pool) decides which established connections migrate for
+//! balance. It sees the connections through [`RebalanceEvent`]s and the servers through a snapshot taken for
+//! each decision: occupied slots and ceiling (in slots), weight, share of the capacity while warming up (0 to
+//! 1) and the last fault.
 //!
-//! A decision consists of migrations, of ceilings to raise and of ceilings to lower. The balancer keeps the ceilings;
-//! this module changes them through its learned state. After a migration, the ceiling of the server falls to its
-//! occupied slots: the slot that has become free might be the only one anywhere, and the same client would return to it.
+//! A decision consists of migrations, of ceilings to raise and of ceilings to lower. The balancer keeps the
+//! ceilings; this module changes them through its learned state. After a migration, the ceiling of the server
+//! falls to its occupied slots: the slot that has become free might be the only one anywhere, and the same
+//! client would return to it.
 //!
 //! This module owns no state.
 
@@ -20,9 +22,9 @@
 
 use super::pool::Pool;
 
-/// The least share of its capacity that a server counts with while it warms up.
+/// The smallest share of its capacity with which a server that is warming up counts.
 const MIN_WARMTH: f64 = 0.01;
-/// The weight of a server whose listed one is no positive number.
+/// The weight of a server whose listed weight is not a positive number.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 // ---- Notifications ----
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Reports an established connection. `setup_time` is the time from its forwarded request to the server's acceptance,
-    /// where it was placed here.
+    /// Reports an established connection. `setup_time` is the time from its forwarded request to the server's
+    /// acceptance, where it was placed here.
     pub(super) fn notify_established(&mut self, now: Time, id: ConnectionId, setup_time: Option<Micros>) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,9 +1,9 @@
 //! The reducer: all state of the daemon, and the one function that changes it.
 //!
-//! [`reduce`] takes an [`Input`] (something that happened outside) and the time, changes the [`State`], and returns
-//! [`Effect`]s (what has to be done outside) in order. It performs no input or output, reads no clock and has no randomness
-//! but seeded draws: the same configuration and inputs give the same effects. The driver in `src/transport/` feeds
-//! inputs and executes effects.
+//! [`reduce`] takes an [`Input`] (something that happened outside) and the time, changes the [`State`], and
+//! returns [`Effect`]s (what has to be done outside) in order. It performs no input or output, reads no clock
+//! and has no randomness but seeded draws: the same configuration and inputs give the same effects. The
+//! driver in `src/transport/` feeds inputs and executes effects.
 //!
 //! Each kind of input has one handler, `State::on_…`, in the module of its concern:
 //!
@@ -19,8 +19,8 @@
 //! | hot restart, shutdown, configuration | `hot_restart`, `shutdown`, `configuration` |
 //! | gossip, health checks, load reports | `gossip`, `probes`, `load_reports` |
 //!
-//! Each pool of servers has a balancer (`src/policy/`), which decides where a request goes. A connection here is a request
-//! there, under the same number.
+//! Each pool of servers has a balancer (`src/policy/`), which decides where a request goes. A connection here
+//! is a request there, under the same number.
 #![deny(missing_docs)]
 
 mod admin;
@@ -47,6 +47,7 @@
 mod hot_restart;
 mod ids;
 mod input;
+mod listed_endpoints;
 mod load_reports;
 mod log_event;
 mod metrics;
@@ -106,7 +107,8 @@
     effects: Vec<Effect>,
 }
 
-/// Applies one input to the state, and returns what has to be done, in order. The state changes in no other way.
+/// Applies one input to the state, and returns what has to be done, in order. The state changes in no other
+/// way.
 pub fn reduce(state: &mut State, now: Time, input: Input) -> Vec<Effect> {
     state.handle_input(now, input);
     std::mem::take(&mut state.effects)
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -43,8 +43,8 @@
 /// A final answer, or the notice that an established connection is migrated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The request was not processed, and a retry is harmless. The client should wait for this time before it, or gets no
-    /// such advice where it is 0.
+    /// The request was not processed, and a retry is harmless. The client should wait for this time before
+    /// it, or gets no such advice where it is 0.
     Rejected(Micros),
     /// The request failed. A server may have processed it.
     Failed,
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -19,10 +19,11 @@
 
 use super::admitted_connections::AdmittedConnections;
 use super::exclusions::PoolExclusions;
+use super::listed_endpoints::ListedEndpoints;
 use super::load_reports::LoadReports;
 use super::probes::Probes;
 use super::{
-    server_id, ClassCounters, Endpoint, EndpointList, ExportedEndpoint, Lifecycle, Metrics, PoolConfig,
+    server_id, ClassCounters, Endpoint, EndpointList, ExportedEndpoint, Metrics, PoolConfig,
     PoolHandoverState,
 };
 use crate::peers::Peers;
@@ -42,7 +43,7 @@
     /// The endpoint list as discovery or the operator's file has it.
     pub(super) listed: ListedEndpoints,
     /// Whether the endpoint list's expiry is logged, and its confirmation is not yet.
-    pub(super) is_expiry_logged: bool,
+    is_expiry_logged: bool,
     pub(super) exclusions: PoolExclusions,
     pub(super) admitted: AdmittedConnections,
     pub(super) load_reports: LoadReports,
@@ -56,44 +57,6 @@
     balancer_timer: Option<Time>,
 }
 
-/// The endpoint list as discovery or the operator's file has it.
-#[derive(Default)]
-pub(super) struct ListedEndpoints {
-    by_name: BTreeMap<String, Endpoint>,
-    /// When the list was last received or confirmed. `None` for a cached list of before the start.
-    received_at: Option<Time>,
-}
-
-impl ListedEndpoints {
-    pub(super) fn by_name(&self) -> &BTreeMap<String, Endpoint> {
-        &self.by_name
-    }
-
-    /// Replaces the list by a snapshot, or applies a delta to it.
-    pub(super) fn apply(&mut self, is_snapshot: bool, endpoints: Vec<Endpoint>) {
-        if is_snapshot {
-            self.by_name.clear();
-        }
-        for endpoint in endpoints {
-            if endpoint.lifecycle == Lifecycle::Gone {
-                self.by_name.remove(&endpoint.name);
-            } else {
-                self.by_name.insert(endpoint.name.clone(), endpoint);
-            }
-        }
-    }
-
-    pub(super) fn mark_received(&mut self, now: Time) {
-        self.received_at = Some(now);
-    }
-
-    /// Whether the pool can serve by this list. A cached list suffices, or no process could start while discovery is
-    /// down.
-    pub(super) fn is_usable(&self) -> bool {
-        self.received_at.is_some() || !self.by_name.is_empty()
-    }
-}
-
 impl Pool {
     pub(super) fn new(config: PoolConfig, now: Time) -> Pool {
         Pool {
@@ -115,6 +78,17 @@
         }
     }
 
+    /// Records that the list has expired. Returns false if that is logged already.
+    pub(super) fn record_expiry(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_expiry_logged, true)
+    }
+
+    /// Records that a list was received. Returns whether the one before was logged as expired.
+    pub(super) fn record_received_list(&mut self, now: Time) -> bool {
+        self.listed.record_received(now);
+        std::mem::take(&mut self.is_expiry_logged)
+    }
+
     /// Replaces the configuration. Connections and what was learned of servers are kept.
     pub(super) fn configure(&mut self, now: Time, config: PoolConfig) {
         self.balancer.configure(config.settings.clone());
@@ -173,7 +147,7 @@
         }
         metrics.discovery_failures += self.discovery_failures;
         // Only a watched list has an age.
-        let received_at = self.listed.received_at.filter(|_| self.config.discovery.is_some());
+        let received_at = self.listed.received_at().filter(|_| self.config.discovery.is_some());
         metrics.endpoint_list_age = metrics.endpoint_list_age.max(received_at.map(|at| now.since(at)));
         if self.config.rebalance.enabled {
             metrics.rebalance.insert(self.config.name.to_owned(), self.rebalance.metrics());
@@ -198,7 +172,7 @@
             learned: self.balancer.learned_state(server_id(&endpoint.name)),
         };
         PoolHandoverState {
-            endpoints: self.listed.by_name.values().map(export).collect(),
+            endpoints: self.listed.by_name().values().map(export).collect(),
             readmitted: self.exclusions.readmitted(),
             ids: self.admitted.request_ids(),
         }
@@ -210,9 +184,7 @@
         self.admitted.import_request_ids(&state.ids);
         // Without discovery, the list comes from this process's own configuration.
         if self.config.discovery.is_some() && !state.endpoints.is_empty() {
-            let endpoints = state.endpoints.iter().map(|exported| &exported.endpoint);
-            let by_name = endpoints.map(|endpoint| (endpoint.name.clone(), endpoint.clone()));
-            self.listed.by_name = by_name.collect();
+            self.listed.import(state.endpoints.iter().map(|exported| &exported.endpoint));
         }
     }
 
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -1,7 +1,7 @@
 //! The reducer's configuration: its pools of servers, its replicas and the limits of its fronts.
 //!
-//! The program reads it from the settings files (`src/program/config/`). [`PoolConfig`] also derives the parts that concern
-//! gossip and rebalancing, and numbers a reloaded configuration like the one before.
+//! The program reads it from the settings files (`src/program/config/`). [`PoolConfig`] also derives the
+//! parts that concern gossip and rebalancing, and numbers a reloaded configuration like the one before.
 
 use std::net::SocketAddr;
 
@@ -64,8 +64,8 @@
     pub longest_wait: Micros,
     /// How established connections are migrated towards balance.
     pub rebalance: rebalance::RebalanceConfig,
-    /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` where the balancers of the
-    /// tier do not gossip.
+    /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` where the
+    /// balancers of the tier do not gossip.
     pub gossip_price: Option<f64>,
 }
 
@@ -108,9 +108,9 @@
         }
     }
 
-    /// This configuration, numbered like the `old` one that it replaces. Connections and the balancer refer to classes,
-    /// tenants and zones by number, so each name keeps its number. A number whose name is no longer configured has an
-    /// empty name.
+    /// This configuration, numbered like the `old` one that it replaces. Connections and the balancer refer
+    /// to classes, tenants and zones by number, so each name keeps its number. A number whose name is no
+    /// longer configured has an empty name.
     pub(super) fn replacing(mut self, old: &PoolConfig) -> PoolConfig {
         let settings = &mut self.settings;
         let local_zone = self.zones.get(settings.zone.0 as usize).cloned();
@@ -123,7 +123,8 @@
     }
 }
 
-/// Returns the names in an order in which the old ones keep their positions, and sorts `new_items` in that order.
+/// Returns the names in an order in which the old ones keep their positions, and sorts `new_items` in that
+/// order.
 fn renumber<T: Clone>(
     old_names: &[String],
     old_items: &[T],
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -1,7 +1,7 @@
 //! Health checks (probes): requests to a server for its load report.
 //!
-//! The balancer decides when to probe which server, and what a result changes (`src/policy/`). Owns, for each pool, the
-//! probes in flight and the server processes that decline probes. Rule: a probe is sent only
+//! The balancer decides when to probe which server, and what a result changes (`src/policy/`). Owns, for each
+//! pool, the probes in flight and the server processes that decline probes. Rule: a probe is sent only
 //!
 //! - to a server that is ready, so that draining ones get nothing new;
 //! - to a server without a probe in flight, since one that has not answered yet is busy;
@@ -15,8 +15,8 @@
 use super::{Effect, EndpointList, LogEvent, PoolId, State};
 use crate::{Event, LoadReport, Micros, Outcome, ServerId, Settings, Time};
 
-/// The largest number of connections for probes, whether a probe is in flight or they are idle. Descriptors are reserved
-/// for them.
+/// The largest number of connections for probes, whether a probe is in flight or they are idle. Descriptors
+/// are reserved for them.
 pub const MAX_PROBES: usize = 16;
 /// The timeout for an answer where no set-up objective is configured, as a multiple of the connect timeout.
 const ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS: u64 = 4;
@@ -68,7 +68,8 @@
         Some(Incarnation { server, started })
     }
 
-    /// Records that a process declines probes, and drops the records of processes that are replaced or not listed.
+    /// Records that a process declines probes, and drops the records of processes that are replaced or not
+    /// listed.
     fn record_declined(&mut self, probed: Incarnation, endpoints: &EndpointList) {
         self.declined.retain(|declined| {
             endpoints.get(declined.server).is_some_and(|endpoint| endpoint.started == declined.started)
--- a/src/routing/replica_message.rs
+++ b/src/routing/replica_message.rs
@@ -4,7 +4,8 @@
 
 use super::digest::Digest;
 
-/// What the map holds for a key. Of two entries the greater one takes precedence: the fields are compared in their order.
+/// What the map holds for a key. Of two entries the greater one takes precedence: the fields are compared in
+/// their order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Entry {
     /// How many writes its writer knew of when it wrote, this one included.
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -3,12 +3,13 @@
 //! Owns this node's [`ReplicatedMap`], the addresses of the other replicas and the schedule of digests. Rule:
 //!
 //! - A new entry is sent to all other replicas at once, one datagram each.
-//! - Every [`DIGEST_INTERVAL`] one of the replicas, in turn, is sent a digest. It answers with its own digest and with
-//!   entries of the buckets that differ, and is answered with entries in return. Lost datagrams are so made up for.
+//! - Every [`DIGEST_INTERVAL`] one of the replicas, in turn, is sent a digest. It answers with its own digest
+//!   and with entries of the buckets that differ, and is answered with entries in return. Lost datagrams are
+//!   so made up for.
 //! - Digests and entries are accepted from configured replicas only, and writes from this machine only.
 //!
-//! An entry that has changed is logged and persisted. Where its key concerns endpoint lists, the lists of all pools are
-//! derived anew.
+//! An entry that has changed is logged and persisted. Where its key concerns endpoint lists, the lists of all
+//! pools are derived anew.
 
 use std::net::SocketAddr;
 
@@ -84,7 +85,8 @@
         Some(AddressedReplicaMessage { to: peer, message })
     }
 
-    /// The messages to a replica with this digest: the local digest, where it is wanted and differs, and then entries.
+    /// The messages to a replica with this digest: the local digest, where it is wanted and differs, and then
+    /// entries.
     fn answer_digest(&mut self, wanted: bool, buckets: &Digest) -> Vec<ReplicaMessage> {
         let mut answer = self.map.repair(buckets);
         if wanted && (!answer.is_empty() || *buckets != self.map.digest()) {
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Writes a key for an operator's command on this machine, and replies with the entry. A write that fails has no
-    /// reply.
+    /// Writes a key for an operator's command on this machine, and replies with the entry. A write that fails
+    /// has no reply.
     fn on_write_requested(&mut self, now: Time, from: SocketAddr, key: String, value: Option<String>) {
         if !from.ip().is_loopback() {
             return self.effects.push(Effect::Log(LogEvent::RemoteWriteIgnored { from }));
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -1,16 +1,17 @@
-//! Graceful shutdown: established connections are migrated one by one, new requests are rejected, and the process exits.
+//! Graceful shutdown: established connections are migrated one by one, new requests are rejected, and the
+//! process exits.
 //!
 //! Owns the window of time within which the process exits. Rule:
 //!
-//! - The latest exit is the longest time that a client waits for its answer, at most [`MAX_ANSWER_WAIT`], plus
-//!   [`EXIT_MARGIN`] after the request for the shutdown. Requests in flight can so still be answered.
-//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after it, when no connection is left. Until the clients learn of the
-//!   shutdown, new ones arrive and need an answer. Where a successor of a hot restart serves, none arrive, and the
-//!   process exits as soon as it is empty.
-//! - Migrations are spread evenly between [`FIRST_MIGRATION_DELAY`] and [`LAST_MIGRATION_MARGIN`] before the latest exit.
-//!   All at once they would overload the other balancers, of which one may be starting.
-//! - New requests are rejected with a Retry-After ([`super::client`]). At the latest exit, whoever is left is migrated,
-//!   rejected where a retry is harmless, or failed.
+//! - The latest exit is the longest time that a client waits for its answer, at most [`MAX_ANSWER_WAIT`],
+//!   plus [`SHUTDOWN_MARGIN`] after the request for the shutdown. Requests in flight can so still be answered.
+//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after it, when no connection is left. Until the clients
+//!   learn of the shutdown, new ones arrive and need an answer. Where a successor of a hot restart serves,
+//!   none arrive, and the process exits as soon as it is empty.
+//! - Migrations are spread evenly between [`FIRST_MIGRATION_DELAY`] and [`LAST_MIGRATION_MARGIN`] before the
+//!   latest exit. All at once they would overload the other balancers, of which one may be starting.
+//! - New requests are rejected with a Retry-After ([`super::client`]). At the latest exit, whoever is left is
+//!   migrated, rejected where a retry is harmless, or failed.
 
 use super::client::SHUTDOWN_RETRY_AFTER;
 use super::connection_table::Phase;
@@ -19,8 +20,9 @@
 
 /// The longest wait of a client for its answer that a shutdown takes into account.
 const MAX_ANSWER_WAIT: Micros = Micros::from_secs(3);
-/// The time from the longest wait of a client to the latest exit. The platform kills the process a little later.
-const EXIT_MARGIN: Micros = Micros::from_millis(400);
+/// The time from the longest wait of a client to the latest exit. The platform kills the process a little
+/// later.
+const SHUTDOWN_MARGIN: Micros = Micros::from_millis(400);
 /// The time from the request for a shutdown to the first migration.
 const FIRST_MIGRATION_DELAY: Micros = Micros::from_millis(50);
 /// The time from the last migration to the latest exit.
@@ -74,7 +76,7 @@
             return;
         }
         let answer_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or_default();
-        let duration = answer_wait.min(MAX_ANSWER_WAIT) + EXIT_MARGIN;
+        let duration = answer_wait.min(MAX_ANSWER_WAIT) + SHUTDOWN_MARGIN;
         let successor_serves = self.hot_restart.successor_serves();
         let min_duration = if successor_serves { Micros::ZERO } else { MIN_SHUTDOWN_DURATION.min(duration) };
         self.shutdown.window =
@@ -86,8 +88,8 @@
         self.effects.push(Effect::Log(LogEvent::ShutdownStarted { connections }));
     }
 
-    /// At the time of the exit: answers all clients that are left, and orders the exit once. Clients that connect before
-    /// the process has ended are rejected like those before them.
+    /// At the time of the exit: answers all clients that are left, and orders the exit once. Clients that
+    /// connect before the process has ended are rejected like those before them.
     pub(super) fn finish_shutdown_if_complete(&mut self, now: Time) {
         if !self.shutdown.is_exit_time(now, !self.connections.is_empty()) {
             return;
@@ -106,7 +108,8 @@
                 return self.effects.push(Effect::CheckHandshake { connection: id });
             }
             Some(Phase::Established) => Answer::Migrated,
-            // The client may wait for longer than this process lives, and another balancer can still serve it.
+            // The client may wait for longer than this process lives, and another balancer can still serve
+            // it.
             Some(Phase::Connecting) if self.may_reject(id) => {
                 self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER)
             }
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -1,18 +1,20 @@
 //! The replicated map: a small store of keys and values that all nodes of a tier hold a replica of.
 //!
-//! Each entry carries a Lamport counter (L. Lamport, "Time, Clocks, and the Ordering of Events in a Distributed System",
-//! 1978) and the name of the node that wrote it. Of two entries for one key the last writer wins: the one with the
-//! higher counter, then with the higher node name. A deletion is an entry without a value, a tombstone, and is kept.
+//! Each entry carries a Lamport counter (L. Lamport, "Time, Clocks, and the Ordering of Events in a
+//! Distributed System", 1978) and the name of the node that wrote it. Of two entries for one key the last
+//! writer wins: the one with the higher counter, then with the higher node name. A deletion is an entry
+//! without a value, a tombstone, and is kept.
 //!
-//! The map is eventually consistent: nodes that go on exchanging digests and entries converge to the same map, whatever
-//! messages were lost, repeated or reordered. `docs/design.md` says why that is enough.
+//! The map is eventually consistent: nodes that go on exchanging digests and entries converge to the same
+//! map, whatever messages were lost, repeated or reordered. `docs/design.md` says why that is enough.
 //!
-//! A node that restarted without its entries would write with low counters, and its writes would lose to older ones. Its
-//! writes are therefore unconfirmed until it has heard from another node. An unconfirmed write that loses to a received
-//! entry is repeated once, with a counter above that of the entry.
+//! A node that restarted without its entries would write with low counters, and its writes would lose to
+//! older ones. Its writes are therefore unconfirmed until a message of another node has arrived. An
+//! unconfirmed write that loses to a received entry is repeated once, with a counter above that of the entry.
 //!
-//! [`ReplicatedMap`] owns the entries of one node. It sends and persists nothing: what has to be sent or stored is
-//! returned (`src/routing/replication.rs`). All sizes are bounded, those of received entries as well.
+//! [`ReplicatedMap`] owns the entries of one node. It sends and persists nothing: what has to be sent or
+//! stored is returned (`src/routing/replication.rs`). All sizes are bounded, those of received entries as
+//! well.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,8 +30,8 @@
 pub const MAX_VALUE_LENGTH: usize = 96;
 /// The longest name of a node, in bytes.
 pub const MAX_NODE_LENGTH: usize = 32;
-/// The highest counter that is accepted from another node. An entry with the last possible counter would make any
-/// further write impossible.
+/// The highest counter that is accepted from another node. An entry with the last possible counter would make
+/// any further write impossible.
 const MAX_COUNTER: u64 = u64::MAX / 2;
 /// The largest number of keys, tombstones included.
 const MAX_KEYS: usize = 4096;
@@ -122,7 +124,7 @@
         if !Self::is_valid(key, &entry) {
             return Err(WriteError::InvalidEntry);
         }
-        // The counter is higher than any other, so nothing else can refuse the entry.
+        // The counter is higher than any other, so only a full map can reject the entry.
         if !self.merge_entry(key, entry.clone()) {
             return Err(WriteError::MapFull);
         }
@@ -141,8 +143,8 @@
         true
     }
 
-    /// Merges an entry of another node. Returns the key's new entry, if it has changed: the received one, or the repeated
-    /// one of an unconfirmed write that lost to it.
+    /// Merges an entry of another node. Returns the key's new entry, if it has changed: the received one, or
+    /// the repeated one of an unconfirmed write that lost to it.
     pub fn merge_remote_entry(&mut self, key: &str, entry: Entry) -> Option<Entry> {
         self.has_peer_contact = true;
         let local = self.entries.get(key).cloned();
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -1,7 +1,7 @@
 //! Timers: when the reducer has to be called next, and what is done then.
 //!
-//! The reducer has no timers of its own: the driver asks for the earliest deadline of all parts of the state after each
-//! input, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
+//! The reducer has no timers of its own: the driver asks for the earliest deadline of all parts of the state
+//! after each input, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
 
 use super::connection_table::Phase;
 use super::{ConnectionId, Effect, State};
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Ends an attempt that has missed one of its deadlines: to connect, to be written in full or to be accepted.
+    /// Ends an attempt that has missed one of its deadlines: to connect, to be written in full or to be
+    /// accepted.
     fn on_attempt_timer(&mut self, now: Time, id: ConnectionId) {
         let attempt = self.connections.get(id).and_then(|connection| connection.attempt());
         let is_forwarded = attempt.is_some_and(|attempt| attempt.is_forwarded());
