--- a/src/peers/config.rs
+++ b/src/peers/config.rs
@@ -5,7 +5,7 @@
 /// How the balancers of a pool may gossip.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GossipConfig {
-    /// Whether gossip is allowed, and the other balancers can be reached.
+    /// Whether the balancers of the tier gossip.
     pub enabled: bool,
     /// The number of balancers, this one included.
     pub balancers: u32,
@@ -13,8 +13,8 @@
     pub price: f64,
     /// The time within which a message should be answered; 0 where no class has such an objective.
     pub message_objective: Micros,
-    /// For how long an observation of a server holds.
+    /// For how long an observation of a server is valid: it is not repeated within this time.
     pub observation_hold: Micros,
-    /// For how long an observation of slow set-ups holds.
+    /// For how long an observation of slow set-ups is valid.
     pub slow_setup_hold: Micros,
 }
--- a/src/peers/credit.rs
+++ b/src/peers/credit.rs
@@ -14,8 +14,8 @@
 
 /// The largest share of the value of established connections that messages may cost.
 const MAX_COST_SHARE: f64 = 0.01;
-/// A datagram shorter than this is charged like one of this many bytes.
-const MIN_CHARGED_BYTES: f64 = 16.0;
+/// The number of bytes charged for a message, whatever its length.
+const CHARGED_BYTES: f64 = 16.0;
 /// The number of bytes that the configured price is for.
 const PRICED_BYTES: f64 = 256.0;
 /// The largest number of messages that can be saved up.
@@ -32,7 +32,7 @@
     /// a share of the value delivered.
     pub(super) fn earn(&mut self, price: f64, balancers: u32) {
         let receivers = f64::from(balancers.saturating_sub(1));
-        let message_cost = price * MIN_CHARGED_BYTES / PRICED_BYTES * receivers;
+        let message_cost = price * CHARGED_BYTES / PRICED_BYTES * receivers;
         let earned = if message_cost > 0.0 { MAX_COST_SHARE / message_cost } else { MAX_CREDIT };
         self.messages = (self.messages + earned).min(MAX_CREDIT);
     }
--- a/src/peers/group_sample.rs
+++ b/src/peers/group_sample.rs
@@ -2,8 +2,8 @@
 //!
 //! Connections of one group should be placed at few servers, and all balancers have to agree at how many.
 //! Each balancer sees only its own connections, so from the samples of all messages all balancers estimate
-//! alike how large each group is. A sample fits into the bytes that a datagram is charged for at least, so it
-//! costs nothing.
+//! alike how large each group is. A message is charged alike with and without a sample, so it costs
+//! nothing.
 //!
 //! Connections are drawn at random, with equal probability, so that larger groups are sampled more often.
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -15,8 +15,9 @@
 //!
 //! 1. gossip is enabled and there is another balancer;
 //! 2. the others would change something by it: a message time has to reach `SLOW_MESSAGE_RATIO` of the
-//!    message objective;
-//! 3. no earlier observation of the same subject still holds (`recent_observations`);
+//!    message objective; without an objective, message times are never sent;
+//! 3. no earlier observation of the same subject, made here or received, is still valid
+//!    (`recent_observations`). Slow messages and a drop at one server are the same subject;
 //! 4. the credit pays for it (`credit`).
 //!
 //! Each message also carries a sample of groups (`group_sample`). What the balancer does about an observation
@@ -69,7 +70,7 @@
         peers
     }
 
-    /// Replaces the configuration. Credit and observations are kept.
+    /// Replaces the configuration. Credit and observations remain.
     pub fn configure(&mut self, config: GossipConfig) {
         self.config = config;
     }
--- a/src/rebalance/config.rs
+++ b/src/rebalance/config.rs
@@ -40,7 +40,7 @@
     pub message_objective: Micros,
     /// Whether servers report how long messages take.
     pub reports_message_time: bool,
-    /// Price of migrating a client once, as a share of the value that its whole connection delivers.
+    /// Price of migrating a client once, as a share of the value that its complete connection delivers.
     pub migration_cost: f64,
     /// Time after which a server that has started is warm.
     pub slow_start_duration: Micros,
--- a/src/rebalance/cost_benefit.rs
+++ b/src/rebalance/cost_benefit.rs
@@ -1,18 +1,19 @@
 //! What a migration gains against what it costs.
 //!
-//! **Decided:** whether a candidate is worth migrating, and in which order candidates are migrated.
+//! **Decided:** whether a candidate gains more by a migration than it costs, and in which order candidates are
+//! migrated.
 //!
 //! **Inputs:** the pressure on the server; slots, relief and priority weight of the candidate; the mean lifetime of a
 //! connection and the cost of migrating a client, both in seconds; the operator's `margin`.
 //!
 //! **Rule**, in seconds of good service of a connection of mean priority weight:
-//! - gain = (relief in slots * relief per slot + priority weight * share of messages that miss the objective) * half the
-//!   mean lifetime;
+//! - gain = (relief in slots * relief per slot + priority weight * share of messages that miss the objective) * half
+//!   the mean lifetime;
 //! - cost = priority weight * cost of a client;
 //! - a migration is made if its gain exceeds `margin` times its cost, those with the largest ratio first.
 //!
-//! **Reason:** those who stay gain from the shorter queue (`pressure.rs`), the migrated client from a server that is not
-//! slow. Both gains last for about half a lifetime: until then clients that come and go have evened out the excess.
+//! **Reason:** those who stay gain from the shorter queue (`pressure.rs`), the migrated client from a server that is
+//! not slow. Both gains last for about half a lifetime: until then clients that come and go have evened out the excess.
 
 use std::cmp::Ordering;
 
--- a/src/rebalance/fair_share.rs
+++ b/src/rebalance/fair_share.rs
@@ -2,7 +2,7 @@
 //!
 //! **Rule:** the slots that this balancer's connections occupy at all ready servers are divided in proportion to the
 //! servers' weights in the endpoint list. Each of n balancers sees a random one in n connections of everything, so the
-//! proportions that it brings about are those of the whole.
+//! proportions that it brings about are those of all balancers together.
 
 use super::ServerSnapshot;
 
--- a/src/rebalance/group_locations.rs
+++ b/src/rebalance/group_locations.rs
@@ -4,7 +4,7 @@
 
 use crate::ServerId;
 
-/// Number of each group's connections at each server; neither a group nor a server without any is kept.
+/// Number of each group's connections at each server; neither a group nor a server without any is stored.
 #[derive(Debug, Default)]
 pub(super) struct GroupLocations {
     members: BTreeMap<u64, BTreeMap<ServerId, usize>>,
--- a/src/rebalance/hold_backoff.rs
+++ b/src/rebalance/hold_backoff.rs
@@ -1,13 +1,14 @@
 //! Holds after migrations that turned out badly, with exponential backoff.
 //!
 //! **Rule:** a hold lasts [`INITIAL_HOLD`], and each further one twice as long as the one before, up to [`MAX_HOLD`].
-//! [`RESET_AFTER`] after the last one began, the next is short again.
+//! Once [`RESET_AFTER`] has passed since the last one began, whether it has ended or not, the next lasts
+//! [`INITIAL_HOLD`] again.
 
 use super::HoldReason;
 use crate::{Micros, Time};
 
 /// Duration of the first hold.
-pub(super) const INITIAL_HOLD: Micros = Micros::from_secs(2);
+const INITIAL_HOLD: Micros = Micros::from_secs(2);
 /// The longest hold.
 const MAX_HOLD: Micros = Micros::from_secs(60);
 /// Time since the last hold began after which the next is short again.
--- a/src/rebalance/hold_conditions.rs
+++ b/src/rebalance/hold_conditions.rs
@@ -6,8 +6,8 @@
 //! the endpoint list and of arriving clients.
 //!
 //! **Rule**, in this order: shutdown and hot restart hold as long as they last; draining as long as connections are at
-//! servers that drain, at most [`MAX_DRAINING_HOLD`]; a reload for [`RELOAD_HOLD`]; a list that lost more than a quarter
-//! of its ready servers for [`LIST_SHRINK_HOLD`]; an unavailable list until it is received again; fewer than
+//! servers that drain, at most [`MAX_DRAINING_HOLD`]; a reload for [`RELOAD_HOLD`]; a list that lost more than a
+//! quarter of its ready servers for [`LIST_SHRINK_HOLD`]; an unavailable list until it is received again; fewer than
 //! [`MIN_READY_SERVERS`] ready servers; an arrival storm (`arrival_storm.rs`).
 //!
 //! **Reason:** each of these migrates or reconnects clients itself, or makes it uncertain which servers exist.
--- a/src/rebalance/hold_reason.rs
+++ b/src/rebalance/hold_reason.rs
@@ -2,35 +2,35 @@
 
 use std::fmt;
 
-/// Why nobody may be migrated now. The order is that of [`HoldReason::code`].
+/// Why nobody may be migrated now. The number is that of the metric `rebalance.FRONT.held`, [`HoldReason::code`].
 ///
 /// The first eight are decided in `hold_conditions.rs`, `SlowSetups` in `setup_times.rs`, and the last three in
 /// `migration_rate.rs`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HoldReason {
-    /// This balancer shuts down gracefully.
+    /// 1: this balancer shuts down gracefully.
     ShuttingDown,
-    /// A hot restart is under way.
+    /// 2: a hot restart is under way.
     HotRestart,
-    /// Connections are established at servers that drain.
+    /// 3: connections are established at servers that drain, are excluded or gone.
     Draining,
-    /// The configuration was reloaded recently.
+    /// 4: the configuration was reloaded recently.
     ConfigurationReloaded,
-    /// The endpoint list lost a large part of its servers recently.
+    /// 5: the endpoint list lost a large part of its servers recently.
     EndpointListShrank,
-    /// The endpoint list is unavailable.
+    /// 6: the endpoint list is unavailable.
     EndpointListUnavailable,
-    /// Fewer than two servers are ready.
+    /// 7: fewer than two servers are ready and without failures.
     TooFewServers,
-    /// Many more clients arrive than usual.
+    /// 8: many more clients arrive than usual.
     ArrivalStorm,
-    /// Connection setups take far longer than usual, or too long for their objective.
+    /// 9: connection setups take far longer than usual, or too long for their objective.
     SlowSetups,
-    /// A migrated client was rejected or failed.
+    /// 10: a migrated client was rejected or failed.
     ClientsRejected,
-    /// Migrated clients do not reconnect.
+    /// 11: migrated clients do not reconnect.
     ClientsNotReturning,
-    /// Migrations did not lower the worst excess.
+    /// 12: migrations did not lower the worst excess.
     ExcessNotFalling,
 }
 
@@ -43,7 +43,7 @@
             HoldReason::ConfigurationReloaded => "the configuration was reloaded",
             HoldReason::EndpointListShrank => "the endpoint list has lost a large part of its servers",
             HoldReason::EndpointListUnavailable => "the endpoint list is unavailable",
-            HoldReason::TooFewServers => "fewer than two servers are ready",
+            HoldReason::TooFewServers => "fewer than two servers are ready and without failures",
             HoldReason::ArrivalStorm => "many more clients arrive than usual",
             HoldReason::SlowSetups => "connection setups are slow",
             HoldReason::ClientsRejected => "migrated clients were rejected",
--- a/src/rebalance/migration_candidates.rs
+++ b/src/rebalance/migration_candidates.rs
@@ -1,11 +1,11 @@
 //! The connections at a server that can be migrated.
 //!
-//! **Decided:** the units in which a server's connections can be migrated: single connections, and groups as a whole.
+//! **Decided:** the units in which a server's connections can be migrated: single connections, and complete groups.
 //!
 //! **Inputs:** the server's connections with their slots, classes and groups; the classes' priority weights.
 //!
-//! **Rule:** excluded are clients that have reconnected after a migration or a break, groups with such a member, and the
-//! larger part of a group that is split between servers.
+//! **Rule:** excluded are clients that have reconnected after a migration or a break, groups with such a member, and
+//! the larger part of a group that is split between servers.
 //!
 //! **Reason:** nobody is migrated from server to server. The smaller part of a split group goes to where the rest is,
 //! which removes the group's overhead at this server; the larger part would draw the rest after it and be drawn back.
--- a/src/rebalance/migration_history.rs
+++ b/src/rebalance/migration_history.rs
@@ -1,15 +1,16 @@
 //! Servers that clients were recently migrated away from, or to which they were expected to go.
 //!
-//! **Rule:** a server is being relieved for [`MEMORY`] from the first migration away from it; the lower thresholds of
-//! `pressure.rs` apply to it meanwhile. A server was recently filled for [`MEMORY`] after migrations that were meant for
-//! it, as the one with the most spare capacity; clients are not migrated away from it unless its pressure is measured.
+//! **Rule:** a server is being relieved for [`RELIEF_DURATION`] from the first migration away from it; the lower
+//! thresholds of `pressure.rs` apply to it meanwhile. A server was recently filled for [`RELIEF_DURATION`] after
+//! migrations that were meant for it, as the one with the most spare capacity; clients are not migrated away from it
+//! unless its pressure is measured.
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, ServerId, Time};
 
-/// Time for which a server is remembered.
-const MEMORY: Micros = Micros::from_secs(10);
+/// Time for which a server counts as being relieved, or as recently filled.
+const RELIEF_DURATION: Micros = Micros::from_secs(10);
 
 /// The remembered servers.
 #[derive(Debug, Default)]
@@ -28,8 +29,8 @@
     }
 
     pub(super) fn expire(&mut self, now: Time) {
-        self.relieved_since.retain(|_, since| now.since(*since) < MEMORY);
-        self.filled_at.retain(|_, at| now.since(*at) < MEMORY);
+        self.relieved_since.retain(|_, since| now.since(*since) < RELIEF_DURATION);
+        self.filled_at.retain(|_, at| now.since(*at) < RELIEF_DURATION);
     }
 
     pub(super) fn is_being_relieved(&self, server: ServerId) -> bool {
--- a/src/rebalance/migration_outcome.rs
+++ b/src/rebalance/migration_outcome.rs
@@ -2,8 +2,8 @@
 //!
 //! **Decided:** whether recent migrations had no effect, which puts rebalancing on hold.
 //!
-//! **Inputs:** the number of migrated clients; at each evaluation the largest excess of a server over its fair share, in
-//! slots.
+//! **Inputs:** the number of migrated clients; at each evaluation the largest excess of a server over its fair share,
+//! in slots.
 //!
 //! **Rule:** the excess is compared with that before the migrations, [`JUDGEMENT_DELAY`] after the
 //! [`JUDGED_MIGRATIONS`]th of them. They had no effect if more than [`MAX_REMAINING_EXCESS_SHARE`] of it is left.
--- a/src/rebalance/migration_rate.rs
+++ b/src/rebalance/migration_rate.rs
@@ -8,14 +8,14 @@
 //! **Rule:**
 //! - the rate rises while clients have been migrated within [`RECENT_MIGRATION`], enough of them reconnect
 //!   (`reconnections.rs`), and there is no hold (`token_bucket.rs`);
-//! - it is halved, with a hold (`hold_backoff.rs`), when a migrated client is rejected or fails, when too few reconnect,
-//!   or when the excess does not fall (`migration_outcome.rs`);
+//! - it is halved, with a hold (`hold_backoff.rs`), when a migrated client is rejected or fails, when too few
+//!   reconnect, or when the excess does not fall (`migration_outcome.rs`);
 //! - it is lowered to its minimum, with a hold as long as they last, when setups are slow (`setup_times.rs`).
 //!
 //! **Reason:** how much the session store and the other servers can take is not known in advance.
 
 use super::cost_benefit::ClientCost;
-use super::hold_backoff::{HoldBackoff, INITIAL_HOLD};
+use super::hold_backoff::HoldBackoff;
 use super::migration_outcome::MigrationOutcome;
 use super::reconnections::Reconnections;
 use super::rejection_share::RejectionShare;
@@ -24,6 +24,8 @@
 use super::{HoldReason, RebalanceConfig, RebalanceContext};
 use crate::{Micros, Time};
 
+/// Without a connection setup for this long, setups count as normal again.
+const SETUP_SILENCE_TIMEOUT: Micros = Micros::from_secs(2);
 /// Time for which a migration counts as recent.
 const RECENT_MIGRATION: Micros = Micros::from_secs(3);
 /// Seconds of service that a rejection costs: rejected clients wait before they try again.
@@ -40,7 +42,7 @@
     outcome: MigrationOutcome,
     last_migration: Option<Time>,
     updated: Time,
-    /// Price of a migration, as a share of the value of a whole connection.
+    /// Price of a migration, as a share of the value of a complete connection.
     migration_cost: f64,
 }
 
@@ -72,7 +74,7 @@
 
     /// Migrations that are allowed in a second now.
     pub(super) fn allowed_per_second(&self) -> f64 {
-        if self.is_held() {
+        if self.is_on_hold() {
             0.0
         } else {
             self.bucket.rate_per_second()
@@ -111,7 +113,7 @@
         }
     }
 
-    fn is_held(&self) -> bool {
+    fn is_on_hold(&self) -> bool {
         self.backoff.is_active() || self.setup_times.are_slow()
     }
 }
@@ -168,7 +170,7 @@
         let seconds = now.since(self.updated).as_f64() / 1e6;
         self.updated = now;
         self.backoff.advance(now);
-        self.setup_times.expire_slowness(now, INITIAL_HOLD);
+        self.setup_times.expire_slowness(now, SETUP_SILENCE_TIMEOUT);
         if self.is_successful(now) {
             self.bucket.increase_rate(seconds);
         }
@@ -184,7 +186,7 @@
     /// Whether clients were migrated recently, with success as far as is seen.
     fn is_successful(&self, now: Time) -> bool {
         let migrated_recently = self.last_migration.is_some_and(|at| now.since(at) <= RECENT_MIGRATION);
-        migrated_recently && self.reconnections.are_sufficient() && !self.is_held()
+        migrated_recently && self.reconnections.are_sufficient() && !self.is_on_hold()
     }
 
     fn hold(&mut self, now: Time, reason: HoldReason) {
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -4,29 +4,29 @@
 //! about twice a second the state of all servers ([`Rebalancer::evaluate`]). The unit of load is a slot: the load of a
 //! mean connection.
 //!
-//! **Why are clients migrated now?** At an evaluation all of this has to be true:
-//! 1. Rebalancing is not on hold. The log and the metric `rebalance.FRONT.held` give the [`HoldReason`]: a condition
-//!    elsewhere (`hold_conditions.rs`), slow connection setups (`setup_times.rs`), or earlier migrations that turned out
-//!    badly (`migration_rate.rs`).
-//! 2. A server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
-//!    placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`).
-//! 3. Other servers have spare capacity (`spare_capacity.rs`).
-//! 4. There is a token (`token_bucket.rs`), and the slots that may be migrated are not used up: at most
-//!    `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated clients will still occupy
-//!    (`disconnected_clients.rs`).
+//! **Why are clients migrated now?** At an evaluation all of this has to be true: 1. Rebalancing is not on hold. The
+//! log and the metric `rebalance.FRONT.held` give the [`HoldReason`]: a condition elsewhere (`hold_conditions.rs`),
+//! slow connection setups (`setup_times.rs`), or earlier migrations that turned out badly (`migration_rate.rs`). 2. A
+//! server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
+//! placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`). 3. Other
+//! servers have spare capacity (`spare_capacity.rs`). 4. There is a token (`token_bucket.rs`), and the slots that may
+//! be migrated are not used up: at most `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated
+//! clients will still occupy (`disconnected_clients.rs`).
 //!
-//! **Why these clients?** They are at the server with the slowest messages. Those that have reconnected before are
-//! excluded, and groups are migrated as a whole or not at all (`migration_candidates.rs`). Of the rest those are chosen
-//! whose migration gains most for its cost (`cost_benefit.rs`), in this order and within the limits (`selection.rs`).
+//! **Why these clients?** They are at the servers under pressure, the one with the slowest messages first. Those that
+//! are known to have reconnected are excluded, and groups are migrated completely or not at all
+//! (`migration_candidates.rs`). Of the rest those are chosen whose migration gains most for its cost
+//! (`cost_benefit.rs`), in this order and within the limits (`selection.rs`).
 //!
-//! **Where do they go?** To any server that the policy selects when they reconnect, at random by free slots. Two changes
-//! of ceilings lead them, and new clients, to the right servers: that of a server under pressure is lowered to its
-//! occupied slots, and that of a server whose capacity is unknown is raised towards its fair share.
+//! **Where do they go?** To any server that the policy selects when they reconnect, at random by free slots. Two
+//! changes of ceilings lead them, and new clients, to the right servers: that of a server under pressure is lowered to
+//! its occupied slots, and that of a server whose capacity is unknown is raised towards its fair share.
 //!
-//! **Guarantees.** Same settings, seed, events and times give the same migrations. Nobody who has reconnected after a
-//! migration is migrated again. Memory is bounded by the open connections, the endpoint list and a fixed number of
-//! disconnected clients. There is no access to clock, sockets or files: the reducer (`src/routing/`) owns one
-//! [`Rebalancer`] for each pool and carries out its decisions.
+//! **Guarantees.** Same settings, seed, events and times give the same migrations. A client that is known, by its key
+//! or by its own report, to have reconnected is not migrated again for balance; a hot restart forgets that. Memory is
+//! bounded by the open connections, the endpoint list and a fixed number of disconnected clients. There is no access to
+//! clock, sockets or files: the reducer (`src/routing/`) owns one [`Rebalancer`] for each pool and carries out its
+//! decisions.
 //!
 //! `docs/rebalancing.md` explains the design.
 #![deny(missing_docs)]
@@ -94,7 +94,7 @@
 /// Share of an excess, and of all spare capacity, that is migrated at once: other balancers see the same servers.
 const MIGRATED_SHARE: f64 = 0.5;
 /// Tokens that the migration of one client takes.
-const MIN_TOKENS: f64 = 1.0;
+const TOKENS_PER_MIGRATION: f64 = 1.0;
 /// Distinguishes this random generator from others with the same seed.
 const SEED_SALT: u64 = 0x6d6f_7665;
 
@@ -266,7 +266,7 @@
         let ceilings_to_lower = pressures.iter().map(|pressure| pressure.server).collect();
         let sources = self.migration_sources(pressures);
         self.judge_outcome(now, &sources);
-        if sources.is_empty() || self.rate.tokens() < MIN_TOKENS {
+        if sources.is_empty() || self.rate.tokens() < TOKENS_PER_MIGRATION {
             return Decision { ceiling_increases, ceilings_to_lower, ..Decision::default() };
         }
         let spare = self.find_spare_capacity(now, servers, fair_share, &sources);
@@ -298,7 +298,8 @@
         condition.or_else(|| self.rate.hold_reason(now))
     }
 
-    /// Returns a change for the log; before the first migration a hold is not worth a line.
+    /// Returns a change for the log. A hold that begins before the first migration is normal at a start, and is not
+    /// logged.
     fn record_hold_reason(&mut self, reason: Option<HoldReason>) -> Option<HoldTransition> {
         let previous = std::mem::replace(&mut self.metrics.hold_reason, reason);
         let is_relevant = self.metrics.migrated > 0 || previous.is_some();
--- a/src/rebalance/observed_connections.rs
+++ b/src/rebalance/observed_connections.rs
@@ -1,7 +1,7 @@
 //! The established connections of the pool, by server and by group, with what they and their servers have reported.
 //!
-//! One slot is the load of a mean connection; a connection's load is in microseconds of work a second. Memory is bounded
-//! by the number of open connections: nothing is kept of a server without connections.
+//! One slot is the load of a mean connection; a connection's load is in microseconds of work a second. Memory is
+//! bounded by the number of open connections: nothing is stored of a server without connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -7,10 +7,11 @@
 //! (`placement_noise.rs`); its message time over the tightest message objective, where servers report it; the
 //! operator's `assumed_use` where they do not.
 //!
-//! **Rule:** a server is under pressure if it holds at least [`MIN_EXCESS_SLOTS`] over its fair share and, where many of
-//! its connections are in groups, [`MIN_GROUPED_DEVIATIONS`] standard deviations. The pressure is certain
-//! - where servers report message times: if the server has reported slow messages for a while (`slow_message_reports.rs`)
-//!   and its excess is at least [`MEASURED_THRESHOLDS`]; a server that does not report any is not slow;
+//! **Rule:** a server is under pressure if it holds at least [`MIN_EXCESS_SLOTS`] over its fair share and, where many
+//! of its connections are in groups, [`MIN_GROUPED_DEVIATIONS`] standard deviations. The pressure is certain
+//! - where servers report message times: if the server has reported slow messages for a while
+//!   (`slow_message_reports.rs`) and its excess is at least [`MEASURED_THRESHOLDS`]; a server that does not report any
+//!   is not slow;
 //! - elsewhere: if its excess is at least [`INFERRED_THRESHOLDS`]. Its utilisation is then inferred: the assumed mean
 //!   utilisation times its slots, less a part of the noise, over its fair share.
 //!
@@ -45,8 +46,8 @@
 const MIN_EXCESS_SLOTS: f64 = 1.0;
 /// Share of a server's connections in groups above which [`MIN_GROUPED_DEVIATIONS`] applies.
 const MAX_UNRESTRICTED_GROUPED_SHARE: f64 = 0.1;
-/// The least excess of a server with many grouped connections, in standard deviations: once its free slots are gone, the
-/// next members of its groups go to a second server, which then bears the groups' overhead as well.
+/// The least excess of a server with many grouped connections, in standard deviations: once its free slots are gone,
+/// the next members of its groups go to a second server, which then bears the groups' overhead as well.
 const MIN_GROUPED_DEVIATIONS: f64 = 2.0;
 
 /// Thresholds of the excess, in standard deviations of random placement.
--- a/src/rebalance/reconnections.rs
+++ b/src/rebalance/reconnections.rs
@@ -1,12 +1,14 @@
 //! Whether migrated clients reconnect.
 //!
-//! **Decided:** whether enough clients reconnect to migrate more, and whether so few do that migrations are put on hold.
+//! **Decided:** whether enough clients reconnect to migrate more, and whether so few do that migrations are put on
+//! hold.
 //!
-//! **Inputs:** numbers of clients with a flow key: migrated ones that reconnected here or whose time to do so is over,
-//! and other balancers' clients that reconnected here; the number of balancers n.
+//! **Inputs:** the number c of clients with a flow key that were migrated here and have reconnected, or whose time to
+//! do so is over; the number of reconnections seen here; the number of balancers n.
 //!
-//! **Rule:** of the migrated clients one in n is expected here, and as many of the other balancers' clients. Half of the
-//! expected number is sufficient. Reconnections have failed when fewer than half are seen and, with several balancers,
+//! **Rule:** c/n of these clients are expected to reconnect here, and as many of the other balancers' clients. Seen are
+//! own clients, by their key, and with several balancers all that report a migration elsewhere. Half of the expected
+//! number is sufficient. Reconnections have failed when fewer than half are seen and, with several balancers,
 //! the shortfall exceeds [`TOLERATED_DEVIATIONS`] standard deviations of a Poisson count. Counts decay exponentially
 //! over [`DECAY_SECONDS`].
 
--- a/src/rebalance/selection.rs
+++ b/src/rebalance/selection.rs
@@ -5,9 +5,9 @@
 //! **Inputs:** the candidates; their gain and cost; the tokens of the migration rate, one for each client; the slots
 //! that may be migrated.
 //!
-//! **Rule:** worthwhile candidates are taken in the order of gain over cost while tokens and slots last. A candidate may
-//! exceed the remaining slots by half of its own. One that needs more tokens than there are now, but no more than can be
-//! saved up, ends the selection.
+//! **Rule:** worthwhile candidates are taken in the order of gain over cost while tokens and slots last. A candidate
+//! may exceed the remaining slots by half of its own. One that needs more tokens than there are now, but no more than
+//! can be saved up, ends the selection.
 //!
 //! **Reason:** a small excess would otherwise never be relieved, as a candidate may be larger than it. Single
 //! connections would otherwise use each token as it comes, and no group would ever be migrated.
@@ -50,8 +50,8 @@
     for candidate in candidates {
         let clients = candidate.members.len() as f64;
         let fits = candidate.slots * MIN_FITTING_SHARE <= slots;
-        let is_worth_saving_for = clients > tokens && clients <= max_tokens && fits;
-        if is_worth_saving_for {
+        let should_save_tokens = clients > tokens && clients <= max_tokens && fits;
+        if should_save_tokens {
             break;
         }
         if clients <= tokens && fits && slots > 0.0 {
--- a/src/rebalance/server_snapshot.rs
+++ b/src/rebalance/server_snapshot.rs
@@ -7,7 +7,7 @@
 pub struct ServerSnapshot {
     /// The server.
     pub server: ServerId,
-    /// Whether it is listed for use and its last attempt did not fail.
+    /// Whether it is listed as ready and has no failures left in its failure count.
     pub ready: bool,
     /// Slots that this balancer's connections occupy there.
     pub occupied_slots: f64,
--- a/src/rebalance/slow_message_reports.rs
+++ b/src/rebalance/slow_message_reports.rs
@@ -6,8 +6,8 @@
 //! **Inputs:** message times that the server reports about once a second while it is slow; the message objective.
 //!
 //! **Rule:** a message is slow from a third of the objective on. A server is slow for a while when it has sent
-//! [`MIN_REPORTS`] such reports within [`REPORT_WINDOW`], the last within [`REPORT_TIMEOUT`]. A report of a fast message
-//! clears the earlier ones.
+//! [`MIN_REPORTS`] such reports within [`REPORT_WINDOW`], the last within [`REPORT_TIMEOUT`]. A report of a fast
+//! message clears the earlier ones.
 
 use crate::{Micros, Time};
 
--- a/src/rebalance/spare_capacity.rs
+++ b/src/rebalance/spare_capacity.rs
@@ -7,13 +7,14 @@
 //!
 //! **Rule:** a server has spare capacity if it is below its fair share by more than random placement explains, did not
 //! report slow messages recently, and had no fault within [`FAULT_COOLDOWN`]. Its spare capacity reaches
-//! - up to its ceiling, at most its fair share, if it had a fault in this incarnation: the ceiling was lowered for it;
-//! - up to its warmth's share of the fair share while it is in slow start, and no more than fills it in
+//! - up to its ceiling, at most its fair share, times its warmth, if it had a fault in this incarnation: the ceiling
+//!   was lowered for it;
+//! - up to its fair share times its warmth while it is in slow start, and at once no more than slow start adds in
 //!   [`WARMING_BATCH_SECONDS`];
 //! - up to its fair share otherwise, whatever its ceiling is.
 //!
-//! The ceiling of a ready server that has started recently and had no fault is raised to [`RAISED_CEILING_SHARE`] of its
-//! fair share.
+//! The ceiling of a ready server that has started recently and had no fault is raised to [`RAISED_CEILING_SHARE`] of
+//! its fair share.
 //!
 //! **Reason:** a server starts with a ceiling of a few slots, which is raised only as they are filled. While servers
 //! with more occupied slots show more free ones, new connections keep going there.
