--- a/src/transport/accepting.rs
+++ b/src/transport/accepting.rs
@@ -25,8 +25,8 @@
     }
 
     /// Waits until the fronts accept connections, or until they do not.
-    pub(super) async fn wait_until(&self, wanted: bool) {
+    pub(super) async fn wait_until(&self, on: bool) {
         // It fails only when the sender is gone, which this handle owns.
-        let _ = self.0.subscribe().wait_for(|on| *on == wanted).await;
+        let _ = self.0.subscribe().wait_for(|current| *current == on).await;
     }
 }
--- a/src/transport/admin_client.rs
+++ b/src/transport/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls that the command line makes at a running balancer.
+//! Calls of the command line to a running balancer.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -9,15 +9,15 @@
 use crate::protocol::gossip;
 use crate::routing::store::{Entry, ReplicaMessage};
 
-/// The longest wait for a part of an admin endpoint's answer.
+/// Time-out of each read of an admin endpoint's answer.
 const ADMIN_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often an entry is sent to a store, and how long each waits for its answer.
+/// How often an entry is sent to a store, and the time-out of each answer.
 const STORE_WRITE_ATTEMPTS: usize = 6;
 const STORE_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// Any port of this machine, for the answers of its stores.
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// The balancer cannot be reached, or its connection broke.
@@ -25,7 +25,7 @@
     Socket {
         /// The address that was called.
         address: String,
-        /// What the system answered.
+        /// The system's error.
         source: io::Error,
     },
     /// The admin endpoint closed the connection without an answer.
@@ -55,7 +55,7 @@
     }
 }
 
-/// Makes a call at an admin endpoint, and returns the answer.
+/// Makes a call to an admin endpoint, and returns the answer.
 ///
 /// # Errors
 ///
@@ -73,7 +73,7 @@
     Ok(answer)
 }
 
-/// Writes a key at a node's store, or removes it, and returns the entry that this made.
+/// Writes a key to a node's store, or removes it, and returns the resulting entry.
 ///
 /// # Errors
 ///
@@ -86,7 +86,7 @@
     let write = gossip::encode(&ReplicaMessage::Write { key: key.to_owned(), value: value.clone() });
     let write = write.ok_or_else(|| ClientError::KeyTooLong { key: key.to_owned() })?;
     let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH];
-    // Either datagram may be lost: to write the same again does no harm.
+    // Either datagram may be lost. The write is idempotent.
     for _ in 0..STORE_WRITE_ATTEMPTS {
         socket.send(&write).map_err(&failed)?;
         let Ok(length) = socket.recv(&mut bytes) else { continue };
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -19,10 +19,10 @@
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::routing::{AdminRejection, AdminResponse, Input};
 
-/// A client sends its line at once. Some send nothing, or half of it, and stay.
+/// Time-out of a client's line. Some clients send nothing or an incomplete line, and stay connected.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client has to close after its answer. Closed over what it still sends, the connection would be
-/// reset, and the answer lost.
+/// How long a client has to close after its answer. Closing the socket over unread bytes would reset the
+/// connection and lose the answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What the tasks of admin clients need.
@@ -37,7 +37,7 @@
 /// One admin client.
 struct AdminClient {
     task: JoinHandle<()>,
-    /// Whether its line has come.
+    /// Whether its line was received.
     called: Rc<Cell<bool>>,
 }
 
@@ -46,7 +46,7 @@
 struct AdminClients(VecDeque<AdminClient>);
 
 impl AdminClients {
-    /// Serves a new client. Where all places are taken, the oldest whose line has not come is closed.
+    /// Serves a new client. At the limit, the oldest client without a complete line is disconnected.
     fn serve(&mut self, context: &AdminContext, stream: TcpStream) {
         self.0.retain(|admin_client| !admin_client.task.is_finished());
         if self.0.len() >= MAX_ADMIN_CLIENTS {
@@ -83,21 +83,21 @@
         Ok(line) => handle_call(&context, &line).await,
         Err(error) => AdminResponse::No(AdminRejection::InvalidCall(error.to_string())),
     };
-    // Whether the client waited for its answer or not: it is sent by now.
+    // The answer is sent by now, whether the client closes in time or not.
     let _ = timeout(CLOSE_TIMEOUT, write_reply(&mut stream, &reply)).await;
 }
 
-/// Why there is no line to handle.
+/// Why a client's line could not be read.
 #[derive(Clone, Copy, Debug, Error)]
 enum CallLineError {
-    /// The client closed the connection, or it broke, before it had sent a line: it gets no reply.
+    /// The client closed the connection, or it broke, before a line was sent. There is no reply.
     #[error("the connection is closed")]
     Closed,
     #[error("no line came in time")]
     TimedOut,
     #[error("too long for a call")]
     TooLong,
-    /// What was cut off may have meant another server.
+    /// The truncated line may name another server than the client meant.
     #[error("the line has no end")]
     Unterminated,
 }
--- a/src/transport/assembly.rs
+++ b/src/transport/assembly.rs
@@ -65,7 +65,7 @@
     pub(super) fn connection_context(&self) -> ConnectionContext {
         ConnectionContext {
             reducer: self.reducer.clone(),
-            connections: self.effects.connections.clone(),
+            registry: self.effects.connections.clone(),
             recorder: self.recorder.clone(),
         }
     }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -21,19 +21,19 @@
         attempt: u32,
         /// Address of the server.
         address: String,
-        /// How long the server has for its answer.
+        /// Time-out of the server's answer.
         wait: Micros,
     },
     /// Close the attempt.
     CloseAttempt,
     /// Send the client this answer, then close both sides in order.
     SendAnswer(Answer),
-    /// Read what the client has sent by now; [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut)
-    /// if that is no request.
+    /// Read what the client has sent by now. Without a complete request, feed
+    /// [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut).
     CheckHandshake,
-    /// Close all sockets at once, whatever is left to write.
+    /// Close all sockets at once. Pending bytes are dropped.
     Abort,
-    /// Give up the sockets for the successor, if the connection is between two lines.
+    /// Transfer the sockets to the successor, if the connection is between two lines.
     Transfer(oneshot::Sender<TransferredConnection>),
 }
 
@@ -44,9 +44,9 @@
     pub client: OwnedFd,
     /// The attempt's socket.
     pub attempt: OwnedFd,
-    /// State of the front, which the successor needs.
+    /// State of the front, for the successor.
     pub front_state: Vec<u8>,
-    /// What to send to the client if the successor cannot be reached.
+    /// Sent to the client if the successor cannot be reached.
     pub migration_notice: Vec<u8>,
 }
 
@@ -61,7 +61,7 @@
         /// Whether it is excluded, or else readmitted.
         excluded: bool,
     },
-    /// An established connection goes to the successor.
+    /// An established connection is transferred to the successor.
     TransferConnection {
         /// Its id in this process.
         connection: ConnectionId,
@@ -72,7 +72,7 @@
     },
 }
 
-/// A server is to be asked for its load.
+/// A command to request a server's load report.
 pub(super) struct ProbeCommand {
     /// The server's pool.
     pub pool: PoolId,
@@ -80,15 +80,15 @@
     pub server: ServerId,
     /// Its address.
     pub address: String,
-    /// Names under which its load report may hold the load, the best first.
+    /// Names of the report's fields that may hold the load, in order of preference.
     pub load_names: Vec<&'static str>,
-    /// How long to wait for the report.
+    /// Time-out of the report.
     pub timeout: Duration,
 }
 
 /// A command for the watches on endpoint lists.
 pub(super) enum WatchCommand {
-    /// Resume the watch of this pool after it was lost; what was missed comes first.
+    /// Resume the watch of this pool after it was lost. Discovery first sends the changes since then.
     Resume {
         /// The pool.
         pool: PoolId,
@@ -99,7 +99,7 @@
         pool: PoolId,
         /// Address of discovery.
         discovery: SocketAddr,
-        /// Generation of the endpoint list that is held; without one the whole list is requested.
+        /// Generation of the endpoint list at hand; without one a snapshot is requested.
         generation: Option<u64>,
     },
 }
--- a/src/transport/connection/client_side.rs
+++ b/src/transport/connection/client_side.rs
@@ -13,7 +13,7 @@
 type ReadSocket = fn(&SocketEnd, &mut [u8]) -> io::Result<Option<usize>>;
 
 impl Connection {
-    /// Reads once from the client. Returns whether there was anything, its end included.
+    /// Reads once from the client. Returns whether there were bytes or the end of the stream.
     pub(super) fn read_client(&mut self, read: ReadSocket) -> bool {
         let mut buffer = [0; READ_BUFFER_BYTES];
         match read(&self.client, &mut buffer) {
@@ -36,12 +36,12 @@
         true
     }
 
-    /// Reads all that the client has sent by now, while it still waits for its answer.
-    pub(super) fn read_client_until_asked(&mut self) {
+    /// Reads what the client has sent by now, unless the connection is established or closing.
+    pub(super) fn read_pending_request(&mut self) {
         while !self.is_closing() && !self.established && self.read_client(SocketEnd::read_from_system) {}
     }
 
-    /// Writes to the client what can be written at once.
+    /// Writes to the client without waiting.
     pub(super) fn flush_client(&mut self) {
         let flushed = self.client.flush();
         if let Some(recorded) = self.client.take_recorded() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The client sends nothing more: it has left, and the server's side is closed in the same way.
+    /// The client has closed its side: it has disconnected, and the server's side is closed in order.
     fn on_client_ended(&mut self) {
         self.client.set_read_ended();
         self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Orderly));
@@ -63,7 +63,7 @@
             return;
         }
         match self.upstream.end_mut().filter(|_| self.established) {
-            // It may still read: the server's last output goes to it, for a while.
+            // The client may still read, so the server's last output is delivered for a while.
             Some(attempt) => {
                 attempt.close_when_written();
                 self.close_deadline = Some(Instant::now() + CLOSE_TIMEOUT);
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -1,8 +1,8 @@
 //! One connection of a client, with the attempt that is open for it: a task that owns both sockets.
 //!
-//! [`SocketEnd`] is one socket with what is pending for it, [`Upstream`] the attempt. What comes from either
-//! side goes through the front's protocol ([`Front`]), whose [`FrontEvent`]s become inputs of the reducer; its
-//! effects come back as [`ConnectionCommand`]s.
+//! [`SocketEnd`] is one socket with its pending bytes, [`Upstream`] the attempt. Bytes of either side pass
+//! through the front's protocol ([`Front`]), whose [`FrontEvent`]s become inputs of the reducer. The reducer's
+//! effects arrive as [`ConnectionCommand`]s.
 
 mod client_side;
 mod server_side;
@@ -29,13 +29,13 @@
 
 /// Bytes read at once.
 const READ_BUFFER_BYTES: usize = 8 << 10;
-/// How long a connection that is over stays open for its last lines to arrive...
+/// How long a finished connection stays open at most, for its last lines to be delivered.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// ...or until all of them are written and the client has sent nothing for so long: its descriptor is wanted
-/// for other connections.
+/// A finished connection is closed earlier once all is written and the client has sent nothing for this long:
+/// its descriptors are needed for other connections.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(100);
-/// Bytes read and discarded from a client that has its answer. Closed over unread bytes the connection would
-/// be reset, which may destroy the answer; but a client that sends on for ever must not be read for ever.
+/// Most bytes that are read and discarded from a client that has its answer. Closing the socket over unread
+/// bytes would reset the connection and may lose the answer. The limit is for a client that never stops.
 const MAX_DISCARDED_BYTES: usize = 128 << 10;
 
 /// What the task of a connection needs.
@@ -44,7 +44,7 @@
     /// The reducer, which is fed what happens.
     pub reducer: ReducerHandle,
     /// Where connections are registered.
-    pub connections: ConnectionRegistry,
+    pub registry: ConnectionRegistry,
     /// Records the client's traffic.
     pub recorder: TrafficRecorder,
 }
@@ -57,21 +57,21 @@
     upstream: Upstream,
     /// Number of the latest attempt, from 0.
     attempt_number: u32,
-    /// Whether a server accepted it. This stays so while the connection closes.
+    /// Whether a server accepted it. Still true while the connection closes.
     established: bool,
-    /// Set once the reducer holds nothing of it any more: the latest time at which its sockets are closed.
+    /// The latest time at which the sockets are closed. Set once the reducer has forgotten the connection.
     close_deadline: Option<Instant>,
-    /// Since when the client has sent nothing, while it closes.
+    /// While it closes: since when the client has sent nothing.
     client_quiet_since: Instant,
-    /// Bytes that the client has sent while it closes.
+    /// While it closes: bytes that the client has sent.
     discarded_bytes: usize,
-    /// Whether the rest of the server's output is not for the client, which has its answer.
+    /// Whether the client has its final answer, so that the rest of the server's output is discarded.
     discard_server_output: bool,
-    /// Bytes held for a side that does not read; no more are read from the other side.
+    /// Pending bytes of one side at which no more are read from the other.
     buffer_limit: usize,
-    /// For a recording.
+    /// Set while the traffic is recorded.
     recorder: Option<ConnectionRecorder>,
-    /// Set once the successor goes on with it.
+    /// Where the sockets are sent, once the connection is transferred to the successor.
     successor: Option<oneshot::Sender<TransferredConnection>>,
 }
 
@@ -82,7 +82,7 @@
     stream: TcpStream,
     front: Box<dyn Front>,
 ) -> ConnectionId {
-    let (id, commands) = context.connections.register();
+    let (id, commands) = context.registry.register();
     let recorder = start_recording(&context.recorder, &stream);
     let mut connection = Connection::new(context, id, front, stream);
     if recorder.is_some() {
@@ -114,7 +114,7 @@
     pub attempt: TcpStream,
 }
 
-/// Goes on with a connection that a predecessor established.
+/// Serves a connection that a predecessor established.
 pub(super) fn adopt(
     context: &ConnectionContext,
     pool: PoolId,
@@ -122,7 +122,7 @@
     front: Box<dyn Front>,
     established: EstablishedConnection,
 ) {
-    let (id, commands) = context.connections.register();
+    let (id, commands) = context.registry.register();
     let mut connection = Connection::new(context, id, front, sockets.client);
     connection.upstream = Upstream::adopt(sockets.attempt);
     connection.established = true;
@@ -174,16 +174,15 @@
                     });
                 }
             }
-            context.connections.deregister(connection);
+            context.registry.deregister(connection);
             context.reducer.feed(Input::SocketsClosed { connection });
         });
     }
 
     /// Runs until the sockets are to be closed or transferred.
     ///
-    /// Every branch of the `select!` is cancellation-safe: readiness and commands that are not taken stay
-    /// where they are, a connect goes on in `upstream`, and all reading and writing is done after the choice,
-    /// without waiting.
+    /// Every branch of the `select!` is cancellation-safe: a dropped branch consumes neither readiness nor
+    /// commands, a connect continues in `upstream`, and reads and writes follow the choice without waiting.
     async fn run(&mut self, mut commands: UnboundedReceiver<ConnectionCommand>) {
         loop {
             self.flush();
@@ -212,10 +211,10 @@
         }
     }
 
-    /// When the sockets are to be closed, once the connection is over.
+    /// When the sockets are closed; none while the connection is open.
     fn close_time(&self) -> Option<Instant> {
         let deadline = self.close_deadline?;
-        // A client that floods has more on the way: closed over that it might not see its answer.
+        // A flooding client has more bytes on the way, over which an early close would reset the connection.
         let all_written = self.client.is_write_finished() && self.upstream.is_write_finished();
         if all_written && self.discarded_bytes < MAX_DISCARDED_BYTES {
             Some(deadline.min(self.client_quiet_since + QUIET_TIMEOUT))
@@ -224,7 +223,7 @@
         }
     }
 
-    /// Whether all sides are closed in order, or the time to close them has come.
+    /// Whether both sides are closed in order, or the time to close them has passed.
     fn is_closed_by(&self, close_time: Instant) -> bool {
         let client_closed = self.client.is_write_finished() && self.client.is_read_ended();
         (client_closed && self.upstream.is_write_finished()) || Instant::now() >= close_time
@@ -233,9 +232,9 @@
     /// Whether more is read from the client.
     fn reads_client(&self) -> bool {
         let pending = self.upstream.end().map_or(0, SocketEnd::pending_len) + self.front.buffered_bytes();
-        // One that is not established is read whatever it sends: its front ends it when that is too much.
-        let has_room = pending < self.buffer_limit || !self.established;
-        has_room && self.discarded_bytes < MAX_DISCARDED_BYTES
+        // Before a connection is established, its front enforces a limit of its own.
+        let has_capacity = pending < self.buffer_limit || !self.established;
+        has_capacity && self.discarded_bytes < MAX_DISCARDED_BYTES
     }
 
     fn is_closing(&self) -> bool {
@@ -254,7 +253,7 @@
             ConnectionCommand::Transfer(successor) if self.is_transferable() => {
                 self.successor = Some(successor);
             }
-            // The sender is dropped, which rejects the transfer for now.
+            // Dropping the sender rejects the transfer for now.
             ConnectionCommand::Transfer(_) => {}
             _ if self.is_closing() => {}
             ConnectionCommand::OpenAttempt { attempt, address, wait } => {
@@ -262,7 +261,7 @@
             }
             ConnectionCommand::CloseAttempt => self.upstream = Upstream::Idle,
             ConnectionCommand::CheckHandshake => {
-                self.read_client_until_asked();
+                self.read_pending_request();
                 self.context.reducer.feed(Input::HandshakeTimedOut { connection: self.id });
             }
             ConnectionCommand::SendAnswer(answer) => self.send_answer(answer),
@@ -292,14 +291,14 @@
         self.client.close_when_written();
         match &mut self.upstream {
             Upstream::Connected(attempt) if attempt.request_forwarded => attempt.end.close_when_written(),
-            // A request that is not written in full must not reach its server any more.
+            // A request that is not written in full must not be completed.
             upstream => *upstream = Upstream::Idle,
         }
         self.client_quiet_since = Instant::now();
         self.close_deadline.get_or_insert(self.client_quiet_since + CLOSE_TIMEOUT);
     }
 
-    /// Whether the successor could go on with the connection as it is.
+    /// Whether the connection is in a state that the successor can continue from.
     fn is_transferable(&self) -> bool {
         let settled = self.client.is_settled() && self.upstream.end().is_some_and(SocketEnd::is_settled);
         self.established && !self.is_closing() && settled && self.front.export_state().is_some()
@@ -323,7 +322,7 @@
         });
     }
 
-    /// Writes to both sides what can be written at once.
+    /// Writes to both sides without waiting.
     fn flush(&mut self) {
         if self.upstream.is_request_pending() {
             self.drop_outdated_request();
@@ -333,7 +332,7 @@
         }
     }
 
-    /// Takes the events that the front made of what was read.
+    /// Applies the events that the front has parsed.
     fn apply_events(&mut self, events: Vec<FrontEvent>) {
         let connection = self.id;
         for event in events {
@@ -342,7 +341,7 @@
                 FrontEvent::ToServer(bytes) => self.forward_to_server(&bytes),
                 _ if self.is_closing() => {}
                 FrontEvent::Ping(pong) if self.context.reducer.is_serving() => self.client.push(&pong),
-                // A client that this process took in could only be rejected.
+                // While this process cannot serve, a request of the client could only be rejected.
                 FrontEvent::Ping(_) => {
                     self.close_in_order();
                     self.context.reducer.feed(Input::ClientDisconnected { connection });
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -21,18 +21,18 @@
         }
     }
 
-    /// Closes an attempt whose request is pending if nobody waits for its outcome any more.
+    /// Closes an attempt whose request is pending, if the client has disconnected or its deadline has passed.
     pub(super) fn drop_outdated_request(&mut self) {
-        // The client's end may have come together with the connect.
-        self.read_client_until_asked();
-        // The connect may be seen before the timer that gives it up: then it is too late for the request.
+        // The client may have disconnected at the same moment as the connect succeeded.
+        self.read_pending_request();
+        // The connect may be seen before the timer of its deadline, though the deadline has passed.
         if self.context.reducer.is_overdue(self.id) {
             self.upstream.close_connected();
         }
     }
 
-    /// Writes to the server what can be written at once. Returns whether the client may be written to: not
-    /// when the attempt failed with this write.
+    /// Writes to the server without waiting. Returns false if the attempt failed with this write: then the
+    /// client must not be written to.
     pub(super) fn flush_attempt(&mut self) -> bool {
         let Some(attempt) = self.upstream.attempt_mut() else { return true };
         if attempt.end.flush().is_err() {
@@ -40,7 +40,7 @@
                 self.on_server_ended(true);
                 return false;
             }
-            // The server's last lines may be there to be read: they are delivered before the attempt ends.
+            // Lines that the server sent before are still read and delivered.
             attempt.end.set_write_broken();
         }
         if !attempt.request_forwarded && attempt.end.pending_len() == 0 {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The server ended its side, or its TCP connection broke.
+    /// The server closed its side, or its TCP connection broke.
     fn on_server_ended(&mut self, broken: bool) {
         let Some(attempt) = self.upstream.attempt_mut() else { return };
         attempt.end.set_read_ended();
@@ -96,7 +96,7 @@
         self.on_attempt_ended(end);
     }
 
-    /// The server ended a connection that is closing: the client has the rest of its output.
+    /// The server closed its side of a closing connection: the rest of its output goes to the client.
     fn finish_server_output(&mut self) {
         self.upstream.close_connected();
         let rest = self.front.take_partial_line();
@@ -106,13 +106,13 @@
         self.client.close_when_written();
     }
 
-    /// The server ended an established connection: the client's side ends in the same way.
+    /// The server ended an established connection: the client's side is closed or reset in the same way.
     fn on_established_ended(&mut self, broken: bool) {
         let end = self.front.server_ended(broken);
         let rest = self.front.take_partial_line();
         self.client.push(&rest);
         if broken {
-            // What was read before the break still goes out; the reset follows whether it does or not.
+            // Output that was read before is written first. The reset follows even if that fails.
             let _ = self.client.flush();
             self.client.reset_on_drop();
             self.client.set_read_ended();
--- a/src/transport/connection/socket_end.rs
+++ b/src/transport/connection/socket_end.rs
@@ -1,4 +1,4 @@
-//! One socket of a connection, with what is still to be written to it.
+//! One socket of a connection, with its pending output.
 
 use std::io::{self, Read};
 use std::net::Shutdown;
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteSide {
     Open,
-    /// To be shut down once all pending bytes are written.
+    /// Shut down as soon as all pending bytes are written.
     Closing,
     /// Shut down in order.
     ShutDown,
-    /// A write failed. What the other end sent before that may still be there to be read.
+    /// A write failed. Bytes that the other end sent before can still be read.
     Broken,
 }
 
@@ -31,7 +31,7 @@
 pub(super) struct SocketEnd {
     stream: TcpStream,
     pending: Vec<u8>,
-    /// For a recording: what was written since it was last taken.
+    /// Bytes written since they were last taken; none while the traffic is not recorded.
     recorded: Option<Vec<u8>>,
     read_side: ReadSide,
     write_side: WriteSide,
@@ -39,7 +39,7 @@
 
 impl SocketEnd {
     pub(super) fn new(stream: TcpStream, pending: Vec<u8>) -> SocketEnd {
-        // Without it the connection is slower, and otherwise the same.
+        // A failure only costs latency.
         let _ = stream.set_nodelay(true);
         SocketEnd { stream, pending, recorded: None, read_side: ReadSide::Open, write_side: WriteSide::Open }
     }
@@ -48,7 +48,7 @@
         self.stream
     }
 
-    /// Keeps what is written from now on for a recording.
+    /// Records what is written from now on.
     pub(super) fn start_recording(&mut self) {
         self.recorded = Some(Vec::new());
     }
@@ -67,7 +67,7 @@
         self.pending.len()
     }
 
-    /// Writes what the system takes at once, then shuts the write side down if that is due.
+    /// Writes without waiting. Shuts the write side down if it is closing and nothing is pending.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Reads what is there: none if nothing is, 0 at the end.
+    /// Reads without waiting. Returns none if there is nothing to read, and 0 at the end of the stream.
     ///
     /// # Errors
     ///
@@ -105,8 +105,8 @@
         }
     }
 
-    /// As [`SocketEnd::read`], but asks the system itself. The runtime learns of readiness only between two
-    /// tasks, and after the whole process was stopped its timers run before it has learned anything.
+    /// As [`SocketEnd::read`], but by a system call that ignores the runtime's readiness. The runtime updates
+    /// readiness only between tasks; after a pause of the whole process its timers run first.
     ///
     /// # Errors
     ///
@@ -127,18 +127,18 @@
         }
     }
 
-    /// Notes that the other end sends nothing more.
+    /// Marks the read side as ended.
     pub(super) fn set_read_ended(&mut self) {
         self.read_side = ReadSide::Ended;
     }
 
-    /// Gives up writing after a failed write. What can be read still is.
+    /// Stops writing after a failed write, and drops the pending bytes. Reading continues.
     pub(super) fn set_write_broken(&mut self) {
         self.pending.clear();
         self.write_side = WriteSide::Broken;
     }
 
-    /// Has the socket reset, not closed in order, when it is dropped.
+    /// Makes the drop of the socket reset the connection, in place of an orderly close.
     pub(super) fn reset_on_drop(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
@@ -152,7 +152,7 @@
         matches!(self.write_side, WriteSide::ShutDown | WriteSide::Broken)
     }
 
-    /// Whether the write side is closed in order, or is to be.
+    /// Whether the write side is closed in order or closing.
     pub(super) fn is_write_closing(&self) -> bool {
         matches!(self.write_side, WriteSide::Closing | WriteSide::ShutDown)
     }
@@ -167,7 +167,7 @@
     }
 }
 
-/// Waits until there is something to be read, or for ever. Cancellation-safe: nothing is read here.
+/// Waits until the socket is readable, or for ever if there is none. Cancellation-safe: nothing is read here.
 pub(super) async fn wait_readable(end: Option<&SocketEnd>) {
     match end.filter(|end| !end.is_read_ended()) {
         // An error is seen again by the read that follows.
@@ -176,7 +176,8 @@
     }
 }
 
-/// Waits until pending bytes can be written, or for ever. Cancellation-safe: nothing is written here.
+/// Waits until pending bytes can be written, or for ever if there are none. Cancellation-safe: nothing is
+/// written here.
 pub(super) async fn wait_writable(end: Option<&SocketEnd>) {
     match end.filter(|end| !end.pending.is_empty()) {
         // An error is seen again by the write that follows.
--- a/src/transport/connection/upstream.rs
+++ b/src/transport/connection/upstream.rs
@@ -1,4 +1,4 @@
-//! The attempt of a connection: on its way to a server, or connected to it.
+//! The attempt of a connection: connecting to a server, or connected to it.
 
 use std::future::Future;
 use std::io;
@@ -19,30 +19,30 @@
     pub(super) request_forwarded: bool,
 }
 
-/// The attempt, as far as it has come.
+/// The state of the attempt.
 pub(super) enum Upstream {
-    /// There is none.
+    /// There is no attempt.
     Idle,
-    /// It connects; the request is sent once it has.
+    /// The TCP connection is being established; the request follows.
     Connecting { connecting: Connecting, request: Vec<u8> },
-    /// It is connected.
+    /// The TCP connection is established.
     Connected(Attempt),
 }
 
 impl Upstream {
-    /// Begins to connect to an address.
+    /// Starts to connect to an address.
     pub(super) fn connect(address: String, request: Vec<u8>) -> Upstream {
         let connecting = Box::pin(async move { TcpStream::connect(address).await });
         Upstream::Connecting { connecting, request }
     }
 
-    /// An attempt that another process brought up.
+    /// An attempt that the predecessor established.
     pub(super) fn adopt(stream: TcpStream) -> Upstream {
         let end = SocketEnd::new(stream, Vec::new());
         Upstream::Connected(Attempt { end, request_forwarded: true })
     }
 
-    /// The TCP connection is there: the request is pending from now on.
+    /// A connected attempt with its request pending.
     pub(super) fn send_request(stream: TcpStream, request: Vec<u8>) -> Upstream {
         let end = SocketEnd::new(stream, request);
         Upstream::Connected(Attempt { end, request_forwarded: false })
@@ -70,7 +70,7 @@
         self.attempt_mut().map(|attempt| &mut attempt.end)
     }
 
-    /// What there is to wait for: the connect, or the socket.
+    /// What the connection's task waits for: the connect, or the socket.
     pub(super) fn waits(&mut self) -> (Option<&mut Connecting>, Option<&SocketEnd>) {
         match self {
             Upstream::Idle => (None, None),
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Closes the socket of a connected attempt, and leaves one that connects as it is.
+    /// Closes the socket of a connected attempt. One that is connecting is left as it is.
     pub(super) fn close_connected(&mut self) {
         self.take_connected();
     }
 
-    /// Takes the socket of a connected attempt out, and leaves one that connects as it is.
+    /// Takes the socket of a connected attempt. One that is connecting is left as it is.
     pub(super) fn take_connected(&mut self) -> Option<SocketEnd> {
         match std::mem::replace(self, Upstream::Idle) {
             Upstream::Connected(attempt) => Some(attempt.end),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes the request out of an attempt that connects.
+    /// Takes the request of an attempt that is connecting.
     pub(super) fn take_request(&mut self) -> Option<Vec<u8>> {
         match std::mem::replace(self, Upstream::Idle) {
             Upstream::Connecting { request, .. } => Some(request),
@@ -117,8 +117,7 @@
     }
 }
 
-/// Waits for a connect, or for ever. Cancellation-safe: the connect stays with its owner and goes on from
-/// there.
+/// Waits for a connect, or for ever if there is none. Cancellation-safe: the connect stays with its owner.
 pub(super) async fn wait_connected(connecting: Option<&mut Connecting>) -> io::Result<TcpStream> {
     match connecting {
         Some(connecting) => connecting.await,
--- a/src/transport/daemon/mod.rs
+++ b/src/transport/daemon/mod.rs
@@ -27,7 +27,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, run(sources, recorder))
 }
 
-/// The signals that the daemon handles. One that nobody handles would end the process.
+/// The signals that the daemon handles. Without a handler each would end the process.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -1,4 +1,4 @@
-//! The reload: a new configuration is put in force while the daemon runs.
+//! The reload: replaces the configuration while the daemon runs.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,14 +13,14 @@
 use crate::program::config::{Config, Irc, Platform, StoreConfig};
 use crate::routing::{Input, PoolId};
 
-/// A part of a new configuration, with the listener that it needs.
+/// A part of a new configuration, with its listener.
 struct Bound<T> {
     part: T,
     listener: Rc<TcpListener>,
 }
 
 impl<T> Bound<T> {
-    /// Opens the listener, or takes that of the old gate.
+    /// Opens the listener, or reuses that of the old gate.
     fn bind(
         part: Option<T>,
         address: impl Fn(&T) -> SocketAddr,
@@ -38,23 +38,23 @@
 }
 
 impl Daemon {
-    /// Reads the configuration again and puts it in force at one go. Whatever fails comes before the first
-    /// change, or half of a configuration would be in force.
+    /// Reads the configuration again and applies it as a whole: all that can fail is done before the first
+    /// change.
     pub(super) fn reload(&mut self) -> Result<(), TransportError> {
         let Config { platform, irc, mgmt, store, budget, log: _ } = read_configuration(&self.sources)?;
         if fixed_store(&store) != fixed_store(&self.store) {
             return Err(TransportError::StoreChanged);
         }
-        let platform = Bound::bind(platform, |platform| platform.listen, &self.platform)?;
-        let irc = Bound::bind(irc, |irc| irc.listen, &self.irc)?;
-        let mgmt = Bound::bind(mgmt, |address| *address, &self.mgmt)?;
+        let platform = Bound::bind(platform, |platform| platform.listen, &self.platform_gate)?;
+        let irc = Bound::bind(irc, |irc| irc.listen, &self.irc_gate)?;
+        let admin_endpoint = Bound::bind(mgmt, |address| *address, &self.admin_gate)?;
 
         let platform_pool = platform.iter().map(|platform| platform.part.pool.clone());
         let pools = platform_pool.chain(irc.iter().map(|irc| irc.part.pool.clone())).collect();
         let peers = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
         self.store = store;
         self.assembly.reducer.feed(Input::ConfigurationChanged { pools, peers, budget });
-        self.reload_admin_endpoint(mgmt);
+        self.reload_admin_endpoint(admin_endpoint);
         let irc_pool = usize::from(platform.is_some());
         if let Some(platform) = platform {
             self.reload_platform(0, platform);
@@ -65,15 +65,16 @@
         Ok(())
     }
 
-    fn reload_admin_endpoint(&mut self, mgmt: Option<Bound<SocketAddr>>) {
-        match mgmt {
-            // Admin clients that are connected are not cut off.
-            Some(Bound { part: wanted, .. }) if self.mgmt.as_ref().is_some_and(|old| old.is_at(wanted)) => {}
-            Some(Bound { part: wanted, listener }) => {
-                open_admin_endpoint(&self.assembly, wanted, listener).replace(&mut self.mgmt);
+    fn reload_admin_endpoint(&mut self, admin_endpoint: Option<Bound<SocketAddr>>) {
+        match admin_endpoint {
+            // The gate is kept, so that connected admin clients are not disconnected.
+            Some(Bound { part: configured, .. })
+                if self.admin_gate.as_ref().is_some_and(|old| old.is_at(configured)) => {}
+            Some(Bound { part: configured, listener }) => {
+                open_admin_endpoint(&self.assembly, configured, listener).replace(&mut self.admin_gate);
             }
             None => {
-                if let Some(old) = self.mgmt.take() {
+                if let Some(old) = self.admin_gate.take() {
                     old.close();
                 }
             }
@@ -85,7 +86,7 @@
         let address = bound_address(&listener, platform.listen);
         log_event!(LogEvent::PlatformReconfigured { name: &platform.name, address });
         let front = ActiveFront { pool, factory: platform_factory(), listener };
-        self.open_front(PLATFORM_FRONT, platform.listen, front).replace(&mut self.platform);
+        self.open_front(PLATFORM_FRONT, platform.listen, front).replace(&mut self.platform_gate);
     }
 
     fn reload_irc(&mut self, pool: PoolId, irc: Bound<Irc>) {
@@ -99,6 +100,6 @@
             endpoints: irc.endpoints,
         });
         let front = ActiveFront { pool, factory: irc_factory(irc.setup), listener };
-        self.open_front(IRC_FRONT, irc.listen, front).replace(&mut self.irc);
+        self.open_front(IRC_FRONT, irc.listen, front).replace(&mut self.irc_gate);
     }
 }
--- a/src/transport/daemon/running.rs
+++ b/src/transport/daemon/running.rs
@@ -27,16 +27,16 @@
     pub(super) fronts: ActiveFronts,
     pub(super) sources: Sources,
     pub(super) store: Option<StoreConfig>,
-    pub(super) platform: Option<AcceptGate>,
-    pub(super) irc: Option<AcceptGate>,
-    pub(super) mgmt: Option<AcceptGate>,
+    pub(super) platform_gate: Option<AcceptGate>,
+    pub(super) irc_gate: Option<AcceptGate>,
+    pub(super) admin_gate: Option<AcceptGate>,
 }
 
 impl Daemon {
     /// Waits until the last answers are written, those to connections that are still queued included.
     pub(super) async fn wait_for_last_answers(&self) {
         let accept_queued = || {
-            for gate in [&self.platform, &self.irc].into_iter().flatten() {
+            for gate in [&self.platform_gate, &self.irc_gate].into_iter().flatten() {
                 gate.accept_queued();
             }
         };
@@ -47,7 +47,7 @@
     pub(super) fn open_front(
         &self,
         name: &'static str,
-        wanted: SocketAddr,
+        configured: SocketAddr,
         front: ActiveFront,
     ) -> AcceptGate {
         self.fronts.register(name, front.clone());
@@ -56,16 +56,16 @@
         let start_connection: ConnectionStarter = Rc::new(move |stream| {
             connection::start(&context, pool, stream, factory());
         });
-        AcceptGate::open_front(&self.assembly.effects.accepting, wanted, listener, start_connection)
+        AcceptGate::open_front(&self.assembly.effects.accepting, configured, listener, start_connection)
     }
 }
 
 /// Accepts admin clients.
 pub(super) fn open_admin_endpoint(
     assembly: &Assembly,
-    wanted: SocketAddr,
+    configured: SocketAddr,
     listener: Rc<TcpListener>,
 ) -> AcceptGate {
     let accept_clients = admin_server::accept_clients(assembly.admin_context(), listener.clone());
-    AcceptGate::open_admin_endpoint(wanted, listener, accept_clients)
+    AcceptGate::open_admin_endpoint(configured, listener, accept_clients)
 }
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -1,4 +1,4 @@
-//! The start: what the configuration and the predecessor give is put in place, in the order that both need.
+//! The start: assembles the daemon from its configuration and the state that a predecessor exported.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -34,12 +34,12 @@
     }
 }
 
-/// A daemon that starts: the admin endpoint is open, and the fronts are not yet.
+/// A daemon that is starting: the admin endpoint is open, the fronts are not.
 pub(super) struct Start {
     daemon: Daemon,
     platform: Option<PooledFront<Platform>>,
     irc: Option<PooledFront<Irc>>,
-    /// Where the predecessor is asked, and this process will be.
+    /// The socket on which the predecessor exports its state, and this process will.
     pub(super) hot_restart_socket: PathBuf,
 }
 
@@ -50,13 +50,15 @@
         let admin_listener = config.mgmt.map(listen).transpose()?;
         let assembly = Assembly::new(&config);
         let admin_endpoint = config.mgmt.zip(admin_listener);
-        let mgmt = admin_endpoint.map(|(wanted, listener)| open_admin_endpoint(&assembly, wanted, listener));
+        let admin_gate =
+            admin_endpoint.map(|(configured, listener)| open_admin_endpoint(&assembly, configured, listener));
         let hot_restart_socket = hot_restart::socket_path(&config);
         let platform = PooledFront::zip(assembly.platform, config.platform);
         let irc = PooledFront::zip(assembly.irc, config.irc);
         let fronts = ActiveFronts::default();
         let store = config.store;
-        let daemon = Daemon { assembly, fronts, sources, store, platform: None, irc: None, mgmt };
+        let daemon =
+            Daemon { assembly, fronts, sources, store, platform_gate: None, irc_gate: None, admin_gate };
         Ok(Start { daemon, platform, irc, hot_restart_socket })
     }
 
@@ -65,7 +67,7 @@
         self.daemon.assembly.recorder.set_recorder(recorder);
     }
 
-    /// Goes on with what the predecessor exported, if it did, and begins to serve.
+    /// Imports what the predecessor exported, if anything, and starts to serve.
     pub(super) async fn finish(
         mut self,
         mut received: Option<ReceivedState>,
@@ -79,10 +81,10 @@
         reducer.feed(self.restored_state(received.as_mut()));
         if let Some(PooledFront { pool, config: platform }) = self.platform.take() {
             let gate = start_platform(&self.daemon, pool, &platform, received.as_mut())?;
-            self.daemon.platform = Some(gate);
+            self.daemon.platform_gate = Some(gate);
         }
         if let Some(PooledFront { pool, config: irc }) = self.irc.take() {
-            self.daemon.irc = Some(start_irc(&self.daemon, pool, irc, received.as_mut())?);
+            self.daemon.irc_gate = Some(start_irc(&self.daemon, pool, irc, received.as_mut())?);
         }
         reducer.feed(Input::Listening);
         let context = self.hot_restart_context(store);
@@ -153,7 +155,7 @@
     store: &StoreConfig,
     received: Option<&mut ReceivedState>,
 ) -> Result<OpenStore, TransportError> {
-    // Only now, after a predecessor has exported its state, does nobody else write to the files.
+    // A predecessor writes to the files until it has exported its state.
     let files = store.data.as_deref().map(|folder| open_files(assembly, folder)).transpose()?;
     let inherited = received.and_then(|received| received.take_socket(REPLICATION_SOCKET));
     let socket = match inherited {
@@ -221,7 +223,7 @@
     if let Some(peers) = &platform.peers {
         match bind_shared_datagrams(peers.listen) {
             Ok(socket) => start_gossip(&daemon.assembly, pool, socket, peers),
-            // Gossip is a help; without it each balancer learns by itself.
+            // Gossip is optional: without it each balancer learns by itself.
             Err(error) => log_event!(LogEvent::GossipUnavailable { error: &error }),
         }
     }
@@ -251,14 +253,15 @@
 fn inherit_listener(
     received: Option<&mut ReceivedState>,
     name: &str,
-    wanted: SocketAddr,
+    configured: SocketAddr,
 ) -> Result<Rc<TcpListener>, TransportError> {
     let socket = received.and_then(|received| received.take_socket(name));
     let inherited = socket.and_then(|socket| TcpListener::from_std(std::net::TcpListener::from(socket)).ok());
-    let is_wanted =
-        |at: SocketAddr| at.ip() == wanted.ip() && (wanted.port() == 0 || at.port() == wanted.port());
-    match inherited.filter(|listener| listener.local_addr().is_ok_and(is_wanted)) {
+    let is_configured = |at: SocketAddr| {
+        at.ip() == configured.ip() && (configured.port() == 0 || at.port() == configured.port())
+    };
+    match inherited.filter(|listener| listener.local_addr().is_ok_and(is_configured)) {
         Some(listener) => Ok(Rc::new(listener)),
-        None => listen(wanted),
+        None => listen(configured),
     }
 }
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes: replica messages of the replicated map, and gossip between the balancers of a
 //! tier.
 //!
-//! Both protocols live with lost datagrams, so what cannot be sent at once is dropped.
+//! Both protocols tolerate lost datagrams, so one that cannot be sent at once is dropped.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,8 +17,7 @@
 use crate::routing::store::ReplicaMessage;
 use crate::routing::{Input, PoolId};
 
-/// Wait after a failed receive. Where a peer is down, its machine reports that on the next call: there is
-/// nothing else to do about it.
+/// Wait after a failed receive. The system reports an unreachable peer in this way, which needs no action.
 const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The socket for replica messages. Clones are handles of the same socket.
@@ -46,7 +45,7 @@
     pub(super) async fn receive(self, reducer: ReducerHandle, accepting: Accepting) {
         let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
         loop {
-            // While a peer process serves, the messages are for that one.
+            // While a successor serves on the same socket, the messages are for it.
             accepting.wait_until(true).await;
             match self.0.recv_from(&mut bytes).await {
                 Ok((length, from)) => match gossip::decode(&bytes[..length]) {
--- a/src/transport/discovery_watch/connection.rs
+++ b/src/transport/discovery_watch/connection.rs
@@ -13,16 +13,16 @@
 /// The HTTP status of an answer that holds the list.
 const STATUS_OK: u16 = 200;
 
-/// What a call asks for: the changes since a generation.
+/// A request for the changes since a generation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Since {
     /// The generation.
     pub(super) generation: u64,
-    /// How long discovery holds the call while there are none.
+    /// How long discovery holds the call while nothing changes.
     pub(super) hold: Duration,
 }
 
-/// The connection to discovery, kept from call to call: the next has to come within 200 ms.
+/// The connection to discovery. It is reused for the next call, which must come within 200 ms.
 pub(super) struct DiscoveryConnection {
     discovery: SocketAddr,
     open: Option<OpenConnection>,
@@ -30,7 +30,7 @@
 
 struct OpenConnection {
     stream: TcpStream,
-    /// Bytes that were read and belong to no answer yet.
+    /// Bytes that were read and are not parsed yet.
     received: Vec<u8>,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl DiscoveryConnection {
-    /// A connection that its first call opens.
+    /// A connection that is opened by its first call.
     pub(super) fn new(discovery: SocketAddr) -> DiscoveryConnection {
         DiscoveryConnection { discovery, open: None }
     }
 
-    /// Makes a call that may take so long.
+    /// Makes a call that fails after the time limit.
     pub(super) async fn call_within(mut self, since: Option<Since>, limit: Duration) -> FinishedCall {
         let called_at = Instant::now();
         let result = match timeout(limit, self.call(since)).await {
@@ -59,13 +59,13 @@
         FinishedCall { connection: self, called_at, result }
     }
 
-    /// Asks for the changes since a generation, or else for the whole list. Not cancellation-safe: after a
-    /// call that was given up the connection is to be closed.
+    /// Requests the changes since a generation, or else a snapshot. Not cancellation-safe: the connection of
+    /// a cancelled call must be closed.
     async fn call(&mut self, since: Option<Since>) -> Result<EndpointListUpdate, DiscoveryError> {
         let was_open = self.open.is_some();
         let answer = match self.exchange(since).await {
-            // Discovery may have closed a kept connection between two calls. But where it answered, whatever
-            // that was, to call again at once would be twice the load, just when it has too much.
+            // Discovery may have closed the reused connection between two calls. An answer is not retried,
+            // whatever its status: that would double the load of an overloaded discovery.
             Err(_) if was_open => {
                 self.open = None;
                 self.exchange(since).await
@@ -77,7 +77,7 @@
         }
         let update = http::parse_endpoint_list(&answer.body).map_err(DiscoveryError::InvalidList)?;
         if !update.is_snapshot && since.is_none() {
-            return Err(DiscoveryError::UnexpectedChanges);
+            return Err(DiscoveryError::UnexpectedDelta);
         }
         Ok(update)
     }
--- a/src/transport/discovery_watch/error.rs
+++ b/src/transport/discovery_watch/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to discovery failed, and what that shows of discovery.
+//! Errors of calls to discovery, and how the reducer classifies them.
 
 use std::io;
 
@@ -24,7 +24,7 @@
     #[error("discovery: {0}")]
     Socket(#[from] io::Error),
     /// Discovery closed the connection before its answer was complete.
-    #[error("discovery hung up")]
+    #[error("discovery closed the connection")]
     Closed,
     /// The answer is not the list.
     #[error("discovery answered {status}")]
@@ -38,14 +38,14 @@
     /// The endpoint list in the answer cannot be read.
     #[error("{0}")]
     InvalidList(#[source] DecodeError),
-    /// The answer holds changes, and there is no list that they could apply to.
-    #[error("discovery: changes where the whole list was asked for")]
-    UnexpectedChanges,
+    /// The answer holds a delta, and there is no list that it could apply to.
+    #[error("discovery: a delta where a snapshot was requested")]
+    UnexpectedDelta,
 }
 
 impl DiscoveryError {
-    /// What the error shows of discovery. Only what nothing but its absence explains counts as that: other
-    /// errors of a connect may be this machine's own, and pass in a moment.
+    /// Classifies the error for the reducer. Discovery counts as unreachable only where nothing else explains
+    /// the error: most errors of a connect can be transient faults of this machine.
     pub(super) fn watch_failure(&self) -> WatchFailure {
         match self {
             DiscoveryError::NotConnected => WatchFailure::Unreachable,
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -1,4 +1,8 @@
-//! Follows one pool's endpoint list by calls that discovery holds until something changes.
+//! Follows one pool's endpoint list by long polls, which discovery holds until something changes.
+//!
+//! A held call without an answer in time is silent. The watch is then opened again with a call that is not
+//! held, after a random delay. The silent call stays open, and its answer is used unless the list at hand is
+//! newer.
 
 use std::future::{pending, Future};
 use std::hash::{BuildHasher, RandomState};
@@ -17,31 +21,29 @@
 use crate::transport::reducer::ReducerHandle;
 use crate::Micros;
 
-/// How long discovery holds a call while nothing changes. Its changes count as known 6 s later at the latest,
-/// and a watch that has fallen silent looks like one on which nothing happens; so a call is soon over.
+/// How long discovery holds a call while nothing changes. A change must be known after 6 s at the latest, and a
+/// silent watch looks like one without changes until the hold is over.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
-/// A call for the whole list has failed without an answer after this long, and one that was held after this
-/// long beyond its hold. A call that is still in turn at a crowded discovery is the nearest to being answered,
-/// and one given up is served all the same, for nobody; where all give up a little too early nothing that
-/// discovery does reaches anyone.
+/// Time-out of a call for a snapshot, and of a held call beyond its hold. It is generous, since an overloaded
+/// discovery still serves calls that were cancelled: short time-outs would waste all its work.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(5);
-/// Wait after an answer that came at once with nothing new: a discovery that does not hold calls would be
-/// called without end. The next call has to come within 200 ms, or it is no more the same watch.
+/// Wait after an immediate answer without changes. It limits the calls to a discovery that does not hold them;
+/// beyond 200 ms the next call would count as a new watch.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A call that has no answer yet.
+/// A call without an answer so far.
 struct PendingCall {
     future: Pin<Box<dyn Future<Output = FinishedCall>>>,
     /// When it is made.
     called_at: Instant,
-    /// When it counts as silent without an answer; none for a call that is not held, which just fails.
+    /// When it counts as silent without an answer; none for a call that is not held.
     silent_at: Option<Instant>,
 }
 
-/// What becomes of a call.
+/// The end of a call.
 enum CallEnd {
     Finished(FinishedCall),
-    /// It has no answer, though one is due.
+    /// It has no answer in time.
     Silent,
 }
 
@@ -52,18 +54,18 @@
     discovery: SocketAddr,
     /// The connection of the last answer, for the next call.
     connection: Option<DiscoveryConnection>,
-    /// A held call that counts as silent. Where discovery is slow for all alike, it is the first to be answered.
-    late_call: Option<PendingCall>,
-    /// Generation of the list that is held, if one is.
+    /// A silent call, which a slow discovery may answer before the call that replaced it.
+    silent_call: Option<PendingCall>,
+    /// Generation of the list that this process has, if it has one.
     generation: Option<u64>,
-    /// How long discovery is to hold the next call.
+    /// How long discovery holds the next call.
     hold: Duration,
-    /// When discovery last sent a list, or when the watch was started.
+    /// When discovery last answered, or when the watch was started.
     answered_at: Instant,
 }
 
 impl EndpointListFollower {
-    /// A follower that has the list of this generation, if of any.
+    /// A follower of a list of which this process has the given generation, if any.
     pub(super) fn new(
         reducer: ReducerHandle,
         pool: PoolId,
@@ -75,36 +77,36 @@
             pool,
             discovery,
             connection: None,
-            late_call: None,
+            silent_call: None,
             generation,
-            // Where a list is held already, a call that is not held is one more for a discovery that a whole
-            // fleet calls as it restarts.
+            // With a list at hand the first call can be held, which spares discovery one call of each balancer
+            // when a fleet restarts.
             hold: if generation.is_some() { HOLD_TIMEOUT } else { Duration::ZERO },
             answered_at: Instant::now(),
         }
     }
 
-    /// Follows the list for ever. Once requested the watch goes on until a call fails; then the reducer
-    /// decides when to try again.
+    /// Follows the list for ever. A watch continues until a call fails; then the reducer decides when to open
+    /// it again.
     pub(super) async fn run(mut self, mut requested: mpsc::Receiver<()>) {
         while self.wait_for_request(&mut requested).await {
             let error = self.follow_until_error().await;
             log_event!(LogEvent::EndpointListFailed { error: &error, age: self.answered_at.elapsed() });
-            // What was requested before this failure has been done.
+            // Requests from before this failure are satisfied.
             while requested.try_recv().is_ok() {}
             self.reducer.feed(Input::EndpointWatchLost { pool: self.pool, failure: error.watch_failure() });
         }
     }
 
-    /// Waits until the watch is to be opened, or a late call is answered after all. Returns false if neither
-    /// can happen any more.
+    /// Waits until the watch is requested, or the silent call is answered after all. Returns false once no
+    /// request can come any more.
     async fn wait_for_request(&mut self, requested: &mut mpsc::Receiver<()>) -> bool {
         loop {
             tokio::select! {
                 request = requested.recv() => return request.is_some(),
-                finished = late_answer(&mut self.late_call) => {
-                    if let Some(finished) = self.accept_late_answer(finished) {
-                        // It has a list, so there is no error.
+                finished = silent_call_answer(&mut self.silent_call) => {
+                    if let Some(finished) = self.accept_silent_call_answer(finished) {
+                        // An accepted answer is never an error.
                         let _ = self.take_answer(finished).await;
                         return true;
                     }
@@ -126,7 +128,7 @@
                 }
                 CallEnd::Silent => {
                     delay = self.on_silent(call.called_at);
-                    self.late_call = Some(call);
+                    self.silent_call = Some(call);
                 }
             }
         }
@@ -139,7 +141,7 @@
         let hold = since.map_or(Duration::ZERO, |since| since.hold);
         let timing = self.reducer.endpoint_watch_timing(self.pool);
         let called_at = Instant::now() + delay;
-        let silent_at = (!hold.is_zero()).then(|| called_at + hold + micros(timing.answer_timeout));
+        let silent_at = (!hold.is_zero()).then(|| called_at + hold + Duration::from(timing.answer_timeout));
         let limit = self.call_limit(&timing);
         let future = Box::pin(async move {
             sleep(delay).await;
@@ -152,19 +154,19 @@
     fn call_limit(&self, timing: &EndpointWatchTiming) -> Duration {
         match (self.generation, self.hold) {
             (None, _) => MAX_ANSWER_TIME,
-            (Some(_), Duration::ZERO) => micros(timing.reopening_timeout),
+            (Some(_), Duration::ZERO) => Duration::from(timing.reopening_timeout),
             (Some(_), hold) => hold + MAX_ANSWER_TIME,
         }
     }
 
-    /// Waits until a call ends or is silent; a late call that is answered meanwhile is taken for it.
+    /// Waits until a call ends or is silent. An answer of the earlier silent call is returned in its place.
     async fn wait_for_answer(&mut self, call: &mut PendingCall) -> CallEnd {
         loop {
             tokio::select! {
                 finished = &mut call.future => return CallEnd::Finished(finished),
                 () = silence(call.silent_at) => return CallEnd::Silent,
-                finished = late_answer(&mut self.late_call) => {
-                    if let Some(finished) = self.accept_late_answer(finished) {
+                finished = silent_call_answer(&mut self.silent_call) => {
+                    if let Some(finished) = self.accept_silent_call_answer(finished) {
                         return CallEnd::Finished(finished);
                     }
                 }
@@ -172,21 +174,21 @@
         }
     }
 
-    /// The end of the late call, if it is of use: the watch that was opened in its place may have a newer list.
-    fn accept_late_answer(&mut self, finished: FinishedCall) -> Option<FinishedCall> {
-        self.late_call = None;
-        let is_of_use = finished.result.as_ref().is_ok_and(|update| !self.is_outdated(update));
-        is_of_use.then_some(finished)
+    /// The answer of the silent call, unless it is an error or older than the list at hand.
+    fn accept_silent_call_answer(&mut self, finished: FinishedCall) -> Option<FinishedCall> {
+        self.silent_call = None;
+        let is_current = finished.result.as_ref().is_ok_and(|update| !self.is_outdated(update));
+        is_current.then_some(finished)
     }
 
-    /// Notes that the watch has fallen silent, and returns after which delay it is to be opened anew. The call
-    /// for that is not held: while nothing changes, a held call looks like one that has fallen silent as well.
+    /// Reports that the watch is silent, and returns the delay before it is opened again. The next call is not
+    /// held, since a held call without changes looks like a silent one.
     fn on_silent(&mut self, called_at: Instant) -> Duration {
         log_event!(LogEvent::EndpointListRetried { age: self.answered_at.elapsed() });
         self.feed_silence(called_at);
         self.hold = Duration::ZERO;
         let timing = self.reducer.endpoint_watch_timing(self.pool);
-        micros(timing.max_reopening_delay).mul_f64(random_fraction())
+        Duration::from(timing.max_reopening_delay).mul_f64(random_fraction())
     }
 
     fn feed_silence(&self, called_at: Instant) {
@@ -194,7 +196,7 @@
         self.reducer.feed(Input::EndpointWatchSilent { pool: self.pool, called_ago });
     }
 
-    /// Applies what a call has brought.
+    /// Applies the result of a call.
     async fn take_answer(&mut self, finished: FinishedCall) -> Result<(), DiscoveryError> {
         let FinishedCall { connection, called_at, result } = finished;
         let update = match result {
@@ -212,14 +214,14 @@
             self.generation = None;
             self.hold = Duration::ZERO;
         } else {
-            self.late_call = None;
+            self.silent_call = None;
             self.apply_update(update, called_at).await;
         }
         Ok(())
     }
 
-    /// Whether an update changes a list older than the one that is held: it comes from another incarnation of
-    /// discovery.
+    /// Whether an update is a delta of an older list than the one at hand: another incarnation of discovery
+    /// sent it.
     fn is_outdated(&self, update: &EndpointListUpdate) -> bool {
         !update.is_snapshot && self.generation.is_some_and(|held| update.generation < held)
     }
@@ -247,15 +249,15 @@
     }
 }
 
-/// The end of a late call; never where there is none.
-async fn late_answer(late_call: &mut Option<PendingCall>) -> FinishedCall {
-    match late_call {
+/// Waits for the end of the silent call, or for ever if there is none.
+async fn silent_call_answer(silent_call: &mut Option<PendingCall>) -> FinishedCall {
+    match silent_call {
         Some(call) => call.future.as_mut().await,
         None => pending().await,
     }
 }
 
-/// The moment in which a call counts as silent; never where it has none.
+/// Waits until a call counts as silent, or for ever if it never does.
 async fn silence(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
@@ -263,11 +265,7 @@
     }
 }
 
-fn micros(span: Micros) -> Duration {
-    Duration::from(span)
-}
-
-/// From 0 to 1, different in each process and at each call.
+/// A random number from 0 to 1, different in each process and at each call.
 fn random_fraction() -> f64 {
     RandomState::new().hash_one(()) as f64 / u64::MAX as f64
 }
--- a/src/transport/discovery_watch/mod.rs
+++ b/src/transport/discovery_watch/mod.rs
@@ -1,4 +1,4 @@
-//! Watches on discovery's endpoint lists: requested by the reducer, and renewed as long as they hold.
+//! Watches on discovery's endpoint lists: opened at the reducer's request, and renewed until a call fails.
 
 mod connection;
 mod error;
@@ -17,19 +17,19 @@
 
 /// The task of a pool's watch.
 struct Watch {
-    /// Where the watch is requested after it was lost.
+    /// Requests to open the watch again after it was lost.
     requests: mpsc::Sender<()>,
     task: JoinHandle<()>,
 }
 
-/// Keeps a watch for each pool, as the commands come.
+/// Keeps a watch for each pool, by the reducer's commands.
 pub(super) async fn run_watches(reducer: ReducerHandle, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
     let mut watches: HashMap<PoolId, Watch> = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
             WatchCommand::Resume { pool } => {
                 if let Some(watch) = watches.get(&pool) {
-                    // Where a request waits already, a second one changes nothing.
+                    // A second request changes nothing while the first is pending.
                     let _ = watch.requests.try_send(());
                 }
             }
@@ -50,8 +50,7 @@
     generation: Option<u64>,
 ) -> Watch {
     let (requests, requested) = mpsc::channel(1);
-    // The reducer requested it with the first list, before there was a task to take the request. There is
-    // room for one.
+    // The first request is implied by the command. The channel holds one, so this cannot fail.
     let _ = requests.try_send(());
     let follower = EndpointListFollower::new(reducer.clone(), pool, discovery, generation);
     Watch { requests, task: tokio::task::spawn_local(follower.run(requested)) }
--- a/src/transport/error.rs
+++ b/src/transport/error.rs
@@ -1,4 +1,4 @@
-//! What can keep the daemon from starting, or a new configuration from coming into force.
+//! Errors of the daemon's start and of a reload.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-/// Why the daemon cannot start, or goes on with its old configuration.
+/// Why the daemon cannot start, or rejects a new configuration.
 #[derive(Debug, Error)]
 pub enum TransportError {
     /// The configuration cannot be read, or is not valid.
@@ -23,7 +23,7 @@
     Listen {
         /// The address as configured.
         address: SocketAddr,
-        /// What the system answered.
+        /// The system's error.
         source: io::Error,
     },
     /// A reload changes a part of the store's configuration that is fixed while the process runs.
@@ -34,10 +34,10 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system answered.
+        /// The system's error.
         source: io::Error,
     },
-    /// A file of the store holds something that no interrupted write can have left there.
+    /// A file of the store is corrupt in a way that an interrupted write cannot cause.
     #[error("{}: corrupt at byte {offset}", path.display())]
     CorruptFile {
         /// The file.
--- a/src/transport/excluded_servers.rs
+++ b/src/transport/excluded_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that operators excluded, kept in a file beside the hot-restart socket.
+//! The file of servers that operators excluded, beside the hot-restart socket.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -12,8 +12,7 @@
     hot_restart_socket.with_extension(EXCLUDED_FILE_EXTENSION)
 }
 
-/// Writes the list of excluded servers for a process that starts after this one is gone. A crash halfway
-/// leaves the old list or the new.
+/// Writes the list of excluded servers, for a later process. A crash leaves the old list or the new one.
 pub(super) fn persist_excluded(hot_restart_socket: &Path, excluded: &[String]) {
     let file = excluded_file(hot_restart_socket);
     let new = file.with_extension(format!("{}.new", std::process::id()));
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -12,7 +12,7 @@
 use crate::protocol::gossip;
 use crate::routing::store::{Entry, ReplicatedMap};
 
-/// The journal is folded into the snapshot when it is longer than this.
+/// Length at which the journal is folded into the snapshot.
 const MAX_JOURNAL_BYTES: u64 = 256 << 10;
 /// Bytes of a record before its entry.
 pub const RECORD_HEAD_BYTES: usize = 12;
@@ -25,28 +25,28 @@
 /// Keys with their entries, in the order in which they were written.
 pub type Entries = Vec<(String, Entry)>;
 
-/// How a sequence of records ends.
+/// The end of a sequence of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordsEnd {
-    /// With a complete record.
+    /// A complete record.
     Complete,
-    /// With a write that was interrupted.
+    /// An interrupted write.
     Torn {
-        /// Where that write began, in bytes.
+        /// Offset of that write, in bytes.
         offset: usize,
     },
 }
 
-/// What a file holds.
+/// The content of a file.
 #[derive(Debug)]
 pub struct Records {
-    /// Its entries.
+    /// The entries of its complete records.
     pub entries: Entries,
     /// How it ends.
     pub end: RecordsEnd,
 }
 
-/// A record that no interrupted write can have left.
+/// A record that is corrupt in a way that an interrupted write cannot cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CorruptRecord {
     /// Where it begins, in bytes.
@@ -65,14 +65,14 @@
 ///
 /// # Errors
 ///
-/// For whatever is wrong but what a crash can leave of the last write, which is a torn end.
+/// When a record is corrupt in a way that an interrupted last write cannot cause.
 pub fn decode_records(bytes: &[u8]) -> Result<Records, CorruptRecord> {
     let mut entries = Vec::new();
     let mut offset = 0;
     while offset < bytes.len() {
         let torn = RecordsEnd::Torn { offset };
         let rest = &bytes[offset..];
-        // A file may have grown before the bytes of the write were there.
+        // The file's length may have been updated before the bytes of the write: they read as zeros.
         if rest.len() < RECORD_HEAD_BYTES || rest.iter().all(|&byte| byte == 0) {
             return Ok(Records { entries, end: torn });
         }
@@ -98,14 +98,14 @@
 /// The open files of a replicated map.
 pub struct Files {
     folder: PathBuf,
-    /// None while a successor has it.
+    /// None while a successor appends to it.
     journal: Option<File>,
     journal_bytes: u64,
     /// All entries, for the next snapshot.
     entries: ReplicatedMap,
 }
 
-/// Files that were just opened, and what they hold.
+/// Files that were just opened, with their content.
 pub struct OpenedFiles {
     /// The files.
     pub files: Files,
@@ -114,12 +114,11 @@
 }
 
 impl Files {
-    /// Opens the files of a folder, which is created if need be. A torn end of the journal is cut off.
+    /// Opens the files of a folder, which is created if it is missing. A torn end of the journal is truncated.
     ///
     /// # Errors
     ///
-    /// When a file cannot be opened or written, or is corrupt: it may be more than the last write that is
-    /// lost.
+    /// When a file cannot be opened or written, or is corrupt beyond an interrupted last write.
     pub fn open(folder: &Path) -> Result<OpenedFiles, TransportError> {
         let file_error = |source| TransportError::File { path: folder.to_owned(), source };
         fs::create_dir_all(folder).map_err(file_error)?;
@@ -139,12 +138,12 @@
         Ok(OpenedFiles { files, entries })
     }
 
-    /// Leaves the files to a successor: nothing more is written.
+    /// Closes the files for a successor: nothing more is written.
     pub fn close(&mut self) {
         self.journal = None;
     }
 
-    /// Opens the files again after a successor is gone, and persists all entries that are held by now.
+    /// Reopens the files after a successor is lost, and persists all entries of the replicated map.
     pub fn reopen(&mut self, store: &ReplicatedMap) {
         if self.journal.is_some() {
             return;
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Persists an entry: it is on disk when this returns, or the reason why not is logged.
+    /// Persists an entry. On return it is synced to disk, or the error is logged.
     pub fn persist(&mut self, key: &str, entry: &Entry) {
         self.entries.merge_entry(key, entry.clone());
         let record = encode_record(key, entry);
@@ -169,14 +168,14 @@
         let persisted = appended.and_then(|()| if is_long { self.fold() } else { Ok(()) });
         if let Err(error) = persisted {
             log_event!(LogEvent::EntryNotPersisted { folder: &self.folder, key, error: &error });
-            // Half a record, followed by others, would look corrupt at the next start. Where this fails as
-            // well, the next entry tries again.
+            // An incomplete record followed by others would be corrupt at the next start, so all entries are
+            // written anew. If that fails too, the next entry tries again.
             let _ = self.fold();
         }
     }
 
-    /// Puts a new snapshot in place, and begins the journal anew. A crash between the two leaves entries in
-    /// both, which does no harm.
+    /// Replaces the snapshot and empties the journal. A crash between the two leaves entries in both, which is
+    /// harmless.
     ///
     /// # Errors
     ///
@@ -226,7 +225,7 @@
     }
 }
 
-/// Reads a file; one that is not there is empty.
+/// Reads a file. A missing file is empty.
 fn read_file(path: &Path) -> Result<Vec<u8>, TransportError> {
     match fs::read(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
@@ -238,7 +237,7 @@
     TransportError::CorruptFile { path: path.to_owned(), offset }
 }
 
-/// Reads the snapshot. It is put in place as a whole, so no crash leaves a torn end.
+/// Reads the snapshot. It is replaced atomically, so a torn end is corrupt.
 fn read_snapshot(path: &Path) -> Result<Entries, TransportError> {
     let records = decode_records(&read_file(path)?).map_err(|corrupt| corrupt_file(path, corrupt.offset))?;
     match records.end {
@@ -247,10 +246,10 @@
     }
 }
 
-/// What the journal holds before its torn end.
+/// The content of the journal before its torn end.
 struct JournalContent {
     entries: Entries,
-    /// Bytes of these entries.
+    /// Length of these entries, in bytes.
     length: usize,
 }
 
--- a/src/transport/hot_restart/link.rs
+++ b/src/transport/hot_restart/link.rs
@@ -1,4 +1,4 @@
-//! The link between two processes: a Unix socket that keeps messages apart, with descriptors beside them.
+//! The link between two processes: a Unix socket of messages, with descriptors attached to them.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -14,7 +14,7 @@
 
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_MESSAGE_LENGTH, MAX_SOCKETS};
 
-/// How long a message may take to be written: the other process may hang.
+/// Time-out of sending a message: the other process may hang.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Processes that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 8;
@@ -24,13 +24,13 @@
 /// The connected socket. It is of type `SOCK_SEQPACKET`, though the runtime calls it a stream.
 pub(super) struct Link(UnixStream);
 
-/// A message, and the descriptors beside it.
+/// A message, and the descriptors attached to it.
 pub(super) struct ReceivedMessage {
     pub(super) message: HandoverMessage,
     pub(super) sockets: Vec<OwnedFd>,
 }
 
-/// The bytes of a message, and the descriptors beside it.
+/// The bytes of a message, and the descriptors attached to it.
 struct ReceivedBytes {
     bytes: Vec<u8>,
     sockets: Vec<OwnedFd>,
@@ -41,19 +41,19 @@
     ///
     /// # Errors
     ///
-    /// When none does, or one of another user.
+    /// When no process listens there, or one of another user.
     pub(super) fn connect(path: &Path) -> io::Result<Link> {
         let socket = open_socket()?;
         net::connect(&socket, &net::SocketAddrUnix::new(path)?)?;
         Link::new(UnixStream::from_std(socket.into())?)
     }
 
-    /// Checks the other end of a socket.
+    /// A link over a socket, if its other end belongs to the same user.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::PermissionDenied`] if it is another user's: in a folder that others may write to,
-    /// what answers could be anybody's.
+    /// [`io::ErrorKind::PermissionDenied`] if it belongs to another user: in a shared folder anyone can bind the
+    /// path first.
     pub(super) fn new(socket: UnixStream) -> io::Result<Link> {
         if socket.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
             return Err(io::ErrorKind::PermissionDenied.into());
@@ -61,11 +61,11 @@
         Ok(Link(socket))
     }
 
-    /// Sends a message with descriptors beside it.
+    /// Sends a message with descriptors attached to it.
     ///
     /// # Errors
     ///
-    /// When the message is too long, the link is broken or the other process reads nothing.
+    /// When the message is too long, the link is broken or the other process does not read in time.
     pub(super) async fn send(&self, message: &HandoverMessage, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
         let bytes = hot_restart::encode(message).ok_or(io::ErrorKind::InvalidInput)?;
         timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await?
@@ -91,12 +91,12 @@
         Ok(net::sendmsg(&self.0, &[IoSlice::new(bytes)], &mut ancillary, flags).map(drop)?)
     }
 
-    /// Receives the next message; none at the end. Cancellation-safe: a message is taken off the socket in
-    /// one step.
+    /// Receives the next message; none at the end of the stream. Cancellation-safe: a message is received by a
+    /// single system call.
     ///
     /// # Errors
     ///
-    /// When the link is broken, or what came is no message.
+    /// When the link is broken, or the message is invalid.
     pub(super) async fn receive(&self) -> io::Result<Option<ReceivedMessage>> {
         let ReceivedBytes { bytes, sockets } = loop {
             self.0.readable().await?;
@@ -136,13 +136,13 @@
     net::socket_with(net::AddressFamily::UNIX, net::SocketType::SEQPACKET, flags, None)
 }
 
-/// Listens at a path, in the place of whatever did before.
+/// Listens at a path, and replaces an earlier socket there.
 ///
 /// # Errors
 ///
 /// When the system refuses.
 pub(super) fn listen(path: &Path) -> io::Result<UnixListener> {
-    // Bound under a name of its own first: renamed, it replaces the old socket at one go.
+    // The rename replaces the old socket atomically.
     let own_path = path.with_extension(std::process::id().to_string());
     let socket = open_socket()?;
     let _ = std::fs::remove_file(&own_path);
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and what accepts connections from them.
+//! Listening sockets, and the tasks that accept their connections.
 
 use std::future::Future;
 use std::io;
@@ -14,9 +14,9 @@
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
 
-/// Connections that may wait to be accepted: a burst of reconnecting clients fits.
+/// Connections that may wait to be accepted: enough for a burst of reconnecting clients.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Wait before accepting again after a failure: it doubles from one to the next.
+/// Backoff after a failed accept, which doubles at each failure in a row.
 const MIN_ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -32,7 +32,7 @@
 fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    // A new version has to serve even where its predecessor hangs and hands nothing over.
+    // A new process must be able to serve beside a predecessor that hangs.
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
@@ -54,8 +54,8 @@
 }
 
 /// The address that a listener is bound to, with the port that the system chose.
-pub(super) fn bound_address(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(wanted)
+pub(super) fn bound_address(listener: &TcpListener, configured: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(configured)
 }
 
 /// Starts the task of a connection that was accepted.
@@ -64,7 +64,7 @@
 /// A listener, and the task that accepts its connections.
 pub(super) struct AcceptGate {
     /// The address as configured, perhaps with port 0.
-    wanted: SocketAddr,
+    configured: SocketAddr,
     listener: Rc<TcpListener>,
     task: JoinHandle<()>,
     /// The front that takes its connections; none for the admin endpoint.
@@ -82,29 +82,29 @@
     /// Accepts a front's connections, whenever the fronts accept any.
     pub(super) fn open_front(
         accepting: &Accepting,
-        wanted: SocketAddr,
+        configured: SocketAddr,
         listener: Rc<TcpListener>,
         start_connection: ConnectionStarter,
     ) -> AcceptGate {
         let front = GateFront { accepting: accepting.clone(), start_connection };
         let accept_connections = accept_connections(listener.clone(), front.clone());
         let task = tokio::task::spawn_local(accept_connections);
-        AcceptGate { wanted, listener, task, front: Some(front) }
+        AcceptGate { configured, listener, task, front: Some(front) }
     }
 
     /// Runs the task that accepts admin clients.
     pub(super) fn open_admin_endpoint(
-        wanted: SocketAddr,
+        configured: SocketAddr,
         listener: Rc<TcpListener>,
         accept_clients: impl Future<Output = ()> + 'static,
     ) -> AcceptGate {
-        log_event!(LogEvent::AdminEndpointOpen { address: bound_address(&listener, wanted) });
-        AcceptGate { wanted, listener, task: tokio::task::spawn_local(accept_clients), front: None }
+        log_event!(LogEvent::AdminEndpointOpen { address: bound_address(&listener, configured) });
+        AcceptGate { configured, listener, task: tokio::task::spawn_local(accept_clients), front: None }
     }
 
     /// Whether this gate was configured with that address.
-    pub(super) fn is_at(&self, wanted: SocketAddr) -> bool {
-        self.wanted == wanted
+    pub(super) fn is_at(&self, configured: SocketAddr) -> bool {
+        self.configured == configured
     }
 
     /// The listener of an old gate that was configured with this address, or else a new one.
@@ -114,11 +114,11 @@
     /// [`TransportError::Listen`] when a new one cannot be opened.
     pub(super) fn reuse_listener(
         old: Option<&AcceptGate>,
-        wanted: SocketAddr,
+        configured: SocketAddr,
     ) -> Result<Rc<TcpListener>, TransportError> {
-        match old.filter(|gate| gate.is_at(wanted)) {
+        match old.filter(|gate| gate.is_at(configured)) {
             Some(gate) => Ok(gate.listener.clone()),
-            None => listen(wanted),
+            None => listen(configured),
         }
     }
 
@@ -138,11 +138,11 @@
         self.task.abort();
     }
 
-    /// Accepts what waits in the listener's queue, unless a successor listens on the same socket and accepts
-    /// it. Closed with the listener, these connections would be reset without an answer.
+    /// Accepts the connections in the listener's queue, which would be reset when the listener is closed. Does
+    /// nothing while a successor accepts from the same socket.
     pub(super) fn accept_queued(&self) {
         let Some(front) = self.front.as_ref().filter(|front| front.accepting.is_on()) else { return };
-        // The runtime may not have learned of them yet, so the system itself is asked.
+        // The runtime may not know of them yet, so this accepts from the system directly.
         while let Ok((socket, _)) = socket2::SockRef::from(&*self.listener).accept() {
             let stream = socket.set_nonblocking(true).map(|()| std::net::TcpStream::from(socket));
             if let Ok(stream) = stream.and_then(TcpStream::from_std) {
@@ -156,7 +156,7 @@
     let GateFront { accepting, start_connection } = front;
     let start_connection = async |stream| {
         start_connection(stream);
-        // Where many come at once, none may be judged before its first line could be read.
+        // The new connection's task can read its first line before the next connection is accepted.
         tokio::task::yield_now().await;
     };
     let wait_until_accepting = async |open| accepting.wait_until(open).await;
@@ -164,7 +164,7 @@
 }
 
 /// Accepts connections for ever, whenever the gate is open. `wait_for_gate` waits until it is open, or until
-/// it is closed. Cancellation-safe: an accept that is given up takes nothing out of the queue.
+/// it is closed. Cancellation-safe: a cancelled accept takes nothing out of the queue.
 pub(super) async fn accept_each(
     listener: &TcpListener,
     wait_for_gate: impl AsyncFn(bool),
@@ -187,7 +187,7 @@
                 if retry_interval == MIN_ACCEPT_RETRY_INTERVAL {
                     log_event!(LogEvent::AcceptFailed { error: &error });
                 }
-                // With no descriptor free, accept fails at once, again and again.
+                // Without a free descriptor accept fails at once, so a retry must wait.
                 tokio::time::sleep(retry_interval).await;
                 retry_interval = (retry_interval * 2).min(MAX_ACCEPT_RETRY_INTERVAL);
             }
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -23,39 +23,39 @@
     ReplicationOpen { node: &'a str, address: SocketAddr },
     /// The platform's front accepts connections.
     PlatformListening { name: &'a str, address: SocketAddr },
-    /// The same after a reload.
+    /// The platform's front was reconfigured by a reload.
     PlatformReconfigured { name: &'a str, address: SocketAddr },
     /// The IRC front accepts connections.
     IrcListening { name: &'a str, address: SocketAddr },
-    /// The same after a reload.
+    /// The IRC front was reconfigured by a reload.
     IrcReconfigured { name: &'a str, address: SocketAddr },
-    /// A reload was given up before it changed anything.
+    /// A reload was rejected before it changed anything.
     ReloadFailed { error: &'a TransportError },
     /// A graceful shutdown is complete.
     ShutDown,
     /// A connection cannot be accepted; this is logged once until one can be again.
     AcceptFailed { error: &'a io::Error },
-    /// `ReplicaMessage` cannot be exchanged.
+    /// Gossip cannot be exchanged.
     GossipUnavailable { error: &'a io::Error },
     /// A datagram for the replicated map cannot be read.
     ReplicaMessageUnreadable { from: SocketAddr },
     /// A datagram for gossip cannot be read, or comes from an unknown address.
     GossipUnreadable { from: SocketAddr },
-    /// Discovery sent a list, or changes of it.
+    /// Discovery sent an endpoint list, or a delta of it.
     EndpointListUpdated { generation: u64, entries: usize, draining: usize, age: Duration },
-    /// Discovery did not answer; the same call is made once more.
+    /// Discovery did not answer in time; it is polled once more.
     EndpointListRetried { age: Duration },
-    /// Discovery sent changes of an older endpoint list.
+    /// Discovery sent a delta of an older endpoint list.
     EndpointListOutdated { generation: u64 },
     /// A call to discovery failed.
     EndpointListFailed { error: &'a dyn Error, age: Duration },
-    /// An attempt of a request is made.
+    /// An attempt of a request is started.
     AttemptOpened { connection: ConnectionId, attempt: u32, address: &'a str },
-    /// An attempt is given up by this process.
+    /// An attempt is cancelled by this process.
     AttemptClosed { connection: ConnectionId },
     /// An attempt ended at its server or in the network.
     AttemptEnded { connection: ConnectionId, attempt: u32, end: AttemptOutcome },
-    /// The recording has reached its size.
+    /// The recording has reached its maximum size.
     RecordingFull { file: &'a Path },
     /// The recording cannot be written.
     RecordingFailed { file: &'a Path, error: &'a io::Error },
@@ -63,7 +63,7 @@
     JournalTruncated { journal: &'a Path, offset: usize, removed: usize },
     /// An entry of the replicated map is not on disk.
     EntryNotPersisted { folder: &'a Path, key: &'a str, error: &'a io::Error },
-    /// The store's files cannot be opened again after a hot restart came to nothing.
+    /// The store's files cannot be reopened after a hot restart was aborted.
     StoreNotReopened { error: &'a TransportError },
     /// The list of excluded servers is not on disk.
     ExclusionsNotPersisted { file: &'a Path, error: &'a io::Error },
@@ -73,7 +73,7 @@
     HotRestartUnavailable { socket: &'a Path, error: &'a io::Error },
     /// A predecessor did not export its state.
     ImportFailed { socket: &'a Path, error: &'a io::Error },
-    /// The same, for it did not answer in time.
+    /// A predecessor did not answer in time.
     ImportTimedOut { socket: &'a Path },
     /// The state could not be exported to a successor.
     ExportFailed { error: &'a io::Error },
@@ -124,7 +124,7 @@
 }
 
 impl fmt::Display for LogEvent<'_> {
-    // Longer than other functions: one line of text for each variant, in one place.
+    // A pure dispatcher, so it may be longer than other functions: one text for each variant.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogEvent::AdminEndpointOpen { address } => {
@@ -170,14 +170,14 @@
             LogEvent::EndpointListRetried { age } => {
                 write!(
                     formatter,
-                    "endpoint list: no answer in time, asked again, {} ms after the last answer",
+                    "endpoint list: no answer in time, polled again, {} ms after the last answer",
                     age.as_millis()
                 )
             }
             LogEvent::EndpointListOutdated { generation } => {
                 write!(
                     formatter,
-                    "endpoint list: generation {generation} after a later one, whole list requested"
+                    "endpoint list: generation {generation} after a later one, snapshot requested"
                 )
             }
             LogEvent::EndpointListFailed { error, age } => {
@@ -187,7 +187,7 @@
                 write!(formatter, "connection {}: attempt {attempt} at {address}", connection.0)
             }
             LogEvent::AttemptClosed { connection } => {
-                write!(formatter, "connection {}: attempt given up", connection.0)
+                write!(formatter, "connection {}: attempt cancelled", connection.0)
             }
             LogEvent::AttemptEnded { connection, attempt, end } => {
                 write!(formatter, "connection {}: attempt {attempt} ended: {end}", connection.0)
@@ -196,16 +196,20 @@
                 write!(formatter, "{}: the recording is full", file.display())
             }
             LogEvent::RecordingFailed { file, error } => {
-                write!(formatter, "{}: the recording ends: {error}", file.display())
+                write!(formatter, "{}: the recording failed: {error}", file.display())
             }
             LogEvent::JournalTruncated { journal, offset, removed } => {
-                write!(formatter, "{}: torn at byte {offset}, {removed} bytes cut off", journal.display())
+                write!(
+                    formatter,
+                    "{}: torn write at byte {offset}, {removed} bytes truncated",
+                    journal.display()
+                )
             }
             LogEvent::EntryNotPersisted { folder, key, error } => {
                 write!(formatter, "{}: {key} is not persisted: {error}", folder.display())
             }
             LogEvent::StoreNotReopened { error } => {
-                write!(formatter, "the store's files are not open again: {error}")
+                write!(formatter, "the store's files cannot be reopened: {error}")
             }
             LogEvent::ExclusionsNotPersisted { file, error } => {
                 write!(formatter, "{}: excluded servers are not persisted: {error}", file.display())
@@ -222,9 +226,9 @@
             LogEvent::ImportTimedOut { socket } => {
                 write!(formatter, "{}: no state imported: no answer in time", socket.display())
             }
-            LogEvent::ExportFailed { error } => write!(formatter, "hot restart given up: {error}"),
+            LogEvent::ExportFailed { error } => write!(formatter, "hot restart aborted: {error}"),
             LogEvent::ExportTimedOut => {
-                write!(formatter, "hot restart given up: the successor does not serve in time")
+                write!(formatter, "hot restart aborted: the successor does not serve in time")
             }
             LogEvent::PeerProcessFailed { error } => write!(formatter, "peer process: {error}"),
         }
--- a/src/transport/observation.rs
+++ b/src/transport/observation.rs
@@ -1,4 +1,4 @@
-//! What becomes of each connection, observed for replays.
+//! Observations of connections, for the reports of replays.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,7 +6,7 @@
 use crate::routing::{Answer, AttemptOutcome, ConnectionId, Effect, Input};
 use crate::{Micros, Time};
 
-/// One thing that became of a connection.
+/// A step in the life of a connection.
 #[derive(Clone, Debug)]
 pub(super) enum Observation {
     /// It was established.
--- a/src/transport/pending_admin_calls.rs
+++ b/src/transport/pending_admin_calls.rs
@@ -14,7 +14,7 @@
 #[derive(Clone)]
 pub(super) struct PendingAdminCalls {
     ids: IdSequence,
-    /// Where each client waits. [`MAX_ADMIN_CLIENTS`](crate::program::config::MAX_ADMIN_CLIENTS) limits how many there are.
+    /// Where each client waits; at most [`MAX_ADMIN_CLIENTS`](crate::program::config::MAX_ADMIN_CLIENTS).
     waiting: Rc<RefCell<HashMap<AdminClientId, oneshot::Sender<AdminResponse>>>>,
 }
 
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -1,5 +1,6 @@
-//! Probes of servers: ordered by the reducer, each with one result. A connection that has carried one is
-//! cached for the next, since each new connection costs its server more than the probe does.
+//! Probes of servers' load: requested by the reducer, each with one result.
+//!
+//! The connection of a probe is cached for the next, since a new connection costs a server more than the probe.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,18 +18,18 @@
 use crate::routing::{Input, ProbeEnd, MAX_PROBES};
 use crate::ServerId;
 
-/// How long a connection that has carried a probe is cached: servers close idle ones sooner or later.
+/// How long an idle connection is cached: servers close idle connections after a while.
 const CACHE_TIMEOUT: Duration = Duration::from_secs(4);
 const READ_BUFFER_BYTES: usize = 512;
 
-/// Where a probe's connection goes. The address alone is not enough: another server may take it over.
+/// The target of a probe. The address alone does not identify it: another server may take the address over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ProbeTarget {
     server: ServerId,
     address: String,
 }
 
-/// A connection that can carry the next probe.
+/// An idle connection for the next probe.
 struct CachedConnection {
     stream: TcpStream,
     cached_at: Instant,
@@ -36,13 +37,13 @@
 
 type ConnectionCache = HashMap<ProbeTarget, CachedConnection>;
 
-/// A report, and the connection that it came over.
+/// A load report, and the connection that it came over.
 struct ProbeReport {
     line: Vec<u8>,
     stream: TcpStream,
 }
 
-/// Carries out probes as the commands come, for ever.
+/// Carries out probes by the reducer's commands, for ever.
 pub(super) async fn run_probes(reducer: ReducerHandle, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
     let mut cache = ConnectionCache::new();
     let mut in_flight = JoinSet::new();
@@ -56,8 +57,8 @@
                 in_flight.spawn_local(carry_out_probe(reducer.clone(), command, cached));
             }
             Some(done) = in_flight.join_next() => {
-                let has_room = cache.len() + in_flight.len() < MAX_PROBES;
-                if let (Ok(Some((target, stream))), true) = (done, has_room) {
+                let has_capacity = cache.len() + in_flight.len() < MAX_PROBES;
+                if let (Ok(Some((target, stream))), true) = (done, has_capacity) {
                     cache.insert(target, CachedConnection { stream, cached_at: Instant::now() });
                 }
             }
@@ -75,7 +76,7 @@
     }
 }
 
-/// Carries out one probe. Returns its connection if that can be cached: the report came in full.
+/// Carries out one probe. Returns its connection if it can be cached, which takes a complete report.
 async fn carry_out_probe(
     reducer: ReducerHandle,
     command: ProbeCommand,
@@ -94,7 +95,7 @@
     stream.map(|stream| (ProbeTarget { server, address }, stream))
 }
 
-/// Requests a report, and again over a new connection where the cached one was closed meanwhile.
+/// Requests a report over the cached connection; if that fails, over a new one.
 async fn request_report(address: &str, cached: Option<TcpStream>) -> Option<ProbeReport> {
     if let Some(stream) = cached {
         if let Some(report) = exchange_report(stream).await {
@@ -114,7 +115,7 @@
         let length = stream.read(&mut buffer).await.ok().filter(|&length| length > 0)?;
         lines.push(&buffer[..length]);
         match lines.next_line(MAX_LINE_LENGTH) {
-            // What comes after the report would be taken for that of the next probe.
+            // Bytes after the report would be read as the report of the next probe.
             NextLine::Line(line) if lines.is_empty() => return Some(ProbeReport { line, stream }),
             NextLine::Incomplete => {}
             _ => return None,
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -1,4 +1,4 @@
-//! Recordings of the fronts' traffic: a pcap file up to a size.
+//! Recordings of the fronts' traffic: a pcap file of limited size.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -17,7 +17,7 @@
 pub struct RecordingConfig {
     /// The pcap file, which is created anew.
     pub path: PathBuf,
-    /// Bytes that it may grow to.
+    /// Maximum size of the file, in bytes.
     pub max_bytes: usize,
 }
 
@@ -46,8 +46,8 @@
         Ok(recorder)
     }
 
-    /// Writes whole records. Half a record would corrupt the file, so the first that does not fit, or cannot
-    /// be written, ends the recording.
+    /// Writes complete records. The first that does not fit, or cannot be written, ends the recording: an
+    /// incomplete record would corrupt the file.
     pub(super) fn write(&mut self, records: &[u8]) {
         if self.remaining_bytes == 0 || records.is_empty() {
             return;
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -21,11 +21,11 @@
 use crate::routing::{ConnectionId, PoolId};
 use crate::Time;
 
-/// How long a flow waits, after its last recorded byte, for what still comes back.
+/// How long a flow waits, after its last recorded byte, for the last answers.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long what was sent after an answer waits for one, beyond its recorded time.
+/// How long bytes that were recorded after an answer wait for that answer, beyond their recorded time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A flow whose end was not captured is ended after this.
+/// Delay before a flow whose end was not captured is ended.
 const UNCAPTURED_END_DELAY: Duration = Duration::from_secs(1);
 const READ_BUFFER_BYTES: usize = 4096;
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -51,7 +51,7 @@
     pub(super) context: ConnectionContext,
     pub(super) pool: Option<PoolId>,
     pub(super) factory: ConnectionFactory,
-    /// The front's listener. Flows connect one after the other, so that each finds its own other end.
+    /// The front's listener. The lock makes each accepted stream belong to the flow that has just connected.
     pub(super) listener: Mutex<TcpListener>,
     pub(super) started: Instant,
     /// Recorded time of the first flow.
@@ -73,7 +73,7 @@
         }
     }
 
-    /// When a recorded time comes in the replay.
+    /// The time in the replay that corresponds to a recorded time.
     fn replay_time(&self, recorded: Time) -> Instant {
         self.started + Duration::from(recorded.since(self.first_start))
     }
@@ -86,7 +86,7 @@
         let reading = tokio::task::spawn_local(count_answers(reader, lines));
         let mut pacer = Pacer { replay: self, flow, received_lines, in_step: true };
         let sent = send_pieces(&mut pacer, &mut writer).await;
-        // Kept until the answers are counted: dropped, it would close the socket.
+        // The writer is dropped after the answers are counted, since the drop closes the socket.
         let _writer = end_flow(&mut pacer, writer).await;
         Ok(FlowReport {
             answered_bytes: wait_for_end(reading).await,
@@ -128,13 +128,13 @@
     timeout(LAST_ANSWER_TIMEOUT, reading).await.ok().and_then(Result::ok)
 }
 
-/// Times what a flow sends. Servers of a replay may be slower than those recorded: what was sent after an
-/// answer, an end above all, would overtake it and mean something else.
+/// Paces the bytes of a flow by the answers. Servers of a replay may be slower than the recorded ones, and
+/// bytes that overtake an answer would have another meaning.
 struct Pacer<'a> {
     replay: &'a Replay,
     flow: &'a Flow,
     received_lines: watch::Receiver<usize>,
-    /// Whether all answers came so far. One that answers with fewer lines is waited for once.
+    /// Whether all answers came in time so far. After the first that did not, none is awaited.
     in_step: bool,
 }
 
@@ -168,7 +168,7 @@
         }
         Some(FlowEnd { at, close: Close::Reset }) => {
             pacer.wait(at).await;
-            // Closed with no time to linger, the socket is reset.
+            // With a linger time of zero the drop resets the connection.
             let _ = socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO));
             None
         }
--- a/src/transport/replay/report.rs
+++ b/src/transport/replay/report.rs
@@ -1,10 +1,10 @@
-//! What became of a flow, as it is printed.
+//! The printed report of a flow.
 
 use std::fmt;
 
 use super::super::observation::Observation;
 
-/// What became of a flow.
+/// The outcome of a flow.
 pub(super) struct FlowReport {
     pub(super) observations: Vec<Observation>,
     /// Bytes that the front sent, if it closed the connection in time.
@@ -13,7 +13,7 @@
     pub(super) cut: bool,
     /// Where the capture has a gap, in bytes.
     pub(super) gap: Option<usize>,
-    /// Whether the flow's begin was not captured.
+    /// Whether the flow's start was not captured.
     pub(super) headless: bool,
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -680,7 +680,7 @@
         }
         if n == 2 {
             // It has asked, and hangs: the daemon does not wait for it for ever.
-            old.log_line("hot restart given up: the successor does not serve in time");
+            old.log_line("hot restart aborted: the successor does not serve in time");
         }
         drop(successor);
         assert_eq!(connect_platform_client(&old, 1 + n as u32).read_line(), "UP 1", "after {n}");
