--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use super::commands::{ConnectionCommand, TransferredConnection};
-use super::connection_registry::ConnectionRegistry;
+use super::connection_registry::{ConnectionRegistry, RegisteredConnection};
 use super::record::TrafficRecorder;
 use super::reducer::ReducerHandle;
 use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
@@ -25,7 +25,7 @@
 use crate::routing::{Answer, ConnectionId, EstablishedConnection, Input, PoolId};
 use crate::{Micros, Time};
 use socket_end::{wait_readable, wait_writable, SocketEnd};
-use upstream::{wait_connected, Upstream};
+use upstream::{wait_connected, Awaited, Upstream};
 
 /// Bytes read at once.
 const READ_BUFFER_BYTES: usize = 8 << 10;
@@ -82,7 +82,7 @@
     stream: TcpStream,
     front: Box<dyn Front>,
 ) -> ConnectionId {
-    let (id, commands) = context.registry.register();
+    let RegisteredConnection { id, commands } = context.registry.register();
     let recorder = start_recording(&context.recorder, &stream);
     let mut connection = Connection::new(context, id, front, stream);
     if recorder.is_some() {
@@ -122,7 +122,7 @@
     front: Box<dyn Front>,
     established: EstablishedConnection,
 ) {
-    let (id, commands) = context.registry.register();
+    let RegisteredConnection { id, commands } = context.registry.register();
     let mut connection = Connection::new(context, id, front, sockets.client);
     connection.upstream = Upstream::adopt(sockets.attempt);
     connection.established = true;
@@ -192,7 +192,7 @@
             }
             let reads_client = self.reads_client();
             let reads_attempt = self.client.pending_len() < self.buffer_limit;
-            let (connecting, attempt) = self.upstream.waits();
+            let Awaited { connecting, socket: attempt } = self.upstream.awaited();
             tokio::select! {
                 biased;
                 command = commands.recv() => match command {
--- a/src/transport/connection/upstream.rs
+++ b/src/transport/connection/upstream.rs
@@ -19,6 +19,14 @@
     pub(super) request_forwarded: bool,
 }
 
+/// What the task of a connection waits for at its attempt.
+pub(super) struct Awaited<'a> {
+    /// The connect, while there is one.
+    pub(super) connecting: Option<&'a mut Connecting>,
+    /// The socket of a connected attempt.
+    pub(super) socket: Option<&'a SocketEnd>,
+}
+
 /// The state of the attempt.
 pub(super) enum Upstream {
     /// There is no attempt.
@@ -70,12 +78,12 @@
         self.attempt_mut().map(|attempt| &mut attempt.end)
     }
 
-    /// What the connection's task waits for: the connect, or the socket.
-    pub(super) fn waits(&mut self) -> (Option<&mut Connecting>, Option<&SocketEnd>) {
+    /// The connect or the socket, whichever there is.
+    pub(super) fn awaited(&mut self) -> Awaited<'_> {
         match self {
-            Upstream::Idle => (None, None),
-            Upstream::Connecting { connecting, .. } => (Some(connecting), None),
-            Upstream::Connected(attempt) => (None, Some(&attempt.end)),
+            Upstream::Idle => Awaited { connecting: None, socket: None },
+            Upstream::Connecting { connecting, .. } => Awaited { connecting: Some(connecting), socket: None },
+            Upstream::Connected(attempt) => Awaited { connecting: None, socket: Some(&attempt.end) },
         }
     }
 
--- a/src/transport/connection_registry.rs
+++ b/src/transport/connection_registry.rs
@@ -15,6 +15,14 @@
 const LAST_ANSWERS_STEPS: usize = 20;
 const LAST_ANSWERS_INTERVAL: Duration = Duration::from_millis(10);
 
+/// A connection that was just registered.
+pub(super) struct RegisteredConnection {
+    /// Its id.
+    pub id: ConnectionId,
+    /// The commands for its task.
+    pub commands: mpsc::UnboundedReceiver<ConnectionCommand>,
+}
+
 /// The connections that have a task. Clones are handles of the same registry.
 #[derive(Clone)]
 pub(super) struct ConnectionRegistry {
@@ -30,12 +38,12 @@
         ConnectionRegistry { ids, tasks: Rc::default() }
     }
 
-    /// Registers a connection; returns its id, and the channel of its commands.
-    pub(super) fn register(&self) -> (ConnectionId, mpsc::UnboundedReceiver<ConnectionCommand>) {
-        let connection = ConnectionId(self.ids.next());
+    /// Registers a connection.
+    pub(super) fn register(&self) -> RegisteredConnection {
+        let id = ConnectionId(self.ids.next());
         let (sender, commands) = mpsc::unbounded_channel();
-        self.tasks.borrow_mut().insert(connection, sender);
-        (connection, commands)
+        self.tasks.borrow_mut().insert(id, sender);
+        RegisteredConnection { id, commands }
     }
 
     /// Removes a connection whose task has ended and whose sockets are closed.
--- a/src/transport/daemon/running.rs
+++ b/src/transport/daemon/running.rs
@@ -16,7 +16,7 @@
 
 /// Reads and checks all configuration files.
 pub(super) fn read_configuration(sources: &Sources) -> Result<Config, TransportError> {
-    sources.read().map_err(|error| TransportError::Configuration(error.into()))
+    sources.read().map_err(TransportError::Configuration)
 }
 
 /// The daemon, with what a reload can change.
--- a/src/transport/error.rs
+++ b/src/transport/error.rs
@@ -6,12 +6,14 @@
 
 use thiserror::Error;
 
+use crate::program::config::ConfigError;
+
 /// Why the daemon cannot start, or rejects a new configuration.
 #[derive(Debug, Error)]
 pub enum TransportError {
     /// The configuration cannot be read, or is not valid.
     #[error("{0}")]
-    Configuration(#[source] Box<dyn std::error::Error + Send + Sync>),
+    Configuration(#[source] ConfigError),
     /// The asynchronous runtime cannot be built.
     #[error("cannot start: {0}")]
     RuntimeStart(#[source] io::Error),
--- a/src/transport/hot_restart/link.rs
+++ b/src/transport/hot_restart/link.rs
@@ -12,6 +12,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
+use super::error::LinkError;
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_MESSAGE_LENGTH, MAX_SOCKETS};
 
 /// Time-out of sending a message: the other process may hang.
@@ -42,9 +43,10 @@
     /// # Errors
     ///
     /// When no process listens there, or one of another user.
-    pub(super) fn connect(path: &Path) -> io::Result<Link> {
-        let socket = open_socket()?;
-        net::connect(&socket, &net::SocketAddrUnix::new(path)?)?;
+    pub(super) fn connect(path: &Path) -> Result<Link, LinkError> {
+        let socket = open_socket().map_err(io::Error::from)?;
+        let address = net::SocketAddrUnix::new(path).map_err(io::Error::from)?;
+        net::connect(&socket, &address).map_err(io::Error::from)?;
         Link::new(UnixStream::from_std(socket.into())?)
     }
 
@@ -52,11 +54,10 @@
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::PermissionDenied`] if it belongs to another user: in a shared folder anyone can bind the
-    /// path first.
-    pub(super) fn new(socket: UnixStream) -> io::Result<Link> {
+    /// [`LinkError::OtherUser`] if it does not.
+    pub(super) fn new(socket: UnixStream) -> Result<Link, LinkError> {
         if socket.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-            return Err(io::ErrorKind::PermissionDenied.into());
+            return Err(LinkError::OtherUser);
         }
         Ok(Link(socket))
     }
@@ -66,9 +67,14 @@
     /// # Errors
     ///
     /// When the message is too long, the link is broken or the other process does not read in time.
-    pub(super) async fn send(&self, message: &HandoverMessage, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let bytes = hot_restart::encode(message).ok_or(io::ErrorKind::InvalidInput)?;
-        timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await?
+    pub(super) async fn send(
+        &self,
+        message: &HandoverMessage,
+        sockets: &[BorrowedFd<'_>],
+    ) -> Result<(), LinkError> {
+        let bytes = hot_restart::encode(message).ok_or(LinkError::MessageTooLong)?;
+        let sent = timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await;
+        Ok(sent.map_err(|_| LinkError::SendTimedOut)??)
     }
 
     async fn send_bytes(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
@@ -97,7 +103,7 @@
     /// # Errors
     ///
     /// When the link is broken, or the message is invalid.
-    pub(super) async fn receive(&self) -> io::Result<Option<ReceivedMessage>> {
+    pub(super) async fn receive(&self) -> Result<Option<ReceivedMessage>, LinkError> {
         let ReceivedBytes { bytes, sockets } = loop {
             self.0.readable().await?;
             match self.0.try_io(Interest::READABLE, || self.try_receive()) {
@@ -108,7 +114,7 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        let message = hot_restart::decode(&bytes).ok_or(io::ErrorKind::InvalidData)?;
+        let message = hot_restart::decode(&bytes).ok_or(LinkError::InvalidMessage)?;
         Ok(Some(ReceivedMessage { message, sockets }))
     }
 
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -6,6 +6,7 @@
 //! ([`run_as_successor`]). The predecessor continues to serve until then ([`offer_state`]).
 
 mod context;
+mod error;
 mod link;
 mod transfer;
 
@@ -25,6 +26,7 @@
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_PARTS};
 use crate::routing::{AdminClientId, HandoverState, Input};
 use context::NamedSocket;
+use error::LinkError;
 use link::{Link, ReceivedMessage};
 use transfer::{adopt_connection, transfer_connection};
 
@@ -89,19 +91,20 @@
 }
 
 /// Whether an error shows that no process listens at the socket.
-fn is_absent(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
+fn is_absent(error: &LinkError) -> bool {
+    use io::ErrorKind::{ConnectionRefused, NotFound};
+    matches!(error, LinkError::Socket(error) if matches!(error.kind(), NotFound | ConnectionRefused))
 }
 
 /// Requests the state once. None if the predecessor is busy with another successor.
-async fn request_state(path: &Path) -> io::Result<Option<ReceivedState>> {
+async fn request_state(path: &Path) -> Result<Option<ReceivedState>, LinkError> {
     let link = Link::connect(path)?;
     link.send(&HandoverMessage::Take, &[]).await?;
     let mut state = HandoverState::default();
     let mut named_sockets = HashMap::new();
     for received_messages in 0..MAX_PARTS {
         let Some(ReceivedMessage { message, sockets }) = link.receive().await? else {
-            return if received_messages == 0 { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            return if received_messages == 0 { Ok(None) } else { Err(LinkError::Closed) };
         };
         match message {
             HandoverMessage::Done => return Ok(Some(ReceivedState { link, sockets: named_sockets, state })),
@@ -109,10 +112,10 @@
             HandoverMessage::Socket(name) => {
                 named_sockets.extend(sockets.into_iter().map(|socket| (name.clone(), socket)));
             }
-            _ => return Err(io::ErrorKind::InvalidData.into()),
+            _ => return Err(LinkError::UnexpectedMessage),
         }
     }
-    Err(io::ErrorKind::InvalidData.into())
+    Err(LinkError::TooManyParts)
 }
 
 /// Closes the channel to a lost peer process. This is no drop guard, since it must not run when the runtime
@@ -141,7 +144,7 @@
 
 async fn accept_successors(context: HotRestartContext, listener: UnixListener) {
     loop {
-        match listener.accept().await.and_then(|(socket, _)| Link::new(socket)) {
+        match listener.accept().await.map_err(LinkError::from).and_then(|(socket, _)| Link::new(socket)) {
             Ok(link) => drop(tokio::task::spawn_local(serve_successor(context.clone(), link))),
             Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
         }
@@ -174,7 +177,7 @@
 }
 
 /// Sends the sockets and the state, and waits until the successor serves.
-async fn export_state(context: &HotRestartContext, link: &Link) -> io::Result<()> {
+async fn export_state(context: &HotRestartContext, link: &Link) -> Result<(), LinkError> {
     for NamedSocket { name, socket } in context.clone_sockets()? {
         link.send(&HandoverMessage::Socket(name), &[socket.as_fd()]).await?;
     }
@@ -188,7 +191,8 @@
     link.send(&HandoverMessage::Done, &[]).await?;
     match link.receive().await? {
         Some(ReceivedMessage { message: HandoverMessage::Serving, .. }) => Ok(()),
-        _ => Err(io::ErrorKind::UnexpectedEof.into()),
+        Some(_) => Err(LinkError::UnexpectedMessage),
+        None => Err(LinkError::Closed),
     }
 }
 
@@ -218,7 +222,7 @@
     context: &HotRestartContext,
     link: &Link,
     received: ReceivedMessage,
-) -> io::Result<()> {
+) -> Result<(), LinkError> {
     match received.message {
         HandoverMessage::Share { number, server, excluded } => {
             context.reducer().feed(Input::ExclusionShared { server, excluded });
@@ -231,7 +235,7 @@
         HandoverMessage::EstablishedConnection { front, established, state } => {
             adopt_connection(context, received.sockets, &front, &state, established)
         }
-        _ => Err(io::ErrorKind::InvalidData.into()),
+        _ => Err(LinkError::UnexpectedMessage),
     }
 }
 
@@ -239,7 +243,7 @@
     context: &HotRestartContext,
     link: &Link,
     message: PeerProcessMessage,
-) -> io::Result<()> {
+) -> Result<(), LinkError> {
     match message {
         PeerProcessMessage::ShareExclusion { admin_client, server, excluded } => {
             let message = HandoverMessage::Share { number: admin_client.0, server, excluded };
--- a/src/transport/hot_restart/transfer.rs
+++ b/src/transport/hot_restart/transfer.rs
@@ -13,6 +13,7 @@
 use super::super::fronts::FrontConnection;
 use super::super::peer_process::PeerProcess;
 use super::context::HotRestartContext;
+use super::error::LinkError;
 use super::link::Link;
 use crate::protocol::hot_restart::HandoverMessage;
 use crate::routing::{ConnectionId, EstablishedConnection, Input, PoolId};
@@ -31,9 +32,9 @@
     front: &str,
     front_state: &[u8],
     established: EstablishedConnection,
-) -> io::Result<()> {
+) -> Result<(), LinkError> {
     let Ok([client, attempt]) = <[OwnedFd; 2]>::try_from(sockets) else {
-        return Err(io::ErrorKind::InvalidData.into());
+        return Err(LinkError::InvalidMessage);
     };
     let sockets = AdoptedSockets { client: to_stream(client)?, attempt: to_stream(attempt)? };
     // Without such a front the sockets are closed, and the client reconnects.
@@ -59,7 +60,7 @@
     connection: ConnectionId,
     pool: PoolId,
     established: EstablishedConnection,
-) -> io::Result<()> {
+) -> Result<(), LinkError> {
     let (sender, transferred) = oneshot::channel();
     context.connections.registry.send(connection, ConnectionCommand::Transfer(sender));
     let Ok(transferred) = transferred.await else {
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -72,15 +72,15 @@
     /// No successor can ask this process for its state.
     HotRestartUnavailable { socket: &'a Path, error: &'a io::Error },
     /// A predecessor did not export its state.
-    ImportFailed { socket: &'a Path, error: &'a io::Error },
+    ImportFailed { socket: &'a Path, error: &'a dyn Error },
     /// A predecessor did not answer in time.
     ImportTimedOut { socket: &'a Path },
     /// The state could not be exported to a successor.
-    ExportFailed { error: &'a io::Error },
+    ExportFailed { error: &'a dyn Error },
     /// The successor did not begin to serve in time.
     ExportTimedOut,
     /// The link to the peer process failed.
-    PeerProcessFailed { error: &'a io::Error },
+    PeerProcessFailed { error: &'a dyn Error },
 }
 
 impl LogEvent<'_> {
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -29,6 +29,12 @@
     address: String,
 }
 
+/// A connection whose probe is complete.
+struct IdleConnection {
+    target: ProbeTarget,
+    stream: TcpStream,
+}
+
 /// An idle connection for the next probe.
 struct CachedConnection {
     stream: TcpStream,
@@ -58,7 +64,7 @@
             }
             Some(done) = in_flight.join_next() => {
                 let has_capacity = cache.len() + in_flight.len() < MAX_PROBES;
-                if let (Ok(Some((target, stream))), true) = (done, has_capacity) {
+                if let (Ok(Some(IdleConnection { target, stream })), true) = (done, has_capacity) {
                     cache.insert(target, CachedConnection { stream, cached_at: Instant::now() });
                 }
             }
@@ -81,7 +87,7 @@
     reducer: ReducerHandle,
     command: ProbeCommand,
     cached: Option<TcpStream>,
-) -> Option<(ProbeTarget, TcpStream)> {
+) -> Option<IdleConnection> {
     let ProbeCommand { pool, server, address, load_names, timeout: probe_timeout } = command;
     let report = timeout(probe_timeout, request_report(&address, cached)).await;
     let (end, stream) = match report {
@@ -92,7 +98,7 @@
         _ => (ProbeEnd::NoAnswer, None),
     };
     reducer.feed(Input::ProbeCompleted { pool, server, end });
-    stream.map(|stream| (ProbeTarget { server, address }, stream))
+    stream.map(|stream| IdleConnection { target: ProbeTarget { server, address }, stream })
 }
 
 /// Requests a report over the cached connection; if that fails, over a new one.
--- a/src/transport/replay/mod.rs
+++ b/src/transport/replay/mod.rs
@@ -17,7 +17,7 @@
 
 use super::assembly::Assembly;
 use super::fronts::{irc_factory, platform_factory};
-use crate::program::config::{read_file, Config};
+use crate::program::config::{read_file, Config, ConfigError};
 use crate::protocol::flows::{self, Flow};
 use crate::protocol::pcap::{self, PcapError};
 use player::Replay;
@@ -56,14 +56,14 @@
 pub enum ReplayError {
     /// The capture cannot be read.
     #[error("{0}")]
-    ReadFile(#[source] Box<dyn std::error::Error + Send + Sync>),
+    ReadFile(#[source] ConfigError),
     /// The capture is no pcap file.
-    #[error("{}: {bad_file}", path.display())]
+    #[error("{}: {source}", path.display())]
     BadFile {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        bad_file: PcapError,
+        source: PcapError,
     },
     /// The front is not configured.
     #[error("the configuration has no {front:?} front")]
@@ -115,9 +115,9 @@
     front: FrontKind,
     port: Option<u16>,
 ) -> Result<Vec<Flow>, ReplayError> {
-    let bytes = read_file(file).map_err(|error| ReplayError::ReadFile(error.into()))?;
+    let bytes = read_file(file).map_err(ReplayError::ReadFile)?;
     let segments = pcap::read_segments(&bytes)
-        .map_err(|bad_file| ReplayError::BadFile { path: file.to_owned(), bad_file })?;
+        .map_err(|source| ReplayError::BadFile { path: file.to_owned(), source })?;
     let listen = match front {
         FrontKind::Platform => config.platform.as_ref().map(|platform| platform.listen),
         FrontKind::Irc => config.irc.as_ref().map(|irc| irc.listen),
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -46,6 +46,12 @@
     pub(super) served: usize,
 }
 
+/// The client of a flow, and the connection that the front has for it.
+struct PlayedClient {
+    stream: TcpStream,
+    connection: ConnectionId,
+}
+
 /// What all flows of a replay share.
 pub(super) struct Replay {
     pub(super) context: ConnectionContext,
@@ -80,7 +86,7 @@
 
     async fn play(&self, flow: &Flow) -> Result<FlowReport, FlowError> {
         sleep_until(self.replay_time(flow.start)).await;
-        let (stream, connection) = self.connect().await?;
+        let PlayedClient { stream, connection } = self.connect().await?;
         let (reader, mut writer) = stream.into_split();
         let (lines, received_lines) = watch::channel(0);
         let reading = tokio::task::spawn_local(count_answers(reader, lines));
@@ -98,13 +104,13 @@
     }
 
     /// Connects a client to the front.
-    async fn connect(&self) -> Result<(TcpStream, ConnectionId), FlowError> {
+    async fn connect(&self) -> Result<PlayedClient, FlowError> {
         let listener = self.listener.lock().await;
         let stream = TcpStream::connect(listener.local_addr()?).await?;
         let (accepted, _) = listener.accept().await?;
         let pool = self.pool.ok_or(FlowError::NoFront)?;
         let connection = connection::start(&self.context, pool, accepted, (self.factory)());
-        Ok((stream, connection))
+        Ok(PlayedClient { stream, connection })
     }
 }
 
