--- a/src/transport/daemon/running.rs
+++ b/src/transport/daemon/running.rs
@@ -1,14 +1,16 @@
 //! The running daemon: what its reloads change, and what its end waits for.
 
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+
 use super::super::assembly::Assembly;
 use super::super::error::TransportError;
 use super::super::fronts::{ActiveFront, ActiveFronts};
 use super::super::listener::{AcceptGate, ConnectionStarter};
 use super::super::{admin_server, connection};
 use crate::program::config::{Config, Sources, StoreConfig};
-use std::net::SocketAddr;
-use std::rc::Rc;
-use tokio::net::TcpListener;
 
 /// Names of the fronts, under which a successor is given their listeners.
 pub(super) const PLATFORM_FRONT: &str = "platform";
@@ -25,10 +27,15 @@
     pub(super) assembly: Assembly,
     /// The fronts that accept connections.
     pub(super) fronts: ActiveFronts,
+    /// Where a reload reads the configuration.
     pub(super) sources: Sources,
+    /// The store's configuration, of which a reload can change the peers only.
     pub(super) store: Option<StoreConfig>,
+    /// Accepts the platform's connections.
     pub(super) platform_gate: Option<AcceptGate>,
+    /// Accepts IRC connections.
     pub(super) irc_gate: Option<AcceptGate>,
+    /// Accepts admin clients.
     pub(super) admin_gate: Option<AcceptGate>,
 }
 
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -44,8 +44,7 @@
 }
 
 impl Start {
-    /// Sets up the pools and opens the admin endpoint, which reports from the start that this process is not
-    /// ready.
+    /// Sets up the pools and opens the admin endpoint, which reports that this process is not ready yet.
     pub(super) fn begin(sources: Sources, config: Config) -> Result<Start, TransportError> {
         let admin_listener = config.mgmt.map(listen).transpose()?;
         let assembly = Assembly::new(&config);
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -97,9 +97,9 @@
         Ok(FlowReport {
             answered_bytes: wait_for_end(reading).await,
             observations: self.context.reducer.observations(connection),
-            cut: sent.is_err(),
-            gap: flow.gap,
-            headless: flow.began_before_capture,
+            ended_early: sent.is_err(),
+            gap_after_bytes: flow.gap,
+            began_before_capture: flow.began_before_capture,
         })
     }
 
--- a/src/transport/replay/report.rs
+++ b/src/transport/replay/report.rs
@@ -10,11 +10,11 @@
     /// Bytes that the front sent, if it closed the connection in time.
     pub(super) answered_bytes: Option<usize>,
     /// Whether the front closed the connection before all was sent.
-    pub(super) cut: bool,
-    /// Where the capture has a gap, in bytes.
-    pub(super) gap: Option<usize>,
+    pub(super) ended_early: bool,
+    /// Offset of the capture's gap, in bytes, if it has one.
+    pub(super) gap_after_bytes: Option<usize>,
     /// Whether the flow's start was not captured.
-    pub(super) headless: bool,
+    pub(super) began_before_capture: bool,
 }
 
 impl FlowReport {
@@ -38,13 +38,13 @@
             Some(bytes) => write!(formatter, "; {bytes} bytes back")?,
             None => formatter.write_str("; not ended by the front")?,
         }
-        if self.cut {
+        if self.ended_early {
             formatter.write_str("; ended before all was sent")?;
         }
-        if let Some(gap) = self.gap {
-            write!(formatter, "; gap in the capture after {gap} bytes, the rest left out")?;
+        if let Some(bytes) = self.gap_after_bytes {
+            write!(formatter, "; gap in the capture after {bytes} bytes, the rest left out")?;
         }
-        if self.headless {
+        if self.began_before_capture {
             formatter.write_str("; its begin was not captured")?;
         }
         Ok(())
