--- a/src/transport/daemon/running.rs
+++ b/src/transport/daemon/running.rs
@@ -1,14 +1,16 @@
 //! The running daemon: what its reloads change, and what its end waits for.
 
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+
 use super::super::assembly::Assembly;
 use super::super::error::TransportError;
 use super::super::fronts::{ActiveFront, ActiveFronts};
 use super::super::listener::{AcceptGate, ConnectionStarter};
 use super::super::{admin_server, connection};
 use crate::program::config::{Config, Sources, StoreConfig};
-use std::net::SocketAddr;
-use std::rc::Rc;
-use tokio::net::TcpListener;
 
 /// Names of the fronts, under which a successor is given their listeners.
 pub(super) const PLATFORM_FRONT: &str = "platform";
@@ -16,7 +18,7 @@
 
 /// Reads and checks all configuration files.
 pub(super) fn read_configuration(sources: &Sources) -> Result<Config, TransportError> {
-    sources.read().map_err(|error| TransportError::Configuration(error.into()))
+    sources.read().map_err(TransportError::Configuration)
 }
 
 /// The daemon, with what a reload can change.
@@ -25,18 +27,23 @@
     pub(super) assembly: Assembly,
     /// The fronts that accept connections.
     pub(super) fronts: ActiveFronts,
+    /// Where a reload reads the configuration.
     pub(super) sources: Sources,
+    /// The store's configuration, of which a reload can change the peers only.
     pub(super) store: Option<StoreConfig>,
-    pub(super) platform: Option<AcceptGate>,
-    pub(super) irc: Option<AcceptGate>,
-    pub(super) mgmt: Option<AcceptGate>,
+    /// Accepts the platform's connections.
+    pub(super) platform_gate: Option<AcceptGate>,
+    /// Accepts IRC connections.
+    pub(super) irc_gate: Option<AcceptGate>,
+    /// Accepts admin clients.
+    pub(super) admin_gate: Option<AcceptGate>,
 }
 
 impl Daemon {
     /// Waits until the last answers are written, those to connections that are still queued included.
     pub(super) async fn wait_for_last_answers(&self) {
         let accept_queued = || {
-            for gate in [&self.platform, &self.irc].into_iter().flatten() {
+            for gate in [&self.platform_gate, &self.irc_gate].into_iter().flatten() {
                 gate.accept_queued();
             }
         };
@@ -47,7 +54,7 @@
     pub(super) fn open_front(
         &self,
         name: &'static str,
-        wanted: SocketAddr,
+        configured: SocketAddr,
         front: ActiveFront,
     ) -> AcceptGate {
         self.fronts.register(name, front.clone());
@@ -56,16 +63,16 @@
         let start_connection: ConnectionStarter = Rc::new(move |stream| {
             connection::start(&context, pool, stream, factory());
         });
-        AcceptGate::open_front(&self.assembly.effects.accepting, wanted, listener, start_connection)
+        AcceptGate::open_front(&self.assembly.effects.accepting, configured, listener, start_connection)
     }
 }
 
 /// Accepts admin clients.
 pub(super) fn open_admin_endpoint(
     assembly: &Assembly,
-    wanted: SocketAddr,
+    configured: SocketAddr,
     listener: Rc<TcpListener>,
 ) -> AcceptGate {
     let accept_clients = admin_server::accept_clients(assembly.admin_context(), listener.clone());
-    AcceptGate::open_admin_endpoint(wanted, listener, accept_clients)
+    AcceptGate::open_admin_endpoint(configured, listener, accept_clients)
 }
--- a/src/transport/hot_restart/link.rs
+++ b/src/transport/hot_restart/link.rs
@@ -1,4 +1,4 @@
-//! The link between two processes: a Unix socket that keeps messages apart, with descriptors beside them.
+//! The link between two processes: a Unix socket of messages, with descriptors attached to them.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -12,9 +12,10 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
+use super::error::LinkError;
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_MESSAGE_LENGTH, MAX_SOCKETS};
 
-/// How long a message may take to be written: the other process may hang.
+/// Time-out of sending a message: the other process may hang.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Processes that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 8;
@@ -24,13 +25,13 @@
 /// The connected socket. It is of type `SOCK_SEQPACKET`, though the runtime calls it a stream.
 pub(super) struct Link(UnixStream);
 
-/// A message, and the descriptors beside it.
+/// A message, and the descriptors attached to it.
 pub(super) struct ReceivedMessage {
     pub(super) message: HandoverMessage,
     pub(super) sockets: Vec<OwnedFd>,
 }
 
-/// The bytes of a message, and the descriptors beside it.
+/// The bytes of a message, and the descriptors attached to it.
 struct ReceivedBytes {
     bytes: Vec<u8>,
     sockets: Vec<OwnedFd>,
@@ -41,34 +42,39 @@
     ///
     /// # Errors
     ///
-    /// When none does, or one of another user.
-    pub(super) fn connect(path: &Path) -> io::Result<Link> {
-        let socket = open_socket()?;
-        net::connect(&socket, &net::SocketAddrUnix::new(path)?)?;
+    /// When no process listens there, or one of another user.
+    pub(super) fn connect(path: &Path) -> Result<Link, LinkError> {
+        let socket = open_socket().map_err(io::Error::from)?;
+        let address = net::SocketAddrUnix::new(path).map_err(io::Error::from)?;
+        net::connect(&socket, &address).map_err(io::Error::from)?;
         Link::new(UnixStream::from_std(socket.into())?)
     }
 
-    /// Checks the other end of a socket.
+    /// A link over a socket, if its other end belongs to the same user.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::PermissionDenied`] if it is another user's: in a folder that others may write to,
-    /// what answers could be anybody's.
-    pub(super) fn new(socket: UnixStream) -> io::Result<Link> {
+    /// [`LinkError::OtherUser`] if it does not.
+    pub(super) fn new(socket: UnixStream) -> Result<Link, LinkError> {
         if socket.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-            return Err(io::ErrorKind::PermissionDenied.into());
+            return Err(LinkError::OtherUser);
         }
         Ok(Link(socket))
     }
 
-    /// Sends a message with descriptors beside it.
+    /// Sends a message with descriptors attached to it.
     ///
     /// # Errors
     ///
-    /// When the message is too long, the link is broken or the other process reads nothing.
-    pub(super) async fn send(&self, message: &HandoverMessage, sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let bytes = hot_restart::encode(message).ok_or(io::ErrorKind::InvalidInput)?;
-        timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await?
+    /// When the message is too long, the link is broken or the other process does not read in time.
+    pub(super) async fn send(
+        &self,
+        message: &HandoverMessage,
+        sockets: &[BorrowedFd<'_>],
+    ) -> Result<(), LinkError> {
+        let bytes = hot_restart::encode(message).ok_or(LinkError::MessageTooLong)?;
+        let sent = timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await;
+        Ok(sent.map_err(|_| LinkError::SendTimedOut)??)
     }
 
     async fn send_bytes(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
@@ -91,13 +97,13 @@
         Ok(net::sendmsg(&self.0, &[IoSlice::new(bytes)], &mut ancillary, flags).map(drop)?)
     }
 
-    /// Receives the next message; none at the end. Cancellation-safe: a message is taken off the socket in
-    /// one step.
+    /// Receives the next message; none at the end of the stream. Cancellation-safe: a message is received by a
+    /// single system call.
     ///
     /// # Errors
     ///
-    /// When the link is broken, or what came is no message.
-    pub(super) async fn receive(&self) -> io::Result<Option<ReceivedMessage>> {
+    /// When the link is broken, or the message is invalid.
+    pub(super) async fn receive(&self) -> Result<Option<ReceivedMessage>, LinkError> {
         let ReceivedBytes { bytes, sockets } = loop {
             self.0.readable().await?;
             match self.0.try_io(Interest::READABLE, || self.try_receive()) {
@@ -108,7 +114,7 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        let message = hot_restart::decode(&bytes).ok_or(io::ErrorKind::InvalidData)?;
+        let message = hot_restart::decode(&bytes).ok_or(LinkError::InvalidMessage)?;
         Ok(Some(ReceivedMessage { message, sockets }))
     }
 
@@ -136,13 +142,13 @@
     net::socket_with(net::AddressFamily::UNIX, net::SocketType::SEQPACKET, flags, None)
 }
 
-/// Listens at a path, in the place of whatever did before.
+/// Listens at a path, and replaces an earlier socket there.
 ///
 /// # Errors
 ///
 /// When the system refuses.
 pub(super) fn listen(path: &Path) -> io::Result<UnixListener> {
-    // Bound under a name of its own first: renamed, it replaces the old socket at one go.
+    // The rename replaces the old socket atomically.
     let own_path = path.with_extension(std::process::id().to_string());
     let socket = open_socket()?;
     let _ = std::fs::remove_file(&own_path);
