--- a/tests/daemon/irc.rs
+++ b/tests/daemon/irc.rs
@@ -339,7 +339,7 @@
     let mut silent: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.irc)).collect();
     let mut usual = Client::register(&daemon.irc, "rosa");
     usual.expect_line("001 rosa");
-    // The oldest made room; the last ones may still register.
+    // The oldest were closed for them; the last ones may still register.
     assert_eq!(silent[0].read_to_end(), "");
     silent[399].send_line("NICK sven\r\nUSER u 0 * :A tool");
     silent[399].expect_line("001 sven");
--- a/tests/daemon/migration.rs
+++ b/tests/daemon/migration.rs
@@ -1,4 +1,4 @@
-//! Rebalancing over sockets: a client that is migrated returns and is established at the server with room.
+//! Rebalancing over sockets: a client that is migrated returns and is established at the server with free slots.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,10 +19,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let streams = Arc::new(Mutex::new(Vec::new()));
-        let kept = streams.clone();
+        let recorded = streams.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let kept = kept.clone();
+                let recorded = recorded.clone();
                 std::thread::spawn(move || {
                     let copy = stream.try_clone().expect("a clone");
                     for line in BufReader::new(copy).lines().map_while(Result::ok) {
@@ -30,7 +30,7 @@
                         let answer = if open { format!("{up}\r\nLOAD 60000\r\n") } else { line + "\r\n" };
                         let _ = stream.write_all(answer.as_bytes());
                         if open {
-                            kept.lock().unwrap().push(stream.try_clone().expect("a clone"));
+                            recorded.lock().unwrap().push(stream.try_clone().expect("a clone"));
                         }
                     }
                 });
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn migrates_a_client_of_an_overloaded_server_to_the_server_with_room() {
+fn migrates_a_client_of_an_overloaded_server_to_the_server_with_free_slots() {
     let (overloaded, fresh) = (PlatformServer::start("UP overloaded"), PlatformServer::start("UP fresh"));
     let discovery = start_discovery();
     let text = config(&overloaded, &fresh).replace("127.0.0.1:9", &discovery.address.to_string());
@@ -117,7 +117,7 @@
             }
         });
     }
-    // Less than half of the objective: the decision module by itself migrates no client for that.
+    // Less than half of the objective: the policy alone migrates no client for that.
     let mut migrated = None;
     for _ in 0..20 {
         overloaded.report_message_time(45);
--- a/tests/daemon/platform/clients.rs
+++ b/tests/daemon/platform/clients.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn migrates_players_and_answers_new_clients_at_sigterm_and_exits_in_time() {
+fn migrates_clients_and_answers_new_ones_at_sigterm_and_exits_in_time() {
     let (shop, _) = start_server("UP 1", false);
     let discovery = Discovery::scripted(Vec::new());
     let mut daemon =
--- a/tests/daemon/platform/mod.rs
+++ b/tests/daemon/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's front from end to end, with fake shop servers and a fake discovery.
+//! The platform's front from end to end, with fake servers of the shop platform and a fake discovery.
 
 mod clients;
 mod endpoint_list;
@@ -18,21 +18,21 @@
 fn start_server(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
-    let kept = lines.clone();
+    let recorded = lines.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let kept = kept.clone();
+            let recorded = recorded.clone();
             std::thread::spawn(move || {
                 for line in BufReader::new(stream.try_clone().expect("a clone")).lines().map_while(Result::ok)
                 {
-                    kept.lock().unwrap().push(line.clone());
+                    recorded.lock().unwrap().push(line.clone());
                     let open = line.starts_with("OPEN ");
                     let answer = if open { up } else { &line };
                     if open || !silent {
                         let _ = stream.write_all(format!("{answer}\r\n").as_bytes());
                     }
                 }
-                kept.lock().unwrap().push("end".to_owned());
+                recorded.lock().unwrap().push("end".to_owned());
             });
         }
     });
--- a/tests/daemon/platform/probes.rs
+++ b/tests/daemon/platform/probes.rs
@@ -14,16 +14,16 @@
 fn start_probed_server(answers: &'static [&'static str]) -> (SocketAddr, Lines, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
-    let (kept, probing) = (lines.clone(), Arc::new(AtomicUsize::new(0)));
+    let (recorded, probing) = (lines.clone(), Arc::new(AtomicUsize::new(0)));
     let (count, next) = (probing.clone(), Arc::new(AtomicUsize::new(0)));
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (kept, count, next) = (kept.clone(), count.clone(), next.clone());
+            let (recorded, count, next) = (recorded.clone(), count.clone(), next.clone());
             std::thread::spawn(move || {
                 let mut probes = 0;
                 for line in BufReader::new(stream.try_clone().expect("a clone")).lines().map_while(Result::ok)
                 {
-                    kept.lock().unwrap().push(line.clone());
+                    recorded.lock().unwrap().push(line.clone());
                     if line != "STATS" {
                         let _ = stream.write_all(b"UP 1\r\n");
                         continue;
--- a/tests/daemon/races/client.rs
+++ b/tests/daemon/races/client.rs
@@ -168,7 +168,7 @@
     assert_eq!(client.read_line(), "PONG");
     daemon.suspend();
     client.send_line("OPEN late 7f3a c=chat,d=9000");
-    // Its time to ask, 1.5 s from the platform's page, passes meanwhile.
+    // The handshake timeout of 1.5 s passes meanwhile.
     std::thread::sleep(Duration::from_millis(1700));
     daemon.resume();
     let mut attempt = server.accept();
--- a/tests/daemon/races/discovery.rs
+++ b/tests/daemon/races/discovery.rs
@@ -53,7 +53,7 @@
     assert!(old.try_accept().is_none());
 }
 
-/// Changes of an older list than the held one do not apply to it.
+/// Changes of an older list than the present one do not apply to it.
 #[test]
 fn requests_the_whole_list_when_the_generation_goes_back() {
     let (old, new) = (ManualServer::start(), ManualServer::start());
@@ -143,11 +143,11 @@
         let calls: Vec<_> = (0..6)
             .map(|_| {
                 let call = discovery.next_call();
-                let whole = !call.request.contains("from=");
+                let is_snapshot = !call.request.contains("from=");
                 call.send_endpoint_list(nonsense.unwrap_or(&endpoint_list(
                     1,
-                    whole,
-                    &[nth_endpoint(0, &server, "ready")][..usize::from(whole)],
+                    is_snapshot,
+                    &[nth_endpoint(0, &server, "ready")][..usize::from(is_snapshot)],
                 )));
                 Instant::now()
             })
--- a/tests/policy/attempts.rs
+++ b/tests/policy/attempts.rs
@@ -48,7 +48,7 @@
             && harness.actions.contains(&Action::CancelAttempt { request, attempt: 0 })
     );
     harness.end_attempt(request, 0, Outcome::Cancelled, true);
-    assert_eq!(harness.held(1), 0.0);
+    assert_eq!(harness.occupied_slots(1), 0.0);
 }
 
 #[test]
@@ -61,5 +61,5 @@
         harness.handle(Event::ClientLeft { request: first });
         harness.establish(first, 0);
     }
-    assert_eq!(harness.held(1), 1.0);
+    assert_eq!(harness.occupied_slots(1), 1.0);
 }
--- a/tests/policy/ceilings.rs
+++ b/tests/policy/ceilings.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn avoids_a_full_server_while_another_has_room() {
+fn avoids_a_full_server_while_another_has_free_slots() {
     let mut harness = Harness::new(settings(), &endpoints(2));
     for _ in 0..4 {
         harness.restore(1, None);
@@ -91,10 +91,10 @@
 }
 
 /// Seen on the second site (`upgrade+hand`, seed 8): reports are a second old, and each that came again set
-/// the ceiling over what was held by then, so that a host at 0.61 took ten more within 1.2 s, and was at ten
+/// the ceiling over what was held by then, so that a server at 0.61 took ten more within 1.2 s, and was at ten
 /// times its objective.
 #[test]
-fn a_report_counts_what_was_held_when_it_was_made() {
+fn a_report_counts_the_slots_that_were_occupied_when_it_was_made() {
     let mut harness = Harness::new(settings(), &endpoints(1));
     (0..8).for_each(|_| _ = harness.restore(1, None));
     let report = |harness: &mut Harness, utilisation: f64| {
@@ -115,7 +115,7 @@
 /// Found on grown fleets: its part of the free capacity came to a tenth of a slot for a reported server, and
 /// one that had never been asked, with a few slots, attracted nearly everything.
 #[test]
-fn one_of_many_balancers_sees_room_on_a_reported_server() {
+fn one_of_many_balancers_sees_free_slots_on_a_reported_server() {
     let mut harness = Harness::new(Settings { balancers: 600, ..settings() }, &endpoints(2));
     harness.report_load(1, 0.2);
     assert!(harness.ceiling(1) > harness.ceiling(2) / 2.0, "{}", harness.ceiling(1));
@@ -150,21 +150,21 @@
     assert!(harness.ceiling(1) >= 1.0, "it gets its slot back");
 }
 
-/// Seen in the simulator: messages of a host that held 21 slots were late for three seconds and then fast,
+/// Seen in the simulator: messages of a server that held 21 slots were late for three seconds and then fast,
 /// and its ceiling, cut anew at each message time, was 2 and stayed there: half of all requests were
 /// rejected.
 #[test]
-fn each_message_time_measures_what_is_held_now() {
+fn each_message_time_measures_the_slots_that_are_occupied_now() {
     let mut harness = Harness::new(settings(), &endpoints(1));
-    let held: Vec<_> = (0..12).map(|_| harness.restore(1, None)).collect();
+    let established: Vec<_> = (0..12).map(|_| harness.restore(1, None)).collect();
     for late in [900, 400, 150, 60] {
-        harness.measure(held[0], Measurement::MessageTime(late * MS));
+        harness.measure(established[0], Measurement::MessageTime(late * MS));
         let wanted = 12.0 / (1.0 + late as f64 / 100.0);
         assert!((harness.ceiling(1) - wanted).abs() < 1e-9, "{} at {late} ms", harness.ceiling(1));
         harness.advance(SECOND);
     }
     // Fast again with all that it holds: it carries that well, and after a while one more.
-    harness.measure(held[0], Measurement::MessageTime(9 * MS));
+    harness.measure(established[0], Measurement::MessageTime(9 * MS));
     assert_eq!(harness.ceiling(1), 12.0);
     harness.arrive();
     assert_eq!(harness.attempted_server(), None, "a moment ago it was slow");
@@ -180,12 +180,12 @@
     let mut harness = Harness::new(settings(), &endpoints(1));
     // The first of a group takes three slots where no more than two of four are free.
     harness.restore(1, None);
-    let held: Vec<_> = (0..2).map(|_| harness.restore(1, None)).collect();
+    let established: Vec<_> = (0..2).map(|_| harness.restore(1, None)).collect();
     let request = harness.arrive_in_group(Some(9));
     assert_eq!(harness.attempted_server(), Some(1));
     harness.establish(request, 0);
     // Loads that grow past the ceiling are no fault of the server.
-    for (n, &id) in held.iter().enumerate() {
+    for (n, &id) in established.iter().enumerate() {
         harness.measure(id, Measurement::Load(1.0 + 9.0 * n as f64));
     }
     harness.arrive();
@@ -193,7 +193,7 @@
     // But the next has to wait until that one has been taken, and after a fault the server keeps what it has.
     harness.arrive();
     assert_eq!(harness.attempted_server(), None);
-    harness.measure(held[0], SLOW);
+    harness.measure(established[0], SLOW);
     harness.advance(2 * SECOND);
     harness.arrive();
     assert_eq!(harness.attempted_server(), None);
--- a/tests/policy/connection_load.rs
+++ b/tests/policy/connection_load.rs
@@ -11,9 +11,9 @@
     for (request, load) in [(light, 10_000.0), (heavy, 70_000.0)] {
         harness.measure(request, Measurement::Load(load));
     }
-    assert!(harness.held(2) > harness.held(1));
+    assert!(harness.occupied_slots(2) > harness.occupied_slots(1));
     harness.end_attempt(heavy, 0, Outcome::Ok, true);
-    assert_eq!(harness.held(2), 0.0, "all that it took is released");
+    assert_eq!(harness.occupied_slots(2), 0.0, "all that it took is released");
 }
 
 #[test]
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn a_restarted_server_inherits_nothing() {
+fn a_restarted_server_starts_without_learned_state() {
     let mut harness = Harness::new(settings(), &endpoints(1));
     let (request, _) = harness.place();
     let restarted = EndpointEntry { started: Some(harness.now), ..endpoint(1) };
     harness.handle(Event::EndpointsChanged(&[restarted]));
-    assert_eq!(harness.held(1), 0.0);
+    assert_eq!(harness.occupied_slots(1), 0.0);
     harness.end_attempt(request, 0, Outcome::Reset, true);
-    assert_eq!((harness.held(1), harness.ceiling(1)), (0.0, 4.0), "nor its late outcomes");
+    assert_eq!((harness.occupied_slots(1), harness.ceiling(1)), (0.0, 4.0), "nor its late outcomes");
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let answers = [true, false];
     let [by_confirmed, by_expired] = answers.map(|answers| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
-        let held: Vec<_> = (0..14).map(|_| harness.restore(1, None)).collect();
+        let established: Vec<_> = (0..14).map(|_| harness.restore(1, None)).collect();
         let since = harness.now;
         harness.advance(6 * SECOND - 100 * MS);
         let requests: Vec<_> = (0..6).map(|_| harness.arrive()).collect();
@@ -98,7 +98,7 @@
         }
         harness.arrive();
         let places = harness.attempted_server().is_some();
-        harness.measure(held[0], OVERLOADED);
+        harness.measure(established[0], OVERLOADED);
         (probes > 0, places, has_migration(&harness))
     });
     assert_eq!(by_confirmed, (true, true, true));
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -197,7 +197,7 @@
 }
 
 /// Seen on the simulator's days at size: while many reconnected, set-ups took over a second each in the
-/// session store that all hosts share. Given up after half of their client's time they were tried elsewhere
+/// session store that all servers share. Given up after half of their client's time they were tried elsewhere
 /// and were in the store's queue twice; established connections fell from 170 to 50 and did not come back.
 #[test]
 fn serves_a_burst_as_fast_as_the_shared_session_store_allows() {
@@ -213,7 +213,7 @@
 
 /// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): for five seconds set-ups took 1.3
 /// to 2.2 s at the median in the session store's queue, so that most with little time were served in vain,
-/// and came again. On `roll+mass`, seed 1, it erred at once at all hosts alike, and each client was tried at
+/// and came again. On `roll+mass`, seed 1, it erred at once at all servers alike, and each client was tried at
 /// six. Four hundred a second come here; the store serves eighty, and has a queue of two seconds.
 #[test]
 fn an_overloaded_session_store_empties_its_queue() {
@@ -229,7 +229,7 @@
         (store.established, store.served_in_vain) = (0, 0);
         pass(&mut store, 4000, 12_000);
         let most = store.attempts.values().max();
-        assert!(most <= Some(&3), "{most:?} attempts at what all hosts share");
+        assert!(most <= Some(&3), "{most:?} attempts at what all servers share");
         (store.established, store.served_in_vain)
     };
     let ((established, served_in_vain), (established_alone, served_in_vain_alone)) =
@@ -241,7 +241,7 @@
     // Each for itself observes it once in a second or two.
     assert!(
         established_alone < established && served_in_vain_alone > served_in_vain,
-        "gossip is worth its price: {established_alone}, {served_in_vain_alone} in vain"
+        "gossip serves more than it costs: {established_alone}, {served_in_vain_alone} in vain"
     );
 }
 
@@ -287,13 +287,13 @@
     };
     let lists = [
         (false, Vec::new()),
-        (false, odd(|host| host.state = EndpointState::Draining)),
-        (false, odd(|host| host.state = EndpointState::Gone)),
-        (true, odd(|host| host.started = Some(START.minus(MS)))),
-        (true, odd(|host| host.started = Some(START))),
-        (true, odd(|host| host.started = Some(START.plus(3600 * SECOND)))),
-        (true, odd(|host| host.started = Some(Time(u64::MAX)))),
-        (true, odd(|host| host.weight = 1e308)),
+        (false, odd(|entry| entry.state = EndpointState::Draining)),
+        (false, odd(|entry| entry.state = EndpointState::Gone)),
+        (true, odd(|entry| entry.started = Some(START.minus(MS)))),
+        (true, odd(|entry| entry.started = Some(START))),
+        (true, odd(|entry| entry.started = Some(START.plus(3600 * SECOND)))),
+        (true, odd(|entry| entry.started = Some(Time(u64::MAX)))),
+        (true, odd(|entry| entry.weight = 1e308)),
     ];
     for balancers in [0, 1, 100, u32::MAX] {
         for (n, (served, list)) in lists.iter().enumerate() {
@@ -325,63 +325,69 @@
 }
 
 /// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): 978 connections of 38 groups, on
-/// 158 pairs of group and host at first, were 766 on 458 pairs twenty seconds later. Each host that holds any
-/// of a group pays three mean loads for it. Balancers that learned of slow hosts kept to the few where they
+/// 158 pairs of group and server at first, were 766 on 458 pairs twenty seconds later. Each server that holds any
+/// of a group pays three mean loads for it. Balancers that learned of slow servers kept to the few where they
 /// held something, whatever came.
 #[test]
-fn three_hundred_balancers_keep_a_group_on_as_few_hosts_as_it_fills() {
-    const HOSTS: u32 = 60;
+fn three_hundred_balancers_keep_a_group_on_as_few_servers_as_it_fills() {
+    const SERVERS: u32 = 60;
     let settings = Settings { balancers: 300, max_retry_after: SECOND, ..settings() };
-    let list = endpoints(HOSTS);
+    let list = endpoints(SERVERS);
     let mut fleet: Vec<Harness> = (0..300).map(|n| Harness::seeded(settings.clone(), &list, n)).collect();
     // Thirty groups of ten, and one of 300, which is half of all: scattered, as after restarts.
     let group_of = |n: u64| if n.is_multiple_of(2) { 77 } else { 1000 + n / 2 % 30 };
     for n in 0..600 {
-        fleet[(n * 7 % 300) as usize].restore(1 + n as u32 * 11 % HOSTS, Some(group_of(n)));
+        fleet[(n * 7 % 300) as usize].restore(1 + n as u32 * 11 % SERVERS, Some(group_of(n)));
     }
-    // All receive a sample of the groups of a tenth of them, and that a fifth of the hosts are slow.
+    // All receive a sample of the groups of a tenth of them, and that a fifth of the servers are slow.
     let samples: Vec<Vec<_>> =
         fleet.iter().step_by(10).map(|b| b.balancer.established_groups().map(Some).collect()).collect();
     for harness in &mut fleet {
         samples.iter().for_each(|sample| harness.handle(Event::PeerGroupSample(sample)));
-        (1..=12).for_each(|host| {
-            harness.handle(Event::PeerObservation { server: ServerId(host), took: Some(60 * MS) });
+        (1..=12).for_each(|server| {
+            harness.handle(Event::PeerObservation { server: ServerId(server), took: Some(60 * MS) });
         });
     }
-    let mut hosts_of: BTreeMap<u64, BTreeMap<u32, u32>> = BTreeMap::new();
+    let mut servers_of: BTreeMap<u64, BTreeMap<u32, u32>> = BTreeMap::new();
     for n in 0..600 {
         // Few of those to whom they come hold any of the group.
         let harness = &mut fleet[((n * 13 + 1) % 300) as usize];
         let request = harness.arrive_in_group(Some(group_of(n)));
-        let host = harness.attempted_server().expect("forty-eight hosts have room");
-        // Who holds one of the group at a host stays with that; here it is new ones that are counted.
+        let server = harness.attempted_server().expect("forty-eight servers have free slots");
+        // Who holds one of the group at a server stays with that; here it is new ones that are counted.
         harness.end_attempt(request, 0, Outcome::Ok, true);
-        *hosts_of.entry(group_of(n)).or_default().entry(host).or_insert(0) += 1;
+        *servers_of.entry(group_of(n)).or_default().entry(server).or_insert(0) += 1;
     }
-    let large = hosts_of.remove(&77).expect("half of them all");
-    assert!((15..=48).contains(&large.len()), "{} hosts for half of all", large.len());
+    let large = servers_of.remove(&77).expect("half of them all");
+    assert!((15..=48).contains(&large.len()), "{} servers for half of all", large.len());
     assert!(large.values().all(|&count| count <= 40), "{large:?}");
-    let small: usize = hosts_of.values().map(BTreeMap::len).sum();
-    assert!(small <= 30 * 5, "{small} pairs of group and host for 30 groups that fit on one each");
+    let small: usize = servers_of.values().map(BTreeMap::len).sum();
+    assert!(small <= 30 * 5, "{small} pairs of group and server for 30 groups that fit on one each");
 }
 
-/// What goes to each cold host in each second, where half of the hosts of a fleet have just been replaced and
-/// so many connections come a second; of ones without a group, so that each takes one slot.
-fn sent_to_cold(settings: &Settings, hosts: u32, held: u32, come: usize, seconds: usize) -> Vec<Vec<usize>> {
-    let list = endpoints(hosts);
+/// The requests that each cold server is sent in each second, where half of the servers have just been replaced. The
+/// requests have no group, so that each takes one slot.
+fn sent_to_cold(
+    settings: &Settings,
+    servers: u32,
+    established: u32,
+    requests_per_second: usize,
+    seconds: usize,
+) -> Vec<Vec<usize>> {
+    let list = endpoints(servers);
     let seeded = |n: u32| Harness::seeded(settings.clone(), &list, n.into());
     let mut fleet: Vec<Harness> = (0..settings.balancers).map(seeded).collect();
     let balancers = fleet.len();
-    for n in 0..held {
-        fleet[n as usize * 7 % balancers].restore(1 + n * 11 % hosts, None);
+    for n in 0..established {
+        fleet[n as usize * 7 % balancers].restore(1 + n * 11 % servers, None);
     }
     let start = START.plus(SECOND);
-    let replaced: Vec<EndpointEntry> = (1..=hosts)
-        .flat_map(|host| match host % 2 {
+    let replaced: Vec<EndpointEntry> = (1..=servers)
+        .flat_map(|server| match server % 2 {
             0 => vec![],
             _ => vec![
-                EndpointEntry { state: EndpointState::Gone, ..endpoint(host) },
-                EndpointEntry { started: Some(start), ..endpoint(host + hosts) },
+                EndpointEntry { state: EndpointState::Gone, ..endpoint(server) },
+                EndpointEntry { started: Some(start), ..endpoint(server + servers) },
             ],
         })
         .collect();
@@ -392,40 +398,40 @@
         harness.now = start;
         harness.handle(Event::EndpointsChanged(&replaced));
     }
-    let mut to_cold = vec![vec![0; hosts as usize]; seconds];
-    for n in 0..come * seconds {
+    let mut to_cold = vec![vec![0; servers as usize]; seconds];
+    for n in 0..requests_per_second * seconds {
         let harness = &mut fleet[(n * 13 + n / balancers) % balancers];
-        harness.now = start.plus(n as u64 * SECOND / come as u64);
+        harness.now = start.plus(n as u64 * SECOND / requests_per_second as u64);
         let request = harness.arrive();
-        if let Some(host) = harness.attempted_server().filter(|host| *host > hosts) {
-            to_cold[n / come][(host - hosts) as usize - 1] += 1;
+        if let Some(server) = harness.attempted_server().filter(|server| *server > servers) {
+            to_cold[n / requests_per_second][(server - servers) as usize - 1] += 1;
         }
-        // What the hosts hold, which budgets go by, stays as it was.
+        // The occupancy of the servers, on which their budgets depend, stays as it was.
         harness.end_attempt(request, 0, Outcome::Ok, true);
     }
     to_cold
 }
 
-/// Seen on the simulator's days with 300 balancers (`join+mass`, seed 202): while 25 to 49 of 70 hosts were
+/// Seen on the simulator's days with 300 balancers (`join+mass`, seed 202): while 25 to 49 of 70 servers were
 /// cold, one to six of a hundred connections a second went to any of them, and the 20 warm ones dropped 50 to
-/// 80 a second. Each balancer had saved up a three-hundredth of a cold host's budget, which went unused at
-/// nearly all of them. And rule 4: cold hosts get no more than their budgets, all balancers together, however
-/// many come.
+/// 80 a second. Each balancer had saved up a three-hundredth of a cold server's budget, which went unused at
+/// nearly all of them. And from all balancers together cold servers get no more than their budgets, however many
+/// requests arrive.
 #[test]
-fn three_hundred_balancers_use_the_budgets_of_cold_hosts_and_not_more() {
+fn three_hundred_balancers_use_the_budgets_of_cold_servers_and_not_more() {
     let settings =
         Settings { balancers: 300, max_retry_after: SECOND, slow_start_overload_factor: 4.0, ..settings() };
     for (come, least) in [(100, 60), (400, 120)] {
         let to_cold = sent_to_cold(&settings, 60, 900, come, 6);
         let all: usize = to_cold.iter().flatten().sum();
-        assert!(all >= least, "{all} of {} went to cold hosts", come * 6);
+        assert!(all >= least, "{all} of {} went to cold servers", come * 6);
         for second in 0..5 {
-            // Hosts held 15 each. A cold one has 0.3 of its capacity, all after 10 s, and bears four times as
+            // Servers held 15 each. A cold one has 0.3 of its capacity, all after 10 s, and bears four times as
             // much as fills it within that time.
             let warmth = 0.3 + 0.07 * second as f64;
             let budget = 2.0 * warmth * 4.0 * 15.0 / 10.0;
             let window: Vec<usize> =
-                (0..60).map(|host| to_cold[second][host] + to_cold[second + 1][host]).collect();
+                (0..60).map(|server| to_cold[second][server] + to_cold[second + 1][server]).collect();
             let sum: usize = window.iter().sum();
             assert!(
                 sum as f64 <= 30.0 * budget,
--- a/tests/policy/groups_and_zones.rs
+++ b/tests/policy/groups_and_zones.rs
@@ -17,7 +17,7 @@
     assert_eq!(picks, [Some(2), Some(2), Some(2), Some(2), Some(1)]);
 }
 
-/// Incident r256aba: a balancer that had just started placed 30 of 63 returning clients at the one host of
+/// Incident r256aba: a balancer that had just started placed 30 of 63 returning clients at the one server of
 /// its own zone, which then dropped 21 of them at once.
 #[test]
 fn a_wave_after_a_restart_spreads_over_all_zones() {
@@ -67,13 +67,13 @@
     // Incident if811f4: spread over most servers, groups ate them up.
     let mut harness = Harness::new(settings(), &endpoints(1));
     let alone = harness.restore(1, Some(1));
-    let with_group = harness.held(1);
+    let with_group = harness.occupied_slots(1);
     let second = harness.restore(1, Some(1));
-    assert!(with_group > 1.0 && harness.held(1) == with_group + 1.0);
+    assert!(with_group > 1.0 && harness.occupied_slots(1) == with_group + 1.0);
     harness.end_attempt(alone, 0, Outcome::Ok, true);
-    assert_eq!(harness.held(1), with_group, "the group is paid for while any of it is held");
+    assert_eq!(harness.occupied_slots(1), with_group, "the group is paid for while any of it is held");
     harness.end_attempt(second, 0, Outcome::Ok, true);
-    assert_eq!(harness.held(1), 0.0);
+    assert_eq!(harness.occupied_slots(1), 0.0);
 }
 
 #[test]
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -144,7 +144,7 @@
     /// A request whose connection is established; returns it and its server.
     pub(crate) fn place(&mut self) -> (RequestId, u32) {
         let request = self.arrive();
-        let server = self.attempted_server().expect("a server has room");
+        let server = self.attempted_server().expect("a server has a free slot");
         self.establish(request, 0);
         (request, server)
     }
@@ -165,8 +165,8 @@
         })
     }
 
-    /// Slots held at a server.
-    pub(crate) fn held(&self, server: u32) -> f64 {
+    /// Slots that are occupied at a server.
+    pub(crate) fn occupied_slots(&self, server: u32) -> f64 {
         self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.occupied_slots)
     }
 
--- a/tests/policy/migration.rs
+++ b/tests/policy/migration.rs
@@ -6,20 +6,20 @@
     endpoint, endpoints, has_migration, settings, Harness, MS, OVERLOADED, SECOND, SLOW, START,
 };
 
-/// Seen on the same site: clients migrated from an overloaded server when none but cold servers had room,
+/// Seen on the same site: clients migrated from an overloaded server when none but cold servers had free slots,
 /// which might take one each every few seconds; they were rejected instead.
 #[test]
-fn does_not_migrate_for_room_that_may_not_be_used_yet() {
+fn does_not_migrate_to_free_slots_that_slow_start_withholds() {
     let moves = |cold: bool| {
         let started = cold.then_some(START);
         let mut harness = Harness::new(settings(), &[endpoint(1), EndpointEntry { started, ..endpoint(2) }]);
-        let held: Vec<_> = (0..16).map(|_| harness.restore(1, None)).collect();
+        let established: Vec<_> = (0..16).map(|_| harness.restore(1, None)).collect();
         harness.arrive_and_end();
         let took = 90 * MS;
         (0..10)
             .map(|_| {
                 harness.advance(SECOND / 2);
-                harness.measure(held[0], Measurement::MessageTime(took));
+                harness.measure(established[0], Measurement::MessageTime(took));
                 usize::from(has_migration(&harness))
             })
             .sum::<usize>()
@@ -33,33 +33,33 @@
 }
 
 #[test]
-fn an_overloaded_server_gives_up_a_connection_only_if_others_have_room() {
+fn an_overloaded_server_gives_up_a_connection_only_if_others_have_free_slots() {
     let migrates_with_others_at = |connections: u32, last: Option<Measurement>| {
         let mut harness = Harness::new(settings(), &endpoints(2));
-        let held: Vec<_> = (0..8).map(|_| harness.restore(1, None)).collect();
+        let established: Vec<_> = (0..8).map(|_| harness.restore(1, None)).collect();
         for _ in 0..connections {
             let other = harness.restore(2, None);
             last.into_iter().for_each(|measurement| harness.measure(other, measurement));
         }
-        harness.measure(held[0], OVERLOADED);
+        harness.measure(established[0], OVERLOADED);
         has_migration(&harness)
     };
     assert!(migrates_with_others_at(2, None));
-    // At its ceiling, but sound for all that is known: one over is room.
+    // At its ceiling, but sound for all that is known: one above the ceiling is free.
     assert!(migrates_with_others_at(4, None));
     // Incident i4f6a4a: with nowhere to go, migrations only add work to a full fleet.
     assert!(!migrates_with_others_at(4, Some(SLOW)));
 }
 
-/// Seen in the simulator: messages of an ageing host took 5 to 18 times their objective for ten seconds, and
+/// Seen in the simulator: messages of an ageing server took 5 to 18 times their objective for ten seconds, and
 /// of its fourteen connections one left every other second.
 #[test]
 fn a_server_whose_messages_are_all_late_is_left_within_seconds() {
     let left_after = |seconds: u64, stable: u32| {
         let mut harness = Harness::new(settings(), &endpoints(4));
-        let held: Vec<_> = (0..14).map(|_| harness.restore(1, None)).collect();
+        let established: Vec<_> = (0..14).map(|_| harness.restore(1, None)).collect();
         // Whoever is asked to migrate is gone from then on.
-        let mut there = held.clone();
+        let mut there = established.clone();
         for other in (2..=4).skip(stable as usize) {
             let id = harness.restore(other, None);
             harness.measure(id, OVERLOADED);
@@ -76,7 +76,7 @@
                 })
                 .collect();
             for id in migrating {
-                there.retain(|held| *held != id);
+                there.retain(|request| *request != id);
                 harness.end_attempt(id, 0, Outcome::Cancelled, true);
             }
             if there.is_empty() {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn balancers_that_hold_little_migrate_in_proportion() {
+fn balancers_with_few_connections_migrate_in_proportion() {
     // Incident i4bed73: eighteen balancers with one connection each emptied every overloaded server. An
     // eighth of them migrates at each message time; over 2,000 seeds within 0.04, five standard deviations.
     let migrations = (0..2_000)
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -7,7 +7,7 @@
 /// Incident i25fadb: each of many balancers soon forgot, and all together tried a full server without a
 /// pause.
 #[test]
-fn a_balancer_that_holds_little_remembers_faults_for_longer() {
+fn a_balancer_with_few_connections_remembers_faults_for_longer() {
     let forgives = |connections: u32| {
         let mut harness = Harness::new(settings(), &endpoints(8));
         for i in 0..connections {
@@ -52,9 +52,9 @@
 fn an_ejected_server_returns_by_single_trials() {
     // The other is healthy but overloaded, so that only the first can take anything.
     let mut harness = Harness::new(settings(), &endpoints(2));
-    let held: Vec<_> = (0..4).map(|_| harness.restore(2, None)).collect();
+    let established: Vec<_> = (0..4).map(|_| harness.restore(2, None)).collect();
     let overload = |harness: &mut Harness| {
-        for &request in &held {
+        for &request in &established {
             harness.measure(request, SLOW);
         }
     };
@@ -98,8 +98,8 @@
 fn does_not_retry_early_on_a_fleet_that_drops() {
     // Incident i4f6a4a: trials before their time kept an overloaded fleet from recovering.
     let mut harness = Harness::new(settings(), &endpoints(2));
-    let held: Vec<_> = (0..8).map(|i| harness.restore(1 + i % 2, None)).collect();
-    for request in held {
+    let established: Vec<_> = (0..8).map(|i| harness.restore(1 + i % 2, None)).collect();
+    for request in established {
         harness.end_attempt(request, 0, Outcome::Reset, true);
     }
     harness.arrive();
--- a/tests/policy/peers.rs
+++ b/tests/policy/peers.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// What is spent stays a hundredth of the worth of all connections, over all balancers, however many servers
+/// What is spent stays a hundredth of the value of all connections, over all balancers, however many servers
 /// are slow, and of many balancers that hold little some can always send.
 #[test]
 fn established_connections_pay_for_messages() {
@@ -144,7 +144,7 @@
         harness.place();
     }
     harness.handle(Event::PeerObservation { server: ServerId(1), took: None });
-    assert_eq!((harness.held(1), harness.ceiling(1)), (3.0, 3.5));
+    assert_eq!((harness.occupied_slots(1), harness.ceiling(1)), (3.0, 3.5));
 }
 
 #[test]
--- a/tests/policy/probes.rs
+++ b/tests/policy/probes.rs
@@ -5,7 +5,7 @@
 use crate::harness::{count_probes, endpoints, settings, Harness};
 
 #[test]
-fn probes_cost_a_bounded_part_of_all_worth() {
+fn probes_cost_a_bounded_part_of_the_delivered_value() {
     let settings =
         Settings { probes: true, probe_reports: true, probe_cost: 0.01, poll_required: false, ..settings() };
     let mut harness = Harness::new(settings, &endpoints(4));
--- a/tests/policy/rules/mod.rs
+++ b/tests/policy/rules/mod.rs
@@ -1,12 +1,12 @@
 //! What the balancer promises, over arbitrary legal sequences of events.
 
-mod host;
+mod rule_checker;
 
 use connection_balancer::*;
 use proptest::prelude::*;
 
 use crate::harness::{endpoints, settings, Harness, MS, START};
-use host::Host;
+use rule_checker::RuleChecker;
 
 /// One thing that may happen. Numbers choose among what is there at that time.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     Slow { index: usize, ms: u64 },
     Load { index: usize, load: f64 },
     LoadReport { server: u32, utilisation: f64 },
-    UpdateEndpoint { server: u32, state: usize, restarted: bool, whole: bool, weight: f64 },
+    UpdateEndpoint { server: u32, state: usize, restarted: bool, is_snapshot: bool, weight: f64 },
     FailEndpointWatch,
     Stray { request: u64, attempt: u32 },
     Wait { ms: u64 },
@@ -39,8 +39,8 @@
         2 => (index, odd.clone()).prop_map(|(index, load)| Step::Load { index, load }),
         1 => (0..8u32, odd.clone()).prop_map(|(server, utilisation)| Step::LoadReport { server, utilisation }),
         3 => (0..8u32, 0..3usize, any::<bool>(), any::<bool>(), odd).prop_map(
-            |(server, state, restarted, whole, weight)| Step::UpdateEndpoint {
-                server, state, restarted, whole, weight
+            |(server, state, restarted, is_snapshot, weight)| Step::UpdateEndpoint {
+                server, state, restarted, is_snapshot, weight
             }),
         1 => Just(Step::FailEndpointWatch),
         1 => (0..80u64, 0..3u32).prop_map(|(request, attempt)| Step::Stray { request, attempt }),
@@ -49,12 +49,12 @@
 }
 
 fn play(seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut host = Host::new(seed);
+    let mut checker = RuleChecker::new(seed);
     for step in steps {
-        host.take_step(step);
+        checker.take_step(step);
     }
-    host.end_all();
-    host.log
+    checker.end_all();
+    checker.log
 }
 
 proptest! {
@@ -74,18 +74,18 @@
         prop_assert_eq!(play(seed, &steps), play(seed, &steps));
     }
 
-    /// Rule 4: whatever the others hold and whatever fails, sends to a cold server keep apart.
+    /// Whatever the occupancy of the others and whatever fails, attempts at a cold server keep apart.
     #[test]
     fn attempts_at_a_cold_server_keep_apart(
         seed in any::<u64>(),
-        held in 0..200u32,
+        established in 0..200u32,
         gaps in proptest::collection::vec(0..60u64, 1..400),
     ) {
         let settings = Settings { balancers: 4, ..settings() };
         let mut list = endpoints(4);
         list[0].started = Some(START);
         let mut harness = Harness::seeded(settings.clone(), &list, seed);
-        for i in 0..held {
+        for i in 0..established {
             harness.restore(2 + i % 3, None);
         }
         let mut sends: Vec<Time> = Vec::new();
@@ -97,8 +97,8 @@
             }
             harness.end_attempt(request, 0, Outcome::Rejected, true);
         }
-        // Held on the mean by the fleet: what a server can surely carry, here of this balancer.
-        let size = (f64::from(held + 4) / 4.0).max(1.0);
+        // The mean occupancy of the fleet: what a server can surely carry, here of this balancer.
+        let size = (f64::from(established + 4) / 4.0).max(1.0);
         for (i, first) in sends.iter().enumerate() {
             let cold = sends[i..].iter().filter(|at| at.since(START) < settings.slow_start_duration);
             let window = cold.take_while(|at| at.since(*first) < settings.slow_start_window);
--- a/tests/policy/rules/host.rs
+++ b/tests/policy/rules/rule_checker.rs
@@ -1,4 +1,4 @@
-//! A host that hands events to the balancer, carries out its actions, and checks each against its own records.
+//! Hands events to a balancer, carries out its actions, and checks each action against records of its own.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     Outcome::NotSent,
 ];
 
-/// An attempt as the host knows it.
+/// An attempt in the records.
 #[derive(Clone, Copy)]
 struct InFlight {
     number: u32,
@@ -28,7 +28,7 @@
     established: bool,
 }
 
-/// A request as the host knows it.
+/// A request in the records.
 struct TrackedRequest {
     class: ClassId,
     deadline: Time,
@@ -40,8 +40,8 @@
     may_have_run: Vec<InFlight>,
 }
 
-/// A host that keeps its own records of what the balancer was handed and did.
-pub(super) struct Host {
+/// A balancer, and records of what it was handed and did.
+pub(super) struct RuleChecker {
     harness: Harness,
     settings: Settings,
     list: BTreeMap<ServerId, EndpointEntry>,
@@ -57,8 +57,8 @@
     }
 }
 
-impl Host {
-    pub(super) fn new(seed: u64) -> Host {
+impl RuleChecker {
+    pub(super) fn new(seed: u64) -> RuleChecker {
         let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 700 * MS };
         let repeats = [
             Idempotency::Idempotent,
@@ -77,8 +77,8 @@
             probe_cost: 0.001,
             ..settings()
         };
-        let list: Vec<EndpointEntry> = (0..6).map(Host::endpoint).collect();
-        let mut host = Host {
+        let list: Vec<EndpointEntry> = (0..6).map(RuleChecker::endpoint).collect();
+        let mut checker = RuleChecker {
             harness: Harness::seeded(settings.clone(), &list, seed),
             settings,
             list: list.iter().map(|l| (l.server, *l)).collect(),
@@ -86,8 +86,8 @@
             timers: Vec::new(),
             log: Vec::new(),
         };
-        host.carry_out();
-        host
+        checker.carry_out();
+        checker
     }
 
     fn endpoint(server: u32) -> EndpointEntry {
@@ -127,13 +127,13 @@
     fn start_attempt(&mut self, request: RequestId, server: ServerId, timeout: Micros) {
         let now = self.harness.now;
         let tracked = &self.requests[&request];
-        assert!(!tracked.answered, "rule 1: nothing is sent after the answer");
+        assert!(!tracked.answered, "nothing is sent after the answer");
         assert!(tracked.in_flight.is_none(), "never two attempts in flight");
         assert!(tracked.attempts < self.settings.max_attempts, "attempt limit");
-        assert_eq!(self.list[&server].state, EndpointState::Serving, "rule 3: drains are kept");
+        assert_eq!(self.list[&server].state, EndpointState::Serving, "drains are kept");
         let idempotency = self.idempotency(tracked.class);
         for earlier in &tracked.may_have_run {
-            assert!(self.is_harmless_after(earlier, server, idempotency), "rule 2: no effect twice");
+            assert!(self.is_harmless_after(earlier, server, idempotency), "no effect twice");
         }
         let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
         let expires = now.plus(timeout).min(tracked.deadline);
@@ -142,7 +142,7 @@
         tracked.attempts += 1;
     }
 
-    /// Rule 2: whether an attempt at `server` has no second effect after one that may have run.
+    /// Whether an attempt at `server` has no second effect after one that may have run.
     fn is_harmless_after(&self, earlier: &InFlight, server: ServerId, idempotency: Idempotency) -> bool {
         let (at, ran) = (self.list[&server], self.list[&earlier.server]);
         match idempotency {
@@ -167,14 +167,14 @@
             self.idempotency(tracked.class),
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
         );
-        assert!(is_harmless || !may_have_run, "rule 2: a rejection is true");
+        assert!(is_harmless || !may_have_run, "a rejection is true");
     }
 
     fn answer(&mut self, request: RequestId) {
         let now = self.harness.now;
         let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-        assert!(!tracked.answered, "rule 1: one answer");
-        assert!(now <= tracked.deadline, "rule 1: in time");
+        assert!(!tracked.answered, "one answer");
+        assert!(now <= tracked.deadline, "in time");
         tracked.answered = true;
     }
 
@@ -183,7 +183,7 @@
         class.map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    /// Ends an attempt; the host's records show whether the request has had its answer.
+    /// Ends an attempt; the records show whether the request has had its answer.
     fn end(&mut self, request: RequestId, outcome: Outcome) {
         let now = self.harness.now;
         let Some(tracked) = self.requests.get_mut(&request) else { return };
@@ -204,7 +204,7 @@
                 tracked.in_flight.filter(|a| !a.established).map(|a| (a.expires, Some(*id)))
             });
             let firing = self.timers.iter().map(|&at| (at, None));
-            // At the same time a timer comes first: the harder case for rule 1 is after it.
+            // At the same time a timer comes first: the harder case for the answer in time is after it.
             let next = expiring.chain(firing).min().filter(|(at, _)| *at <= end);
             let Some((at, what)) = next else { break };
             self.harness.now = self.harness.now.max(at);
@@ -219,7 +219,7 @@
         }
         self.harness.now = end;
         for tracked in self.requests.values() {
-            assert!(tracked.answered || tracked.deadline > end, "rule 1: no request is lost");
+            assert!(tracked.answered || tracked.deadline > end, "no request is lost");
         }
     }
 
@@ -250,12 +250,12 @@
                 let report = Some(LoadReport { utilisation, connections: Some(utilisation) });
                 self.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
             }
-            Step::UpdateEndpoint { server, state, restarted, whole, weight } => {
+            Step::UpdateEndpoint { server, state, restarted, is_snapshot, weight } => {
                 let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][state];
                 let old = self.list.get(&ServerId(server)).and_then(|l| l.started);
                 let started = if restarted { Some(self.harness.now) } else { old };
-                let entry = EndpointEntry { state, started, weight, ..Host::endpoint(server) };
-                self.update_endpoint(entry, whole);
+                let entry = EndpointEntry { state, started, weight, ..RuleChecker::endpoint(server) };
+                self.update_endpoint(entry, is_snapshot);
             }
             Step::FailEndpointWatch => self.event(Event::EndpointWatchFailed(WatchFailure::Rejected)),
             Step::Stray { request, attempt } => self.hand_in_stray_events(RequestId(request), attempt),
@@ -315,12 +315,16 @@
         }
     }
 
-    /// Hands in a whole list, or one entry of it twice.
-    fn update_endpoint(&mut self, entry: EndpointEntry, whole: bool) {
+    /// Hands in a snapshot of the list, or one entry of it twice.
+    fn update_endpoint(&mut self, entry: EndpointEntry, is_snapshot: bool) {
         self.list.insert(entry.server, entry);
         let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
         let twice = [entry, entry];
-        self.event(if whole { Event::EndpointsReplaced(&entries) } else { Event::EndpointsChanged(&twice) });
+        self.event(if is_snapshot {
+            Event::EndpointsReplaced(&entries)
+        } else {
+            Event::EndpointsChanged(&twice)
+        });
     }
 
     /// Repeated and unknown outcomes: only for what has no attempt of that number in flight.
@@ -338,7 +342,7 @@
         self.event(Event::ProbeCompleted { server: unknown_server, outcome: Outcome::Ok, report: None });
     }
 
-    /// Ends all attempts in flight; then nothing may be held anywhere.
+    /// Ends all attempts in flight; then no slot may be occupied anywhere.
     pub(super) fn end_all(&mut self) {
         self.wait(5 * SECOND);
         let has_attempt = |(_, tracked): &(&RequestId, &TrackedRequest)| tracked.in_flight.is_some();
@@ -347,7 +351,7 @@
             self.end(request, Outcome::Ok);
         }
         for server in self.list.keys() {
-            assert_eq!(self.harness.held(server.0), 0.0, "occupancy is conserved");
+            assert_eq!(self.harness.occupied_slots(server.0), 0.0, "occupancy is conserved");
         }
         for request in self.requests.keys() {
             assert!(!self.harness.balancer.is_tracked(*request), "nothing is kept of what has ended");
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -4,7 +4,7 @@
 
 use crate::harness::{endpoint, endpoints, settings, Harness, MS, SECOND, START};
 
-/// Seen on the same site: the wait that a balancer drew before it held anything kept it from a cold host for
+/// Seen on the same site: the wait that a balancer drew before it held anything kept it from a cold server for
 /// twenty seconds.
 #[test]
 fn shortens_a_slow_start_wait_once_more_is_known() {
@@ -23,13 +23,13 @@
 /// Seen in the simulator: with most servers excluded, drained or faulty little was held, and for that the
 /// cold ones that took their places were sent a connection only every 1 to 4 seconds.
 #[test]
-fn a_cold_server_is_filled_by_what_servers_have_held_not_by_what_is_left() {
+fn a_cold_server_is_filled_by_past_occupancy_not_by_what_is_left() {
     let settings = Settings { slow_start_overload_factor: 8.0, ..settings() };
     let sent_when_left = |left: usize| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
-        let held: Vec<_> = (0..40).map(|n| harness.restore(1 + n % 4, None)).collect();
+        let established: Vec<_> = (0..40).map(|n| harness.restore(1 + n % 4, None)).collect();
         harness.arrive_and_end();
-        for &id in &held[left..] {
+        for &id in &established[left..] {
             harness.end_attempt(id, 0, Outcome::Ok, true);
         }
         let cold = EndpointEntry { started: Some(harness.now), ..endpoint(5) };
@@ -47,10 +47,10 @@
     assert!(few >= 3 && few + 1 >= all, "{few} sent with 4 left, {all} with 40");
 }
 
-/// Seen on the second site (`upgrade+hand`, seed 1): a balancer that held three of a host's connections sent
+/// Seen on the second site (`upgrade+hand`, seed 1): a balancer that held three of a server's connections sent
 /// a cold one a connection every nine seconds, while by their load reports twenty-eight fill one.
 #[test]
-fn a_cold_server_is_filled_by_what_reports_say_fills_one() {
+fn a_cold_server_is_filled_by_the_capacity_that_reports_show() {
     let settings = Settings { slow_start_overload_factor: 3.0, ..settings() };
     let sends = |reported: bool| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -33,7 +33,7 @@
 }
 
 /// With an early form of the gossip on slow set-ups (`split+mass`, seed 1), it was sent before the decision module knew
-/// that the connection is established: the module took the request for overdue, and rejected it.
+/// that the connection is established: the policy took the request for overdue, and rejected it.
 #[test]
 fn serves_a_connection_established_at_the_last_moment() {
     let mut harness = ReducerHarness::new();
@@ -148,7 +148,7 @@
 /// Hundreds of connections without a request, or not closed after their answer, would use up the descriptors. The oldest
 /// is aborted, but none whose request may still be on its way.
 #[test]
-fn aborts_the_oldest_connections_without_an_attempt_to_make_room() {
+fn aborts_the_oldest_connections_without_an_attempt_at_the_limit() {
     let mut harness = ReducerHarness::with_budget(Budget { pending: 3, admitted: 2, buffer: 8192 });
     let silent = harness.connect_client();
     let answered = harness.connect_client();
@@ -170,7 +170,7 @@
     );
     let (_, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
-    // With an attempt a connection is not counted here, and closed ones make room by themselves.
+    // With an attempt a connection is not counted here, and closed ones free their place by themselves.
     harness.feed(Input::ConnectionRequested { connection: third, request: connection_request() });
     assert_eq!(harness.connect_client_with_effects().1, []);
     let (last, effects) = harness.connect_client_with_effects();
