--- a/tests/daemon/platform/clients.rs
+++ b/tests/daemon/platform/clients.rs
@@ -109,9 +109,8 @@
     assert!(since.elapsed() >= Duration::from_secs(1), "gone while connections still come");
 }
 
-/// A client that cannot be understood has an error or a close soon, and delays no other meanwhile: descriptors
-/// for 160 are less than half of what connects here. Seen on the bench: 500 of 500 descriptors were in use,
-/// and the first attempt of usual clients went out after seconds.
+/// A client that cannot be understood is soon sent an error or closed, and delays no other client. The daemon may have
+/// descriptors for 160 sockets, and 450 clients connect here.
 #[test]
 fn answers_or_closes_bad_clients_while_it_serves_others() {
     let (shop, lines) = start_server("UP 1", false);
--- a/tests/daemon/platform/endpoint_list.rs
+++ b/tests/daemon/platform/endpoint_list.rs
@@ -36,8 +36,8 @@
     assert!(new_lines.lock().unwrap()[0].contains(" 7f3a c=chat,d="));
 }
 
-/// Seen on `join+mass` (seeds 401 to 412, seven of twelve): all 300 watches fell silent at once, each was given up after
-/// 5.5 s and asked for again 1 to 4 s later, while what it missed counts as known after 6 s.
+/// All 300 watches of a tier may fall silent at once. What a silent watch misses counts as known after 6 s, so that the
+/// watch has to be reopened before that.
 #[test]
 fn reopens_a_silent_watch_before_what_it_misses_counts() {
     let (shop, _) = start_server("UP 1", false);
@@ -70,7 +70,7 @@
     assert_eq!(connect_and_open(&daemon).read_line(), "UP old");
 }
 
-/// Seen on the bench: with no handler SIGHUP ended the process, and every connection with it.
+/// Without a handler SIGHUP would end the process, and every connection with it.
 #[test]
 fn replaces_the_watch_and_keeps_connections_at_sighup_and_ignores_an_invalid_file() {
     let ((old, _), (new, _)) = (start_server("UP old", false), start_server("UP new", false));
@@ -111,8 +111,8 @@
     assert!(daemon.wait_for_exit());
 }
 
-/// Seen on the bench: watches fell silent, and were given up only after 12.5 s, while what discovery has
-/// counts as known after 6 s: a server that drained meanwhile would have been sent more.
+/// What discovery lists counts as known after 6 s. A silent watch that is given up later than that would let requests go
+/// to a server that drains.
 #[test]
 fn gives_up_a_silent_watch_before_its_updates_count_as_known() {
     let discovery = Discovery::scripted(vec![Reply::Body(endpoint_list(1, false, &[]))]);
--- a/tests/daemon/races/attempt.rs
+++ b/tests/daemon/races/attempt.rs
@@ -69,7 +69,7 @@
     assert!(server.try_accept().is_none_or(|mut attempt| attempt.read_to_end().is_empty()));
 }
 
-/// In the wake-up in which it completes the deadline has passed.
+/// The deadline has passed in the wake-up in which the connect completes.
 #[test]
 fn does_not_forward_when_the_connect_completes_at_the_deadline() {
     let mut server = ManualServer::start_with_full_queue();
--- a/tests/daemon/races/client.rs
+++ b/tests/daemon/races/client.rs
@@ -6,7 +6,7 @@
 use super::{establish, open_and_wait, wait_until_idle, TestSettings};
 use crate::fake_servers::{irc_config, reset_connection, wait_until, Client, Daemon, ManualServer};
 
-/// In the wake-up in which its attempt connects the client's end is there as well.
+/// The client's end comes in the wake-up in which its attempt connects.
 #[test]
 fn does_not_forward_a_client_that_left_before_its_attempt_connected() {
     for breaks in [false, true] {
@@ -71,7 +71,7 @@
     }
 }
 
-/// What it has sent ahead fills the buffer, behind which its end is not seen.
+/// The client's early lines fill the buffer, so that its end is not seen.
 #[test]
 fn gives_up_an_irc_client_that_floods_and_leaves_before_it_is_established() {
     let servers = [ManualServer::start(), ManualServer::start()];
@@ -139,7 +139,7 @@
     wait_until_idle(&daemon);
 }
 
-/// Hundreds that keep their connections open after their answers must not use up the descriptors.
+/// Hundreds of clients that keep their connections open after their answers must not use up the descriptors.
 #[test]
 fn serves_clients_while_hundreds_never_close() {
     let server = ManualServer::start();
@@ -157,7 +157,7 @@
     drop(resting);
 }
 
-/// Whichever comes first, it is admitted, and never closed without an answer.
+/// Whichever comes first, the client is admitted, and never closed without an answer.
 #[test]
 fn accepts_a_first_line_that_crosses_the_handshake_timeout() {
     let server = ManualServer::start();
--- a/tests/daemon/races/discovery.rs
+++ b/tests/daemon/races/discovery.rs
@@ -74,7 +74,7 @@
     assert!(old.try_accept().is_none());
 }
 
-/// Where lists are pushed, what the agent has counts as known whether or not a watch is open.
+/// Where lists are pushed, changes that the agent has count as known whether or not a watch is open.
 #[test]
 fn reopens_a_broken_watch_on_pushed_lists_within_the_grace() {
     let settings = TestSettings {
@@ -113,7 +113,7 @@
     }
 }
 
-/// To call twice at once is twice the load, just when discovery has too much.
+/// A second call at once would double the load of a discovery that is overloaded.
 #[test]
 fn backs_off_after_a_503_on_a_kept_discovery_connection() {
     let server = ManualServer::start();
@@ -160,7 +160,7 @@
     let (_client, _attempt) = establish(&daemon, &server);
 }
 
-/// A body without end is given up; the list that it had stays, and discovery is asked again.
+/// A body without end is given up; the present list stays in use, and discovery is called again.
 #[test]
 fn gives_up_a_discovery_answer_without_end() {
     let server = ManualServer::start();
--- a/tests/daemon/races/hot_restart.rs
+++ b/tests/daemon/races/hot_restart.rs
@@ -5,7 +5,7 @@
 use super::{establish, TestSettings};
 use crate::fake_servers::{reset_connection, ManualServer};
 
-/// What comes in the wake-up in which another process asks for the connections is lost or doubled by neither.
+/// Neither process loses or repeats what comes in the wake-up in which the successor asks for the connections.
 #[test]
 fn delivers_once_what_crosses_a_hot_restart() {
     for event in ["client's line", "server's line", "client's end", "server's reset", "SIGTERM"] {
--- a/tests/daemon/races/relay.rs
+++ b/tests/daemon/races/relay.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Closed at once over what it still sends, a client may not see its answer.
+/// If the connection is closed while the client still sends, the client may not see its answer.
 #[test]
 fn does_not_reset_a_flooding_client_before_it_can_read_its_answer() {
     let server = ManualServer::start();
--- a/tests/daemon/races/shutdown.rs
+++ b/tests/daemon/races/shutdown.rs
@@ -48,7 +48,7 @@
     assert!(since.elapsed() < Duration::from_secs(8), "late by {:?}", since.elapsed());
 }
 
-/// With no list and a discovery that answers nothing, and with a new configuration in the same wake-up.
+/// The daemon has no list, discovery answers nothing, and a new configuration comes in the same wake-up.
 #[test]
 fn rejects_clients_and_exits_at_sigterm_before_it_could_serve() {
     for reloaded in [false, true] {
@@ -70,7 +70,8 @@
     }
 }
 
-/// Its time goes on for longer than the process: elsewhere it can be served. Where clients follow no advice none is given.
+/// The deadline of the request is after the end of the process, so that another process can serve it. Where clients follow
+/// no Retry-After none is sent.
 #[test]
 fn rejects_with_retry_after_a_request_that_outlives_the_process() {
     for (allowed, wanted) in [("true", "BUSY 400\r\n"), ("false", "BUSY\r\n")] {
--- a/tests/daemon/stale_list.rs
+++ b/tests/daemon/stale_list.rs
@@ -1,11 +1,8 @@
 //! A list that discovery changed while a watch on it was silent.
 //!
-//! Incident of 3 December 2026 (`docs/incidents/2026-12-03-drain-after-silent-watch.md`): one of four processes sent a
-//! request to a server after the grace of its drain. All watches had fallen silent, and half a second later servers began
-//! to drain. The one process whose call was open before the change missed it. It asked anew after 5 s, together with all
-//! others; discovery was crowded, and its answer came 6.5 s after the one before, while a missed change counts as notified
-//! after 6 s. Shown by the log lines that were added for it, on a day of the same kind: 13.26 s call, 13.27 s change, 18.26 s
-//! asked anew, 19.59 s request to the draining server, 19.97 s list; no call of that process had an error. Others had 503.
+//! A process whose watch is silent misses a drain. If discovery is overloaded when the process calls again, the answer may
+//! come later than the missed change counts as notified, which is after 6 s: a request then reaches a server after the grace
+//! of its drain. `docs/incidents/2026-12-03-drain-after-silent-watch.md` describes such a case.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/policy/ceilings.rs
+++ b/tests/policy/ceilings.rs
@@ -90,9 +90,8 @@
     assert!(idle > busy && busy > 4.0 && full <= 4.0, "{idle} {busy} {full}");
 }
 
-/// Seen on the second site (`upgrade+hand`, seed 8): reports are a second old, and each that came again set
-/// the ceiling over what was held by then, so that a server at 0.61 took ten more within 1.2 s, and was at ten
-/// times its objective.
+/// A load report is up to a second old. A repeated report must not raise the ceiling above the slots that were occupied
+/// when it was made: a server at 0.61 would be sent ten more connections within 1.2 s.
 #[test]
 fn a_report_counts_the_slots_that_were_occupied_when_it_was_made() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -112,8 +111,8 @@
     assert!(next < first + 3.0, "{next} after {first}");
 }
 
-/// Found on grown fleets: its part of the free capacity came to a tenth of a slot for a reported server, and
-/// one that had never been asked, with a few slots, attracted nearly everything.
+/// A balancer's share of the free capacity may be a tenth of a slot. A reported server must still not lose nearly all
+/// requests to one that has never reported and shows a few slots.
 #[test]
 fn one_of_many_balancers_sees_free_slots_on_a_reported_server() {
     let mut harness = Harness::new(Settings { balancers: 600, ..settings() }, &endpoints(2));
@@ -131,8 +130,7 @@
     assert!(harness.ceiling(1) < 1.0);
 }
 
-/// Incident i213d81: a server that had dropped this balancer's last connection showed a slot free again at
-/// once.
+/// A server that has just dropped this balancer's last connection must not show a free slot at once.
 #[test]
 fn a_server_that_dropped_the_last_connection_shows_less_than_a_slot() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -150,9 +148,8 @@
     assert!(harness.ceiling(1) >= 1.0, "it gets its slot back");
 }
 
-/// Seen in the simulator: messages of a server that held 21 slots were late for three seconds and then fast,
-/// and its ceiling, cut anew at each message time, was 2 and stayed there: half of all requests were
-/// rejected.
+/// A ceiling that each late message time cut anew would stay at a small part of what the server carries once its messages
+/// are fast again.
 #[test]
 fn each_message_time_measures_the_slots_that_are_occupied_now() {
     let mut harness = Harness::new(settings(), &endpoints(1));
@@ -173,8 +170,8 @@
     assert_eq!(harness.attempted_server(), Some(1));
 }
 
-/// Seen on the simulator's days with drains and resets: six sound servers rejected nine of ten clients, since
-/// what they held had outgrown their ceilings, and nothing that was rejected could raise them.
+/// Loads of connections may outgrow the ceilings of sound servers. If none took a connection above its ceiling, no
+/// ceiling could rise, and most clients would be rejected.
 #[test]
 fn a_server_without_faults_goes_over_its_ceiling_one_connection_at_a_time() {
     let mut harness = Harness::new(settings(), &endpoints(1));
--- a/tests/policy/connection_load.rs
+++ b/tests/policy/connection_load.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_heavy_connection_needs_all_its_slots() {
-    // Incident i885c77: heavy connections took the last free slots, and light ones were rejected.
+    // Heavy connections took the last free slots, and light ones were rejected.
     let mut settings = settings();
     settings.classes.push(class(Idempotency::Idempotent));
     let mut harness = Harness::new(settings, &endpoints(1));
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Found beside the incident of 3 December 2026: after an outage of 10 s the wait for the next call was up to 15 s. What
-/// discovery lists counts as notified 6 s after it can be reached again, of which an answer may take 2 s.
+/// What discovery lists counts as notified 6 s after discovery can be reached again, of which an answer may take 2 s. The
+/// wait for the next call must not grow with the outage beyond that.
 #[test]
 fn polls_the_endpoint_list_in_time_however_long_discovery_was_down() {
     const LONGEST_WAIT: Micros = Micros::from_secs(4);
@@ -75,7 +75,8 @@
     }
 }
 
-/// A client that is asked to come again, and a probe, would meet the same list that no request goes by.
+/// While the list has expired no request is forwarded, so that a migrated client would be rejected, and a probe would
+/// be of no use.
 #[test]
 fn migrates_and_probes_nothing_by_an_expired_list() {
     let settings = Settings { probes: true, probe_reports: true, probe_cost: 0.01, ..settings() };
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -6,9 +6,8 @@
 
 use crate::harness::{endpoint, endpoints, settings, Harness, MS, SECOND, START};
 
-/// Seen on the simulator's days at size: after a restart of most balancers discovery answered nobody for ten
-/// seconds. It serves calls one after another, also those whose callers it has rejected meanwhile, and all
-/// that failed asked again within two and a half seconds.
+/// After a restart of most balancers discovery is overloaded: it serves calls one after another, also those whose callers
+/// have given up. Balancers that all called again within 2.5 s would keep it overloaded.
 #[test]
 fn a_hundred_balancers_that_start_together_all_get_the_list_in_time() {
     const SERVICE: Micros = Micros::from_millis(50);
@@ -196,9 +195,8 @@
     }
 }
 
-/// Seen on the simulator's days at size: while many reconnected, set-ups took over a second each in the
-/// session store that all servers share. Given up after half of their client's time they were tried elsewhere
-/// and were in the store's queue twice; established connections fell from 170 to 50 and did not come back.
+/// All servers share a session store, and set-ups wait in its queue. An attempt that is given up after half of its
+/// client's time and retried at another server would be in that queue twice.
 #[test]
 fn serves_a_burst_as_fast_as_the_shared_session_store_allows() {
     let mut store =
@@ -211,10 +209,9 @@
     );
 }
 
-/// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): for five seconds set-ups took 1.3
-/// to 2.2 s at the median in the session store's queue, so that most with little time were served in vain,
-/// and came again. On `roll+mass`, seed 1, it erred at once at all servers alike, and each client was tried at
-/// six. Four hundred a second come here; the store serves eighty, and has a queue of two seconds.
+/// Set-ups that wait in the queue for longer than their clients do are served in vain, and their clients return. A store
+/// that errs at once for all servers must not be tried at six of them. Four hundred requests a second arrive here; the
+/// store serves eighty, and has a queue of two seconds.
 #[test]
 fn an_overloaded_session_store_empties_its_queue() {
     let outcome = |gossips: bool| {
@@ -245,10 +242,8 @@
     );
 }
 
-/// Seen on harbour-relay (`join+mass`, seed 411): clients wait 500 to 700 ms, are tried once and come again
-/// at once, and balancers do not gossip. Once the store's queue was longer than that, no connection was
-/// established for the rest of the day: each balancer's admission rate rose as fast as its few attempts cut
-/// it.
+/// Clients wait for 500 to 700 ms, have one attempt and return at once, and balancers do not gossip. An admission rate
+/// that rises as fast as the few attempts cut it would keep the queue longer than clients wait.
 #[test]
 fn empties_a_queue_longer_than_clients_wait_though_they_retry_without_end() {
     let mut settings = Settings { balancers: 300, max_attempts: 1, ..settings() };
@@ -324,10 +319,8 @@
     }
 }
 
-/// Seen on the simulator's days with 300 balancers (`zone+mass`, seed 3): 978 connections of 38 groups, on
-/// 158 pairs of group and server at first, were 766 on 458 pairs twenty seconds later. Each server that holds any
-/// of a group pays three mean loads for it. Balancers that learned of slow servers kept to the few where they
-/// held something, whatever came.
+/// Each server that holds any connection of a group bears three mean loads for the group. Balancers that learn of slow
+/// servers must not scatter a group over many others.
 #[test]
 fn three_hundred_balancers_keep_a_group_on_as_few_servers_as_it_fills() {
     const SERVERS: u32 = 60;
@@ -412,11 +405,8 @@
     to_cold
 }
 
-/// Seen on the simulator's days with 300 balancers (`join+mass`, seed 202): while 25 to 49 of 70 servers were
-/// cold, one to six of a hundred connections a second went to any of them, and the 20 warm ones dropped 50 to
-/// 80 a second. Each balancer had saved up a three-hundredth of a cold server's budget, which went unused at
-/// nearly all of them. And from all balancers together cold servers get no more than their budgets, however many
-/// requests arrive.
+/// Each of 300 balancers has a three-hundredth of the budget of a cold server. Together they must use these budgets, or
+/// warm servers drop connections meanwhile, and must not exceed them, however many requests arrive.
 #[test]
 fn three_hundred_balancers_use_the_budgets_of_cold_servers_and_not_more() {
     let settings =
--- a/tests/policy/groups_and_zones.rs
+++ b/tests/policy/groups_and_zones.rs
@@ -17,8 +17,8 @@
     assert_eq!(picks, [Some(2), Some(2), Some(2), Some(2), Some(1)]);
 }
 
-/// Incident r256aba: a balancer that had just started placed 30 of 63 returning clients at the one server of
-/// its own zone, which then dropped 21 of them at once.
+/// A balancer that has just started must not place half of the returning clients at the one server of its zone, which
+/// would drop most of them.
 #[test]
 fn a_wave_after_a_restart_spreads_over_all_zones() {
     let settings = Settings { cross_zone_cost: 0.03, ..settings() };
@@ -44,7 +44,7 @@
     assert_ne!(harness.attempted_server(), Some(5), "but not over their ceiling");
 }
 
-/// Found on grown fleets: balancers with few connections each spread every group over every server.
+/// Balancers with few connections each would otherwise spread every group over every server.
 #[test]
 fn balancers_choose_the_same_server_for_a_group_without_gossip() {
     let mut homes = std::collections::BTreeMap::new();
@@ -64,14 +64,18 @@
 
 #[test]
 fn the_first_of_a_group_takes_more_slots() {
-    // Incident if811f4: spread over most servers, groups ate them up.
+    // A group that is spread over most servers would use up their slots.
     let mut harness = Harness::new(settings(), &endpoints(1));
     let alone = harness.restore(1, Some(1));
     let with_group = harness.occupied_slots(1);
     let second = harness.restore(1, Some(1));
     assert!(with_group > 1.0 && harness.occupied_slots(1) == with_group + 1.0);
     harness.end_attempt(alone, 0, Outcome::Ok, true);
-    assert_eq!(harness.occupied_slots(1), with_group, "the group is paid for while any of it is held");
+    assert_eq!(
+        harness.occupied_slots(1),
+        with_group,
+        "the slots of the group are occupied while any connection of it is established"
+    );
     harness.end_attempt(second, 0, Outcome::Ok, true);
     assert_eq!(harness.occupied_slots(1), 0.0);
 }
--- a/tests/policy/migration.rs
+++ b/tests/policy/migration.rs
@@ -6,8 +6,7 @@
     endpoint, endpoints, has_migration, settings, Harness, MS, OVERLOADED, SECOND, SLOW, START,
 };
 
-/// Seen on the same site: clients migrated from an overloaded server when none but cold servers had free slots,
-/// which might take one each every few seconds; they were rejected instead.
+/// If only cold servers have free slots, they take one connection every few seconds: migrated clients would be rejected.
 #[test]
 fn does_not_migrate_to_free_slots_that_slow_start_withholds() {
     let moves = |cold: bool| {
@@ -47,12 +46,12 @@
     assert!(migrates_with_others_at(2, None));
     // At its ceiling, but sound for all that is known: one above the ceiling is free.
     assert!(migrates_with_others_at(4, None));
-    // Incident i4f6a4a: with nowhere to go, migrations only add work to a full fleet.
+    // With nowhere to go, migrations only add work to a full fleet.
     assert!(!migrates_with_others_at(4, Some(SLOW)));
 }
 
-/// Seen in the simulator: messages of an ageing server took 5 to 18 times their objective for ten seconds, and
-/// of its fourteen connections one left every other second.
+/// A server may fall from sound to 5 to 18 times the objective at once. Its clients must not have to leave one by one,
+/// every other second.
 #[test]
 fn a_server_whose_messages_are_all_late_is_left_within_seconds() {
     let left_after = |seconds: u64, stable: u32| {
@@ -93,7 +92,7 @@
 
 #[test]
 fn balancers_with_few_connections_migrate_in_proportion() {
-    // Incident i4bed73: eighteen balancers with one connection each emptied every overloaded server. An
+    // Eighteen balancers with one connection each emptied every overloaded server. An
     // eighth of them migrates at each message time; over 2,000 seeds within 0.04, five standard deviations.
     let migrations = (0..2_000)
         .filter(|&seed| {
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -4,8 +4,7 @@
 
 use crate::harness::{endpoints, settings, Harness, MS, SECOND, SLOW};
 
-/// Incident i25fadb: each of many balancers soon forgot, and all together tried a full server without a
-/// pause.
+/// Many balancers that each forgot a fault soon would together try a full server without a pause.
 #[test]
 fn a_balancer_with_few_connections_remembers_faults_for_longer() {
     let forgives = |connections: u32| {
@@ -26,7 +25,7 @@
 
 #[test]
 fn a_server_that_accepts_and_drops_does_not_attract_every_connection() {
-    // Incident i4f6a4a: each drop freed the slot that drew the next connection to be dropped.
+    // Each drop freed the slot that drew the next connection to be dropped.
     let mut harness = Harness::new(settings(), &endpoints(2));
     for _ in 0..4 {
         harness.restore(2, None);
@@ -96,7 +95,7 @@
 
 #[test]
 fn does_not_retry_early_on_a_fleet_that_drops() {
-    // Incident i4f6a4a: trials before their time kept an overloaded fleet from recovering.
+    // Trials before their time kept an overloaded fleet from recovering.
     let mut harness = Harness::new(settings(), &endpoints(2));
     let established: Vec<_> = (0..8).map(|i| harness.restore(1 + i % 2, None)).collect();
     for request in established {
--- a/tests/policy/peers.rs
+++ b/tests/policy/peers.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// What is spent stays a hundredth of the value of all connections, over all balancers, however many servers
-/// are slow, and of many balancers that hold little some can always send.
+/// Messages of all balancers cost a hundredth of the value of all connections, however many servers are slow, and of
+/// many balancers with few connections some can always send.
 #[test]
 fn established_connections_pay_for_messages() {
     for (balancers, price) in [(100, 0.01), (3, 0.01), (100, 0.5)] {
@@ -76,8 +76,7 @@
     }
 }
 
-/// Seen on the simulator's days at size: each of a hundred balancers found out by itself that a server was
-/// slow, by placing somebody there.
+/// Without gossip each of a hundred balancers learns that a server is slow only by placing a connection there.
 #[test]
 fn a_hundred_balancers_avoid_a_reported_server_and_do_not_all_return_at_once() {
     let settings = Settings { balancers: 100, max_retry_after: SECOND, ..settings() };
@@ -107,9 +106,8 @@
     assert!(with[back] <= 20, "{with:?}");
 }
 
-/// Seen on the simulator's days with 300 balancers (`roll+mass`, seed 202), where servers report no message
-/// times: one server dropped all that it held fourteen times in 19 s, and within a second or two each time
-/// the others, which had learned nothing, had filled it again.
+/// Where servers report no message times, balancers learn of a drop only by gossip. Without it they would refill a server
+/// within a second or two each time it has dropped all its connections.
 #[test]
 fn each_reported_drop_halves_what_all_balancers_send_to_a_server() {
     let settings = Settings { balancers: 300, max_retry_after: SECOND, ..settings() };
@@ -136,7 +134,7 @@
     assert!(twice <= 0.8 * once, "{twice} of {once}");
 }
 
-/// What an observation leaves of a ceiling is never less than is held: small fleets learn that themselves.
+/// An observation never lowers a ceiling below the occupied slots: small fleets learn about these on their own.
 #[test]
 fn a_reported_drop_takes_free_slots_only() {
     let mut harness = Harness::new(settings(), &endpoints(1));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -4,8 +4,8 @@
 
 use crate::harness::{endpoint, endpoints, settings, Harness, MS, SECOND, START};
 
-/// Seen on the same site: the wait that a balancer drew before it held anything kept it from a cold server for
-/// twenty seconds.
+/// A wait that was drawn before the balancer had any connection is too long once it has some: it kept a cold server
+/// without requests for twenty seconds.
 #[test]
 fn shortens_a_slow_start_wait_once_more_is_known() {
     let cold = EndpointEntry { started: Some(START), ..endpoint(2) };
@@ -20,8 +20,8 @@
     assert!(sent.count() > 0, "nothing went to the cold server in three seconds");
 }
 
-/// Seen in the simulator: with most servers excluded, drained or faulty little was held, and for that the
-/// cold ones that took their places were sent a connection only every 1 to 4 seconds.
+/// With most servers excluded, drained or faulty, few slots are occupied. The cold servers that replace them must still
+/// be filled by what a server can carry.
 #[test]
 fn a_cold_server_is_filled_by_past_occupancy_not_by_what_is_left() {
     let settings = Settings { slow_start_overload_factor: 8.0, ..settings() };
@@ -47,8 +47,8 @@
     assert!(few >= 3 && few + 1 >= all, "{few} sent with 4 left, {all} with 40");
 }
 
-/// Seen on the second site (`upgrade+hand`, seed 1): a balancer that held three of a server's connections sent
-/// a cold one a connection every nine seconds, while by their load reports twenty-eight fill one.
+/// A balancer with three connections at each server would otherwise send a cold server one connection in nine seconds,
+/// while load reports show that twenty-eight fill one.
 #[test]
 fn a_cold_server_is_filled_by_the_capacity_that_reports_show() {
     let settings = Settings { slow_start_overload_factor: 3.0, ..settings() };
@@ -115,7 +115,7 @@
     assert!(sends <= 1.0 + settings.slow_start_overload_factor * part, "{sends}");
 }
 
-/// Incident of the grown fleet: ninety balancers learned of a new server together and each sent one at once.
+/// Ninety balancers that learn of a new server together must not each send it a connection at once.
 #[test]
 fn many_balancers_do_not_start_on_a_cold_server_together() {
     let settings = Settings { balancers: 100, ..settings() };
--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -23,7 +23,7 @@
     assert_ne!(next, address);
 }
 
-/// The server may have the request already, and there are never two attempts in flight.
+/// The server may have received the request already, and there are never two attempts in flight.
 #[test]
 fn keeps_a_written_attempt_when_its_server_drains() {
     let mut harness = ReducerHarness::new();
@@ -32,8 +32,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
-/// With an early form of the gossip on slow set-ups (`split+mass`, seed 1), it was sent before the decision module knew
-/// that the connection is established: the policy took the request for overdue, and rejected it.
+/// An acceptance that arrives together with the deadline counts first: the policy must not reject the request as overdue.
 #[test]
 fn serves_a_connection_established_at_the_last_moment() {
     let mut harness = ReducerHarness::new();
@@ -85,7 +84,7 @@
     );
 }
 
-/// They must not be taken for reports of the next attempt.
+/// Late reports must not be taken for reports of the next attempt.
 #[test]
 fn ignores_late_reports_of_an_ended_attempt() {
     let mut harness = ReducerHarness::new();
@@ -116,7 +115,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// The client may name a server that never existed. It was tried six times, at no address, before the error.
+/// The client may name a server that never existed, for which there is no address to attempt.
 #[test]
 fn fails_a_restored_connection_of_an_unlisted_server_within_three_seconds() {
     let mut harness = ReducerHarness::new();
--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -84,7 +84,7 @@
 }
 
 proptest! {
-    /// With its end cut off, or with anything behind it, it is no message.
+    /// A message whose end is cut off, or that is followed by anything, cannot be decoded.
     #[test]
     fn reads_messages_as_they_were_written(message in messages(), cut in any::<prop::sample::Index>()) {
         let mut bytes = encode(&message).expect("fits");
--- a/tests/reducer/load_reports.rs
+++ b/tests/reducer/load_reports.rs
@@ -17,8 +17,8 @@
     migrated
 }
 
-/// Servers report a message's time in the same form as a load. Taken for a load, it made the slowest server look
-/// idle: that day of the simulator had 0.68 of its result, and 0.99 since.
+/// Servers report a message time in the same form as a load. Taken for a load, it would make the slowest server look
+/// idle.
 #[test]
 fn takes_a_value_far_below_the_mean_load_for_a_message_time() {
     let mut harness = ReducerHarness::new();
@@ -31,7 +31,7 @@
     assert!(migrated > 0, "no connection left a server that is slow");
 }
 
-/// At a site whose servers report no loads, message times of 99 ms were taken for loads, and no client left.
+/// Where servers report no loads, a message time of 99 ms must not be taken for a load, or no client would migrate.
 #[test]
 fn takes_every_value_for_a_message_time_where_servers_report_no_loads() {
     let migrated = |reports_load: bool| {
