--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -6,7 +6,7 @@
 //! ratio of the two), or a load report of a full server. The slots that are occupied there, the spare
 //! capacity of other servers, and the priority weight of each connection's class.
 //!
-//! **Rule.** At most every half a second:
+//! **Rule.** At most every half a second (`last_migration`):
 //!
 //! - One connection leaves. With fewer than eight occupied slots it leaves with a probability of the slots
 //!   over eight.
@@ -28,10 +28,8 @@
 
 use super::fault_window::FaultWindow;
 use super::server::Server;
-use crate::types::{Micros, Settings, Time};
+use crate::types::{Settings, Time};
 
-/// The shortest time between two migrations from one server.
-const MIGRATION_INTERVAL: Micros = Micros::from_millis(500);
 /// Messages that take this part of their objective often miss it: connections have to leave.
 const MIGRATION_RATIO: f64 = 0.5;
 /// With so many occupied slots one connection migrates for certain.
@@ -52,32 +50,6 @@
     objective_ratio >= MIGRATION_RATIO
 }
 
-/// When a connection was last asked to migrate away from a server.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct LastMigration(Option<Time>);
-
-impl LastMigration {
-    /// What another process has learned.
-    pub fn new(at: Option<Time>) -> LastMigration {
-        LastMigration(at)
-    }
-
-    /// When it was, if there was any.
-    pub fn at(self) -> Option<Time> {
-        self.0
-    }
-
-    /// A connection is asked to migrate.
-    pub fn record(&mut self, now: Time) {
-        self.0 = Some(now);
-    }
-
-    /// Whether the effect of the last migration has had time to show.
-    pub fn allows_next(self, now: Time) -> bool {
-        self.0.is_none_or(|at| now.since(at) >= MIGRATION_INTERVAL)
-    }
-}
-
 /// The number of connections that are to leave a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MigrationNeed {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -39,9 +39,9 @@
 //! | cancelled while its request was owed an answer | yes | | |
 //!
 //! The others keep state for these: [`endpoint_list`] the servers, [`request`] the requests, [`server`] the
-//! parts of one server. `requests.rs`, `placement.rs` and `observations.rs` have the steps for requests, for
-//! the choice of a server and for what is observed of servers; `host.rs` what the program around may ask and
-//! set.
+//! parts of one server, two of which are [`last_migration`] and [`load_reports`]. `requests.rs`,
+//! `placement.rs` and `observations.rs` have the steps for requests, for the choice of a server and for what
+//! is observed of servers; `host.rs` what the program around may ask and set.
 #![deny(missing_docs)]
 
 pub mod admission_rate;
@@ -51,6 +51,8 @@
 pub mod endpoint_watch;
 pub mod fault_window;
 mod host;
+pub mod last_migration;
+pub mod load_reports;
 pub mod migration;
 mod observations;
 pub mod outlier_detection;
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -9,7 +9,7 @@
 use super::super::assembly::Assembly;
 use super::super::commands::WatchCommand;
 use super::super::datagrams::{GossipSocket, ReplicationSocket};
-use super::super::driver::{AddressedReplicaMessage, EntryToPersist};
+use super::super::driver::EntryToPersist;
 use super::super::error::TransportError;
 use super::super::files::{Files, OpenedFiles, SharedFiles};
 use super::super::fronts::{irc_factory, platform_factory, ActiveFront, ActiveFronts};
@@ -20,6 +20,7 @@
 use super::super::{discovery_watch, excluded_servers, probes};
 use super::running::{open_admin_endpoint, Daemon, IRC_FRONT, PLATFORM_FRONT};
 use crate::program::config::{Config, Irc, PeersAt, Platform, Sources, StoreConfig};
+use crate::routing::store::AddressedReplicaMessage;
 use crate::routing::{Input, PoolId};
 
 /// A front that is configured, with its pool.
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -50,7 +50,7 @@
             accepting.wait_until(true).await;
             match self.0.recv_from(&mut bytes).await {
                 Ok((length, from)) => match gossip::decode(&bytes[..length]) {
-                    Some(gossip) => reducer.feed(Input::ReplicaMessage { from, gossip }),
+                    Some(message) => reducer.feed(Input::ReplicaMessage { from, message }),
                     None => log_event!(LogEvent::ReplicaMessageUnreadable { from }),
                 },
                 Err(_) => tokio::time::sleep(RECEIVE_RETRY_INTERVAL).await,
--- a/tests/daemon/platform/clients.rs
+++ b/tests/daemon/platform/clients.rs
@@ -100,7 +100,7 @@
     established.iter_mut().for_each(|client| assert_eq!(client.read_line(), "UP 1"));
     let since = Instant::now();
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
     assert!(connect_and_open(&daemon).read_to_end().starts_with("BUSY "));
     established.iter_mut().for_each(|client| assert_eq!(client.read_to_end(), "MOVE\r\n"));
     assert!(daemon.wait_for_exit());
--- a/tests/daemon/races/discovery.rs
+++ b/tests/daemon/races/discovery.rs
@@ -24,7 +24,7 @@
     let _watch = discovery.next_call();
     assert_eq!(ping(), "PONG");
     daemon.signal("-TERM");
-    daemon.log_line("leaving");
+    daemon.log_line("draining: ");
 
     assert_eq!(ping(), "");
 }
--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -59,7 +59,7 @@
     let tier_member = || {
         let mut harness = ReducerHarness::new();
         let mut config = pool_config();
-        (config.settings.balancers, config.peers) = (300, Some(0.0));
+        (config.settings.balancers, config.gossip_price) = (300, Some(0.0));
         reload(&mut harness, config);
         harness
     };
--- a/tests/reducer/hot_restart/mod.rs
+++ b/tests/reducer/hot_restart/mod.rs
@@ -16,7 +16,7 @@
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
-    match call(harness, AdminCall::Telemetry).pop() {
+    match call(harness, AdminCall::Metrics).pop() {
         Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) => metrics,
         other => panic!("{other:?}"),
     }
--- a/tests/reducer/hot_restart/state.rs
+++ b/tests/reducer/hot_restart/state.rs
@@ -67,7 +67,7 @@
     old.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
     call(&mut old, AdminCall::Exclude(SERVERS[3].to_owned()));
     call(&mut old, AdminCall::Exclude(SERVERS[4].to_owned()));
-    call(&mut old, AdminCall::Include(SERVERS[4].to_owned()));
+    call(&mut old, AdminCall::Readmit(SERVERS[4].to_owned()));
     let ejected = metrics(&mut old).ejected;
     let open = old.connect_client();
     old.feed(Input::ConnectionRequested {
@@ -85,7 +85,7 @@
     let mut next = export_state(&mut new);
     let (pool, before) = (next.pools.get_mut("platform").expect("there"), &exported.pools["platform"]);
     pool.ids.clone_from(&before.ids);
-    next.left = exported.left;
+    next.open_descriptors = exported.open_descriptors;
     assert_eq!(next, exported);
     // The id of a connection that is open at the predecessor is not free as long as that process may be there.
     let mut third = ReducerHarness::new();
@@ -112,7 +112,7 @@
         old.establish_connection();
     }
     call(&mut old, AdminCall::Exclude(SERVERS[2].to_owned()));
-    call(&mut old, AdminCall::Include(SERVERS[2].to_owned()));
+    call(&mut old, AdminCall::Readmit(SERVERS[2].to_owned()));
     let address = old.address(SERVERS[2]);
     start_successor(&mut old);
     for _ in 0..200 {
@@ -149,13 +149,13 @@
             "answered once"
         );
         // A peer process that hangs, or is gone, delays no reply.
-        call(&mut harness, AdminCall::Include(server.clone()));
+        call(&mut harness, AdminCall::Readmit(server.clone()));
         harness.advance(Micros::from_millis(500));
         assert_eq!(harness.feed(Input::TimerFired), vec![accepted.clone()]);
         call(&mut harness, AdminCall::Exclude(server.clone()));
         assert!(harness.feed(Input::PeerProcessLost).contains(&accepted));
         assert_eq!(
-            call(&mut harness, AdminCall::Include(server.clone())).last(),
+            call(&mut harness, AdminCall::Readmit(server.clone())).last(),
             Some(&accepted),
             "it is alone again"
         );
