--- a/tests/rules.rs
+++ b/tests/policy/rules/rule_checker.rs
@@ -1,52 +1,11 @@
-//! The four rules over arbitrary legal sequences of events, checked by a host that keeps its own records.
-
-mod common;
+//! Hands events to a balancer, carries out its actions, and checks each action against records of its own.
 
 use std::collections::BTreeMap;
 
-use common::*;
 use connection_balancer::*;
-use proptest::prelude::*;
 
-/// One thing that may happen. Numbers choose among what is there at that time.
-#[derive(Clone, Debug)]
-enum Step {
-    Arrive { class: u16, group: Option<u64>, live_ms: u64 },
-    Restore { server: u32 },
-    Establish { index: usize },
-    End { index: usize, outcome: usize },
-    Leave { index: usize },
-    Slow { index: usize, ms: u64 },
-    Load { index: usize, load: f64 },
-    LoadReport { server: u32, utilisation: f64 },
-    UpdateEndpoint { server: u32, state: usize, restarted: bool, whole: bool, weight: f64 },
-    FailEndpointWatch,
-    Stray { request: u64, attempt: u32 },
-    Wait { ms: u64 },
-}
-
-fn step() -> impl Strategy<Value = Step> {
-    let odd = prop_oneof![Just(f64::NAN), Just(f64::INFINITY), Just(-1.0), Just(0.0), 0.0..1e9f64];
-    let index = 0..64usize;
-    prop_oneof![
-        8 => (0..6u16, proptest::option::of(0..3u64), 0..4_000u64)
-            .prop_map(|(class, group, live_ms)| Step::Arrive { class, group, live_ms }),
-        1 => (0..8u32).prop_map(|server| Step::Restore { server }),
-        6 => index.clone().prop_map(|index| Step::Establish { index }),
-        6 => (index.clone(), 0..8usize).prop_map(|(index, outcome)| Step::End { index, outcome }),
-        1 => index.clone().prop_map(|index| Step::Leave { index }),
-        2 => (index.clone(), 0..500u64).prop_map(|(index, ms)| Step::Slow { index, ms }),
-        2 => (index, odd.clone()).prop_map(|(index, load)| Step::Load { index, load }),
-        1 => (0..8u32, odd.clone()).prop_map(|(server, utilisation)| Step::LoadReport { server, utilisation }),
-        3 => (0..8u32, 0..3usize, any::<bool>(), any::<bool>(), odd).prop_map(
-            |(server, state, restarted, whole, weight)| Step::UpdateEndpoint {
-                server, state, restarted, whole, weight
-            }),
-        1 => Just(Step::FailEndpointWatch),
-        1 => (0..80u64, 0..3u32).prop_map(|(request, attempt)| Step::Stray { request, attempt }),
-        6 => (0..900u64).prop_map(|ms| Step::Wait { ms }),
-    ]
-}
+use super::Step;
+use crate::harness::{class, endpoint, settings, Harness, MS, SECOND};
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
@@ -59,7 +18,7 @@
     Outcome::NotSent,
 ];
 
-/// An attempt as the host knows it.
+/// An attempt in the records.
 #[derive(Clone, Copy)]
 struct InFlight {
     number: u32,
@@ -69,7 +28,7 @@
     established: bool,
 }
 
-/// A request as the host knows it.
+/// A request in the records.
 struct TrackedRequest {
     class: ClassId,
     deadline: Time,
@@ -81,14 +40,15 @@
     may_have_run: Vec<InFlight>,
 }
 
-/// A host that keeps its own records of what the balancer was handed and did.
-struct Host {
+/// A balancer, and records of what it was handed and did.
+pub(super) struct RuleChecker {
     harness: Harness,
     settings: Settings,
     list: BTreeMap<ServerId, EndpointEntry>,
     requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<Time>,
-    log: Vec<Action>,
+    /// All actions so far.
+    pub(super) log: Vec<Action>,
 }
 
 impl TrackedRequest {
@@ -97,8 +57,8 @@
     }
 }
 
-impl Host {
-    fn new(seed: u64) -> Host {
+impl RuleChecker {
+    pub(super) fn new(seed: u64) -> RuleChecker {
         let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 700 * MS };
         let repeats = [
             Idempotency::Idempotent,
@@ -117,8 +77,8 @@
             probe_cost: 0.001,
             ..settings()
         };
-        let list: Vec<EndpointEntry> = (0..6).map(Host::endpoint).collect();
-        let mut host = Host {
+        let list: Vec<EndpointEntry> = (0..6).map(RuleChecker::endpoint).collect();
+        let mut checker = RuleChecker {
             harness: Harness::seeded(settings.clone(), &list, seed),
             settings,
             list: list.iter().map(|l| (l.server, *l)).collect(),
@@ -126,8 +86,8 @@
             timers: Vec::new(),
             log: Vec::new(),
         };
-        host.carry_out();
-        host
+        checker.carry_out();
+        checker
     }
 
     fn endpoint(server: u32) -> EndpointEntry {
@@ -167,13 +127,13 @@
     fn start_attempt(&mut self, request: RequestId, server: ServerId, timeout: Micros) {
         let now = self.harness.now;
         let tracked = &self.requests[&request];
-        assert!(!tracked.answered, "rule 1: nothing is sent after the answer");
+        assert!(!tracked.answered, "nothing is sent after the answer");
         assert!(tracked.in_flight.is_none(), "never two attempts in flight");
         assert!(tracked.attempts < self.settings.max_attempts, "attempt limit");
-        assert_eq!(self.list[&server].state, EndpointState::Serving, "rule 3: drains are kept");
+        assert_eq!(self.list[&server].state, EndpointState::Serving, "drains are kept");
         let idempotency = self.idempotency(tracked.class);
         for earlier in &tracked.may_have_run {
-            assert!(self.is_harmless_after(earlier, server, idempotency), "rule 2: no effect twice");
+            assert!(self.is_harmless_after(earlier, server, idempotency), "no effect twice");
         }
         let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
         let expires = now.plus(timeout).min(tracked.deadline);
@@ -182,7 +142,7 @@
         tracked.attempts += 1;
     }
 
-    /// Rule 2: whether an attempt at `server` has no second effect after one that may have run.
+    /// Whether an attempt at `server` has no second effect after one that may have run.
     fn is_harmless_after(&self, earlier: &InFlight, server: ServerId, idempotency: Idempotency) -> bool {
         let (at, ran) = (self.list[&server], self.list[&earlier.server]);
         match idempotency {
@@ -207,14 +167,14 @@
             self.idempotency(tracked.class),
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
         );
-        assert!(is_harmless || !may_have_run, "rule 2: a rejection is true");
+        assert!(is_harmless || !may_have_run, "a rejection is true");
     }
 
     fn answer(&mut self, request: RequestId) {
         let now = self.harness.now;
         let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-        assert!(!tracked.answered, "rule 1: one answer");
-        assert!(now <= tracked.deadline, "rule 1: in time");
+        assert!(!tracked.answered, "one answer");
+        assert!(now <= tracked.deadline, "in time");
         tracked.answered = true;
     }
 
@@ -223,7 +183,7 @@
         class.map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    /// Ends an attempt; the host's records show whether the request has had its answer.
+    /// Ends an attempt; the records show whether the request has had its answer.
     fn end(&mut self, request: RequestId, outcome: Outcome) {
         let now = self.harness.now;
         let Some(tracked) = self.requests.get_mut(&request) else { return };
@@ -244,7 +204,7 @@
                 tracked.in_flight.filter(|a| !a.established).map(|a| (a.expires, Some(*id)))
             });
             let firing = self.timers.iter().map(|&at| (at, None));
-            // At the same time a timer comes first: the harder case for rule 1 is after it.
+            // At the same time a timer comes first: the harder case for the answer in time is after it.
             let next = expiring.chain(firing).min().filter(|(at, _)| *at <= end);
             let Some((at, what)) = next else { break };
             self.harness.now = self.harness.now.max(at);
@@ -259,7 +219,7 @@
         }
         self.harness.now = end;
         for tracked in self.requests.values() {
-            assert!(tracked.answered || tracked.deadline > end, "rule 1: no request is lost");
+            assert!(tracked.answered || tracked.deadline > end, "no request is lost");
         }
     }
 
@@ -269,7 +229,7 @@
         (!fitting.is_empty()).then(|| fitting[index % fitting.len()])
     }
 
-    fn take_step(&mut self, step: &Step) {
+    pub(super) fn take_step(&mut self, step: &Step) {
         match *step {
             Step::Arrive { class, group, live_ms } => self.arrive(ClassId(class), group, live_ms * MS),
             Step::Restore { server } => self.restore(ServerId(server)),
@@ -290,12 +250,12 @@
                 let report = Some(LoadReport { utilisation, connections: Some(utilisation) });
                 self.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
             }
-            Step::UpdateEndpoint { server, state, restarted, whole, weight } => {
+            Step::UpdateEndpoint { server, state, restarted, is_snapshot, weight } => {
                 let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][state];
                 let old = self.list.get(&ServerId(server)).and_then(|l| l.started);
                 let started = if restarted { Some(self.harness.now) } else { old };
-                let entry = EndpointEntry { state, started, weight, ..Host::endpoint(server) };
-                self.update_endpoint(entry, whole);
+                let entry = EndpointEntry { state, started, weight, ..RuleChecker::endpoint(server) };
+                self.update_endpoint(entry, is_snapshot);
             }
             Step::FailEndpointWatch => self.event(Event::EndpointWatchFailed(WatchFailure::Rejected)),
             Step::Stray { request, attempt } => self.hand_in_stray_events(RequestId(request), attempt),
@@ -355,12 +315,16 @@
         }
     }
 
-    /// Hands in a whole list, or one entry of it twice.
-    fn update_endpoint(&mut self, entry: EndpointEntry, whole: bool) {
+    /// Hands in a snapshot of the list, or one entry of it twice.
+    fn update_endpoint(&mut self, entry: EndpointEntry, is_snapshot: bool) {
         self.list.insert(entry.server, entry);
         let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
         let twice = [entry, entry];
-        self.event(if whole { Event::EndpointsReplaced(&entries) } else { Event::EndpointsChanged(&twice) });
+        self.event(if is_snapshot {
+            Event::EndpointsReplaced(&entries)
+        } else {
+            Event::EndpointsChanged(&twice)
+        });
     }
 
     /// Repeated and unknown outcomes: only for what has no attempt of that number in flight.
@@ -378,8 +342,8 @@
         self.event(Event::ProbeCompleted { server: unknown_server, outcome: Outcome::Ok, report: None });
     }
 
-    /// Ends all attempts in flight; then nothing may be held anywhere.
-    fn end_all(&mut self) {
+    /// Ends all attempts in flight; then no slot may be occupied anywhere.
+    pub(super) fn end_all(&mut self) {
         self.wait(5 * SECOND);
         let has_attempt = |(_, tracked): &(&RequestId, &TrackedRequest)| tracked.in_flight.is_some();
         let requests: Vec<_> = self.requests.iter().filter(has_attempt).map(|(id, _)| *id).collect();
@@ -387,73 +351,10 @@
             self.end(request, Outcome::Ok);
         }
         for server in self.list.keys() {
-            assert_eq!(self.harness.held(server.0), 0.0, "occupancy is conserved");
+            assert_eq!(self.harness.occupied_slots(server.0), 0.0, "occupancy is conserved");
         }
         for request in self.requests.keys() {
             assert!(!self.harness.balancer.is_tracked(*request), "nothing is kept of what has ended");
         }
     }
 }
-
-fn play(seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut host = Host::new(seed);
-    for step in steps {
-        host.take_step(step);
-    }
-    host.end_all();
-    host.log
-}
-
-proptest! {
-    // The failing sequence is printed in full; a file of old ones would tie the suite to this machine.
-    #![proptest_config(ProptestConfig {
-        cases: 1_000,
-        failure_persistence: None,
-        rng_seed: proptest::test_runner::RngSeed::Fixed(2004),
-        ..ProptestConfig::default()
-    })]
-
-    #[test]
-    fn rules_hold_and_equal_events_give_equal_actions(
-        seed in any::<u64>(),
-        steps in proptest::collection::vec(step(), 1..150),
-    ) {
-        prop_assert_eq!(play(seed, &steps), play(seed, &steps));
-    }
-
-    /// Rule 4: whatever the others hold and whatever fails, sends to a cold server keep apart.
-    #[test]
-    fn attempts_at_a_cold_server_keep_apart(
-        seed in any::<u64>(),
-        held in 0..200u32,
-        gaps in proptest::collection::vec(0..60u64, 1..400),
-    ) {
-        let settings = Settings { balancers: 4, ..settings() };
-        let mut list = endpoints(4);
-        list[0].started = Some(START);
-        let mut harness = Harness::seeded(settings.clone(), &list, seed);
-        for i in 0..held {
-            harness.restore(2 + i % 3, None);
-        }
-        let mut sends: Vec<Time> = Vec::new();
-        for gap in gaps {
-            harness.advance(gap * MS);
-            let request = harness.arrive();
-            if harness.attempted_server() == Some(1) {
-                sends.push(harness.now);
-            }
-            harness.end_attempt(request, 0, Outcome::Rejected, true);
-        }
-        // Held on the mean by the fleet: what a server can surely carry, here of this balancer.
-        let size = (f64::from(held + 4) / 4.0).max(1.0);
-        for (i, first) in sends.iter().enumerate() {
-            let cold = sends[i..].iter().filter(|at| at.since(START) < settings.slow_start_duration);
-            let window = cold.take_while(|at| at.since(*first) < settings.slow_start_window);
-            let age = first.plus(settings.slow_start_window).since(START).as_f64() / settings.slow_start_duration.as_f64();
-            let warmth = (settings.slow_start_share + (1.0 - settings.slow_start_share) * age).min(1.0);
-            let part = settings.slow_start_window.as_f64() / settings.slow_start_duration.as_f64();
-            let most = 1.0 + settings.slow_start_overload_factor * warmth * size * part;
-            prop_assert!(window.count() as f64 <= most);
-        }
-    }
-}
--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -23,7 +23,7 @@
     assert_ne!(next, address);
 }
 
-/// The server may have the request already, and there are never two attempts in flight.
+/// The server may have received the request already, and there are never two attempts in flight.
 #[test]
 fn keeps_a_written_attempt_when_its_server_drains() {
     let mut harness = ReducerHarness::new();
@@ -32,8 +32,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
-/// With an early form of the gossip on slow set-ups (`split+mass`, seed 1), it was sent before the decision module knew
-/// that the connection is established: the module took the request for overdue, and rejected it.
+/// An acceptance that arrives together with the deadline counts first: the policy must not reject the request as overdue.
 #[test]
 fn serves_a_connection_established_at_the_last_moment() {
     let mut harness = ReducerHarness::new();
@@ -85,7 +84,7 @@
     );
 }
 
-/// They must not be taken for reports of the next attempt.
+/// Late reports must not be taken for reports of the next attempt.
 #[test]
 fn ignores_late_reports_of_an_ended_attempt() {
     let mut harness = ReducerHarness::new();
@@ -116,7 +115,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// The client may name a server that never existed. It was tried six times, at no address, before the error.
+/// The client may name a server that never existed, for which there is no address to attempt.
 #[test]
 fn fails_a_restored_connection_of_an_unlisted_server_within_three_seconds() {
     let mut harness = ReducerHarness::new();
@@ -148,7 +147,7 @@
 /// Hundreds of connections without a request, or not closed after their answer, would use up the descriptors. The oldest
 /// is aborted, but none whose request may still be on its way.
 #[test]
-fn aborts_the_oldest_connections_without_an_attempt_to_make_room() {
+fn aborts_the_oldest_connections_without_an_attempt_at_the_limit() {
     let mut harness = ReducerHarness::with_budget(Budget { pending: 3, admitted: 2, buffer: 8192 });
     let silent = harness.connect_client();
     let answered = harness.connect_client();
@@ -170,7 +169,7 @@
     );
     let (_, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
-    // With an attempt a connection is not counted here, and closed ones make room by themselves.
+    // With an attempt a connection is not counted here, and closed ones free their place by themselves.
     harness.feed(Input::ConnectionRequested { connection: third, request: connection_request() });
     assert_eq!(harness.connect_client_with_effects().1, []);
     let (last, effects) = harness.connect_client_with_effects();
