--- a/src/bin/simulator-adapter/adapter.rs
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -20,16 +20,16 @@
     current_set: usize,
     actions: Vec<Action>,
     /// The instance whose actions were printed last in this reply.
-    speaker: Option<u32>,
+    printed_instance: Option<u32>,
 }
 
 impl Adapter {
-    /// Takes in a message and appends what it leads to to the reply.
+    /// Handles a message, and appends its results to the reply.
     pub(crate) fn handle_message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) {
         match message {
             Message::FrameStarted(now) => self.now = now,
             Message::FrameEnded => {
-                self.speaker = None;
+                self.printed_instance = None;
                 reply::print_end(reply);
             }
             Message::InstanceSelected(instance) => self.selected = instance,
@@ -53,9 +53,9 @@
     fn handle_event(&mut self, event: InstanceEvent<'_>, reply: &mut Vec<u8>) {
         let Some(instance) = self.instances.get_mut(&self.selected) else { return };
         let request = instance.handle_event(self.now, event, &self.endpoint_sets, &mut self.actions);
-        if self.speaker != Some(self.selected) && !self.actions.is_empty() {
-            self.speaker = Some(self.selected);
-            reply::print_speaker(reply, self.selected);
+        if self.printed_instance != Some(self.selected) && !self.actions.is_empty() {
+            self.printed_instance = Some(self.selected);
+            reply::print_instance(reply, self.selected);
         }
         for action in &self.actions {
             reply::print_action(reply, action, |request| instance.request_name(request));
--- a/src/bin/simulator-adapter/configuration.rs
+++ b/src/bin/simulator-adapter/configuration.rs
@@ -2,6 +2,11 @@
 
 use std::collections::HashMap;
 
+use connection_balancer::protocol::platform_settings::{
+    charge_key, class_key, family_key, key, limit_key, reporting_key, rule_key, tenant_key, DISCOVERY_POLLED,
+    DISCOVERY_PUSHED, FIRST_FIELD, IDEMPOTENT, IDEMPOTENT_BY_KEY, NOT_IDEMPOTENT, REPORTING_OFF, SCOPE_ALL,
+    SCOPE_CELL, SCOPE_ZONE, UTILISATION,
+};
 use connection_balancer::{Class, Idempotency, KeyScope, Micros, Settings, Tenant, ZoneId};
 
 use crate::line::{Line, MalformedField};
@@ -11,9 +16,10 @@
 const ABSENT: &str = "null";
 /// Lists of names and of values are separated by this.
 const LIST_SEPARATOR: char = ',';
-const MESSAGE_OBJECTIVES: &str = "family-info.message-aim";
-const TENANT_CONNECTION_QUOTAS: &str = "family-info.tenant-quota-connections";
-const FIRST_REPORT_FIELD: &str = "family-info.report-x0";
+/// The parts of a key are joined by this.
+const KEY_SEPARATOR: &str = ".";
+/// The part of a key with the number of a list's elements.
+const COUNT: &str = "count";
 
 /// The settings of an instance, with the names for what the decision module numbers.
 #[derive(Default)]
@@ -37,6 +43,11 @@
     named.into_iter().map(|named| (named.name, named.value)).unzip()
 }
 
+/// The key of a value that is nested in parts of the settings.
+fn nested_key(parts: &[&str]) -> String {
+    parts.join(KEY_SEPARATOR)
+}
+
 /// The fields of a message, by name.
 struct SettingsReader<'a> {
     message: &'a str,
@@ -92,18 +103,20 @@
 /// If a value is unreadable. Unknown settings are ignored, missing ones have their defaults.
 pub(crate) fn parse(line: &Line<'_>) -> Result<InstanceConfig, MalformedField> {
     let reader = SettingsReader::new(line);
-    let zones = reader.list("zones");
-    let zone = zones.iter().position(|zone| Some(zone.as_str()) == reader.text("zone")).unwrap_or(0);
+    let zones = reader.list(key::ZONES);
+    let zone = zones.iter().position(|zone| Some(zone.as_str()) == reader.text(key::ZONE)).unwrap_or(0);
     let (classes, class_settings) = unzip_named(parse_classes(&reader)?);
     let (tenants, tenant_settings) = unzip_named(parse_tenants(&reader)?);
-    let utilisation_fields = match reader.text(FIRST_REPORT_FIELD) {
-        Some(_) => vec!["x0", "utilization"],
-        None => vec!["utilization"],
-    };
-    let reported_fields = reader.list("reporting.fields");
+    let utilisation_fields =
+        match reader.text(&nested_key(&[key::FAMILY_INFO, family_key::FIRST_REPORT_FIELD])) {
+            Some(_) => vec![FIRST_FIELD, UTILISATION],
+            None => vec![UTILISATION],
+        };
+    let reported_fields = reader.list(&nested_key(&[key::REPORTING, reporting_key::FIELDS]));
     let reports_utilisation =
         reported_fields.iter().any(|field| utilisation_fields.contains(&field.as_str()));
-    let probe_reports = reports_utilisation && reader.text("reporting.how") != Some("off");
+    let report_mode = reader.text(&nested_key(&[key::REPORTING, reporting_key::MODE]));
+    let probe_reports = reports_utilisation && report_mode != Some(REPORTING_OFF);
     let settings = Settings {
         zone: ZoneId(zone as u16),
         classes: class_settings,
@@ -115,61 +128,68 @@
 }
 
 fn parse_classes(reader: &SettingsReader<'_>) -> Result<Vec<Named<Class>>, MalformedField> {
-    let message_objectives = reader.list(MESSAGE_OBJECTIVES);
-    let count = reader.decimal("classes.count", 0.0)? as usize;
+    let message_objectives_key = nested_key(&[key::FAMILY_INFO, family_key::MESSAGE_OBJECTIVES]);
+    let message_objectives = reader.list(&message_objectives_key);
+    let count = reader.decimal(&nested_key(&[key::CLASSES, COUNT]), 0.0)? as usize;
     let mut classes = Vec::new();
     for index in 0..count {
-        let key = |name: &str| format!("classes.{index}.{name}");
-        let idempotency = parse_idempotency(reader, key)?;
+        let class_field = |name: &str| nested_key(&[key::CLASSES, &index.to_string(), name]);
+        let idempotency = parse_idempotency(reader, class_field)?;
         let message_objective = match message_objectives.get(index).filter(|&text| text != ABSENT) {
-            Some(text) => parse_span(text).ok_or_else(|| reader.malformed(MESSAGE_OBJECTIVES))?,
+            Some(text) => parse_span(text).ok_or_else(|| reader.malformed(&message_objectives_key))?,
             None => Micros::ZERO,
         };
         let value = Class {
-            priority_weight: reader.decimal(&key("gain"), 1.0)?,
-            setup_objective: reader.span(&key("objective"), Micros::ZERO)?,
+            priority_weight: reader.decimal(&class_field(class_key::PRIORITY_WEIGHT), 1.0)?,
+            setup_objective: reader.span(&class_field(class_key::SETUP_OBJECTIVE_MS), Micros::ZERO)?,
             message_objective,
             idempotency,
         };
-        classes.push(Named { name: reader.text(&key("name")).unwrap_or("").to_owned(), value });
+        let name = reader.text(&class_field(class_key::NAME)).unwrap_or("").to_owned();
+        classes.push(Named { name, value });
     }
     Ok(classes)
 }
 
-/// Whether a class's requests may be repeated; `key` gives the class's keys.
+/// Whether a class's requests may be repeated; `class_field` gives the keys of the class.
 fn parse_idempotency(
     reader: &SettingsReader<'_>,
-    key: impl Fn(&str) -> String,
+    class_field: impl Fn(&str) -> String,
 ) -> Result<Idempotency, MalformedField> {
-    let scope = match reader.text(&key("group")) {
-        Some("all") => KeyScope::All,
-        Some("zone") => KeyScope::Zone,
-        Some("cell") | None => KeyScope::Cell,
-        Some(_) => return Err(reader.malformed(&key("group"))),
+    let scope_key = class_field(class_key::KEY_SCOPE);
+    let scope = match reader.text(&scope_key) {
+        Some(SCOPE_ALL) => KeyScope::All,
+        Some(SCOPE_ZONE) => KeyScope::Zone,
+        Some(SCOPE_CELL) | None => KeyScope::Cell,
+        Some(_) => return Err(reader.malformed(&scope_key)),
     };
-    match reader.text(&key("repeat")) {
-        Some("repeatable") => Ok(Idempotency::Idempotent),
-        Some("by_key") => {
-            Ok(Idempotency::IdempotencyKey { scope, window: reader.span(&key("window"), Micros::ZERO)? })
+    let idempotency_key = class_field(class_key::IDEMPOTENCY);
+    match reader.text(&idempotency_key) {
+        Some(IDEMPOTENT) => Ok(Idempotency::Idempotent),
+        Some(IDEMPOTENT_BY_KEY) => {
+            let window = reader.span(&class_field(class_key::DEDUPLICATION_WINDOW_MS), Micros::ZERO)?;
+            Ok(Idempotency::IdempotencyKey { scope, window })
         }
-        Some("once") | None => Ok(Idempotency::NotIdempotent),
-        Some(_) => Err(reader.malformed(&key("repeat"))),
+        Some(NOT_IDEMPOTENT) | None => Ok(Idempotency::NotIdempotent),
+        Some(_) => Err(reader.malformed(&idempotency_key)),
     }
 }
 
 fn parse_tenants(reader: &SettingsReader<'_>) -> Result<Vec<Named<Tenant>>, MalformedField> {
-    let connection_quotas = reader.list(TENANT_CONNECTION_QUOTAS);
-    let count = reader.decimal("accounts.count", 0.0)? as usize;
+    let quotas_key = nested_key(&[key::FAMILY_INFO, family_key::TENANT_CONNECTION_QUOTAS]);
+    let connection_quotas = reader.list(&quotas_key);
+    let count = reader.decimal(&nested_key(&[key::TENANTS, COUNT]), 0.0)? as usize;
     let mut tenants = Vec::new();
     for index in 0..count {
-        let key = |name: &str| format!("accounts.{index}.{name}");
+        let tenant_field = |name: &str| nested_key(&[key::TENANTS, &index.to_string(), name]);
         let quota_connections = match connection_quotas.get(index).filter(|&text| text != ABSENT) {
-            Some(text) => parse_decimal(text).ok_or_else(|| reader.malformed(TENANT_CONNECTION_QUOTAS))?,
+            Some(text) => parse_decimal(text).ok_or_else(|| reader.malformed(&quotas_key))?,
             None => 0.0,
         };
-        let quota_per_s = reader.decimal(&key("quota-per-s"), 0.0)?;
+        let quota_per_s = reader.decimal(&tenant_field(tenant_key::QUOTA_PER_SECOND), 0.0)?;
         let value = Tenant { quota_per_s, quota_connections };
-        tenants.push(Named { name: reader.text(&key("name")).unwrap_or("").to_owned(), value });
+        let name = reader.text(&tenant_field(tenant_key::NAME)).unwrap_or("").to_owned();
+        tenants.push(Named { name, value });
     }
     Ok(tenants)
 }
@@ -177,27 +197,32 @@
 /// The settings that are single values.
 fn parse_settings(reader: &SettingsReader<'_>) -> Result<Settings, MalformedField> {
     let default = Settings::default();
+    let limit = |name: &str| nested_key(&[key::LIMITS, name]);
+    let charge = |name: &str| nested_key(&[key::CHARGES, name]);
+    let rule = |name: &str| nested_key(&[key::RULES, name]);
+    let discovery_mode = reader.text(key::DISCOVERY_MODE);
     Ok(Settings {
-        balancers: reader.decimal("balancers", 1.0)?.max(1.0) as u32,
-        over_quota_weight: reader.decimal("over-share-worth", default.over_quota_weight)?,
-        max_attempts: reader.decimal("limits.try-limit", default.max_attempts as f64)? as u32,
-        cancel: reader.flag("limits.cancel")?,
-        retry_after: reader.flag("limits.retry-after")?,
-        max_retry_after: reader.span("limits.max-retry-after", default.max_retry_after)?,
-        connect_timeout: reader.span("limits.connect-timeout", default.connect_timeout)?,
-        poll_required: reader.text("discovery") == Some("on_request"),
-        poll_interval: reader.span("invariants.must-ask-in", default.poll_interval)?,
-        endpoints_pushed: reader.text("discovery") == Some("pushed"),
-        drain_grace: reader.span("invariants.drain-grace", default.drain_grace)?,
-        probes: reader.flag("limits.probing")?,
-        probe_cost: reader.decimal("charges.probe", 0.0)?,
-        cross_zone_cost: reader.decimal("charges.cross-zone", 0.0)?,
-        migration_cost: reader.decimal("charges.moves", 0.0)?,
-        slow_start_share: reader.decimal("invariants.cold-share", default.slow_start_share)?,
-        slow_start_duration: reader.span("invariants.warm-up", default.slow_start_duration)?,
+        balancers: reader.decimal(key::BALANCERS, 1.0)?.max(1.0) as u32,
+        over_quota_weight: reader.decimal(key::OVER_QUOTA_WEIGHT, default.over_quota_weight)?,
+        max_attempts: reader.decimal(&limit(limit_key::MAX_ATTEMPTS), default.max_attempts as f64)? as u32,
+        cancel: reader.flag(&limit(limit_key::CANCEL))?,
+        retry_after: reader.flag(&limit(limit_key::RETRY_AFTER))?,
+        max_retry_after: reader.span(&limit(limit_key::MAX_RETRY_AFTER_MS), default.max_retry_after)?,
+        connect_timeout: reader.span(&limit(limit_key::CONNECT_TIMEOUT_MS), default.connect_timeout)?,
+        poll_required: discovery_mode == Some(DISCOVERY_POLLED),
+        poll_interval: reader.span(&rule(rule_key::POLL_INTERVAL_MS), default.poll_interval)?,
+        endpoints_pushed: discovery_mode == Some(DISCOVERY_PUSHED),
+        drain_grace: reader.span(&rule(rule_key::DRAIN_GRACE_MS), default.drain_grace)?,
+        probes: reader.flag(&limit(limit_key::PROBES))?,
+        probe_cost: reader.decimal(&charge(charge_key::PROBE), 0.0)?,
+        cross_zone_cost: reader.decimal(&charge(charge_key::CROSS_ZONE), 0.0)?,
+        migration_cost: reader.decimal(&charge(charge_key::MIGRATION), 0.0)?,
+        slow_start_share: reader.decimal(&rule(rule_key::SLOW_START_SHARE), default.slow_start_share)?,
+        slow_start_duration: reader
+            .span(&rule(rule_key::SLOW_START_DURATION_MS), default.slow_start_duration)?,
         slow_start_overload_factor: reader
-            .decimal("invariants.tip-multiple", default.slow_start_overload_factor)?,
-        slow_start_window: reader.span("invariants.overload-for", default.slow_start_window)?,
+            .decimal(&rule(rule_key::SLOW_START_OVERLOAD_FACTOR), default.slow_start_overload_factor)?,
+        slow_start_window: reader.span(&rule(rule_key::SLOW_START_WINDOW_MS), default.slow_start_window)?,
         ..default
     })
 }
--- a/src/bin/simulator-adapter/instance.rs
+++ b/src/bin/simulator-adapter/instance.rs
@@ -86,7 +86,7 @@
                 let failed = Event::EndpointWatchFailed(WatchFailure::Rejected);
                 self.balancer.handle(now, failed, actions);
             }
-            EndpointSync::Whole { set } => {
+            EndpointSync::Snapshot { set } => {
                 let endpoints = self.resolve_zones(&sets[set]);
                 self.balancer.handle(now, Event::EndpointsReplaced(&endpoints), actions);
             }
--- a/src/bin/simulator-adapter/line.rs
+++ b/src/bin/simulator-adapter/line.rs
@@ -2,12 +2,14 @@
 
 use thiserror::Error;
 
-/// Most fields of a message that are kept (settings apart), with some to spare.
+/// The most fields of a message that can be looked up, apart from settings.
 const MAX_FIELDS: usize = 24;
-const FIELD_SEPARATOR: char = '\t';
-const VALUE_SEPARATOR: char = '=';
+/// Separates the fields of a line.
+pub(crate) const FIELD_SEPARATOR: char = '\t';
+/// Separates a field's name from its value.
+pub(crate) const VALUE_SEPARATOR: char = '=';
 
-/// A field that a message needs and that cannot be had.
+/// Why a field that a message needs cannot be used.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum MalformedField {
     /// Its value cannot be parsed.
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -8,6 +8,7 @@
 mod message;
 mod reply;
 mod values;
+mod wire;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -43,9 +44,9 @@
         }
         let fields = Line::split(text.trim_end_matches(['\n', '\r']));
         let message = message::parse(&fields).map_err(|source| ServeError::ParseLine { line, source })?;
-        let reply_due = matches!(message, Message::FrameEnded);
+        let is_frame_complete = matches!(message, Message::FrameEnded);
         adapter.handle_message(message, &mut reply);
-        if reply_due {
+        if is_frame_complete {
             output.write_all(&reply).and_then(|()| output.flush()).map_err(ServeError::WriteReply)?;
             reply.clear();
         }
--- a/src/bin/simulator-adapter/message.rs
+++ b/src/bin/simulator-adapter/message.rs
@@ -7,24 +7,15 @@
 use crate::configuration::{self, InstanceConfig};
 use crate::line::{Line, MalformedField};
 use crate::values::{parse_decimal, parse_flag, parse_number, parse_outcome, parse_span, parse_time};
+use crate::wire::{endpoint_state, field, message, sync_scope, topic, NO_TENANT, REPORTED_CONNECTIONS};
 
 /// Endpoint sets are numbered from 0 to one less than this.
 pub(crate) const MAX_ENDPOINT_SETS: usize = 16;
-/// The field with the number of an attempt, in messages and replies.
-pub(crate) const ATTEMPT_FIELD: &str = "leg";
-/// The message of a connection that was open before the start.
-const INHERITED: &str = "INHERITED";
-/// The tenant of requests without one.
-const NO_TENANT: &str = "0";
-/// The topics of measurements.
-const TOPIC_LOAD: u32 = 1;
-const TOPIC_MESSAGE_TIME: u32 = 2;
-
 /// A message. Names of zones, classes, tenants and requests are resolved by the instance that it is for.
 pub(crate) enum Message<'a> {
     /// A frame of messages starts at this time.
     FrameStarted(Time),
-    /// It ends: the reply is due.
+    /// It ends: the simulator waits for the reply.
     FrameEnded,
     /// The messages that follow are for this instance.
     InstanceSelected(u32),
@@ -44,7 +35,7 @@
 
 /// Something that an instance's balancer is notified of.
 pub(crate) enum InstanceEvent<'a> {
-    /// Endpoints are received, or cannot be had.
+    /// Endpoints are received, or are unavailable.
     EndpointsSynced(EndpointSync),
     /// A request arrives, or a connection is open at the start.
     RequestArrived(RequestArrival<'a>),
@@ -60,10 +51,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndpointSync {
     /// This set is the whole list.
-    Whole { set: usize },
+    Snapshot { set: usize },
     /// This set holds the changed entries.
     Changes { set: usize },
-    /// The list cannot be had.
+    /// The list is unavailable.
     Failed,
 }
 
@@ -105,16 +96,18 @@
 /// If a field is missing or unreadable.
 pub(crate) fn parse<'a>(line: &Line<'a>) -> Result<Message<'a>, MalformedField> {
     Ok(match line.message {
-        "FRAME" => Message::FrameStarted(line.required("t", parse_time)?),
-        "OVER_TO_YOU" => Message::FrameEnded,
-        "TARGET_INSTANCE" => Message::InstanceSelected(line.required("i", parse_number)?),
-        "HELLO" => Message::InstanceStarted {
-            seed: line.required("prng", parse_number)?,
+        message::FRAME_STARTED => Message::FrameStarted(line.required(field::TIME, parse_time)?),
+        message::FRAME_ENDED => Message::FrameEnded,
+        message::INSTANCE_SELECTED => {
+            Message::InstanceSelected(line.required(field::INSTANCE, parse_number)?)
+        }
+        message::INSTANCE_STARTED => Message::InstanceStarted {
+            seed: line.required(field::SEED, parse_number)?,
             config: Box::new(configuration::parse(line)?),
         },
-        "KILL" => Message::InstanceKilled,
-        "TABLE" => Message::EndpointSetStarted { set: parse_set(line)? },
-        "ITEM" => Message::EndpointSetEntry(parse_entry(line)?),
+        message::INSTANCE_KILLED => Message::InstanceKilled,
+        message::ENDPOINT_SET_STARTED => Message::EndpointSetStarted { set: parse_set(line)? },
+        message::ENDPOINT_SET_ENTRY => Message::EndpointSetEntry(parse_entry(line)?),
         _ => match parse_instance_event(line)? {
             Some(event) => Message::InstanceEvent(event),
             None => Message::Unknown,
@@ -124,79 +117,94 @@
 
 fn parse_instance_event<'a>(line: &Line<'a>) -> Result<Option<InstanceEvent<'a>>, MalformedField> {
     Ok(Some(match line.message {
-        "SYNC" => InstanceEvent::EndpointsSynced(parse_sync(line)?),
-        "INGRESS" | INHERITED => InstanceEvent::RequestArrived(parse_arrival(line)?),
-        "ACK_FIRST" | "INTERIM" | "RESULT" | "ABORTED" => {
+        message::ENDPOINTS_SYNCED => InstanceEvent::EndpointsSynced(parse_sync(line)?),
+        message::REQUEST_ARRIVED | message::CONNECTION_RESTORED => {
+            InstanceEvent::RequestArrived(parse_arrival(line)?)
+        }
+        message::CONNECTION_ESTABLISHED
+        | message::CONNECTION_MEASURED
+        | message::ATTEMPT_ENDED
+        | message::CLIENT_LEFT => {
             let progress = parse_progress(line)?;
-            InstanceEvent::RequestProgressed { request: line.required("xid", Some)?, progress }
+            InstanceEvent::RequestProgressed { request: line.required(field::REQUEST, Some)?, progress }
         }
-        "TICK_DUE" => InstanceEvent::TimerFired,
-        "PONG" => InstanceEvent::ProbeCompleted {
-            server: line.required("backend", parse_number).map(ServerId)?,
-            outcome: line.required("ending", parse_outcome)?,
-            report: line.text("feedback").unwrap_or(""),
+        message::TIMER_FIRED => InstanceEvent::TimerFired,
+        message::PROBE_COMPLETED => InstanceEvent::ProbeCompleted {
+            server: line.required(field::SERVER, parse_number).map(ServerId)?,
+            outcome: line.required(field::OUTCOME, parse_outcome)?,
+            report: line.text(field::LOAD_REPORT).unwrap_or(""),
         },
         _ => return Ok(None),
     }))
 }
 
 fn parse_set(line: &Line<'_>) -> Result<usize, MalformedField> {
-    line.required("set-id", |value| parse_number(value).filter(|&set: &usize| set < MAX_ENDPOINT_SETS))
+    line.required(field::ENDPOINT_SET, |value| {
+        parse_number(value).filter(|&set: &usize| set < MAX_ENDPOINT_SETS)
+    })
 }
 
 fn parse_sync(line: &Line<'_>) -> Result<EndpointSync, MalformedField> {
-    Ok(match line.required("scope", Some)? {
-        "C" | "F" => EndpointSync::Whole { set: parse_set(line)? },
-        "D" => EndpointSync::Changes { set: parse_set(line)? },
-        "X" => EndpointSync::Failed,
-        _ => return Err(line.malformed("scope")),
+    Ok(match line.required(field::SYNC_SCOPE, Some)? {
+        sync_scope::SNAPSHOT | sync_scope::FORCED_SNAPSHOT => {
+            EndpointSync::Snapshot { set: parse_set(line)? }
+        }
+        sync_scope::CHANGES => EndpointSync::Changes { set: parse_set(line)? },
+        sync_scope::FAILED => EndpointSync::Failed,
+        _ => return Err(line.malformed(field::SYNC_SCOPE)),
     })
 }
 
 fn parse_entry(line: &Line<'_>) -> Result<ZonedEntry, MalformedField> {
     Ok(ZonedEntry {
-        zone: line.text("site").unwrap_or("").to_owned(),
+        zone: line.text(field::ZONE).unwrap_or("").to_owned(),
         entry: EndpointEntry {
-            server: line.required("backend", parse_number).map(ServerId)?,
+            server: line.required(field::SERVER, parse_number).map(ServerId)?,
             zone: ZoneId(0),
-            cell: CellId(line.optional("cell", parse_number)?.unwrap_or(0)),
-            state: line.required("mode", parse_state)?,
-            started: line.optional("launched", parse_time)?.filter(|&at| at > Time(0)),
-            weight: line.optional("units", parse_decimal)?.unwrap_or(0.0),
+            cell: CellId(line.optional(field::CELL, parse_number)?.unwrap_or(0)),
+            state: line.required(field::ENDPOINT_STATE, parse_state)?,
+            started: line.optional(field::STARTED, parse_time)?.filter(|&at| at > Time(0)),
+            weight: line.optional(field::WEIGHT, parse_decimal)?.unwrap_or(0.0),
         },
     })
 }
 
 fn parse_state(text: &str) -> Option<EndpointState> {
     match text {
-        "in_service" => Some(EndpointState::Serving),
-        "terminating" => Some(EndpointState::Draining),
-        "terminated" => Some(EndpointState::Gone),
+        endpoint_state::SERVING => Some(EndpointState::Serving),
+        endpoint_state::DRAINING => Some(EndpointState::Draining),
+        endpoint_state::GONE => Some(EndpointState::Gone),
         _ => None,
     }
 }
 
 fn parse_arrival<'a>(line: &Line<'a>) -> Result<RequestArrival<'a>, MalformedField> {
-    let inherited = line.message == INHERITED;
+    let is_restored = line.message == message::CONNECTION_RESTORED;
     Ok(RequestArrival {
-        request: line.required("xid", Some)?,
-        class: line.required("service", Some)?,
-        tenant: line.text("owner").filter(|&owner| owner != NO_TENANT),
-        group: line.optional("channel", parse_number)?.map(GroupId),
-        load: line.optional("hint", parse_decimal)?,
-        deadline: if inherited { None } else { Some(line.required("give-up-at", parse_time)?) },
-        server: if inherited { Some(line.required("backend", parse_number).map(ServerId)?) } else { None },
+        request: line.required(field::REQUEST, Some)?,
+        class: line.required(field::CLASS, Some)?,
+        tenant: line.text(field::TENANT).filter(|&owner| owner != NO_TENANT),
+        group: line.optional(field::GROUP, parse_number)?.map(GroupId),
+        load: line.optional(field::EXPECTED_LOAD, parse_decimal)?,
+        deadline: if is_restored { None } else { Some(line.required(field::DEADLINE, parse_time)?) },
+        server: if is_restored {
+            Some(line.required(field::SERVER, parse_number).map(ServerId)?)
+        } else {
+            None
+        },
     })
 }
 
 fn parse_progress(line: &Line<'_>) -> Result<RequestProgress, MalformedField> {
     Ok(match line.message {
-        "ACK_FIRST" => RequestProgress::Established { attempt: line.required(ATTEMPT_FIELD, parse_number)? },
-        "INTERIM" => RequestProgress::Measured(parse_measurement(line)?),
-        "RESULT" => RequestProgress::AttemptEnded {
-            attempt: line.required(ATTEMPT_FIELD, parse_number)?,
-            outcome: line.required("ending", parse_outcome)?,
-            answered: line.optional("last", parse_flag)?.unwrap_or(false),
+        message::CONNECTION_ESTABLISHED => {
+            RequestProgress::Established { attempt: line.required(field::ATTEMPT, parse_number)? }
+        }
+        message::CONNECTION_MEASURED => RequestProgress::Measured(parse_measurement(line)?),
+        message::ATTEMPT_ENDED => RequestProgress::AttemptEnded {
+            attempt: line.required(field::ATTEMPT, parse_number)?,
+            outcome: line.required(field::OUTCOME, parse_outcome)?,
+            answered: line.optional(field::ANSWERED, parse_flag)?.unwrap_or(false),
         },
         _ => RequestProgress::ClientLeft,
     })
@@ -204,9 +212,11 @@
 
 /// A measurement; none if its topic is unknown.
 fn parse_measurement(line: &Line<'_>) -> Result<Option<Measurement>, MalformedField> {
-    Ok(match line.required("topic", parse_number::<u32>)? {
-        TOPIC_LOAD => Some(Measurement::Load(line.required("amount", parse_decimal)?)),
-        TOPIC_MESSAGE_TIME => Some(Measurement::MessageTime(line.required("amount", parse_span)?)),
+    Ok(match line.required(field::MEASUREMENT_TOPIC, parse_number::<u32>)? {
+        topic::LOAD => Some(Measurement::Load(line.required(field::MEASUREMENT_AMOUNT, parse_decimal)?)),
+        topic::MESSAGE_TIME => {
+            Some(Measurement::MessageTime(line.required(field::MEASUREMENT_AMOUNT, parse_span)?))
+        }
         _ => None,
     })
 }
@@ -218,5 +228,5 @@
         pairs.find(|(key, _)| *key == name).and_then(|(_, value)| parse_decimal(value))
     };
     let utilisation = utilisation_fields.iter().find_map(|name| value(name))?;
-    Some(LoadReport { utilisation, connections: value("outstanding") })
+    Some(LoadReport { utilisation, connections: value(REPORTED_CONNECTIONS) })
 }
--- a/src/bin/simulator-adapter/reply.rs
+++ b/src/bin/simulator-adapter/reply.rs
@@ -1,43 +1,61 @@
 //! Prints replies in the simulator's protocol.
 
+use std::fmt::Display;
 use std::io::Write;
 
 use connection_balancer::{Action, RequestId};
 
-use crate::message::ATTEMPT_FIELD;
+use crate::line::{FIELD_SEPARATOR, VALUE_SEPARATOR};
 use crate::values::Millis;
+use crate::wire::{field, reply, TIMER_NAME};
 
-/// The actions that follow in the reply are this instance's.
-pub(crate) fn print_speaker(out: &mut Vec<u8>, instance: u32) {
+/// A line of a reply: its name, and a field for each name and value.
+fn print_line(out: &mut Vec<u8>, name: &str, fields: &[(&str, &dyn Display)]) {
     // Writing to memory cannot fail.
-    let _ = writeln!(out, "SPEAKING\ti={instance}");
+    let _ = write!(out, "{name}");
+    for (field, value) in fields {
+        let _ = write!(out, "{FIELD_SEPARATOR}{field}{VALUE_SEPARATOR}{value}");
+    }
+    out.push(b'\n');
 }
 
-/// The reply is complete.
+/// Prints that the actions which follow are this instance's.
+pub(crate) fn print_instance(out: &mut Vec<u8>, instance: u32) {
+    print_line(out, reply::INSTANCE, &[(field::INSTANCE, &instance)]);
+}
+
+/// Prints that the reply is complete.
 pub(crate) fn print_end(out: &mut Vec<u8>) {
-    out.extend_from_slice(b"EOR\n");
+    print_line(out, reply::END, &[]);
 }
 
 /// Prints an action; `name` gives the protocol's name of a request.
 pub(crate) fn print_action<'a>(out: &mut Vec<u8>, action: &Action, name: impl Fn(RequestId) -> &'a str) {
-    // Writing to memory cannot fail.
-    let _ = match action {
+    match action {
         Action::StartAttempt { request, server, timeout, .. } => {
-            let (name, server, timeout) = (name(*request), server.0, Millis(*timeout));
-            writeln!(out, "ATTEMPT\txid={name}\tbackend={server}\tpatience={timeout}")
+            let (name, timeout) = (name(*request), Millis(*timeout));
+            let fields: [(&str, &dyn Display); 3] =
+                [(field::REQUEST, &name), (field::SERVER, &server.0), (field::TIMEOUT, &timeout)];
+            print_line(out, reply::START_ATTEMPT, &fields);
         }
         Action::Reject { request, retry_after, .. } => {
-            writeln!(out, "DENY\txid={}\thold-off={}", name(*request), Millis(*retry_after))
+            let (name, retry_after) = (name(*request), Millis(*retry_after));
+            print_line(out, reply::REJECT, &[(field::REQUEST, &name), (field::RETRY_AFTER, &retry_after)]);
         }
-        Action::Fail { request, .. } => writeln!(out, "FINISH_ERROR\txid={}", name(*request)),
+        Action::Fail { request, .. } => print_line(out, reply::FAIL, &[(field::REQUEST, &name(*request))]),
         Action::CancelAttempt { request, attempt } => {
-            writeln!(out, "RETRACT\txid={}\t{ATTEMPT_FIELD}={attempt}", name(*request))
+            let fields: [(&str, &dyn Display); 2] =
+                [(field::REQUEST, &name(*request)), (field::ATTEMPT, attempt)];
+            print_line(out, reply::CANCEL_ATTEMPT, &fields);
         }
-        Action::Migrate { request } => writeln!(out, "MOVE\txid={}", name(*request)),
-        Action::ProbeServer { server } => writeln!(out, "SOUND_OUT\tbackend={}", server.0),
+        Action::Migrate { request } => print_line(out, reply::MIGRATE, &[(field::REQUEST, &name(*request))]),
+        Action::ProbeServer { server } => print_line(out, reply::PROBE_SERVER, &[(field::SERVER, &server.0)]),
         // Instances of the simulator do not send one another observations.
-        Action::ReportSlowSetup | Action::ReportDrop { .. } => Ok(()),
-        Action::WatchEndpoints => writeln!(out, "SUBSCRIBE\ton=1"),
-        Action::SetTimer(wait) => writeln!(out, "SLEEP\tfrom-now={}\tname=wake", Millis(*wait)),
-    };
+        Action::ReportSlowSetup | Action::ReportDrop { .. } => {}
+        Action::WatchEndpoints => print_line(out, reply::WATCH_ENDPOINTS, &[(field::ENABLED, &1)]),
+        Action::SetTimer(delay) => {
+            let delay = Millis(*delay);
+            print_line(out, reply::SET_TIMER, &[(field::DELAY, &delay), (field::TIMER, &TIMER_NAME)]);
+        }
+    }
 }
--- /dev/null
+++ b/src/program/command_line.rs
@@ -0,0 +1,147 @@
+//! The options of the command line, and the help that is printed on them.
+// The comments on options are printed as help, where backticks would only disturb.
+#![allow(clippy::doc_markdown)]
+
+use std::path::PathBuf;
+
+use argh::FromArgs;
+
+use crate::transport;
+
+/// A connection balancer for the shop platform and IRC.
+#[derive(FromArgs)]
+pub(super) struct CommandLine {
+    #[argh(subcommand)]
+    pub(super) command: Command,
+}
+
+#[derive(FromArgs)]
+#[argh(subcommand)]
+pub(super) enum Command {
+    Serve(Serve),
+    Check(Check),
+    Replay(Replay),
+    Exclude(Exclude),
+    Include(Include),
+    Readyz(Readyz),
+    Telemetry(Telemetry),
+    Set(Set),
+    Version(Version),
+}
+
+/// Run the balancer in the foreground until SIGTERM; on SIGHUP it reads its configuration again.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "serve")]
+pub(super) struct Serve {
+    /// configuration of the platform's front (default: $NODE_CONFIG)
+    #[argh(option)]
+    pub(super) config: Option<PathBuf>,
+    /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
+    #[argh(option)]
+    pub(super) irc: Option<PathBuf>,
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
+    #[argh(option)]
+    pub(super) rebalance: Option<PathBuf>,
+    /// record what goes over the fronts' connections to this pcap file
+    #[argh(option)]
+    pub(super) record: Option<PathBuf>,
+    /// megabytes that the recording may grow to (default: 64)
+    #[argh(option, default = "64")]
+    pub(super) record_mb: usize,
+}
+
+/// Read and check the configuration, and report what is wrong with it.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "check")]
+pub(super) struct Check {
+    /// configuration of the platform's front (default: $NODE_CONFIG)
+    #[argh(option)]
+    pub(super) config: Option<PathBuf>,
+    /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
+    #[argh(option)]
+    pub(super) irc: Option<PathBuf>,
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
+    #[argh(option)]
+    pub(super) rebalance: Option<PathBuf>,
+}
+
+/// Replay the clients' flows of a pcap file into a front, with loopback servers only.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "replay")]
+pub(super) struct Replay {
+    /// pcap file
+    #[argh(positional)]
+    pub(super) file: PathBuf,
+    /// configuration of the platform's front, or the operator's file with --front irc
+    #[argh(option)]
+    pub(super) config: PathBuf,
+    /// front that takes the flows: platform or irc (default: platform)
+    #[argh(option, default = "transport::FrontKind::Platform")]
+    pub(super) front: transport::FrontKind,
+    /// port that the flows went to (default: the one that the front listens on)
+    #[argh(option)]
+    pub(super) port: Option<u16>,
+}
+
+/// Exclude a server, whatever any endpoint list holds, until it is included again.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "exclude")]
+pub(super) struct Exclude {
+    /// name of the server
+    #[argh(positional, arg_name = "host")]
+    pub(super) server: String,
+    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
+    #[argh(option)]
+    pub(super) mgmt: Option<String>,
+}
+
+/// Readmit a server that was excluded.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "include")]
+pub(super) struct Include {
+    /// name of the server
+    #[argh(positional, arg_name = "host")]
+    pub(super) server: String,
+    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
+    #[argh(option)]
+    pub(super) mgmt: Option<String>,
+}
+
+/// Ask a balancer whether it is ready to serve.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "readyz")]
+pub(super) struct Readyz {
+    /// address of its admin endpoint (default: $NODE_MGMT)
+    #[argh(option)]
+    pub(super) mgmt: Option<String>,
+}
+
+/// Ask a balancer for its metrics.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "telemetry")]
+pub(super) struct Telemetry {
+    /// address of its admin endpoint (default: $NODE_MGMT)
+    #[argh(option)]
+    pub(super) mgmt: Option<String>,
+}
+
+/// Write an entry of the replicated map: host/NAME ("ADDRESS [ZONE [WEIGHT]]"), life/NAME (gone) or
+/// limit/connections (a number). Written at one node, it takes effect at all of them.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "set")]
+pub(super) struct Set {
+    /// key
+    #[argh(positional)]
+    pub(super) key: String,
+    /// value; without one the key is deleted
+    #[argh(positional)]
+    pub(super) value: Option<String>,
+    /// address of any node's replica on this machine
+    #[argh(option)]
+    pub(super) store: std::net::SocketAddr,
+}
+
+/// Print the version.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "version")]
+pub(super) struct Version {}
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -1,161 +1,24 @@
-//! The command line.
-// The comments on options are printed as help, where backticks would only disturb.
-#![allow(clippy::doc_markdown)]
+//! The commands, and what they print.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use argh::FromArgs;
 use thiserror::Error;
 
+use super::command_line::{
+    Check, Command, CommandLine, Exclude, Include, Readyz, Replay, Serve, Set, Telemetry,
+};
 use super::config::{self, ConfigError, ReplicatedEntryError, Sources};
+use crate::protocol::admin;
+use crate::routing::AdminCall;
 use crate::transport;
 
 /// Environment variable with the address of the admin endpoint.
 const ADMIN_ADDRESS_VARIABLE: &str = "NODE_MGMT";
 /// Environment variable with the path of the platform's configuration.
 const CONFIG_PATH_VARIABLE: &str = "NODE_CONFIG";
-/// What the answer to an admin call that failed begins with.
-const ADMIN_FAILURE: &str = "NO";
-const BYTES_PER_MB_SHIFT: u32 = 20;
-
-/// A connection balancer for the shop platform and IRC.
-#[derive(FromArgs)]
-struct CommandLine {
-    #[argh(subcommand)]
-    command: Command,
-}
-
-#[derive(FromArgs)]
-#[argh(subcommand)]
-enum Command {
-    Serve(Serve),
-    Check(Check),
-    Replay(Replay),
-    Exclude(Exclude),
-    Include(Include),
-    Readyz(Readyz),
-    Telemetry(Telemetry),
-    Set(Set),
-    Version(Version),
-}
-
-/// Run the balancer in the foreground until SIGTERM; on SIGHUP it reads its configuration again.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "serve")]
-struct Serve {
-    /// configuration of the platform's front (default: $NODE_CONFIG)
-    #[argh(option)]
-    config: Option<PathBuf>,
-    /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
-    #[argh(option)]
-    irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
-    #[argh(option)]
-    rebalance: Option<PathBuf>,
-    /// record what goes over the fronts' connections to this pcap file
-    #[argh(option)]
-    record: Option<PathBuf>,
-    /// megabytes that the recording may grow to (default: 64)
-    #[argh(option, default = "64")]
-    record_mb: usize,
-}
-
-/// Read and check the configuration, and report what is wrong with it.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "check")]
-struct Check {
-    /// configuration of the platform's front (default: $NODE_CONFIG)
-    #[argh(option)]
-    config: Option<PathBuf>,
-    /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
-    #[argh(option)]
-    irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
-    #[argh(option)]
-    rebalance: Option<PathBuf>,
-}
-
-/// Replay the clients' flows of a pcap file into a front, with loopback servers only.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "replay")]
-struct Replay {
-    /// pcap file
-    #[argh(positional)]
-    file: PathBuf,
-    /// configuration of the platform's front, or the operator's file with --front irc
-    #[argh(option)]
-    config: PathBuf,
-    /// front that takes the flows: platform or irc (default: platform)
-    #[argh(option, default = "transport::FrontKind::Platform")]
-    front: transport::FrontKind,
-    /// port that the flows went to (default: the one that the front listens on)
-    #[argh(option)]
-    port: Option<u16>,
-}
-
-/// Exclude a server, whatever any endpoint list holds, until it is included again.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "exclude")]
-struct Exclude {
-    /// name of the server
-    #[argh(positional, arg_name = "host")]
-    server: String,
-    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
-    #[argh(option)]
-    mgmt: Option<String>,
-}
-
-/// Readmit a server that was excluded.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "include")]
-struct Include {
-    /// name of the server
-    #[argh(positional, arg_name = "host")]
-    server: String,
-    /// address of a balancer's admin endpoint (default: $NODE_MGMT)
-    #[argh(option)]
-    mgmt: Option<String>,
-}
-
-/// Ask a balancer whether it is ready to serve.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "readyz")]
-struct Readyz {
-    /// address of its admin endpoint (default: $NODE_MGMT)
-    #[argh(option)]
-    mgmt: Option<String>,
-}
-
-/// Ask a balancer for its metrics.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "telemetry")]
-struct Telemetry {
-    /// address of its admin endpoint (default: $NODE_MGMT)
-    #[argh(option)]
-    mgmt: Option<String>,
-}
-
-/// Write an entry of the replicated map: host/NAME ("ADDRESS [ZONE [WEIGHT]]"), life/NAME (gone) or
-/// limit/connections (a number). Written at one node, it takes effect at all of them.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "set")]
-struct Set {
-    /// key
-    #[argh(positional)]
-    key: String,
-    /// value; without one the key is deleted
-    #[argh(positional)]
-    value: Option<String>,
-    /// address of any node's replica on this machine
-    #[argh(option)]
-    store: std::net::SocketAddr,
-}
-
-/// Print the version.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "version")]
-struct Version {}
+/// Bits by which a number of megabytes is shifted to give bytes.
+const MEGABYTE_SHIFT: u32 = 20;
 
 /// Why a command failed.
 #[derive(Debug, Error)]
@@ -181,12 +44,13 @@
 }
 
 /// Makes a call at the admin endpoint of a balancer, and prints the answer.
-fn make_admin_call(mgmt: Option<String>, call: &str) -> Result<(), CommandError> {
+fn make_admin_call(mgmt: Option<String>, call: &AdminCall) -> Result<(), CommandError> {
+    let call = admin::encode_call(call);
     let address = mgmt.or_else(admin_address_from_environment).ok_or(CommandError::NoAdminAddress)?;
-    let answer = transport::call_admin_endpoint(&address, call)?;
+    let answer = transport::call_admin_endpoint(&address, &call)?;
     print!("{}", answer.replace('\r', ""));
-    if answer.starts_with(ADMIN_FAILURE) {
-        return Err(CommandError::AdminCallFailed { call: call.to_owned() });
+    if admin::is_failure(&answer) {
+        return Err(CommandError::AdminCallFailed { call });
     }
     Ok(())
 }
@@ -197,7 +61,7 @@
 }
 
 fn serve(options: Serve) -> Result<(), CommandError> {
-    let max_bytes = options.record_mb << BYTES_PER_MB_SHIFT;
+    let max_bytes = options.record_mb << MEGABYTE_SHIFT;
     let record = options.record.map(|path| transport::RecordingConfig { path, max_bytes });
     let sources = sources(options.config, options.irc, options.rebalance);
     Ok(transport::serve(sources, record)?)
@@ -236,10 +100,10 @@
         Command::Serve(options) => serve(options),
         Command::Check(options) => check(options),
         Command::Replay(options) => replay(options),
-        Command::Exclude(Exclude { server, mgmt }) => make_admin_call(mgmt, &format!("exclude {server}")),
-        Command::Include(Include { server, mgmt }) => make_admin_call(mgmt, &format!("include {server}")),
-        Command::Readyz(Readyz { mgmt }) => make_admin_call(mgmt, "readyz"),
-        Command::Telemetry(Telemetry { mgmt }) => make_admin_call(mgmt, "telemetry"),
+        Command::Exclude(Exclude { server, mgmt }) => make_admin_call(mgmt, &AdminCall::Exclude(server)),
+        Command::Include(Include { server, mgmt }) => make_admin_call(mgmt, &AdminCall::Include(server)),
+        Command::Readyz(Readyz { mgmt }) => make_admin_call(mgmt, &AdminCall::Ready),
+        Command::Telemetry(Telemetry { mgmt }) => make_admin_call(mgmt, &AdminCall::Telemetry),
         Command::Set(options) => write_replicated_entry(options),
         Command::Version(_) => {
             println!("connection-balancer {}", env!("CARGO_PKG_VERSION"));
--- /dev/null
+++ b/src/program/config/irc.rs
@@ -0,0 +1,246 @@
+//! The IRC front and its pool, from the operator's file.
+
+use std::net::SocketAddr;
+
+use super::{
+    decode_address, decode_optional_address, decode_seed, decode_zone, limits, operator, MIN_SLOW_START_SHARE,
+};
+use crate::protocol::irc::{AdvertisedAddress, IrcConfig};
+use crate::protocol::json::{DecodeError, JsonNode};
+use crate::rebalance::RebalanceConfig;
+use crate::routing::{Endpoint, Lifecycle, PoolConfig};
+use crate::{Class, Idempotency, Micros, Settings, Tenant};
+
+/// The front's name where none is configured.
+const DEFAULT_NAME: &str = "irc.sagemount";
+/// The name of the front's class where none is configured.
+const DEFAULT_CLASS: &str = "irc";
+
+/// Time that a client has to register, and then to be connected to a server.
+const DEFAULT_CLIENT_TIMEOUT: Micros = Micros::from_secs(10);
+/// Divisor of that time that gives the objective for placing a client.
+const SETUP_OBJECTIVE_DIVISOR: u64 = 4;
+const DEFAULT_MAX_ATTEMPTS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
+const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_secs(10);
+const DEFAULT_CONNECT_TIMEOUT: Micros = Micros::from_secs(1);
+const DEFAULT_MAX_CONNECTIONS: f64 = 10_000.0;
+/// Time over which the clients of a draining server are migrated.
+const DEFAULT_DRAIN_DURATION: Micros = Micros::from_secs(20);
+
+/// Keys of the file.
+mod key {
+    pub(super) const LISTEN: &str = "listen";
+    pub(super) const NAME: &str = "name";
+    pub(super) const ADVERTISED_ADDRESS: &str = "public";
+    pub(super) const SEED: &str = "seed";
+    pub(super) const CLASS: &str = "class";
+    pub(super) const TENANT: &str = "tenant";
+    pub(super) const CAPABILITIES: &str = "capabilities";
+    pub(super) const BALANCERS: &str = "balancers";
+    pub(super) const DRAIN_DURATION_MS: &str = "drain_over_ms";
+    pub(super) const ZONE: &str = "zone";
+    pub(super) const ZONES: &str = "zones";
+    pub(super) const ENDPOINTS: &str = "hosts";
+}
+
+/// Keys of the class.
+mod class_key {
+    pub(super) const NAME: &str = "name";
+    pub(super) const PRIORITY_WEIGHT: &str = "worth";
+    pub(super) const SETUP_OBJECTIVE_MS: &str = "setup_aim_ms";
+    pub(super) const CLIENT_TIMEOUT_MS: &str = "give_up_ms";
+}
+
+/// Keys of the limits, beside those of the process.
+mod limit_key {
+    pub(super) const MAX_ATTEMPTS: &str = "legs";
+    pub(super) const CONNECT_TIMEOUT_MS: &str = "connect_ms";
+    pub(super) const MAX_RETRY_AFTER_MS: &str = "retry_after_ms";
+    pub(super) const SLOW_START_DURATION_MS: &str = "warm_up_ms";
+    pub(super) const SLOW_START_SHARE: &str = "cold_share";
+    pub(super) const MAX_CONNECTIONS: &str = "connections";
+}
+
+/// Keys of an endpoint.
+mod endpoint_key {
+    pub(super) const NAME: &str = "name";
+    pub(super) const ADDRESS: &str = "address";
+    pub(super) const ZONE: &str = "zone";
+    pub(super) const WEIGHT: &str = "weight";
+}
+
+/// All keys of the file.
+pub(super) const ROOT_KEYS: [&str; 16] = [
+    key::LISTEN,
+    operator::key::ADMIN_ADDRESS,
+    key::NAME,
+    key::ADVERTISED_ADDRESS,
+    key::SEED,
+    key::CLASS,
+    key::TENANT,
+    key::CAPABILITIES,
+    key::BALANCERS,
+    operator::key::LIMITS,
+    key::DRAIN_DURATION_MS,
+    key::ZONE,
+    key::ZONES,
+    key::ENDPOINTS,
+    operator::key::STORE,
+    operator::key::LOG,
+];
+const CLASS_KEYS: [&str; 4] = [
+    class_key::NAME,
+    class_key::PRIORITY_WEIGHT,
+    class_key::SETUP_OBJECTIVE_MS,
+    class_key::CLIENT_TIMEOUT_MS,
+];
+const LIMIT_KEYS: [&str; 8] = [
+    limit_key::MAX_ATTEMPTS,
+    limit_key::CONNECT_TIMEOUT_MS,
+    limit_key::MAX_RETRY_AFTER_MS,
+    limit_key::SLOW_START_DURATION_MS,
+    limit_key::SLOW_START_SHARE,
+    limit_key::MAX_CONNECTIONS,
+    limits::key::SOCKETS,
+    limits::key::MEMORY_MB,
+];
+const ENDPOINT_KEYS: [&str; 4] =
+    [endpoint_key::NAME, endpoint_key::ADDRESS, endpoint_key::ZONE, endpoint_key::WEIGHT];
+
+/// What the IRC front is configured with.
+#[derive(Debug)]
+pub struct Irc {
+    /// Where its clients connect.
+    pub listen: SocketAddr,
+    /// How it answers them.
+    pub setup: IrcConfig,
+    /// Its servers.
+    pub endpoints: Vec<Endpoint>,
+    /// Its pool.
+    pub pool: PoolConfig,
+}
+
+impl Irc {
+    /// Advertises the port of the bound address where the configured one is 0, which asks the system for any.
+    pub fn take_port(&mut self, bound: SocketAddr) {
+        if self.setup.address.port == 0 {
+            self.setup.address.port = bound.port();
+        }
+    }
+}
+
+/// Settings that the pool and the front both need.
+struct SharedSettings {
+    class: String,
+    tenant: Option<String>,
+    zones: Vec<String>,
+    /// Time that a client waits to register, and then to be connected to a server.
+    client_timeout: Micros,
+}
+
+pub(super) fn decode_irc(root: &JsonNode<'_>) -> Result<Irc, DecodeError> {
+    let listen = decode_address(&root.field(key::LISTEN))?;
+    let public = decode_optional_address(&root.field(key::ADVERTISED_ADDRESS))?.unwrap_or(listen);
+    let class = root.field(key::CLASS);
+    class.reject_unknown_fields(&CLASS_KEYS)?;
+    root.field(operator::key::LIMITS).reject_unknown_fields(&LIMIT_KEYS)?;
+    let shared = SharedSettings {
+        class: class.field(class_key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_CLASS.to_owned()),
+        tenant: root.field(key::TENANT).optional_text()?,
+        client_timeout: class
+            .field(class_key::CLIENT_TIMEOUT_MS)
+            .positive_duration_ms(DEFAULT_CLIENT_TIMEOUT)?,
+        zones: root.field(key::ZONES).text_list()?,
+    };
+    let settings = decode_settings(root, &shared)?;
+    let setup = IrcConfig {
+        name: root.field(key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
+        address: AdvertisedAddress { host: public.ip().to_string(), port: public.port() },
+        class: shared.class.clone(),
+        tenant: shared.tenant.clone(),
+        capabilities: root.field(key::CAPABILITIES).text_list()?,
+    };
+    let endpoints =
+        root.field(key::ENDPOINTS).elements()?.iter().map(decode_endpoint).collect::<Result<_, _>>()?;
+    Ok(Irc { listen, setup, endpoints, pool: decode_pool(root, shared, settings)? })
+}
+
+fn decode_settings(root: &JsonNode<'_>, shared: &SharedSettings) -> Result<Settings, DecodeError> {
+    let default = Settings::default();
+    let class = root.field(key::CLASS);
+    let limits = root.field(operator::key::LIMITS);
+    Ok(Settings {
+        balancers: root.field(key::BALANCERS).positive_count(1)?,
+        zone: decode_zone(&root.field(key::ZONE), &shared.zones)?,
+        classes: vec![Class {
+            priority_weight: class.field(class_key::PRIORITY_WEIGHT).number(1.0)?,
+            setup_objective: class
+                .field(class_key::SETUP_OBJECTIVE_MS)
+                .duration_ms(shared.client_timeout / SETUP_OBJECTIVE_DIVISOR)?,
+            message_objective: Micros::ZERO,
+            idempotency: Idempotency::Idempotent,
+        }],
+        tenants: shared.tenant.iter().map(|_| Tenant::default()).collect(),
+        max_attempts: limits
+            .field(limit_key::MAX_ATTEMPTS)
+            .positive_count(DEFAULT_MAX_ATTEMPTS)?
+            .min(MAX_ATTEMPTS),
+        cancel: true,
+        retry_after: true,
+        max_retry_after: limits.field(limit_key::MAX_RETRY_AFTER_MS).duration_ms(DEFAULT_MAX_RETRY_AFTER)?,
+        connect_timeout: limits
+            .field(limit_key::CONNECT_TIMEOUT_MS)
+            .positive_duration_ms(DEFAULT_CONNECT_TIMEOUT)?,
+        slow_start_share: limits
+            .field(limit_key::SLOW_START_SHARE)
+            .number_in_range(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
+        slow_start_duration: limits
+            .field(limit_key::SLOW_START_DURATION_MS)
+            .duration_ms(default.slow_start_duration)?,
+        ..default
+    })
+}
+
+fn decode_pool(
+    root: &JsonNode<'_>,
+    shared: SharedSettings,
+    settings: Settings,
+) -> Result<PoolConfig, DecodeError> {
+    Ok(PoolConfig {
+        name: "irc",
+        classes: vec![shared.class],
+        tenants: shared.tenant.into_iter().collect(),
+        zones: shared.zones,
+        settings,
+        seed: decode_seed(&root.field(key::SEED))?,
+        discovery: None,
+        handshake_timeout: shared.client_timeout,
+        uses_replicated_map: true,
+        max_connections: root
+            .field(operator::key::LIMITS)
+            .field(limit_key::MAX_CONNECTIONS)
+            .number(DEFAULT_MAX_CONNECTIONS)? as usize,
+        drain_duration: root.field(key::DRAIN_DURATION_MS).duration_ms(DEFAULT_DRAIN_DURATION)?,
+        server_silence_timeout: Micros::ZERO,
+        reports_message_time: false,
+        reports_load: true,
+        load_report_fields: Vec::new(),
+        longest_wait: shared.client_timeout,
+        rebalance: RebalanceConfig::default(),
+        peers: None,
+    })
+}
+
+fn decode_endpoint(node: &JsonNode<'_>) -> Result<Endpoint, DecodeError> {
+    node.reject_unknown_fields(&ENDPOINT_KEYS)?;
+    Ok(Endpoint {
+        name: node.field(endpoint_key::NAME).required_text()?,
+        address: decode_address(&node.field(endpoint_key::ADDRESS))?.to_string(),
+        zone: node.field(endpoint_key::ZONE).optional_text()?.unwrap_or_default(),
+        cell: 0,
+        lifecycle: Lifecycle::Ready,
+        weight: node.field(endpoint_key::WEIGHT).number(1.0)?,
+        started: None,
+    })
+}
--- a/src/program/config/limits.rs
+++ b/src/program/config/limits.rs
@@ -17,6 +17,12 @@
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 const MAX_BUFFER_BYTES: usize = 16 << 10;
 
+/// Keys of the limits.
+pub(super) mod key {
+    pub(in super::super) const SOCKETS: &str = "sockets";
+    pub(in super::super) const MEMORY_MB: &str = "memory_mb";
+}
+
 /// What this machine gives the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
@@ -39,14 +45,14 @@
     pub(super) fn decode(node: &JsonNode<'_>) -> Result<Limits, DecodeError> {
         let default = Limits::default();
         let limits = Limits {
-            sockets: node.field("sockets").number(default.sockets as f64)? as usize,
-            memory_mb: node.field("memory_mb").number(default.memory_mb as f64)? as usize,
+            sockets: node.field(key::SOCKETS).number(default.sockets as f64)? as usize,
+            memory_mb: node.field(key::MEMORY_MB).number(default.memory_mb as f64)? as usize,
         };
         if limits.sockets < MIN_SOCKETS {
-            return Err(node.field("sockets").error("at least 64 descriptors are wanted"));
+            return Err(node.field(key::SOCKETS).error("at least 64 descriptors are wanted"));
         }
         if limits.memory_mb < MIN_MEMORY_MB {
-            return Err(node.field("memory_mb").error("at least 8 megabytes are wanted"));
+            return Err(node.field(key::MEMORY_MB).error("at least 8 megabytes are wanted"));
         }
         Ok(limits)
     }
@@ -58,16 +64,18 @@
 
     /// Divides the resources between connections.
     ///
-    /// About a quarter of the descriptors is for connections without an attempt, the rest for those with one, which
-    /// take two each. Half of the memory is for the buffers of all of them: one each, two with an attempt. The admin
-    /// endpoint and the health checks of servers, where there are any, have descriptors of their own.
+    /// Pending connections, which have no attempt, take one descriptor and one buffer each; admitted ones take two of
+    /// both. Three quarters of the free descriptors are for admitted connections, but enough for a third of all
+    /// descriptors, and never more than seven eighths. Half of the memory is for buffers, of which three quarters may
+    /// be used by admitted connections and a quarter by pending ones. The admin endpoint and the health checks of
+    /// servers, where there are any, have descriptors of their own.
     pub fn budget(self, has_admin_endpoint: bool, has_probes: bool) -> Budget {
         let admin_sockets = if has_admin_endpoint { ADMIN_SOCKETS } else { 0 };
         let probe_sockets = if has_probes { MAX_PROBES } else { 0 };
         let free_sockets = self.sockets - (RESERVED_SOCKETS + admin_sockets + probe_sockets);
         let buffer_memory = (self.memory_mb << 20) / 2;
         let max_buffers = buffer_memory / MIN_BUFFER_BYTES;
-        // Ordinary clients alone may hold a third of all descriptors, with an attempt for each.
+        // Half of a share each: an admitted connection takes two descriptors and two buffers.
         let admitted = (free_sockets * 3 / 8)
             .max(self.sockets / 3 + 1)
             .min(free_sockets * 7 / 16)
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -1,21 +1,26 @@
 //! The one place where configuration is read, checked and given its defaults. Every error names the key that is wrong.
 
 mod error;
+mod irc;
 mod limits;
+mod log;
 mod operator;
 mod platform;
 mod pool;
 mod rebalance;
 mod replicated_entry;
 mod sources;
+mod store;
 
 pub use error::{ConfigError, ReplicatedEntryError};
+pub use irc::Irc;
 pub use limits::Limits;
-pub use operator::{parse_operator, Irc, Operator, StoreConfig};
+pub use operator::{parse_operator, Operator};
 pub use platform::{parse_platform, PeersAt, Platform};
 pub use rebalance::parse_rebalance;
 pub use replicated_entry::check_replicated_entry;
 pub use sources::{read_config, read_file, Sources};
+pub use store::StoreConfig;
 
 use std::net::SocketAddr;
 
--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -10,6 +10,21 @@
 /// The balancer's name where none is configured. Log lines hold it.
 const DEFAULT_NAME: &str = "sagemount";
 
+/// Keys of the configuration.
+mod key {
+    pub(super) const LISTEN: &str = "listen";
+    pub(super) const DISCOVERY: &str = "discovery";
+    pub(super) const SETTINGS: &str = "settings";
+    pub(super) const SEED: &str = "seed";
+    pub(super) const NAME: &str = "name";
+    pub(super) const CACHED_ENDPOINT_LIST: &str = "known";
+    pub(super) const LIMITS: &str = "limits";
+    pub(super) const ADMIN_ADDRESS: &str = "mgmt";
+    pub(super) const PEER_LISTEN: &str = "peer_listen";
+    pub(super) const PEERS_ALL: &str = "peers_all";
+    pub(super) const PEERS: &str = "peers";
+}
+
 /// What the platform's front is configured with.
 #[derive(Debug)]
 pub struct Platform {
@@ -47,27 +62,28 @@
 pub fn parse_platform(text: &[u8]) -> Result<Platform, DecodeError> {
     let document = json::parse_document(text)?;
     let root = JsonNode::root(&document);
-    let listen = decode_address(&root.field("listen"))?;
-    let discovery = decode_address(&root.field("discovery"))?;
-    let mut pool = pool::decode_platform_pool(&root.field("settings"), decode_seed(&root.field("seed"))?)?;
+    let listen = decode_address(&root.field(key::LISTEN))?;
+    let discovery = decode_address(&root.field(key::DISCOVERY))?;
+    let mut pool =
+        pool::decode_platform_pool(&root.field(key::SETTINGS), decode_seed(&root.field(key::SEED))?)?;
     pool.discovery = Some(discovery);
     let peers = decode_peers(&root)?.filter(|_| pool.peers.is_some());
     // Without addresses there is nobody to gossip with.
     pool.peers = pool.peers.filter(|_| peers.is_some());
     Ok(Platform {
-        name: root.field("name").optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
+        name: root.field(key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
         listen,
-        known: http::decode_endpoint_list(&root.field("known"))?,
+        known: http::decode_endpoint_list(&root.field(key::CACHED_ENDPOINT_LIST))?,
         pool,
-        limits: Limits::decode(&root.field("limits"))?,
-        mgmt: decode_optional_address(&root.field("mgmt"))?,
+        limits: Limits::decode(&root.field(key::LIMITS))?,
+        mgmt: decode_optional_address(&root.field(key::ADMIN_ADDRESS))?,
         peers,
     })
 }
 
 fn decode_peers(root: &JsonNode<'_>) -> Result<Option<PeersAt>, DecodeError> {
-    let listen = decode_optional_address(&root.field("peer_listen"))?;
-    let all = decode_optional_address(&root.field("peers_all"))?;
-    let from = root.field("peers").elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
+    let listen = decode_optional_address(&root.field(key::PEER_LISTEN))?;
+    let all = decode_optional_address(&root.field(key::PEERS_ALL))?;
+    let from = root.field(key::PEERS).elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
     Ok(listen.zip(all).map(|(listen, all)| PeersAt { listen, all, from }))
 }
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -2,6 +2,11 @@
 
 use super::{decode_zone, MIN_SLOW_START_SHARE};
 use crate::protocol::json::{DecodeError, JsonNode};
+use crate::protocol::platform_settings::{
+    charge_key, class_key, family_key, key, limit_key, reporting_key, rule_key, tenant_key, DISCOVERY_POLLED,
+    DISCOVERY_PUSHED, FIRST_FIELD, IDEMPOTENT, IDEMPOTENT_BY_KEY, NOT_IDEMPOTENT, REPORTING_OFF, SCOPE_ALL,
+    SCOPE_CELL, SCOPE_ZONE, UTILISATION, UTILISATION_SHORT,
+};
 use crate::rebalance::RebalanceConfig;
 use crate::routing::PoolConfig;
 use crate::{Class, Idempotency, KeyScope, Micros, Settings, Tenant};
@@ -17,12 +22,12 @@
 
 /// Decodes the platform's settings.
 pub(super) fn decode_platform_pool(settings: &JsonNode<'_>, seed: u64) -> Result<PoolConfig, DecodeError> {
-    let family = settings.field("family-info");
+    let family = settings.field(key::FAMILY_INFO);
     let mut pool = PoolConfig {
         name: "platform",
         classes: Vec::new(),
         tenants: Vec::new(),
-        zones: settings.field("zones").text_list()?,
+        zones: settings.field(key::ZONES).text_list()?,
         settings: Settings::default(),
         seed,
         discovery: None,
@@ -31,15 +36,15 @@
         max_connections: usize::MAX,
         drain_duration: Micros::ZERO,
         server_silence_timeout: SERVER_SILENCE_TIMEOUT,
-        reports_message_time: family.field("tells-delay").flag(false)?,
-        reports_load: family.field("tells-load").flag(true)?,
+        reports_message_time: family.field(family_key::REPORTS_MESSAGE_TIME).flag(false)?,
+        reports_load: family.field(family_key::REPORTS_LOAD).flag(true)?,
         load_report_fields: decode_report_fields(settings)?,
         longest_wait: Micros::ZERO,
         rebalance: RebalanceConfig::default(),
         peers: None,
     };
-    if settings.field("limits").field("peers").flag(false)? {
-        pool.peers = Some(settings.field("charges").field("peer").number(0.0)?);
+    if settings.field(key::LIMITS).field(limit_key::PEERS).flag(false)? {
+        pool.peers = Some(settings.field(key::CHARGES).field(charge_key::GOSSIP).number(0.0)?);
     }
     let classes = decode_classes(settings, &mut pool)?;
     let tenants = decode_tenants(settings, &mut pool)?;
@@ -50,14 +55,15 @@
 /// Decodes the classes, and adds their names and the longest of their deadlines to the pool.
 fn decode_classes(settings: &JsonNode<'_>, pool: &mut PoolConfig) -> Result<Vec<Class>, DecodeError> {
     let mut classes = Vec::new();
-    let message_objectives = settings.field("family-info").field("message-aim").elements()?;
-    for (index, class) in settings.field("classes").elements()?.iter().enumerate() {
-        push_unique_name(&mut pool.classes, &class.field("name"))?;
+    let message_objectives =
+        settings.field(key::FAMILY_INFO).field(family_key::MESSAGE_OBJECTIVES).elements()?;
+    for (index, class) in settings.field(key::CLASSES).elements()?.iter().enumerate() {
+        push_unique_name(&mut pool.classes, &class.field(class_key::NAME))?;
         pool.longest_wait =
-            pool.longest_wait.max(class.field("deadline").positive_duration_ms(Micros::ZERO)?);
+            pool.longest_wait.max(class.field(class_key::DEADLINE_MS).positive_duration_ms(Micros::ZERO)?);
         classes.push(Class {
-            priority_weight: class.field("gain").number(1.0)?,
-            setup_objective: class.field("objective").duration_ms(Micros::ZERO)?,
+            priority_weight: class.field(class_key::PRIORITY_WEIGHT).number(1.0)?,
+            setup_objective: class.field(class_key::SETUP_OBJECTIVE_MS).duration_ms(Micros::ZERO)?,
             message_objective: message_objectives
                 .get(index)
                 .map_or(Ok(Micros::ZERO), |objective| objective.duration_ms(Micros::ZERO))?,
@@ -70,11 +76,12 @@
 /// Decodes the tenants, and adds their names to the pool.
 fn decode_tenants(settings: &JsonNode<'_>, pool: &mut PoolConfig) -> Result<Vec<Tenant>, DecodeError> {
     let mut tenants = Vec::new();
-    let connection_quotas = settings.field("family-info").field("tenant-quota-connections").elements()?;
-    for (index, tenant) in settings.field("accounts").elements()?.iter().enumerate() {
-        push_unique_name(&mut pool.tenants, &tenant.field("name"))?;
+    let connection_quotas =
+        settings.field(key::FAMILY_INFO).field(family_key::TENANT_CONNECTION_QUOTAS).elements()?;
+    for (index, tenant) in settings.field(key::TENANTS).elements()?.iter().enumerate() {
+        push_unique_name(&mut pool.tenants, &tenant.field(tenant_key::NAME))?;
         tenants.push(Tenant {
-            quota_per_s: tenant.field("quota-per-s").number(0.0)?,
+            quota_per_s: tenant.field(tenant_key::QUOTA_PER_SECOND).number(0.0)?,
             quota_connections: connection_quotas.get(index).map_or(Ok(0.0), |quota| quota.number(0.0))?,
         });
     }
@@ -88,40 +95,46 @@
     tenants: Vec<Tenant>,
 ) -> Result<Settings, DecodeError> {
     let default = Settings::default();
-    let limits = settings.field("limits");
-    let charges = settings.field("charges");
-    let rules = settings.field("invariants");
+    let limits = settings.field(key::LIMITS);
+    let charges = settings.field(key::CHARGES);
+    let rules = settings.field(key::RULES);
     Ok(Settings {
-        balancers: settings.field("balancers").positive_count(1)?,
-        zone: decode_zone(&settings.field("zone"), &pool.zones)?,
+        balancers: settings.field(key::BALANCERS).positive_count(1)?,
+        zone: decode_zone(&settings.field(key::ZONE), &pool.zones)?,
         classes,
         tenants,
         over_quota_weight: settings
-            .field("over-share-worth")
+            .field(key::OVER_QUOTA_WEIGHT)
             .number_in_range(0.0..=1.0, default.over_quota_weight)?,
-        max_attempts: limits.field("try-limit").positive_count(default.max_attempts)?,
-        cancel: limits.field("cancel").flag(false)?,
-        retry_after: limits.field("retry-after").flag(false)?,
-        max_retry_after: limits.field("max-retry-after").duration_ms(default.max_retry_after)?,
-        connect_timeout: limits.field("connect-timeout").positive_duration_ms(default.connect_timeout)?,
+        max_attempts: limits.field(limit_key::MAX_ATTEMPTS).positive_count(default.max_attempts)?,
+        cancel: limits.field(limit_key::CANCEL).flag(false)?,
+        retry_after: limits.field(limit_key::RETRY_AFTER).flag(false)?,
+        max_retry_after: limits.field(limit_key::MAX_RETRY_AFTER_MS).duration_ms(default.max_retry_after)?,
+        connect_timeout: limits
+            .field(limit_key::CONNECT_TIMEOUT_MS)
+            .positive_duration_ms(default.connect_timeout)?,
         // On sockets a list comes only when it is polled, whatever the simulator does.
         poll_required: true,
-        poll_interval: rules.field("must-ask-in").positive_duration_ms(default.poll_interval)?,
-        endpoints_pushed: decode_endpoints_pushed(&settings.field("discovery"))?,
-        drain_grace: rules.field("drain-grace").positive_duration_ms(default.drain_grace)?,
-        probes: limits.field("probing").flag(false)?,
+        poll_interval: rules.field(rule_key::POLL_INTERVAL_MS).positive_duration_ms(default.poll_interval)?,
+        endpoints_pushed: decode_endpoints_pushed(&settings.field(key::DISCOVERY_MODE))?,
+        drain_grace: rules.field(rule_key::DRAIN_GRACE_MS).positive_duration_ms(default.drain_grace)?,
+        probes: limits.field(limit_key::PROBES).flag(false)?,
         probe_reports: !pool.load_report_fields.is_empty(),
-        probe_cost: charges.field("probe").number(0.0)?,
-        cross_zone_cost: charges.field("cross-zone").number(0.0)?,
-        migration_cost: charges.field("moves").number(0.0)?,
+        probe_cost: charges.field(charge_key::PROBE).number(0.0)?,
+        cross_zone_cost: charges.field(charge_key::CROSS_ZONE).number(0.0)?,
+        migration_cost: charges.field(charge_key::MIGRATION).number(0.0)?,
         slow_start_share: rules
-            .field("cold-share")
+            .field(rule_key::SLOW_START_SHARE)
             .number_in_range(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
-        slow_start_duration: rules.field("warm-up").duration_ms(default.slow_start_duration)?,
+        slow_start_duration: rules
+            .field(rule_key::SLOW_START_DURATION_MS)
+            .duration_ms(default.slow_start_duration)?,
         slow_start_overload_factor: rules
-            .field("tip-multiple")
+            .field(rule_key::SLOW_START_OVERLOAD_FACTOR)
             .number_in_range(1.0..=MAX_OVERLOAD_FACTOR, default.slow_start_overload_factor)?,
-        slow_start_window: rules.field("overload-for").positive_duration_ms(default.slow_start_window)?,
+        slow_start_window: rules
+            .field(rule_key::SLOW_START_WINDOW_MS)
+            .positive_duration_ms(default.slow_start_window)?,
     })
 }
 
@@ -138,54 +151,55 @@
 /// Decodes whether endpoint lists are pushed, or have to be polled.
 fn decode_endpoints_pushed(node: &JsonNode<'_>) -> Result<bool, DecodeError> {
     match node.optional_text()?.as_deref() {
-        Some("pushed") => Ok(true),
-        Some("on_request") | None => Ok(false),
+        Some(DISCOVERY_PUSHED) => Ok(true),
+        Some(DISCOVERY_POLLED) | None => Ok(false),
         Some(_) => Err(node.error("pushed or on_request is wanted")),
     }
 }
 
 /// Decodes the names under which load reports hold load over capacity on this wire, where a probe brings one.
 fn decode_report_fields(settings: &JsonNode<'_>) -> Result<Vec<&'static str>, DecodeError> {
-    let reporting = settings.field("reporting");
-    let fields = reporting.field("fields").text_list()?;
+    let reporting = settings.field(key::REPORTING);
+    let fields = reporting.field(reporting_key::FIELDS).text_list()?;
     let has_field = |name: &str| fields.iter().any(|field| field == name);
-    let is_x0_utilisation = settings.field("family-info").field("report-x0").is_present();
-    let is_off = reporting.field("how").optional_text()?.is_none_or(|how| how == "off");
+    let is_x0_utilisation =
+        settings.field(key::FAMILY_INFO).field(family_key::FIRST_REPORT_FIELD).is_present();
+    let is_off =
+        reporting.field(reporting_key::MODE).optional_text()?.is_none_or(|mode| mode == REPORTING_OFF);
     if is_off {
         return Ok(Vec::new());
     }
     let mut names = Vec::new();
-    if is_x0_utilisation && has_field("x0") {
-        names.push("x0");
+    if is_x0_utilisation && has_field(FIRST_FIELD) {
+        names.push(FIRST_FIELD);
     }
-    if has_field("utilization") {
-        // Answers on sockets also use the short form.
-        names.extend(["utilization", "util"]);
+    if has_field(UTILISATION) {
+        names.extend([UTILISATION, UTILISATION_SHORT]);
     }
     Ok(names)
 }
 
 fn decode_idempotency(class: &JsonNode<'_>) -> Result<Idempotency, DecodeError> {
-    let (repeat, group) = (class.field("repeat"), class.field("group"));
+    let (repeat, group) = (class.field(class_key::IDEMPOTENCY), class.field(class_key::KEY_SCOPE));
     let scope = match group.optional_text()?.as_deref() {
-        Some("all") => KeyScope::All,
-        Some("zone") => KeyScope::Zone,
-        Some("cell") | None => KeyScope::Cell,
+        Some(SCOPE_ALL) => KeyScope::All,
+        Some(SCOPE_ZONE) => KeyScope::Zone,
+        Some(SCOPE_CELL) | None => KeyScope::Cell,
         Some(_) => return Err(group.error("all, zone or cell is wanted")),
     };
     match repeat.optional_text()?.as_deref() {
-        Some("repeatable") => Ok(Idempotency::Idempotent),
-        Some("by_key") => {
+        Some(IDEMPOTENT) => Ok(Idempotency::Idempotent),
+        Some(IDEMPOTENT_BY_KEY) => {
             Ok(Idempotency::IdempotencyKey { scope, window: decode_deduplication_window(class)? })
         }
-        Some("once") | None => Ok(Idempotency::NotIdempotent),
+        Some(NOT_IDEMPOTENT) | None => Ok(Idempotency::NotIdempotent),
         Some(_) => Err(repeat.error("repeatable, by_key or once is wanted")),
     }
 }
 
 /// Decodes how long servers drop repeats of a request by its key.
 fn decode_deduplication_window(class: &JsonNode<'_>) -> Result<Micros, DecodeError> {
-    let window = class.field("window");
+    let window = class.field(class_key::DEDUPLICATION_WINDOW_MS);
     if !window.is_present() {
         return Err(window.error("is missing"));
     }
--- /dev/null
+++ b/src/program/config/store.rs
@@ -0,0 +1,46 @@
+//! The replicated map, from the operator's file.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use super::decode_address;
+use crate::protocol::json::{DecodeError, JsonNode};
+use crate::routing::store::MAX_NODE_LENGTH;
+
+mod key {
+    pub(super) const NODE: &str = "node";
+    pub(super) const LISTEN: &str = "listen";
+    pub(super) const PEERS: &str = "peers";
+    pub(super) const DIRECTORY: &str = "data";
+}
+
+const KEYS: [&str; 4] = [key::NODE, key::LISTEN, key::PEERS, key::DIRECTORY];
+
+/// What the replicated map is configured with.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoreConfig {
+    /// Name of this node.
+    pub node: String,
+    /// Where it receives the messages of other replicas, and operators' commands.
+    pub listen: SocketAddr,
+    /// The other replicas.
+    pub peers: Vec<SocketAddr>,
+    /// The directory that entries are persisted in; without it they are in memory only.
+    pub data: Option<PathBuf>,
+}
+
+/// Decodes the configuration of the replicated map, if there is any.
+pub(super) fn decode_store(node: &JsonNode<'_>) -> Result<Option<StoreConfig>, DecodeError> {
+    node.reject_unknown_fields(&KEYS)?;
+    if !node.is_present() {
+        return Ok(None);
+    }
+    let node_name = node.field(key::NODE).required_text()?;
+    if node_name.len() > MAX_NODE_LENGTH {
+        return Err(node.field(key::NODE).error("at most 32 bytes are wanted"));
+    }
+    let peers = node.field(key::PEERS).elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
+    let data = node.field(key::DIRECTORY).optional_text()?.map(PathBuf::from);
+    let listen = decode_address(&node.field(key::LISTEN))?;
+    Ok(Some(StoreConfig { node: node_name, listen, peers, data }))
+}
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -2,6 +2,7 @@
 
 #![deny(missing_docs)]
 
+mod command_line;
 pub mod commands;
 pub mod config;
 pub mod log;
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -19,10 +19,10 @@
 const MAX_SERVER_NAME_LENGTH: usize = 128;
 
 // Calls.
-const READYZ: &[u8] = b"readyz";
-const TELEMETRY: &[u8] = b"telemetry";
-const EXCLUDE: &[u8] = b"exclude";
-const INCLUDE: &[u8] = b"include";
+const READYZ: &str = "readyz";
+const TELEMETRY: &str = "telemetry";
+const EXCLUDE: &str = "exclude";
+const INCLUDE: &str = "include";
 
 /// Names of metrics, and of their parts.
 mod metric {
@@ -78,14 +78,29 @@
     let name = || take_while(1..=MAX_SERVER_NAME_LENGTH, |b: u8| b.is_ascii_graphic());
     let name = || name().verify_map(|name: &[u8]| String::from_utf8(name.to_vec()).ok());
     let mut call = alt((
-        READYZ.value(AdminCall::Ready),
-        TELEMETRY.value(AdminCall::Telemetry),
-        preceded((EXCLUDE, space1), name()).map(AdminCall::Exclude),
-        preceded((INCLUDE, space1), name()).map(AdminCall::Include),
+        READYZ.as_bytes().value(AdminCall::Ready),
+        TELEMETRY.as_bytes().value(AdminCall::Telemetry),
+        preceded((EXCLUDE.as_bytes(), space1), name()).map(AdminCall::Exclude),
+        preceded((INCLUDE.as_bytes(), space1), name()).map(AdminCall::Include),
     ));
     Parser::<_, _, ContextError>::parse(&mut call, line).map_err(|_| UnknownCall)
 }
 
+/// Encodes a call, without its line's end.
+pub fn encode_call(call: &AdminCall) -> String {
+    match call {
+        AdminCall::Ready => READYZ.to_owned(),
+        AdminCall::Telemetry => TELEMETRY.to_owned(),
+        AdminCall::Exclude(server) => format!("{EXCLUDE} {server}"),
+        AdminCall::Include(server) => format!("{INCLUDE} {server}"),
+    }
+}
+
+/// Whether a response says that the call has failed.
+pub fn is_failure(response: &str) -> bool {
+    response.starts_with(NO)
+}
+
 /// Replaces what must not be in a part of a metric's name, which has no blanks and ends at a colon.
 fn metric_name_part(name: &str) -> String {
     let is_allowed = |c: char| c.is_ascii_graphic() && !":|@#".contains(c);
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -13,6 +13,7 @@
 pub mod pcap;
 pub mod peers;
 pub mod platform;
+pub mod platform_settings;
 
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
