--- a/simulation/src/clients.rs
+++ b/simulation/src/clients.rs
@@ -1,23 +1,22 @@
 //! Clients, drawn before the day: when they arrive, how long they want their connection, what load it has.
 
-use crate::deployment::VirtualTime;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-use crate::deployment::{Deployment, GroupSize, SECOND};
-use crate::server::GROUP_LOADS;
+use crate::deployment::{Deployment, GroupSize, VirtualTime, SECOND};
+use crate::server::GROUP_OVERHEAD_LOADS;
 
 /// Mean and standard deviation of the logarithm of a connection's load, over its class's mean.
 const LOAD_LOG_MEAN: f64 = -0.08;
 const LOAD_LOG_DEVIATION: f64 = 0.4;
 /// The most load of a connection.
 const MAX_LOAD: f64 = 6.0;
-/// The members of a group arrive within so many seconds.
+/// Time within which the members of a group arrive.
 const GROUP_ARRIVAL_SECONDS: f64 = 3.0;
-/// The least time that a client wants its connection for, in seconds.
+/// The shortest time for which a client wants its connection.
 const MIN_LIFETIME_SECONDS: f64 = 0.5;
-/// Servers that pay for a group on average: its members are mostly together, and split over some servers.
+/// Mean number of servers at which a group has members.
 const SERVERS_PER_GROUP: f64 = 1.5;
 
 /// A class of connections.
@@ -82,7 +81,7 @@
 struct ClientGenerator {
     rng: Pcg64Mcg,
     lifetime: LogNormal<f64>,
-    /// Mean of the lifetimes that are met at a point in time, over the mean of all.
+    /// Mean lifetime of the connections that are open at a time, over the mean of all: length-biased sampling.
     length_bias: f64,
     load: LogNormal<f64>,
     group_size: GroupSize,
@@ -108,7 +107,7 @@
         }
     }
 
-    /// Draws the clients of a group, the first of which arrives after so many seconds.
+    /// Draws the clients of a group, the first of which arrives at this second.
     fn draw_group(&mut self, at_seconds: f64, connected_at_start: bool) {
         let size = self.rng.random_range(self.group_size.min..=self.group_size.max);
         self.groups += 1;
@@ -130,7 +129,7 @@
         let delay = if member == 0 { 0.0 } else { self.rng.random_range(0.0..GROUP_ARRIVAL_SECONDS) };
         let from = group_seconds + delay;
         let lifetime = self.lifetime.sample(&mut self.rng);
-        // An established connection is met with a probability in proportion to its lifetime, at a random point of it.
+        // A connection is open at the start with a probability in proportion to its lifetime, at a random point of it.
         let remaining = if connected_at_start {
             lifetime * self.length_bias * self.rng.random::<f64>()
         } else {
@@ -181,7 +180,7 @@
 fn mean_connections(deployment: &Deployment) -> f64 {
     let mean_load: f64 = CLASSES.iter().map(|class| class.arrival_share * class.mean_load).sum();
     let group_load = if deployment.group_size.has_groups() {
-        SERVERS_PER_GROUP * GROUP_LOADS / deployment.group_size.mean()
+        SERVERS_PER_GROUP * GROUP_OVERHEAD_LOADS / deployment.group_size.mean()
     } else {
         0.0
     };
--- a/simulation/src/commands/cost.rs
+++ b/simulation/src/commands/cost.rs
@@ -1,4 +1,4 @@
-//! What rebalancing costs a balancer that only holds connections.
+//! The CPU time of rebalancing at a balancer without traffic.
 
 use std::time::Instant;
 
@@ -22,7 +22,7 @@
     seconds: u64,
 }
 
-/// Prints the cost; whether it is small.
+/// Prints the cost. Returns whether it is small.
 pub(crate) fn run_cost(args: &CostArgs) -> bool {
     // The sides take turns, so that whatever else the machine does affects both.
     let (mut off, mut on) = (f64::INFINITY, f64::INFINITY);
--- a/simulation/src/commands/day.rs
+++ b/simulation/src/commands/day.rs
@@ -17,34 +17,34 @@
     /// seed (default: 0)
     #[argh(option, default = "0")]
     seed: u64,
-    /// share of capacity that clients ask for (default: 0.72)
+    /// mean demand of the clients, as a share of capacity (default: 0.72)
     #[argh(option, default = "0.72", long = "used")]
     demand_share: f64,
-    /// most moves a second; 0 for rebalancing off (default: 2)
+    /// most migrations a second; 0 for rebalancing off (default: 2)
     #[argh(option, default = "2.0", long = "most")]
-    max_moves_per_s: f64,
+    max_migrations_per_second: f64,
 }
 
 fn find_scenario(name: &str) -> Option<Scenario> {
     ALL_SCENARIOS.into_iter().find(|scenario| format!("{scenario:?}").eq_ignore_ascii_case(name))
 }
 
-/// Plays and prints a day; whether no invariant was violated.
+/// Plays and prints a day. Returns whether no invariant was violated.
 pub(crate) fn run_day(args: &DayArgs) -> bool {
     let Some(scenario) = find_scenario(&args.scenario) else {
         eprintln!("no scenario is called {}: one of {ALL_SCENARIOS:?} is wanted", args.scenario);
         return false;
     };
     let mut deployment = Deployment { demand_share: args.demand_share, ..Deployment::default() };
-    if args.max_moves_per_s > 0.0 {
-        deployment = with_rebalancing(&deployment, args.max_moves_per_s);
+    if args.max_migrations_per_second > 0.0 {
+        deployment = with_rebalancing(&deployment, args.max_migrations_per_second);
     }
     let result = play(&deployment, scenario, StoreCondition::Normal, args.seed);
     for second in 0..result.quality.len() {
         print_second(&result, second);
     }
     println!(
-        "served value {:.4}, {} moves, {} for balance",
+        "served value {:.4}, {} migrations, {} for balance",
         result.served_value, result.migrations, result.migrations_for_balance
     );
     println!("{} rejected, violations {:?}", result.rejected, result.violations);
--- a/simulation/src/commands/faults.rs
+++ b/simulation/src/commands/faults.rs
@@ -16,16 +16,16 @@
     /// pairs for each cell (default: 20)
     #[argh(option, default = "20")]
     seeds: u64,
-    /// most moves a second (default: 2)
+    /// most migrations a second (default: 2)
     #[argh(option, default = "2.0", long = "most")]
-    max_moves_per_s: f64,
+    max_migrations_per_second: f64,
     /// mean lifetime of a connection in seconds (default: 40)
     #[argh(option, default = "40.0", long = "life")]
     mean_lifetime_seconds: f64,
     /// servers do not report how long messages take
     #[argh(switch)]
     silent: bool,
-    /// share of capacity that clients ask for (default: 0.72)
+    /// mean demand of the clients, as a share of capacity (default: 0.72)
     #[argh(option, default = "0.72", long = "used")]
     demand_share: f64,
 }
@@ -51,11 +51,11 @@
     jobs
 }
 
-/// Prints the table; whether rebalancing did no harm and violated no invariant.
+/// Prints the table. Returns whether rebalancing did no harm and violated no invariant.
 pub(crate) fn run_faults(args: &FaultsArgs) -> bool {
     let jobs = faults_jobs(args);
     let comparisons = map_parallel(&jobs, |FaultsJob { deployment, scenario }| {
-        let rebalancing = with_rebalancing(deployment, args.max_moves_per_s);
+        let rebalancing = with_rebalancing(deployment, args.max_migrations_per_second);
         let off = play_days(deployment, *scenario, StoreCondition::Normal, 0..args.seeds);
         let on = play_days(&rebalancing, *scenario, StoreCondition::Normal, 0..args.seeds);
         Comparison::new(&off, &on)
--- a/simulation/src/commands/grid.rs
+++ b/simulation/src/commands/grid.rs
@@ -43,7 +43,7 @@
     jobs
 }
 
-/// Prints the grid; whether rebalancing did no harm and violated no invariant.
+/// Prints the grid. Returns whether rebalancing did no harm and violated no invariant.
 pub(crate) fn run_grid(args: &GridArgs) -> bool {
     let seeds = args.first_seed..args.first_seed + args.seeds;
     let jobs = grid_jobs();
--- a/simulation/src/commands/settle.rs
+++ b/simulation/src/commands/settle.rs
@@ -11,7 +11,7 @@
 
 /// Seconds of the day before the first fault, over which the usual spread is averaged.
 const USUAL_SECONDS: std::ops::Range<usize> = 10..19;
-/// A condition has to hold for so many seconds in a row.
+/// Seconds in a row for which a condition has to hold.
 const HOLDING_SECONDS: usize = 3;
 /// The emptiest server counts as filled from this share of the mean on.
 const FILLED_SHARE: f64 = 0.5;
@@ -23,9 +23,9 @@
     /// pairs for each scenario (default: 60)
     #[argh(option, default = "60")]
     seeds: u64,
-    /// most moves a second (default: 2)
+    /// most migrations a second (default: 2)
     #[argh(option, default = "2.0", long = "most")]
-    max_moves_per_s: f64,
+    max_migrations_per_second: f64,
 }
 
 /// A scenario and the second in which its last server is back.
@@ -55,7 +55,7 @@
     println!("| --- | --- | --- | --- | --- |");
     for job in SETTLE_JOBS {
         let off = grid_deployment(GroupSize::SINGLE);
-        let on = with_rebalancing(&off, args.max_moves_per_s);
+        let on = with_rebalancing(&off, args.max_migrations_per_second);
         let deployments = [off, on];
         let times = map_parallel(&deployments, |deployment| mean_settle_times(deployment, &job, args.seeds));
         let [off, on] = times[..] else { return false };
--- a/simulation/src/commands/table.rs
+++ b/simulation/src/commands/table.rs
@@ -6,7 +6,9 @@
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
 pub(super) fn print_header() {
-    println!("| cell | served value off | gain | noise | moves a day | per 1,000 connection-minutes | |");
+    println!(
+        "| cell | served value off | gain | noise | migrations a day | per 1,000 connection-minutes | |"
+    );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
 }
 
--- a/simulation/src/comparison.rs
+++ b/simulation/src/comparison.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use crate::session_store::StoreCondition;
 
-/// The grid's most moves a second, for each balancer.
+/// The grid's limits on migrations a second, for each balancer.
 pub const GRID_RATES: [f64; 5] = [0.1, 1.0, 5.0, 20.0, f64::INFINITY];
 /// The grid's conditions of the session store.
 pub const GRID_STORES: [StoreCondition; 3] =
@@ -30,10 +30,10 @@
 /// The least connection-minutes that are divided by: avoids a division by zero.
 const MIN_CONNECTION_MINUTES: f64 = 1e-9;
 
-/// The grid's deployment: servers on which its largest group has room, at a load at which imbalance shows.
+/// The grid's deployment: servers that can take its largest group, at a load at which imbalance has an effect.
 pub fn grid_deployment(group_size: GroupSize) -> Deployment {
     let server_capacity = if group_size.has_groups() { 120.0 } else { 30.0 };
-    // Groups that are split cost more than what clients ask for.
+    // Split groups add to the demand of the clients.
     let demand_share = if group_size.has_groups() { 0.6 } else { 0.8 };
     Deployment { group_size, server_capacity, demand_share, ..Deployment::default() }
 }
@@ -98,10 +98,10 @@
     seeds.map(|seed| play(deployment, scenario, store, seed)).collect()
 }
 
-/// The same deployment with rebalancing on, at most so many moves a second.
-pub fn with_rebalancing(deployment: &Deployment, max_moves_per_s: f64) -> Deployment {
+/// The same deployment with rebalancing on, with a limit on the migrations of each balancer.
+pub fn with_rebalancing(deployment: &Deployment, max_migrations_per_second: f64) -> Deployment {
     let mut deployment = deployment.clone();
     deployment.rebalance.enabled = true;
-    deployment.rebalance.max_migrations_per_second = max_moves_per_s;
+    deployment.rebalance.max_migrations_per_second = max_migrations_per_second;
     deployment
 }
--- a/simulation/src/day/attempts.rs
+++ b/simulation/src/day/attempts.rs
@@ -8,7 +8,7 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::MEAN_LOAD_MICROS_PER_S;
 
-/// A setup takes so many messages' time at the server, beside the call to the session store.
+/// Messages that a setup takes at the server, beside the call to the session store.
 const SETUP_MESSAGES: f64 = 2.0;
 
 impl Day<'_> {
@@ -21,9 +21,9 @@
     pub(super) fn close_attempt(&mut self, request: ConnectionRef) {
         self.invariants.on_attempt_ended(request);
         let connections = &mut self.balancers[request.balancer].connections;
-        let Some(held) = connections.get_mut(&request.connection) else { return };
-        if let Some(server) = held.server.take() {
-            self.servers[server].remove_connection(held.client);
+        let Some(open) = connections.get_mut(&request.connection) else { return };
+        if let Some(server) = open.server.take() {
+            self.servers[server].remove_connection(open.client);
         }
     }
 
@@ -57,11 +57,11 @@
         let server = &mut self.servers[index];
         let warmth = server.warmth(self.now);
         if warmth < 1.0 {
-            self.invariants.on_cold_setup(self.now, index, warmth, server.capacity, profile.load);
+            self.invariants.on_slow_start_setup(self.now, index, warmth, server.capacity, profile.load);
         }
         server.add_connection(self.now, client, profile.load, profile.group);
-        if let Some(held) = self.balancers[request.balancer].connections.get_mut(&request.connection) {
-            held.server = Some(index);
+        if let Some(open) = self.balancers[request.balancer].connections.get_mut(&request.connection) {
+            open.server = Some(index);
         }
         // Connections that are established at the start are in the session store already.
         let called = if self.now <= NETWORK_DELAY { self.now } else { self.store.call(self.now) };
@@ -90,12 +90,12 @@
     fn is_wanted(&self, attempt: AttemptRef, server_incarnation: u64) -> bool {
         let request = attempt.connection;
         let connections = &self.balancers[request.balancer].connections;
-        let Some(held) = connections.get(&request.connection) else { return false };
+        let Some(open) = connections.get(&request.connection) else { return false };
         let server = &self.servers[attempt.server];
         server.up
             && server.incarnation == server_incarnation
-            && held.server == Some(attempt.server)
-            && self.client_states[held.client].phase == ClientPhase::Requesting(request)
+            && open.server == Some(attempt.server)
+            && self.client_states[open.client].phase == ClientPhase::Requesting(request)
             // An attempt that was closed and one that followed it may be at the same server.
             && self.latest_attempt(request) == attempt.attempt
     }
--- a/simulation/src/day/balancer.rs
+++ b/simulation/src/day/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer: a real reducer, and the connections that it holds.
+//! A balancer: a real reducer, and the connections that are open at it.
 
 use std::collections::BTreeMap;
 
@@ -20,9 +20,9 @@
     pub(super) incarnation: u64,
 }
 
-/// A connection that a balancer holds.
+/// A connection that is open at a balancer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeldConnection {
+pub(super) struct OpenConnection {
     pub(super) client: usize,
     /// The server of its attempt, once that is being set up.
     pub(super) server: Option<usize>,
@@ -34,10 +34,10 @@
     pub(super) up: bool,
     /// Numbers its processes.
     pub(super) incarnation: u64,
-    pub(super) connections: BTreeMap<ConnectionId, HeldConnection>,
+    pub(super) connections: BTreeMap<ConnectionId, OpenConnection>,
     last_connection: u64,
-    /// When its timer is due.
-    pub(super) next_due: Option<VirtualTime>,
+    /// When its timer fires next.
+    pub(super) next_timer: Option<VirtualTime>,
     pub(super) died_at: VirtualTime,
 }
 
@@ -54,13 +54,13 @@
     pub(super) fn add_connection(&mut self, client: usize) -> ConnectionId {
         self.last_connection += 1;
         let connection = ConnectionId(self.last_connection);
-        self.connections.insert(connection, HeldConnection { client, server: None });
+        self.connections.insert(connection, OpenConnection { client, server: None });
         connection
     }
 }
 
 impl Day<'_> {
-    /// A balancer that knows its settings and nothing else.
+    /// A balancer without any state but its settings.
     pub(super) fn new_balancer(&self, index: usize, incarnation: u64) -> Balancer {
         let day_seed = self.seed.wrapping_mul(DAY_SEED_FACTOR);
         let seed = day_seed.wrapping_add(index as u64 * BALANCER_SEED_FACTOR + incarnation);
@@ -70,7 +70,7 @@
             incarnation,
             connections: BTreeMap::new(),
             last_connection: 0,
-            next_due: None,
+            next_timer: None,
             died_at: 0,
         }
     }
--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -1,4 +1,4 @@
-//! What clients do: connect, wait, come back, give up and leave.
+//! What clients do: connect, wait, reconnect, give up and leave.
 
 use connection_balancer::Micros;
 use std::collections::BTreeMap;
@@ -13,13 +13,13 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::server_name;
 
-/// The front goes on sending clients to a dead balancer for so long.
+/// Time for which the front goes on sending clients to a dead balancer.
 const FRONT_DETECTION_TIME: VirtualTime = 2 * SECOND;
-/// So often a client tries again soon after a rejection or a failure.
+/// Number of times that a client retries soon after a rejection or a failure.
 const QUICK_RETRIES: u32 = 2;
-/// Time until a client comes back after a migration or a break.
+/// Time until a client reconnects after a migration or a break.
 const RECONNECT_DELAY: std::ops::Range<VirtualTime> = 100_000..1_300_000;
-/// Time until a client tries again without a Retry-After.
+/// Time until a client retries without a Retry-After.
 const RETRY_DELAY: std::ops::Range<VirtualTime> = 200_000..1_500_000;
 /// Additional time once its quick retries are used up.
 const SLOW_RETRY_DELAY: std::ops::Range<VirtualTime> = 1_000_000..4_000_000;
@@ -44,7 +44,7 @@
     /// Numbers its requests.
     pub(super) request_number: u32,
     quick_retries: u32,
-    /// It comes back after a migration or a break.
+    /// It reconnects after a migration or a break.
     reconnecting: bool,
     /// It was migrated at least once.
     pub(super) migrated: bool,
@@ -163,7 +163,7 @@
         self.feed(balancer, Input::SocketsClosed { connection });
     }
 
-    /// A client is asked to come back elsewhere; some do not.
+    /// A client is asked to reconnect; some do not.
     pub(super) fn migrate_client(&mut self, client: usize) {
         self.result.migrations += 1;
         self.client_states[client].migrated = true;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A client's connection broke or is migrated: it comes back.
+    /// A client's connection broke or is migrated: it reconnects.
     pub(super) fn reconnect_client(&mut self, client: usize) {
         let state = &mut self.client_states[client];
         state.phase = ClientPhase::Disconnected;
@@ -186,7 +186,7 @@
         self.schedule(self.now + delay, Event::ClientConnects { client, request_number });
     }
 
-    /// A client's request was rejected or failed: it tries again after `retry_after`, or, where that is 0, after a
+    /// A client's request was rejected or failed: it retries after `retry_after` or, where that is 0, after a
     /// random delay.
     pub(super) fn reject_client(&mut self, client: usize, retry_after: VirtualTime) {
         self.result.rejected += 1;
--- a/simulation/src/day/endpoint_list.rs
+++ b/simulation/src/day/endpoint_list.rs
@@ -15,8 +15,8 @@
     /// Sends a balancer the whole endpoint list.
     pub(super) fn send_endpoint_list(&mut self, balancer: usize) {
         for (server, lifecycle) in self.listed.iter().enumerate() {
-            let in_use = *lifecycle == Lifecycle::Ready;
-            self.invariants.on_server_listed(self.now, balancer, server, in_use);
+            let is_ready = *lifecycle == Lifecycle::Ready;
+            self.invariants.on_server_listed(self.now, balancer, server, is_ready);
         }
         let endpoints = self.endpoints();
         self.feed(balancer, Input::EndpointsUpdated { pool: 0, is_snapshot: true, endpoints });
--- a/simulation/src/day/event_queue.rs
+++ b/simulation/src/day/event_queue.rs
@@ -14,7 +14,7 @@
 pub(super) enum Event {
     /// A client connects through the front; void if it has made another request since.
     ClientConnects { client: usize, request_number: u32 },
-    /// It waits no longer for this request.
+    /// It has waited for its full time for this request.
     ClientGivesUp { client: usize, request_number: u32 },
     /// It no longer wants its connection.
     ClientLeaves { client: usize },
@@ -22,8 +22,8 @@
     AttemptArrives(AttemptRef),
     /// A server's process has set up an attempt's connection.
     SetupCompletes { attempt: AttemptRef, server_incarnation: u64 },
-    /// A balancer's timer is due.
-    TimerDue(BalancerRef),
+    /// A balancer's timer fires.
+    TimerFires(BalancerRef),
     /// A changed endpoint list arrives at a balancer.
     EndpointListArrives(BalancerRef),
     /// A fault happens.
--- a/simulation/src/day/faults.rs
+++ b/simulation/src/day/faults.rs
@@ -46,8 +46,8 @@
             return;
         };
         let ConnectionRef { balancer, connection, .. } = request;
-        if let Some(held) = self.balancers[balancer].connections.get_mut(&connection) {
-            held.server = None;
+        if let Some(open) = self.balancers[balancer].connections.get_mut(&connection) {
+            open.server = None;
         }
         let attempt = self.latest_attempt(request);
         let reset = Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Reset };
@@ -66,11 +66,11 @@
         let connections = std::mem::take(&mut self.balancers[balancer].connections);
         self.balancers[balancer].up = false;
         self.balancers[balancer].died_at = self.now;
-        for held in connections.into_values() {
-            if let Some(server) = held.server {
-                self.servers[server].remove_connection(held.client);
+        for open in connections.into_values() {
+            if let Some(server) = open.server {
+                self.servers[server].remove_connection(open.client);
             }
-            self.reconnect_client(held.client);
+            self.reconnect_client(open.client);
         }
     }
 }
--- a/simulation/src/day/measurement.rs
+++ b/simulation/src/day/measurement.rs
@@ -1,4 +1,4 @@
-//! The servers' progress step by step, and what is measured of it.
+//! The servers' progress step by step, and its measurement.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::MIGRATION_COST;
 
-/// A draining server sends a client away every so many steps.
+/// Steps between two clients that a draining server sends away.
 const DRAIN_STEPS: u64 = 2;
 /// Servers report message times above this part of the tightest objective.
 const REPORTED_OBJECTIVE_DIVISOR: f64 = 3.0;
--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -34,11 +34,11 @@
 const NETWORK_DELAY: VirtualTime = 600;
 /// Speed of the slow server in [`Scenario::SlowServer`], over the others'.
 const SLOW_SERVER_SPEED: f64 = 0.7;
-/// Servers are of different sizes, over the deployment's capacity, which balancers do not know.
+/// Sizes of servers, over the deployment's capacity. Balancers do not know them.
 const SERVER_SIZES: std::ops::Range<f64> = 0.9..1.1;
 /// The least rate of arrivals that the session store is sized for, in clients a second.
 const MIN_STORE_ARRIVALS_PER_S: f64 = 0.5;
-/// Sets the day's generator apart from that of the clients.
+/// Distinguishes the day's random generator from that of the clients.
 const SEED_SALT: u64 = 0x5eed;
 
 /// Plays a day.
@@ -145,7 +145,7 @@
             Event::SetupCompletes { attempt, server_incarnation } => {
                 self.complete_setup(attempt, server_incarnation);
             }
-            Event::TimerDue(balancer) => self.fire_timer(balancer),
+            Event::TimerFires(balancer) => self.fire_timer(balancer),
             Event::EndpointListArrives(balancer) => {
                 if self.is_running(balancer) {
                     self.send_endpoint_list(balancer.index);
@@ -157,9 +157,9 @@
     }
 
     fn fire_timer(&mut self, balancer: BalancerRef) {
-        let due = self.balancers[balancer.index].next_due.is_some_and(|due| due <= self.now);
-        if due && self.is_running(balancer) {
-            self.balancers[balancer.index].next_due = None;
+        let next_timer = self.balancers[balancer.index].next_timer;
+        if next_timer.is_some_and(|at| at <= self.now) && self.is_running(balancer) {
+            self.balancers[balancer.index].next_timer = None;
             self.feed(balancer.index, Input::TimerFired);
         }
     }
@@ -176,12 +176,12 @@
         for effect in effects {
             self.carry_out(balancer, effect);
         }
-        let next_due = self.balancers[balancer].state.next_due().map(from_clock);
-        if next_due != self.balancers[balancer].next_due {
-            self.balancers[balancer].next_due = next_due;
+        let next_timer = self.balancers[balancer].state.next_due().map(from_clock);
+        if next_timer != self.balancers[balancer].next_timer {
+            self.balancers[balancer].next_timer = next_timer;
             let balancer = self.balancers[balancer].reference(balancer);
-            if let Some(at) = next_due {
-                self.schedule(at, Event::TimerDue(balancer));
+            if let Some(at) = next_timer {
+                self.schedule(at, Event::TimerFires(balancer));
             }
         }
     }
@@ -198,7 +198,7 @@
                 self.close_attempt(self.balancers[balancer].connection_ref(balancer, connection));
             }
             Effect::Answer { connection, answer } => self.answer_client(balancer, connection, answer),
-            // Endpoints are asked for once at the start, and sent whenever they change.
+            // Endpoints are requested once at the start, and sent whenever they change.
             _ => {}
         }
     }
@@ -222,9 +222,9 @@
         self.feed(balancer, Input::SocketsClosed { connection });
     }
 
-    /// The client of a connection that a balancer holds.
+    /// The client of a connection that is open at a balancer.
     fn client_of(&self, request: ConnectionRef) -> Option<usize> {
         let connections = &self.balancers[request.balancer].connections;
-        connections.get(&request.connection).map(|held| held.client)
+        connections.get(&request.connection).map(|open| open.client)
     }
 }
--- a/simulation/src/day/result.rs
+++ b/simulation/src/day/result.rs
@@ -1,11 +1,11 @@
-//! What a day came to.
+//! The result of a day.
 
 use connection_balancer::rebalance::HoldReason;
 
 /// Totals of a day, and its course second by second.
 #[derive(Clone, Debug, Default)]
 pub struct DayResult {
-    /// Value of well-served seconds over the value of all that was asked for, less the price of migrations.
+    /// Value of well-served seconds over the value of all that was requested, less the price of migrations.
     pub served_value: f64,
     /// Migrations for any reason.
     pub migrations: u64,
@@ -15,17 +15,17 @@
     pub rejected: u64,
     /// Minutes for which connections were established.
     pub connection_minutes: f64,
-    /// Share of the value asked for that was served, each second.
+    /// Share of the requested value that was served, each second.
     pub quality: Vec<f64>,
     /// Connections of the fullest server over the mean of running servers, each second.
     pub spread: Vec<f64>,
     /// Each server, each second.
     pub servers: Vec<Vec<ServerSample>>,
-    /// Rate of moves that the first balancer allows, each second.
+    /// Migrations a second that the first balancer allows, each second.
     pub rates: Vec<f64>,
-    /// Why the first balancer holds its moves, each second.
+    /// Why rebalancing is on hold at the first balancer, each second.
     pub hold_reasons: Vec<Option<HoldReason>>,
-    /// Mean number of servers that hold a group of three or more, over the day.
+    /// Mean number of servers at which a group of three or more has members, over the day.
     pub servers_per_group: f64,
     /// Descriptions of violated invariants.
     pub violations: Vec<String>,
@@ -34,7 +34,7 @@
 /// A server at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSample {
-    /// Connections that it holds.
+    /// Number of its connections.
     pub connections: usize,
     /// The mean time of a message, in milliseconds.
     pub message_millis: f64,
--- a/simulation/src/deployment.rs
+++ b/simulation/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What a day is played on: sizes, speeds and delays.
+//! The deployment that a day is played on: sizes, speeds and delays.
 
 use connection_balancer::rebalance::RebalanceConfig;
 
@@ -13,9 +13,9 @@
 pub struct Deployment {
     /// Number of servers.
     pub servers: usize,
-    /// Mean connections that fill a warm server's processors.
+    /// Capacity of a warm server, in mean connections.
     pub server_capacity: f64,
-    /// Share of all capacity that clients ask for on average.
+    /// Mean demand of the clients, as a share of all capacity.
     pub demand_share: f64,
     /// Number of balancers.
     pub balancers: usize,
@@ -23,11 +23,11 @@
     pub lifetime: Lifetime,
     /// How many connections a client's group has.
     pub group_size: GroupSize,
-    /// The session store serves so many times the usual rate of new connections.
+    /// Rate of the session store, as a multiple of the mean rate of new connections.
     pub store_rate_factor: f64,
-    /// The most time by which a change of the endpoint list reaches a balancer late; it is half of this at least.
+    /// The longest delay after which a change of the endpoint list reaches a balancer; the shortest is half of it.
     pub list_delay: VirtualTime,
-    /// The probability that a client comes back after a migration.
+    /// Probability that a client reconnects after a migration.
     pub return_probability: f64,
     /// Whether servers report how long messages take.
     pub reports_message_time: bool,
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -1,11 +1,10 @@
-//! A balancer that only holds connections, for measuring what that costs.
+//! A balancer with established connections and no traffic, to measure its CPU time.
 
-use crate::deployment::VirtualTime;
 use connection_balancer::rebalance::RebalanceConfig;
 use connection_balancer::routing::{reduce, ConnectionId, ConnectionRequest, Input, Lifecycle, State};
 
 use crate::clients::CLASSES;
-use crate::deployment::{Deployment, SECOND};
+use crate::deployment::{Deployment, VirtualTime, SECOND};
 use crate::pool::{endpoint, from_clock, new_reducer, server_name, to_clock, MEAN_LOAD_MICROS_PER_S};
 
 const SERVERS: usize = 20;
@@ -18,7 +17,7 @@
 }
 
 impl IdleBalancer {
-    /// A reducer with so many connections, with rebalancing enabled or not.
+    /// A reducer with a number of connections, with rebalancing enabled or not.
     pub fn new(connections: usize, rebalance: bool) -> IdleBalancer {
         let deployment = Deployment {
             servers: SERVERS,
@@ -60,7 +59,7 @@
         reduce(&mut self.state, to_clock(self.now), input);
     }
 
-    /// Lets so many seconds pass.
+    /// Runs its timers for a time.
     pub fn run_seconds(&mut self, seconds: u64) {
         let end = self.now + seconds * SECOND;
         while let Some(due) = self.state.next_due().map(from_clock).filter(|due| *due < end) {
--- a/simulation/src/invariants.rs
+++ b/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What may never happen, checked from outside: by what was sent and answered, not by what the program assumes.
+//! Invariants of the balancers, checked on what was sent and answered rather than on their own state.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -6,18 +6,18 @@
 use crate::deployment::VirtualTime;
 use connection_balancer::routing::ConnectionId;
 
-/// A server gets no new attempt this long after the balancer was notified that it is draining.
+/// Time after the notification that a server is draining from which on it must not get an attempt.
 const DRAIN_GRACE: VirtualTime = 250_000;
 /// The most attempts of a request.
 const MAX_ATTEMPTS: u32 = 6;
-/// A cold server can take so many times its warm rate of new load...
+/// New load that a server in slow start can take, as a multiple of the rate at which it warms up...
 const OVERLOAD_FACTOR: f64 = 4.0;
 /// ...over this window...
 const OVERLOAD_WINDOW: VirtualTime = 3_000_000;
 /// ...and a little more by chance.
 const OVERLOAD_TOLERANCE: f64 = 3.0;
-/// At that rate a server fills in this time, in seconds.
-const WARM_UP_SECONDS: f64 = 8.8;
+/// Time of a slow start.
+const SLOW_START_SECONDS: f64 = 8.8;
 
 /// A connection at a balancer, and thereby a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
     }
 }
 
-/// What was seen of a request.
+/// What was observed of a request.
 #[derive(Debug, Default)]
 struct RequestRecord {
     attempts: u32,
@@ -52,9 +52,9 @@
     server: usize,
 }
 
-/// A connection that was set up at a cold server.
+/// A connection that was set up at a server in slow start.
 #[derive(Clone, Copy, Debug)]
-struct ColdSetup {
+struct SlowStartSetup {
     at: VirtualTime,
     load: f64,
 }
@@ -64,27 +64,27 @@
 pub struct InvariantChecker {
     requests: BTreeMap<ConnectionRef, RequestRecord>,
     /// When each balancer was notified that a server is draining or gone.
-    leaving_since: BTreeMap<KnownServer, VirtualTime>,
-    /// Recent setups at servers that are cold.
-    cold_setups: BTreeMap<usize, VecDeque<ColdSetup>>,
+    draining_since: BTreeMap<KnownServer, VirtualTime>,
+    /// Recent setups at servers in slow start.
+    slow_start_setups: BTreeMap<usize, VecDeque<SlowStartSetup>>,
     /// Descriptions of what was violated.
     pub violations: Vec<String>,
 }
 
 impl InvariantChecker {
-    /// A balancer was notified that a server is in use, or that it is draining or gone.
-    pub fn on_server_listed(&mut self, now: VirtualTime, balancer: usize, server: usize, in_use: bool) {
+    /// A balancer was notified that a server is ready, or that it is draining or gone.
+    pub fn on_server_listed(&mut self, now: VirtualTime, balancer: usize, server: usize, is_ready: bool) {
         let known = KnownServer { balancer, server };
-        if in_use {
-            self.leaving_since.remove(&known);
+        if is_ready {
+            self.draining_since.remove(&known);
         } else {
-            self.leaving_since.entry(known).or_insert(now);
+            self.draining_since.entry(known).or_insert(now);
         }
     }
 
-    /// A balancer that has restarted knows nothing of what it was notified of before.
+    /// A balancer has restarted, and has lost the notifications of its earlier process.
     pub fn on_balancer_restarted(&mut self, balancer: usize) {
-        self.leaving_since.retain(|known, _| known.balancer != balancer);
+        self.draining_since.retain(|known, _| known.balancer != balancer);
     }
 
     /// An attempt is opened.
@@ -101,24 +101,31 @@
         if record.answers > 0 {
             self.violations.push(format!("{now}: an attempt of {request} after its answer"));
         }
-        let leaving_since = self.leaving_since.get(&KnownServer { balancer: request.balancer, server });
-        if leaving_since.is_some_and(|at| now - at > DRAIN_GRACE) {
-            self.violations.push(format!("{now}: {request} sent to server {server}, known to be leaving"));
+        let draining_since = self.draining_since.get(&KnownServer { balancer: request.balancer, server });
+        if draining_since.is_some_and(|at| now - at > DRAIN_GRACE) {
+            self.violations.push(format!("{now}: {request} sent to server {server}, known to be draining"));
         }
     }
 
     /// A connection of this load begins to be set up at a server that has only this share of its capacity, which is
     /// counted in mean connections.
-    pub fn on_cold_setup(&mut self, now: VirtualTime, server: usize, warmth: f64, capacity: f64, load: f64) {
-        let recent = self.cold_setups.entry(server).or_default();
-        recent.push_back(ColdSetup { at: now, load });
+    pub fn on_slow_start_setup(
+        &mut self,
+        now: VirtualTime,
+        server: usize,
+        warmth: f64,
+        capacity: f64,
+        load: f64,
+    ) {
+        let recent = self.slow_start_setups.entry(server).or_default();
+        recent.push_back(SlowStartSetup { at: now, load });
         while recent.front().is_some_and(|setup| now - setup.at > OVERLOAD_WINDOW) {
             recent.pop_front();
         }
         let sum: f64 = recent.iter().map(|setup| setup.load).sum();
         let window_seconds = OVERLOAD_WINDOW as f64 / 1e6;
         let limit =
-            OVERLOAD_FACTOR * warmth * capacity / WARM_UP_SECONDS * window_seconds + OVERLOAD_TOLERANCE;
+            OVERLOAD_FACTOR * warmth * capacity / SLOW_START_SECONDS * window_seconds + OVERLOAD_TOLERANCE;
         if sum > limit {
             self.violations.push(format!("{now}: server {server} overloaded, {sum:.1} of {limit:.1}"));
         }
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -1,12 +1,10 @@
-//! The pool settings and endpoint lists that the model's balancers get.
+//! The pool settings and endpoints of the simulated balancers.
 
-use crate::deployment::VirtualTime;
-use connection_balancer::routing::Budget;
-use connection_balancer::routing::{Endpoint, Lifecycle, PoolConfig, ReplicationConfig, State};
+use connection_balancer::routing::{Budget, Endpoint, Lifecycle, PoolConfig, ReplicationConfig, State};
 use connection_balancer::{Class, Idempotency, Micros, Settings, Time};
 
 use crate::clients::{ClassProfile, CLASSES};
-use crate::deployment::{Deployment, SECOND};
+use crate::deployment::{Deployment, VirtualTime, SECOND};
 
 /// The day begins at this time of the reducers' clock.
 const CLOCK_ORIGIN: VirtualTime = 1_000 * SECOND;
@@ -29,7 +27,7 @@
     at.0.saturating_sub(CLOCK_ORIGIN)
 }
 
-/// A reducer that knows its settings and no endpoints.
+/// A reducer without endpoints.
 pub fn new_reducer(deployment: &Deployment, seed: u64, now: VirtualTime) -> State {
     let pools = vec![pool_config(deployment, seed)];
     State::new(pools, ReplicationConfig::default(), BUDGET, to_clock(now))
--- a/simulation/src/scenario.rs
+++ b/simulation/src/scenario.rs
@@ -1,8 +1,6 @@
-//! What goes wrong during a day.
+//! The faults of a day.
 
-use crate::deployment::VirtualTime;
-
-use crate::deployment::Deployment;
+use crate::deployment::{Deployment, VirtualTime};
 
 /// Seconds into the day at which the first fault happens.
 const FIRST_FAULT_SECOND: f64 = 20.0;
@@ -12,9 +10,9 @@
 const SECOND_RESTART_SECOND: f64 = 29.0;
 /// Seconds into the day at which a server that drains is gone.
 const DRAINED_SECOND: f64 = 29.0;
-/// A wave of restarts has so many batches...
+/// Batches of a wave of restarts...
 const WAVE_BATCHES: usize = 4;
-/// ...so many seconds apart.
+/// ...and the seconds between two of them.
 const WAVE_BATCH_SECONDS: f64 = 7.0;
 
 /// The faults of a day. The command line accepts the names of the variants.
@@ -22,7 +20,7 @@
 pub enum Scenario {
     /// No fault.
     None,
-    /// One server dies in the 20th second and is back, cold, 4 s later.
+    /// One server dies in the 20th second and starts again, in slow start, 4 s later.
     ServerRestart,
     /// The same, and it dies again 5 s after that for 4 s.
     ServerRestartsTwice,
@@ -61,7 +59,7 @@
 pub enum Fault {
     /// This server's process dies.
     ServerDies(usize),
-    /// It starts again, cold.
+    /// It starts again, in slow start.
     ServerStarts(usize),
     /// It drains.
     ServerDrains(usize),
--- a/simulation/src/server.rs
+++ b/simulation/src/server.rs
@@ -1,4 +1,4 @@
-//! A server: a processor shared by its connections.
+//! A server: an M/M/1 queue with processor sharing, and a backlog of work.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 
 /// Time of a message on an idle server, in microseconds.
 const SERVICE_MICROS: f64 = 5_000.0;
-/// Work of one setup, in seconds of the server's whole capacity over the connections that fill it.
+/// Work of one setup, in seconds of the server's whole capacity over its capacity in mean connections.
 const SETUP_WORK_SECONDS: f64 = 0.4;
-/// A group costs its server as much as so many mean connections, beside its own connections.
-pub const GROUP_LOADS: f64 = 3.0;
-/// A server rejects new connections when so many seconds of work are queued...
+/// Load of a group at its server beside that of its connections, in mean connections.
+pub const GROUP_OVERHEAD_LOADS: f64 = 3.0;
+/// Seconds of queued work from which on a server rejects new connections...
 const REJECTING_BACKLOG_SECONDS: f64 = 0.5;
-/// ...and drops established ones when so many are.
+/// ...and drops established ones.
 const DROPPING_BACKLOG_SECONDS: f64 = 3.0;
-/// The most connections of a server, over those that fill it.
+/// The most connections of a server, over its capacity.
 const MAX_CONNECTIONS_FACTOR: f64 = 2.5;
 /// Share of its capacity that a server has when it starts.
 const INITIAL_WARMTH: f64 = 0.34;
 /// Share of its capacity that it gains while it warms up.
 const WARMTH_GROWTH: f64 = 0.66;
-/// Time until a server that starts has all its capacity.
-const WARM_UP_MICROS: f64 = 8_800_000.0;
-/// The most use of the capacity that message times are computed for: avoids a division by zero.
-const MAX_USE: f64 = 0.98;
+/// Time until a started server has all its capacity.
+const SLOW_START_MICROS: f64 = 8_800_000.0;
+/// The highest utilisation that message times are computed for: avoids a division by zero.
+const MAX_UTILISATION: f64 = 0.98;
 
 /// A connection that is established or being set up.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
 /// One server.
 #[derive(Debug)]
 pub struct Server {
-    /// Mean connections that fill it when it is warm.
+    /// Capacity when it is warm, in mean connections.
     pub capacity: f64,
     /// Its process runs.
     pub up: bool,
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Its process ends; the clients that were connected.
+    /// Its process ends. Returns the clients that were connected.
     pub fn die(&mut self) -> Vec<usize> {
         let clients = self.clients().collect();
         *self = Server { up: false, incarnation: self.incarnation, ..Server::new(self.capacity) };
         clients
     }
 
-    /// Its process starts, cold.
+    /// Its process starts, in slow start.
     pub fn start(&mut self, now: VirtualTime) {
         let incarnation = self.incarnation + 1;
         *self = Server { incarnation, started: Some(now), ..Server::new(self.capacity) };
@@ -95,7 +95,7 @@
 
     /// Share of its capacity that it has now: a third at the start, all after 8.8 s.
     pub fn warmth(&self, now: VirtualTime) -> f64 {
-        let grown = self.started.map_or(1.0, |at| (now - at) as f64 / WARM_UP_MICROS);
+        let grown = self.started.map_or(1.0, |at| (now - at) as f64 / SLOW_START_MICROS);
         (INITIAL_WARMTH + WARMTH_GROWTH * grown).min(1.0)
     }
 
@@ -135,11 +135,11 @@
 
     /// Load over capacity.
     pub fn utilisation(&self, now: VirtualTime) -> f64 {
-        let group_load = self.groups.len() as f64 * GROUP_LOADS;
+        let group_load = self.groups.len() as f64 * GROUP_OVERHEAD_LOADS;
         (self.load + group_load) / (self.capacity * self.warmth(now))
     }
 
-    /// Serves for so many seconds.
+    /// Serves for a time.
     pub fn advance(&mut self, now: VirtualTime, seconds: f64) {
         self.backlog_seconds = (self.backlog_seconds + (self.utilisation(now) - 1.0) * seconds).max(0.0);
     }
@@ -151,7 +151,7 @@
 
     /// The mean time of a message, in microseconds.
     pub fn message_micros(&self, now: VirtualTime) -> f64 {
-        SERVICE_MICROS / (1.0 - self.utilisation(now).min(MAX_USE)) + self.backlog_seconds * 1e6
+        SERVICE_MICROS / (1.0 - self.utilisation(now).min(MAX_UTILISATION)) + self.backlog_seconds * 1e6
     }
 
     /// Share of messages within an objective, in microseconds.
--- a/simulation/src/session_store.rs
+++ b/simulation/src/session_store.rs
@@ -10,7 +10,7 @@
 /// How the session store performs during a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCondition {
-    /// As it should.
+    /// At its usual rate.
     Normal,
     /// Five times slower, from the start.
     Slow,
@@ -28,12 +28,12 @@
 }
 
 impl SessionStore {
-    /// A store that serves so many calls a second.
+    /// A store with this rate of calls.
     pub fn new(rate_per_s: f64, condition: StoreCondition) -> SessionStore {
         SessionStore { rate_per_s, condition, free_at: 0 }
     }
 
-    /// Adds a call to the queue; when it is answered.
+    /// Adds a call to the queue. Returns when it is answered.
     pub fn call(&mut self, now: VirtualTime) -> VirtualTime {
         let slow = match self.condition {
             StoreCondition::Normal => false,
