--- a/src/program/config/replicated_entry.rs
+++ b/src/program/config/replicated_entry.rs
@@ -1,6 +1,6 @@
 //! The check of what an operator writes to the replicated map.
 
-use super::ReplicatedEntryError;
+use super::error::ReplicatedEntryError;
 use crate::routing::stored_endpoint;
 
 // The first parts of the keys.
--- a/src/program/config/sources.rs
+++ b/src/program/config/sources.rs
@@ -3,7 +3,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use super::{parse_operator, parse_platform, parse_rebalance, Config, ConfigError, Limits};
+use super::daemon::Config;
+use super::error::ConfigError;
+use super::limits::Limits;
+use super::operator::parse_operator;
+use super::platform::parse_platform;
+use super::rebalance::parse_rebalance;
 use crate::protocol::json::DecodeError;
 
 /// Where the configuration is; it is read again on SIGHUP.
--- a/tests/module_graph.rs
+++ b/tests/module_graph.rs
@@ -56,13 +56,7 @@
 const STRICT_FOLDER: &str = "transport/";
 
 /// Circles that exist in other folders. Nothing may be added: a file that has left its circle is removed here.
-const KNOWN_CIRCLES: [&[&str]; 3] = [
-    &[
-        "program/config/mod.rs",
-        "program/config/operator.rs",
-        "program/config/platform.rs",
-        "program/config/pool.rs",
-    ],
+const KNOWN_CIRCLES: [&[&str]; 2] = [
     &["protocol/platform/mod.rs", "protocol/platform/reply.rs", "protocol/platform/request.rs"],
     &[
         "routing/client.rs",
