--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -11,13 +11,16 @@
 //! 2. A server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
 //!    placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`).
 //! 3. Other servers have spare capacity (`spare_capacity.rs`).
-//! 4. There is a token (`token_bucket.rs`), and the slots that may be migrated are not used up: at most
+//! 4. The server was not itself filled by migrations recently, unless its message times are reported
+//!    (`migration_history.rs`).
+//! 5. There is a token (`token_bucket.rs`), and the slots that may be migrated are not used up: at most
 //!    `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated clients will still occupy
 //!    (`disconnected_clients.rs`).
 //!
-//! **Why these clients?** They are at the server with the slowest messages. Those that have reconnected before are
-//! excluded, and groups are migrated as a whole or not at all (`migration_candidates.rs`). Of the rest those are chosen
-//! whose migration gains most for its cost (`cost_benefit.rs`), in this order and within the limits (`selection.rs`).
+//! **Why these clients?** They are at a server under pressure, the one with the slowest messages first. Those that have
+//! reconnected before are excluded, and groups are migrated as a whole or not at all (`migration_candidates.rs`). Of the
+//! rest those are chosen whose migration gains most for its cost (`cost_benefit.rs`), in this order and within the limits
+//! (`selection.rs`).
 //!
 //! **Where do they go?** To any server that the policy selects when they reconnect, at random by free slots. Two changes
 //! of ceilings lead them, and new clients, to the right servers: that of a server under pressure is lowered to its
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -10,9 +10,12 @@
 //! **Rule:** a server is under pressure if it holds at least [`MIN_EXCESS_SLOTS`] over its fair share and, where many of
 //! its connections are in groups, [`MIN_GROUPED_DEVIATIONS`] standard deviations. The pressure is certain
 //! - where servers report message times: if the server has reported slow messages for a while (`slow_message_reports.rs`)
-//!   and its excess is at least [`MEASURED_THRESHOLDS`]; a server that does not report any is not slow;
-//! - elsewhere: if its excess is at least [`INFERRED_THRESHOLDS`]. Its utilisation is then inferred: the assumed mean
-//!   utilisation times its slots, less a part of the noise, over its fair share.
+//!   and its excess is at least the standard deviations of [`MEASURED_THRESHOLDS`]; a server without such reports is not
+//!   slow;
+//! - elsewhere: if its excess is at least the standard deviations of [`INFERRED_THRESHOLDS`]. Its utilisation is then
+//!   inferred: the assumed mean utilisation times its slots, less a part of the noise, over its fair share.
+//!
+//! Each threshold has a lower value that applies once migrations away from the server have begun.
 //!
 //! **Reason:** in an M/M/1 queue with processor sharing the mean message time grows as 1/(1 - utilisation) (Kleinrock,
 //! Queueing Systems, vol. 1), so a small excess at a busy server delays the messages of all its connections.
--- a/src/rebalance/spare_capacity.rs
+++ b/src/rebalance/spare_capacity.rs
@@ -8,8 +8,8 @@
 //! **Rule:** a server has spare capacity if it is below its fair share by more than random placement explains, did not
 //! report slow messages recently, and had no fault within [`FAULT_COOLDOWN`]. Its spare capacity reaches
 //! - up to its ceiling, at most its fair share, if it had a fault in this incarnation: the ceiling was lowered for it;
-//! - up to its warmth's share of the fair share while it is in slow start, and no more than fills it in
-//!   [`WARMING_BATCH_SECONDS`];
+//! - up to its warmth's share of the fair share while it is in slow start, and by no more than a part of the fair share:
+//!   [`WARMING_BATCH_SECONDS`] over the duration of a slow start;
 //! - up to its fair share otherwise, whatever its ceiling is.
 //!
 //! The ceiling of a ready server that has started recently and had no fault is raised to [`RAISED_CEILING_SHARE`] of its
@@ -32,7 +32,7 @@
 /// Time after a fault in which a server has no spare capacity: a slow server shows few connections because it cannot
 /// hold more.
 const FAULT_COOLDOWN: Micros = Micros::from_secs(5);
-/// Seconds of slow start whose slots a warming server may take at once.
+/// Seconds of a slow start: the part of the fair share that it adds in them may be taken at once.
 const WARMING_BATCH_SECONDS: f64 = 2.0;
 /// Share of the fair share to which a ceiling is raised.
 const RAISED_CEILING_SHARE: f64 = 0.9;
