--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -4,14 +4,18 @@
 //! about twice a second the state of all servers ([`Rebalancer::evaluate`]). The unit of load is a slot: the load of a
 //! mean connection.
 //!
-//! **Why are clients migrated now?** At an evaluation all of this has to be true: 1. Rebalancing is not on hold. The
-//! log and the metric `rebalance.FRONT.held` give the [`HoldReason`]: a condition elsewhere (`hold_conditions.rs`),
-//! slow connection setups (`setup_times.rs`), or earlier migrations that turned out badly (`migration_rate.rs`). 2. A
-//! server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
-//! placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`). 3. Other
-//! servers have spare capacity (`spare_capacity.rs`). 4. There is a token (`token_bucket.rs`), and the slots that may
-//! be migrated are not used up: at most `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated
-//! clients will still occupy (`disconnected_clients.rs`).
+//! **Why are clients migrated now?** At an evaluation all of this has to be true:
+//! 1. Rebalancing is not on hold. The log and the metric `rebalance.FRONT.held` give the [`HoldReason`]: a condition
+//!    elsewhere (`hold_conditions.rs`), slow connection setups (`setup_times.rs`), or earlier migrations that turned out
+//!    badly (`migration_rate.rs`).
+//! 2. A server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
+//!    placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`).
+//! 3. Other servers have spare capacity (`spare_capacity.rs`).
+//! 4. The server was not itself filled by migrations recently, unless its message times are reported
+//!    (`migration_history.rs`).
+//! 5. There is a token (`token_bucket.rs`), and the slots that may be migrated are not used up: at most
+//!    `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated clients will still occupy
+//!    (`disconnected_clients.rs`).
 //!
 //! **Why these clients?** They are at the servers under pressure, the one with the slowest messages first. Those that
 //! are known to have reconnected are excluded, and groups are migrated completely or not at all
