--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -3,9 +3,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use super::{
-    decode_address, decode_optional_address, decode_seed, decode_zone, Limits, MIN_SLOW_START_SHARE,
+use super::fields::{
+    decode_address, decode_optional_address, decode_seed, decode_zone, MIN_SLOW_START_SHARE,
 };
+use super::Limits;
 use crate::program::log::LogConfig;
 use crate::protocol::irc::{AdvertisedAddress, IrcConfig};
 use crate::protocol::json::{self, DecodeError, JsonNode};
--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-use super::{decode_address, decode_optional_address, decode_seed, pool, Limits};
+use super::fields::{decode_address, decode_optional_address, decode_seed};
+use super::{pool, Limits};
 use crate::protocol::http::{self, EndpointListUpdate};
 use crate::protocol::json::{self, DecodeError, JsonNode};
 use crate::routing::PoolConfig;
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -1,6 +1,6 @@
 //! The pool of the platform's front, from the platform's settings.
 
-use super::{decode_zone, MIN_SLOW_START_SHARE};
+use super::fields::{decode_zone, MIN_SLOW_START_SHARE};
 use crate::protocol::json::{DecodeError, JsonNode};
 use crate::rebalance::RebalanceConfig;
 use crate::routing::PoolConfig;
--- a/src/protocol/platform/reply.rs
+++ b/src/protocol/platform/reply.rs
@@ -7,7 +7,7 @@
 use winnow::Parser;
 
 use super::field::{parse_field, Field};
-use super::{BUSY, ERR, MOVE, PONG};
+use super::keywords::{BUSY, ERR, MOVE, PONG};
 use crate::routing::ProbeEnd;
 use crate::LoadReport;
 
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -6,7 +6,7 @@
 use winnow::{ModalResult, Parser};
 
 use super::field::{parse_field, parse_name, Field};
-use super::MICROS_PER_MS;
+use super::keywords::MICROS_PER_MS;
 use crate::protocol::{hash_client_key, CRLF};
 use crate::routing::ConnectionRequest;
 use crate::Micros;
--- a/tests/module_graph.rs
+++ b/tests/module_graph.rs
@@ -56,29 +56,20 @@
 const STRICT_FOLDER: &str = "transport/";
 
 /// Circles that exist in other folders. Nothing may be added: a file that has left its circle is removed here.
-const KNOWN_CIRCLES: [&[&str]; 3] = [
-    &[
-        "program/config/mod.rs",
-        "program/config/operator.rs",
-        "program/config/platform.rs",
-        "program/config/pool.rs",
-    ],
-    &["protocol/platform/mod.rs", "protocol/platform/reply.rs", "protocol/platform/request.rs"],
-    &[
-        "routing/client.rs",
-        "routing/dispatch.rs",
-        "routing/endpoint_updates.rs",
-        "routing/exclusions.rs",
-        "routing/front_admission.rs",
-        "routing/hot_restart.rs",
-        "routing/input.rs",
-        "routing/mod.rs",
-        "routing/pool.rs",
-        "routing/probes.rs",
-        "routing/replication.rs",
-        "routing/shutdown.rs",
-    ],
-];
+const KNOWN_CIRCLES: [&[&str]; 1] = [&[
+    "routing/client.rs",
+    "routing/dispatch.rs",
+    "routing/endpoint_updates.rs",
+    "routing/exclusions.rs",
+    "routing/front_admission.rs",
+    "routing/hot_restart.rs",
+    "routing/input.rs",
+    "routing/mod.rs",
+    "routing/pool.rs",
+    "routing/probes.rs",
+    "routing/replication.rs",
+    "routing/shutdown.rs",
+]];
 
 /// The layer that a file lies in.
 fn layer_of(file: &str) -> Layer {
