--- a/src/policy/fault_window.rs
+++ b/src/policy/fault_window.rs
@@ -1,7 +1,7 @@
 //! The fault window: how long a fault of a server counts as recent.
 //!
 //! **What is decided.** For how long after a fault a server takes nothing beyond its ceiling, and how fast
-//! its ceiling recovers. What counts as a fault is told in `concurrency_limit`.
+//! its ceiling recovers. What counts as a fault is defined in `concurrency_limit`.
 //!
 //! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and what this balancer
 //! occupies at all servers that serve, in slots.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -6,7 +6,7 @@
 //! beyond the ceiling of a server without recent faults; where there is none of those either, it is rejected
 //! at once. The ceilings are learned.
 //!
-//! Each rule is a type with private state in a module of its own, whose head tells what is decided, from
+//! Each rule is a type with private state in a module of its own, whose head says what is decided, from
 //! which inputs, by what rule, and why. [`Balancer`] holds these types; its handlers list the steps that
 //! follow from each event.
 //!
@@ -18,15 +18,15 @@
 //! | [`outlier_detection`] | which servers are ejected, and until when |
 //! | [`slow_start`] | when a server that warms up gets its next connection |
 //! | [`selection`] | which of the servers that are ready gets a connection |
-//! | [`retry_policy`] | where a request may be tried again, and what its client is told |
+//! | [`retry_policy`] | where a request may be tried again, and how its client is answered |
 //! | [`endpoint_lease`] | for how long the endpoint list may be used |
 //! | [`endpoint_watch`] | when discovery is called again |
 //! | [`migration`] | how many connections leave an overloaded server |
 //! | [`probes`] | when servers are asked for their load |
 //!
-//! What an outcome shows of its server is told apart: a *failure* counts in outlier detection, a *fault* in
-//! the concurrency limit, and both only if they are the server's own. A *slow* or *correlated* set-up counts
-//! in the admission rate.
+//! Three things are distinguished in what an outcome shows of its server: a *failure* counts in outlier
+//! detection, a *fault* in the concurrency limit, and both only if they are the server's own. A *slow* or
+//! *correlated* set-up counts in the admission rate.
 //!
 //! | outcome of an attempt | failure | fault | set-up |
 //! | --- | --- | --- | --- |
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -72,7 +72,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let key_window_left = request.retry.key_window_left(self.settings.idempotency(request.class), now);
         // A connection may come up late: by then the server may drain, without a notification.
-        let write_timeout = key_window_left.into_iter().chain(self.endpoint_lease.time_left(now)).min();
+        let forwarding_timeout = key_window_left.into_iter().chain(self.endpoint_lease.time_left(now)).min();
         server.slow_start.on_attempt_started(&self.settings, now, interval);
         server.connections.start_attempt(request.group, request.slots);
         request.attempt = Some(Attempt {
@@ -87,7 +87,7 @@
         // session store, for nobody, and the next attempt would join the same queue. A server that is not
         // there is known by the connection that cannot be opened.
         let timeout = request.deadline.since(now).max(Micros(1));
-        self.actions.push(Action::StartAttempt { request: id, server: to, timeout, within: write_timeout });
+        self.actions.push(Action::StartAttempt { request: id, server: to, timeout, forwarding_timeout });
         let times = EjectionTimes::from_settings(&self.settings);
         server.outlier.on_attempt_started(now, times, &mut self.rng);
     }
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -1,4 +1,4 @@
-//! Retry policy: where a request may be tried again, when that ends, and what its client is told.
+//! Retry policy: where a request may be tried again, when that ends, and how its client is answered.
 //!
 //! **What is decided.** Whether an attempt may go to a server; whether another attempt is made at all; and
 //! whether the final answer without a connection is a rejection (a retry is harmless) or a failure (no
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -119,7 +119,7 @@
         let servers_filled = (group_share * fleet.servers).ceil().max(1.0) as usize;
         let group_servers = if group.is_some() { servers_filled } else { 0 };
         // Ceilings rise with what is accepted. Were the local zone always first, all clients that return at
-        // once after a restart would end there; a few connections more than elsewhere are worth the cost of a
+        // once after a restart would end there; a few connections more than elsewhere justify the cost of a
         // crossing.
         let mean_limit = LOCAL_ZONE_MEAN_FACTOR * fleet.occupied_slots / f64::max(fleet.servers, 1.0);
         let max_occupied_slots = mean_limit + LOCAL_ZONE_EXTRA_SLOTS;
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -31,8 +31,8 @@
     /// Executes one action, and returns the actions to which that leads.
     fn apply_action(&mut self, now: Time, pool: PoolId, action: Action) -> Vec<Action> {
         match action {
-            Action::StartAttempt { request, server, timeout, within } => {
-                self.open_attempt(now, connection_id(request), server, timeout, within);
+            Action::StartAttempt { request, server, timeout, forwarding_timeout } => {
+                self.open_attempt(now, connection_id(request), server, timeout, forwarding_timeout);
             }
             Action::Reject { request, reason, retry_after } => {
                 self.answer_without_server(
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -60,7 +60,7 @@
         /// Report [`Outcome::NotSent`](crate::Outcome::NotSent) if the request could not be written in full
         /// within this time. After it the server would not recognise the repeat of an attempt that may have
         /// run, or the endpoint list has expired.
-        within: Option<Micros>,
+        forwarding_timeout: Option<Micros>,
     },
     /// Final answer: rejected; a retry is harmless.
     Reject {
