--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -1,8 +1,9 @@
 //! Final answers to clients, and the end of their connections.
 //!
-//! Each request has exactly one final answer. It is sent and counted in [`State::send_answer`] alone, and the
-//! connection's record is removed with it, so that no later input can lead to a second one. A connection that
-//! was established counts as succeeded when it is established; its end is not counted.
+//! Each request has exactly one final answer. Those of this balancer are sent and counted in
+//! [`State::send_answer`] alone; its caller removes the connection's record, so that no later input can lead
+//! to a second one. A server's own verdict, and a success, are counted in [`super::attempts`]. A connection
+//! that was established counts as succeeded when it is established; its end is not counted.
 //!
 //! This module owns no state; the counters are the pool's.
 
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -4,7 +4,7 @@
 //! to retry (`src/policy/`). This module gives each attempt its number and these deadlines, and the earliest
 //! is the timer of the connection:
 //!
-//! - to connect, the pool's connect timeout;
+//! - to be connected and have its request written, the pool's connect timeout;
 //! - to have its request written in full, where the balancer limits that: a server may recognise a repeated
 //!   request for a limited time only, and the endpoint list may expire;
 //! - to be accepted by the server, the timeout that the balancer gives.
@@ -15,7 +15,7 @@
 //! started. It is retried there every [`RESTORE_RETRY_INTERVAL`], without the balancer, until its deadline or
 //! the most attempts of a request are reached.
 //!
-//! The attempts themselves are kept in the connection table; this module owns no state.
+//! The attempts themselves are in the connection table; this module owns no state.
 
 use super::connection_table::{Attempt, Phase};
 use super::dispatch::request_id;
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,21 +1,23 @@
 //! Requests of clients: from a new connection's handshake to the admission of its request.
 //!
 //! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake
-//! timeout. These checks follow in order, and the first that fails ends the connection:
+//! timeout. It ends earlier when its descriptor is needed for others ([`super::pending_connections`]), or at
+//! the latest exit of a shutdown. These checks follow in order, and the first that fails ends the connection:
 //!
 //! 1. Graceful shutdown: the request is rejected with a Retry-After, unless a successor of a hot restart
 //!    serves.
 //! 2. Connection limits: the pool's (from the replicated map where it holds one, or else from the
-//!    configuration) and that of all fronts. Above either, the request is rejected with half the longest
+//!    configuration) and that of all fronts. At either, the request is rejected with half the longest
 //!    Retry-After.
-//! 3. Names: a class or tenant that is not configured, and an id that an open connection has, fail the
-//!    request. A rejection would invite a retry, which could not succeed.
+//! 3. Names: a class that is not configured, a tenant that is not where any are, and an id that an open
+//!    connection has, fail the request, without a log line; without a configured class also without a metric.
+//!    A rejection would invite a retry, which could not succeed.
 //!
 //! An admitted request goes to the pool's balancer, which chooses a server, rejects or fails it
 //! (`src/policy/`). A request of a connection that was established before this process started returns to its
 //! server instead ([`Phase::Restoring`]).
 //!
-//! The state of a connection is kept in the connection table; this module owns none.
+//! The state of a connection is in the connection table; this module owns none.
 
 use super::connection_table::{ClientConnection, Phase};
 use super::dispatch::request_id;
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -348,8 +348,8 @@
         true
     }
 
-    /// Limits the time by which the request of a connection's attempt may be written. An earlier deadline is
-    /// kept.
+    /// Limits the time by which the request of a connection's attempt may be written. An earlier deadline
+    /// remains.
     pub(super) fn limit_forwarding(&mut self, id: ConnectionId, deadline: Time) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let is_connecting = connection.phase == Phase::Connecting;
--- a/src/routing/digest.rs
+++ b/src/routing/digest.rs
@@ -2,8 +2,8 @@
 //!
 //! The keys are distributed over [`DIGEST_BUCKETS`] buckets by a hash. A bucket's part of the digest is the
 //! sum of the hashes of its entries, with wrap-around: the sum does not depend on the order of the entries.
-//! Replicas with different digests differ in an entry of a bucket whose sums differ. Two different maps with
-//! the same digest are possible only where 64-bit hashes collide.
+//! Replicas with different digests differ in an entry of a bucket whose sums differ. Two different maps have
+//! the same digest only where sums of 64-bit hashes coincide.
 //!
 //! Replicas of different versions compare digests, so the hash must not change.
 
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -3,10 +3,12 @@
 //! The list in effect is derived anew after every change of one of its sources, in this order:
 //!
 //! 1. what discovery or the operator's file lists;
-//! 2. servers that the replicated map adds, where the pool uses it;
+//! 2. servers of the replicated map, where the pool uses it: an entry replaces one of the same name, and
+//!    counts as ready and as warm;
 //! 3. readmitted servers, which count as just started;
-//! 4. while a successor of a hot restart serves: servers that are warming up, which drain here. Each process
-//!    would otherwise fill them at the full rate of their slow start;
+//! 4. while a successor of a hot restart serves: servers that are warming up, which drain here; their
+//!    established clients are migrated or transferred, whichever comes first. Each process would otherwise
+//!    fill them at the full rate of their slow start;
 //! 5. excluded servers, which drain or are removed. An exclusion neither adds a server nor makes one ready.
 //!
 //! The result goes to the balancer and to the rebalancer. Then connections leave servers that are not ready
@@ -18,7 +20,7 @@
 //!   zero, servers redirect their clients themselves, except an excluded one, which does not know that it
 //!   drains.
 //!
-//! The lists are kept by the pool ([`super::listed_endpoints::ListedEndpoints`],
+//! The lists are in the pool ([`super::listed_endpoints::ListedEndpoints`],
 //! [`super::endpoints::EndpointList`]); this module owns no state.
 
 use std::collections::BTreeMap;
--- a/src/routing/entry.rs
+++ b/src/routing/entry.rs
@@ -1,9 +1,10 @@
 //! The entries of the replicated map: the last writer wins.
 
-/// What the map holds for a key. Of two entries the greater one takes precedence: the fields are compared in their order.
+/// What the map holds for a key. Of two entries the greater one takes precedence: the fields are compared in
+/// their order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Entry {
-    /// How many writes its writer knew of when it wrote, this one included.
+    /// One more than the highest counter that its writer had seen.
     pub counter: u64,
     /// Name of the node that wrote it.
     pub node: String,
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -10,7 +10,7 @@
 //! - **Migration.** The client is asked to reconnect and both sides are closed. Several connections are
 //!   migrated one by one at equal intervals, since all of them at once would overload the other servers.
 //!
-//! The connections are kept in the connection table; this module owns no state.
+//! The connections are in the connection table; this module owns no state.
 
 use super::dispatch::request_id;
 use super::{Answer, ConnectionId, PoolId, State};
--- a/src/routing/exclusions.rs
+++ b/src/routing/exclusions.rs
@@ -1,14 +1,16 @@
 //! Exclusions: servers that an operator takes out of use, and readmits later.
 //!
 //! An excluded server gets no new connections and its clients are migrated ([`super::endpoint_updates`]),
-//! whatever the endpoint list says of it. Where the exclusions are kept:
+//! whatever the endpoint list says of it. Where the exclusions are stored:
 //!
 //! - with a replicated map, in the map, so that one call holds at all nodes;
-//! - without one, in [`super::operator_exclusions`], which is persisted in a file and shared with the peer process of
-//!   a hot restart.
+//! - without one, in [`super::operator_exclusions`], which is persisted in a file and shared with the peer
+//!   process of a hot restart.
 //!
-//! An operator may name any server that was ever listed, so that one can be excluded while it is not listed,
-//! but not an arbitrary name, which would mostly be a misspelling.
+//! With a map an exclusion is logged as an entry of the map, without one by its own line. A failure at the
+//! peer process is not reported: its acknowledgement follows in any case. An operator may name any server
+//! that was ever listed, so that one can be excluded while it is not listed, but not an arbitrary name, which
+//! would mostly be a misspelling.
 //!
 //! [`super::pool_exclusions`] owns the exclusions in effect at one pool.
 
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -9,7 +9,8 @@
 //! 3. The predecessor transfers each established connection, and each other one as soon as it is established.
 //!    From then on only the successor fills servers that are warming up ([`super::endpoint_updates`]).
 //! 4. While both processes live, an exclusion made at either is shared with the other. The operator's reply
-//!    waits for the acknowledgement, for a bounded time.
+//!    is `YES` when that process has acknowledged, is lost, or has not answered within
+//!    half a second: it only promises that the exclusion holds at this process.
 //! 5. When the link to the peer process ends, a predecessor accepts again, and a successor has all
 //!    descriptors and request ids to itself.
 //!
--- a/src/routing/hot_restart_state.rs
+++ b/src/routing/hot_restart_state.rs
@@ -7,6 +7,8 @@
 
 /// The longest wait of an admin client's reply for the peer process. Admin clients expect a reply within 1 s.
 const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros::from_millis(500);
+/// The largest part of the pending connections' descriptors, in percent, that a predecessor is taken to use.
+const MAX_BORROWED_PERCENT: usize = 75;
 
 /// The other process of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +73,7 @@
     pub(super) fn borrowed_descriptors(&self, budget: Budget) -> usize {
         match self.peer_process {
             Some(PeerProcess::Predecessor { open_descriptors }) => {
-                open_descriptors.min(budget.pending * 3 / 4)
+                open_descriptors.min(budget.pending * MAX_BORROWED_PERCENT / 100)
             }
             _ => 0,
         }
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -1,6 +1,6 @@
 //! Load reports of servers: a connection's load, or the time that a message takes at the server.
 //!
-//! Both may arrive in the same form, as one number, so they are told apart by value. A message time that
+//! Both may arrive in the same form, as one number, so they are distinguished by value. A message time that
 //! counted as a load would make the slowest server look idle, and it would receive more connections.
 //!
 //! Owns, for each pool, the mean of all loads (in the settings' unit) and each server's last message time (in
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics that the balancer reports: counters since the start of the process, and gauges.
 //!
-//! The fields are named as the metrics are on the wire (`src/protocol/admin.rs`).
+//! The names on the wire are in `src/protocol/admin.rs`.
 
 use std::collections::BTreeMap;
 
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -6,7 +6,7 @@
 //! 1) and the last fault.
 //!
 //! A decision consists of migrations, of ceilings to raise and of ceilings to lower. The balancer keeps the
-//! ceilings; this module changes them through its learned state. After a migration, the ceiling of the server
+//! ceilings; this module asks for the changes. After a migration, the ceiling of the server
 //! falls to its occupied slots: the slot that has become free might be the only one anywhere, and the same
 //! client would return to it.
 //!
--- a/src/routing/operator_exclusions.rs
+++ b/src/routing/operator_exclusions.rs
@@ -1,11 +1,12 @@
 //! The exclusions of an operator where there is no replicated map, and the names that an operator may use.
 //!
-//! Any server that was ever listed may be named, so that one can be excluded while it is not listed. The number of
-//! remembered names is bounded.
+//! Any server that was ever listed may be named, so that one can be excluded while it is not listed. The
+//! number of remembered names is bounded.
 
 use std::collections::BTreeSet;
 
 /// The largest number of server names that are remembered. Servers may come and go under ever new names.
+/// Beyond it all are forgotten; listed ones return with the next update of their pool's list.
 const MAX_SERVER_NAMES: usize = 20_000;
 
 /// The servers that an operator excluded without a replicated map, and the names that an operator may use.
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -87,7 +87,7 @@
         std::mem::take(&mut self.is_expiry_logged)
     }
 
-    /// Replaces the configuration. Connections and what was learned of servers are kept.
+    /// Replaces the configuration. Connections and what was learned of servers remain.
     pub(super) fn configure(&mut self, now: Time, config: PoolConfig) {
         self.balancer.configure(config.settings.clone());
         self.peers.configure(config.gossip_config());
--- a/src/routing/pool_exclusions.rs
+++ b/src/routing/pool_exclusions.rs
@@ -1,7 +1,7 @@
 //! The exclusions in effect at one pool, and the servers that were readmitted within the last slow start.
 //!
-//! A readmitted server counts as started at its readmission. It has mostly restarted, which the endpoint list may not
-//! show yet, and must then be filled no faster than any server that is warming up.
+//! A readmitted server counts as started at its readmission. It has mostly restarted, which the endpoint list
+//! may not show yet, and must then be filled no faster than any server that is warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/routing/probe_records.rs
+++ b/src/routing/probe_records.rs
@@ -1,15 +1,15 @@
 //! The probes in flight of one pool, and the server processes that decline probes.
 //!
-//! Rule: at most [`MAX_PROBES`] probes are in flight, one for each server, and none is sent to a process that has
-//! declined probes. A server's process is identified by its start.
+//! Rule: at most [`MAX_PROBES`] probes are in flight, one for each server, and none is sent to a process that
+//! has declined probes. A server's process is identified by its start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::endpoints::EndpointList;
 use crate::{ServerId, Time};
 
-/// The largest number of connections for probes, whether a probe is in flight or they are idle. Descriptors
-/// are reserved for them.
+/// The largest number of connections for probes in one pool, whether a probe is in flight or they are idle.
+/// Descriptors are reserved for them.
 pub const MAX_PROBES: usize = 16;
 
 /// One process of a server.
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -1,11 +1,11 @@
 //! Health checks (probes): requests to a server for its load report.
 //!
-//! The balancer decides when to probe which server, and what a result changes (`src/policy/`). The probes
-//! in flight and the processes that decline probes are in [`super::probe_records`]. Rule: a probe is sent only
+//! The balancer decides when to probe which server, and what a result changes (`src/policy/`). The probes in
+//! flight and the processes that decline probes are in [`super::probe_records`]. Rule: a probe is sent only
 //!
 //! - to a server that is ready, so that draining ones get nothing new;
 //! - to a server without a probe in flight, since one that has not answered yet is busy;
-//! - while fewer than [`super::MAX_PROBES`] are in flight, for which descriptors are reserved;
+//! - while fewer than [`super::MAX_PROBES`] are in flight in its pool, for which descriptors are reserved;
 //! - to a process that has not declined probes.
 //!
 //! A server's process is identified by its start. A result of a process that has been replaced is dropped.
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -2,10 +2,10 @@
 //!
 //! The map, the addresses of the other replicas and the schedule of digests are in [`super::replica`]. Rule:
 //!
-//! - A new entry is sent to all other replicas at once, one datagram each.
-//! - At a fixed interval one of the replicas, in turn, is sent a digest. It answers with its own digest
-//!   and with entries of the buckets that differ, and is answered with entries in return. Lost datagrams are
-//!   so made up for.
+//! - An entry that is written here is sent to all other replicas at once, one datagram each; the repetition
+//!   of a write that no replica has confirmed, only by digests.
+//! - At a fixed interval one of the replicas, in turn, is sent a digest. It answers with its own digest and
+//!   with entries of the buckets that differ, and is sent entries in return. This repairs lost datagrams.
 //! - Digests and entries are accepted from configured replicas only, and writes from this machine only.
 //!
 //! An entry that has changed is logged and persisted. Where its key concerns endpoint lists, the lists of all
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -4,12 +4,16 @@
 //! The window of time within which the process exits is in [`super::shutdown_state`]. Rule:
 //!
 //! - The latest exit is the longest time that a client waits for its answer, at most [`MAX_ANSWER_WAIT`],
-//!   plus [`SHUTDOWN_MARGIN`] after the request for the shutdown. Requests in flight can so still be answered.
-//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after it, when no connection is left. Until the clients
-//!   learn of the shutdown, new ones arrive and need an answer. Where a successor of a hot restart serves,
-//!   none arrive, and the process exits as soon as it is empty.
-//! - Migrations are spread evenly between [`FIRST_MIGRATION_DELAY`] and [`LAST_MIGRATION_MARGIN`] before the
-//!   latest exit. All at once they would overload the other balancers, of which one may be starting.
+//!   plus [`SHUTDOWN_MARGIN`] after the request for the shutdown. Requests in flight can so still be
+//!   answered.
+//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after the request for the shutdown (or the latest exit,
+//!   if that is earlier), once no connection is left. Until the clients learn of the shutdown, new ones
+//!   arrive and need an answer. Where a successor of a hot restart serves, none arrive, and the process exits
+//!   as soon as it is empty.
+//! - Migrations are spread evenly from [`FIRST_MIGRATION_DELAY`] after the request until
+//!   [`LAST_MIGRATION_MARGIN`] before the latest exit. A connection that is established meanwhile is migrated
+//!   [`FIRST_MIGRATION_DELAY`] later. All at once they would overload the other balancers, of which one may
+//!   be starting.
 //! - New requests are rejected with a Retry-After ([`super::client`]). At the latest exit, whoever is left is
 //!   migrated, rejected where a retry is harmless, or failed.
 
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -3,7 +3,7 @@
 //! Each entry carries a Lamport counter (L. Lamport, "Time, Clocks, and the Ordering of Events in a
 //! Distributed System", 1978) and the name of the node that wrote it. Of two entries for one key the last
 //! writer wins: the one with the higher counter, then with the higher node name. A deletion is an entry
-//! without a value, a tombstone, and is kept.
+//! without a value, a tombstone, and remains.
 //!
 //! The map is eventually consistent: nodes that go on exchanging digests and entries converge to the same
 //! map, whatever messages were lost, repeated or reordered. `docs/design.md` says why that is enough.
