--- a/src/bin/simulator-adapter/instance.rs
+++ b/src/bin/simulator-adapter/instance.rs
@@ -83,6 +83,8 @@
     ) {
         match sync {
             EndpointSync::Failed => {
+                // The simulator does not say why. The list has no lease here, as no confirmation is handed in, so the
+                // kind does not matter.
                 let failed = Event::EndpointWatchFailed(WatchFailure::Rejected);
                 self.balancer.handle(now, failed, actions);
             }
--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -30,7 +30,7 @@
 
 use crate::types::{Micros, ServerId, Settings, Time};
 
-/// What remains of the rate at the most, as a factor, when it is decreased.
+/// A cut multiplies the rate by this, or by less.
 const MAX_REMAINING_FACTOR: f64 = 0.5;
 /// The rate does not rise within this part of a slow start's duration after a failed set-up.
 const RISE_PAUSE_DIVISOR: u64 = 4;
@@ -47,7 +47,7 @@
 pub struct AdmissionRate {
     /// From 0 to 1, as of `updated_at`.
     share: f64,
-    /// The rate has risen until then; it may lie ahead, after a decrease.
+    /// Up to when the rise is already counted in `share`; ahead of now while a cut holds the rise back.
     updated_at: Time,
     last_decrease: Option<Time>,
     /// The last failed set-up, if none succeeded after it.
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -20,7 +20,8 @@
 //!   grows by its overflow.
 //! - *Load report*: of 0.85 or more, it keeps 0.85 of what is occupied, less if the utilisation is above 1.
 //!   Below that, at a server without a recent fault, it sets the ceiling to what is occupied and this
-//!   balancer's part of the capacity that is left up to 0.85.
+//!   balancer's part of the capacity that is left up to 0.85; a full server is taken to have at least four
+//!   slots for it.
 //! - *Peer*: slow messages elsewhere lower the ceiling as slow messages here do; a drop elsewhere takes half
 //!   of the free slots.
 //! - *Recovery*, looked at before each selection: if the ceiling is below what is occupied (or below 1), it
@@ -57,6 +58,9 @@
 const SLOW_MESSAGE_RATIO: f64 = 1.0 / 3.0;
 /// Reported utilisation up to which a ceiling lets a server fill: messages become slow before it is 1.
 const TARGET_UTILISATION: f64 = 0.85;
+/// The fewest slots that this balancer's part of a full server is taken to have when a load report sets a
+/// ceiling: of many balancers each has next to nothing, against a few initial slots.
+const MIN_SLOTS_AT_CAPACITY: f64 = 4.0;
 /// Fault windows after a fault in which a server is taken to be at its limit.
 const AT_LIMIT_FAULT_WINDOWS: u64 = 4;
 /// Slots by which a ceiling may be exceeded at a server that may be at its limit.
@@ -201,6 +205,7 @@
         if utilisation >= TARGET_UTILISATION {
             self.decrease(now, occupied, TARGET_UTILISATION / f64::max(1.0, utilisation));
         } else if self.has_no_recent_fault(now, fault_window) {
+            let slots_at_capacity = slots_at_capacity.max(MIN_SLOTS_AT_CAPACITY);
             self.ceiling = occupied_in_report + (TARGET_UTILISATION - utilisation) * slots_at_capacity;
         }
     }
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -12,10 +12,10 @@
 //! counted from the earlier of its call and the last confirmation. The list does not expire
 //!
 //! - before discovery has answered at all;
-//! - after a call that failed before the watch was silent: a watch that ends with an error ends as it does
-//!   when discovery goes down, and is opened anew after a backoff;
-//! - while a silent watch is known to be silent because discovery is down, which a refused connection shows,
-//!   or where lists are pushed an agent without an answer.
+//! - after a failed call on a watch that was not silent: a watch also ends so when discovery goes down. It is
+//!   opened anew after a backoff;
+//! - while a silent watch has an explanation: calls are refused or not connected, or, where lists are pushed,
+//!   the agent gives no answer.
 //!
 //! **Why.** A watch that has fallen silent looks like one on which nothing happens. Whatever discovery lists
 //! counts as notified 6 s later, whether or not it arrived; from then on each listed server may be one that
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -13,8 +13,9 @@
 //! - Where messages take twice their objective or more, a tenth of the connections for each multiple of the
 //!   objective leaves, up to half, and at least one if eight slots are occupied.
 //! - No more leave than there is spare capacity, but for that last one: the free slots and the overflow at
-//!   servers with no failures and no recent fault, divided by the number of the other servers, as each of
-//!   those may give up some at every balancer.
+//!   servers with no failures and no recent fault, divided by the number of serving servers that have
+//!   failures or a recent fault, the overloaded one included, as each of those may give up connections at
+//!   every balancer.
 //! - Those leave first whose end frees the most slots for each unit of priority weight (of 1, where no load
 //!   has been measured). The last connection of a group frees the slots of its group, too.
 //!
@@ -79,8 +80,8 @@
     }
 }
 
-/// Spare slots at servers without failures and without a recent fault, divided by the number of the other
-/// servers.
+/// Spare slots at servers without failures and without a recent fault, divided by the number of servers that
+/// have some.
 pub fn spare_capacity<'a>(
     serving: impl Iterator<Item = &'a Server>,
     settings: &Settings,
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -11,10 +11,6 @@
 use super::Balancer;
 use crate::types::{Action, LoadReport, Measurement, Micros, RequestId, ServerId};
 
-/// The fewest slots that this balancer's part of a full server is taken to have when a load report sets a
-/// ceiling: of many balancers each has next to nothing, against a few initial slots.
-const MIN_SLOTS_AT_CAPACITY: f64 = 4.0;
-
 impl Balancer {
     /// Something was measured on an established connection.
     pub(super) fn on_connection_measured(&mut self, id: RequestId, measurement: Measurement) {
@@ -78,7 +74,7 @@
         let occupied = server.connections.occupied_slots();
         let Some(occupied_in_report) = server.load_reports.record(report, occupied) else { return };
         self.update_connections_at_capacity(report.connections.is_some());
-        let slots_at_capacity = self.slow_start_budget.connections_at_capacity().max(MIN_SLOTS_AT_CAPACITY);
+        let slots_at_capacity = self.slow_start_budget.connections_at_capacity();
         let reported =
             ReportedCapacity { utilisation: report.utilisation, occupied_in_report, slots_at_capacity };
         let Some(server) = self.servers.get_mut(id) else { return };
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -7,7 +7,7 @@
 //! all requests; load reports: the utilisation (1 is full) and, if reported, the connections of all
 //! balancers.
 //!
-//! **Rule.** Each established connection earns credit for 0.004 over that cost probes, four at most; a
+//! **Rule.** Each established connection earns credit for (0.004 / that cost) probes, at most four; a
 //! rejected one earns none. A whole credit sends a probe to the serving server that was probed least
 //! recently. The size of a server is what is established at all servers that have reported, over the sum of
 //! their utilisation times their warmth.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -16,8 +16,8 @@
 //! start. The pacing interval is the time between two attempts of this balancer at that rate; divided by the
 //! warmth it is the wait after each attempt. The size, in connections of this balancer, is the larger of two:
 //!
-//! - half of the most slots ever occupied, over the most servers that ever served (at least one connection
-//!   for all balancers together);
+//! - half of: the most slots ever occupied over the most servers that ever served, or one connection divided
+//!   among all balancers if that is more;
 //! - what load reports show, and a margin for what all balancers may send above it in a window.
 //!
 //! The first wait is a random part of a whole one: balancers that learn of a server together must not begin
@@ -105,8 +105,9 @@
         PacingInterval(1.0 / (rate * size).max(MIN_ATTEMPTS / duration))
     }
 
-    /// The probability by which this selection may use a warm server, if this balancer's part of a server is
-    /// less than one connection in a whole slow start; none where servers are paced by waits.
+    /// The probability, before the caller multiplies it by the server's warmth, with which this selection may
+    /// use a server in slow start; it may be over 1. None where servers are paced by waits, as this
+    /// balancer's part of a server is one connection or more in a slow start.
     pub fn admission_probability(&mut self, now: Time, serving: usize, settings: &Settings) -> Option<f64> {
         let since_last_selection = now.since(std::mem::replace(&mut self.last_selection, now));
         let elapsed = since_last_selection.min(settings.slow_start_window).as_f64();
--- a/src/program/config/replicated_entry.rs
+++ b/src/program/config/replicated_entry.rs
@@ -5,9 +5,9 @@
 
 // The first parts of the keys.
 const ENDPOINT: &str = "host";
-const INCARNATION: &str = "life";
+const EXCLUSION: &str = "life";
 const LIMIT: &str = "limit";
-/// The value of a server's incarnation that is no longer there.
+/// The value that removes a server for good.
 const GONE: &str = "gone";
 
 /// Checks an entry before it is written; no value deletes the key.
@@ -20,7 +20,7 @@
             let valid_value = value.is_none_or(|text| stored_endpoint(name, text).is_some());
             (valid_value && !name.is_empty(), "ADDRESS [ZONE [WEIGHT]] is wanted")
         }
-        Some((INCARNATION, name)) => {
+        Some((EXCLUSION, name)) => {
             let valid_value = value.is_none_or(|text| text == GONE);
             let expected = "gone is wanted; to take a host out for a while, exclude it";
             (valid_value && !name.is_empty(), expected)
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -50,7 +50,7 @@
     /// The server ended the attempt by a message. For [`AttemptOutcome::VerdictForwarded`] the client's answer is among
     /// the events before.
     AttemptEnded(AttemptOutcome),
-    /// The client broke its protocol before its request was complete, and has been answered: close its connection.
+    /// The client quit, or broke its protocol, and has been answered: close its connection.
     Close,
 }
 
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -1,7 +1,7 @@
 //! Reload of the configuration.
 //!
 //! The new configuration is complete and checked when it arrives here, and is put in place in one step.
-//! Connections, exclusions and what was learned of servers remain. So is the endpoint list, until the watch
+//! Connections, exclusions and what was learned of servers remain. So does the endpoint list, until the watch
 //! at a new discovery address delivers another. Classes, tenants and zones keep their numbers
 //! ([`PoolConfig::replacing`]), by which connections and the balancer refer to them. The number of pools does
 //! not change.
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -10,8 +10,9 @@
 //!
 //! The operator's file is not watched, and a list from it does not expire.
 //!
-//! While a watch is silent or lost, a request whose attempt has no connection yet must be written before the
-//! list expires: the attempt was begun by a list that was valid, but its server may drain by then.
+//! While a watch is silent or lost, a request that is not written in full yet must be written before the list
+//! expires (one that is being restored excepted): the attempt was begun by a list that was valid, but its
+//! server may drain by then.
 //!
 //! This module owns no state; the pool records when its list was received and whether the log names it as
 //! expired.
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -1,5 +1,5 @@
-//! The log lines of the reducer.
-//!
+//! The log lines of the reducer. They are written by `src/transport/driver.rs`, which is their target.
+
 //! Each event has one line, and `docs/oncall.md` a row for each line: a test compares the two, by the
 //! literals below.
 
--- a/src/transport/discovery_watch/connection.rs
+++ b/src/transport/discovery_watch/connection.rs
@@ -22,7 +22,8 @@
     pub(super) hold: Duration,
 }
 
-/// The connection to discovery. It is reused for the next call, which must come within 200 ms.
+/// The connection to discovery. It is reused for the next call. Discovery counts a call that comes over 200
+/// ms after its last answer as a new watch.
 pub(super) struct DiscoveryConnection {
     discovery: SocketAddr,
     open: Option<OpenConnection>,
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -2,7 +2,7 @@
 //!
 //! A held call without an answer in time is silent. The watch is then opened again with a call that is not
 //! held, after a random delay. The silent call stays open, and its answer is used unless the list at hand is
-//! newer.
+//! newer. A call that is not held and times out is reported as silent too, and ends the watch with an error.
 
 use std::future::{pending, Future};
 use std::hash::{BuildHasher, RandomState};
@@ -21,14 +21,14 @@
 use crate::transport::reducer::ReducerHandle;
 use crate::Micros;
 
-/// How long discovery holds a call while nothing changes. A change must be known after 6 s at the latest, and a
-/// silent watch looks like one without changes until the hold is over.
+/// How long discovery holds a call while nothing changes. A change must be known when the lease of the list
+/// ends (6 s), and a silent watch looks like one without changes until the hold is over.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time-out of a call for a snapshot, and of a held call beyond its hold. It is generous, since an overloaded
 /// discovery still serves calls that were cancelled: short time-outs would waste all its work.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(5);
-/// Wait after an immediate answer without changes. It limits the calls to a discovery that does not hold them;
-/// beyond 200 ms the next call would count as a new watch.
+/// Wait after an immediate answer without changes. It limits the calls to a discovery that does not hold
+/// them; beyond 200 ms the next call would count as a new watch.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A call without an answer so far.
@@ -79,8 +79,8 @@
             connection: None,
             silent_call: None,
             generation,
-            // With a list at hand the first call can be held, which spares discovery one call of each balancer
-            // when a fleet restarts.
+            // With a list at hand the first call can be held, which spares discovery one call of each
+            // balancer when a fleet restarts.
             hold: if generation.is_some() { HOLD_TIMEOUT } else { Duration::ZERO },
             answered_at: Instant::now(),
         }
@@ -181,8 +181,8 @@
         is_current.then_some(finished)
     }
 
-    /// Reports that the watch is silent, and returns the delay before it is opened again. The next call is not
-    /// held, since a held call without changes looks like a silent one.
+    /// Reports that the watch is silent, and returns the delay before it is opened again. The next call is
+    /// not held, since a held call without changes looks like a silent one.
     fn on_silent(&mut self, called_at: Instant) -> Duration {
         log_event!(LogEvent::EndpointListRetried { age: self.answered_at.elapsed() });
         self.feed_silence(called_at);
--- a/src/transport/excluded_servers.rs
+++ b/src/transport/excluded_servers.rs
@@ -5,7 +5,7 @@
 
 use super::log_event::{log_event, LogEvent};
 
-/// Extension of the file, in the place of the socket's.
+/// Extension of the file, in the place of the socket's. Processes of other versions read the file, so it stays.
 const EXCLUDED_FILE_EXTENSION: &str = "bans";
 
 fn excluded_file(hot_restart_socket: &Path) -> PathBuf {
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! The successor connects to a socket in the temporary directory ([`socket_path`]). It imports the state and
 //! the listening sockets ([`import_state`]), starts to serve, and notifies the predecessor
-//! ([`run_as_successor`]). The predecessor continues to serve until then ([`offer_state`]).
+//! ([`run_as_successor`]). From the request for its state on the predecessor accepts nothing new, and new
+//! clients wait in the listener's queue; it goes on with what it has accepted ([`offer_state`]).
 
 mod context;
 mod error;
@@ -32,8 +33,8 @@
 
 pub(super) use context::{ExportedState, HotRestartContext, REPLICATION_SOCKET};
 
-/// Time-out of the export of a predecessor's state, and of a successor's request for it: the other process may
-/// hang.
+/// Time-out of the export of a predecessor's state, and of a successor's request for it: the other process
+/// may hang.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a predecessor that is busy with another successor is polled, and the interval.
 const BUSY_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
@@ -43,8 +44,8 @@
 /// Wait after a successor could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The path of the hot-restart socket of a process that serves this configuration. It depends on the listening
-/// addresses, and is the same for every version.
+/// The path of the hot-restart socket of a process that serves this configuration. It depends on the
+/// listening addresses, and is the same for every version.
 pub(super) fn socket_path(config: &Config) -> PathBuf {
     let platform = config.platform.iter().map(|platform| format!("{} {}", platform.name, platform.listen));
     let irc = config.irc.iter().map(|irc| format!("{} {}", irc.setup.name, irc.listen));
@@ -67,7 +68,9 @@
     }
 }
 
-/// Requests the state of the serving process. None if there is no such process, or it does not answer.
+/// Requests the state of the serving process. None if there is no such process, it does not answer in
+/// [`ANSWER_TIMEOUT`], or it stays busy with another successor for [`BUSY_RETRY_TIMEOUT`], which is not
+/// logged.
 pub(super) async fn import_state(path: &Path) -> Option<ReceivedState> {
     let since = Instant::now();
     loop {
