--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -27,8 +27,8 @@
 
 /// What a failure adds to the count; a success takes one away.
 const FAILURE_STEP: u32 = 2;
-/// The highest failure count.
-const MAX_FAILURES: u32 = 16;
+/// The highest failure count; a hot restart hands over no higher one.
+pub const MAX_FAILURES: u32 = 16;
 
 /// Whether the outcome of an attempt counts as a failure of its server. A cancelled attempt does, if its
 /// request was still owed an answer.
@@ -68,7 +68,7 @@
 impl OutlierDetector {
     /// What another process has learned.
     pub fn from_learned(learned: &LearnedState) -> OutlierDetector {
-        let LearnedState { consecutive_failures: failures, last_failure, ejected_until, .. } = *learned;
+        let LearnedState { failure_score: failures, last_failure, ejected_until, .. } = *learned;
         OutlierDetector { failures, last_failure, ejected_until }
     }
 
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -52,7 +52,7 @@
         LearnedState {
             ceiling: self.limit.ceiling(),
             last_fault: self.limit.last_fault(),
-            consecutive_failures: self.outlier.failures(),
+            failure_score: self.outlier.failures(),
             last_failure: self.outlier.last_failure(),
             ejected_until: self.outlier.ejected_until(),
             next_slow_start_send: self.slow_start.next_attempt_at(),
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -1,117 +1,68 @@
-//! Messages between the replicas of the map, one in each datagram, and the records of a replica's files.
+//! Gossip between the balancers of a tier: one observation in each datagram, of at most sixteen bytes.
 
-use winnow::binary::{be_u64, length_take, u8};
-use winnow::combinator::{dispatch, fail, preceded, repeat};
+use winnow::binary::{be_u16, be_u32, length_repeat, u8};
+use winnow::combinator::{alt, preceded};
 use winnow::{ModalResult, Parser};
 
-use crate::routing::store::{Entry, ReplicaMessage, ReplicatedMap, DIGEST_BUCKETS};
+use crate::peers::{GossipMessage, GroupSample, Observation, MAX_SAMPLED_GROUPS};
+use crate::{GroupHash, Micros, ServerId};
 
-/// The longest datagram, in bytes.
+/// The longest datagram that the platform carries, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
-/// What each datagram begins with: the name of this protocol, and its version.
-const MAGIC: &[u8] = b"SGM1";
 
-// The byte after it: the kind of the message.
-const DIGEST: u8 = b'D';
-const ENTRY: u8 = b'E';
-const WRITE: u8 = b'W';
-
-// Flags, and whether an optional value is there.
-const NO: u8 = 0;
-const YES: u8 = 1;
-
-/// The longest text that a length of one byte can describe.
-const MAX_TEXT_LENGTH: usize = u8::MAX as usize;
-
-/// An entry with its key.
-type KeyedEntry = (String, Entry);
-
-fn parse_text(input: &mut &[u8]) -> ModalResult<String> {
-    length_take(u8).verify_map(|bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok()).parse_next(input)
-}
-
-fn parse_value(input: &mut &[u8]) -> ModalResult<Option<String>> {
-    dispatch! {u8; NO => ().value(None), YES => parse_text.map(Some), _ => fail}.parse_next(input)
+// The first byte of a datagram: the kind of the observation, and the version of its format.
+/// A slow server, as the version before sent it: without groups.
+const SLOW_SERVER_V1: &[u8] = b"1";
+/// A slow server, with the number of groups and the groups.
+const SLOW_SERVER_V2: &[u8] = b"2";
+const SLOW_SET_UPS_V1: &[u8] = b"3";
+/// A server that dropped a connection.
+const DROPPED_V1: &[u8] = b"4";
+
+/// Encodes a message. A duration too long for its field is sent as the longest, of about a minute.
+pub fn encode(message: GossipMessage) -> Vec<u8> {
+    let mut bytes = match message.observation {
+        Observation::SlowServer(server, duration) => {
+            let duration_ms = u16::try_from(duration.as_millis()).unwrap_or(u16::MAX);
+            [SLOW_SERVER_V2, &server.0.to_be_bytes(), &duration_ms.to_be_bytes()].concat()
+        }
+        Observation::Dropped(server) => [DROPPED_V1, &server.0.to_be_bytes()].concat(),
+        Observation::SlowSetUps => SLOW_SET_UPS_V1.to_vec(),
+    };
+    bytes.push(message.groups.iter().flatten().count() as u8);
+    bytes.extend(message.groups.iter().flatten().flat_map(|group| group.0.to_be_bytes()));
+    bytes
 }
 
-fn parse_entry(input: &mut &[u8]) -> ModalResult<KeyedEntry> {
-    let (key, counter, node, value) = (parse_text, be_u64, parse_text, parse_value).parse_next(input)?;
-    Ok((key, Entry { counter, node, value }))
+fn parse_slow_server(input: &mut &[u8]) -> ModalResult<Observation> {
+    let duration = be_u16.map(|duration_ms| Micros::from_millis(duration_ms.into()));
+    let fields = (be_u32.map(ServerId), duration);
+    fields.map(|(server, duration)| Observation::SlowServer(server, duration)).parse_next(input)
 }
 
-fn parse_valid_entry(input: &mut &[u8]) -> ModalResult<KeyedEntry> {
-    parse_entry.verify(|(key, entry)| ReplicatedMap::is_valid(key, entry)).parse_next(input)
+fn parse_groups(input: &mut &[u8]) -> ModalResult<GroupSample> {
+    let count = u8.verify(|count| usize::from(*count) <= MAX_SAMPLED_GROUPS);
+    let groups: Vec<GroupHash> = length_repeat(count, be_u16.map(GroupHash)).parse_next(input)?;
+    Ok(std::array::from_fn(|index| groups.get(index).copied()))
 }
 
-fn parse_digest(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
-    let wanted = u8.verify(|flag| *flag <= YES).parse_next(input)? == YES;
-    let hashes: Vec<u64> = repeat(DIGEST_BUCKETS, be_u64).parse_next(input)?;
-    let mut buckets = [0; DIGEST_BUCKETS];
-    buckets.copy_from_slice(&hashes);
-    Ok(ReplicaMessage::Digest { wanted, buckets })
+fn no_groups(_: &mut &[u8]) -> ModalResult<GroupSample> {
+    Ok(GroupSample::default())
 }
 
-fn parse_message(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
-    let body = dispatch! {u8;
-        DIGEST => parse_digest,
-        ENTRY => parse_valid_entry.map(|(key, entry)| ReplicaMessage::Entry { key, entry }),
-        WRITE => (parse_text, parse_value).map(|(key, value)| ReplicaMessage::Write { key, value }),
-        _ => fail,
-    };
-    preceded(MAGIC, body).parse_next(input)
+fn parse_message(input: &mut &[u8]) -> ModalResult<GossipMessage> {
+    let dropped = be_u32.map(|server| Observation::Dropped(ServerId(server)));
+    let (observation, groups) = alt((
+        (preceded(SLOW_SERVER_V2, parse_slow_server), parse_groups),
+        (SLOW_SET_UPS_V1.value(Observation::SlowSetUps), parse_groups),
+        (preceded(DROPPED_V1, dropped), parse_groups),
+        (preceded(SLOW_SERVER_V1, parse_slow_server), no_groups),
+    ))
+    .parse_next(input)?;
+    Ok(GossipMessage { observation, groups })
 }
 
 /// Decodes a datagram; none if it is malformed.
-pub fn decode(bytes: &[u8]) -> Option<ReplicaMessage> {
+pub fn decode(bytes: &[u8]) -> Option<GossipMessage> {
     parse_message.parse(bytes).ok()
 }
-
-/// Decodes the record of an entry; none if it is malformed.
-pub fn decode_entry(bytes: &[u8]) -> Option<(String, Entry)> {
-    parse_valid_entry.parse(bytes).ok()
-}
-
-fn encode_text(out: &mut Vec<u8>, text: &str) {
-    // Valid keys, values and names are far shorter. A longer text makes a message that its receiver drops.
-    let length = text.len().min(MAX_TEXT_LENGTH);
-    out.push(length as u8);
-    out.extend_from_slice(&text.as_bytes()[..length]);
-}
-
-fn encode_value(out: &mut Vec<u8>, value: &Option<String>) {
-    out.push(u8::from(value.is_some()));
-    if let Some(value) = value {
-        encode_text(out, value);
-    }
-}
-
-/// Encodes the record of an entry.
-pub fn encode_entry(key: &str, entry: &Entry) -> Vec<u8> {
-    let mut out = Vec::new();
-    encode_text(&mut out, key);
-    out.extend_from_slice(&entry.counter.to_be_bytes());
-    encode_text(&mut out, &entry.node);
-    encode_value(&mut out, &entry.value);
-    out
-}
-
-/// Encodes a datagram; none if it would be too long.
-pub fn encode(message: &ReplicaMessage) -> Option<Vec<u8>> {
-    let mut out = MAGIC.to_vec();
-    match message {
-        ReplicaMessage::Digest { wanted, buckets } => {
-            out.extend([DIGEST, u8::from(*wanted)]);
-            out.extend(buckets.iter().flat_map(|bucket| bucket.to_be_bytes()));
-        }
-        ReplicaMessage::Entry { key, entry } => {
-            out.push(ENTRY);
-            out.extend(encode_entry(key, entry));
-        }
-        ReplicaMessage::Write { key, value } => {
-            out.push(WRITE);
-            encode_text(&mut out, key);
-            encode_value(&mut out, value);
-        }
-    }
-    (out.len() <= MAX_DATAGRAM_LENGTH).then_some(out)
-}
--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -4,7 +4,8 @@
 use winnow::combinator::{dispatch, fail, preceded};
 use winnow::{ModalResult, Parser};
 
-use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC, MAX_CONSECUTIVE_FAILURES};
+use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC};
+use crate::policy::outlier_detection::MAX_FAILURES;
 use crate::routing::store::{Entry, ReplicatedMap};
 use crate::routing::{ConnectionRequest, Endpoint, EstablishedConnection, Lifecycle};
 use crate::{LearnedState, Time};
@@ -43,11 +44,11 @@
 }
 
 fn parse_learned_state(input: &mut &[u8]) -> ModalResult<LearnedState> {
-    let mut parse_failures = be_u32.verify(|failures| *failures <= MAX_CONSECUTIVE_FAILURES);
+    let mut parse_failures = be_u32.verify(|failures| *failures <= MAX_FAILURES);
     Ok(LearnedState {
         ceiling: parse_number.verify(|ceiling| *ceiling >= 0.0).parse_next(input)?,
         last_fault: optional(parse_time).parse_next(input)?,
-        consecutive_failures: parse_failures.parse_next(input)?,
+        failure_score: parse_failures.parse_next(input)?,
         last_failure: optional(parse_time).parse_next(input)?,
         ejected_until: parse_time(input)?,
         next_slow_start_send: parse_time(input)?,
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -82,7 +82,7 @@
     fn learned_state(&mut self, learned: &LearnedState) -> &mut Encoder {
         self.f64(learned.ceiling)
             .optional_time(&learned.last_fault)
-            .u32(learned.consecutive_failures)
+            .u32(learned.failure_score)
             .optional_time(&learned.last_failure)
             .time(learned.ejected_until)
             .time(learned.next_slow_start_send)
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -19,8 +19,6 @@
 pub const MAX_PARTS: usize = 200_000;
 /// What each message begins with; those of other versions begin otherwise.
 const MAGIC: &[u8] = b"SGH1";
-/// The most consecutive failures of a server that are accepted.
-const MAX_CONSECUTIVE_FAILURES: u32 = 16;
 
 /// The byte after [`MAGIC`]: the kind of a message.
 mod message_tag {
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -11,9 +11,9 @@
 pub mod json;
 pub mod lines;
 pub mod pcap;
-pub mod peers;
 pub mod platform;
 pub mod platform_settings;
+pub mod replica_messages;
 
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
--- /dev/null
+++ b/src/protocol/replica_messages.rs
@@ -0,0 +1,117 @@
+//! Messages between the replicas of the map, one in each datagram, and the records of a replica's files.
+
+use winnow::binary::{be_u64, length_take, u8};
+use winnow::combinator::{dispatch, fail, preceded, repeat};
+use winnow::{ModalResult, Parser};
+
+use crate::routing::store::{Entry, ReplicaMessage, ReplicatedMap, DIGEST_BUCKETS};
+
+/// The longest datagram, in bytes.
+pub const MAX_DATAGRAM_LENGTH: usize = 256;
+/// What each datagram begins with: the name of this protocol, and its version.
+const MAGIC: &[u8] = b"SGM1";
+
+// The byte after it: the kind of the message.
+const DIGEST: u8 = b'D';
+const ENTRY: u8 = b'E';
+const WRITE: u8 = b'W';
+
+// Flags, and whether an optional value is there.
+const NO: u8 = 0;
+const YES: u8 = 1;
+
+/// The longest text that a length of one byte can describe.
+const MAX_TEXT_LENGTH: usize = u8::MAX as usize;
+
+/// An entry with its key.
+type KeyedEntry = (String, Entry);
+
+fn parse_text(input: &mut &[u8]) -> ModalResult<String> {
+    length_take(u8).verify_map(|bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok()).parse_next(input)
+}
+
+fn parse_value(input: &mut &[u8]) -> ModalResult<Option<String>> {
+    dispatch! {u8; NO => ().value(None), YES => parse_text.map(Some), _ => fail}.parse_next(input)
+}
+
+fn parse_entry(input: &mut &[u8]) -> ModalResult<KeyedEntry> {
+    let (key, counter, node, value) = (parse_text, be_u64, parse_text, parse_value).parse_next(input)?;
+    Ok((key, Entry { counter, node, value }))
+}
+
+fn parse_valid_entry(input: &mut &[u8]) -> ModalResult<KeyedEntry> {
+    parse_entry.verify(|(key, entry)| ReplicatedMap::is_valid(key, entry)).parse_next(input)
+}
+
+fn parse_digest(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
+    let wanted = u8.verify(|flag| *flag <= YES).parse_next(input)? == YES;
+    let hashes: Vec<u64> = repeat(DIGEST_BUCKETS, be_u64).parse_next(input)?;
+    let mut buckets = [0; DIGEST_BUCKETS];
+    buckets.copy_from_slice(&hashes);
+    Ok(ReplicaMessage::Digest { wanted, buckets })
+}
+
+fn parse_message(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
+    let body = dispatch! {u8;
+        DIGEST => parse_digest,
+        ENTRY => parse_valid_entry.map(|(key, entry)| ReplicaMessage::Entry { key, entry }),
+        WRITE => (parse_text, parse_value).map(|(key, value)| ReplicaMessage::Write { key, value }),
+        _ => fail,
+    };
+    preceded(MAGIC, body).parse_next(input)
+}
+
+/// Decodes a datagram; none if it is malformed.
+pub fn decode(bytes: &[u8]) -> Option<ReplicaMessage> {
+    parse_message.parse(bytes).ok()
+}
+
+/// Decodes the record of an entry; none if it is malformed.
+pub fn decode_entry(bytes: &[u8]) -> Option<(String, Entry)> {
+    parse_valid_entry.parse(bytes).ok()
+}
+
+fn encode_text(out: &mut Vec<u8>, text: &str) {
+    // Valid keys, values and names are far shorter. A longer text makes a message that its receiver drops.
+    let length = text.len().min(MAX_TEXT_LENGTH);
+    out.push(length as u8);
+    out.extend_from_slice(&text.as_bytes()[..length]);
+}
+
+fn encode_value(out: &mut Vec<u8>, value: &Option<String>) {
+    out.push(u8::from(value.is_some()));
+    if let Some(value) = value {
+        encode_text(out, value);
+    }
+}
+
+/// Encodes the record of an entry.
+pub fn encode_entry(key: &str, entry: &Entry) -> Vec<u8> {
+    let mut out = Vec::new();
+    encode_text(&mut out, key);
+    out.extend_from_slice(&entry.counter.to_be_bytes());
+    encode_text(&mut out, &entry.node);
+    encode_value(&mut out, &entry.value);
+    out
+}
+
+/// Encodes a datagram; none if it would be too long.
+pub fn encode(message: &ReplicaMessage) -> Option<Vec<u8>> {
+    let mut out = MAGIC.to_vec();
+    match message {
+        ReplicaMessage::Digest { wanted, buckets } => {
+            out.extend([DIGEST, u8::from(*wanted)]);
+            out.extend(buckets.iter().flat_map(|bucket| bucket.to_be_bytes()));
+        }
+        ReplicaMessage::Entry { key, entry } => {
+            out.push(ENTRY);
+            out.extend(encode_entry(key, entry));
+        }
+        ReplicaMessage::Write { key, value } => {
+            out.push(WRITE);
+            encode_text(&mut out, key);
+            encode_value(&mut out, value);
+        }
+    }
+    (out.len() <= MAX_DATAGRAM_LENGTH).then_some(out)
+}
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -131,7 +131,7 @@
         let Occupancy { occupied_slots, ceiling } = self.balancer.occupancy(server)?;
         let learned = self.balancer.learned_state(server)?;
         let endpoint = self.endpoints.get(server)?;
-        let is_ready = self.endpoints.get_ready(server).is_some() && learned.consecutive_failures == 0;
+        let is_ready = self.endpoints.get_ready(server).is_some() && learned.failure_score == 0;
         let weight = Some(endpoint.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
         let warmth = endpoint.started.map_or(1.0, |started| self.warmth(now, started));
         Some(ServerSnapshot {
--- a/src/transport/admin_client.rs
+++ b/src/transport/admin_client.rs
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-use crate::protocol::gossip;
+use crate::protocol::replica_messages;
 use crate::routing::store::{Entry, ReplicaMessage};
 
 /// Time-out of each read of an admin endpoint's answer.
@@ -83,14 +83,15 @@
     let socket = UdpSocket::bind(LOOPBACK).map_err(&failed)?;
     socket.connect(store).map_err(&failed)?;
     socket.set_read_timeout(Some(STORE_READ_TIMEOUT)).map_err(&failed)?;
-    let write = gossip::encode(&ReplicaMessage::Write { key: key.to_owned(), value: value.clone() });
+    let write =
+        replica_messages::encode(&ReplicaMessage::Write { key: key.to_owned(), value: value.clone() });
     let write = write.ok_or_else(|| ClientError::KeyTooLong { key: key.to_owned() })?;
-    let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH];
+    let mut bytes = [0; replica_messages::MAX_DATAGRAM_LENGTH];
     // Either datagram may be lost. The write is idempotent.
     for _ in 0..STORE_WRITE_ATTEMPTS {
         socket.send(&write).map_err(&failed)?;
         let Ok(length) = socket.recv(&mut bytes) else { continue };
-        match gossip::decode(&bytes[..length]) {
+        match replica_messages::decode(&bytes[..length]) {
             Some(ReplicaMessage::Entry { key: written, entry }) if written == key && entry.value == value => {
                 return Ok(entry)
             }
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -13,7 +13,7 @@
 use super::log_event::{log_event, LogEvent};
 use super::reducer::ReducerHandle;
 use crate::peers::GossipMessage;
-use crate::protocol::{gossip, peers};
+use crate::protocol::{gossip, replica_messages};
 use crate::routing::store::ReplicaMessage;
 use crate::routing::{Input, PoolId};
 
@@ -36,19 +36,19 @@
 
     /// Sends a message. One that does not fit a datagram is dropped.
     pub(super) fn send(&self, to: SocketAddr, message: &ReplicaMessage) {
-        if let Some(bytes) = gossip::encode(message) {
+        if let Some(bytes) = replica_messages::encode(message) {
             let _ = self.0.try_send_to(&bytes, to);
         }
     }
 
     /// Feeds the messages that come to the reducer, for ever.
     pub(super) async fn receive(self, reducer: ReducerHandle, accepting: Accepting) {
-        let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
+        let mut bytes = [0; replica_messages::MAX_DATAGRAM_LENGTH + 1];
         loop {
             // While a successor serves on the same socket, the messages are for it.
             accepting.wait_until(true).await;
             match self.0.recv_from(&mut bytes).await {
-                Ok((length, from)) => match gossip::decode(&bytes[..length]) {
+                Ok((length, from)) => match replica_messages::decode(&bytes[..length]) {
                     Some(message) => reducer.feed(Input::ReplicaMessage { from, message }),
                     None => log_event!(LogEvent::ReplicaMessageUnreadable { from }),
                 },
@@ -73,16 +73,16 @@
 
     /// Sends a message to all balancers of the tier.
     pub(super) fn broadcast(&self, message: GossipMessage) {
-        let _ = self.socket.try_send_to(&peers::encode(message), self.broadcast);
+        let _ = self.socket.try_send_to(&gossip::encode(message), self.broadcast);
     }
 
     /// Feeds the messages that come from known addresses to the reducer, for ever.
     pub(super) async fn receive(self, reducer: ReducerHandle, pool: PoolId, known: Vec<SocketAddr>) {
-        let mut bytes = [0; peers::MAX_DATAGRAM_LENGTH + 1];
+        let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
         loop {
             match self.socket.recv_from(&mut bytes).await {
                 Ok((length, from)) => {
-                    match peers::decode(&bytes[..length]).filter(|_| known.contains(&from)) {
+                    match gossip::decode(&bytes[..length]).filter(|_| known.contains(&from)) {
                         Some(message) => reducer.feed(Input::GossipReceived { pool, message }),
                         None => log_event!(LogEvent::GossipUnreadable { from }),
                     }
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -9,7 +9,7 @@
 
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
-use crate::protocol::gossip;
+use crate::protocol::replica_messages;
 use crate::routing::store::{Entry, ReplicatedMap};
 
 /// Length at which the journal is folded into the snapshot.
@@ -55,7 +55,7 @@
 
 /// Encodes an entry as a record.
 pub fn encode_record(key: &str, entry: &Entry) -> Vec<u8> {
-    let body = gossip::encode_entry(key, entry);
+    let body = replica_messages::encode_entry(key, entry);
     let length = body.len() as u32;
     let head = [length.to_be_bytes(), (!length).to_be_bytes(), crc32fast::hash(&body).to_be_bytes()];
     [&head.concat()[..], &body].concat()
@@ -85,7 +85,7 @@
         let Some(body) = rest.get(RECORD_HEAD_BYTES..record_end) else {
             return Ok(Records { entries, end: torn });
         };
-        match gossip::decode_entry(body).filter(|_| crc32fast::hash(body) == checksum) {
+        match replica_messages::decode_entry(body).filter(|_| crc32fast::hash(body) == checksum) {
             Some(entry) => entries.push(entry),
             None if record_end == rest.len() => return Ok(Records { entries, end: torn }),
             None => return Err(CorruptRecord { offset }),
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -58,8 +58,8 @@
     pub ceiling: f64,
     /// When it last rejected, dropped or was slow.
     pub last_fault: Option<Time>,
-    /// Its failure count; while it is above 0 the server gets single trials.
-    pub consecutive_failures: u32,
+    /// Its failure score (`policy::outlier_detection`); while it is above 0 the server gets single trials.
+    pub failure_score: u32,
     /// When it last failed.
     pub last_failure: Option<Time>,
     /// With failures, it gets no trial before this.
--- a/tests/daemon/store.rs
+++ b/tests/daemon/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use connection_balancer::protocol::gossip;
+use connection_balancer::protocol::replica_messages;
 use connection_balancer::routing::store::{Entry, ReplicaMessage, ReplicatedMap};
 use connection_balancer::routing::{server_id, LogEvent};
 use connection_balancer::ServerId;
@@ -16,9 +16,9 @@
 
 /// The message as another replica reads it from the wire; it must fit a datagram.
 fn over_the_wire(gossip: &ReplicaMessage) -> ReplicaMessage {
-    let bytes = gossip::encode(gossip).expect("fits a datagram");
-    assert!(bytes.len() <= gossip::MAX_DATAGRAM_LENGTH);
-    gossip::decode(&bytes).expect("reads back")
+    let bytes = replica_messages::encode(gossip).expect("fits a datagram");
+    assert!(bytes.len() <= replica_messages::MAX_DATAGRAM_LENGTH);
+    replica_messages::decode(&bytes).expect("reads back")
 }
 
 /// Two replicas send each other their digests, and the missing entries; those for which `lost` holds are lost.
@@ -90,7 +90,7 @@
     #[test]
     fn reads_or_ignores_any_datagram(bytes in prop::collection::vec(any::<u8>(), 0..256), kind in prop::sample::select(b"DEW".to_vec())) {
         let bytes = [b"SGM1", &[kind][..], &bytes].concat();
-        if let Some(ReplicaMessage::Entry { key, entry }) = gossip::decode(&bytes) {
+        if let Some(ReplicaMessage::Entry { key, entry }) = replica_messages::decode(&bytes) {
             let mut store = ReplicatedMap::new("n");
             store.merge_remote_entry(&key, entry);
             prop_assert!(store.write("life/h", None).is_ok(), "writing has to go on");
--- a/tests/policy/peers.rs
+++ b/tests/policy/peers.rs
@@ -1,7 +1,7 @@
 //! Gossip between the balancers of a tier: what it costs, what it changes, and that no message can do harm.
 
 use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, MAX_SAMPLED_GROUPS};
-use connection_balancer::protocol::peers::{decode, encode, MAX_DATAGRAM_LENGTH};
+use connection_balancer::protocol::gossip::{decode, encode, MAX_DATAGRAM_LENGTH};
 use connection_balancer::*;
 use proptest::prelude::*;
 
--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -18,7 +18,7 @@
     (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
         |(ceiling, at, failures, failed_at, until)| LearnedState {
             ceiling,
-            consecutive_failures: failures,
+            failure_score: failures,
             last_failure: failed_at,
             ejected_until: Time(until),
             next_slow_start_send: Time(until / 2),
