--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -127,7 +127,7 @@
         part_tag::ENDPOINT => parse_pool_endpoint,
         part_tag::READMITTED => parse_readmitted,
         part_tag::ID => (parse_text, parse_text).map(|(pool, id)| Part::Id { pool, id }),
-        part_tag::LEFT => be_u64.map(Part::Left),
+        part_tag::OPEN_DESCRIPTORS => be_u64.map(Part::OpenDescriptors),
         _ => fail,
     }
     .parse_next(input)
@@ -141,19 +141,19 @@
 
 fn parse_share(input: &mut &[u8]) -> ModalResult<HandoverMessage> {
     let (number, server, excluded) = (be_u64, parse_text, parse_flag).parse_next(input)?;
-    Ok(HandoverMessage::Share { number, server, excluded })
+    Ok(HandoverMessage::ShareExclusion { number, server, excluded })
 }
 
 fn parse_message(input: &mut &[u8]) -> ModalResult<HandoverMessage> {
     dispatch! {u8;
-        message_tag::TAKE => ().value(HandoverMessage::Take),
+        message_tag::REQUEST_STATE => ().value(HandoverMessage::RequestState),
         message_tag::SOCKET => parse_text.map(HandoverMessage::Socket),
         message_tag::PART => parse_part.map(HandoverMessage::Part),
         message_tag::DONE => ().value(HandoverMessage::Done),
         message_tag::SERVING => ().value(HandoverMessage::Serving),
         message_tag::ESTABLISHED_CONNECTION => parse_connection,
-        message_tag::SHARE => parse_share,
-        message_tag::SHARED => be_u64.map(|number| HandoverMessage::Shared { number }),
+        message_tag::SHARE_EXCLUSION => parse_share,
+        message_tag::EXCLUSION_ACKNOWLEDGED => be_u64.map(|number| HandoverMessage::ExclusionAcknowledged { number }),
         _ => fail,
     }
     .parse_next(input)
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -137,13 +137,13 @@
                 self.byte(part_tag::READMITTED).text(pool).text(server).time(*since)
             }
             Part::Id { pool, id } => self.byte(part_tag::ID).text(pool).text(id),
-            Part::Left(left) => self.byte(part_tag::LEFT).u64(*left),
+            Part::OpenDescriptors(left) => self.byte(part_tag::OPEN_DESCRIPTORS).u64(*left),
         }
     }
 
     fn message(&mut self, message: &HandoverMessage) -> &mut Encoder {
         match message {
-            HandoverMessage::Take => self.byte(message_tag::TAKE),
+            HandoverMessage::RequestState => self.byte(message_tag::REQUEST_STATE),
             HandoverMessage::Socket(name) => self.byte(message_tag::SOCKET).text(name),
             HandoverMessage::Part(part) => self.byte(message_tag::PART).part(part),
             HandoverMessage::Done => self.byte(message_tag::DONE),
@@ -153,10 +153,12 @@
                 .text(front)
                 .established_connection(established)
                 .bytes(state),
-            HandoverMessage::Share { number, server, excluded } => {
-                self.byte(message_tag::SHARE).u64(*number).text(server).flag(*excluded)
+            HandoverMessage::ShareExclusion { number, server, excluded } => {
+                self.byte(message_tag::SHARE_EXCLUSION).u64(*number).text(server).flag(*excluded)
+            }
+            HandoverMessage::ExclusionAcknowledged { number } => {
+                self.byte(message_tag::EXCLUSION_ACKNOWLEDGED).u64(*number)
             }
-            HandoverMessage::Shared { number } => self.byte(message_tag::SHARED).u64(*number),
         }
     }
 }
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -22,14 +22,14 @@
 
 /// The byte after [`MAGIC`]: the kind of a message.
 mod message_tag {
-    pub(super) const TAKE: u8 = b'T';
+    pub(super) const REQUEST_STATE: u8 = b'T';
     pub(super) const SOCKET: u8 = b'S';
     pub(super) const PART: u8 = b'P';
     pub(super) const DONE: u8 = b'D';
     pub(super) const SERVING: u8 = b'V';
     pub(super) const ESTABLISHED_CONNECTION: u8 = b'C';
-    pub(super) const SHARE: u8 = b'B';
-    pub(super) const SHARED: u8 = b'A';
+    pub(super) const SHARE_EXCLUSION: u8 = b'B';
+    pub(super) const EXCLUSION_ACKNOWLEDGED: u8 = b'A';
 }
 
 /// The first byte of a part: its kind.
@@ -40,7 +40,7 @@
     pub(super) const ENDPOINT: u8 = b'H';
     pub(super) const READMITTED: u8 = b'R';
     pub(super) const ID: u8 = b'I';
-    pub(super) const LEFT: u8 = b'L';
+    pub(super) const OPEN_DESCRIPTORS: u8 = b'L';
 }
 
 /// Flags, and whether an optional value is there.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverMessage {
     /// The successor requests the predecessor's state.
-    Take,
+    RequestState,
     /// Beside this is the socket of this name: a front's listener, or that of the replicated map.
     Socket(String),
     /// A part of the state.
@@ -78,7 +78,7 @@
         state: Vec<u8>,
     },
     /// An operator excluded a server at one of the processes, or readmitted it.
-    Share {
+    ShareExclusion {
         /// Number of the admin call, which its acknowledgement repeats.
         number: u64,
         /// Name of the server.
@@ -86,8 +86,8 @@
         /// Whether it is excluded.
         excluded: bool,
     },
-    /// The other process has applied a [`HandoverMessage::Share`].
-    Shared {
+    /// The other process has applied a [`HandoverMessage::ShareExclusion`].
+    ExclusionAcknowledged {
         /// Number of the admin call.
         number: u64,
     },
@@ -127,8 +127,8 @@
         /// The id.
         id: String,
     },
-    /// How many descriptors the predecessor goes on holding for a while.
-    Left(u64),
+    /// How many descriptors the predecessor goes on using until its last connections are transferred or ended.
+    OpenDescriptors(u64),
 }
 
 /// Splits an exported state into parts.
@@ -148,7 +148,7 @@
         }));
         parts.extend(pool.ids.into_iter().map(|id| Part::Id { pool: name.clone(), id }));
     }
-    parts.push(Part::Left(state.open_descriptors as u64));
+    parts.push(Part::OpenDescriptors(state.open_descriptors as u64));
     parts
 }
 
@@ -165,6 +165,6 @@
             state.pools.entry(pool).or_default().readmitted.push(Readmission { server, at: since });
         }
         Part::Id { pool, id } => state.pools.entry(pool).or_default().ids.push(id),
-        Part::Left(count) => state.open_descriptors = count as usize,
+        Part::OpenDescriptors(count) => state.open_descriptors = count as usize,
     }
 }
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -102,7 +102,7 @@
 /// Requests the state once. None if the predecessor is busy with another successor.
 async fn request_state(path: &Path) -> Result<Option<ReceivedState>, LinkError> {
     let link = Link::connect(path)?;
-    link.send(&HandoverMessage::Take, &[]).await?;
+    link.send(&HandoverMessage::RequestState, &[]).await?;
     let mut state = HandoverState::default();
     let mut named_sockets = HashMap::new();
     for received_messages in 0..MAX_PARTS {
@@ -158,7 +158,8 @@
 /// process continues as before.
 async fn serve_successor(context: HotRestartContext, link: Link) {
     let request = timeout(ANSWER_TIMEOUT, link.receive()).await;
-    let is_request = matches!(request, Ok(Ok(Some(ReceivedMessage { message: HandoverMessage::Take, .. }))));
+    let is_request =
+        matches!(request, Ok(Ok(Some(ReceivedMessage { message: HandoverMessage::RequestState, .. }))));
     if !is_request || context.peer_process.is_connected() {
         return;
     }
@@ -227,11 +228,11 @@
     received: ReceivedMessage,
 ) -> Result<(), LinkError> {
     match received.message {
-        HandoverMessage::Share { number, server, excluded } => {
+        HandoverMessage::ShareExclusion { number, server, excluded } => {
             context.reducer().feed(Input::ExclusionShared { server, excluded });
-            link.send(&HandoverMessage::Shared { number }, &[]).await
+            link.send(&HandoverMessage::ExclusionAcknowledged { number }, &[]).await
         }
-        HandoverMessage::Shared { number } => {
+        HandoverMessage::ExclusionAcknowledged { number } => {
             context.reducer().feed(Input::ExclusionAcknowledged { admin_client: AdminClientId(number) });
             Ok(())
         }
@@ -249,7 +250,7 @@
 ) -> Result<(), LinkError> {
     match message {
         PeerProcessMessage::ShareExclusion { admin_client, server, excluded } => {
-            let message = HandoverMessage::Share { number: admin_client.0, server, excluded };
+            let message = HandoverMessage::ShareExclusion { number: admin_client.0, server, excluded };
             link.send(&message, &[]).await
         }
         PeerProcessMessage::TransferConnection { connection, pool, established } => {
--- a/tests/daemon/hot_restart.rs
+++ b/tests/daemon/hot_restart.rs
@@ -151,9 +151,12 @@
     let sent: [&[Vec<u8>]; 5] = [
         &[],
         &[b"GET / HTTP/1.1\r\n\r\n".to_vec()],
-        &[encode(&HandoverMessage::Take).expect("fits")],
-        &[encode(&HandoverMessage::Take).expect("fits"), b"nonsense".to_vec()],
-        &[encode(&HandoverMessage::Take).expect("fits"), encode(&HandoverMessage::Done).expect("fits")],
+        &[encode(&HandoverMessage::RequestState).expect("fits")],
+        &[encode(&HandoverMessage::RequestState).expect("fits"), b"nonsense".to_vec()],
+        &[
+            encode(&HandoverMessage::RequestState).expect("fits"),
+            encode(&HandoverMessage::Done).expect("fits"),
+        ],
     ];
     for (n, messages) in sent.iter().enumerate() {
         let successor = connect_as_successor(&old);
--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -66,7 +66,11 @@
 
 fn messages() -> impl Strategy<Value = HandoverMessage> {
     prop_oneof![
-        prop::sample::select(vec![HandoverMessage::Take, HandoverMessage::Done, HandoverMessage::Serving]),
+        prop::sample::select(vec![
+            HandoverMessage::RequestState,
+            HandoverMessage::Done,
+            HandoverMessage::Serving
+        ]),
         name().prop_map(HandoverMessage::Socket),
         (name(), endpoint(), prop::option::of(learned_state())).prop_map(|(pool, endpoint, learned)| {
             HandoverMessage::Part(Part::Endpoint { pool, endpoint, learned })
@@ -75,10 +79,8 @@
             HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
         }),
         established_message(),
-        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, excluded)| HandoverMessage::Share {
-            number,
-            server,
-            excluded
+        (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, excluded)| {
+            HandoverMessage::ShareExclusion { number, server, excluded }
         }),
     ]
 }
