--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -104,3 +104,41 @@
         let _ = decode(&bytes);
     }
 }
+
+/// Processes of different versions hand over to one another, so the bytes must not change.
+#[test]
+fn known_messages_keep_their_bytes() {
+    let learned = LearnedState {
+        ceiling: 4.5,
+        last_fault: Some(Time(7)),
+        failure_score: 3,
+        last_failure: None,
+        ejected_until: Time(8),
+        next_slow_start_send: Time(9),
+        last_migration: Some(Time(10)),
+    };
+    let endpoint = Endpoint {
+        name: "s-1".to_owned(),
+        address: "a:1".to_owned(),
+        zone: "z".to_owned(),
+        cell: 2,
+        lifecycle: Lifecycle::Draining,
+        weight: 1.5,
+        started: Some(Time(11)),
+    };
+    let listed = Part::Endpoint { pool: "irc".to_owned(), endpoint, learned: Some(learned) };
+    let share = HandoverMessage::ShareExclusion { number: 5, server: "s-1".to_owned(), excluded: true };
+    for (message, expected) in [
+        (HandoverMessage::RequestState, r"SGH1T"),
+        (share, r"SGH1B\x00\x00\x00\x00\x00\x00\x00\x05\x00\x03s-1\x01"),
+        (HandoverMessage::ExclusionAcknowledged { number: 5 }, r"SGH1A\x00\x00\x00\x00\x00\x00\x00\x05"),
+        (HandoverMessage::Part(Part::OpenDescriptors(6)), r"SGH1PL\x00\x00\x00\x00\x00\x00\x00\x06"),
+        (
+            HandoverMessage::Part(listed),
+            r"SGH1PH\x00\x03irc\x00\x03s-1\x00\x03a:1\x00\x01z\x00\x00\x00\x02\x01?\xf8\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x0b\x01@\x12\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00\x00\x00\x03\x00\x00\x00\x00\x00\x00\x00\x00\x08\x00\x00\x00\x00\x00\x00\x00\t\x01\x00\x00\x00\x00\x00\x00\x00\n",
+        ),
+    ] {
+        let bytes = encode(&message).expect("fits a datagram");
+        assert_eq!(bytes.escape_ascii().to_string(), expected, "{message:?}");
+    }
+}
