--- a/tests/daemon/races/client.rs
+++ b/tests/daemon/races/client.rs
@@ -6,6 +6,16 @@
 use super::{establish, open_and_wait, wait_until_idle, TestSettings};
 use crate::fake_servers::{irc_config, reset_connection, wait_until, Client, Daemon, ManualServer};
 
+/// Waits for an attempt at one of the servers.
+fn accept_at_any(servers: &[ManualServer]) -> Client {
+    let mut attempt = None;
+    wait_until("an attempt is in flight", || {
+        attempt = servers.iter().find_map(ManualServer::try_accept);
+        attempt.is_some()
+    });
+    attempt.expect("an attempt was accepted")
+}
+
 /// The client's end comes in the wake-up in which its attempt connects.
 #[test]
 fn does_not_forward_a_client_that_left_before_its_attempt_connected() {
@@ -53,12 +63,7 @@
     let (daemon, _discovery) = TestSettings::default().start(&[&servers[0], &servers[1]]);
 
     let client = open_and_wait(&daemon);
-    let mut attempt = None;
-    wait_until("an attempt is out", || {
-        attempt = servers.iter().find_map(ManualServer::try_accept);
-        attempt.is_some()
-    });
-    let mut attempt = attempt.expect("one");
+    let mut attempt = accept_at_any(&servers);
     assert!(attempt.read_line().starts_with("OPEN "));
     daemon.suspend();
     drop(client);
@@ -80,12 +85,7 @@
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &more), None);
 
     let client = Client::register(&daemon.irc, "ann");
-    let mut attempt = None;
-    wait_until("it is forwarded", || {
-        attempt = servers.iter().find_map(ManualServer::try_accept);
-        attempt.is_some()
-    });
-    let mut attempt = attempt.expect("one");
+    let mut attempt = accept_at_any(&servers);
     attempt.expect_line("USER");
     let lines = "PRIVMSG #a :b\r\n".repeat(6000);
     // It may be closed before it has sent all.
@@ -104,16 +104,12 @@
     let (daemon, _discovery) = TestSettings::default().start(&[&servers[0], &servers[1]]);
 
     let client = open_and_wait(&daemon);
-    let mut attempt = None;
-    wait_until("an attempt is out", || {
-        attempt = servers.iter().find_map(ManualServer::try_accept);
-        attempt.is_some()
-    });
+    let mut attempt = accept_at_any(&servers);
     // It may be closed before it has sent all.
     let _ = client.stream().write_all(&[b'x'; 1 << 20]);
     drop(client);
     wait_until_idle(&daemon);
-    attempt.expect("one").read_to_end();
+    attempt.read_to_end();
 
     assert!(servers.iter().all(|server| server.try_accept().is_none()), "forwarded again for nobody");
 }
