--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -11,11 +11,11 @@
 use crate::routing::PoolConfig;
 use crate::{Class, Idempotency, KeyScope, Micros, Settings, Tenant};
 
-/// A client of the platform sends its first line at once, and has this long for it. The platform's rules have a silent
-/// connection closed within 3 s, the time in the accept queue included.
+/// A client of the platform sends its first line at once, and has this long for it. The platform
+/// expects a silent connection to be closed within 3 s, the time in the accept queue included.
 const GREETING_TIMEOUT: Micros = Micros::from_millis(1500);
 /// The platform's clients send a line every 2 s and are answered at once: after this long without an answer, the server
-/// of an established connection is taken to be lost. The platform's rules allow 7 s.
+/// of an established connection is taken to be lost. The platform expects that within 7 s.
 const SERVER_SILENCE_TIMEOUT: Micros = Micros::from_secs(5);
 /// The highest factor over the usual load at which slow start may see an overload.
 const MAX_OVERLOAD_FACTOR: f64 = 1e6;
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -52,7 +52,7 @@
         self.effects.push(Effect::Log(LogEvent::ShutdownStarted { connections }));
     }
 
-    /// At the time of the exit: answers all clients that are left, and orders the exit once. Clients that
+    /// At the time of the exit: answers all clients that are left, and requests the exit once. Clients that
     /// connect before the process has ended are rejected like those before them.
     pub(super) fn finish_shutdown_if_complete(&mut self, now: Time) {
         if !self.shutdown.is_exit_time(now, !self.connections.is_empty()) {
--- a/src/types/time.rs
+++ b/src/types/time.rs
@@ -91,11 +91,6 @@
         Micros(self.0.saturating_sub(other.0))
     }
 
-    /// The time and `other`, up to the longest representable time.
-    pub const fn saturating_add(self, other: Micros) -> Micros {
-        Micros(self.0.saturating_add(other.0))
-    }
-
     /// So many times the time, up to the longest representable time.
     pub const fn saturating_mul(self, factor: u64) -> Micros {
         Micros(self.0.saturating_mul(factor))
