--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The servers of the endpoint list: new, changed and removed ones.
 //!
-//! A server that has started anew is another process: it holds no connection of the one before, and
-//! nothing that was learned of that one is taken over. A server that is gone is forgotten once nothing is held there.
+//! A server that has started anew is another process: it holds no connection of the one before, and nothing
+//! that was learned of that one is taken over. A server that is gone is forgotten once nothing is held there.
 
 use std::collections::BTreeMap;
 
