--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -1,19 +1,19 @@
-//! The execution of admin calls: readiness, metrics, exclusion and readmission.
+//! Execution of admin calls: readiness, metrics, exclusion and readmission.
 //!
 //! A process is ready while it can serve new requests: its fronts listen, every pool has an endpoint list, no
 //! successor of a hot restart serves, and no graceful shutdown has begun.
 //!
-//! An exclusion is applied before the reply. While there is a peer process, the reply also waits for its
-//! acknowledgement ([`super::hot_restart`]). Until the fronts listen exclusions are rejected, because the
-//! names that an operator may use are not known yet.
+//! An exclusion is applied before the reply is sent. While there is a peer process, the reply also waits for
+//! the peer process's acknowledgement ([`super::hot_restart`]). Exclusions are rejected until the fronts
+//! listen, because the server names that an operator may use are not known before.
 //!
-//! Apart from whether the fronts listen, this module owns no state.
+//! The only state of this module is whether the fronts listen.
 
 use super::{AdminCall, AdminClientId, AdminRejection, AdminResponse, Effect, Metrics, State};
 use crate::Time;
 
 impl State {
-    /// Executes a call and replies, at once or after the peer process's acknowledgement.
+    /// Executes a call. Replies at once, or after the peer process's acknowledgement.
     pub(super) fn on_admin_request(&mut self, now: Time, admin_client: AdminClientId, call: AdminCall) {
         match call {
             AdminCall::Ready => {
@@ -33,7 +33,7 @@
         self.effects.push(Effect::AdminReply { admin_client, reply });
     }
 
-    /// Excludes or readmits a server, and shares that with the peer process, if there is one.
+    /// Excludes or readmits a server, and shares the change with the peer process, if there is one.
     fn exclude_or_readmit(&mut self, now: Time, admin_client: AdminClientId, server: String, excluded: bool) {
         if let Err(rejection) = self.try_set_exclusion(now, &server, excluded) {
             return self.reply_to_admin_client(admin_client, AdminResponse::No(rejection));
@@ -59,12 +59,16 @@
         self.is_listening = true;
     }
 
-    /// Whether this process can serve new requests.
+    /// Returns whether this process can serve new requests.
     pub fn serves(&self) -> bool {
         self.readiness().is_ok()
     }
 
-    /// Succeeds if this process can serve new requests, or says why it cannot.
+    /// Checks whether this process can serve new requests.
+    ///
+    /// # Errors
+    ///
+    /// The first reason why it cannot.
     fn readiness(&self) -> Result<(), AdminRejection> {
         if self.shutdown.has_begun() {
             return Err(AdminRejection::ShuttingDown);
@@ -81,7 +85,7 @@
         Ok(())
     }
 
-    /// The metrics as they are now.
+    /// Returns the current metrics.
     fn metrics(&self, now: Time) -> Metrics {
         let mut metrics = Metrics { forwards: self.forwarded_requests, ..Metrics::default() };
         for pool in &self.pools {
--- a/src/routing/admin_call.rs
+++ b/src/routing/admin_call.rs
@@ -1,6 +1,6 @@
 //! Calls of admin clients, and the replies to them.
 //!
-//! Their encoding is in `src/protocol/admin.rs`, except for the texts of [`AdminRejection`].
+//! `src/protocol/admin.rs` encodes them; only the texts of [`AdminRejection`] are defined here.
 
 use super::store::WriteError;
 use super::Metrics;
@@ -8,9 +8,9 @@
 /// A call of an operator at the admin endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCall {
-    /// Asks whether this process can serve.
+    /// Requests the readiness of this process.
     Ready,
-    /// Requests the metrics.
+    /// Requests the current metrics.
     Metrics,
     /// Excludes the server of this name.
     Exclude(String),
@@ -25,11 +25,11 @@
     Yes,
     /// The process is not ready, or the change was rejected.
     No(AdminRejection),
-    /// The metrics as they are now.
+    /// Metrics at the time of the call.
     Metrics(Metrics),
 }
 
-/// Why a call is answered with no. The texts go over the wire and are part of the admin protocol.
+/// Reason for the answer `NO`. The texts are sent to the admin client and are part of the admin protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRejection {
     /// A graceful shutdown has begun.
@@ -41,22 +41,22 @@
     /// The fronts do not listen yet.
     #[error("not listening yet")]
     NotListening,
-    /// Some pool has no endpoint list yet.
+    /// At least one pool has no endpoint list yet.
     #[error("no routing table yet")]
     NoEndpointList,
     /// Exclusions are not accepted before the fronts listen.
     #[error("not ready yet")]
     NotReady,
-    /// No endpoint list ever named this server.
+    /// No endpoint list has ever contained a server of this name.
     #[error("no host {0} was ever listed")]
     UnknownServer(String),
-    /// The replicated map cannot take the exclusion.
+    /// The replicated map rejected the exclusion.
     #[error("the store is full")]
     NotStored(#[source] WriteError),
     /// The process ended before it replied.
     #[error("no answer")]
     NoReply,
-    /// The line is no call. The text says what is expected.
+    /// The line is not a valid call. The text names the valid ones.
     #[error("{0}")]
     InvalidCall(String),
 }
--- a/src/routing/digest.rs
+++ b/src/routing/digest.rs
@@ -1,9 +1,9 @@
-//! Digests of the replicated map, by which two replicas find out where their entries differ.
+//! Digests of the replicated map. Two replicas compare their digests to find the entries that differ.
 //!
-//! The keys are distributed over [`DIGEST_BUCKETS`] buckets by a hash. A bucket's part of the digest is the
-//! sum of the hashes of its entries, with wrap-around: the sum does not depend on the order of the entries.
-//! Replicas with different digests differ in an entry of a bucket whose sums differ. Two different maps have
-//! the same digest only where sums of 64-bit hashes coincide.
+//! The keys are distributed over [`DIGEST_BUCKETS`] buckets by a hash. The digest contains one sum for each
+//! bucket: the wrapping sum of the hashes of its entries, which does not depend on their order. If the sums
+//! of a bucket differ between two replicas, the replicas differ in at least one entry of that bucket. Two
+//! different maps have the same digest only if sums of 64-bit hashes collide.
 //!
 //! Replicas of different versions compare digests, so the hash must not change.
 
@@ -12,15 +12,16 @@
 
 /// Number of buckets in a digest.
 pub const DIGEST_BUCKETS: usize = 16;
-/// Hashed after each part, so that the boundaries of parts count. No UTF-8 text contains it.
+/// Byte that is hashed after each part, so that the hash depends on the boundaries between parts. It never
+/// occurs in UTF-8 text.
 const PART_SEPARATOR: u8 = 0xff;
-/// Hashed in place of the value of a tombstone.
+/// Bytes that are hashed in place of a value for a tombstone.
 const TOMBSTONE: &[u8] = b"\0none";
 
-/// The sums of the entries' hashes, by bucket.
+/// Sums of the hashes of the entries, by bucket.
 pub type Digest = [u64; DIGEST_BUCKETS];
 
-/// The digest of these entries.
+/// Returns the digest of these entries.
 pub(super) fn digest_of<'a>(entries: impl Iterator<Item = (&'a String, &'a Entry)>) -> Digest {
     let mut digest = [0u64; DIGEST_BUCKETS];
     for (key, entry) in entries {
@@ -30,7 +31,7 @@
     digest
 }
 
-/// The bucket of a key.
+/// Returns the index of the bucket that contains a key.
 pub(super) fn bucket_of(key: &str) -> usize {
     (hash_parts(&[key.as_bytes()]) >> 32) as usize % DIGEST_BUCKETS
 }
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -1,26 +1,26 @@
-//! Updates of the endpoint list, and the connections that they drain.
+//! Updates of the endpoint list, and the draining of connections that they cause.
 //!
-//! The list in effect is derived anew after every change of one of its sources, in this order:
+//! After every change of one of its sources, the list in effect is derived again in these steps:
 //!
-//! 1. what discovery or the operator's file lists;
-//! 2. servers of the replicated map, where the pool uses it: an entry replaces one of the same name, and
-//!    counts as ready and as warm;
-//! 3. readmitted servers, which count as just started;
-//! 4. while a successor of a hot restart serves: servers that are warming up, which drain here; their
-//!    established clients are migrated or transferred, whichever comes first. Each process would otherwise
-//!    fill them at the full rate of their slow start;
-//! 5. excluded servers, which drain or are removed. An exclusion neither adds a server nor makes one ready.
+//! 1. The list starts with the servers that discovery or the operator's file lists.
+//! 2. If the pool uses the replicated map, the servers of the map are added. A server of the map replaces a
+//!    listed server of the same name, and counts as ready and as warm.
+//! 3. Readmitted servers count as just started.
+//! 4. While a successor of a hot restart serves, servers that are warming up drain at this process. Their
+//!    established clients are migrated or transferred, whichever happens first. Without this step, each of
+//!    the two processes would fill these servers at the full rate of their slow start.
+//! 5. Excluded servers drain or are removed. An exclusion neither adds a server nor makes one ready.
 //!
-//! The result goes to the balancer and to the rebalancer. Then connections leave servers that are not ready
-//! any more:
+//! The result is passed to the rebalancer and to the balancer. Then connections are moved off servers that
+//! are no longer ready:
 //!
 //! - An attempt whose request is not written yet is closed, and the balancer retries the request elsewhere.
-//! - Connections at a server that is not listed any more are migrated at once.
-//! - Connections at a draining server are migrated one by one over the pool's `drain_duration`. Where that is
-//!   zero, servers redirect their clients themselves, except an excluded one, which does not know that it
-//!   drains.
+//! - Connections at a server that is no longer listed are migrated at once.
+//! - Connections at a draining server are migrated one by one over the pool's `drain_duration`. If that is
+//!   zero, servers redirect their clients themselves. An excluded server does not know that it drains, so its
+//!   connections are migrated over [`EXCLUSION_DRAIN_DURATION`] in that case.
 //!
-//! The lists are in the pool ([`super::listed_endpoints::ListedEndpoints`],
+//! The pool holds the lists ([`super::listed_endpoints::ListedEndpoints`],
 //! [`super::endpoints::EndpointList`]); this module owns no state.
 
 use std::collections::BTreeMap;
@@ -33,13 +33,13 @@
 
 /// Prefix of the replicated map's keys that add a server to the list. The server's name follows.
 pub(super) const ENDPOINT_KEY_PREFIX: &str = "host/";
-/// The value of an exclusion that removes a server from the list. Any other value has it drain.
+/// Value of an exclusion that removes the server from the list. With any other value the server drains.
 const EXCLUSION_VALUE_GONE: &str = "gone";
-/// Time over which the clients of an excluded server are migrated, where draining servers redirect theirs
-/// themselves.
+/// Time over which the clients of an excluded server are migrated, in pools whose draining servers redirect
+/// their clients themselves.
 const EXCLUSION_DRAIN_DURATION: Micros = Micros::from_millis(1200);
 
-/// Connections that are migrated together: those of one server over one duration.
+/// Key of a group of connections that are migrated together: one server and one duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DrainGroup {
     server: ServerId,
@@ -47,7 +47,7 @@
 }
 
 impl State {
-    /// Handles an update that discovery sent or the operator's file holds.
+    /// Handles an update that discovery sent or that was read from the operator's file.
     pub(super) fn on_endpoints_updated(
         &mut self,
         now: Time,
@@ -55,13 +55,14 @@
         is_snapshot: bool,
         endpoints: Vec<Endpoint>,
     ) {
-        // Requests that the update takes from a server can be retried only while the list has not expired.
+        // The update may close attempts, whose requests can only be retried while the list has not expired.
+        // The list is therefore confirmed first.
         self.confirm_endpoint_list(now, pool_id);
         self.apply_endpoint_update(now, pool_id, is_snapshot, endpoints);
         self.notify_rebalancer(now, pool_id, RebalanceEvent::EndpointListReceived);
     }
 
-    /// Replaces a pool's list by a snapshot, or applies a delta to it.
+    /// Replaces the list of a pool with a snapshot, or applies a delta to it.
     pub(super) fn apply_endpoint_update(
         &mut self,
         now: Time,
@@ -96,7 +97,7 @@
         self.drain_connections(now, pool_id);
     }
 
-    /// The servers that discovery lists and those that the replicated map adds, by name.
+    /// Returns the servers that discovery lists and those that the replicated map adds, by name.
     fn collect_listed_endpoints(&self, pool_id: PoolId) -> BTreeMap<String, Endpoint> {
         let pool = &self.pools[pool_id];
         let mut endpoints = pool.listed.by_name().clone();
@@ -108,7 +109,8 @@
         endpoints
     }
 
-    /// Has servers that are warming up drain while a successor serves, since the successor fills them.
+    /// Marks servers that are warming up as draining while a successor serves, because the successor fills
+    /// them.
     fn drain_warming_servers(&self, now: Time, pool_id: PoolId, endpoints: &mut BTreeMap<String, Endpoint>) {
         if !self.hot_restart.successor_serves() {
             return;
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Has excluded servers drain, or removes them.
+    /// Marks excluded servers as draining, or removes them.
     fn apply_exclusions(&self, pool_id: PoolId, endpoints: &mut BTreeMap<String, Endpoint>) {
         for name in self.pools[pool_id].exclusions.excluded() {
             if self.replication.map().get(&exclusion_key(name)) == Some(EXCLUSION_VALUE_GONE) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Replaces the list in effect, and hands it to the rebalancer and the balancer.
+    /// Replaces the list in effect, and passes it to the rebalancer and the balancer.
     fn publish_endpoints(&mut self, now: Time, pool_id: PoolId, endpoints: BTreeMap<String, Endpoint>) {
         let pool = &mut self.pools[pool_id];
         let entries = pool.endpoints.replace(endpoints.into_values(), &pool.config.zones);
@@ -141,7 +143,8 @@
         self.dispatch(now, pool_id, Event::EndpointsReplaced(&entries));
     }
 
-    /// Connections with an attempt at a server that is not ready, by server and then by connection.
+    /// Returns the connections with an attempt at a server that is not ready, ordered by server and then by
+    /// connection.
     pub(super) fn connections_at_unready_servers(
         &self,
         pool_id: PoolId,
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Retries or migrates a connection at once where it must not stay, or else returns the group with which
-    /// it is migrated gradually, if it is.
+    /// Retries or migrates a connection if it must leave its server at once. Otherwise returns the group with
+    /// which the connection is migrated gradually, or `None` if this update does not schedule its migration.
     fn drain_connection(
         &mut self,
         now: Time,
@@ -193,8 +196,8 @@
         }
     }
 
-    /// The time over which a draining server's connections are migrated. `None` where it redirects them
-    /// itself.
+    /// Returns the time over which a draining server's connections are migrated, or `None` if the server
+    /// redirects them itself.
     fn drain_duration(&self, pool_id: PoolId, server: ServerId) -> Option<Micros> {
         let pool = &self.pools[pool_id];
         match pool.config.drain_duration {
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -1,41 +1,41 @@
-//! The watch on a pool's endpoint list: confirmations, failures, and the list's expiry for attempts in
-//! flight.
+//! The watch on a pool's endpoint list: confirmations, failures, and the effect of the list's expiry on
+//! attempts in flight.
 //!
-//! The list is a lease that each answer of discovery renews. The balancer decides when it expires and when
-//! discovery is polled again (`src/policy/`). This module reports to it what happens to the watch:
+//! The list is held under a lease that each answer of discovery renews. The balancer decides when the lease
+//! expires and when discovery is polled again (`src/policy/`). This module reports the events of the watch to
+//! the balancer:
 //!
-//! - an answer, which confirms the list, also where nothing has changed;
-//! - a poll without an answer in time: the watch is silent, and the lease is not renewed;
+//! - an answer, which confirms the list even if nothing has changed;
+//! - a poll that was not answered in time: the watch is silent, and the lease is not renewed;
 //! - a poll that failed.
 //!
 //! The operator's file is not watched, and a list from it does not expire.
 //!
-//! While a watch is silent or lost, a request that is not written in full yet must be written before the list
-//! expires (one that is being restored excepted): the attempt was begun by a list that was valid, but its
-//! server may drain by then.
+//! While a watch is silent or lost, requests that are not written in full yet must be written before the list
+//! expires: the list was valid when the attempt began, but the server may be draining when the list expires.
+//! Connections that are being restored are exempt.
 //!
-//! This module owns no state; the pool records when its list was received and whether the log names it as
-//! expired.
+//! This module owns no state. The pool records when its list was received and whether its expiry was logged.
 
 use super::connection_table::PlacedConnection;
 use super::{Effect, LogEvent, PoolId, State};
 use crate::rebalance::RebalanceEvent;
 use crate::{Event, Micros, Time, WatchFailure};
 
-/// Timeouts and delays of a watch on an endpoint list, all of them durations.
+/// Timeouts and delays of a watch on an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointWatchTiming {
-    /// How long after the end of its hold a poll may remain without an answer before the watch counts as
-    /// silent.
+    /// Time after which the watch counts as silent, if discovery has not answered a poll. It is counted from
+    /// the end of the time for which discovery may hold the poll open.
     pub answer_timeout: Micros,
-    /// How long the poll that reopens a silent watch may take.
+    /// Longest time that the poll which reopens a silent watch may take.
     pub reopening_timeout: Micros,
-    /// The longest delay before a silent watch is reopened. The delay is drawn between zero and this.
+    /// Longest delay before a silent watch is reopened. The delay is drawn at random between zero and this.
     pub max_reopening_delay: Micros,
 }
 
 impl State {
-    /// Records that a list was received, and renews its lease where it comes from discovery.
+    /// Records that a list was received, and renews its lease if the list is from discovery.
     pub(super) fn confirm_endpoint_list(&mut self, now: Time, pool_id: PoolId) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let was_expiry_logged = pool.record_received_list(now);
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Handles a poll that was sent `called_ago` and had no answer in time. The driver repeats it.
+    /// Handles a poll that was sent `called_ago` before now and was not answered in time. The driver repeats
+    /// the poll.
     pub(super) fn on_endpoint_watch_silent(&mut self, now: Time, pool: PoolId, called_ago: Micros) {
         let since = now.minus(called_ago);
         self.pools[pool].count_discovery_failure();
@@ -59,7 +60,7 @@
 
     /// Handles a poll that failed.
     pub(super) fn on_endpoint_watch_lost(&mut self, now: Time, pool: PoolId, failure: WatchFailure) {
-        // A poll without an answer was counted when the watch became silent.
+        // An unanswered poll was already counted when the watch became silent.
         if failure != WatchFailure::Unanswered {
             self.pools[pool].count_discovery_failure();
         }
@@ -68,7 +69,7 @@
         self.limit_forwarding_to_list_expiry(pool);
     }
 
-    /// Has attempts in flight give up before they would write a request after the list's expiry.
+    /// Makes attempts in flight fail at the list's expiry, if their request is not written in full by then.
     fn limit_forwarding_to_list_expiry(&mut self, pool: PoolId) {
         let Some(expires_at) = self.pools[pool].balancer.endpoint_list_expires_at() else { return };
         let placed: Vec<PlacedConnection> = self.connections.placed(pool).collect();
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The timing of the watch on a pool's endpoint list.
+    /// Returns the timing of the watch on a pool's endpoint list.
     pub fn endpoint_watch_timing(&self, pool: PoolId) -> EndpointWatchTiming {
         let settings = &self.pools[pool].config.settings;
         EndpointWatchTiming {
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,72 +1,72 @@
-//! The endpoint list in effect at a pool, and the numbers by which the balancer knows servers.
+//! The endpoint list in effect at a pool, and the numbers that identify servers in the balancer.
 //!
-//! Servers have names in endpoint lists, logs and admin calls, and numbers in the balancer and in gossip. The
-//! number is the hexadecimal number at the end of the name, or else a hash of the name. All balancers must
-//! derive the same number from a name: from it they choose the same servers for a group, and gossip carries
-//! only the number.
+//! Endpoint lists, logs and admin calls identify a server by its name. The balancer and gossip identify it by
+//! a number: the hexadecimal number at the end of the name, or a hash of the name if the name does not end in
+//! one. All balancers must derive the same number from a name, because they choose the servers of a group by
+//! number and gossip carries only the number.
 //!
-//! [`EndpointList`] owns the list in effect, ordered by number. How that list is derived is in
-//! [`super::endpoint_updates`].
+//! [`EndpointList`] owns the list in effect, ordered by number. [`super::endpoint_updates`] derives that
+//! list.
 
 use std::collections::BTreeMap;
 
 use super::fnv;
 use crate::{CellId, EndpointEntry, EndpointState, ServerId, Time, ZoneId};
 
-/// A server's state in the list.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     /// Accepts new connections.
     Ready,
     /// Keeps its connections and accepts no new ones.
     Draining,
-    /// Does not exist any more.
+    /// No longer exists.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, the same at every balancer.
+    /// Name of the server, identical at every balancer.
     pub name: String,
-    /// The address at which this balancer reaches it.
+    /// Address at which this balancer reaches the server.
     pub address: String,
-    /// Name of its zone.
+    /// Name of the server's zone; empty if the list names none.
     pub zone: String,
-    /// Its cell.
+    /// Number of the server's cell ([`CellId`]); 0 if the list names none.
     pub cell: u32,
-    /// Its state.
+    /// State of the server in the list.
     pub lifecycle: Lifecycle,
-    /// Its capacity relative to that of the other servers; 1 for the usual one.
+    /// Capacity relative to the other servers; 1 for a server of the usual size.
     pub weight: f64,
-    /// When its process started, if known.
+    /// Time at which the server's process started, if known.
     pub started: Option<Time>,
 }
 
-/// The list in effect, by server number.
+/// The endpoint list in effect, ordered by server number.
 #[derive(Default)]
 pub(super) struct EndpointList {
     endpoints: BTreeMap<ServerId, Endpoint>,
 }
 
 impl EndpointList {
-    /// The server, if it is listed and accepts new connections.
+    /// Returns the server, if it is listed and accepts new connections.
     pub(super) fn get_ready(&self, server: ServerId) -> Option<&Endpoint> {
         self.get(server).filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
     }
 
-    /// The server, if it is listed.
+    /// Returns the server, if it is listed.
     pub(super) fn get(&self, server: ServerId) -> Option<&Endpoint> {
         self.endpoints.get(&server)
     }
 
-    /// The numbers of all listed servers, ascending.
+    /// Returns the numbers of all listed servers in ascending order.
     pub(super) fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.endpoints.keys().copied()
     }
 
-    /// Replaces the list, and returns it in the balancer's terms. `zones` are the configured names, in the
-    /// order of their [`ZoneId`]s.
+    /// Replaces the list, and returns the new one as entries for the balancer. `zones` are the configured
+    /// names, in the order of their [`ZoneId`]s.
     pub(super) fn replace(
         &mut self,
         endpoints: impl Iterator<Item = Endpoint>,
@@ -79,7 +79,7 @@
 
 impl Endpoint {
     fn to_entry(&self, server: ServerId, zones: &[String]) -> EndpointEntry {
-        // A zone that is not configured gets a number that no configured one has.
+        // A zone that is not configured gets a number that no configured zone has.
         let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(usize::MAX);
         EndpointEntry {
             server,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Parses a server's entry in the replicated map: its address, then its zone and its weight if given, with
-/// spaces in between. Returns `None` where the address or the weight cannot be parsed.
+/// Parses a server's entry in the replicated map: the address, optionally followed by the zone and the
+/// weight, separated by spaces. Returns `None` if the address or the weight cannot be parsed.
 pub fn stored_endpoint(name: &str, text: &str) -> Option<Endpoint> {
     let mut fields = text.split_ascii_whitespace();
     let address = fields.next()?.parse::<std::net::SocketAddr>().ok()?.to_string();
@@ -114,11 +114,11 @@
     })
 }
 
-/// Length of the hexadecimal number at the end of a server's name.
+/// Number of digits of the hexadecimal number at the end of a server's name.
 const SERVER_NUMBER_DIGITS: usize = 8;
 
-/// A server's number: the one at the end of its name (`s-5be2a07c`), or the hash of a name without one. It is
-/// the same at every balancer.
+/// Returns a server's number: the hexadecimal number after the last hyphen of its name (`s-5be2a07c`), or a
+/// hash of the name if it does not end in such a number. Every balancer derives the same number.
 pub fn server_id(name: &str) -> ServerId {
     let last_part = name.rsplit('-').next().filter(|part| part.len() == SERVER_NUMBER_DIGITS);
     let number = last_part.and_then(|part| u32::from_str_radix(part, 16).ok());
--- a/src/routing/entry.rs
+++ b/src/routing/entry.rs
@@ -1,13 +1,13 @@
-//! The entries of the replicated map: the last writer wins.
+//! Entries of the replicated map, ordered so that the entry of the last writer is the greatest.
 
-/// What the map holds for a key. Of two entries the greater one takes precedence: the fields are compared in
-/// their order.
+/// Entry of a key in the replicated map. Of two entries for one key, the greater one takes precedence. Fields
+/// are compared in the order of their declaration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Entry {
-    /// One more than the highest counter that its writer had seen.
+    /// Lamport counter: one more than the highest counter that the writing node had seen.
     pub counter: u64,
-    /// Name of the node that wrote it.
+    /// Name of the node that wrote the entry.
     pub node: String,
-    /// Its value, or `None` for a tombstone.
+    /// Value of the key, or `None` for a tombstone.
     pub value: Option<String>,
 }
--- a/src/routing/exclusions.rs
+++ b/src/routing/exclusions.rs
@@ -1,16 +1,18 @@
 //! Exclusions: servers that an operator takes out of use, and readmits later.
 //!
-//! An excluded server gets no new connections and its clients are migrated ([`super::endpoint_updates`]),
-//! whatever the endpoint list says of it. Where the exclusions are stored:
+//! An excluded server receives no new connections and its clients are migrated
+//! ([`super::endpoint_updates`]), regardless of its state in the endpoint list. Exclusions are stored
 //!
-//! - with a replicated map, in the map, so that one call holds at all nodes;
-//! - without one, in [`super::operator_exclusions`], which is persisted in a file and shared with the peer
+//! - in the replicated map, if there is one, so that one call takes effect at all nodes;
+//! - otherwise in [`super::operator_exclusions`], which is persisted in a file and shared with the peer
 //!   process of a hot restart.
 //!
-//! With a map an exclusion is logged as an entry of the map, without one by its own line. A failure at the
-//! peer process is not reported: its acknowledgement follows in any case. An operator may name any server
-//! that was ever listed, so that one can be excluded while it is not listed, but not an arbitrary name, which
-//! would mostly be a misspelling.
+//! An exclusion in the replicated map is logged as a new entry of the map; any other exclusion has a log line
+//! of its own. The peer process acknowledges a shared exclusion even if it failed to apply it, and the
+//! failure is not reported.
+//!
+//! An operator may name any server that was ever listed, so that a server can be excluded while it is not
+//! listed. Other names are rejected, because most of them would be misspellings.
 //!
 //! [`super::pool_exclusions`] owns the exclusions in effect at one pool.
 
@@ -22,16 +24,17 @@
 
 /// Prefix of the replicated map's keys that exclude a server. The server's name follows.
 pub(super) const EXCLUSION_KEY_PREFIX: &str = "life/";
-/// The value of an operator's exclusion in the replicated map: the server drains.
+/// Value of an operator's exclusion in the replicated map. The server drains.
 const EXCLUSION_VALUE_DRAINING: &str = "draining";
 
-/// The key that excludes a server in the replicated map.
+/// Returns the key of the replicated map that excludes a server.
 pub(super) fn exclusion_key(server: &str) -> String {
     format!("{EXCLUSION_KEY_PREFIX}{server}")
 }
 
 impl State {
-    /// The names of all excluded servers: those of this process and those in the replicated map.
+    /// Returns the names of all excluded servers: those excluded at this process and those in the replicated
+    /// map.
     pub(super) fn excluded_servers(&self) -> BTreeSet<String> {
         let mut excluded = self.exclusions.excluded().clone();
         let replicated = self.replication.map().with_prefix(EXCLUSION_KEY_PREFIX);
@@ -39,7 +42,7 @@
         excluded
     }
 
-    /// Whether an operator may exclude or readmit a server of this name.
+    /// Returns whether an operator may exclude or readmit a server of this name.
     pub(super) fn is_known_server(&self, server: &str) -> bool {
         self.exclusions.was_ever_listed(server)
             || self.pools.iter().any(|pool| pool.exclusions.contains(server))
@@ -49,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// The replicated map cannot take the entry.
+    /// The replicated map is in use and rejects the entry.
     pub(super) fn set_exclusion(
         &mut self,
         now: Time,
@@ -71,7 +74,7 @@
         Ok(())
     }
 
-    /// Writes an exclusion or readmission to the replicated map, if it is a change.
+    /// Writes an exclusion or readmission to the replicated map, unless the map already contains it.
     fn write_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> Result<(), WriteError> {
         let key = exclusion_key(server);
         let is_excluded = self.replication.map().get(&key).is_some();
@@ -81,14 +84,15 @@
         self.write_entry(now, &key, excluded.then_some(EXCLUSION_VALUE_DRAINING))
     }
 
-    /// Has the exclusions of this process stored on disk.
+    /// Requests that the exclusions of this process are stored on disk.
     pub(super) fn persist_exclusions(&mut self) {
         self.effects.push(Effect::PersistExclusions(self.exclusions.names()));
     }
 
     /// Applies an exclusion or readmission that an operator made at the peer process.
     pub(super) fn on_exclusion_shared(&mut self, now: Time, server: &str, excluded: bool) {
-        // The peer process replies to the operator, and reports a full map if its own is full.
+        // The error is dropped: the peer process replies to the operator, and reports a full map only if its
+        // own map is full.
         let _ = self.set_exclusion(now, server, excluded);
     }
 }
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -1,8 +1,9 @@
-//! The reducer's side of gossip: observations that this balancer sends and receives.
+//! Gossip in the reducer: sends the observations of this balancer and applies those of other balancers.
 //!
-//! Whether an observation is sent or applied is decided in `src/peers/`, which also limits what gossip costs.
-//! A received observation is applied only if it concerns a listed server: others mean nothing here, and their
-//! number is unbounded. The sampled groups of a message go to the balancer before the observation.
+//! `src/peers/` decides which observations are sent or applied, and limits the cost of gossip. A received
+//! observation of a server is applied only if the server is listed: other servers are unknown to this
+//! balancer, and their number is unbounded. The balancer receives the sampled groups of a message before the
+//! observation.
 //!
 //! This module owns no state.
 
@@ -25,8 +26,9 @@
         self.dispatch(now, pool_id, event_of(message.observation));
     }
 
-    /// Sends an observation to the other balancers if the credit pays for it, with a sample of the groups of
-    /// connections that are established here.
+    /// Sends an observation to the other balancers, with a sample of the groups of connections that are
+    /// established at this balancer. Does nothing if [`crate::peers::Peers::should_broadcast`] decides
+    /// against it, for instance for lack of credit.
     pub(super) fn broadcast_observation(&mut self, now: Time, pool_id: PoolId, observation: Observation) {
         let pool = &mut self.pools[pool_id];
         if pool.peers.should_broadcast(now, observation) {
@@ -36,7 +38,7 @@
     }
 }
 
-/// The balancer's event for an observation.
+/// Returns the event that reports an observation to the balancer.
 fn event_of(observation: Observation) -> Event<'static> {
     match observation {
         Observation::SlowServer(server, took) => Event::PeerObservation { server, took: Some(took) },
--- a/src/routing/handover_state.rs
+++ b/src/routing/handover_state.rs
@@ -1,6 +1,6 @@
-//! The state that a process hands over to its successor in a hot restart.
+//! State that a process hands over to its successor in a hot restart.
 //!
-//! These types are independent of their encoding, which is in `src/protocol/hot_restart/`.
+//! These types are independent of their encoding, which is defined in `src/protocol/hot_restart/`.
 
 use std::collections::BTreeMap;
 
@@ -8,51 +8,54 @@
 use super::{ConnectionRequest, Endpoint};
 use crate::{LearnedState, Time};
 
-/// An established connection on its way to the successor.
+/// State of an established connection that is transferred to the successor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EstablishedConnection {
-    /// What the client requested.
+    /// The client's request for the connection.
     pub request: ConnectionRequest,
-    /// Name of its server.
+    /// Name of the server at which the connection is established.
     pub server: String,
-    /// The load in its server's last report.
+    /// Load in the server's last report for the connection, in microseconds of work a second; `None` without
+    /// a report.
     pub load: Option<f64>,
-    /// When the earliest line without an answer of the server was forwarded.
+    /// Time at which the earliest unanswered line was forwarded to the server; `None` if no line awaits an
+    /// answer.
     pub awaiting_server_since: Option<Time>,
 }
 
-/// What a process exports to its successor.
+/// State that a process exports to its successor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
     /// Names of servers that an operator excluded without a replicated map.
     pub excluded_by_operator: Vec<String>,
     /// Names of all servers that were ever listed.
     pub ever_listed: Vec<String>,
-    /// Entries of the replicated map, by key.
+    /// Entries of the replicated map with their keys.
     pub entries: Vec<(String, Entry)>,
-    /// The state of each pool, by the pool's name.
+    /// State of each pool, by the name of the pool.
     pub pools: BTreeMap<String, PoolHandoverState>,
-    /// Descriptors that the exporting process goes on using for a while.
+    /// Number of descriptors that pending connections of the exporting process use at the time of the export.
+    /// The exporting process keeps them open for a limited time.
     pub open_descriptors: usize,
 }
 
-/// What a process exports of one pool.
+/// State of one pool that a process exports to its successor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolHandoverState {
-    /// The servers as listed, with what was learned of them.
+    /// Servers of the pool's endpoint list as received, with the state learned about each.
     pub endpoints: Vec<ExportedEndpoint>,
-    /// Servers that were excluded and have been readmitted recently.
+    /// Servers that were readmitted within the slow-start duration.
     pub readmitted: Vec<Readmission>,
-    /// Ids of requests whose connections are open at the exporting process.
+    /// Client-chosen ids of the requests whose connections are open at the exporting process.
     pub ids: Vec<String>,
 }
 
-/// A listed server with what the exporting process learned of it.
+/// A listed server, with the state that the exporting process has learned about it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportedEndpoint {
-    /// The server as listed.
+    /// The server's entry in the endpoint list as received.
     pub endpoint: Endpoint,
-    /// What was learned, unless the balancer does not know the server.
+    /// Learned state, or `None` if the balancer does not know the server.
     pub learned: Option<LearnedState>,
 }
 
@@ -61,6 +64,6 @@
 pub struct Readmission {
     /// Name of the server.
     pub server: String,
-    /// When it was readmitted.
+    /// Time of the readmission.
     pub at: Time,
 }
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -1,21 +1,24 @@
 //! Hot restart: a successor process takes over sockets, state and established connections from its
 //! predecessor.
 //!
-//! Which peer process there is, and which replies wait for it, is in [`super::hot_restart_state`]. The steps:
+//! [`super::hot_restart_state`] records the peer process, and the replies that wait for its acknowledgement.
+//! A hot restart takes these steps:
 //!
-//! 1. The successor requests the predecessor's state. The predecessor stops accepting, since connections that
-//!    it accepted later would be missing from what it exports, and exports a [`HandoverState`].
-//! 2. The successor imports it, listens, and reports that it serves.
-//! 3. The predecessor transfers each established connection, and each other one as soon as it is established.
-//!    From then on only the successor fills servers that are warming up ([`super::endpoint_updates`]).
-//! 4. While both processes live, an exclusion made at either is shared with the other. The operator's reply
-//!    is `YES` when that process has acknowledged, is lost, or has not answered within
-//!    half a second: it only promises that the exclusion holds at this process.
-//! 5. When the link to the peer process ends, a predecessor accepts again, and a successor has all
-//!    descriptors and request ids to itself.
+//! 1. The successor requests the predecessor's state. The predecessor stops accepting connections, because
+//!    the exported state would lack connections that are accepted later. It then exports a [`HandoverState`].
+//! 2. The successor imports the state, listens, and reports that it serves.
+//! 3. The predecessor transfers its established connections. It transfers each other connection as soon as
+//!    that is established. From this step on, only the successor fills servers that are warming up
+//!    ([`super::endpoint_updates`]).
+//! 4. While both processes run, an exclusion made at one process is shared with the other. The operator
+//!    receives the reply `YES` when the other process has acknowledged the exclusion, is lost, or has not
+//!    answered within half a second. The reply guarantees only that the exclusion is in effect at the process
+//!    that sends it.
+//! 5. When the link to the peer process ends, a predecessor accepts connections again. A successor may then
+//!    use all descriptors, and request ids that were in use at the predecessor.
 //!
-//! While the predecessor lives, its sockets use descriptors of the limit that both processes share, so the
-//! successor accepts fewer pending connections.
+//! While the predecessor runs, its sockets use descriptors of a limit that both processes share. The
+//! successor therefore accepts fewer pending connections.
 
 use super::client::RequestProfile;
 use super::connection_table::ClientConnection;
@@ -30,7 +33,7 @@
 // ---- At the predecessor ----
 
 impl State {
-    /// Stops accepting and exports this process's state to a successor.
+    /// Stops accepting connections and exports this process's state to a successor.
     pub(super) fn on_successor_started(&mut self) {
         self.hot_restart.record_successor_started();
         let state = self.export_state();
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Transfers a connection to the successor, if that serves and the connection is established.
+    /// Transfers a connection to the successor, if the successor serves and the connection is established.
     pub(super) fn transfer_connection(&mut self, id: ConnectionId) {
         if !self.hot_restart.successor_serves() {
             return;
@@ -79,7 +82,8 @@
         self.effects.push(Effect::TransferConnection { connection: id, pool, established });
     }
 
-    /// Removes a connection whose sockets the successor has. It continues there, so no end of it is reported.
+    /// Removes a connection whose sockets the successor has taken over. The connection continues at the
+    /// successor, so no end of it is reported; its attempt counts as cancelled.
     pub(super) fn on_connection_transferred(&mut self, now: Time, id: ConnectionId) {
         let Some(pool) = self.connections.pool_of(id) else { return };
         let attempt = self.remove_connection(now, id);
@@ -99,8 +103,8 @@
 // ---- At the successor ----
 
 impl State {
-    /// Imports the predecessor's state. What was learned of servers comes last, since the balancer keeps it
-    /// for listed servers only.
+    /// Imports the predecessor's state. The learned state of servers is imported last, because the balancer
+    /// keeps it only for listed servers.
     pub(super) fn import_state(&mut self, now: Time, state: HandoverState) {
         self.hot_restart.record_predecessor(state.open_descriptors);
         self.exclusions.import(state.excluded_by_operator, state.ever_listed);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Continues an established connection that the predecessor transferred.
+    /// Takes over an established connection that the predecessor transferred.
     pub(super) fn on_connection_received(
         &mut self,
         now: Time,
@@ -135,14 +139,15 @@
         }
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, None);
-        // The connection has to leave a server that drains or is not listed, as the others there did.
+        // A connection at a draining or unlisted server must leave it, like the connections that were there
+        // when the server's state changed.
         if !was_listed || self.pools[pool_id].endpoints.get_ready(server).is_none() {
             self.refresh_endpoints(now, pool_id);
         }
     }
 
-    /// Adds a transferred connection to the table, and returns what the balancer needs to know of its
-    /// request.
+    /// Adds a transferred connection to the table, and returns the properties of its request for the
+    /// balancer.
     fn insert_received_connection(
         &mut self,
         now: Time,
@@ -153,8 +158,8 @@
     ) -> RequestProfile {
         let config = &self.pools[pool_id].config;
         let request = &established.request;
-        // The predecessor admitted the connection, so it is served even if its class is not configured here.
-        // It is then counted in no class.
+        // The predecessor admitted the connection, so it is served even if this process does not have its
+        // class configured. In that case it is counted in no class.
         let class = config.class_id(&request.class);
         let tenant = request.tenant.as_deref().and_then(|name| config.tenant_id(name));
         let profile = RequestProfile {
@@ -186,7 +191,7 @@
         self.dispatch(now, pool_id, event);
     }
 
-    /// Records the load that a transferred connection's server reported last.
+    /// Records the load that the server reported last for a transferred connection.
     fn restore_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
         self.connections.record_load(id, load);
         self.pools[pool_id].load_reports.add_load(load);
@@ -198,7 +203,8 @@
 // ---- At both processes ----
 
 impl State {
-    /// Shares an exclusion with the peer process. The admin client's reply waits for the acknowledgement.
+    /// Shares an exclusion or readmission with the peer process. The reply to the admin client waits for the
+    /// acknowledgement.
     pub(super) fn share_exclusion(
         &mut self,
         now: Time,
@@ -210,22 +216,23 @@
         self.effects.push(Effect::ShareExclusion { admin_client, server, excluded });
     }
 
-    /// Replies to an admin client whose exclusion the peer process has applied, or whose wait for that has
-    /// ended.
+    /// Replies to an admin client after the peer process has acknowledged its exclusion, or after the wait
+    /// for the acknowledgement has ended.
     pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
         if self.hot_restart.end_wait(admin_client) {
             self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
         }
     }
 
-    /// Replies to admin clients whose wait has ended. The exclusion holds at this process.
+    /// Replies `YES` to admin clients whose wait has timed out, since their exclusion is in effect at this
+    /// process.
     pub(super) fn reply_to_timed_out_admin_clients(&mut self, now: Time) {
         for admin_client in self.hot_restart.timed_out_admin_clients(now) {
             self.on_exclusion_acknowledged(admin_client);
         }
     }
 
-    /// Handles the end of the peer process or of the link to it.
+    /// Handles the end of the peer process, or of the link to it.
     pub(super) fn on_peer_process_lost(&mut self, now: Time) {
         let peer_process = self.hot_restart.take_peer_process();
         for admin_client in self.hot_restart.pending_admin_clients() {
@@ -238,14 +245,14 @@
         }
     }
 
-    /// Serves again in place of the successor.
+    /// Resumes serving in place of the successor.
     fn on_successor_lost(&mut self, now: Time) {
         self.effects.push(Effect::Log(LogEvent::SuccessorLost));
         self.effects.push(Effect::SetAccepting { open: self.admission.is_gate_open() });
         self.refresh_all_endpoints(now);
     }
 
-    /// Releases the request ids and descriptors that the predecessor used.
+    /// Releases the request ids and descriptors that were reserved for the predecessor.
     fn on_predecessor_lost(&mut self, now: Time) {
         for pool in &mut self.pools {
             pool.admitted.forget_predecessor();
--- a/src/routing/listed_endpoints.rs
+++ b/src/routing/listed_endpoints.rs
@@ -1,16 +1,17 @@
-//! The endpoint list of a pool as discovery or the operator's file has it, before exclusions and the
-//! replicated map.
+//! The endpoint list of a pool as received from discovery or the operator's file, before the replicated map
+//! and exclusions are applied.
 
 use std::collections::BTreeMap;
 
 use super::{Endpoint, Lifecycle};
 use crate::Time;
 
-/// The list as received, and when that was.
+/// The endpoint list as received, and the time of its receipt.
 #[derive(Default)]
 pub(super) struct ListedEndpoints {
     by_name: BTreeMap<String, Endpoint>,
-    /// When the list was last received or confirmed. `None` for a cached list of before the start.
+    /// Time at which the list was last received or confirmed. `None` for a list cached before this process
+    /// started, and for one imported from its predecessor.
     received_at: Option<Time>,
 }
 
@@ -19,12 +20,12 @@
         &self.by_name
     }
 
-    /// When the list was last received or confirmed by this process.
+    /// Returns the time at which this process last received or confirmed the list.
     pub(super) fn received_at(&self) -> Option<Time> {
         self.received_at
     }
 
-    /// Replaces the list by a snapshot, or applies a delta to it.
+    /// Replaces the list with a snapshot, or applies a delta to it.
     pub(super) fn apply(&mut self, is_snapshot: bool, endpoints: Vec<Endpoint>) {
         if is_snapshot {
             self.by_name.clear();
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Replaces the list by that of an earlier process.
+    /// Replaces the list with that of the predecessor.
     pub(super) fn import<'a>(&mut self, endpoints: impl Iterator<Item = &'a Endpoint>) {
         self.by_name = endpoints.map(|endpoint| (endpoint.name.clone(), endpoint.clone())).collect();
     }
@@ -48,8 +49,8 @@
         self.received_at = Some(now);
     }
 
-    /// Whether the pool can serve by this list. A cached list suffices, or no process could start while
-    /// discovery is down.
+    /// Returns whether the pool can serve with this list. A cached list suffices; otherwise no process could
+    /// become ready while discovery is down.
     pub(super) fn is_usable(&self) -> bool {
         self.received_at.is_some() || !self.by_name.is_empty()
     }
--- a/src/routing/operator_exclusions.rs
+++ b/src/routing/operator_exclusions.rs
@@ -1,15 +1,16 @@
-//! The exclusions of an operator where there is no replicated map, and the names that an operator may use.
+//! Exclusions made by operators without a replicated map, and the server names that an operator may use.
 //!
-//! Any server that was ever listed may be named, so that one can be excluded while it is not listed. The
-//! number of remembered names is bounded.
+//! An operator may name any server that was ever listed, so that a server can be excluded while it is not
+//! listed. The number of remembered names is bounded.
 
 use std::collections::BTreeSet;
 
-/// The largest number of server names that are remembered. Servers may come and go under ever new names.
-/// Beyond it all are forgotten; listed ones return with the next update of their pool's list.
+/// Number of remembered server names above which all names are discarded. The bound is needed because
+/// replaced servers may have new names each time. Names of listed servers are recorded again with the next
+/// update of their pool's list.
 const MAX_SERVER_NAMES: usize = 20_000;
 
-/// The servers that an operator excluded without a replicated map, and the names that an operator may use.
+/// Servers that operators excluded without a replicated map, and the names that an operator may use.
 #[derive(Default)]
 pub(super) struct OperatorExclusions {
     excluded: BTreeSet<String>,
@@ -22,7 +23,7 @@
         &self.excluded
     }
 
-    /// Names of the excluded servers, sorted.
+    /// Returns the names of the excluded servers in ascending order.
     pub(super) fn names(&self) -> Vec<String> {
         self.excluded.iter().cloned().collect()
     }
@@ -37,7 +38,7 @@
         self.ever_listed.extend(ever_listed);
     }
 
-    /// Records that servers of these names are listed.
+    /// Records the names of listed servers.
     pub(super) fn record_listed<'a>(&mut self, names: impl Iterator<Item = &'a String>) {
         if self.ever_listed.len() > MAX_SERVER_NAMES {
             self.ever_listed.clear();
@@ -49,7 +50,7 @@
         self.ever_listed.contains(server)
     }
 
-    /// Excludes or readmits a server. Returns whether that is a change.
+    /// Excludes or readmits a server. Returns false if the server was already in that state.
     pub(super) fn set(&mut self, server: &str, excluded: bool) -> bool {
         if excluded {
             self.excluded.insert(server.to_owned())
--- a/src/routing/pool_exclusions.rs
+++ b/src/routing/pool_exclusions.rs
@@ -1,7 +1,8 @@
-//! The exclusions in effect at one pool, and the servers that were readmitted within the last slow start.
+//! The exclusions in effect at one pool, and the servers readmitted within the slow-start duration.
 //!
-//! A readmitted server counts as started at its readmission. It has mostly restarted, which the endpoint list
-//! may not show yet, and must then be filled no faster than any server that is warming up.
+//! A readmitted server counts as started at the time of its readmission. In most cases the server has
+//! restarted while it was excluded, and the endpoint list may not show the restart yet. A restarted server
+//! must be filled no faster than any other server that is warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct PoolExclusions {
     excluded: BTreeSet<String>,
-    /// When each server was readmitted that still counts as warming up for its readmission.
+    /// Servers that count as warming up because of their readmission, each with the time of its readmission.
     readmitted: BTreeMap<String, Time>,
 }
 
@@ -35,14 +36,14 @@
         self.readmitted.extend(added.map(|Readmission { server, at }| (server, at)));
     }
 
-    /// Replaces the exclusions. Servers that are not excluded any more are readmitted now.
+    /// Replaces the exclusions. Servers that are no longer excluded count as readmitted now.
     pub(super) fn replace(&mut self, now: Time, excluded: BTreeSet<String>, slow_start_duration: Micros) {
         self.readmitted.extend(self.excluded.difference(&excluded).map(|name| (name.clone(), now)));
         self.readmitted.retain(|name, at| now.since(*at) < slow_start_duration && !excluded.contains(name));
         self.excluded = excluded;
     }
 
-    /// Has readmitted servers count as started when they were readmitted, unless they have started since.
+    /// Sets the start of readmitted servers to the time of their readmission, unless they started later.
     pub(super) fn apply_readmissions(&self, endpoints: &mut BTreeMap<String, Endpoint>) {
         for (name, &at) in &self.readmitted {
             if let Some(endpoint) = endpoints.get_mut(name) {
--- a/src/routing/replica.rs
+++ b/src/routing/replica.rs
@@ -6,16 +6,17 @@
 use super::ReplicationConfig;
 use crate::{Micros, Time};
 
-/// The interval at which a replica sends a digest to one of the others.
+/// Interval at which a replica sends a digest to one of the other replicas.
 const DIGEST_INTERVAL: Micros = Micros::from_millis(500);
 
-/// The replicated map, and its exchange with the other replicas.
+/// This node's replica of the map, and the state of its exchange with the other replicas.
 pub(super) struct Replica {
     map: ReplicatedMap,
+    /// Addresses of the other replicas.
     peers: Vec<SocketAddr>,
-    /// The number of digests sent, by which the peers take turns.
+    /// Number of digests sent. It selects the peer that receives the next digest, in rotation.
     digests_sent: usize,
-    /// `None` without peers.
+    /// Time at which the next digest is sent; `None` without peers.
     next_digest_at: Option<Time>,
 }
 
@@ -33,7 +34,7 @@
         &self.map
     }
 
-    /// Whether this node has a replica of the map.
+    /// Returns whether this node takes part in replication.
     pub(super) fn is_enabled(&self) -> bool {
         self.map.is_enabled()
     }
@@ -42,33 +43,34 @@
         self.map.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
     }
 
-    /// Merges the entries of an earlier process.
+    /// Merges entries that an earlier process stored or exported.
     pub(super) fn import_entries(&mut self, entries: Vec<(String, Entry)>) {
         for (key, entry) in entries {
             self.map.merge_entry(&key, entry);
         }
     }
 
-    /// Merges an entry of another replica, and returns it if it is stored.
+    /// Merges an entry of another replica. Returns the new entry of the key, or `None` if the key is
+    /// unchanged.
     pub(super) fn merge_remote_entry(&mut self, key: &str, entry: Entry) -> Option<Entry> {
         self.map.merge_remote_entry(key, entry)
     }
 
-    /// Writes a key, and returns the new entry.
+    /// Writes a key, or deletes it if `value` is `None`. Returns the new entry.
     ///
     /// # Errors
     ///
-    /// The map cannot take the entry.
+    /// Returns an error if the map rejects the entry.
     pub(super) fn write(&mut self, key: &str, value: Option<&str>) -> Result<Entry, WriteError> {
         self.map.write(key, value)
     }
 
-    /// The addresses of the other replicas.
+    /// Returns the addresses of the other replicas.
     pub(super) fn peers(&self) -> &[SocketAddr] {
         &self.peers
     }
 
-    /// Replaces the peers. Where they have changed, one is sent a digest at once.
+    /// Replaces the addresses of the other replicas. If they have changed, a digest is sent at once.
     pub(super) fn set_peers(&mut self, now: Time, peers: Vec<SocketAddr>) {
         if self.peers != peers {
             self.next_digest_at = (!peers.is_empty()).then_some(now);
@@ -80,13 +82,14 @@
         self.next_digest_at
     }
 
-    /// The next digest, if it is time to send it.
+    /// Returns the next digest if its time has been reached, and schedules the one after it.
     pub(super) fn scheduled_digest(&mut self, now: Time) -> Option<AddressedReplicaMessage> {
         self.next_digest_at.filter(|&at| at <= now)?;
         self.next_digest(now)
     }
 
-    /// The next digest to send. Sets the time of the one after it.
+    /// Returns a digest for the next peer in rotation, and schedules the following digest. Returns `None`
+    /// without peers.
     fn next_digest(&mut self, now: Time) -> Option<AddressedReplicaMessage> {
         let peer = *self.peers.get(self.digests_sent % self.peers.len().max(1))?;
         self.digests_sent += 1;
@@ -95,8 +98,8 @@
         Some(AddressedReplicaMessage { to: peer, message })
     }
 
-    /// The messages to a replica with this digest: the local digest, where it is wanted and differs, and then
-    /// entries.
+    /// Returns the messages to a replica with this digest: the local digest if it was requested and differs,
+    /// followed by entries.
     pub(super) fn answer_digest(&mut self, wanted: bool, buckets: &Digest) -> Vec<ReplicaMessage> {
         let mut answer = self.map.repair(buckets);
         if wanted && (!answer.is_empty() || *buckets != self.map.digest()) {
--- a/src/routing/replica_message.rs
+++ b/src/routing/replica_message.rs
@@ -1,4 +1,4 @@
-//! The messages between replicas of the map.
+//! Messages between replicas of the map.
 
 use std::net::SocketAddr;
 
@@ -8,34 +8,34 @@
 /// A message between replicas, or from an operator's command to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaMessage {
-    /// The sender's digest.
+    /// Digest of the sender's entries.
     Digest {
         /// Whether the sender requests the receiver's digest.
         wanted: bool,
-        /// The digest.
+        /// Sums of the entries' hashes, by bucket.
         buckets: Digest,
     },
-    /// One entry.
+    /// An entry of the map.
     Entry {
-        /// Its key.
+        /// Key of the entry.
         key: String,
-        /// The entry.
+        /// Counter, writer and value.
         entry: Entry,
     },
-    /// An operator's write. The reply is the entry that it made.
+    /// Write by an operator's command. The reply is the resulting entry.
     Write {
-        /// The key to write.
+        /// Key to write.
         key: String,
-        /// The value, or `None` to delete the key.
+        /// New value, or `None` to delete the key.
         value: Option<String>,
     },
 }
 
-/// A message and its receiver.
+/// A message with the address of its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedReplicaMessage {
-    /// Address of the receiver.
+    /// Address of the replica or command that receives the message.
     pub to: SocketAddr,
-    /// The message.
+    /// Message to send in one datagram.
     pub message: ReplicaMessage,
 }
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -1,15 +1,17 @@
 //! Replication of the map between nodes, by gossip over datagrams.
 //!
-//! The map, the addresses of the other replicas and the schedule of digests are in [`super::replica`]. Rule:
+//! [`super::replica`] holds the map, the addresses of the other replicas and the schedule of digests. Rules:
 //!
-//! - An entry that is written here is sent to all other replicas at once, one datagram each; the repetition
-//!   of a write that no replica has confirmed, only by digests.
-//! - At a fixed interval one of the replicas, in turn, is sent a digest. It answers with its own digest and
-//!   with entries of the buckets that differ, and is sent entries in return. This repairs lost datagrams.
+//! - An entry that is written at this node is sent to all other replicas at once, in one datagram each. The
+//!   repetition of an unconfirmed write is not sent at once; it reaches the other replicas by the exchange of
+//!   digests.
+//! - At a fixed interval, a digest is sent to one of the other replicas, in rotation. The receiver answers
+//!   with its own digest and with entries of the buckets that differ, and receives entries in return. This
+//!   anti-entropy repairs the effects of lost datagrams.
 //! - Digests and entries are accepted from configured replicas only, and writes from this machine only.
 //!
-//! An entry that has changed is logged and persisted. Where its key concerns endpoint lists, the lists of all
-//! pools are derived anew.
+//! A changed entry is logged and persisted. If its key affects endpoint lists, the lists of all pools are
+//! derived again.
 
 use std::net::SocketAddr;
 
@@ -19,18 +21,18 @@
 use super::{Effect, LogEvent, State};
 use crate::Time;
 
-/// Prefixes of the keys whose entries change endpoint lists.
+/// Prefixes of the keys whose entries affect endpoint lists.
 const ENDPOINT_LIST_PREFIXES: [&str; 2] = [EXCLUSION_KEY_PREFIX, ENDPOINT_KEY_PREFIX];
 
 impl State {
-    /// This node's replica of the map.
+    /// Returns this node's replica of the map.
     pub fn store(&self) -> &ReplicatedMap {
         self.replication.map()
     }
 
     /// Handles a message of another replica or of an operator's command.
     pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, message: ReplicaMessage) {
-        // Any process can send datagrams to the port, so replicas are known by their configured addresses.
+        // Any process can send datagrams to the port. Replicas are recognised by their configured addresses.
         if !matches!(message, ReplicaMessage::Write { .. }) && !self.replication.peers().contains(&from) {
             return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownPeer { from }));
         }
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Writes a key for an operator's command on this machine, and replies with the entry. A write that fails
-    /// has no reply.
+    /// Writes a key for an operator's command on this machine, and replies with the entry. There is no reply
+    /// if the write fails.
     fn on_write_requested(&mut self, now: Time, from: SocketAddr, key: String, value: Option<String>) {
         if !from.ip().is_loopback() {
             return self.effects.push(Effect::Log(LogEvent::RemoteWriteIgnored { from }));
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Restores the entries and exclusions that an earlier process stored.
+    /// Imports the entries and exclusions that an earlier process stored on disk.
     pub(super) fn on_state_restored(
         &mut self,
         now: Time,
@@ -83,11 +85,11 @@
         self.refresh_all_endpoints(now);
     }
 
-    /// Writes a key at this replica and sends the entry to the others.
+    /// Writes a key at this replica and sends the entry to all other replicas.
     ///
     /// # Errors
     ///
-    /// The map cannot take the entry.
+    /// Returns an error if the map rejects the entry.
     pub(super) fn write_entry(
         &mut self,
         now: Time,
@@ -103,7 +105,7 @@
         Ok(())
     }
 
-    /// Logs and persists a new entry, and derives the endpoint lists anew where it concerns them.
+    /// Logs and persists a new entry, and derives the endpoint lists again if the entry affects them.
     fn on_entry_stored(&mut self, now: Time, key: String, entry: Entry) {
         let changes_endpoints = ENDPOINT_LIST_PREFIXES.iter().any(|prefix| key.starts_with(prefix));
         self.log_entry(&key, &entry);
@@ -121,7 +123,7 @@
         }));
     }
 
-    /// Sends the next digest, if it is time for it.
+    /// Sends the next digest if its time has been reached.
     pub(super) fn send_scheduled_digest(&mut self, now: Time) {
         let digest = self.replication.scheduled_digest(now);
         self.effects.extend(digest.map(Effect::SendReplicaMessage));
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -1,20 +1,22 @@
-//! The replicated map: a small store of keys and values that all nodes of a tier hold a replica of.
+//! The replicated map: a small key-value store of which every node of a tier holds a replica.
 //!
 //! Each entry carries a Lamport counter (L. Lamport, "Time, Clocks, and the Ordering of Events in a
-//! Distributed System", 1978) and the name of the node that wrote it. Of two entries for one key the last
-//! writer wins: the one with the higher counter, then with the higher node name. A deletion is an entry
-//! without a value, a tombstone, and remains.
+//! Distributed System", 1978) and the name of the node that wrote it. Of two entries for one key, the entry
+//! with the higher counter wins (last writer wins). Entries with equal counters are ordered by the name of
+//! their node. A deletion is stored as an entry without a value (a tombstone), and tombstones are never
+//! removed.
 //!
-//! The map is eventually consistent: nodes that go on exchanging digests and entries converge to the same
-//! map, whatever messages were lost, repeated or reordered. `docs/design.md` says why that is enough.
+//! The map is eventually consistent: nodes that exchange digests and entries converge to the same map, even
+//! if messages are lost, repeated or reordered. `docs/design.md` explains why eventual consistency is
+//! sufficient.
 //!
-//! A node that restarted without its entries would write with low counters, and its writes would lose to
-//! older ones. Its writes are therefore unconfirmed until a message of another node has arrived. An
+//! A node that restarts without its entries assigns low counters to its writes, which would then lose to
+//! older entries. Writes made before the first message of another node are therefore unconfirmed. An
 //! unconfirmed write that loses to a received entry is repeated once, with a counter above that of the entry.
 //!
-//! [`ReplicatedMap`] owns the entries of one node. It sends and persists nothing: what has to be sent or
-//! stored is returned (`src/routing/replication.rs`). All sizes are bounded, those of received entries as
-//! well.
+//! [`ReplicatedMap`] owns the entries of one node. It neither sends nor persists anything, but returns the
+//! messages and entries to the caller (`src/routing/replication.rs`). All sizes are bounded, including those
+//! of received entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,80 +27,93 @@
 pub use super::entry::Entry;
 pub use super::replica_message::{AddressedReplicaMessage, ReplicaMessage};
 
-/// The longest key, in bytes. With this and the next two limits, any entry fits a datagram of 256 bytes.
+/// Longest key, in bytes. This limit and the next two ensure that every entry fits a datagram of 256 bytes.
 pub const MAX_KEY_LENGTH: usize = 72;
-/// The longest value, in bytes.
+/// Longest value, in bytes.
 pub const MAX_VALUE_LENGTH: usize = 96;
-/// The longest name of a node, in bytes.
+/// Longest name of a node, in bytes.
 pub const MAX_NODE_LENGTH: usize = 32;
-/// The highest counter that is accepted from another node. An entry with the last possible counter would make
-/// any further write impossible.
+/// Highest counter of a valid entry. If any counter were accepted from other nodes, an entry with the highest
+/// possible counter would make all further writes impossible.
 const MAX_COUNTER: u64 = u64::MAX / 2;
-/// The largest number of keys, tombstones included.
+/// Largest number of keys, including tombstones.
 const MAX_KEYS: usize = 4096;
-/// The largest number of entries that are sent for one digest. Others are sent for the next digests.
+/// Largest number of entries that are sent in answer to one digest. Further entries are sent in answer to
+/// later digests.
 const MAX_REPAIR_ENTRIES: usize = 8;
 
-/// Why a key was not written.
+/// Reason why a key was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WriteError {
-    /// The key or value is too long, the key is empty, or this node has no name.
-    #[error("the entry exceeds the limits of the replicated map")]
-    InvalidEntry,
-    /// The map holds its largest number of keys, and this is none of them.
-    #[error("the replicated map is full")]
+    /// The key or value is too long, the key is empty, this node has no name, or the counters are used up.
+    #[error(
+        "entry with a key of {key_length}, a value of {value_length} and a node name of {node_length} bytes \
+        exceeds the limits of the replicated map: key of 1 to {MAX_KEY_LENGTH}, value of up to \
+        {MAX_VALUE_LENGTH} and node name of 1 to {MAX_NODE_LENGTH} bytes"
+    )]
+    InvalidEntry {
+        /// Length of the key, in bytes.
+        key_length: usize,
+        /// Length of the value, in bytes; 0 for a deletion.
+        value_length: usize,
+        /// Length of this node's name, in bytes.
+        node_length: usize,
+    },
+    /// The key is new, and the map already holds its largest number of keys.
+    #[error("the replicated map already holds {MAX_KEYS} keys, its limit")]
     MapFull,
 }
 
-/// One node's replica of the map.
+/// Replica of the map at one node.
 #[derive(Debug, Default)]
 pub struct ReplicatedMap {
-    /// Name of this node; empty if it has no replica.
+    /// Name of this node; empty if the node does not take part in replication.
     node: String,
     entries: BTreeMap<String, Entry>,
-    /// The highest counter of any entry that was written or merged here.
+    /// Highest counter of all entries that were written or merged at this node.
     highest_counter: u64,
-    /// Keys written here that another node may hold newer entries of.
+    /// Keys that were written at this node and for which another node may hold newer entries.
     unconfirmed_writes: BTreeSet<String>,
-    /// Whether a message of another node was received.
+    /// Whether a message of another node has been received.
     has_peer_contact: bool,
     repair_position: RepairPosition,
 }
 
 impl ReplicatedMap {
-    /// An empty replica of this node.
+    /// Creates an empty replica for the node of this name. An empty name disables replication.
     pub fn new(node: &str) -> ReplicatedMap {
         ReplicatedMap { node: node.to_owned(), ..ReplicatedMap::default() }
     }
 
-    /// Whether this node takes part in replication.
+    /// Returns whether this node takes part in replication.
     pub fn is_enabled(&self) -> bool {
         !self.node.is_empty()
     }
 
-    /// The entry of a key, which may be a tombstone.
+    /// Returns the entry of a key, which may be a tombstone.
     pub fn entry(&self, key: &str) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// The value of a key.
+    /// Returns the value of a key, or `None` if the key is missing or deleted.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.entries.get(key)?.value.as_deref()
     }
 
-    /// The values of all keys with this prefix, each with the rest of its key, in the order of the keys.
+    /// Returns the values of all keys with this prefix in the order of the keys, each with the part of its
+    /// key that follows the prefix.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
         let matching =
             self.entries.range(prefix.to_owned()..).take_while(move |(key, _)| key.starts_with(prefix));
         matching.filter_map(move |(key, entry)| Some((&key[prefix.len()..], entry.value.as_deref()?)))
     }
 
-    /// All entries, tombstones included.
+    /// Returns all keys with their entries, including tombstones.
     pub fn entries(&self) -> impl Iterator<Item = (&String, &Entry)> {
         self.entries.iter()
     }
 
-    /// Whether a map may hold this entry.
+    /// Returns whether the map accepts this entry.
     pub fn is_valid(key: &str, entry: &Entry) -> bool {
         let value_length = entry.value.as_ref().map_or(0, String::len);
         !key.is_empty()
@@ -108,11 +123,11 @@
             && entry.counter <= MAX_COUNTER
     }
 
-    /// Writes a key at this node, or deletes it where `value` is `None`. Returns the new entry.
+    /// Writes a key at this node, or deletes it if `value` is `None`. Returns the new entry.
     ///
     /// # Errors
     ///
-    /// The entry would not be valid, or the map is full.
+    /// Returns an error if the entry would be invalid or the map is full.
     pub fn write(&mut self, key: &str, value: Option<&str>) -> Result<Entry, WriteError> {
         let entry = Entry {
             counter: self.highest_counter + 1,
@@ -123,16 +138,20 @@
             self.unconfirmed_writes.insert(key.to_owned());
         }
         if !Self::is_valid(key, &entry) {
-            return Err(WriteError::InvalidEntry);
+            return Err(WriteError::InvalidEntry {
+                key_length: key.len(),
+                value_length: value.map_or(0, str::len),
+                node_length: self.node.len(),
+            });
         }
-        // The counter is higher than any other, so only a full map can reject the entry.
+        // The counter is higher than that of any other entry, so only a full map can reject the entry.
         if !self.merge_entry(key, entry.clone()) {
             return Err(WriteError::MapFull);
         }
         Ok(entry)
     }
 
-    /// Merges an entry that was written at any node. Returns whether it replaced the local one.
+    /// Merges an entry that was written at any node. Returns whether the entry was stored.
     pub fn merge_entry(&mut self, key: &str, entry: Entry) -> bool {
         let is_full = self.entries.len() >= MAX_KEYS && !self.entries.contains_key(key);
         let is_superseded = self.entries.get(key).is_some_and(|local| *local >= entry);
@@ -144,30 +163,32 @@
         true
     }
 
-    /// Merges an entry of another node. Returns the key's new entry, if it has changed: the received one, or
-    /// the repeated one of an unconfirmed write that lost to it.
+    /// Merges an entry received from another node. Returns the new entry of the key, or `None` if the key is
+    /// unchanged. The new entry is the received one, or the repetition of an unconfirmed write that lost to
+    /// it.
     pub fn merge_remote_entry(&mut self, key: &str, entry: Entry) -> Option<Entry> {
         self.has_peer_contact = true;
         let local = self.entries.get(key).cloned();
         let merged = self.merge_entry(key, entry.clone()).then_some(entry);
         let was_unconfirmed = self.unconfirmed_writes.remove(key);
         match local.filter(|_| was_unconfirmed && merged.is_some()) {
-            Some(lost) => self.write(key, lost.value.as_deref()).ok(),
+            Some(overwritten) => self.write(key, overwritten.value.as_deref()).ok(),
             None => merged,
         }
     }
 
-    /// The digest of all entries.
+    /// Returns the digest of all entries.
     pub fn digest(&self) -> Digest {
         digest_of(self.entries.iter())
     }
 
-    /// The messages to a node with this digest: some entries of the buckets in which the digests differ.
+    /// Returns the messages to a node with this digest: at most `MAX_REPAIR_ENTRIES` entries of the buckets
+    /// in which the digests differ.
     pub fn repair(&mut self, remote: &Digest) -> Vec<ReplicaMessage> {
         self.has_peer_contact = true;
         let local = self.digest();
         if local == *remote {
-            // The other node has the same entries, so none of its entries supersedes a write of this node.
+            // The other node has the same entries, so none of its entries supersedes a local write.
             self.unconfirmed_writes.clear();
         }
         let differs = |key: &str| local[bucket_of(key)] != remote[bucket_of(key)];
