--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of a hot restart as they are written and read.
+//! Encoding and decoding of the messages of a hot restart.
 
 use connection_balancer::protocol::hot_restart::{decode, encode, HandoverMessage, Part};
 use connection_balancer::routing::store::Entry;
@@ -6,7 +6,7 @@
 use connection_balancer::{LearnedState, Time};
 use proptest::prelude::*;
 
-fn maybe_time() -> impl Strategy<Value = Option<Time>> {
+fn optional_time() -> impl Strategy<Value = Option<Time>> {
     prop::option::of(any::<u64>().prop_map(Time))
 }
 
@@ -15,24 +15,24 @@
 }
 
 fn learned_state() -> impl Strategy<Value = LearnedState> {
-    (0.0..1e9f64, maybe_time(), 0u32..17, maybe_time(), any::<u64>()).prop_map(
-        |(ceiling, at, failures, failed_at, until)| LearnedState {
+    (0.0..1e9f64, optional_time(), 0u32..17, optional_time(), any::<u64>()).prop_map(
+        |(ceiling, last_event, failure_score, last_failure, ejected_until)| LearnedState {
             ceiling,
-            failure_score: failures,
-            last_failure: failed_at,
-            ejected_until: Time(until),
-            next_slow_start_send: Time(until / 2),
-            last_fault: at,
-            last_migration: at,
+            failure_score,
+            last_failure,
+            ejected_until: Time(ejected_until),
+            next_slow_start_send: Time(ejected_until / 2),
+            last_fault: last_event,
+            last_migration: last_event,
         },
     )
 }
 
 fn endpoint() -> impl Strategy<Value = Endpoint> {
-    (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, maybe_time()).prop_map(
-        |(name, zone, cell, ready, weight, started)| Endpoint {
+    (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, optional_time()).prop_map(
+        |(name, zone, cell, is_ready, weight, started)| Endpoint {
             address: format!("{name}:1"),
-            lifecycle: if ready { Lifecycle::Ready } else { Lifecycle::Draining },
+            lifecycle: if is_ready { Lifecycle::Ready } else { Lifecycle::Draining },
             name,
             zone,
             cell,
@@ -55,7 +55,7 @@
 }
 
 fn established_message() -> impl Strategy<Value = HandoverMessage> {
-    (name(), any_request(), maybe_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
+    (name(), any_request(), optional_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
         |(server, request, awaiting_server_since, state)| {
             let load = request.load;
             let established = EstablishedConnection { load, request, server, awaiting_server_since };
@@ -86,10 +86,10 @@
 }
 
 proptest! {
-    /// A message whose end is cut off, or that is followed by anything, cannot be decoded.
+    /// A message decodes to itself. A truncated message, or one followed by further bytes, cannot be decoded.
     #[test]
-    fn reads_messages_as_they_were_written(message in messages(), cut in any::<prop::sample::Index>()) {
-        let mut bytes = encode(&message).expect("fits");
+    fn decodes_exactly_the_encoded_messages(message in messages(), cut in any::<prop::sample::Index>()) {
+        let mut bytes = encode(&message).expect("fits a datagram");
         prop_assert_eq!(decode(&bytes), Some(message));
         prop_assert_eq!(decode(&bytes[..cut.index(bytes.len())]), None);
         bytes.push(0);
@@ -97,7 +97,7 @@
     }
 
     #[test]
-    fn reads_or_ignores_any_bytes(mut bytes in prop::collection::vec(any::<u8>(), 0..300), has_magic in any::<bool>()) {
+    fn decodes_or_rejects_any_bytes(mut bytes in prop::collection::vec(any::<u8>(), 0..300), has_magic in any::<bool>()) {
         if has_magic {
             bytes.splice(0..0, *b"SGH1");
         }
@@ -105,9 +105,9 @@
     }
 }
 
-/// Processes of different versions hand over to one another, so the bytes must not change.
+/// Processes of different versions hand over to each other, so the encoding must not change.
 #[test]
-fn known_messages_keep_their_bytes() {
+fn known_messages_keep_their_encoding() {
     let learned = LearnedState {
         ceiling: 4.5,
         last_fault: Some(Time(7)),
@@ -126,15 +126,16 @@
         weight: 1.5,
         started: Some(Time(11)),
     };
-    let listed = Part::Endpoint { pool: "irc".to_owned(), endpoint, learned: Some(learned) };
-    let share = HandoverMessage::ShareExclusion { number: 5, server: "s-1".to_owned(), excluded: true };
+    let endpoint_part = Part::Endpoint { pool: "irc".to_owned(), endpoint, learned: Some(learned) };
+    let share_exclusion =
+        HandoverMessage::ShareExclusion { number: 5, server: "s-1".to_owned(), excluded: true };
     for (message, expected) in [
         (HandoverMessage::RequestState, r"SGH1T"),
-        (share, r"SGH1B\x00\x00\x00\x00\x00\x00\x00\x05\x00\x03s-1\x01"),
+        (share_exclusion, r"SGH1B\x00\x00\x00\x00\x00\x00\x00\x05\x00\x03s-1\x01"),
         (HandoverMessage::ExclusionAcknowledged { number: 5 }, r"SGH1A\x00\x00\x00\x00\x00\x00\x00\x05"),
         (HandoverMessage::Part(Part::OpenDescriptors(6)), r"SGH1PL\x00\x00\x00\x00\x00\x00\x00\x06"),
         (
-            HandoverMessage::Part(listed),
+            HandoverMessage::Part(endpoint_part),
             r"SGH1PH\x00\x03irc\x00\x03s-1\x00\x03a:1\x00\x01z\x00\x00\x00\x02\x01?\xf8\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x0b\x01@\x12\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00\x00\x00\x03\x00\x00\x00\x00\x00\x00\x00\x00\x08\x00\x00\x00\x00\x00\x00\x00\t\x01\x00\x00\x00\x00\x00\x00\x00\n",
         ),
     ] {
--- a/tests/reducer/hot_restart/mod.rs
+++ b/tests/reducer/hot_restart/mod.rs
@@ -1,4 +1,4 @@
-//! Hot restart: the reducers of predecessor and successor, and the messages between them.
+//! Hot restart: the reducers of a predecessor and a successor, and the messages between them.
 
 mod messages;
 mod random_steps;
@@ -18,40 +18,47 @@
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
     match call(harness, AdminCall::Metrics).pop() {
         Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) => metrics,
-        other => panic!("{other:?}"),
+        other => panic!("last effect of a call for metrics is {other:?}"),
     }
 }
 
-/// The state that a process exports, as its successor reads it from the messages.
-fn export_state(old: &mut ReducerHarness) -> Box<HandoverState> {
-    let effects = old.feed(Input::SuccessorStarted);
-    let Some(Effect::ExportState(exported)) = effects.last() else { panic!("{effects:?}") };
-    assert!(effects.contains(&Effect::SetAccepting { open: false }), "it accepts no more");
+/// Has a process export its state, and returns the state that the successor decodes from the messages.
+fn export_state(predecessor: &mut ReducerHarness) -> Box<HandoverState> {
+    let effects = predecessor.feed(Input::SuccessorStarted);
+    let Some(Effect::ExportState(exported)) = effects.last() else {
+        panic!("no state exported: {effects:?}")
+    };
+    assert!(effects.contains(&Effect::SetAccepting { open: false }), "predecessor still accepts connections");
     let mut received = HandoverState::default();
     for part in split_state((**exported).clone()) {
-        let bytes = encode(&HandoverMessage::Part(part)).expect("fits");
-        let Some(HandoverMessage::Part(part)) = decode(&bytes) else { panic!("{bytes:?}") };
+        let bytes = encode(&HandoverMessage::Part(part)).expect("a part fits a message");
+        let Some(HandoverMessage::Part(part)) = decode(&bytes) else {
+            panic!("cannot decode the encoded part {bytes:?}")
+        };
         add_part(&mut received, part);
     }
     assert_eq!(received, **exported);
     Box::new(received)
 }
 
-/// A successor that serves, and the effects at its predecessor.
-fn start_successor_with_effects(old: &mut ReducerHarness) -> (ReducerHarness, Vec<Effect>) {
-    let mut new = ReducerHarness::new();
-    new.now = old.now;
-    let exported = export_state(old);
-    new.feed(Input::ImportState(exported));
-    (new, old.feed(Input::SuccessorReady))
+/// Starts a successor that serves, and returns it with the effects at the predecessor.
+fn start_successor_with_effects(predecessor: &mut ReducerHarness) -> (ReducerHarness, Vec<Effect>) {
+    let mut successor = ReducerHarness::new();
+    successor.now = predecessor.now;
+    let exported = export_state(predecessor);
+    successor.feed(Input::ImportState(exported));
+    (successor, predecessor.feed(Input::SuccessorReady))
 }
 
-/// A successor that serves, and the connections that are transferred to it.
-fn start_successor(old: &mut ReducerHarness) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
-    let (new, effects) = start_successor_with_effects(old);
-    (new, transferred(&effects))
+/// Starts a successor that serves, and returns it with the connections that the predecessor transfers.
+fn start_successor(
+    predecessor: &mut ReducerHarness,
+) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
+    let (successor, effects) = start_successor_with_effects(predecessor);
+    (successor, transferred(&effects))
 }
 
+/// Returns the connections that these effects transfer to the successor.
 fn transferred(effects: &[Effect]) -> Vec<(ConnectionId, EstablishedConnection)> {
     let transfer = |effect: &Effect| match effect {
         Effect::TransferConnection { connection, established, .. } => {
@@ -64,14 +71,18 @@
 
 /// Completes the transfer of connections, and returns their ids at the successor.
 fn complete_transfer(
-    new: &mut ReducerHarness,
-    old: &mut ReducerHarness,
+    successor: &mut ReducerHarness,
+    predecessor: &mut ReducerHarness,
     transferred: Vec<(ConnectionId, EstablishedConnection)>,
 ) -> Vec<ConnectionId> {
-    let transfer = |(n, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
-        assert_eq!(old.feed(Input::ConnectionTransferred { connection }), [], "nothing of it ended");
-        let connection = ConnectionId(1_000_000 + n as u64);
-        new.feed(Input::ConnectionReceived { connection, pool: 0, established });
+    let transfer = |(index, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
+        assert_eq!(
+            predecessor.feed(Input::ConnectionTransferred { connection }),
+            [],
+            "unexpected effects of a completed transfer"
+        );
+        let connection = ConnectionId(1_000_000 + index as u64);
+        successor.feed(Input::ConnectionReceived { connection, pool: 0, established });
         connection
     };
     transferred.into_iter().enumerate().map(transfer).collect()
--- a/tests/reducer/hot_restart/random_steps.rs
+++ b/tests/reducer/hot_restart/random_steps.rs
@@ -1,4 +1,4 @@
-//! Connections through any number of hot restarts.
+//! Connections across any number of hot restarts, in random steps.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,28 @@
 use super::{metrics, start_successor_with_effects};
 use crate::reducer_harness::{connection_request, ReducerHarness, SERVERS};
 
-/// An open connection: at which process, its id there, the attempt in flight, and whether it is established.
+/// An open connection.
 #[derive(Clone, Copy)]
 struct OpenConnection {
+    /// Index of the process that has the connection.
     process: usize,
+    /// Id of the connection at that process.
     connection: ConnectionId,
+    /// Number of the attempt in flight or accepted.
     attempt: Option<u32>,
     established: bool,
 }
 
-/// One process after the other, the last of which serves.
+/// A sequence of processes, of which the last one serves, and the expected state of their connections.
 #[derive(Default)]
 struct Model {
     harnesses: Vec<ReducerHarness>,
+    /// Open connections, by their number in the test.
     open: BTreeMap<u64, OpenConnection>,
-    done: usize,
-    next: u64,
+    /// Number of connections that were answered.
+    answered: usize,
+    /// Number of connections that were requested; also the number of the last one.
+    requested: u64,
     excluded: Vec<&'static str>,
 }
 
@@ -35,27 +41,28 @@
 }
 
 impl Model {
-    fn step(&mut self, what: u8, which: usize) -> Result<(), TestCaseError> {
-        let now = self.harnesses.len() - 1;
-        let chosen = self.open.values().nth(which % self.open.len().max(1)).copied();
-        let connecting = chosen.filter(|open| !open.established);
+    /// Executes a random step. `index` selects its connection or server.
+    fn step(&mut self, step: u8, index: usize) -> Result<(), TestCaseError> {
+        let serving = self.harnesses.len() - 1;
+        let selected = self.open.values().nth(index % self.open.len().max(1)).copied();
+        let connecting = selected.filter(|open| !open.established);
         let attempt_of = |open: OpenConnection| Some((open, open.attempt?));
-        match (what, connecting.and_then(attempt_of)) {
-            (0..=2, _) => self.request_connection(now),
+        match (step, connecting.and_then(attempt_of)) {
+            (0..=2, _) => self.request_connection(serving),
             (3 | 4, Some((open, attempt))) => self.accept_attempt(open, attempt),
             (5, Some((open, attempt))) => self.reject_attempt(open, attempt),
-            (6, _) => self.exclude_or_readmit(now, SERVERS[which % 2]),
-            // Not before all connections of the process before it are there.
-            (7, _) if self.open.values().all(|open| open.process == now) => self.restart(now),
+            (6, _) => self.exclude_or_readmit(serving, SERVERS[index % 2]),
+            // The next restart begins only after all connections have left the predecessor.
+            (7, _) if self.open.values().all(|open| open.process == serving) => self.restart(serving),
             _ => Ok(()),
         }
     }
 
     fn request_connection(&mut self, process: usize) -> Result<(), TestCaseError> {
         let connection = self.harnesses[process].connect_client();
-        self.next += 1;
+        self.requested += 1;
         let open = OpenConnection { process, connection, attempt: None, established: false };
-        self.open.insert(self.next, open);
+        self.open.insert(self.requested, open);
         self.feed(process, Input::ConnectionRequested { connection, request: connection_request() })
     }
 
@@ -76,27 +83,27 @@
         self.feed(process, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
     }
 
-    /// Whichever process is called, the other is notified.
-    fn exclude_or_readmit(&mut self, now: usize, server: &'static str) -> Result<(), TestCaseError> {
+    /// Excludes or readmits a server at the serving process and at its predecessor, if there is one.
+    fn exclude_or_readmit(&mut self, serving: usize, server: &'static str) -> Result<(), TestCaseError> {
         let excluded = !self.excluded.contains(&server);
         self.excluded.retain(|name| *name != server);
         self.excluded.extend(excluded.then_some(server));
-        (now.saturating_sub(1)..=now).try_for_each(|process| {
+        (serving.saturating_sub(1)..=serving).try_for_each(|process| {
             self.feed(process, Input::ExclusionShared { server: server.to_owned(), excluded })
         })
     }
 
-    /// Starts a successor of the process that serves.
-    fn restart(&mut self, now: usize) -> Result<(), TestCaseError> {
-        self.feed(now, Input::PeerProcessLost)?;
-        let (new, effects) = start_successor_with_effects(&mut self.harnesses[now]);
-        self.harnesses.push(new);
-        self.carry_out(now, effects)
+    /// Ends the predecessor of the serving process, if there is one, and starts a successor.
+    fn restart(&mut self, serving: usize) -> Result<(), TestCaseError> {
+        self.feed(serving, Input::PeerProcessLost)?;
+        let (successor, effects) = start_successor_with_effects(&mut self.harnesses[serving]);
+        self.harnesses.push(successor);
+        self.apply_effects(serving, effects)
     }
 
     fn feed(&mut self, process: usize, input: Input) -> Result<(), TestCaseError> {
         let effects = self.harnesses[process].feed(input);
-        self.carry_out(process, effects)
+        self.apply_effects(process, effects)
     }
 
     fn find_open(&mut self, process: usize, connection: ConnectionId) -> Option<&mut OpenConnection> {
@@ -107,14 +114,16 @@
         self.open.iter().find(|(_, open)| open.is(process, connection)).map(|(&number, _)| number)
     }
 
-    fn carry_out(&mut self, process: usize, effects: Vec<Effect>) -> Result<(), TestCaseError> {
+    fn apply_effects(&mut self, process: usize, effects: Vec<Effect>) -> Result<(), TestCaseError> {
         for effect in effects {
             match effect {
                 Effect::OpenAttempt { connection, attempt, address, .. } => {
                     let is_excluded = self.excluded.iter().any(|server| address.starts_with(server));
-                    prop_assert!(!is_excluded, "an attempt to {address}");
-                    let open = self.find_open(process, connection).expect("it is open here");
-                    prop_assert!(open.attempt.is_none(), "two attempts at once");
+                    prop_assert!(!is_excluded, "attempt opened at the excluded server {address}");
+                    let open = self
+                        .find_open(process, connection)
+                        .expect("the connection of the attempt is open at this process");
+                    prop_assert!(open.attempt.is_none(), "connection has two attempts at the same time");
                     open.attempt = Some(attempt);
                 }
                 Effect::CloseAttempt { connection } => {
@@ -123,9 +132,11 @@
                     }
                 }
                 Effect::Answer { connection, .. } => {
-                    let number = self.number_of(process, connection).expect("answered here, and once");
+                    let number = self
+                        .number_of(process, connection)
+                        .expect("the answered connection is open at this process");
                     self.open.remove(&number);
-                    self.done += 1;
+                    self.answered += 1;
                 }
                 Effect::TransferConnection { connection, established, .. } => {
                     self.transfer(process, connection, established)?;
@@ -142,10 +153,12 @@
         connection: ConnectionId,
         established: EstablishedConnection,
     ) -> Result<(), TestCaseError> {
-        let number = self.number_of(process, connection).expect("it is open here");
+        let number =
+            self.number_of(process, connection).expect("a transferred connection is open at its process");
         let received = ConnectionId(1_000_000 + number);
-        let open = self.find_open(process, connection).expect("it is open here");
-        prop_assert!(open.established, "only established connections are transferred");
+        let open =
+            self.find_open(process, connection).expect("a transferred connection is open at its process");
+        prop_assert!(open.established, "connection transferred before it was established");
         *open = OpenConnection {
             process: process + 1,
             connection: received,
@@ -158,20 +171,20 @@
 }
 
 proptest! {
-    /// Through any number of hot restarts at any moment each connection is answered once or established, at one
-    /// process, and nothing new goes to an excluded server.
+    /// Across any number of hot restarts at any time, each connection is either open at exactly one process
+    /// or was answered exactly once, and no attempt is opened at an excluded server.
     #[test]
     fn loses_no_connection_through_hot_restarts(steps in prop::collection::vec((0u8..8, 0usize..6, 1u64..300_000), 1..120)) {
         let mut model = Model { harnesses: vec![ReducerHarness::new()], ..Model::default() };
-        for (what, which, pause) in steps {
+        for (step, index, pause) in steps {
             model.harnesses.iter_mut().for_each(|harness| harness.advance(Micros(pause)));
-            model.step(what, which)?;
+            model.step(step, index)?;
             for process in 0..model.harnesses.len() {
                 model.feed(process, Input::TimerFired)?;
             }
             let outstanding: u64 = model.harnesses.iter_mut().map(|harness| metrics(harness).outstanding).sum();
             prop_assert_eq!(outstanding, model.open.len() as u64);
-            prop_assert_eq!(model.open.len() + model.done, model.next as usize);
+            prop_assert_eq!(model.open.len() + model.answered, model.requested as usize);
         }
     }
 }
--- a/tests/reducer/hot_restart/state.rs
+++ b/tests/reducer/hot_restart/state.rs
@@ -1,4 +1,4 @@
-//! What the successor takes over, and what the predecessor does meanwhile.
+//! State and connections that the successor takes over, and the behaviour of the predecessor meanwhile.
 
 use connection_balancer::routing::*;
 use connection_balancer::Micros;
@@ -7,27 +7,27 @@
 use crate::reducer_harness::{connection_request, ReducerHarness, SERVERS};
 
 #[test]
-fn transfers_established_connections_with_all_that_is_known_of_them() {
-    let mut old = ReducerHarness::new();
-    let connections: Vec<ConnectionId> = (0..20).map(|_| old.establish_connection()).collect();
-    old.feed(Input::LoadReported { connection: connections[0], load: 50_000.0 });
-    old.feed(Input::LineForwarded { connection: connections[0] });
-    let (mut new, established) = start_successor(&mut old);
+fn transfers_established_connections_with_their_load_and_silence() {
+    let mut predecessor = ReducerHarness::new();
+    let connections: Vec<ConnectionId> = (0..20).map(|_| predecessor.establish_connection()).collect();
+    predecessor.feed(Input::LoadReported { connection: connections[0], load: 50_000.0 });
+    predecessor.feed(Input::LineForwarded { connection: connections[0] });
+    let (mut successor, established) = start_successor(&mut predecessor);
     assert_eq!(established.len(), 20);
     assert_eq!(established[0].1.load, Some(50_000.0));
-    let at_successor = complete_transfer(&mut new, &mut old, established);
-    assert_eq!((metrics(&mut old).outstanding, metrics(&mut new).outstanding), (0, 20));
-    // The silence of a server counts from the first unanswered line, and only one connection has sent one.
-    new.advance(Micros(5_000_001));
-    let effects = new.feed(Input::TimerFired);
+    let at_successor = complete_transfer(&mut successor, &mut predecessor, established);
+    assert_eq!((metrics(&mut predecessor).outstanding, metrics(&mut successor).outstanding), (0, 20));
+    // A server counts as silent from the first unanswered line, and only one connection has sent a line.
+    successor.advance(Micros(5_000_001));
+    let effects = successor.feed(Input::TimerFired);
     assert_eq!(
         effects.first(),
         Some(&Effect::Answer { connection: at_successor[0], answer: Answer::Migrated })
     );
     assert_eq!(effects.len(), 2, "{effects:?}");
-    // They migrate with their servers' other clients.
+    // The other 19 connections are migrated when their servers are no longer listed.
     let effects: Vec<Effect> =
-        (0..SERVERS.len()).flat_map(|server| new.update_endpoint(server, Lifecycle::Gone)).collect();
+        (0..SERVERS.len()).flat_map(|server| successor.update_endpoint(server, Lifecycle::Gone)).collect();
     assert_eq!(
         effects
             .iter()
@@ -37,88 +37,92 @@
     );
 }
 
-/// Clients that connected to the predecessor are placed there, and transferred once they are established.
+/// A predecessor still places clients that connected to it, even during a shutdown, and transfers them once
+/// they are established.
 #[test]
 fn places_clients_of_the_predecessor_and_transfers_them_once_established() {
-    let mut old = ReducerHarness::new();
-    let (silent, (placing, _)) = (old.connect_client(), old.forward_request());
-    let (mut new, established) = start_successor(&mut old);
+    let mut predecessor = ReducerHarness::new();
+    let (handshaking, (connecting, _)) = (predecessor.connect_client(), predecessor.forward_request());
+    let (mut successor, established) = start_successor(&mut predecessor);
     assert_eq!(established, []);
-    old.feed(Input::ShutdownRequested);
-    let effects = old.feed(Input::ConnectionRequested { connection: silent, request: connection_request() });
-    assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "rejected: {effects:?}");
-    let up = old.feed(Input::AttemptAccepted { connection: placing, attempt: 0 });
-    assert_eq!(complete_transfer(&mut new, &mut old, transferred(&up)).len(), 1);
-    old.feed(Input::RequestForwarded { connection: silent, attempt: 0 });
-    let up = old.feed(Input::AttemptAccepted { connection: silent, attempt: 0 });
-    let last = transferred(&up);
-    assert_eq!(last.len(), 1);
+    predecessor.feed(Input::ShutdownRequested);
+    let effects = predecessor
+        .feed(Input::ConnectionRequested { connection: handshaking, request: connection_request() });
+    assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "request not placed: {effects:?}");
+    let effects = predecessor.feed(Input::AttemptAccepted { connection: connecting, attempt: 0 });
+    assert_eq!(complete_transfer(&mut successor, &mut predecessor, transferred(&effects)).len(), 1);
+    predecessor.feed(Input::RequestForwarded { connection: handshaking, attempt: 0 });
+    let effects = predecessor.feed(Input::AttemptAccepted { connection: handshaking, attempt: 0 });
+    let last_transfer = transferred(&effects);
+    assert_eq!(last_transfer.len(), 1);
     assert_eq!(
-        old.feed(Input::ConnectionTransferred { connection: last[0].0 }),
+        predecessor.feed(Input::ConnectionTransferred { connection: last_transfer[0].0 }),
         [Effect::Exit],
-        "with no connection left it may exit early"
+        "no exit after the last connection was transferred"
     );
 }
 
 #[test]
 fn imports_exclusions_learned_state_and_open_ids() {
-    let mut old = ReducerHarness::new();
-    let (connection, _) = old.forward_request();
-    old.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
-    call(&mut old, AdminCall::Exclude(SERVERS[3].to_owned()));
-    call(&mut old, AdminCall::Exclude(SERVERS[4].to_owned()));
-    call(&mut old, AdminCall::Readmit(SERVERS[4].to_owned()));
-    let ejected = metrics(&mut old).ejected;
-    let open = old.connect_client();
-    old.feed(Input::ConnectionRequested {
-        connection: open,
+    let mut predecessor = ReducerHarness::new();
+    let (connection, _) = predecessor.forward_request();
+    predecessor.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
+    call(&mut predecessor, AdminCall::Exclude(SERVERS[3].to_owned()));
+    call(&mut predecessor, AdminCall::Exclude(SERVERS[4].to_owned()));
+    call(&mut predecessor, AdminCall::Readmit(SERVERS[4].to_owned()));
+    let ejected = metrics(&mut predecessor).ejected;
+    let connection = predecessor.connect_client();
+    predecessor.feed(Input::ConnectionRequested {
+        connection,
         request: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
     });
-    let mut new = ReducerHarness::new();
-    new.now = old.now;
-    let exported = export_state(&mut old);
+    let mut successor = ReducerHarness::new();
+    successor.now = predecessor.now;
+    let exported = export_state(&mut predecessor);
     assert_eq!(exported.pools["platform"].readmitted.len(), 1);
-    new.feed(Input::ImportState(exported.clone()));
-    assert_eq!(metrics(&mut new).ejected, ejected);
-    // It exports the same to the next.
-    new.feed(Input::PeerProcessLost);
-    let mut next = export_state(&mut new);
-    let (pool, before) = (next.pools.get_mut("platform").expect("there"), &exported.pools["platform"]);
-    pool.ids.clone_from(&before.ids);
-    next.open_descriptors = exported.open_descriptors;
-    assert_eq!(next, exported);
-    // The id of a connection that is open at the predecessor is not free as long as that process may be there.
-    let mut third = ReducerHarness::new();
-    third.now = old.now;
-    third.feed(Input::ImportState(exported));
-    for (lost, answered) in [(false, true), (true, false)] {
-        if lost {
-            third.feed(Input::PeerProcessLost);
+    successor.feed(Input::ImportState(exported.clone()));
+    assert_eq!(metrics(&mut successor).ejected, ejected);
+    // The successor exports the same state to its own successor, except for request ids and descriptors.
+    successor.feed(Input::PeerProcessLost);
+    let mut exported_again = export_state(&mut successor);
+    let pool = exported_again.pools.get_mut("platform").expect("the pool is exported");
+    pool.ids.clone_from(&exported.pools["platform"].ids);
+    exported_again.open_descriptors = exported.open_descriptors;
+    assert_eq!(exported_again, exported);
+    // The id of a connection that is open at the predecessor is in use until the predecessor is lost.
+    let mut second_successor = ReducerHarness::new();
+    second_successor.now = predecessor.now;
+    second_successor.feed(Input::ImportState(exported));
+    for (predecessor_is_lost, id_is_rejected) in [(false, true), (true, false)] {
+        if predecessor_is_lost {
+            second_successor.feed(Input::PeerProcessLost);
         }
-        let connection = third.connect_client();
-        let effects = third.feed(Input::ConnectionRequested {
+        let connection = second_successor.connect_client();
+        let effects = second_successor.feed(Input::ConnectionRequested {
             connection,
             request: ConnectionRequest { id: Some("a".to_owned()), ..connection_request() },
         });
-        assert_eq!(effects == [Effect::Answer { connection, answer: Answer::Failed }], answered);
+        assert_eq!(effects == [Effect::Answer { connection, answer: Answer::Failed }], id_is_rejected);
     }
 }
 
-/// Two processes that each fill a cold server as fast as it bears would overload it.
+/// If both processes filled a cold server at the full rate of its slow start, they would overload it.
 #[test]
 fn leaves_cold_servers_to_the_successor() {
-    let mut old = ReducerHarness::new();
+    let mut predecessor = ReducerHarness::new();
     for _ in 0..20 {
-        old.establish_connection();
+        predecessor.establish_connection();
     }
-    call(&mut old, AdminCall::Exclude(SERVERS[2].to_owned()));
-    call(&mut old, AdminCall::Readmit(SERVERS[2].to_owned()));
-    let address = old.address(SERVERS[2]);
-    start_successor(&mut old);
+    call(&mut predecessor, AdminCall::Exclude(SERVERS[2].to_owned()));
+    call(&mut predecessor, AdminCall::Readmit(SERVERS[2].to_owned()));
+    let address = predecessor.address(SERVERS[2]);
+    start_successor(&mut predecessor);
     for _ in 0..200 {
-        old.advance(Micros::from_millis(20));
-        let connection = old.connect_client();
-        for effect in old.feed(Input::ConnectionRequested { connection, request: connection_request() }) {
+        predecessor.advance(Micros::from_millis(20));
+        let connection = predecessor.connect_client();
+        for effect in
+            predecessor.feed(Input::ConnectionRequested { connection, request: connection_request() })
+        {
             assert!(
                 !matches!(&effect, Effect::OpenAttempt { address: opened, .. } if *opened == address),
                 "{effect:?}"
@@ -129,57 +133,59 @@
 
 #[test]
 fn replies_to_an_exclusion_once_the_peer_process_has_acknowledged_it() {
-    let accepted = Effect::AdminReply { admin_client: ADMIN_CLIENT, reply: AdminResponse::Yes };
+    let reply_yes = Effect::AdminReply { admin_client: ADMIN_CLIENT, reply: AdminResponse::Yes };
     let server = SERVERS[1].to_owned();
-    let mut old = ReducerHarness::new();
-    let (new, _) = start_successor(&mut old);
-    for mut harness in [old, new] {
+    let mut predecessor = ReducerHarness::new();
+    let (successor, _) = start_successor(&mut predecessor);
+    for mut harness in [predecessor, successor] {
         let effects = call(&mut harness, AdminCall::Exclude(server.clone()));
-        let share =
+        let share_exclusion =
             Effect::ShareExclusion { admin_client: ADMIN_CLIENT, server: server.clone(), excluded: true };
-        assert_eq!(effects.last(), Some(&share));
-        assert_eq!(metrics(&mut harness).ejected, 1, "it takes effect here at once");
+        assert_eq!(effects.last(), Some(&share_exclusion));
+        assert_eq!(metrics(&mut harness).ejected, 1, "exclusion not in effect before the acknowledgement");
         assert_eq!(
             harness.feed(Input::ExclusionAcknowledged { admin_client: ADMIN_CLIENT }),
-            vec![accepted.clone()]
+            vec![reply_yes.clone()]
         );
         assert_eq!(
             harness.feed(Input::ExclusionAcknowledged { admin_client: ADMIN_CLIENT }),
             [],
-            "answered once"
+            "second reply to one call"
         );
-        // A peer process that hangs, or is gone, delays no reply.
+        // A peer process that hangs delays a reply by at most 500 ms, and the end of the peer process ends
+        // the wait.
         call(&mut harness, AdminCall::Readmit(server.clone()));
         harness.advance(Micros::from_millis(500));
-        assert_eq!(harness.feed(Input::TimerFired), vec![accepted.clone()]);
+        assert_eq!(harness.feed(Input::TimerFired), vec![reply_yes.clone()]);
         call(&mut harness, AdminCall::Exclude(server.clone()));
-        assert!(harness.feed(Input::PeerProcessLost).contains(&accepted));
+        assert!(harness.feed(Input::PeerProcessLost).contains(&reply_yes));
         assert_eq!(
             call(&mut harness, AdminCall::Readmit(server.clone())).last(),
-            Some(&accepted),
-            "it is alone again"
+            Some(&reply_yes),
+            "reply delayed without a peer process"
         );
     }
-    let mut other = ReducerHarness::new();
-    other.feed(Input::ExclusionShared { server: server.clone(), excluded: true });
-    assert_eq!(metrics(&mut other).ejected, 1);
+    let mut peer_process = ReducerHarness::new();
+    peer_process.feed(Input::ExclusionShared { server: server.clone(), excluded: true });
+    assert_eq!(metrics(&mut peer_process).ejected, 1);
 }
 
 #[test]
 fn accepts_again_when_its_successor_is_lost() {
-    for served in [false, true] {
-        let mut old = ReducerHarness::new();
-        old.feed(Input::SuccessorStarted);
-        if served {
-            old.feed(Input::SuccessorReady);
+    for successor_serves in [false, true] {
+        let mut predecessor = ReducerHarness::new();
+        predecessor.feed(Input::SuccessorStarted);
+        if successor_serves {
+            predecessor.feed(Input::SuccessorReady);
             assert!(matches!(
-                call(&mut old, AdminCall::Ready)[..],
+                call(&mut predecessor, AdminCall::Ready)[..],
                 [Effect::AdminReply { reply: AdminResponse::No(_), .. }]
             ));
         }
-        assert!(old.feed(Input::PeerProcessLost).contains(&Effect::SetAccepting { open: true }));
-        let connection = old.connect_client();
-        let effects = old.feed(Input::ConnectionRequested { connection, request: connection_request() });
+        assert!(predecessor.feed(Input::PeerProcessLost).contains(&Effect::SetAccepting { open: true }));
+        let connection = predecessor.connect_client();
+        let effects =
+            predecessor.feed(Input::ConnectionRequested { connection, request: connection_request() });
         assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
     }
 }
