--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -20,7 +20,7 @@
 //!   zero, servers redirect their clients themselves. An excluded server does not know that it drains, so its
 //!   connections are migrated over [`EXCLUSION_DRAIN_DURATION`] in that case.
 //!
-//! The pool holds the lists ([`super::listed_endpoints::ListedEndpoints`],
+//! The pool owns the lists ([`super::listed_endpoints::ListedEndpoints`],
 //! [`super::endpoints::EndpointList`]); this module owns no state.
 
 use std::collections::BTreeMap;
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -1,9 +1,9 @@
 //! The watch on a pool's endpoint list: confirmations, failures, and the effect of the list's expiry on
 //! attempts in flight.
 //!
-//! The list is held under a lease that each answer of discovery renews. The balancer decides when the lease
-//! expires and when discovery is polled again (`src/policy/`). This module reports the events of the watch to
-//! the balancer:
+//! Each answer of discovery renews the lease on the list. The balancer decides when the lease expires and
+//! when discovery is polled again (`src/policy/`). This module reports the events of the watch to the
+//! balancer:
 //!
 //! - an answer, which confirms the list even if nothing has changed;
 //! - a poll that was not answered in time: the watch is silent, and the lease is not renewed;
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointWatchTiming {
     /// Time after which the watch counts as silent, if discovery has not answered a poll. It is counted from
-    /// the end of the time for which discovery may hold the poll open.
+    /// the end of the time for which discovery may keep the poll open.
     pub answer_timeout: Micros,
     /// Longest time that the poll which reopens a silent watch may take.
     pub reopening_timeout: Micros,
--- a/src/routing/exclusions.rs
+++ b/src/routing/exclusions.rs
@@ -62,7 +62,7 @@
         if self.replication.is_enabled() {
             return self.write_exclusion(now, server, excluded);
         }
-        if self.exclusions.set(server, excluded) {
+        if self.exclusions.set_excluded(server, excluded) {
             let server = server.to_owned();
             self.effects.push(Effect::Log(match excluded {
                 true => LogEvent::ServerExcluded { server },
@@ -86,7 +86,7 @@
 
     /// Requests that the exclusions of this process are stored on disk.
     pub(super) fn persist_exclusions(&mut self) {
-        self.effects.push(Effect::PersistExclusions(self.exclusions.names()));
+        self.effects.push(Effect::PersistExclusions(self.exclusions.excluded_names()));
     }
 
     /// Applies an exclusion or readmission that an operator made at the peer process.
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -44,7 +44,7 @@
     fn export_state(&self) -> HandoverState {
         let pools = self.pools.iter().map(|pool| (pool.config.name.to_owned(), pool.export_state()));
         HandoverState {
-            excluded_by_operator: self.exclusions.names(),
+            excluded_by_operator: self.exclusions.excluded_names(),
             ever_listed: self.exclusions.names_ever_listed(),
             entries: self.replication.entries(),
             pools: pools.collect(),
@@ -133,9 +133,9 @@
         pool.admitted.add_transferred(&established.request);
         let load = established.load;
         let profile = self.insert_received_connection(now, id, pool_id, server, established);
-        self.restore_in_balancer(now, id, pool_id, server, profile);
+        self.report_to_balancer(now, id, pool_id, server, profile);
         if let Some(load) = load {
-            self.restore_load(now, id, pool_id, load);
+            self.record_transferred_load(now, id, pool_id, load);
         }
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, None);
@@ -177,7 +177,7 @@
     }
 
     /// Reports a transferred connection to the balancer.
-    fn restore_in_balancer(
+    fn report_to_balancer(
         &mut self,
         now: Time,
         id: ConnectionId,
@@ -192,7 +192,7 @@
     }
 
     /// Records the load that the server reported last for a transferred connection.
-    fn restore_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
+    fn record_transferred_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
         self.connections.record_load(id, load);
         self.pools[pool_id].load_reports.add_load(load);
         let measurement = Measurement::Load(load);
@@ -219,7 +219,7 @@
     /// Replies to an admin client after the peer process has acknowledged its exclusion, or after the wait
     /// for the acknowledgement has ended.
     pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
-        if self.hot_restart.end_wait(admin_client) {
+        if self.hot_restart.end_acknowledgement_wait(admin_client) {
             self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
         }
     }
--- a/src/routing/hot_restart_state.rs
+++ b/src/routing/hot_restart_state.rs
@@ -87,7 +87,7 @@
     }
 
     /// Ends the wait of the reply to an admin client. Returns false if the reply was not waiting.
-    pub(super) fn end_wait(&mut self, admin_client: AdminClientId) -> bool {
+    pub(super) fn end_acknowledgement_wait(&mut self, admin_client: AdminClientId) -> bool {
         self.pending_acknowledgements.remove(&admin_client).is_some()
     }
 
--- a/src/routing/operator_exclusions.rs
+++ b/src/routing/operator_exclusions.rs
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub(super) struct OperatorExclusions {
     excluded: BTreeSet<String>,
-    /// Names of all servers that were ever listed.
+    /// Names of servers that were ever listed, unless discarded at [`MAX_SERVER_NAMES`].
     ever_listed: BTreeSet<String>,
 }
 
@@ -24,7 +24,7 @@
     }
 
     /// Returns the names of the excluded servers in ascending order.
-    pub(super) fn names(&self) -> Vec<String> {
+    pub(super) fn excluded_names(&self) -> Vec<String> {
         self.excluded.iter().cloned().collect()
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Excludes or readmits a server. Returns false if the server was already in that state.
-    pub(super) fn set(&mut self, server: &str, excluded: bool) -> bool {
+    pub(super) fn set_excluded(&mut self, server: &str, excluded: bool) -> bool {
         if excluded {
             self.excluded.insert(server.to_owned())
         } else {
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -1,6 +1,6 @@
 //! Replication of the map between nodes, by gossip over datagrams.
 //!
-//! [`super::replica`] holds the map, the addresses of the other replicas and the schedule of digests. Rules:
+//! [`super::replica`] owns the map, the addresses of the other replicas and the schedule of digests. Rules:
 //!
 //! - An entry that is written at this node is sent to all other replicas at once, in one datagram each. The
 //!   repetition of an unconfirmed write is not sent at once; it reaches the other replicas by the exchange of
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -1,4 +1,4 @@
-//! The replicated map: a small key-value store of which every node of a tier holds a replica.
+//! The replicated map: a small key-value store that is replicated to every node of a tier.
 //!
 //! Each entry carries a Lamport counter (L. Lamport, "Time, Clocks, and the Ordering of Events in a
 //! Distributed System", 1978) and the name of the node that wrote it. Of two entries for one key, the entry
@@ -59,8 +59,8 @@
         /// Length of this node's name, in bytes.
         node_length: usize,
     },
-    /// The key is new, and the map already holds its largest number of keys.
-    #[error("the replicated map already holds {MAX_KEYS} keys, its limit")]
+    /// The key is new, and the map already contains its largest number of keys.
+    #[error("the replicated map already contains {MAX_KEYS} keys, its limit")]
     MapFull,
 }
 
@@ -72,7 +72,7 @@
     entries: BTreeMap<String, Entry>,
     /// Highest counter of all entries that were written or merged at this node.
     highest_counter: u64,
-    /// Keys that were written at this node and for which another node may hold newer entries.
+    /// Keys that were written at this node and for which another node may have newer entries.
     unconfirmed_writes: BTreeSet<String>,
     /// Whether a message of another node has been received.
     has_peer_contact: bool,
