--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -1,77 +1,80 @@
-//! Admission rate: fewer new connections are admitted while what all servers share is slow.
+//! Admission rate: fewer new requests are admitted while a resource that all servers share is slow.
 //!
-//! **What is decided.** Whether a new request is admitted or shed at once, with
+//! **What is decided.** Whether a new request is admitted, or shed at once with
 //! [`RefusalReason::AdmissionRate`](crate::RefusalReason::AdmissionRate); and whether the failure of an
-//! attempt is correlated with another server's, so that its request ends with
+//! attempt is correlated with the failure of another server. A request with a correlated failure ends with
 //! [`RefusalReason::CorrelatedFailure`](crate::RefusalReason::CorrelatedFailure) (`shared_fault` in log and
-//! metrics) in place of a retry.
+//! metrics) and is not retried.
 //!
-//! **Inputs.** The time from an attempt to its established connection against the tightest set-up objective
-//! of all classes (microseconds); attempts that had an error or no answer; other balancers' observations of
-//! the same.
+//! **Inputs.** The time from an attempt to its established connection, compared with the tightest setup
+//! objective of all classes (microseconds); attempts that ended with an error or without an answer; peers'
+//! observations of slow or correlated setups.
 //!
 //! **Rule.** The rate is the share of new requests that is admitted, from 0 to 1.
 //!
-//! - A set-up over its objective, here, halves it; so does a peer's observation of slow or correlated
-//!   set-ups.
+//! - A setup at this balancer that takes longer than the objective halves the rate, and so does a peer's
+//!   observation of slow or correlated setups.
 //! - Failures at two servers within the duration of a slow start, with no connection established in between,
-//!   are correlated. They keep a half of it, or the objective over the time of the failed attempt if that is
-//!   less.
-//! - It is cut at most once in two set-up objectives, as what was admitted before is still being set up.
-//! - Once two objectives have passed without another such observation, whether that cut the rate or not, it
-//!   rises evenly, from 0 to 1 in the duration of a slow start. After a failed set-up it does not rise for a
-//!   quarter of that duration, or until a set-up succeeds.
+//!   are correlated. They multiply the rate by a half, or by the objective over the time of the failed
+//!   attempt if that is less.
+//! - The rate is cut at most once in two setup objectives, because requests that were admitted before the cut
+//!   are still being set up.
+//! - After the last such observation, whether or not it cut the rate, the rate is constant for two
+//!   objectives. It then rises linearly, from 0 to 1 in the duration of a slow start. After a failed setup it
+//!   does not rise for a quarter of that duration, or until a setup succeeds.
 //!
-//! **Why.** The session store behind all servers serves set-ups in a queue. Once the queue is longer than
-//! clients wait, every set-up is in vain and the queue stays. One server that fails may have a fault of its
-//! own; two have more in common, and a retry elsewhere would only join the same queue.
+//! **Why.** The session store behind all servers processes setups in a queue. Once setups wait in the queue
+//! for longer than clients do, every setup completes too late and the queue does not become shorter. A single
+//! failing server may have a fault of its own. Two failing servers indicate a shared cause, and a retry at a
+//! third server would only join the same queue.
 
 use rand::Rng;
 
 use crate::types::{Micros, ServerId, Settings, Time};
 
-/// A cut multiplies the rate by this, or by less.
+/// Highest factor by which a cut multiplies the rate.
 const MAX_REMAINING_FACTOR: f64 = 0.5;
-/// The rate does not rise within this part of a slow start's duration after a failed set-up.
+/// Divisor of a slow start's duration that gives the time after a failed setup in which the rate does not
+/// rise.
 const RISE_PAUSE_DIVISOR: u64 = 4;
 
-/// An attempt that had an error or no answer.
+/// An attempt that ended with an error or without an answer.
 #[derive(Clone, Copy, Debug)]
 struct FailedSetup {
     server: ServerId,
     at: Time,
 }
 
-/// The share of new requests that is admitted.
+/// Share of new requests that is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRate {
     /// From 0 to 1, as of `updated_at`.
     share: f64,
-    /// Up to when the rise is already counted in `share`; ahead of now while a cut holds the rise back.
+    /// Time up to which `share` includes the rise; in the future while a cut delays the rise.
     updated_at: Time,
     last_decrease: Option<Time>,
-    /// The last failed set-up, if none succeeded after it.
+    /// The last failed setup; none if a setup has succeeded since.
     last_failed_setup: Option<FailedSetup>,
 }
 
 impl AdmissionRate {
-    /// A rate at which every request is admitted.
+    /// Creates a rate that admits every request.
     pub fn new(now: Time) -> AdmissionRate {
         AdmissionRate { share: 1.0, updated_at: now, last_decrease: None, last_failed_setup: None }
     }
 
-    /// The share of new requests that was admitted at the last request or decrease, from 0 to 1.
+    /// Returns the admitted share of new requests at the last request or decrease, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Whether a new request is admitted.
+    /// Decides whether a new request is admitted.
     pub fn admits(&mut self, now: Time, settings: &Settings, rng: &mut impl Rng) -> bool {
         self.raise(now, settings);
         self.share >= 1.0 || rng.random_bool(self.share)
     }
 
-    /// A set-up succeeded in `setup_time`. Returns whether it was slow, which decreases the rate.
+    /// Records a successful setup, and decreases the rate if the setup was slow. Returns whether it was slow.
     pub fn on_setup_succeeded(&mut self, now: Time, setup_time: Micros, settings: &Settings) -> bool {
         self.last_failed_setup = None;
         let objective = settings.setup_objective();
@@ -82,13 +85,13 @@
         is_slow
     }
 
-    /// Set-ups are slow, here or at another balancer; how slow is not known.
+    /// Decreases the rate when setups are slow at this balancer or at a peer, by an unknown extent.
     pub fn on_slow_setups(&mut self, now: Time, settings: &Settings) {
         self.decrease(now, MAX_REMAINING_FACTOR, settings);
     }
 
-    /// A set-up failed after `setup_time`. Returns whether the failure is correlated with a recent one at
-    /// another server, which decreases the rate.
+    /// Records a setup that failed after `setup_time`, and decreases the rate if the failure is correlated
+    /// with a recent failure at another server. Returns whether it is correlated.
     pub fn on_setup_failed(
         &mut self,
         now: Time,
@@ -113,8 +116,8 @@
             self.last_decrease = Some(now);
             self.share *= factor;
         }
-        // Each observation postpones the rise: between two cuts the rate must not rise, or it would never be
-        // low enough.
+        // Each observation postpones the rise. If the rate rose between two cuts, it would never become low
+        // enough.
         self.updated_at = now.plus(hold);
     }
 
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,59 +1,62 @@
 //! The lease on the endpoint list: for how long the list may be used without an answer of discovery.
 //!
-//! **What is decided.** Whether the list has expired. While it has, new requests and retries are refused with
-//! [`RefusalReason::EndpointListExpired`](crate::RefusalReason::EndpointListExpired), nobody is migrated for
-//! load and no server is probed; established connections stay. An attempt whose request is not written before
-//! the list expires is taken back.
+//! **What is decided.** Whether the list has expired. While it is expired, new requests and retries are
+//! refused with [`RefusalReason::EndpointListExpired`](crate::RefusalReason::EndpointListExpired), no
+//! connection is migrated for load, and no server is probed. Established connections are kept. An attempt
+//! whose request is not written before the list expires is withdrawn.
 //!
-//! **Inputs.** Each answer of discovery, with or without a change (a confirmation); a watch that gave no
-//! answer when one was expected, with the time of its call; a failed call, with what it shows of discovery.
+//! **Inputs.** Each answer of discovery, with or without a change (a confirmation); a watch without an answer
+//! when one was expected, with the time of its call; a failed call, with the state of discovery that the
+//! failure indicates.
 //!
-//! **Rule.** A confirmation begins a lease of 6 s. A watch that falls silent leaves the lease to run out,
-//! counted from the earlier of its call and the last confirmation. The list does not expire
+//! **Rule.** A confirmation starts a lease of 6 s. A watch that becomes silent does not renew the lease,
+//! which then counts from the earlier of the watch's call and the last confirmation. The list does not expire
 //!
-//! - before discovery has answered at all;
-//! - after a failed call on a watch that was not silent: a watch also ends so when discovery goes down. It is
-//!   opened anew after a backoff;
-//! - while a silent watch has an explanation: calls are refused or not connected, or, where lists are pushed,
-//!   the agent gives no answer.
+//! - before the first answer of discovery;
+//! - after a failed call on a watch that was not silent. A watch ends in this way when discovery goes down,
+//!   too, and is reopened after a backoff;
+//! - while the silence of a watch has an explanation: calls are refused or not connected, or, where lists are
+//!   pushed to an agent, the agent does not answer.
 //!
-//! **Why.** A watch that has fallen silent looks like one on which nothing happens. Whatever discovery lists
-//! counts as notified 6 s later, whether or not it arrived; from then on each listed server may be one that
-//! drains. While discovery is down it lists nothing new, and the old list is as good as any.
+//! **Why.** A silent watch cannot be told from a watch without changes. Each change that discovery lists
+//! counts as notified 6 s later, whether or not it has arrived. From then on each server of the old list may
+//! be draining. While discovery is down it lists no changes, so no newer list exists than the old one.
 
 use crate::types::{Micros, Time, WatchFailure};
 
-/// What discovery lists counts as notified after this time, whether or not it arrived.
+/// Time after which a change that discovery lists counts as notified, whether or not it has arrived.
 pub const NOTIFICATION_TIMEOUT: Micros = Micros::from_secs(6);
 
-/// Whether the endpoint list may have missed changes that count as notified.
+/// State of the lease: whether the endpoint list may lack changes that count as notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointLease {
-    /// Nothing expires: there was no answer yet, or the watch has ended, as it does when discovery goes down.
+    /// The list does not expire: discovery has not answered yet, or the watch has ended, as it does when
+    /// discovery goes down.
     #[default]
     Unwatched,
-    /// Discovery has answered, and what it lists later comes on a watch.
+    /// Discovery has answered, and later changes arrive on a watch.
     Confirmed {
-        /// When it answered.
+        /// Time of the answer.
         at: Time,
     },
-    /// The watch gave no answer when one was expected.
+    /// The watch had no answer when one was expected.
     Silent {
-        /// From when on changes may be missing.
+        /// Time from which changes may be missing.
         since: Time,
-        /// Whether discovery is taken to run.
+        /// Whether discovery is assumed to be running.
         discovery_is_up: bool,
     },
 }
 
 impl EndpointLease {
-    /// Discovery has answered.
+    /// Starts a lease when discovery has answered.
     pub fn on_confirmed(&mut self, now: Time) {
         *self = EndpointLease::Confirmed { at: now };
     }
 
-    /// The watch whose call was made at `called_at` gave no answer. Where lists are pushed to an agent, the
-    /// agent is silent while discovery is down: that is assumed until the agent answers.
+    /// Records that the watch whose call was made at `called_at` had no answer. Where lists are pushed to an
+    /// agent (`is_pushed`), the agent is silent while discovery is down. Discovery is then assumed to be down
+    /// until the agent answers.
     pub fn on_watch_silent(&mut self, called_at: Time, is_pushed: bool) {
         let since = match *self {
             EndpointLease::Confirmed { at: earlier } | EndpointLease::Silent { since: earlier, .. } => {
@@ -64,8 +67,8 @@
         *self = EndpointLease::Silent { since, discovery_is_up: !is_pushed };
     }
 
-    /// A call failed. A silent watch stays silent, but the failure shows whether discovery runs; any other
-    /// watch has ended.
+    /// Records a failed call. A silent watch is still silent, but the failure shows whether discovery is
+    /// running. Any other watch has ended.
     pub fn on_watch_failed(&mut self, failure: WatchFailure, is_pushed: bool) {
         let EndpointLease::Silent { discovery_is_up, .. } = self else {
             *self = EndpointLease::Unwatched;
@@ -78,7 +81,7 @@
         };
     }
 
-    /// Until when the list may be used; none where it does not expire.
+    /// Returns the time until which the list may be used; none if it does not expire.
     pub fn expires_at(self) -> Option<Time> {
         match self {
             EndpointLease::Confirmed { at: since }
@@ -89,12 +92,12 @@
         }
     }
 
-    /// How long the list may still be used; none where it does not expire.
+    /// Returns the time for which the list may still be used; none if it does not expire.
     pub fn time_left(self, now: Time) -> Option<Micros> {
         self.expires_at().map(|at| at.since(now))
     }
 
-    /// Whether the list may not be used.
+    /// Returns whether the list has expired and must not be used.
     pub fn is_expired(self, now: Time) -> bool {
         self.time_left(now) == Some(Micros::ZERO)
     }
--- a/src/policy/fault_window.rs
+++ b/src/policy/fault_window.rs
@@ -1,48 +1,49 @@
 //! The fault window: how long a fault of a server counts as recent.
 //!
-//! **What is decided.** For how long after a fault a server takes nothing beyond its ceiling, and how fast
-//! its ceiling recovers. What counts as a fault is defined in `concurrency_limit`.
+//! **What is decided.** For how long after a fault the ceiling of a server must not be exceeded, and how fast
+//! the ceiling recovers. Faults are defined in `concurrency_limit`.
 //!
-//! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and what this balancer
-//! occupies at all servers that serve, in slots.
+//! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and the slots that this
+//! balancer occupies at all serving servers.
 //!
-//! **Rule.** The window is the longest wait of a rejected client, times the number of servers for each
-//! occupied slot, between one and four. It is adapted at each selection, for what follows.
+//! **Rule.** The window is the longest wait of a rejected client, times the number of servers per occupied
+//! slot, which is bounded between one and four. Each selection adapts the window, and the adapted length
+//! applies from then on.
 //!
-//! **Why.** Clients that were rejected because of a fault come back within their longest wait. Where the
-//! balancer occupies less than one slot per server it is one of many, seldom learns of a server's fault, and
-//! all of them would try that server again at once.
+//! **Why.** Clients that were rejected because of a fault reconnect within their longest wait. A balancer
+//! that occupies less than one slot per server is one of many balancers and seldom learns of a server's
+//! fault. With a short window, all these balancers would try the faulty server again at the same time.
 
 use crate::types::Micros;
 
-/// The window is at most so many times the longest wait of rejected clients.
+/// Highest ratio of the window to the longest wait of rejected clients.
 const MAX_FACTOR: f64 = 4.0;
 
-/// What all servers that serve hold together of this balancer.
+/// Slots that this balancer occupies at all serving servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetOccupancy {
-    /// Slots occupied at all of them.
+    /// Sum of the occupied slots over all serving servers.
     pub occupied_slots: f64,
-    /// The number of servers.
+    /// Number of serving servers.
     pub servers: f64,
 }
 
-/// How long a fault of a server counts as recent.
+/// Time for which a fault of a server counts as recent.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow(Micros);
 
 impl FaultWindow {
-    /// The window before anything is known of the fleet.
+    /// Creates the shortest window, which applies until the first selection.
     pub fn new(max_retry_after: Micros) -> FaultWindow {
         FaultWindow(max_retry_after)
     }
 
-    /// The window's length.
+    /// Returns the window's length.
     pub fn length(self) -> Micros {
         self.0
     }
 
-    /// Adapts the window to what the balancer holds now.
+    /// Adapts the window to the slots that the balancer occupies now.
     pub fn adapt(&mut self, max_retry_after: Micros, fleet: FleetOccupancy) {
         let servers_per_slot = (fleet.servers / fleet.occupied_slots).clamp(1.0, MAX_FACTOR);
         self.0 = Micros::from_f64(max_retry_after.as_f64() * servers_per_slot);
--- a/src/policy/last_migration.rs
+++ b/src/policy/last_migration.rs
@@ -1,33 +1,33 @@
-//! When a connection was last asked to migrate away from a server.
+//! Time at which a connection was last asked to migrate away from a server.
 //!
-//! The effect of a migration has to show before the next one is decided, in `migration`.
+//! The effect of a migration has to become visible before `migration` decides on the next one.
 
 use crate::types::{Micros, Time};
 
-/// The shortest time between two migrations from one server.
+/// Shortest time between two migrations from one server.
 const MIGRATION_INTERVAL: Micros = Micros::from_millis(500);
 
-/// When a connection was last asked to migrate away from a server.
+/// Time at which a connection was last asked to migrate away from a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LastMigration(Option<Time>);
 
 impl LastMigration {
-    /// What another process has learned.
+    /// Restores the time that another process has recorded.
     pub fn new(at: Option<Time>) -> LastMigration {
         LastMigration(at)
     }
 
-    /// When it was, if there was any.
+    /// Returns the time of the last migration; none if there was no migration.
     pub fn at(self) -> Option<Time> {
         self.0
     }
 
-    /// A connection is asked to migrate.
+    /// Records that a connection is asked to migrate now.
     pub fn record(&mut self, now: Time) {
         self.0 = Some(now);
     }
 
-    /// Whether the effect of the last migration has had time to show.
+    /// Returns whether enough time has passed for the effect of the last migration to become visible.
     pub fn allows_next(self, now: Time) -> bool {
         self.0.is_none_or(|at| now.since(at) >= MIGRATION_INTERVAL)
     }
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,36 +1,37 @@
-//! The probes of one server, and what its last load report contains.
+//! Time of the last probe of one server, and its last load report.
 //!
-//! A report is some time old. It surely contains only what was occupied when the report before it came.
+//! A report is some time old when it arrives. It certainly includes only the slots that were occupied when
+//! the previous report arrived.
 
 use crate::types::{LoadReport, Time};
 
-/// The probes of one server, and its last load report.
+/// Time of the last probe of one server, and its last load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReports {
     last_probe: Option<Time>,
     last_report: Option<LoadReport>,
-    /// Slots occupied when that report came.
+    /// Slots that were occupied when the last report arrived.
     occupied_at_last_report: f64,
 }
 
 impl LoadReports {
-    /// When the server was last probed.
+    /// Returns the time of the last probe; none if the server was never probed.
     pub fn last_probe(&self) -> Option<Time> {
         self.last_probe
     }
 
-    /// The last load report, if any came.
+    /// Returns the last load report; none if no report has arrived.
     pub fn last_report(&self) -> Option<LoadReport> {
         self.last_report
     }
 
-    /// A probe is sent.
+    /// Records that a probe is sent now.
     pub fn on_probe_sent(&mut self, now: Time) {
         self.last_probe = Some(now);
     }
 
-    /// A report came while `occupied` slots are occupied. Returns the slots that the report can already
-    /// contain; none if it equals the last one.
+    /// Records a report that arrives while `occupied` slots are occupied. Returns the occupied slots that the
+    /// report certainly includes; none if the report equals the previous one.
     pub fn record(&mut self, report: LoadReport, occupied: f64) -> Option<f64> {
         if self.last_report == Some(report) {
             return None;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,47 +1,49 @@
-//! The decisions of one balancer. Its vocabulary (settings, events, actions) is in `src/types/`.
+//! The decisions of one balancer. The types of its settings, events and actions are in `src/types/`.
 //!
-//! The mechanism is that of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004): each server
-//! has a slot ceiling y, and connections of this balancer occupy x slots there. A new connection goes to a
-//! random ready server, in proportion to its free slots max(0, y - x). Where no ready server has any, it goes
-//! beyond the ceiling of a server without recent faults; where there is none of those either, it is rejected
-//! at once. The ceilings are learned.
+//! The algorithm is that of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004). Each server
+//! has a ceiling of y slots, and the connections of this balancer occupy x slots there. A new connection is
+//! assigned to a ready server drawn at random, in proportion to its free slots max(0, y - x). If no ready
+//! server has free slots, the connection exceeds the ceiling of a server without recent faults. If there is
+//! no such server either, the request is rejected at once. The ceilings are learned.
 //!
-//! Each rule is a type with private state in a module of its own, whose head says what is decided, from
-//! which inputs, by what rule, and why. [`Balancer`] holds these types; its handlers list the steps that
-//! follow from each event.
+//! Each rule is a type with private state in a module of its own. The head of the module says what is
+//! decided, from which inputs, by what rule, and why. [`Balancer`] owns these types, and its handlers list
+//! the steps that follow from each event.
 //!
 //! | module | what it decides |
 //! | --- | --- |
-//! | [`admission_rate`] | how many new requests are admitted while set-ups are slow everywhere |
+//! | [`admission_rate`] | which share of new requests is admitted while setups are slow at all servers |
 //! | [`concurrency_limit`] | how many slots may be occupied at a server |
 //! | [`fault_window`] | how long a fault of a server counts as recent |
 //! | [`outlier_detection`] | which servers are ejected, and until when |
-//! | [`slow_start`] | when a server that warms up gets its next connection |
-//! | [`selection`] | which of the servers that are ready gets a connection |
-//! | [`retry_policy`] | where a request may be tried again, and how its client is answered |
+//! | [`slow_start`] | when a server that is warming up may receive its next attempt |
+//! | [`selection`] | which of the ready servers receives a connection |
+//! | [`retry_policy`] | where a request may be retried, and how its client is answered |
 //! | [`endpoint_lease`] | for how long the endpoint list may be used |
 //! | [`endpoint_watch`] | when discovery is called again |
-//! | [`migration`] | how many connections leave an overloaded server |
-//! | [`probes`] | when servers are asked for their load |
+//! | [`migration`] | how many connections are migrated away from an overloaded server |
+//! | [`probes`] | when servers are probed for their load |
 //!
-//! Three things are distinguished in what an outcome shows of its server: a *failure* counts in outlier
-//! detection, a *fault* in the concurrency limit, and both only if they are the server's own. A *slow* or
-//! *correlated* set-up counts in the admission rate.
+//! The outcome of an attempt counts in up to three rules. A *failure* of the server counts in outlier
+//! detection. A *fault* of the server counts in the concurrency limit. Both count only if the server itself
+//! caused them. A *slow* setup, or a failed setup that is *correlated* with the failure of another server,
+//! counts in the admission rate.
 //!
-//! | outcome of an attempt | failure | fault | set-up |
+//! | outcome of an attempt | failure | fault | setup |
 //! | --- | --- | --- | --- |
 //! | rejected | yes | yes | |
 //! | error | yes | | failed |
 //! | no answer in time | yes | yes | failed |
 //! | no connection could be opened | yes | | |
-//! | broken before it was established | yes | | |
-//! | dropped once established | yes | yes | |
-//! | cancelled while its request was owed an answer | yes | | |
+//! | connection broke before it was established | yes | | |
+//! | connection dropped after it was established | yes | yes | |
+//! | cancelled before its request was answered | yes | | |
 //!
-//! The others keep state for these: [`endpoint_list`] the servers, [`request`] the requests, [`server`] the
-//! parts of one server, two of which are [`last_migration`] and [`load_reports`]. `requests.rs`,
-//! `placement.rs` and `observations.rs` have the steps for requests, for the choice of a server and for what
-//! is observed of servers; `host.rs` what the program around may ask and set.
+//! The other modules keep state for these rules: [`endpoint_list`] the servers, [`request`] the requests, and
+//! [`server`] the parts of one server, including [`last_migration`] and [`load_reports`]. `requests.rs`,
+//! `placement.rs` and `observations.rs` contain the steps that handle requests, choose a server and process
+//! observations of servers. `host.rs` contains the queries and updates for the program that embeds the
+//! balancer.
 #![deny(missing_docs)]
 
 pub mod admission_rate;
@@ -79,14 +81,15 @@
 use crate::bookkeeping::{ConnectionSizes, GroupStatistics};
 use crate::types::{Action, Event, Settings, Time, WatchFailure};
 
-/// Decides for one balancer. Same settings, seed and events: same actions.
+/// Decision state of one balancer. Equal settings, seeds and events produce equal actions.
 pub struct Balancer {
     settings: Settings,
     rng: Pcg64Mcg,
-    /// The time of the event being handled, and the actions that follow from it.
+    /// Time of the event that is being handled.
     now: Time,
+    /// Actions that follow from the event that is being handled.
     actions: Vec<Action>,
-    /// The earliest timer that was asked for and has not yet fired.
+    /// Time of the earliest requested timer that has not fired yet.
     armed_timer: Option<Time>,
     servers: ServerTable,
     requests: RequestTable,
@@ -97,12 +100,12 @@
     slow_start_budget: SlowStartBudget,
     probe_credit: ProbeCredit,
     connection_sizes: ConnectionSizes,
-    /// Connections observed by group, here or in other balancers' samples.
+    /// Connections observed in each group, at this balancer and in samples from peers.
     group_statistics: GroupStatistics,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else.
+    /// Creates a balancer without an endpoint list, requests or learned state.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Balancer {
         Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Replaces the settings; learned state and requests stay. Classes must keep their numbers.
+    /// Replaces the settings and keeps learned state and requests. Each class must keep its id.
     pub fn configure(&mut self, settings: Settings) {
         self.connection_sizes.resize(settings.classes.len());
         self.settings = settings;
@@ -189,13 +192,13 @@
         }
     }
 
-    /// The endpoint list was applied: servers with a ceiling of 0, which are new or have lost all of it, get
-    /// the initial one and the first wait of a slow start.
+    /// Gives each server with a ceiling of 0 the initial ceiling and the first wait of a slow start, after an
+    /// endpoint list was applied. Such a server is new, or decreases have reduced its ceiling to 0.
     fn on_endpoints_applied(&mut self) {
         self.endpoint_watch.on_list_applied();
         let interval = self.slow_start_budget.pacing_interval(&self.settings);
         let mean_weight = self.servers.mean_weight();
-        for server in self.servers.without_limit_mut() {
+        for server in self.servers.with_zero_ceiling_mut() {
             server.slow_start.begin(&self.settings, self.now, interval, &mut self.rng);
             server.limit.set_initial(server.entry.valid_weight(), mean_weight);
         }
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Asks for a timer at the next deadline, unless an earlier one has been asked for.
+    /// Requests a timer for the next deadline, unless an earlier timer is armed.
     fn arm_timer(&mut self) {
         self.armed_timer = self.armed_timer.filter(|&at| at > self.now);
         let next = self.requests.next_deadline().into_iter().chain(self.endpoint_watch.next_call_at()).min();
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -1,7 +1,7 @@
-//! What is observed of servers, here and at other balancers, and what follows from it.
+//! Processing of observations of servers, at this balancer and at peers.
 //!
-//! The steps are here, in the order in which they happen; what each of them decides is in the module of its
-//! rule.
+//! This module lists the steps in the order in which they happen. The rule that each step applies is in a
+//! module of its own.
 
 use rand::Rng;
 
@@ -12,7 +12,7 @@
 use crate::types::{Action, LoadReport, Measurement, Micros, RequestId, ServerId};
 
 impl Balancer {
-    /// Something was measured on an established connection.
+    /// Applies a measurement on an established connection.
     pub(super) fn on_connection_measured(&mut self, id: RequestId, measurement: Measurement) {
         let attempt = self.requests.get(id).and_then(|request| request.attempt);
         let Some(server) = attempt.map(|attempt| attempt.endpoint.server) else { return };
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A connection's load gives the slots that it occupies.
+    /// Updates the slots that a connection occupies by its measured load.
     fn on_load_measured(&mut self, id: RequestId, load: f64) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(attempt) = request.attempt else { return };
@@ -30,13 +30,14 @@
             return;
         }
         let Some(slots) = self.connection_sizes.record(request.class, load) else { return };
-        if let Some(server) = self.servers.of_attempt(&attempt) {
+        if let Some(server) = self.servers.get_mut_for_attempt(&attempt) {
             server.connections.resize(slots - request.slots);
         }
         request.slots = slots;
     }
 
-    /// A message on a connection of a server took this long.
+    /// Adapts a server's ceiling to the time that a message took there, and migrates connections if the
+    /// server is overloaded.
     fn on_message_time(&mut self, id: ServerId, took: Micros) {
         let objective = self.settings.message_objective();
         if objective.is_zero() {
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Another balancer observed a fault of a server: slow messages, or a drop without a time. The fault
-    /// counts from a random time ahead, as all balancers receive this and must not all return at once.
+    /// Applies a peer's observation of a fault of a server: slow messages, which have a message time, or a
+    /// drop, which has none. The fault counts from a random time in the future: all balancers receive the
+    /// observation and must not all return to the server at once.
     pub(super) fn on_peer_observation(&mut self, id: ServerId, took: Option<Micros>) {
         let objective = self.settings.message_objective().max(Micros(1));
         let delay = self.settings.peer_observation_hold().as_f64() * self.rng.random::<f64>();
@@ -67,7 +69,7 @@
         }
     }
 
-    /// A probe's load report came.
+    /// Applies the load report of a probe, if the report is present and valid.
     pub(super) fn on_load_report(&mut self, id: ServerId, report: Option<LoadReport>) {
         let Some(report) = report.and_then(LoadReport::validated) else { return };
         let Some(server) = self.servers.get_mut(id) else { return };
@@ -93,7 +95,8 @@
         }
     }
 
-    /// Established connections pay for probes.
+    /// Earns the credit of an established connection for probes, and sends as many probes as the credit
+    /// covers.
     pub(super) fn send_probes(&mut self) {
         let are_allowed = self.settings.probes && self.settings.probe_reports;
         if !are_allowed || self.endpoint_lease.is_expired(self.now) {
@@ -109,8 +112,8 @@
         }
     }
 
-    /// A server is overloaded: asks some of its clients to reconnect. While the endpoint list is expired they
-    /// would be rejected.
+    /// Asks some clients of an overloaded server to reconnect. While the endpoint list is expired no client
+    /// is asked, because it would be rejected.
     fn migrate_from(&mut self, from: ServerId, objective_ratio: f64) {
         if self.endpoint_lease.is_expired(self.now) {
             return;
@@ -124,8 +127,8 @@
         let random = self.rng.random::<f64>();
         let serving = self.servers.serving();
         let spare = migration::spare_capacity(serving, &self.settings, self.now, self.fault_window);
-        let migrating = self.connections_by_relief(from).into_iter().take(need.count(random, spare));
-        for id in migrating {
+        let selected = self.connections_by_relief(from).into_iter().take(need.count(random, spare));
+        for id in selected {
             if let Some(server) = self.servers.get_mut(from) {
                 server.last_migration.record(self.now);
             }
@@ -136,7 +139,8 @@
         }
     }
 
-    /// A server's connections that were not asked to migrate, those first whose end relieves it most.
+    /// Returns a server's connections that were not yet asked to migrate, ordered by decreasing relief of the
+    /// server.
     fn connections_by_relief(&self, from: ServerId) -> Vec<RequestId> {
         let Some(server) = self.servers.get(from) else { return Vec::new() };
         let has_loads = self.connection_sizes.has_measurements();
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,21 +1,22 @@
-//! Outlier detection: a server that fails is ejected for a while and comes back by single trials.
+//! Outlier detection: a server that fails is ejected for a time and is then readmitted by single trials.
 //!
 //! **What is decided.** Whether a server may be selected at all, whatever its free slots are.
 //!
-//! **Inputs.** The outcome of each attempt and when it was sent. Every outcome is a failure but: success, not
-//! sent, and cancelled after its request was answered or its connection established. An established
-//! connection that breaks is one, and so is an attempt without an answer when its request has to be answered.
+//! **Inputs.** The outcome of each attempt and the time at which it was sent. Every outcome is a failure
+//! except success, not sent, and cancelled after the request was answered or the connection established. An
+//! established connection that breaks is a failure. An attempt without an answer at the deadline of its
+//! request is a failure, too.
 //!
-//! **Rule.** A failure adds two to the server's failure count, up to 16; an established connection takes one
-//! away. A failure ejects the server for the connect timeout, doubled for each of the count, up to the
-//! duration of a slow start, and then times a random 0.5 to 1.5. After that it gets one attempt at a time: a
-//! trial. Each trial begins a new ejection, so that trials are at least that far apart. At a count of 0 the
-//! server is selected as before. Failures of attempts that were sent before the last failure count as one
-//! with it.
+//! **Rule.** A failure adds two to the server's failure score, up to 16; an established connection subtracts
+//! one. A failure ejects the server for the connect timeout, doubled once for each point of the score, up to
+//! the duration of a slow start, and then multiplied by a random factor from 0.5 to 1.5. After the ejection
+//! the server receives one attempt at a time, a trial. Each trial starts a new ejection, so that trials are
+//! at least that far apart. At a score of 0 the server is selected normally again. Failures of attempts that
+//! were sent before the last failure count as one with it.
 //!
-//! **Why.** A server that drops what it has accepted always shows free slots and would get every connection.
-//! A failure counts twice what a success takes away, so that a server which accepts and then drops does not
-//! pass for healthy.
+//! **Why.** A server that drops the connections that it has accepted always has free slots and would receive
+//! every connection. A failure adds twice what a success subtracts, so that a server that accepts and then
+//! drops is not treated as healthy.
 //!
 //! The metric `ejected` counts these servers, and those that are full and had a recent fault: see
 //! [`Balancer::is_avoided`](crate::Balancer::is_avoided).
@@ -25,13 +26,13 @@
 use crate::bookkeeping::jittered_backoff;
 use crate::types::{LearnedState, Micros, Outcome, Settings, Time};
 
-/// What a failure adds to the count; a success takes one away.
-const FAILURE_STEP: u32 = 2;
-/// The highest failure count; a hot restart hands over no higher one.
+/// Points that a failure adds to the failure score; a success subtracts one.
+const FAILURE_SCORE_STEP: u32 = 2;
+/// Highest failure score. A hot restart hands over no higher one.
 pub const MAX_FAILURES: u32 = 16;
 
-/// Whether the outcome of an attempt counts as a failure of its server. A cancelled attempt does, if its
-/// request was still owed an answer.
+/// Returns whether the outcome of an attempt counts as a failure of its server. A cancelled attempt counts if
+/// its connection was not established and its request had no answer yet.
 pub fn is_server_failure(outcome: Outcome, was_established: bool, is_answered: bool) -> bool {
     match outcome {
         Outcome::Ok | Outcome::NotSent => false,
@@ -40,88 +41,89 @@
     }
 }
 
-/// How long ejections last.
+/// Durations of ejections, before jitter.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionTimes {
-    /// The time that is doubled for each count of a failure.
+    /// Duration that is doubled once for each point of the failure score.
     pub initial: Micros,
-    /// The longest, before jitter.
+    /// Longest duration.
     pub max: Micros,
 }
 
 impl EjectionTimes {
-    /// The times that follow from the settings.
+    /// Derives the durations from the connect timeout and the duration of a slow start.
     pub fn from_settings(settings: &Settings) -> EjectionTimes {
         let initial = settings.connect_timeout;
         EjectionTimes { initial, max: settings.slow_start_duration.max(initial) }
     }
 }
 
-/// The failures of one server, and its ejection.
+/// Failure score and ejection of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierDetector {
-    failures: u32,
+    failure_score: u32,
     last_failure: Option<Time>,
     ejected_until: Time,
 }
 
 impl OutlierDetector {
-    /// What another process has learned.
+    /// Restores the state that another process has learned.
     pub fn from_learned(learned: &LearnedState) -> OutlierDetector {
-        let LearnedState { failure_score: failures, last_failure, ejected_until, .. } = *learned;
-        OutlierDetector { failures, last_failure, ejected_until }
+        let LearnedState { failure_score, last_failure, ejected_until, .. } = *learned;
+        OutlierDetector { failure_score, last_failure, ejected_until }
     }
 
-    /// The failure count: two for each failure, less one for each success since.
-    pub fn failures(&self) -> u32 {
-        self.failures
+    /// Returns the failure score: two points for each failure, less one for each success since.
+    pub fn failure_score(&self) -> u32 {
+        self.failure_score
     }
 
-    /// When the server last failed.
+    /// Returns the time of the server's last failure.
     pub fn last_failure(&self) -> Option<Time> {
         self.last_failure
     }
 
-    /// Before this time a server with failures gets no trial.
+    /// Returns the time before which a server with failures receives no trial.
     pub fn ejected_until(&self) -> Time {
         self.ejected_until
     }
 
-    /// Whether the server has failures that no success has made up for. Its next attempt is a trial.
+    /// Returns whether the failure score is above 0. The next attempt at the server is then a trial.
     pub fn has_failures(&self) -> bool {
-        self.failures > 0
+        self.failure_score > 0
     }
 
-    /// Whether the server may be selected: it has no failures, or may have a trial.
+    /// Returns whether the server may be selected: it has no failures, or a trial is allowed now.
     pub fn is_eligible(&self, now: Time, is_connecting: bool) -> bool {
         !self.has_failures() || (!is_connecting && now >= self.ejected_until)
     }
 
-    /// An attempt that was sent at `sent_at` failed: ejects the server.
+    /// Ejects the server when an attempt that was sent at `sent_at` failed. A failure of an attempt that was
+    /// sent before the last failure is already counted.
     pub fn on_failure(&mut self, now: Time, sent_at: Time, times: EjectionTimes, rng: &mut impl Rng) {
-        let is_known = self.last_failure.is_some_and(|at| sent_at <= at);
-        if is_known {
+        let is_already_counted = self.last_failure.is_some_and(|at| sent_at <= at);
+        if is_already_counted {
             return;
         }
         self.last_failure = Some(now);
-        self.failures = (self.failures + FAILURE_STEP).min(MAX_FAILURES);
+        self.failure_score = (self.failure_score + FAILURE_SCORE_STEP).min(MAX_FAILURES);
         self.eject(now, times, rng);
     }
 
-    /// An attempt starts; if it is a trial, the next one has to wait.
+    /// Starts a new ejection if the attempt that starts is a trial: the next trial has to wait.
     pub fn on_attempt_started(&mut self, now: Time, times: EjectionTimes, rng: &mut impl Rng) {
         if self.has_failures() {
             self.eject(now, times, rng);
         }
     }
 
-    /// A connection was established.
+    /// Subtracts one point from the failure score when a connection was established.
     pub fn on_established(&mut self) {
-        self.failures = self.failures.saturating_sub(1);
+        self.failure_score = self.failure_score.saturating_sub(1);
     }
 
     fn eject(&mut self, now: Time, times: EjectionTimes, rng: &mut impl Rng) {
-        let wait = jittered_backoff(rng, times.initial, self.failures, times.max);
+        let wait = jittered_backoff(rng, times.initial, self.failure_score, times.max);
         self.ejected_until = now.plus(wait);
     }
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,5 +1,5 @@
-//! The steps by which a request gets its server: bring the servers' state up to date, collect the candidates,
-//! draw one.
+//! The steps that choose a server for a request: update the state of the servers, collect the candidates, and
+//! draw one of them.
 
 use rand::Rng;
 
@@ -9,8 +9,8 @@
 use crate::types::{RequestId, ServerId};
 
 impl Balancer {
-    /// Selects a server for a request: updates the servers' limits and waits, collects the candidates, and
-    /// draws one.
+    /// Selects a server for a request, or returns none if no server may receive an attempt of it. Updates the
+    /// ceilings and the slow-start waits of all servers first.
     pub(super) fn select_server(&mut self, id: RequestId) -> Option<ServerId> {
         self.update_servers();
         let fleet = self.fleet_occupancy();
@@ -23,7 +23,7 @@
         preferences.select(&mut self.rng, &candidates).or_else(|| self.select_last_resort(id))
     }
 
-    /// Lets ceilings recover, and shortens waits of slow start that were set when less was known.
+    /// Lets ceilings recover, and shortens slow-start waits whose pacing interval has become shorter.
     fn update_servers(&mut self) {
         let interval = self.slow_start_budget.pacing_interval(&self.settings);
         for server in self.servers.serving_mut() {
@@ -43,8 +43,8 @@
         fleet
     }
 
-    /// The servers that are ready for a request: slow start does not hold them back, the retry policy allows
-    /// the request to run there, and they are not ejected.
+    /// Collects the servers that may receive an attempt of a request: servers that are not held back by slow
+    /// start, where the retry policy allows the request to run, and that are not ejected.
     fn collect_candidates(&mut self, id: RequestId) -> Vec<Candidate> {
         let now = self.now;
         let serving_count = self.servers.serving().count();
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -1,31 +1,32 @@
-//! Probes: how many are sent, and what their load reports show of the size of servers.
+//! Probes: how many are sent, and which size of servers their load reports show.
 //!
-//! **What is decided.** When a server is asked for its load, and how many connections of this balancer a full
-//! server holds.
+//! **What is decided.** When a server is probed for its load, and how many connections of this balancer a
+//! full server has.
 //!
 //! **Inputs.** Established connections; the cost of one probe for each request, as a fraction of the value of
 //! all requests; load reports: the utilisation (1 is full) and, if reported, the connections of all
 //! balancers.
 //!
 //! **Rule.** Each established connection earns credit for (0.004 / that cost) probes, at most four; a
-//! rejected one earns none. A whole credit sends a probe to the serving server that was probed least
-//! recently. The size of a server is what is established at all servers that have reported, over the sum of
-//! their utilisation times their warmth.
+//! rejected connection earns none. Each whole credit is spent on a probe of the serving server that was
+//! probed least recently. The size of a server is the number of connections established at all servers that
+//! have reported, over the sum of their utilisation times their warmth.
 //!
-//! A report is some time old: it surely contains only what was occupied here when the previous report came.
-//! One that equals the previous report may be the same, and is ignored.
+//! A report is some time old when it arrives. It certainly includes only the slots that were occupied here
+//! when the previous report arrived. A report that equals the previous one may be the same report, and is
+//! ignored.
 //!
-//! What a report changes at its server is decided in `concurrency_limit`, and in `slow_start` for those that
-//! warm up.
+//! The effect of a report on its server's ceiling is decided in `concurrency_limit`, and the effect on
+//! servers that are warming up in `slow_start`.
 
 use super::server::Server;
 use crate::types::{Settings, Time};
 
-/// The share of the value of all requests that probes may cost.
+/// Highest cost of all probes, as a share of the value of all requests.
 const COST_SHARE: f64 = 0.004;
-/// The most probes for each established connection.
+/// Highest number of probes for each established connection.
 const MAX_PROBES_PER_CONNECTION: f64 = 4.0;
-/// A lower sum of reported utilisation shows nothing of the size of servers.
+/// Lowest sum of reported utilisation from which the size of servers is estimated.
 const MIN_TOTAL_UTILISATION: f64 = 0.1;
 
 /// Credit for probes, in probes.
@@ -33,13 +34,14 @@
 pub struct ProbeCredit(f64);
 
 impl ProbeCredit {
-    /// A connection was established; there are `servers` servers, for which credit may be saved up.
+    /// Earns the credit of an established connection. At most one probe for each of the `servers` servers is
+    /// saved up.
     pub fn on_established(&mut self, settings: &Settings, servers: usize) {
         let cost = settings.probe_cost.max(COST_SHARE / MAX_PROBES_PER_CONNECTION);
         self.0 = (self.0 + COST_SHARE / cost).min(servers as f64);
     }
 
-    /// Spends the credit for one probe; false if there is not enough.
+    /// Spends the credit of one probe. Returns false and spends nothing if there is less.
     pub fn spend(&mut self) -> bool {
         let is_enough = self.0 >= 1.0;
         if is_enough {
@@ -49,9 +51,9 @@
     }
 }
 
-/// This balancer's part of the connections at a full, warm server, by the last reports of all; none where
-/// these are too low to show it. `counts_all_balancers` tells whether reports count the connections of all
-/// balancers.
+/// Estimates this balancer's part of the connections at a full, warm server from the last reports of all
+/// servers; none if the reported utilisation is too low. `counts_all_balancers` says whether reports count
+/// the connections of all balancers.
 pub fn connections_at_capacity<'a>(
     serving: impl Iterator<Item = &'a Server> + Clone,
     counts_all_balancers: bool,
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,4 +1,4 @@
-//! The requests of one balancer, from their arrival until they are answered and their last attempt has ended.
+//! The requests of one balancer, from arrival until the request is answered and its last attempt has ended.
 
 use std::collections::BTreeSet;
 
@@ -8,84 +8,85 @@
 use super::selection::Demand;
 use crate::types::{ClassId, EndpointEntry, GroupId, RequestId, Time};
 
-/// An attempt without an outcome, or the connection that it has become.
+/// An attempt without an outcome, or the connection that it has established.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Number among the attempts of its request, from 0.
+    /// Number among the attempts of the request, from 0.
     pub number: u32,
-    /// The endpoint list's entry of its server when it was sent.
+    /// Entry of the server in the endpoint list when the attempt was sent.
     pub endpoint: EndpointEntry,
-    /// The number of the server's process.
+    /// Number of the server's process to which the attempt was sent.
     pub incarnation: u64,
-    /// When it was sent.
+    /// Time at which the attempt was sent; 0 for a connection that was established before this balancer
+    /// started.
     pub sent_at: Time,
-    /// It occupied the last free slot of its server, or one beyond.
+    /// Whether the attempt occupied the last free slot of its server, or a slot above the ceiling.
     pub fills_last_slot: bool,
-    /// Its connection is established.
+    /// Whether the connection is established.
     pub is_established: bool,
 }
 
-/// One request.
+/// State of one request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its class.
+    /// Class, by its index in the settings.
     pub class: ClassId,
-    /// Its group, if any.
+    /// Group of the connection; none if the request has no group.
     pub group: Option<GroupId>,
-    /// Slots of its connection, without those of its group: its load over a mean connection's, as far as
-    /// known.
+    /// Estimated load of the connection over the load of a mean connection. The slots for the first
+    /// connection of a group are not included.
     pub slots: f64,
-    /// When it is answered at the latest.
+    /// Latest time of the final answer.
     pub deadline: Time,
-    /// It has had its final answer.
+    /// Whether the request has its final answer.
     pub is_answered: bool,
-    /// Its client was asked to reconnect.
+    /// Whether the client was asked to reconnect.
     pub is_migrating: bool,
-    /// The attempt in flight, or its established connection.
+    /// Attempt in flight, or the established connection.
     pub attempt: Option<Attempt>,
-    /// Its earlier attempts.
+    /// Record of earlier attempts, for the retry policy.
     pub retry: RetryState,
 }
 
 impl Request {
-    /// What it asks of a server.
+    /// Returns the slots and the group that the request needs at its server.
     pub fn demand(&self) -> Demand {
         Demand { group: self.group, slots: self.slots }
     }
 }
 
-/// When a request has to be answered; the earliest comes first.
+/// Time at which a request has to be answered. Deadlines are ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerDeadline {
     at: Time,
     request: RequestId,
 }
 
-/// All requests. One is forgotten once it is answered and has no attempt.
+/// All requests. A request is removed once it is answered and has no attempt in flight and no connection.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     by_id: FxHashMap<RequestId, Request>,
-    /// Those without an answer.
+    /// Deadlines of the requests without an answer.
     deadlines: BTreeSet<AnswerDeadline>,
 }
 
 impl RequestTable {
-    /// Whether a request is known.
+    /// Returns whether the table contains a request.
     pub fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// A request, if it is known.
+    /// Returns a request; none if its id is unknown.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.by_id.get(&id)
     }
 
-    /// A request, if it is known.
+    /// Returns a request; none if its id is unknown.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.by_id.get_mut(&id)
     }
 
-    /// Adds a request that is owed an answer.
+    /// Adds a request that has no answer yet.
     pub fn insert_unanswered(&mut self, id: RequestId, request: Request) {
         self.deadlines.insert(AnswerDeadline { at: request.deadline, request: id });
         self.by_id.insert(id, request);
@@ -96,8 +97,7 @@
         self.by_id.insert(id, Request { is_answered: true, ..request });
     }
 
-    /// No answer is owed any more. The request is forgotten, unless its attempt is still in flight or
-    /// established.
+    /// Marks a request as answered. Removes it unless its attempt is still in flight or established.
     pub fn mark_answered(&mut self, id: RequestId) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         request.is_answered = true;
@@ -107,12 +107,12 @@
         }
     }
 
-    /// The earliest deadline of an answer.
+    /// Returns the earliest deadline of an answer; none if all requests are answered.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// The request whose answer is owed by now, the earliest first.
+    /// Returns the request with the earliest deadline that has been reached; none if no answer is overdue.
     pub fn next_overdue(&self, now: Time) -> Option<RequestId> {
         self.deadlines.first().filter(|deadline| deadline.at <= now).map(|deadline| deadline.request)
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,9 +1,9 @@
-//! The life of a request: admission, attempts and retries, and its one final answer.
+//! Handling of requests: admission, attempts and retries, and the single final answer.
 //!
-//! The steps are here, in the order in which they happen; what each of them decides is in the module of its
-//! rule. A request is refused for the first reason that applies: admission rate, deadline, number of
-//! attempts, expired endpoint list, no server; after a failed attempt, a correlated failure comes before
-//! these.
+//! This module lists the steps in the order in which they happen. The rule that each step applies is in a
+//! module of its own. A request is refused for the first reason that applies, in this order: admission rate,
+//! deadline, number of attempts, expired endpoint list, no server. After a failed attempt, a correlated
+//! failure is checked before these.
 
 use super::outlier_detection::{is_server_failure, EjectionTimes};
 use super::request::{Attempt, Request};
@@ -12,7 +12,7 @@
 use crate::types::{Action, GroupId, Micros, Outcome, RefusalReason, RequestId, ServerId, Time};
 
 impl Balancer {
-    /// A request arrived: it is admitted or shed.
+    /// Admits or sheds a request that arrived. An id that is already known is ignored.
     pub(super) fn on_request_arrived(&mut self, id: RequestId, request: Request) {
         if self.requests.contains(id) {
             return;
@@ -25,7 +25,8 @@
         }
     }
 
-    /// A connection was established before this balancer started: it counts like one that was placed here.
+    /// Adds a connection that was established before this balancer started. It counts like a connection that
+    /// this balancer placed.
     pub(super) fn on_connection_restored(&mut self, id: RequestId, request: Request, at: ServerId) {
         if self.requests.contains(id) {
             return;
@@ -46,8 +47,8 @@
         self.requests.insert_answered(id, Request { retry, attempt: Some(attempt), ..request });
     }
 
-    /// The next step of a request without an answer and without an attempt in flight: an attempt, or the
-    /// answer.
+    /// Starts the next attempt of a request without an answer and without an attempt in flight, or sends its
+    /// final answer.
     fn try_or_answer(&mut self, id: RequestId) {
         let is_pending = |request: &&Request| !request.is_answered && request.attempt.is_none();
         let Some(request) = self.requests.get(id).filter(is_pending) else { return };
@@ -64,14 +65,15 @@
         }
     }
 
-    /// Starts an attempt; nothing else does.
+    /// Starts an attempt. Every attempt is started here.
     fn start_attempt(&mut self, id: RequestId, to: ServerId) {
         let now = self.now;
         let interval = self.slow_start_budget.pacing_interval(&self.settings);
         let Some(server) = self.servers.get_mut(to) else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
         let key_window_left = request.retry.key_window_left(self.settings.idempotency(request.class), now);
-        // A connection may come up late: by then the server may drain, without a notification.
+        // The connection to the server may open after a delay. By then the server may be draining without a
+        // notification to this balancer.
         let forwarding_timeout = key_window_left.into_iter().chain(self.endpoint_lease.time_left(now)).min();
         server.slow_start.on_attempt_started(&self.settings, now, interval);
         server.connections.start_attempt(request.group, request.slots);
@@ -83,17 +85,17 @@
             fills_last_slot: server.connections.occupied_slots() >= server.limit.ceiling(),
             is_established: false,
         });
-        // An attempt has all of its client's time. Abandoned earlier, its set-up would still be served by the
-        // session store, for nobody, and the next attempt would join the same queue. A server that is not
-        // there is known by the connection that cannot be opened.
+        // An attempt may use all of its client's remaining time. If it were abandoned earlier, the session
+        // store would still process its setup, for no client, and the next attempt would join the same queue.
+        // A server that is down is detected by the connection that cannot be opened.
         let timeout = request.deadline.since(now).max(Micros(1));
         self.actions.push(Action::StartAttempt { request: id, server: to, timeout, forwarding_timeout });
         let times = EjectionTimes::from_settings(&self.settings);
         server.outlier.on_attempt_started(now, times, &mut self.rng);
     }
 
-    /// Sends the final answer of a request that has no connection; nothing else does. It is sent once, and is
-    /// a rejection only where a retry is harmless.
+    /// Sends the final answer of a request that has no connection. Every such answer is sent here, and only
+    /// once for each request. The answer is a rejection only if a retry is harmless.
     pub(super) fn send_final_answer(&mut self, id: RequestId, reason: RefusalReason) {
         let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
         if let Some(Attempt { number: attempt, .. }) = request.attempt.filter(|_| self.settings.cancel) {
@@ -108,19 +110,20 @@
         self.requests.mark_answered(id);
     }
 
-    /// Whether a rejection, which promises that a retry is harmless, would be true for a request now.
+    /// Returns whether a request may be rejected now: a rejection promises that a retry is harmless. Returns
+    /// false for an unknown request.
     pub fn may_reject(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         request.retry.may_reject(self.settings.idempotency(request.class), request.attempt.is_some())
     }
 
-    /// The connection of an attempt is established: that answers its request.
+    /// Records that the connection of an attempt is established, which answers the request.
     pub(super) fn on_established(&mut self, id: RequestId, number: u32) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let is_pending = |attempt: &&mut Attempt| attempt.number == number && !attempt.is_established;
         let Some(attempt) = request.attempt.as_mut().filter(is_pending) else { return };
         attempt.is_established = true;
-        if let Some(server) = self.servers.of_attempt(attempt) {
+        if let Some(server) = self.servers.get_mut_for_attempt(attempt) {
             server.connections.establish(id);
             server.outlier.on_established();
             if attempt.fills_last_slot {
@@ -136,8 +139,8 @@
         self.requests.mark_answered(id);
     }
 
-    /// An attempt ended, established or not. A request that is still owed its answer is tried again or
-    /// answered.
+    /// Records the end of an attempt or of its established connection. A request without an answer is retried
+    /// or answered.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32, outcome: Outcome, answered: bool) {
         if outcome == Outcome::Ok {
             self.on_established(id, number);
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Whether the attempt failed to set up a connection, and that is correlated with another server's
-    /// failure.
+    /// Records the failure in the admission rate if the attempt failed to set up a connection. Returns
+    /// whether the failure is correlated with a failure of another server.
     fn record_setup_failure(&mut self, attempt: &Attempt, outcome: Outcome) -> bool {
         let has_failed = !attempt.is_established && matches!(outcome, Outcome::TimedOut | Outcome::Error);
         let setup_time = self.now.since(attempt.sent_at);
@@ -168,11 +171,11 @@
         has_failed && self.admission_rate.on_setup_failed(self.now, server, setup_time, &self.settings)
     }
 
-    /// Frees what an ended attempt occupied, and applies what its outcome shows of the server.
+    /// Releases the slots that an ended attempt occupied, and applies its outcome to the state of the server.
     fn release_attempt(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
         let Some(request) = self.requests.get(id) else { return };
         let is_failure = is_server_failure(outcome, attempt.is_established, request.is_answered);
-        let Some(server) = self.servers.of_attempt(attempt) else { return };
+        let Some(server) = self.servers.get_mut_for_attempt(attempt) else { return };
         if attempt.is_established {
             server.connections.end_connection(id, request.group, request.slots);
         } else {
@@ -194,11 +197,12 @@
         }
     }
 
-    /// Answers the requests whose deadline has come. A server that has not answered by then has failed.
+    /// Answers the requests whose deadline has been reached. A server that has not answered an attempt by
+    /// then has failed.
     pub(super) fn answer_overdue_requests(&mut self) {
         while let Some(id) = self.requests.next_overdue(self.now) {
-            if let Some(silent) = self.requests.get(id).and_then(|request| request.attempt) {
-                self.record_server_failure(silent.endpoint.server, silent.sent_at);
+            if let Some(unanswered) = self.requests.get(id).and_then(|request| request.attempt) {
+                self.record_server_failure(unanswered.endpoint.server, unanswered.sent_at);
             }
             self.send_final_answer(id, RefusalReason::OutOfTime);
         }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,33 +1,35 @@
 //! Selection: which server gets a new connection.
 //!
-//! **What is decided.** One server of the candidates, or none; a request for which there is none is answered
-//! with [`RefusalReason::NoServer`](crate::RefusalReason::NoServer).
+//! **What is decided.** Which of the candidates is selected, if any. If none is selected, the request is
+//! answered with [`RefusalReason::NoServer`](crate::RefusalReason::NoServer).
 //!
 //! **Inputs.** The candidates, which `placement.rs` collects: servers that are listed as serving, are not
 //! ejected (`outlier_detection`), are not held back by `slow_start`, and where the `retry_policy` allows the
-//! request to run. For each its free slots, its overflow weight, its zone, and whether it holds the request's
-//! group. The choice changes no state.
+//! request to run. Each candidate has its free slots, its overflow weight, its zone, and whether connections
+//! of the request's group are established there. Selection changes no state.
 //!
-//! **Rule.** A server is drawn at random, in proportion to its free slots: its ceiling times its warmth, less
-//! the occupied slots; none if these are fewer than the connection needs and than half of that ceiling. Where
-//! no candidate has free slots, a server is drawn in proportion to its overflow weight: its weight over the
-//! square of (1 + occupied slots), if it has had no fault within the fault window and the connection fits
-//! into its overflow (`concurrency_limit`). Two preferences narrow the draw:
+//! **Rule.** A server is drawn at random, in proportion to its free slots. These are its ceiling times its
+//! warmth, less the occupied slots. They count as 0 if they are fewer than the connection needs and also
+//! fewer than half of that ceiling. If no candidate has free slots, a server is drawn in proportion to its
+//! overflow weight. This is its weight over the square of (1 + occupied slots) if the server has had no fault
+//! within the fault window and the connection fits into its overflow (`concurrency_limit`), and 0 otherwise.
+//! Two preferences narrow the draw:
 //!
-//! - *Group.* A group goes to candidates that hold it already, and otherwise to as many servers as it fills:
-//!   its share of the connections that have a group, times the servers that serve. Which ones is decided by a
-//!   draw for group and server alone, weighted by the free slots, so that balancers which see similar slots
-//!   choose the same. A server needs two more slots for the first connection of a group.
-//! - *Zone.* Where crossing zones has a cost, servers of the local zone come first while they occupy little
-//!   more than the mean of all servers. The overflow draw has no such preference.
+//! - *Group.* A connection of a group is placed on a candidate that already has connections of the group. If
+//!   there is none, it is placed on one of as many servers as the group fills: its share of the connections
+//!   that have a group, times the number of serving servers. These servers are chosen by a draw that depends
+//!   only on the group and the server, weighted by the free slots, so that balancers with similar free slots
+//!   choose the same servers. The first connection of a group needs two more slots.
+//! - *Zone.* If crossing zones has a cost, a server of the local zone is preferred while its occupied slots
+//!   are at most a little above the mean of all servers. The overflow draw has no such preference.
 //!
-//! As a last resort, where more than half of the servers that serve have failures but no recent fault, one of
-//! these is tried before its ejection ends: the one whose ejection ends first, whatever its ceiling is.
+//! As a last resort, if more than half of the serving servers have failures but no recent fault, one of these
+//! is tried before its ejection ends. It is the server whose ejection ends first, whatever its ceiling is.
 //!
 //! **Why.** Drawing in proportion to free slots is the "simple balancing" of "Insensitive Load Balancing"
-//! (Bonald, Jonckheere, Proutière, 2004): the fraction of blocked customers depends on the mean load alone,
-//! not on its distribution. There, customers are alike. Here connections differ in size, share the work of
-//! their group, and may cross zones.
+//! (Bonald, Jonckheere, Proutière, 2004): the fraction of blocked customers depends only on the mean load,
+//! not on its distribution. In that model all customers are alike. Here connections differ in size, share the
+//! work of their group, and may cross zones.
 
 use rand_pcg::Pcg64Mcg;
 
@@ -36,35 +38,36 @@
 use crate::bookkeeping::{draw_weighted, exponential_for};
 use crate::types::{GroupId, ServerId, Settings, Time, ZoneId};
 
-/// A server of the local zone comes first while it occupies at most so many times the mean of all servers...
+/// A server of the local zone is preferred while its occupied slots are at most this multiple of the mean of
+/// all servers, plus [`LOCAL_ZONE_EXTRA_SLOTS`].
 const LOCAL_ZONE_MEAN_FACTOR: f64 = 1.25;
-/// ...and so many slots.
+/// Slots above the multiple of the mean up to which a server of the local zone is preferred.
 const LOCAL_ZONE_EXTRA_SLOTS: f64 = 4.0;
 
-/// A server that is ready for a request.
+/// A server that may receive an attempt of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     server: ServerId,
     zone: ZoneId,
     occupied_slots: f64,
-    /// It holds connections of the request's group.
+    /// The server has connections or attempts of the request's group.
     holds_group: bool,
     free_slots: f64,
-    /// Its weight when no candidate has free slots; 0 if it may not exceed its ceiling.
+    /// Weight in the draw if no candidate has free slots; 0 if the ceiling must not be exceeded.
     overflow_weight: f64,
 }
 
-/// What a request asks of its server.
+/// Slots and group that a request needs at its server.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// The group of its connection, if any.
+    /// Group of the connection; none if the request has no group.
     pub group: Option<GroupId>,
-    /// Slots of its connection, without those of its group.
+    /// Slots of the connection itself. The slots for the first connection of a group are not included.
     pub slots: f64,
 }
 
 impl Candidate {
-    /// A server as a candidate for a request.
+    /// Computes the free slots and the overflow weight of a server for a request.
     pub fn new(
         server: &Server,
         demand: Demand,
@@ -91,25 +94,26 @@
     }
 }
 
-/// What narrows the draw among candidates.
+/// Group and zone preferences, which narrow the draw among candidates.
 #[derive(Clone, Copy, Debug)]
 pub struct Preferences {
     group: Option<GroupId>,
-    /// As many servers as the group fills by its share of the connections that have a group.
+    /// Number of servers that the group fills by its share of the connections that have a group.
     group_servers: usize,
     local_zone: Option<LocalZone>,
 }
 
-/// The zone whose servers come first, and the most slots that these may occupy for that.
+/// The zone whose servers are preferred.
 #[derive(Clone, Copy, Debug)]
 struct LocalZone {
     zone: ZoneId,
+    /// Servers with more occupied slots than this are not preferred.
     max_occupied_slots: f64,
 }
 
 impl Preferences {
-    /// The preferences for a connection whose group makes `group_share` (0 to 1) of the connections that have
-    /// a group.
+    /// Computes the preferences for a connection whose group has a share of `group_share` (0 to 1) in the
+    /// connections that have a group.
     pub fn new(
         group: Option<GroupId>,
         group_share: f64,
@@ -118,9 +122,9 @@
     ) -> Preferences {
         let servers_filled = (group_share * fleet.servers).ceil().max(1.0) as usize;
         let group_servers = if group.is_some() { servers_filled } else { 0 };
-        // Ceilings rise with what is accepted. Were the local zone always first, all clients that return at
-        // once after a restart would end there; a few connections more than elsewhere justify the cost of a
-        // crossing.
+        // Ceilings rise with each accepted connection. If the local zone were always preferred, all clients
+        // that reconnect at once after a restart would be placed there. A few connections more than elsewhere
+        // justify the cost of crossing zones.
         let mean_limit = LOCAL_ZONE_MEAN_FACTOR * fleet.occupied_slots / f64::max(fleet.servers, 1.0);
         let max_occupied_slots = mean_limit + LOCAL_ZONE_EXTRA_SLOTS;
         let zones_differ = settings.cross_zone_cost > 0.0;
@@ -128,13 +132,14 @@
         Preferences { group, group_servers, local_zone }
     }
 
-    /// Draws a server by free slots, and where no candidate has any by overflow weight.
+    /// Draws a server by free slots, or by overflow weight if no candidate has free slots.
     pub fn select(self, rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<ServerId> {
-        let in_overflow = Preferences { local_zone: None, ..self };
-        let free = self.draw(rng, candidates, |candidate| candidate.free_slots);
-        free.or_else(|| in_overflow.draw(rng, candidates, |candidate| candidate.overflow_weight))
+        let without_zone = Preferences { local_zone: None, ..self };
+        let with_free_slots = self.draw(rng, candidates, |candidate| candidate.free_slots);
+        with_free_slots.or_else(|| without_zone.draw(rng, candidates, |candidate| candidate.overflow_weight))
     }
 
+    /// Draws a preferred candidate in proportion to `weight`; none if all weights are 0.
     fn draw(
         self,
         rng: &mut Pcg64Mcg,
@@ -153,8 +158,8 @@
         draw_weighted(rng, &preferred, |candidate| weight(candidate)).map(|candidate| candidate.server)
     }
 
-    /// The servers that a group fills. Many balancers with a few connections each would otherwise spread a
-    /// group over the whole fleet, and every server would bear the work of every group.
+    /// Returns the servers that a group fills. Without this limit, many balancers with a few connections each
+    /// would spread a group over the whole fleet, and every server would do the work of every group.
     fn servers_for_group(
         self,
         group: GroupId,
@@ -175,12 +180,12 @@
     }
 }
 
-/// The ejected server to try before its time when nothing else is left; `may_run_at` is what the retry policy
-/// allows.
+/// Selects an ejected server that is tried before its ejection ends, if a request has no other server.
+/// `may_run_at` returns whether the retry policy allows the request to run at a server.
 ///
-/// Where most of the servers refuse connections or answer errors, without a rejection, a drop or a time-out,
-/// the cause may be on this balancer's side, or pass, and rejecting everything would be worse. Servers that
-/// drop and reject are not tried: more load would keep them from ever recovering.
+/// If most servers refuse connections or answer with errors, without a rejection, a drop or a timeout, the
+/// cause may be on this balancer's side, or may be temporary. Rejecting all requests would then be worse.
+/// Servers that drop or reject are not tried, because more load would keep them from recovering.
 pub fn select_last_resort<'a>(
     serving: impl Iterator<Item = &'a Server> + Clone,
     now: Time,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,5 +1,5 @@
-//! One server as this balancer sees it: its entry in the endpoint list, what it holds, and the state of each
-//! rule.
+//! State of one server at this balancer: its entry in the endpoint list, its connections, and the state of
+//! each rule.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::last_migration::LastMigration;
@@ -9,50 +9,51 @@
 use crate::bookkeeping::ServerConnections;
 use crate::types::{EndpointEntry, EndpointState, LearnedState, Time};
 
-/// One server. Each part is written by its own methods alone.
+/// State of one server. Only its own methods change the state of each rule.
 #[derive(Debug, Default)]
 pub struct Server {
-    /// Its latest entry in the endpoint list.
+    /// Latest entry of the server in the endpoint list.
     pub entry: EndpointEntry,
-    /// The number of its process: what an earlier process held is not released from a later one.
+    /// Number of the server's process. Slots that were occupied at an earlier process are not released at a
+    /// later one.
     pub incarnation: u64,
-    /// The connections there.
+    /// Connections and attempts of this balancer at the server.
     pub connections: ServerConnections,
-    /// How many slots may be occupied there.
+    /// Number of slots that may be occupied at the server.
     pub limit: ConcurrencyLimit,
-    /// Its failures and its ejection.
+    /// Failure score and ejection.
     pub outlier: OutlierDetector,
-    /// Its warmth, and when it may get the next attempt.
+    /// Warmth, and the time of the next attempt in slow start.
     pub slow_start: SlowStart,
-    /// Its probes and their reports.
+    /// Probes and their load reports.
     pub load_reports: LoadReports,
-    /// When a connection was last asked to migrate away from it.
+    /// Time at which a connection was last asked to migrate away from the server.
     pub last_migration: LastMigration,
 }
 
 impl Server {
-    /// A process of which nothing is known but its entry.
+    /// Creates the state of a new process without learned state.
     pub fn new(entry: EndpointEntry, incarnation: u64, now: Time) -> Server {
         let slow_start = SlowStart::of_process(entry.started, now);
         Server { entry, incarnation, slow_start, ..Server::default() }
     }
 
-    /// Whether its process runs and takes new connections.
+    /// Returns whether the server's process runs and accepts new connections.
     pub fn is_serving(&self) -> bool {
         self.entry.state == EndpointState::Serving
     }
 
-    /// Whether its entry may be forgotten: it is gone, and nothing is held there.
-    pub fn is_forgettable(&self) -> bool {
+    /// Returns whether the state may be removed: the server is gone and has no connection or attempt left.
+    pub fn is_removable(&self) -> bool {
         self.entry.state == EndpointState::Gone && self.connections.is_empty()
     }
 
-    /// What was learned of it, for a successor of this process.
+    /// Returns the learned state, for a successor of this process.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             ceiling: self.limit.ceiling(),
             last_fault: self.limit.last_fault(),
-            failure_score: self.outlier.failures(),
+            failure_score: self.outlier.failure_score(),
             last_failure: self.outlier.last_failure(),
             ejected_until: self.outlier.ejected_until(),
             next_slow_start_send: self.slow_start.next_attempt_at(),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Takes over what a predecessor of this process learned of it.
+    /// Restores the state that a predecessor of this process learned of the server.
     pub fn restore_learned_state(&mut self, learned: &LearnedState) {
         self.limit = ConcurrencyLimit::from_learned(learned);
         self.outlier = OutlierDetector::from_learned(learned);
--- a/tests/policy_rules.rs
+++ b/tests/policy_rules.rs
@@ -106,7 +106,7 @@
         "250 ms doubled twice"
     );
     detector.on_failure(NOW.plus(Micros(5)), NOW, times, &mut rng);
-    assert_eq!(detector.failures(), 2, "what was sent before the last failure counts as one with it");
+    assert_eq!(detector.failure_score(), 2, "what was sent before the last failure counts as one with it");
     assert!(!detector.is_eligible(ejected_until.minus(Micros(1)), false));
     assert!(detector.is_eligible(ejected_until, false) && !detector.is_eligible(ejected_until, true));
     detector.on_attempt_started(ejected_until, times, &mut rng);
