--- a/tests/policy/attempts.rs
+++ b/tests/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, retries and answers.
+//! Tests of attempts, retries and answers.
 
 use connection_balancer::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_attempt_may_last_as_long_as_its_client_waits() {
+fn the_timeout_of_an_attempt_is_nearly_all_of_its_clients_time() {
     let mut harness = Harness::new(settings(), &endpoints(2));
     harness.arrive();
     let timeout = harness.actions.iter().find_map(|action| match action {
@@ -25,21 +25,21 @@
 }
 
 #[test]
-fn rejects_at_once_without_any_server() {
+fn rejects_at_once_if_the_endpoint_list_is_empty() {
     let mut harness = Harness::new(settings(), &[]);
     harness.arrive();
     assert!(harness.rejection().is_some());
 }
 
 #[test]
-fn answers_in_time_when_a_server_is_silent() {
+fn answers_in_time_when_a_server_does_not_answer() {
     let mut harness = Harness::new(settings(), &endpoints(1));
     let request = harness.arrive();
     let timer = harness.actions.iter().find_map(|action| match action {
         Action::SetTimer(wait) => Some(*wait),
         _ => None,
     });
-    let wait = timer.expect("a timer guards the request");
+    let wait = timer.expect("a timer should be requested for the deadline");
     assert!(wait < 3 * SECOND);
     harness.advance(wait);
     harness.handle(Event::TimerFired);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn late_and_repeated_outcomes_release_no_slot_twice() {
+fn late_and_repeated_outcomes_do_not_release_a_slot_twice() {
     let mut harness = Harness::new(settings(), &endpoints(1));
     let (first, _) = harness.place();
     harness.place();
--- a/tests/policy/connection_load.rs
+++ b/tests/policy/connection_load.rs
@@ -1,11 +1,11 @@
-//! Connections that take more than one slot.
+//! Tests of connections that occupy more than one slot.
 
 use connection_balancer::*;
 
 use crate::harness::{class, endpoints, settings, Harness, SECOND};
 
 #[test]
-fn a_connection_takes_as_many_slots_as_its_load() {
+fn a_connection_occupies_slots_in_proportion_to_its_load() {
     let mut harness = Harness::new(settings(), &endpoints(2));
     let (light, heavy) = (harness.restore(1, None), harness.restore(2, None));
     for (request, load) in [(light, 10_000.0), (heavy, 70_000.0)] {
@@ -13,12 +13,13 @@
     }
     assert!(harness.occupied_slots(2) > harness.occupied_slots(1));
     harness.end_attempt(heavy, 0, Outcome::Ok, true);
-    assert_eq!(harness.occupied_slots(2), 0.0, "all that it took is released");
+    assert_eq!(harness.occupied_slots(2), 0.0, "not all slots of the connection were released");
 }
 
 #[test]
 fn a_heavy_connection_needs_all_its_slots() {
-    // Heavy connections took the last free slots, and light ones were rejected.
+    // Guards against heavy connections that occupy the last free slots, so that light connections are
+    // rejected.
     let mut settings = settings();
     settings.classes.push(class(Idempotency::Idempotent));
     let mut harness = Harness::new(settings, &endpoints(1));
@@ -37,12 +38,15 @@
         harness.measure(heavy, Measurement::Load(9.0));
     }
     harness.end_attempt(heavy, 0, Outcome::Ok, true);
-    let mut sent = |class| {
+    let mut is_sent = |class| {
         let request = harness.next_request();
         let deadline = harness.now.plus(SECOND);
         harness.handle(Event::RequestArrived { request, class, tenant, group, load, deadline });
         harness.attempted_server().is_some()
     };
-    let light_sent = (0..16).filter(|_| sent(ClassId(0))).count();
-    assert!(light_sent >= 8 && !sent(ClassId(1)), "{light_sent}");
+    let light_sent = (0..16).filter(|_| is_sent(ClassId(0))).count();
+    assert!(
+        light_sent >= 8 && !is_sent(ClassId(1)),
+        "{light_sent} of 16 light requests sent, at least 8 expected, and then no heavy request"
+    );
 }
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: states of servers, and when it is asked for again or expires.
+//! Tests of the endpoint list: states of servers, when the list is requested again, and when it expires.
 
 use connection_balancer::*;
 
@@ -17,7 +17,7 @@
     let mut harness = Harness::new(settings(), &endpoints(2));
     harness.handle(Event::EndpointsReplaced(&[endpoint(2)]));
     harness.arrive();
-    assert_eq!(harness.attempted_server(), Some(2), "a server that a whole list does not name is gone");
+    assert_eq!(harness.attempted_server(), Some(2), "attempt at a server that the new list does not name");
 }
 
 #[test]
@@ -28,7 +28,11 @@
     harness.handle(Event::EndpointsChanged(&[restarted]));
     assert_eq!(harness.occupied_slots(1), 0.0);
     harness.end_attempt(request, 0, Outcome::Reset, true);
-    assert_eq!((harness.occupied_slots(1), harness.ceiling(1)), (0.0, 4.0), "nor its late outcomes");
+    assert_eq!(
+        (harness.occupied_slots(1), harness.ceiling(1)),
+        (0.0, 4.0),
+        "a late outcome at the previous process changed the occupied slots or the ceiling"
+    );
 }
 
 #[test]
@@ -42,16 +46,16 @@
             Action::SetTimer(wait) => Some(*wait),
             _ => None,
         });
-        let wait = wait.expect("it will be asked again");
-        assert!(wait > Micros::ZERO && wait <= 12 * SECOND, "{wait:?}");
+        let wait = wait.expect("the list should be requested again");
+        assert!(wait > Micros::ZERO && wait <= 12 * SECOND, "{wait:?}, limit 12 s");
         harness.advance(wait);
         harness.handle(Event::TimerFired);
         assert!(harness.actions.contains(&Action::WatchEndpoints));
     }
 }
 
-/// What discovery lists counts as notified 6 s after discovery can be reached again, of which an answer may take 2 s. The
-/// wait for the next call must not grow with the outage beyond that.
+/// Guards against a wait for the next call that grows too long during an outage. A change that discovery
+/// lists counts as notified 6 s after discovery can be reached again, and an answer may take 2 s of these.
 #[test]
 fn polls_the_endpoint_list_in_time_however_long_discovery_was_down() {
     const LONGEST_WAIT: Micros = Micros::from_secs(4);
@@ -66,8 +70,11 @@
                 Action::SetTimer(wait) => Some(*wait),
                 _ => None,
             });
-            let wait = wait.expect("it will be asked again");
-            assert!(wait <= longest_wait, "{balancers} balancers, {failures} failures: {wait:?}");
+            let wait = wait.expect("the list should be requested again");
+            assert!(
+                wait <= longest_wait,
+                "{balancers} balancers, {failures} failures: wait of {wait:?}, limit {longest_wait:?}"
+            );
             harness.advance(wait);
             harness.handle(Event::TimerFired);
             assert!(harness.actions.contains(&Action::WatchEndpoints));
@@ -75,20 +82,19 @@
     }
 }
 
-/// While the list has expired no request is forwarded, so that a migrated client would be rejected, and a probe would
-/// be of no use.
+/// Guards against migrations and probes while the list is expired. No request is forwarded then, so that a
+/// migrated client would be rejected, and a probe would have no use.
 #[test]
-fn migrates_and_probes_nothing_by_an_expired_list() {
+fn does_not_migrate_or_probe_while_the_list_is_expired() {
     let settings = Settings { probes: true, probe_reports: true, probe_cost: 0.01, ..settings() };
-    let answers = [true, false];
-    let [by_confirmed, by_expired] = answers.map(|answers| {
+    let [with_confirmed, with_expired] = [true, false].map(|is_confirmed| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
         let established: Vec<_> = (0..14).map(|_| harness.restore(1, None)).collect();
         let since = harness.now;
         harness.advance(6 * SECOND - 100 * MS);
         let requests: Vec<_> = (0..6).map(|_| harness.arrive()).collect();
         harness.advance(100 * MS);
-        harness.handle(match answers {
+        harness.handle(match is_confirmed {
             true => Event::EndpointListConfirmed,
             false => Event::EndpointWatchSilent { since },
         });
@@ -98,12 +104,12 @@
             probes += count_probes(&harness);
         }
         harness.arrive();
-        let places = harness.attempted_server().is_some();
+        let has_attempt = harness.attempted_server().is_some();
         harness.measure(established[0], OVERLOADED);
-        (probes > 0, places, has_migration(&harness))
+        (probes > 0, has_attempt, has_migration(&harness))
     });
-    assert_eq!(by_confirmed, (true, true, true));
-    assert_eq!(by_expired, (false, false, false));
+    assert_eq!(with_confirmed, (true, true, true));
+    assert_eq!(with_expired, (false, false, false));
 }
 
 #[test]
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -1,4 +1,4 @@
-//! What the policy's tests share: settings, endpoints, and a harness around one balancer.
+//! Shared parts of the policy tests: settings, endpoints, and a harness for one balancer.
 
 use connection_balancer::*;
 
@@ -6,21 +6,21 @@
 pub(crate) const MS: Micros = Micros::from_millis(1);
 /// A second in microseconds.
 pub(crate) const SECOND: Micros = Micros::from_secs(1);
-/// When each test begins.
+/// Time at which each test starts.
 pub(crate) const START: Time = Time(1_000_000_000);
 
-/// Of an objective of 100 ms: the server fills up.
+/// Message time that is slow for the objective of 100 ms: the server is filling up.
 pub(crate) const SLOW: Measurement = Measurement::MessageTime(Micros::from_millis(40));
 
-/// Of the same objective: connections have to leave the server.
+/// Message time at which, for the objective of 100 ms, connections are migrated away from the server.
 pub(crate) const OVERLOADED: Measurement = Measurement::MessageTime(Micros::from_millis(90));
 
-/// A class with a set-up objective of 300 ms and a message objective of 100 ms.
+/// Returns a class with a setup objective of 300 ms and a message objective of 100 ms.
 pub(crate) fn class(idempotency: Idempotency) -> Class {
     Class { priority_weight: 1.0, setup_objective: 300 * MS, message_objective: 100 * MS, idempotency }
 }
 
-/// Settings with one idempotent class and four attempts.
+/// Returns settings with one idempotent class and four attempts.
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![class(Idempotency::Idempotent)],
@@ -31,7 +31,7 @@
     }
 }
 
-/// The entry of a warm server that serves, in zone 0.
+/// Returns the entry of a warm, serving server in zone 0.
 pub(crate) fn endpoint(server: u32) -> EndpointEntry {
     EndpointEntry {
         server: ServerId(server),
@@ -43,12 +43,12 @@
     }
 }
 
-/// A list of the servers from 1 to `count`.
+/// Returns a list of the servers from 1 to `count`.
 pub(crate) fn endpoints(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(endpoint).collect()
 }
 
-/// A balancer with a clock and the actions of its last event.
+/// A balancer with a clock, and the actions of its last event.
 pub(crate) struct Harness {
     pub balancer: Balancer,
     pub now: Time,
@@ -68,7 +68,7 @@
         harness
     }
 
-    /// Hands in an event at the present time; its actions replace those of the event before.
+    /// Applies an event at the current time. Its actions replace the actions of the previous event.
     pub(crate) fn handle(&mut self, event: Event<'_>) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
@@ -79,12 +79,12 @@
         self.now = self.now.plus(span);
     }
 
-    /// A request of class 0 with three seconds to its deadline; returns its id.
+    /// Adds a request of class 0 without a group, with three seconds to its deadline, and returns its id.
     pub(crate) fn arrive(&mut self) -> RequestId {
         self.arrive_in_group(None)
     }
 
-    /// The same for a request that may belong to a group.
+    /// Adds a request of class 0 with three seconds to its deadline, and returns its id.
     pub(crate) fn arrive_in_group(&mut self, group: Option<u64>) -> RequestId {
         let request = self.next_request();
         let deadline = self.now.plus(3 * SECOND);
@@ -94,13 +94,13 @@
         request
     }
 
-    /// A request id that was never used.
+    /// Returns an unused request id.
     pub(crate) fn next_request(&mut self) -> RequestId {
         self.last_request += 1;
         RequestId(self.last_request)
     }
 
-    /// A connection that was established before the balancer started.
+    /// Adds a connection that was established before the balancer started, and returns its request.
     pub(crate) fn restore(&mut self, server: u32, group: Option<u64>) -> RequestId {
         let request = self.next_request();
         let (group, server) = (group.map(GroupId), ServerId(server));
@@ -127,13 +127,13 @@
         self.handle(Event::ConnectionMeasured { request, measurement });
     }
 
-    /// A load report of a server that holds twenty connections.
+    /// Applies a load report of a server with twenty connections.
     pub(crate) fn report_load(&mut self, server: u32, utilisation: f64) {
         let report = Some(LoadReport { utilisation, connections: Some(20.0) });
         self.handle(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
     }
 
-    /// A request that arrives and ends at once; returns the server of its attempt.
+    /// Adds a request that ends at once, and returns the server of its attempt.
     pub(crate) fn arrive_and_end(&mut self) -> Option<u32> {
         let request = self.arrive();
         let server = self.attempted_server();
@@ -141,15 +141,15 @@
         server
     }
 
-    /// A request whose connection is established; returns it and its server.
+    /// Adds a request and establishes its connection. Returns the request and its server.
     pub(crate) fn place(&mut self) -> (RequestId, u32) {
         let request = self.arrive();
-        let server = self.attempted_server().expect("a server has a free slot");
+        let server = self.attempted_server().expect("a server should have a free slot");
         self.establish(request, 0);
         (request, server)
     }
 
-    /// The server of the attempt that the last event started, if there was one.
+    /// Returns the server of the attempt that the last event started, if any.
     pub(crate) fn attempted_server(&self) -> Option<u32> {
         self.actions.iter().find_map(|action| match action {
             Action::StartAttempt { server, .. } => Some(server.0),
@@ -157,7 +157,7 @@
         })
     }
 
-    /// The Retry-After of the last event's rejection, if there was one.
+    /// Returns the Retry-After of the last event's rejection, if any.
     pub(crate) fn rejection(&self) -> Option<Micros> {
         self.actions.iter().find_map(|action| match action {
             Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -165,23 +165,23 @@
         })
     }
 
-    /// Slots that are occupied at a server.
+    /// Returns the slots that are occupied at a server; 0 for an unknown server.
     pub(crate) fn occupied_slots(&self, server: u32) -> f64 {
         self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.occupied_slots)
     }
 
-    /// The ceiling of a server, in slots.
+    /// Returns the ceiling of a server in slots; 0 for an unknown server.
     pub(crate) fn ceiling(&self, server: u32) -> f64 {
         self.balancer.occupancy(ServerId(server)).map_or(0.0, |occupancy| occupancy.ceiling)
     }
 }
 
-/// Whether the last event migrated a connection.
+/// Returns whether the last event migrated a connection.
 pub(crate) fn has_migration(harness: &Harness) -> bool {
     harness.actions.iter().any(|action| matches!(action, Action::Migrate { .. }))
 }
 
-/// The number of probes that the last event began.
+/// Returns the number of probes that the last event started.
 pub(crate) fn count_probes(harness: &Harness) -> usize {
     harness.actions.iter().filter(|action| matches!(action, Action::ProbeServer { .. })).count()
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decision module: events and a clock in, actions out.
+//! Tests of the decision module through its interface: events and a clock are the input, actions the output.
 
 mod attempts;
 mod ceilings;
--- a/tests/policy/peers.rs
+++ b/tests/policy/peers.rs
@@ -1,4 +1,5 @@
-//! Gossip between the balancers of a tier: what it costs, what it changes, and that no message can do harm.
+//! Tests of gossip between the balancers of a tier: its cost, its effect on decisions, and that no message
+//! can do harm.
 
 use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, MAX_SAMPLED_GROUPS};
 use connection_balancer::protocol::gossip::{decode, encode, MAX_DATAGRAM_LENGTH};
@@ -7,7 +8,8 @@
 
 use crate::harness::{endpoints, settings, Harness, MS, SECOND, START};
 
-const HOLDS: Micros = Micros::from_secs(2);
+/// Time for which an observation of a server counts.
+const OBSERVATION_HOLD: Micros = Micros::from_secs(2);
 
 fn slow(server: u32, ms: u64) -> Observation {
     Observation::SlowServer(ServerId(server), ms * MS)
@@ -19,40 +21,43 @@
         balancers,
         price,
         message_objective: 100 * MS,
-        observation_hold: HOLDS,
+        observation_hold: OBSERVATION_HOLD,
         slow_setup_hold: 600 * MS,
     }
 }
 
 #[test]
-fn broadcasts_each_observation_once_while_it_holds_and_not_after_another_balancer() {
+fn broadcasts_each_observation_once_within_its_hold_and_not_after_a_peer_did() {
     let dropped = |server| Observation::Dropped(ServerId(server));
     let observations = [
-        (slow(1, 50), slow(2, 60), HOLDS),
-        (dropped(1), dropped(2), HOLDS),
+        (slow(1, 50), slow(2, 60), OBSERVATION_HOLD),
+        (dropped(1), dropped(2), OBSERVATION_HOLD),
         (Observation::SlowSetUps, Observation::SlowSetUps, 600 * MS),
     ];
-    for (own, others, holds) in observations {
+    for (own, received, hold) in observations {
         let mut peers = Peers::new(gossip_config(3, 0.0), 7);
-        assert!(!peers.should_broadcast(START, slow(1, 49)), "under half of the aim messages are in time");
+        assert!(
+            !peers.should_broadcast(START, slow(1, 49)),
+            "messages that take less than half of the objective were reported"
+        );
         assert!(peers.should_broadcast(START, own));
         peers.earn_credit();
-        assert!(!peers.should_broadcast(START.plus(holds - Micros(1)), own));
-        assert!(peers.should_broadcast(START.plus(holds), own));
+        assert!(!peers.should_broadcast(START.plus(hold - Micros(1)), own));
+        assert!(peers.should_broadcast(START.plus(hold), own));
         peers.earn_credit();
-        assert!(peers.record_received(START.plus(2 * holds), others));
-        assert!(!peers.should_broadcast(START.plus(3 * holds - Micros(1)), others));
-        for alone in [gossip_config(1, 0.0), GossipConfig { enabled: false, ..gossip_config(3, 0.0) }] {
+        assert!(peers.record_received(START.plus(2 * hold), received));
+        assert!(!peers.should_broadcast(START.plus(3 * hold - Micros(1)), received));
+        for config in [gossip_config(1, 0.0), GossipConfig { enabled: false, ..gossip_config(3, 0.0) }] {
             assert!(
-                !Peers::new(alone, 7).should_broadcast(START, own),
-                "there is no other balancer, or gossip is disabled"
+                !Peers::new(config, 7).should_broadcast(START, own),
+                "broadcast without a peer, or with gossip disabled"
             );
         }
     }
 }
 
-/// Messages of all balancers cost a hundredth of the value of all connections, however many servers are slow, and of
-/// many balancers with few connections some can always send.
+/// The messages of all balancers may cost a hundredth of the value of all connections, however many servers
+/// are slow. Among many balancers with few connections, some must always be able to send.
 #[test]
 fn established_connections_pay_for_messages() {
     for (balancers, price) in [(100, 0.01), (3, 0.01), (100, 0.5)] {
@@ -61,33 +66,37 @@
             let mut peers = Peers::new(gossip_config(balancers, price), seed);
             established += 1.0;
             for n in 0..10u32 {
-                let now = START.plus(u64::from(n) * HOLDS);
+                let now = START.plus(u64::from(n) * OBSERVATION_HOLD);
                 sent += (0..5).filter(|k| peers.should_broadcast(now, slow(n * 5 + k, 500))).count() as f64;
                 peers.earn_credit();
                 established += 1.0;
             }
         }
         let cost = sent / established * price * f64::from(balancers - 1) * 16.0 / 256.0;
-        assert!(cost <= 0.0125, "{balancers} {price}: {cost}");
+        assert!(
+            cost <= 0.0125,
+            "{balancers} balancers, price {price}: messages cost {cost} of the value, limit 0.0125"
+        );
         assert!(
             cost >= 0.0075 || sent >= established,
-            "{balancers} {price}: {sent} messages for {established}"
+            "{balancers} balancers, price {price}: only {sent} messages for {established} connections"
         );
     }
 }
 
-/// Without gossip each of a hundred balancers learns that a server is slow only by placing a connection there.
+/// Without gossip, each of a hundred balancers learns that a server is slow only by placing a connection
+/// there.
 #[test]
 fn a_hundred_balancers_avoid_a_reported_server_and_do_not_all_return_at_once() {
     let settings = Settings { balancers: 100, max_retry_after: SECOND, ..settings() };
     let list = endpoints(10);
-    let places = |gossips: bool| -> Vec<usize> {
+    let placed_at_slow_server = |has_gossip: bool| -> Vec<usize> {
         let mut fleet: Vec<Harness> = (0..100).map(|n| Harness::seeded(settings.clone(), &list, n)).collect();
-        let mut to_slow = Vec::new();
+        let mut placed_by_second = Vec::new();
         for second in 0..10 {
             let mut placed = 0;
             for harness in &mut fleet {
-                if gossips && second == 0 {
+                if has_gossip && second == 0 {
                     harness.handle(Event::PeerObservation { server: ServerId(1), took: Some(300 * MS) });
                 }
                 let (request, server) = harness.place();
@@ -95,28 +104,32 @@
                 harness.end_attempt(request, 0, Outcome::Ok, true);
                 harness.advance(SECOND);
             }
-            to_slow.push(placed);
+            placed_by_second.push(placed);
         }
-        to_slow
+        placed_by_second
     };
-    let (without, with) = (places(false), places(true));
-    assert!(without.iter().all(|&placed| placed >= 3), "a tenth each second: {without:?}");
-    assert_eq!(with[0], 0, "{with:?}");
-    let back = with.iter().position(|&placed| placed > 0).expect("it is tried again");
-    assert!(with[back] <= 20, "{with:?}");
+    let (without, with) = (placed_at_slow_server(false), placed_at_slow_server(true));
+    assert!(
+        without.iter().all(|&placed| placed >= 3),
+        "without gossip, about a tenth of 100 connections is expected in each second: {without:?}"
+    );
+    assert_eq!(with[0], 0, "connections in each second with gossip: {with:?}");
+    let first_return =
+        with.iter().position(|&placed| placed > 0).expect("the server should be tried again within 10 s");
+    assert!(with[first_return] <= 20, "more than 20 balancers return at once: {with:?}");
 }
 
-/// Where servers report no message times, balancers learn of a drop only by gossip. Without it they would refill a server
-/// within a second or two each time it has dropped all its connections.
+/// Guards against balancers that refill a server within a second or two each time it has dropped all its
+/// connections. If servers report no message times, other balancers learn of a drop only by gossip.
 #[test]
-fn each_reported_drop_halves_what_all_balancers_send_to_a_server() {
+fn each_reported_drop_halves_the_requests_that_all_balancers_send_to_a_server() {
     let settings = Settings { balancers: 300, max_retry_after: SECOND, ..settings() };
     let list = endpoints(10);
     let mut fleet: Vec<Harness> = (0..300).map(|n| Harness::seeded(settings.clone(), &list, n)).collect();
-    let mut sent_there = |message: bool| {
+    let mut sent_to_server = |is_drop_reported: bool| {
         let mut count = 0;
         for harness in &mut fleet {
-            if message {
+            if is_drop_reported {
                 harness.handle(Event::PeerObservation { server: ServerId(1), took: None });
             }
             for _ in 0..10 {
@@ -127,16 +140,17 @@
         }
         count as f64
     };
-    let (before, once, twice) = (sent_there(false), sent_there(true), sent_there(true));
-    assert!((240.0..360.0).contains(&before), "a tenth of 3000: {before}");
-    assert!((0.4..0.65).contains(&(once / before)), "{once} of {before}");
-    // Less again, though what fills its last slot raises its ceiling.
-    assert!(twice <= 0.8 * once, "{twice} of {once}");
+    let (before, after_one, after_two) = (sent_to_server(false), sent_to_server(true), sent_to_server(true));
+    assert!((240.0..360.0).contains(&before), "{before} requests sent, about a tenth of 3000 expected");
+    assert!((0.4..0.65).contains(&(after_one / before)), "{after_one} sent after one drop, {before} before");
+    // The second drop has an effect again, although connections that fill the last slot raise the ceiling.
+    assert!(after_two <= 0.8 * after_one, "{after_two} sent after two drops, {after_one} after one");
 }
 
-/// An observation never lowers a ceiling below the occupied slots: small fleets learn about these on their own.
+/// An observation of a drop never lowers a ceiling below the occupied slots. The balancers of a small fleet
+/// learn about these from their own connections.
 #[test]
-fn a_reported_drop_takes_free_slots_only() {
+fn a_reported_drop_removes_only_free_slots() {
     let mut harness = Harness::new(settings(), &endpoints(1));
     for _ in 0..3 {
         harness.place();
@@ -155,26 +169,31 @@
 
 proptest! {
     #[test]
-    fn reads_messages_as_written_and_nothing_else(
+    fn decodes_messages_as_encoded_and_nothing_else(
         server: Option<u32>,
         dropped: bool,
         ms in 0..200_000u64,
-        marks in proptest::collection::vec(any::<u16>(), 0..=MAX_SAMPLED_GROUPS),
-        junk: Vec<u8>,
+        hashes in proptest::collection::vec(any::<u16>(), 0..=MAX_SAMPLED_GROUPS),
+        arbitrary: Vec<u8>,
     ) {
         let message = |ms| GossipMessage {
             observation: server.map_or(Observation::SlowSetUps, |server| match dropped {
                 true => Observation::Dropped(ServerId(server)),
                 false => slow(server, ms),
             }),
-            groups: std::array::from_fn(|n| marks.get(n).copied().map(GroupHash)),
+            groups: std::array::from_fn(|n| hashes.get(n).copied().map(GroupHash)),
         };
         let bytes = encode(message(ms));
-        prop_assert!(bytes.len() <= 16 && bytes.len() <= MAX_DATAGRAM_LENGTH, "longer ones cost more");
+        prop_assert!(
+            bytes.len() <= 16 && bytes.len() <= MAX_DATAGRAM_LENGTH,
+            "message of {} bytes, limit 16; longer messages cost more",
+            bytes.len()
+        );
         prop_assert_eq!(decode(&bytes), Some(message(ms.min(65_535))));
-        for cut in 0..bytes.len() {
-            prop_assert_eq!(decode(&bytes[..cut]), None);
+        for length in 0..bytes.len() {
+            prop_assert_eq!(decode(&bytes[..length]), None);
         }
-        prop_assert!(junk.first().is_some_and(|kind| b"1234".contains(kind)) || decode(&junk).is_none());
+        let has_known_kind = arbitrary.first().is_some_and(|kind| b"1234".contains(kind));
+        prop_assert!(has_known_kind || decode(&arbitrary).is_none());
     }
 }
--- a/tests/policy/probes.rs
+++ b/tests/policy/probes.rs
@@ -1,11 +1,11 @@
-//! Probes of servers, and what they may cost.
+//! Tests of the number and the cost of probes.
 
 use connection_balancer::*;
 
 use crate::harness::{count_probes, endpoints, settings, Harness};
 
 #[test]
-fn probes_cost_a_bounded_part_of_the_delivered_value() {
+fn probes_cost_a_bounded_share_of_the_delivered_value() {
     let settings =
         Settings { probes: true, probe_reports: true, probe_cost: 0.01, poll_required: false, ..settings() };
     let mut harness = Harness::new(settings, &endpoints(4));
@@ -16,8 +16,9 @@
         sent += count_probes(&harness);
         harness.end_attempt(request, 0, Outcome::Ok, true);
     }
-    assert!((300..=600).contains(&sent), "{sent}");
-    // Found under overload: clients that were rejected came again and again, and each time paid for probes.
+    assert!((300..=600).contains(&sent), "{sent} probes for 1000 connections, 300 to 600 are allowed");
+    // Guards against credit for rejected connections. Under overload, rejected clients returned repeatedly,
+    // and each attempt earned credit for probes.
     for _ in 0..10 {
         let request = harness.arrive();
         assert_eq!(count_probes(&harness), 0);
--- a/tests/policy/rules/rule_checker.rs
+++ b/tests/policy/rules/rule_checker.rs
@@ -1,4 +1,5 @@
-//! Hands events to a balancer, carries out its actions, and checks each action against records of its own.
+//! Checker of the balancer's rules. It applies events to a balancer, executes its actions, and checks each
+//! action against records of its own.
 
 use std::collections::BTreeMap;
 
@@ -18,29 +19,29 @@
     Outcome::NotSent,
 ];
 
-/// An attempt in the records.
+/// Record of an attempt.
 #[derive(Clone, Copy)]
-struct InFlight {
+struct AttemptRecord {
     number: u32,
     server: ServerId,
-    sent: Time,
-    expires: Time,
-    established: bool,
+    sent_at: Time,
+    expires_at: Time,
+    is_established: bool,
 }
 
-/// A request in the records.
+/// Record of a request.
 struct TrackedRequest {
     class: ClassId,
     deadline: Time,
-    answered: bool,
-    attempts: u32,
+    is_answered: bool,
+    attempts_started: u32,
     /// The attempt in flight, or the established connection.
-    in_flight: Option<InFlight>,
+    attempt: Option<AttemptRecord>,
     /// The ended attempts that may have run.
-    may_have_run: Vec<InFlight>,
+    possible_runs: Vec<AttemptRecord>,
 }
 
-/// A balancer, and records of what it was handed and did.
+/// A balancer, and records of its events and actions.
 pub(super) struct RuleChecker {
     harness: Harness,
     settings: Settings,
@@ -48,19 +49,19 @@
     requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<Time>,
     /// All actions so far.
-    pub(super) log: Vec<Action>,
+    pub(super) executed_actions: Vec<Action>,
 }
 
 impl TrackedRequest {
     fn is_established(&self) -> bool {
-        self.in_flight.is_some_and(|attempt| attempt.established)
+        self.attempt.is_some_and(|attempt| attempt.is_established)
     }
 }
 
 impl RuleChecker {
     pub(super) fn new(seed: u64) -> RuleChecker {
         let keyed = |scope| Idempotency::IdempotencyKey { scope, window: 700 * MS };
-        let repeats = [
+        let idempotencies = [
             Idempotency::Idempotent,
             keyed(KeyScope::All),
             keyed(KeyScope::Zone),
@@ -68,7 +69,7 @@
             Idempotency::NotIdempotent,
         ];
         let settings = Settings {
-            classes: repeats.into_iter().map(class).collect(),
+            classes: idempotencies.into_iter().map(class).collect(),
             balancers: 2,
             cross_zone_cost: 0.1,
             poll_required: true,
@@ -81,12 +82,12 @@
         let mut checker = RuleChecker {
             harness: Harness::seeded(settings.clone(), &list, seed),
             settings,
-            list: list.iter().map(|l| (l.server, *l)).collect(),
+            list: list.iter().map(|entry| (entry.server, *entry)).collect(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            log: Vec::new(),
+            executed_actions: Vec::new(),
         };
-        checker.carry_out();
+        checker.execute_actions();
         checker
     }
 
@@ -94,16 +95,16 @@
         EndpointEntry { zone: ZoneId(server as u16 % 2), cell: CellId(server / 2), ..endpoint(server) }
     }
 
-    fn event(&mut self, event: Event<'_>) {
+    fn handle(&mut self, event: Event<'_>) {
         self.harness.handle(event);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Carries out the actions of the last event, and checks each against the rules.
-    fn carry_out(&mut self) {
+    /// Executes the actions of the last event, and checks each against the rules.
+    fn execute_actions(&mut self) {
         let now = self.harness.now;
         for action in std::mem::take(&mut self.harness.actions) {
-            self.log.push(action.clone());
+            self.executed_actions.push(action.clone());
             match action {
                 Action::StartAttempt { request, server, timeout, .. } => {
                     self.start_attempt(request, server, timeout);
@@ -111,13 +112,19 @@
                 Action::Reject { request, .. } => self.reject(request),
                 Action::Fail { request, .. } => self.answer(request),
                 Action::CancelAttempt { request, attempt } => {
-                    assert!(attempt < self.requests[&request].attempts, "an attempt that was made");
+                    let started = self.requests[&request].attempts_started;
+                    assert!(
+                        attempt < started,
+                        "attempt {attempt} cancelled, but only {started} were started"
+                    );
                 }
                 Action::Migrate { request } => {
                     let is_established = self.requests[&request].is_established();
-                    assert!(is_established, "an established connection");
+                    assert!(is_established, "migration of a request without an established connection");
+                }
+                Action::ProbeServer { server } => {
+                    assert!(self.list.contains_key(&server), "probe of {server:?}, which is not listed");
                 }
-                Action::ProbeServer { server } => assert!(self.list.contains_key(&server)),
                 Action::SetTimer(wait) => self.timers.push(now.plus(wait)),
                 Action::ReportSlowSetup | Action::ReportDrop { .. } | Action::WatchEndpoints => {}
             }
@@ -127,34 +134,49 @@
     fn start_attempt(&mut self, request: RequestId, server: ServerId, timeout: Micros) {
         let now = self.harness.now;
         let tracked = &self.requests[&request];
-        assert!(!tracked.answered, "nothing is sent after the answer");
-        assert!(tracked.in_flight.is_none(), "never two attempts in flight");
-        assert!(tracked.attempts < self.settings.max_attempts, "attempt limit");
-        assert_eq!(self.list[&server].state, EndpointState::Serving, "drains are kept");
+        assert!(!tracked.is_answered, "attempt after the answer");
+        assert!(tracked.attempt.is_none(), "two attempts in flight at the same time");
+        assert!(
+            tracked.attempts_started < self.settings.max_attempts,
+            "attempt after {} attempts, limit {}",
+            tracked.attempts_started,
+            self.settings.max_attempts
+        );
+        assert_eq!(
+            self.list[&server].state,
+            EndpointState::Serving,
+            "attempt at a server that is not serving"
+        );
         let idempotency = self.idempotency(tracked.class);
-        for earlier in &tracked.may_have_run {
-            assert!(self.is_harmless_after(earlier, server, idempotency), "no effect twice");
+        for earlier in &tracked.possible_runs {
+            assert!(
+                self.is_harmless_after(earlier, server, idempotency),
+                "attempt at {server:?} may have a second effect after attempt {} at {:?}",
+                earlier.number,
+                earlier.server
+            );
         }
-        let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-        let expires = now.plus(timeout).min(tracked.deadline);
-        let number = tracked.attempts;
-        tracked.in_flight = Some(InFlight { number, server, sent: now, expires, established: false });
-        tracked.attempts += 1;
+        let tracked = self.requests.get_mut(&request).expect("the request should have arrived before");
+        let expires_at = now.plus(timeout).min(tracked.deadline);
+        let number = tracked.attempts_started;
+        tracked.attempt =
+            Some(AttemptRecord { number, server, sent_at: now, expires_at, is_established: false });
+        tracked.attempts_started += 1;
     }
 
-    /// Whether an attempt at `server` has no second effect after one that may have run.
-    fn is_harmless_after(&self, earlier: &InFlight, server: ServerId, idempotency: Idempotency) -> bool {
-        let (at, ran) = (self.list[&server], self.list[&earlier.server]);
+    /// Returns whether an attempt at `server` has no second effect after an attempt that may have run.
+    fn is_harmless_after(&self, earlier: &AttemptRecord, server: ServerId, idempotency: Idempotency) -> bool {
+        let (target, earlier_server) = (self.list[&server], self.list[&earlier.server]);
         match idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::IdempotencyKey { scope, window } => {
                 let recognises_key = match scope {
                     KeyScope::All => true,
-                    KeyScope::Zone => at.zone == ran.zone,
-                    KeyScope::Cell => at.cell == ran.cell,
+                    KeyScope::Zone => target.zone == earlier_server.zone,
+                    KeyScope::Cell => target.cell == earlier_server.cell,
                 };
-                self.harness.now.since(earlier.sent) < window && recognises_key
+                self.harness.now.since(earlier.sent_at) < window && recognises_key
             }
         }
     }
@@ -162,20 +184,20 @@
     fn reject(&mut self, request: RequestId) {
         self.answer(request);
         let tracked = &self.requests[&request];
-        let may_have_run = !tracked.may_have_run.is_empty() || tracked.in_flight.is_some();
+        let may_have_run = !tracked.possible_runs.is_empty() || tracked.attempt.is_some();
         let is_harmless = matches!(
             self.idempotency(tracked.class),
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
         );
-        assert!(is_harmless || !may_have_run, "a rejection is true");
+        assert!(is_harmless || !may_have_run, "rejection although a retry is not harmless");
     }
 
     fn answer(&mut self, request: RequestId) {
         let now = self.harness.now;
-        let tracked = self.requests.get_mut(&request).expect("a request that was handed in");
-        assert!(!tracked.answered, "one answer");
-        assert!(now <= tracked.deadline, "in time");
-        tracked.answered = true;
+        let tracked = self.requests.get_mut(&request).expect("the request should have arrived before");
+        assert!(!tracked.is_answered, "second answer to {request:?}");
+        assert!(now <= tracked.deadline, "answer at {now:?}, after the deadline of {:?}", tracked.deadline);
+        tracked.is_answered = true;
     }
 
     fn idempotency(&self, class: ClassId) -> Idempotency {
@@ -183,178 +205,196 @@
         class.map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    /// Ends an attempt; the records show whether the request has had its answer.
-    fn end(&mut self, request: RequestId, outcome: Outcome) {
+    /// Ends an attempt. The records show whether the request was answered before.
+    fn end_attempt(&mut self, request: RequestId, outcome: Outcome) {
         let now = self.harness.now;
         let Some(tracked) = self.requests.get_mut(&request) else { return };
-        let Some(attempt) = tracked.in_flight.take() else { return };
+        let Some(attempt) = tracked.attempt.take() else { return };
         if !outcome.never_ran() {
-            tracked.may_have_run.push(attempt);
+            tracked.possible_runs.push(attempt);
         }
-        tracked.answered |= outcome == Outcome::Ok || now >= tracked.deadline.plus(20 * MS);
-        let answered = tracked.answered;
-        self.event(Event::AttemptEnded { request, attempt: attempt.number, outcome, answered });
+        tracked.is_answered |= outcome == Outcome::Ok || now >= tracked.deadline.plus(20 * MS);
+        let answered = tracked.is_answered;
+        self.handle(Event::AttemptEnded { request, attempt: attempt.number, outcome, answered });
     }
 
-    /// Advances the clock, with timers and time-outs in order.
+    /// Advances the clock, and applies timers and timeouts in the order of their times.
     fn wait(&mut self, span: Micros) {
         let end = self.harness.now.plus(span);
         loop {
-            let expiring = self.requests.iter().filter_map(|(id, tracked)| {
-                tracked.in_flight.filter(|a| !a.established).map(|a| (a.expires, Some(*id)))
+            let timeouts = self.requests.iter().filter_map(|(id, tracked)| {
+                let pending = tracked.attempt.filter(|attempt| !attempt.is_established);
+                pending.map(|attempt| (attempt.expires_at, Some(*id)))
             });
-            let firing = self.timers.iter().map(|&at| (at, None));
-            // At the same time a timer comes first: the harder case for the answer in time is after it.
-            let next = expiring.chain(firing).min().filter(|(at, _)| *at <= end);
-            let Some((at, what)) = next else { break };
+            let timers = self.timers.iter().map(|&at| (at, None));
+            // A timer precedes a timeout of the same time. A timeout after the timer is the harder case for
+            // an answer in time.
+            let next = timeouts.chain(timers).min().filter(|(at, _)| *at <= end);
+            let Some((at, timed_out)) = next else { break };
             self.harness.now = self.harness.now.max(at);
-            match what {
-                Some(request) => self.end(request, Outcome::TimedOut),
+            match timed_out {
+                Some(request) => self.end_attempt(request, Outcome::TimedOut),
                 None => {
-                    let place = self.timers.iter().position(|&timer| timer == at).expect("just found");
-                    self.timers.remove(place);
-                    self.event(Event::TimerFired);
+                    let index =
+                        self.timers.iter().position(|&timer| timer == at).expect("the timer was just found");
+                    self.timers.remove(index);
+                    self.handle(Event::TimerFired);
                 }
             }
         }
         self.harness.now = end;
-        for tracked in self.requests.values() {
-            assert!(tracked.answered || tracked.deadline > end, "no request is lost");
+        for (id, tracked) in &self.requests {
+            assert!(
+                tracked.is_answered || tracked.deadline > end,
+                "{id:?} has no answer at {end:?}, after its deadline of {:?}",
+                tracked.deadline
+            );
         }
     }
 
-    fn nth_request(&self, index: usize, fit: impl Fn(&TrackedRequest) -> bool) -> Option<RequestId> {
-        let fitting: Vec<_> =
-            self.requests.iter().filter(|(_, tracked)| fit(tracked)).map(|(id, _)| *id).collect();
-        (!fitting.is_empty()).then(|| fitting[index % fitting.len()])
+    fn nth_request(&self, index: usize, is_suitable: impl Fn(&TrackedRequest) -> bool) -> Option<RequestId> {
+        let suitable: Vec<_> =
+            self.requests.iter().filter(|(_, tracked)| is_suitable(tracked)).map(|(id, _)| *id).collect();
+        (!suitable.is_empty()).then(|| suitable[index % suitable.len()])
     }
 
-    pub(super) fn take_step(&mut self, step: &Step) {
+    pub(super) fn apply_step(&mut self, step: &Step) {
         match *step {
-            Step::Arrive { class, group, live_ms } => self.arrive(ClassId(class), group, live_ms * MS),
+            Step::Arrive { class, group, timeout_ms } => self.arrive(ClassId(class), group, timeout_ms * MS),
             Step::Restore { server } => self.restore(ServerId(server)),
             Step::Establish { index } => self.establish(index),
-            Step::End { index, outcome } => {
-                if let Some(request) = self.nth_request(index, |tracked| tracked.in_flight.is_some()) {
-                    self.end(request, OUTCOMES[outcome]);
+            Step::EndAttempt { index, outcome } => {
+                if let Some(request) = self.nth_request(index, |tracked| tracked.attempt.is_some()) {
+                    self.end_attempt(request, OUTCOMES[outcome]);
                 }
             }
-            Step::Leave { index } => {
-                let Some(request) = self.nth_request(index, |tracked| !tracked.answered) else { return };
-                self.requests.get_mut(&request).expect("just found").answered = true;
-                self.event(Event::ClientLeft { request });
+            Step::ClientLeft { index } => {
+                let Some(request) = self.nth_request(index, |tracked| !tracked.is_answered) else { return };
+                self.requests.get_mut(&request).expect("the request was just found").is_answered = true;
+                self.handle(Event::ClientLeft { request });
             }
-            Step::Slow { index, ms } => self.measure(index, Measurement::MessageTime(ms * MS)),
+            Step::MessageTime { index, ms } => self.measure(index, Measurement::MessageTime(ms * MS)),
             Step::Load { index, load } => self.measure(index, Measurement::Load(load)),
             Step::LoadReport { server, utilisation } => {
                 let report = Some(LoadReport { utilisation, connections: Some(utilisation) });
-                self.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
+                self.handle(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
             }
-            Step::UpdateEndpoint { server, state, restarted, is_snapshot, weight } => {
+            Step::UpdateEndpoint { server, state, is_restarted, is_snapshot, weight } => {
                 let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][state];
-                let old = self.list.get(&ServerId(server)).and_then(|l| l.started);
-                let started = if restarted { Some(self.harness.now) } else { old };
+                let listed_start = self.list.get(&ServerId(server)).and_then(|entry| entry.started);
+                let started = if is_restarted { Some(self.harness.now) } else { listed_start };
                 let entry = EndpointEntry { state, started, weight, ..RuleChecker::endpoint(server) };
                 self.update_endpoint(entry, is_snapshot);
             }
-            Step::FailEndpointWatch => self.event(Event::EndpointWatchFailed(WatchFailure::Rejected)),
-            Step::Stray { request, attempt } => self.hand_in_stray_events(RequestId(request), attempt),
+            Step::FailEndpointWatch => self.handle(Event::EndpointWatchFailed(WatchFailure::Rejected)),
+            Step::UnexpectedEvents { request, attempt } => {
+                self.apply_unexpected_events(RequestId(request), attempt);
+            }
             Step::Wait { ms } => self.wait(ms * MS),
         }
     }
 
-    fn arrive(&mut self, class: ClassId, group: Option<u64>, live: Micros) {
-        let (request, deadline) = (self.harness.next_request(), self.harness.now.plus(live));
+    fn arrive(&mut self, class: ClassId, group: Option<u64>, client_timeout: Micros) {
+        let (request, deadline) = (self.harness.next_request(), self.harness.now.plus(client_timeout));
         let group = group.map(GroupId);
         let tracked = TrackedRequest {
             class,
             deadline,
-            answered: false,
-            attempts: 0,
-            in_flight: None,
-            may_have_run: vec![],
+            is_answered: false,
+            attempts_started: 0,
+            attempt: None,
+            possible_runs: vec![],
         };
         self.requests.insert(request, tracked);
-        self.event(Event::RequestArrived { request, class, tenant: None, group, load: None, deadline });
+        self.handle(Event::RequestArrived { request, class, tenant: None, group, load: None, deadline });
     }
 
     fn restore(&mut self, server: ServerId) {
         let (request, now, class) = (self.harness.next_request(), self.harness.now, ClassId(0));
         if self.list.contains_key(&server) {
-            let connection = InFlight { number: 0, server, sent: now, expires: now, established: true };
+            let connection =
+                AttemptRecord { number: 0, server, sent_at: now, expires_at: now, is_established: true };
             let tracked = TrackedRequest {
                 class,
                 deadline: now,
-                answered: true,
-                attempts: 1,
-                in_flight: Some(connection),
-                may_have_run: vec![],
+                is_answered: true,
+                attempts_started: 1,
+                attempt: Some(connection),
+                possible_runs: vec![],
             };
             self.requests.insert(request, tracked);
         }
         let (tenant, group, load) = (None, Some(GroupId(1)), Some(3.0));
-        self.event(Event::ConnectionRestored { request, class, tenant, group, load, server });
+        self.handle(Event::ConnectionRestored { request, class, tenant, group, load, server });
     }
 
     fn establish(&mut self, index: usize) {
-        let is_waiting = |tracked: &TrackedRequest| {
-            !tracked.answered && tracked.in_flight.is_some_and(|attempt| !attempt.established)
+        let is_pending = |tracked: &TrackedRequest| {
+            !tracked.is_answered && tracked.attempt.is_some_and(|attempt| !attempt.is_established)
         };
-        let Some(request) = self.nth_request(index, is_waiting) else { return };
-        let tracked = self.requests.get_mut(&request).expect("just found");
-        tracked.answered = true;
-        let Some(in_flight) = tracked.in_flight.as_mut() else { return };
-        in_flight.established = true;
-        let attempt = in_flight.number;
-        self.event(Event::ConnectionEstablished { request, attempt });
+        let Some(request) = self.nth_request(index, is_pending) else { return };
+        let tracked = self.requests.get_mut(&request).expect("the request was just found");
+        tracked.is_answered = true;
+        let Some(attempt) = tracked.attempt.as_mut() else { return };
+        attempt.is_established = true;
+        let attempt = attempt.number;
+        self.handle(Event::ConnectionEstablished { request, attempt });
     }
 
     fn measure(&mut self, index: usize, measurement: Measurement) {
         if let Some(request) = self.nth_request(index, TrackedRequest::is_established) {
-            self.event(Event::ConnectionMeasured { request, measurement });
+            self.handle(Event::ConnectionMeasured { request, measurement });
         }
     }
 
-    /// Hands in a snapshot of the list, or one entry of it twice.
+    /// Applies a snapshot of the list, or a change that contains one entry twice.
     fn update_endpoint(&mut self, entry: EndpointEntry, is_snapshot: bool) {
         self.list.insert(entry.server, entry);
         let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
-        let twice = [entry, entry];
-        self.event(if is_snapshot {
+        let repeated = [entry, entry];
+        self.handle(if is_snapshot {
             Event::EndpointsReplaced(&entries)
         } else {
-            Event::EndpointsChanged(&twice)
+            Event::EndpointsChanged(&repeated)
         });
     }
 
-    /// Repeated and unknown outcomes: only for what has no attempt of that number in flight.
-    fn hand_in_stray_events(&mut self, request: RequestId, attempt: u32) {
+    /// Applies an outcome of an attempt that is not in flight, because it has ended or was never started, and
+    /// events of an unknown request and an unknown server. An attempt in flight is left alone.
+    fn apply_unexpected_events(&mut self, request: RequestId, attempt: u32) {
         let tracked = self.requests.get(&request);
-        let in_flight = tracked.and_then(|tracked| tracked.in_flight);
-        let answered = tracked.is_none_or(|tracked| tracked.answered);
+        let in_flight = tracked.and_then(|tracked| tracked.attempt);
+        let answered = tracked.is_none_or(|tracked| tracked.is_answered);
         if in_flight.is_some_and(|in_flight| in_flight.number == attempt) {
             return;
         }
         let (unknown_request, unknown_server) = (RequestId(9_999), ServerId(999));
         let (outcome, measurement) = (Outcome::Reset, Measurement::Load(1.0));
-        self.event(Event::AttemptEnded { request, attempt, outcome, answered });
-        self.event(Event::ConnectionMeasured { request: unknown_request, measurement });
-        self.event(Event::ProbeCompleted { server: unknown_server, outcome: Outcome::Ok, report: None });
+        self.handle(Event::AttemptEnded { request, attempt, outcome, answered });
+        self.handle(Event::ConnectionMeasured { request: unknown_request, measurement });
+        self.handle(Event::ProbeCompleted { server: unknown_server, outcome: Outcome::Ok, report: None });
     }
 
-    /// Ends all attempts in flight; then no slot may be occupied anywhere.
+    /// Ends all attempts and connections, and checks that no slot is occupied and no request is tracked.
     pub(super) fn end_all(&mut self) {
         self.wait(5 * SECOND);
-        let has_attempt = |(_, tracked): &(&RequestId, &TrackedRequest)| tracked.in_flight.is_some();
+        let has_attempt = |(_, tracked): &(&RequestId, &TrackedRequest)| tracked.attempt.is_some();
         let requests: Vec<_> = self.requests.iter().filter(has_attempt).map(|(id, _)| *id).collect();
         for request in requests {
-            self.end(request, Outcome::Ok);
+            self.end_attempt(request, Outcome::Ok);
         }
         for server in self.list.keys() {
-            assert_eq!(self.harness.occupied_slots(server.0), 0.0, "occupancy is conserved");
+            assert_eq!(
+                self.harness.occupied_slots(server.0),
+                0.0,
+                "slots are occupied at {server:?} although all attempts have ended"
+            );
         }
         for request in self.requests.keys() {
-            assert!(!self.harness.balancer.is_tracked(*request), "nothing is kept of what has ended");
+            assert!(
+                !self.harness.balancer.is_tracked(*request),
+                "{request:?} is tracked although all attempts have ended"
+            );
         }
     }
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,11 +1,11 @@
-//! Cold servers, which are filled as they warm up.
+//! Tests of slow start: cold servers are filled as they warm up.
 
 use connection_balancer::*;
 
 use crate::harness::{endpoint, endpoints, settings, Harness, MS, SECOND, START};
 
-/// A wait that was drawn before the balancer had any connection is too long once it has some: it kept a cold server
-/// without requests for twenty seconds.
+/// Guards against a cold server that receives no requests for twenty seconds. A wait that was drawn before
+/// the balancer had any connection is too long once it has some.
 #[test]
 fn shortens_a_slow_start_wait_once_more_is_known() {
     let cold = EndpointEntry { started: Some(START), ..endpoint(2) };
@@ -13,23 +13,24 @@
     let mut harness = Harness::new(settings, &[cold]);
     harness.handle(Event::EndpointsChanged(&endpoints(1)));
     (0..24).for_each(|_| _ = harness.restore(1, None));
-    let sent = (0..60).filter(|_| {
+    let sent_to_cold = (0..60).filter(|_| {
         harness.advance(50 * MS);
         harness.arrive_and_end() == Some(2)
     });
-    assert!(sent.count() > 0, "nothing went to the cold server in three seconds");
+    assert!(sent_to_cold.count() > 0, "no request was sent to the cold server in three seconds");
 }
 
-/// With most servers excluded, drained or faulty, few slots are occupied. The cold servers that replace them must still
-/// be filled by what a server can carry.
+/// Guards against slow starts that are paced by the current occupancy. With most servers excluded, drained or
+/// faulty, few slots are occupied. The cold servers that replace them must still be filled by the load that a
+/// server can handle.
 #[test]
-fn a_cold_server_is_filled_by_past_occupancy_not_by_what_is_left() {
+fn a_cold_server_is_filled_by_peak_occupancy_not_by_current_occupancy() {
     let settings = Settings { slow_start_overload_factor: 8.0, ..settings() };
-    let sent_when_left = |left: usize| {
+    let sent_with_remaining = |remaining: usize| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
         let established: Vec<_> = (0..40).map(|n| harness.restore(1 + n % 4, None)).collect();
         harness.arrive_and_end();
-        for &id in &established[left..] {
+        for &id in &established[remaining..] {
             harness.end_attempt(id, 0, Outcome::Ok, true);
         }
         let cold = EndpointEntry { started: Some(harness.now), ..endpoint(5) };
@@ -43,23 +44,27 @@
         }
         sent
     };
-    let (all, few) = (sent_when_left(40), sent_when_left(4));
-    assert!(few >= 3 && few + 1 >= all, "{few} sent with 4 left, {all} with 40");
+    let (with_40, with_4) = (sent_with_remaining(40), sent_with_remaining(4));
+    assert!(
+        with_4 >= 3 && with_4 + 1 >= with_40,
+        "{with_4} requests sent with 4 remaining connections, {with_40} with 40"
+    );
 }
 
-/// A balancer with three connections at each server would otherwise send a cold server one connection in nine seconds,
-/// while load reports show that twenty-eight fill one.
+/// Guards against a cold server that is filled too slowly. A balancer with three connections at each server
+/// would otherwise send it one connection in nine seconds, while load reports show that twenty-eight fill a
+/// server.
 #[test]
 fn a_cold_server_is_filled_by_the_capacity_that_reports_show() {
     let settings = Settings { slow_start_overload_factor: 3.0, ..settings() };
-    let sends = |reported: bool| {
+    let send_times = |has_reports: bool| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
         for n in 0..12 {
             harness.restore(1 + n % 4, None);
         }
         for server in 1..=4 {
-            // Three connections make an eighth of what it can do: twenty-four fill it.
-            let report = reported.then_some(LoadReport { utilisation: 0.125, connections: None });
+            // Three connections are an eighth of the server's capacity: twenty-four fill it.
+            let report = has_reports.then_some(LoadReport { utilisation: 0.125, connections: None });
             harness.handle(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
         }
         harness.arrive_and_end();
@@ -78,48 +83,55 @@
         }
         sent
     };
-    let (with_reports, without) = (sends(true), sends(false));
-    let (many, few) = (with_reports.len(), without.len());
-    assert!(many > 3 * few, "{many} sent with reports, {few} without");
+    let (with_reports, without_reports) = (send_times(true), send_times(false));
+    let (sent_with, sent_without) = (with_reports.len(), without_reports.len());
+    assert!(
+        sent_with > 3 * sent_without,
+        "{sent_with} requests sent with load reports, {sent_without} without"
+    );
     for first in &with_reports {
         let window = settings.slow_start_window;
         let sent = with_reports.iter().filter(|at| *at >= first && at.since(*first) < window).count();
         let age = first.plus(window).since(START).as_f64() / settings.slow_start_duration.as_f64();
         let warmth = (settings.slow_start_share + (1.0 - settings.slow_start_share) * age).min(1.0);
-        let bears = settings.slow_start_overload_factor * warmth * 24.0 * window.as_f64()
+        let expected = settings.slow_start_overload_factor * warmth * 24.0 * window.as_f64()
             / settings.slow_start_duration.as_f64();
-        // Half of the slack that the rule leaves to chance, which is three roots and three.
-        let most = bears + 1.5 * bears.sqrt() + 3.0;
-        assert!(sent as f64 <= most, "{sent} in a window in which it bears {bears:.1}");
+        // The server tolerates three square roots of the expected number plus three connections above it.
+        // Half of the roots may be used.
+        let limit = expected + 1.5 * expected.sqrt() + 3.0;
+        assert!(sent as f64 <= limit, "{sent} requests sent in a window, limit {limit:.1}");
     }
 }
 
 #[test]
 fn fills_a_cold_server_no_faster_than_it_warms_up() {
-    // All balancers restarted with it: each sends at most its part, whatever the others hold.
+    // All balancers restarted together with the server. Each sends at most its part, whatever the occupancy
+    // of the others is.
     let settings = Settings { balancers: 5, ..settings() };
     let cold = EndpointEntry { started: Some(START), ..endpoint(1) };
     let mut harness = Harness::new(settings.clone(), &[cold]);
-    let mut sends = 0.0;
+    let mut sent = 0.0;
     let end = START.plus(settings.slow_start_window);
     while harness.now < end {
         let request = harness.arrive();
         if harness.attempted_server().is_some() {
-            sends += 1.0;
+            sent += 1.0;
             harness.establish(request, 0);
             harness.end_attempt(request, 0, Outcome::Ok, true);
         }
         harness.advance(5 * MS);
     }
-    let part = settings.slow_start_window.as_f64() / settings.slow_start_duration.as_f64();
-    assert!(sends <= 1.0 + settings.slow_start_overload_factor * part, "{sends}");
+    let window_share = settings.slow_start_window.as_f64() / settings.slow_start_duration.as_f64();
+    let limit = 1.0 + settings.slow_start_overload_factor * window_share;
+    assert!(sent <= limit, "{sent} requests sent in a window, limit {limit}");
 }
 
-/// Ninety balancers that learn of a new server together must not each send it a connection at once.
+/// Guards against ninety balancers that learn of a new server at the same time and each send it a connection
+/// at once.
 #[test]
-fn many_balancers_do_not_start_on_a_cold_server_together() {
+fn many_balancers_do_not_send_to_a_cold_server_at_the_same_time() {
     let settings = Settings { balancers: 100, ..settings() };
-    let mut sends = 0;
+    let mut sent = 0;
     for seed in 0..100 {
         let mut harness = Harness::seeded(settings.clone(), &endpoints(2), seed);
         harness.restore(2, None);
@@ -129,7 +141,7 @@
             ..endpoint(2)
         }]));
         harness.arrive();
-        sends += u32::from(harness.attempted_server() == Some(1));
+        sent += u32::from(harness.attempted_server() == Some(1));
     }
-    assert!(sends <= 5, "{sends} of 100 at once");
+    assert!(sent <= 5, "{sent} of 100 balancers sent a connection at once, limit 5");
 }
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -1,4 +1,4 @@
-//! Replies of servers to probes, read without sockets.
+//! Tests of the parser for answers of servers to probes, without sockets.
 
 use connection_balancer::protocol::platform::parse_probe_answer;
 use connection_balancer::routing::ProbeEnd;
@@ -7,7 +7,7 @@
 
 const NAMES: [&str; 2] = ["x0", "util"];
 
-/// A load that is reported twice, or badly under the better name, is not read under the other name.
+/// A load that is reported twice, or is invalid under the first name, is not read under the second name.
 #[test]
 fn reads_the_load_under_the_first_known_name_or_none() {
     let report = |utilisation, connections| Some(LoadReport { utilisation, connections });
@@ -31,21 +31,26 @@
         " x0=0,x0=1",
         " x0=a,util=0",
     ];
-    let invalid = invalid.map(|tail| (format!("PONG{tail}"), ProbeEnd::Answered(None)));
-    let others = ["", "pong x0=1", "PONGx0=1", "UP 1", "BUSY", "PONG x0=1 util=2", "\u{0}"];
-    let others = others.map(|line| (line.to_owned(), ProbeEnd::NoAnswer));
+    let invalid = invalid.map(|fields| (format!("PONG{fields}"), ProbeEnd::Answered(None)));
+    let no_answers = ["", "pong x0=1", "PONGx0=1", "UP 1", "BUSY", "PONG x0=1 util=2", "\u{0}"];
+    let no_answers = no_answers.map(|line| (line.to_owned(), ProbeEnd::NoAnswer));
     let table = table.map(|(line, end)| (line.to_owned(), end));
-    for (line, end) in table.into_iter().chain(invalid).chain(others) {
+    for (line, end) in table.into_iter().chain(invalid).chain(no_answers) {
         assert_eq!(parse_probe_answer(line.as_bytes(), &NAMES), end, "{line:?}");
     }
 }
 
 proptest! {
-    /// No bytes make a server look better than one without a report, or stop a balancer.
+    /// No sequence of bytes causes a panic, or a utilisation that makes a server appear better than a server
+    /// without a report.
     #[test]
     fn accepts_any_bytes_without_a_panic(line in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let ProbeEnd::Answered(Some(report)) = parse_probe_answer(&line, &NAMES) {
-            prop_assert!((0.0..=1000.0).contains(&report.utilisation));
+            prop_assert!(
+                (0.0..=1000.0).contains(&report.utilisation),
+                "utilisation of {}, 0 to 1000 is allowed",
+                report.utilisation
+            );
         }
     }
 }
