--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -102,7 +102,8 @@
         self.ceiling
     }
 
-    /// Returns the time of the server's last fault. The time of a peer's observation may be in the future.
+    /// Returns the time of the server's last fault; none if it had none. After a peer's observation the time
+    /// may be in the future.
     pub fn last_fault(&self) -> Option<Time> {
         self.last_fault
     }
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -17,7 +17,7 @@
         let attempt = self.requests.get(id).and_then(|request| request.attempt);
         let Some(server) = attempt.map(|attempt| attempt.endpoint.server) else { return };
         match measurement {
-            Measurement::MessageTime(took) => self.on_message_time(server, took),
+            Measurement::MessageTime(message_time) => self.on_message_time(server, message_time),
             Measurement::Load(load) => self.on_load_measured(id, load),
         }
     }
@@ -38,13 +38,13 @@
 
     /// Adapts a server's ceiling to the time that a message took there, and migrates connections if the
     /// server is overloaded.
-    fn on_message_time(&mut self, id: ServerId, took: Micros) {
+    fn on_message_time(&mut self, id: ServerId, message_time: Micros) {
         let objective = self.settings.message_objective();
         if objective.is_zero() {
             return;
         }
         let Some(server) = self.servers.get_mut(id) else { return };
-        let objective_ratio = took.as_f64() / objective.as_f64();
+        let objective_ratio = message_time.as_f64() / objective.as_f64();
         server.limit.on_message_time(self.now, server.connections.occupied_slots(), objective_ratio);
         if migration::is_overloaded(objective_ratio) {
             self.migrate_from(id, objective_ratio);
@@ -54,15 +54,15 @@
     /// Applies a peer's observation of a fault of a server: slow messages, which have a message time, or a
     /// drop, which has none. The fault counts from a random time in the future: all balancers receive the
     /// observation and must not all return to the server at once.
-    pub(super) fn on_peer_observation(&mut self, id: ServerId, took: Option<Micros>) {
+    pub(super) fn on_peer_observation(&mut self, id: ServerId, message_time: Option<Micros>) {
         let objective = self.settings.message_objective().max(Micros(1));
         let delay = self.settings.peer_observation_hold().as_f64() * self.rng.random::<f64>();
         let fault_time = self.now.plus(Micros::from_f64(delay));
         let Some(server) = self.servers.get_mut(id) else { return };
         let occupied = server.connections.occupied_slots();
-        match took {
-            Some(took) => {
-                let objective_ratio = took.as_f64() / objective.as_f64();
+        match message_time {
+            Some(message_time) => {
+                let objective_ratio = message_time.as_f64() / objective.as_f64();
                 server.limit.on_peer_slow_messages(occupied, objective_ratio, fault_time);
             }
             None => server.limit.on_peer_drop(occupied, fault_time),
@@ -95,8 +95,7 @@
         }
     }
 
-    /// Earns the credit of an established connection for probes, and sends as many probes as the credit
-    /// covers.
+    /// Adds the credit that an established connection earns, and sends as many probes as the credit covers.
     pub(super) fn send_probes(&mut self) {
         let are_allowed = self.settings.probes && self.settings.probe_reports;
         if !are_allowed || self.endpoint_lease.is_expired(self.now) {
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -34,14 +34,14 @@
 pub struct ProbeCredit(f64);
 
 impl ProbeCredit {
-    /// Earns the credit of an established connection. At most one probe for each of the `servers` servers is
-    /// saved up.
+    /// Adds the credit that an established connection earns. At most one probe for each of the `servers`
+    /// servers is saved up.
     pub fn on_established(&mut self, settings: &Settings, servers: usize) {
         let cost = settings.probe_cost.max(COST_SHARE / MAX_PROBES_PER_CONNECTION);
         self.0 = (self.0 + COST_SHARE / cost).min(servers as f64);
     }
 
-    /// Spends the credit of one probe. Returns false and spends nothing if there is less.
+    /// Spends the credit for one probe. Returns false and spends nothing if the credit is less.
     pub fn spend(&mut self) -> bool {
         let is_enough = self.0 >= 1.0;
         if is_enough {
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -33,8 +33,8 @@
     pub class: ClassId,
     /// Group of the connection; none if the request has no group.
     pub group: Option<GroupId>,
-    /// Estimated load of the connection over the load of a mean connection. The slots for the first
-    /// connection of a group are not included.
+    /// Load of the connection over the load of a mean connection, estimated or measured. The slots for the
+    /// first connection of a group are not included.
     pub slots: f64,
     /// Latest time of the final answer.
     pub deadline: Time,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -9,7 +9,7 @@
 use crate::bookkeeping::ServerConnections;
 use crate::types::{EndpointEntry, EndpointState, LearnedState, Time};
 
-/// State of one server. Only its own methods change the state of each rule.
+/// State of one server. The state of each rule is changed only by the methods of that rule's type.
 #[derive(Debug, Default)]
 pub struct Server {
     /// Latest entry of the server in the endpoint list.
@@ -25,7 +25,7 @@
     pub outlier: OutlierDetector,
     /// Warmth, and the time of the next attempt in slow start.
     pub slow_start: SlowStart,
-    /// Probes and their load reports.
+    /// Time of the last probe, and the last load report.
     pub load_reports: LoadReports,
     /// Time at which a connection was last asked to migrate away from the server.
     pub last_migration: LastMigration,
