--- a/src/rebalance/arrival_storm.rs
+++ b/src/rebalance/arrival_storm.rs
@@ -1,37 +1,41 @@
 //! Detects storms of arriving clients.
 //!
-//! **Decided:** whether many more clients arrive than usual, as after the loss of a server or of another balancer.
+//! **Decided:** whether many more clients arrive than usual. This happens after the loss of a server or of
+//! another balancer.
 //!
-//! **Inputs:** the times of connection requests.
+//! **Inputs:** the arrival times of connection requests.
 //!
-//! **Rule:** requests are counted over windows of [`WINDOW`]. The usual count is an exponentially weighted mean of past
-//! windows. A storm begins when the count of a window exceeds [`STORM_USUAL_MULTIPLE`] times the usual count by more
-//! than [`STORM_MIN_EXTRA_ARRIVALS`], and ends [`STORM_COOLDOWN`] after the last request that exceeded it.
+//! **Rule:** requests are counted over windows of [`WINDOW`]. The usual count is an exponentially weighted
+//! mean of past windows. A storm begins when the count of a window exceeds [`STORM_USUAL_MULTIPLE`] times the
+//! usual count by more than [`STORM_MIN_EXTRA_ARRIVALS`]. It ends [`STORM_COOLDOWN`] after the last request
+//! above this threshold.
 //!
-//! **Reason:** clients in a storm are placed by free slots, which changes the balance by itself.
+//! **Reason:** the clients of a storm are placed by free slots. Their placement changes the balance without
+//! any migration.
 
 use crate::{Micros, Time};
 
 /// Length of the windows over which arrivals are counted.
 const WINDOW: Micros = Micros::from_secs(2);
-/// Number of windows over which the mean of the usual count is taken.
+/// Number of windows over which the usual count is averaged.
 const USUAL_COUNT_WINDOWS: f64 = 16.0;
-/// Arrivals of a window at which a storm begins, as a multiple of the usual count...
+/// Arrivals in a window above which a storm begins, as a multiple of the usual count...
 const STORM_USUAL_MULTIPLE: f64 = 3.0;
-/// ...plus this number: small counts vary by more than their multiple.
+/// ...plus this number. Small counts vary by more than a multiple of themselves.
 const STORM_MIN_EXTRA_ARRIVALS: f64 = 6.0;
-/// Time after which a storm is over.
+/// Time from the last request above the threshold to the end of a storm.
 const STORM_COOLDOWN: Micros = Micros::from_secs(3);
-/// The most windows without arrivals that enter the usual count at a time.
+/// Largest number of windows without arrivals that are applied to the usual count at a time.
 const MAX_EMPTY_WINDOWS: u64 = 64;
 
-/// The arrivals of the current window, the usual number, and the last storm.
+/// Arrivals in the current window, the usual number of arrivals, and the time of the last storm.
 #[derive(Debug)]
 pub(super) struct ArrivalStorm {
     window_start: Time,
     window_count: u32,
-    /// The usual count of a window, once a window has passed.
+    /// Usual count of a window; `None` until the first window has passed.
     usual_count: Option<f64>,
+    /// Time of the last request above the storm threshold.
     last_exceeded: Option<Time>,
 }
 
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Closes the current window if its time is over.
+    /// Closes the current window if it has ended.
     pub(super) fn advance(&mut self, now: Time) {
         let windows = now.since(self.window_start).count_of(WINDOW);
         if windows == 0 {
--- a/src/rebalance/config.rs
+++ b/src/rebalance/config.rs
@@ -1,22 +1,24 @@
-//! The settings of rebalancing: the operator's, and those that follow from the pool's configuration.
+//! Settings of rebalancing: those set by the operator, and those derived from the pool's configuration.
 
 use crate::Micros;
 
-/// What the operator sets for one pool.
+/// Settings of one pool that the operator configures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RebalanceConfig {
-    /// Whether any client is migrated for balance.
+    /// Whether clients are migrated for balance.
     pub enabled: bool,
-    /// The most clients that this balancer migrates in a second; infinite to leave the limit to the learned rate.
+    /// Largest number of clients that this balancer migrates per second. Infinite if only the learned rate
+    /// limits it.
     pub max_migrations_per_second: f64,
-    /// The least gain of a migration, as a multiple of its cost.
+    /// Smallest gain of a migration, as a multiple of its cost.
     pub min_gain_over_cost: f64,
-    /// Mean utilisation that is assumed of servers that do not report message times, as a share of their capacity.
+    /// Assumed mean utilisation of servers that do not report message times, as a share of their capacity.
     pub assumed_utilisation: f64,
 }
 
 impl Default for RebalanceConfig {
-    /// Disabled; when it is enabled, at most two migrations a second that gain twice their cost.
+    /// Returns disabled rebalancing. Once enabled, it makes at most two migrations per second, each with a
+    /// gain of at least twice its cost.
     fn default() -> RebalanceConfig {
         RebalanceConfig {
             enabled: false,
@@ -27,21 +29,22 @@
     }
 }
 
-/// The part of the pool's settings that rebalancing needs.
+/// Settings of the pool that rebalancing needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RebalanceContext {
-    /// Balancers that share the servers, this one included.
+    /// Number of balancers that share the servers, including this one.
     pub balancers: u32,
-    /// Each class's priority weight: the value of one second of its service.
+    /// Priority weight of each class, which is the value of one second of its service.
     pub priority_weights: Vec<f64>,
-    /// The tightest latency objective of a connection setup; zero where there is none.
+    /// Tightest latency objective of a connection setup; zero if there is none.
     pub setup_objective: Micros,
-    /// The tightest latency objective of a message; zero where unknown.
+    /// Tightest latency objective of a message; zero if unknown.
     pub message_objective: Micros,
-    /// Whether servers report how long messages take.
+    /// Whether servers report message times.
     pub reports_message_time: bool,
-    /// Price of migrating a client once, as a share of the value that its complete connection delivers.
+    /// Price of migrating a client once, as a share of the value that its connection delivers over its whole
+    /// lifetime.
     pub migration_cost: f64,
-    /// Time after which a server that has started is warm.
+    /// Time from the start of a server until it has its full capacity.
     pub slow_start_duration: Micros,
 }
--- a/src/rebalance/connection_lifetime.rs
+++ b/src/rebalance/connection_lifetime.rs
@@ -1,20 +1,21 @@
 //! Estimates the mean lifetime of a connection.
 //!
-//! **Rule:** the time for which connections were established, divided by the number of natural ends: the maximum
-//! likelihood estimate of an exponential lifetime from right-censored data. A prior of [`PRIOR_ENDS`] ends after
-//! [`PRIOR_LIFETIME_SECONDS`] each counts in.
+//! **Rule:** the estimate is the total time for which connections were established, divided by the number of
+//! natural ends. This is the maximum likelihood estimate of an exponential lifetime from right-censored data.
+//! It includes a prior of [`PRIOR_ENDS`] ends after [`PRIOR_LIFETIME_SECONDS`] each. An end is natural if the
+//! client ended the connection.
 
 use crate::Time;
 
-/// Natural ends of which the prior consists.
+/// Number of natural ends in the prior.
 const PRIOR_ENDS: f64 = 3.0;
-/// Mean lifetime of the prior.
+/// Mean lifetime in the prior.
 const PRIOR_LIFETIME_SECONDS: f64 = 30.0;
 
-/// The sums of the estimate.
+/// Sums from which the mean lifetime is estimated.
 #[derive(Debug)]
 pub(super) struct LifetimeEstimator {
-    /// Time for which connections were established, summed over them, up to `updated`.
+    /// Total time for which connections were established, summed over all connections up to `updated`.
     connection_seconds: f64,
     updated: Time,
     natural_ends: f64,
@@ -25,7 +26,7 @@
         LifetimeEstimator { connection_seconds: 0.0, updated: now, natural_ends: 0.0 }
     }
 
-    /// Adds the time since the last call, in which this number of connections was established.
+    /// Adds the time since the last call, during which `established` connections existed.
     pub(super) fn advance(&mut self, now: Time, established: usize) {
         self.connection_seconds = self.connection_seconds_until(now, established);
         self.updated = now;
@@ -35,10 +36,10 @@
         self.natural_ends += 1.0;
     }
 
-    /// The mean lifetime, in seconds.
+    /// Returns the estimated mean lifetime, in seconds.
     pub(super) fn mean_seconds(&self, now: Time, established: usize) -> f64 {
-        let observed = self.connection_seconds_until(now, established);
-        (observed + PRIOR_LIFETIME_SECONDS * PRIOR_ENDS) / (self.natural_ends + PRIOR_ENDS)
+        let observed_seconds = self.connection_seconds_until(now, established);
+        (observed_seconds + PRIOR_LIFETIME_SECONDS * PRIOR_ENDS) / (self.natural_ends + PRIOR_ENDS)
     }
 
     fn connection_seconds_until(&self, now: Time, established: usize) -> f64 {
--- a/src/rebalance/decision.rs
+++ b/src/rebalance/decision.rs
@@ -1,43 +1,43 @@
-//! The result of an evaluation.
+//! Result of an evaluation.
 
 use super::HoldReason;
 use crate::{ConnectionId, ServerId};
 
-/// What is to be done after an evaluation.
+/// Changes that the reducer carries out after an evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
     /// Connections to migrate.
     pub migrations: Vec<Migration>,
     /// Ceilings to raise.
     pub ceiling_increases: Vec<CeilingIncrease>,
-    /// Servers whose ceilings are to be lowered to the slots that are occupied.
+    /// Servers whose ceilings are lowered to their occupied slots.
     pub ceilings_to_lower: Vec<ServerId>,
-    /// For the log: rebalancing was put on hold or resumed.
+    /// Change to be logged: rebalancing was put on hold, or was resumed.
     pub hold_transition: Option<HoldTransition>,
 }
 
-/// A connection that has to leave its server.
+/// Migration of one connection away from its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Migration {
-    /// The connection.
+    /// Connection to migrate.
     pub connection: ConnectionId,
-    /// The server that it leaves.
+    /// Server at which the connection is established.
     pub from: ServerId,
 }
 
-/// A ceiling that is too low for the capacity that the server is expected to have.
+/// Increase of a ceiling that is too low for the expected capacity of the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CeilingIncrease {
-    /// The server.
+    /// Server whose ceiling is raised.
     pub server: ServerId,
-    /// The least ceiling that it should have, in slots.
+    /// Smallest ceiling that the server should have, in slots.
     pub ceiling: f64,
 }
 
-/// A change in whether rebalancing is on hold, for the log.
+/// Start or end of a hold, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldTransition {
-    /// Nobody is migrated from now on, for this reason.
+    /// No client is migrated from now on, for this reason.
     Held(HoldReason),
     /// Clients may be migrated again.
     Resumed,
--- a/src/rebalance/event.rs
+++ b/src/rebalance/event.rs
@@ -1,4 +1,4 @@
-//! Events that the rebalancer is notified of.
+//! Events that the reducer reports to the rebalancer.
 
 use super::ConnectionProperties;
 use crate::{ConnectionId, Micros, ServerId};
@@ -6,53 +6,54 @@
 /// A change of a connection, a server, the endpoint list or the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RebalanceEvent {
-    /// A client asks for a connection.
+    /// A client requests a connection.
     ConnectionRequested {
-        /// The new connection.
+        /// Requested connection.
         connection: ConnectionId,
-        /// The key of its flow, if it has one.
+        /// Key of the flow, by which a migrated client is recognised; `None` if the request has none.
         key: Option<u64>,
-        /// Whether the client reports that it was migrated or that its connection broke.
+        /// Whether the client reports that it was migrated, or that its previous connection broke.
         reconnecting: bool,
     },
-    /// A connection is established.
+    /// A connection was established.
     ConnectionEstablished {
-        /// The connection.
+        /// Established connection.
         connection: ConnectionId,
-        /// Its server and its properties.
+        /// Server of the connection, and its other properties.
         properties: ConnectionProperties,
-        /// Time from its request at the server to its establishment; none if it was established before.
+        /// Time from the request at the server to the establishment. `None` if the connection had been
+        /// established before this balancer started.
         setup: Option<Micros>,
     },
     /// A connection reported its load.
     LoadReported {
-        /// The connection.
+        /// Connection that reported the load.
         connection: ConnectionId,
-        /// Microseconds of work a second.
+        /// Load in microseconds of work per second.
         load: f64,
     },
     /// A server reported its message time.
     MessageTimeReported {
-        /// The server.
+        /// Server that sent the report.
         server: ServerId,
-        /// How long a message takes there.
+        /// Time that a message takes at the server.
         took: Micros,
     },
     /// A requested connection was rejected, or failed.
     ConnectionRejected {
-        /// The connection.
+        /// Requested connection.
         connection: ConnectionId,
     },
     /// A connection has ended at this balancer.
     ConnectionEnded {
-        /// The connection.
+        /// Connection that ended.
         connection: ConnectionId,
-        /// Whether its client ended it, rather than a migration or a fault.
+        /// Whether the client ended the connection, rather than a migration or a fault.
         natural: bool,
     },
     /// The endpoint list has changed.
     EndpointListChanged {
-        /// Number of servers that it lists for use.
+        /// Number of servers that the list shows as ready.
         ready: usize,
     },
     /// The endpoint list is unavailable.
--- a/src/rebalance/group_locations.rs
+++ b/src/rebalance/group_locations.rs
@@ -1,34 +1,35 @@
-//! The servers at which the members of each group are.
+//! Servers at which the connections of each group are established.
 
 use std::collections::BTreeMap;
 
 use crate::ServerId;
 
-/// Number of each group's connections at each server; neither a group nor a server without any is stored.
+/// Number of connections of each group at each server. Groups and servers without such connections are not
+/// stored.
 #[derive(Debug, Default)]
 pub(super) struct GroupLocations {
-    members: BTreeMap<u64, BTreeMap<ServerId, usize>>,
+    counts_by_group: BTreeMap<u64, BTreeMap<ServerId, usize>>,
 }
 
 impl GroupLocations {
     pub(super) fn add_member(&mut self, group: u64, server: ServerId) {
-        *self.members.entry(group).or_default().entry(server).or_default() += 1;
+        *self.counts_by_group.entry(group).or_default().entry(server).or_default() += 1;
     }
 
     pub(super) fn remove_member(&mut self, group: u64, server: ServerId) {
-        let Some(servers) = self.members.get_mut(&group) else { return };
+        let Some(servers) = self.counts_by_group.get_mut(&group) else { return };
         if let Some(count) = servers.get_mut(&server) {
             *count -= 1;
         }
         servers.retain(|_, count| *count > 0);
         if servers.is_empty() {
-            self.members.remove(&group);
+            self.counts_by_group.remove(&group);
         }
     }
 
-    /// Number of a group's connections at other servers than this one.
+    /// Returns the number of the group's connections at servers other than `server`.
     pub(super) fn members_elsewhere(&self, group: u64, server: ServerId) -> usize {
-        let servers = self.members.get(&group).into_iter().flatten();
+        let servers = self.counts_by_group.get(&group).into_iter().flatten();
         servers.filter(|(other, _)| **other != server).map(|(_, count)| count).sum()
     }
 }
--- a/src/rebalance/hold_backoff.rs
+++ b/src/rebalance/hold_backoff.rs
@@ -1,17 +1,17 @@
-//! Holds after migrations that turned out badly, with exponential backoff.
+//! Holds after unsuccessful migrations, with exponential backoff.
 //!
-//! **Rule:** a hold lasts [`INITIAL_HOLD`], and each further one twice as long as the one before, up to [`MAX_HOLD`].
-//! Once [`RESET_AFTER`] has passed since the last one began, whether it has ended or not, the next lasts
-//! [`INITIAL_HOLD`] again.
+//! **Rule:** the first hold lasts [`INITIAL_HOLD`]. Each further hold lasts twice as long as the previous
+//! one, up to [`MAX_HOLD`]. When [`RESET_AFTER`] has passed since the beginning of the last hold, whether or
+//! not that hold has ended, the next hold lasts [`INITIAL_HOLD`] again.
 
 use super::HoldReason;
 use crate::{Micros, Time};
 
 /// Duration of the first hold.
 const INITIAL_HOLD: Micros = Micros::from_secs(2);
-/// The longest hold.
+/// Longest duration of a hold.
 const MAX_HOLD: Micros = Micros::from_secs(60);
-/// Time since the last hold began after which the next is short again.
+/// Time from the beginning of the last hold after which the next hold has the initial duration again.
 const RESET_AFTER: Micros = Micros::from_secs(30);
 
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
     reason: HoldReason,
 }
 
-/// The current hold, and the duration of the next.
+/// Current hold, and duration of the next hold.
 #[derive(Debug)]
 pub(super) struct HoldBackoff {
     current: Option<Hold>,
@@ -39,7 +39,8 @@
         self.last_begun = now;
     }
 
-    /// Ends the hold if its time is over, and resets the duration of the next if the last is long ago.
+    /// Ends the hold when its duration has passed, and resets the duration of the next hold after
+    /// [`RESET_AFTER`].
     pub(super) fn advance(&mut self, now: Time) {
         if self.current.is_some_and(|hold| hold.until <= now) {
             self.current = None;
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Whether there was a hold at the last [`HoldBackoff::advance`] or has begun since.
+    /// Returns whether a hold was active at the last [`HoldBackoff::advance`], or has begun since.
     pub(super) fn is_active(&self) -> bool {
         self.current.is_some()
     }
 
-    /// The reason of a hold that lasts at this time.
+    /// Returns the reason of the hold that is active at time `now`, if any.
     pub(super) fn reason(&self, now: Time) -> Option<HoldReason> {
         self.current.filter(|hold| now < hold.until).map(|hold| hold.reason)
     }
--- a/src/rebalance/hold_conditions.rs
+++ b/src/rebalance/hold_conditions.rs
@@ -1,44 +1,50 @@
-//! Events elsewhere in the balancer during which nobody is migrated for balance.
+//! Conditions elsewhere in the balancer during which no client is migrated for balance.
 //!
 //! **Decided:** whether rebalancing is on hold, and the first reason that applies.
 //!
-//! **Inputs:** the reducer's [`SystemConditions`], the number of ready servers, and the times of reloads, of changes of
-//! the endpoint list and of arriving clients.
+//! **Inputs:** the reducer's [`SystemConditions`], the number of ready servers, and the times of reloads, of
+//! changes of the endpoint list and of arriving clients.
 //!
-//! **Rule**, in this order: shutdown and hot restart hold as long as they last; draining as long as connections are at
-//! servers that drain, at most [`MAX_DRAINING_HOLD`]; a reload for [`RELOAD_HOLD`]; a list that lost more than a
-//! quarter of its ready servers for [`LIST_SHRINK_HOLD`]; an unavailable list until it is received again; fewer than
-//! [`MIN_READY_SERVERS`] ready servers; an arrival storm (`arrival_storm.rs`).
+//! **Rule:** these conditions put rebalancing on hold, in this order of precedence:
+//! - a shutdown or a hot restart, as long as it lasts;
+//! - connections at servers that drain, as long as there are any, but at most for [`MAX_DRAINING_HOLD`];
+//! - a reload, for [`RELOAD_HOLD`];
+//! - a list that lost more than a quarter of its ready servers, for [`LIST_SHRINK_HOLD`];
+//! - an unavailable list, until it is received again;
+//! - fewer than [`MIN_READY_SERVERS`] ready servers;
+//! - an arrival storm (`arrival_storm.rs`).
 //!
-//! **Reason:** each of these migrates or reconnects clients itself, or makes it uncertain which servers exist.
+//! **Reason:** each of these conditions migrates or reconnects clients itself, or makes it uncertain which
+//! servers exist.
 
 use super::arrival_storm::ArrivalStorm;
 use super::HoldReason;
 use crate::{Micros, Time};
 
-/// Time after a reload in which the endpoint list may be replaced.
+/// Hold after a reload. The endpoint list may be replaced during this time.
 const RELOAD_HOLD: Micros = Micros::from_secs(2);
-/// Time after the list shrank in which the clients of the lost servers reconnect, or the list turns out to be wrong.
+/// Hold after the list shrank. During this time the clients of the lost servers reconnect, or the list turns
+/// out to be wrong.
 const LIST_SHRINK_HOLD: Micros = Micros::from_secs(3);
-/// The longest hold for draining: a server may drain for hours, with clients that never leave it.
+/// Longest hold for draining. A server may drain for hours if some of its clients never leave.
 const MAX_DRAINING_HOLD: Micros = Micros::from_secs(30);
-/// The list counts as shrunk if less than this share of the ready servers is left.
+/// Share of the ready servers below which the list counts as shrunk.
 const MIN_REMAINING_SERVERS_SHARE: f64 = 0.75;
-/// With fewer ready servers there is nothing to balance.
+/// Smallest number of ready servers between which connections can be balanced.
 const MIN_READY_SERVERS: usize = 2;
 
-/// Activity that the reducer knows of.
+/// Conditions that the reducer reports at each evaluation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SystemConditions {
-    /// This balancer shuts down gracefully.
+    /// Whether this balancer shuts down gracefully.
     pub shutting_down: bool,
-    /// A hot restart is under way, with this process on either side.
+    /// Whether a hot restart is under way, with this process as predecessor or successor.
     pub hot_restart: bool,
-    /// Connections at servers that drain, are excluded by an operator, or are gone.
+    /// Number of connections at servers that drain, are excluded by an operator, or are gone.
     pub draining_connections: usize,
 }
 
-/// The events that put rebalancing on hold.
+/// Conditions that put rebalancing on hold, with the times at which they began.
 #[derive(Debug)]
 pub(super) struct HoldConditions {
     ready_servers: usize,
@@ -66,9 +72,9 @@
     }
 
     pub(super) fn on_endpoint_list_changed(&mut self, now: Time, ready_servers: usize) {
-        let previous = self.ready_servers;
-        let min_remaining = previous as f64 * MIN_REMAINING_SERVERS_SHARE;
-        if (ready_servers as f64) < min_remaining || ready_servers == 0 && previous > 0 {
+        let previous_servers = self.ready_servers;
+        let min_remaining = previous_servers as f64 * MIN_REMAINING_SERVERS_SHARE;
+        if (ready_servers as f64) < min_remaining || ready_servers == 0 && previous_servers > 0 {
             self.list_shrank_at = Some(now);
         }
         self.ready_servers = ready_servers;
@@ -86,7 +92,7 @@
         self.reloaded_at = Some(now);
     }
 
-    /// The first reason for a hold that applies now.
+    /// Returns the first reason for a hold that applies now, in order of precedence.
     pub(super) fn hold_reason(
         &mut self,
         now: Time,
--- a/src/rebalance/hold_reason.rs
+++ b/src/rebalance/hold_reason.rs
@@ -1,18 +1,20 @@
-//! The reasons for which nobody is migrated for balance.
+//! Reasons for which no client is migrated for balance.
 
 use std::fmt;
 
-/// Why nobody may be migrated now. The number is that of the metric `rebalance.FRONT.held`, [`HoldReason::code`].
+/// Reason for which no client may be migrated now.
 ///
-/// The first eight are decided in `hold_conditions.rs`, `SlowSetups` in `setup_times.rs`, and the last three in
-/// `migration_rate.rs`.
+/// The number in each description is [`HoldReason::code`], the value of the metric `rebalance.FRONT.held`.
+///
+/// The first eight reasons are decided in `hold_conditions.rs`, `SlowSetups` in `setup_times.rs`, and the
+/// last three in `migration_rate.rs`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HoldReason {
     /// 1: this balancer shuts down gracefully.
     ShuttingDown,
     /// 2: a hot restart is under way.
     HotRestart,
-    /// 3: connections are established at servers that drain, are excluded or gone.
+    /// 3: connections are established at servers that drain, are excluded, or are gone.
     Draining,
     /// 4: the configuration was reloaded recently.
     ConfigurationReloaded,
@@ -30,7 +32,7 @@
     ClientsRejected,
     /// 11: migrated clients do not reconnect.
     ClientsNotReturning,
-    /// 12: migrations did not lower the worst excess.
+    /// 12: migrations did not lower the largest excess of a server over its fair share.
     ExcessNotFalling,
 }
 
@@ -38,7 +40,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             HoldReason::ShuttingDown => "this balancer is shutting down",
-            HoldReason::HotRestart => "another process serves beside this one",
+            HoldReason::HotRestart => "a hot restart is under way",
             HoldReason::Draining => "servers are draining",
             HoldReason::ConfigurationReloaded => "the configuration was reloaded",
             HoldReason::EndpointListShrank => "the endpoint list has lost a large part of its servers",
@@ -54,7 +56,7 @@
 }
 
 impl HoldReason {
-    /// Its number in the metrics, from 1; 0 there means that nothing is on hold.
+    /// Returns the number of the reason in the metrics, from 1. The metric is 0 while there is no hold.
     pub fn code(self) -> u64 {
         self as u64 + 1
     }
--- a/src/rebalance/mean_load.rs
+++ b/src/rebalance/mean_load.rs
@@ -1,9 +1,10 @@
-//! The mean load of the connections that have reported one.
+//! Mean load of the connections that have reported their load.
 
-/// The most slots that one connection counts as: an outlier among the reported loads must not dominate the rest.
+/// Largest number of slots of one connection. An outlier among the reported loads must not dominate the other
+/// loads.
 const MAX_CONNECTION_SLOTS: f64 = 32.0;
 
-/// Sum and number of reported loads, in microseconds of work a second.
+/// Sum and number of the reported loads, in microseconds of work per second.
 #[derive(Debug, Default)]
 pub(super) struct MeanLoad {
     sum: f64,
@@ -25,7 +26,8 @@
         self.count -= 1;
     }
 
-    /// Slots that a connection of this load occupies: its load over the mean; one slot if it has reported none.
+    /// Returns the slots that a connection occupies: its load divided by the mean, or one slot if it has not
+    /// reported a load.
     pub(super) fn slots_of(&self, load: Option<f64>) -> f64 {
         let mean = self.mean();
         match load {
--- a/src/rebalance/metrics.rs
+++ b/src/rebalance/metrics.rs
@@ -1,18 +1,18 @@
-//! The metrics of rebalancing.
+//! Metrics of rebalancing.
 
 use super::HoldReason;
 
-/// Counts since the start of the process, the current rate and the current hold.
+/// Counts since the start of the process, the current rate, and the current hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RebalanceMetrics {
-    /// Clients migrated for balance.
+    /// Number of clients migrated for balance.
     pub migrated: u64,
-    /// Migrated clients that reconnected to this balancer.
+    /// Number of migrated clients that reconnected to this balancer.
     pub returned: u64,
-    /// Returned clients that were then rejected or failed.
+    /// Number of reconnected clients whose connection was then rejected or failed.
     pub rejected: u64,
-    /// Migrations that are allowed in a second now.
+    /// Number of migrations that are currently allowed per second.
     pub migrations_per_second: f64,
-    /// Why nobody may be migrated now.
+    /// Reason for which no client may be migrated now; `None` while there is no hold.
     pub hold_reason: Option<HoldReason>,
 }
--- a/src/rebalance/migration_candidates.rs
+++ b/src/rebalance/migration_candidates.rs
@@ -1,34 +1,38 @@
-//! The connections at a server that can be migrated.
+//! Finds the connections at a server that can be migrated.
 //!
-//! **Decided:** the units in which a server's connections can be migrated: single connections, and complete groups.
+//! **Decided:** the units in which a server's connections can be migrated: single connections, and complete
+//! groups.
 //!
 //! **Inputs:** the server's connections with their slots, classes and groups; the classes' priority weights.
 //!
-//! **Rule:** excluded are clients that have reconnected after a migration or a break, groups with such a member, and
-//! the larger part of a group that is split between servers.
+//! **Rule:** each single connection and each complete group is a candidate, except clients that have
+//! reconnected after a migration or a break, groups with such a member, and the larger part of a group that
+//! is split between servers.
 //!
-//! **Reason:** nobody is migrated from server to server. The smaller part of a split group goes to where the rest is,
-//! which removes the group's overhead at this server; the larger part would draw the rest after it and be drawn back.
+//! **Reason:** a client must not be migrated from server to server repeatedly. The smaller part of a split
+//! group reconnects to the server of the larger part, which removes the group's overhead at this server. If
+//! the larger part were migrated, the smaller part would follow it and would then attract it back.
 
 use super::observed_connections::{EstablishedConnection, ObservedConnections, SingleConnection};
 use super::placement_noise::GROUP_OVERHEAD_SLOTS;
 use super::RebalanceContext;
 use crate::{ConnectionId, ServerId};
 
-/// Connections that are migrated together.
+/// Single connection or complete group that can be migrated.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct MigrationCandidate {
-    /// The connections.
+    /// Connections that are migrated together.
     pub(super) members: Vec<ConnectionId>,
-    /// Slots that they occupy.
+    /// Slots that the members occupy.
     pub(super) slots: f64,
-    /// Slots of which the server is relieved: those of the members and, where it falls away, the group's overhead.
+    /// Slots that become free at the server: those of the members and, for a group of several connections,
+    /// the group's overhead.
     pub(super) relief_slots: f64,
-    /// Sum of the members' priority weights, relative to the mean of all classes.
+    /// Sum of the members' priority weights, relative to the mean weight of all classes.
     pub(super) priority_weight: f64,
 }
 
-/// The candidates at a server.
+/// Returns the candidates at a server.
 pub(super) fn candidates_at(
     connections: &ObservedConnections,
     context: &RebalanceContext,
@@ -75,15 +79,15 @@
             return None;
         }
         let slots = self.connections.total_slots_of(&members);
-        let has_several = members.len() > 1 || members_elsewhere > 0;
-        let overhead = if has_several { GROUP_OVERHEAD_SLOTS } else { 0.0 };
+        let has_several_members = members.len() > 1 || members_elsewhere > 0;
+        let overhead = if has_several_members { GROUP_OVERHEAD_SLOTS } else { 0.0 };
         let priority_weight =
             connections.iter().map(|connection| self.weights.of_class(connection.properties.class)).sum();
         Some(MigrationCandidate { members, slots, relief_slots: slots + overhead, priority_weight })
     }
 }
 
-/// The classes' priority weights, relative to their mean.
+/// Priority weights of the classes, relative to their mean.
 struct RelativeWeights<'a> {
     weights: &'a [f64],
     mean: f64,
--- a/src/rebalance/migration_history.rs
+++ b/src/rebalance/migration_history.rs
@@ -1,9 +1,10 @@
-//! Servers that clients were recently migrated away from, or to which they were expected to go.
+//! Servers that clients were recently migrated away from, or were expected to reconnect to.
 //!
-//! **Rule:** a server is being relieved for [`RELIEF_DURATION`] from the first migration away from it; the lower
-//! thresholds of `pressure.rs` apply to it meanwhile. A server was recently filled for [`RELIEF_DURATION`] after
-//! migrations that were meant for it, as the one with the most spare capacity; clients are not migrated away from it
-//! unless its pressure is measured.
+//! **Rule:** a server counts as being relieved for [`RELIEF_DURATION`] from the first migration away from it.
+//! During this time the lower thresholds of `pressure.rs` apply to the server. The server with the most spare
+//! capacity at a migration is the expected destination, and counts as recently filled for
+//! [`RELIEF_DURATION`]. Clients are not migrated away from a recently filled server unless its pressure is
+//! measured.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +13,12 @@
 /// Time for which a server counts as being relieved, or as recently filled.
 const RELIEF_DURATION: Micros = Micros::from_secs(10);
 
-/// The remembered servers.
+/// Servers that are being relieved, and servers that were recently filled.
 #[derive(Debug, Default)]
 pub(super) struct MigrationHistory {
+    /// Time of the first migration away from each server that is being relieved.
     relieved_since: BTreeMap<ServerId, Time>,
+    /// Time of the last migration for which the server was the expected destination.
     filled_at: BTreeMap<ServerId, Time>,
 }
 
--- a/src/rebalance/migration_rate.rs
+++ b/src/rebalance/migration_rate.rs
@@ -1,18 +1,21 @@
-//! How fast clients may be migrated, and what a migration costs, both learned from how migrations turn out.
+//! Learns the rate and the cost of migrations from the outcome of earlier migrations.
 //!
-//! **Decided:** the clients that may be migrated now (tokens); holds of rebalancing; the cost of a client's migration.
+//! **Decided:** the number of clients that may be migrated now (tokens); holds of rebalancing; the cost of
+//! migrating a client.
 //!
-//! **Inputs:** the times of connection setups, rejections, reconnections of migrated clients, the largest excess of a
-//! server at each evaluation, and the number of established connections.
+//! **Inputs:** the times of connection setups, rejections, reconnections of migrated clients, the largest
+//! excess of a server at each evaluation, and the number of established connections.
 //!
 //! **Rule:**
-//! - the rate rises while clients have been migrated within [`RECENT_MIGRATION`], enough of them reconnect
-//!   (`reconnections.rs`), and there is no hold (`token_bucket.rs`);
-//! - it is halved, with a hold (`hold_backoff.rs`), when a migrated client is rejected or fails, when too few
-//!   reconnect, or when the excess does not fall (`migration_outcome.rs`);
-//! - it is lowered to its minimum, with a hold as long as they last, when setups are slow (`setup_times.rs`).
+//! - the rate (`token_bucket.rs`) increases while clients have been migrated within [`RECENT_MIGRATION`],
+//!   enough of them reconnect (`reconnections.rs`), and there is no hold;
+//! - the rate is halved and a hold begins (`hold_backoff.rs`) when a migrated client is rejected or its
+//!   connection fails, when too few clients reconnect, or when the excess does not decrease
+//!   (`migration_outcome.rs`);
+//! - the rate is lowered to its minimum when setups become slow (`setup_times.rs`), with a hold until they
+//!   are normal.
 //!
-//! **Reason:** how much the session store and the other servers can take is not known in advance.
+//! **Reason:** the capacity of the session store and of the other servers is not known in advance.
 
 use super::cost_benefit::ClientCost;
 use super::hold_backoff::HoldBackoff;
@@ -24,14 +27,14 @@
 use super::{HoldReason, RebalanceConfig, RebalanceContext};
 use crate::{Micros, Time};
 
-/// Without a connection setup for this long, setups count as normal again.
+/// Time without a connection setup after which setups count as normal again.
 const SETUP_SILENCE_TIMEOUT: Micros = Micros::from_secs(2);
 /// Time for which a migration counts as recent.
 const RECENT_MIGRATION: Micros = Micros::from_secs(3);
-/// Seconds of service that a rejection costs: rejected clients wait before they try again.
+/// Seconds of service lost by a rejection. Rejected clients wait before they retry.
 const REJECTION_COST_SECONDS: f64 = 5.0;
 
-/// The rate, and the observations from which it is learned.
+/// Rate of migrations, and the observations from which it is learned.
 #[derive(Debug)]
 pub(super) struct MigrationRate {
     bucket: TokenBucket,
@@ -42,7 +45,7 @@
     outcome: MigrationOutcome,
     last_migration: Option<Time>,
     updated: Time,
-    /// Price of a migration, as a share of the value of a complete connection.
+    /// Price of a migration, as a share of the value that a connection delivers over its whole lifetime.
     migration_cost: f64,
 }
 
@@ -72,7 +75,7 @@
         self.migration_cost = context.migration_cost;
     }
 
-    /// Migrations that are allowed in a second now.
+    /// Returns the number of migrations that are currently allowed per second.
     pub(super) fn allowed_per_second(&self) -> f64 {
         if self.is_on_hold() {
             0.0
@@ -81,17 +84,17 @@
         }
     }
 
-    /// Clients that may be migrated now.
+    /// Returns the number of clients that may be migrated now.
     pub(super) fn tokens(&self) -> f64 {
         self.bucket.tokens()
     }
 
-    /// Clients that may be migrated at once after all tokens have been saved up.
+    /// Returns the number of clients that may be migrated at the same time when the token bucket is full.
     pub(super) fn max_tokens(&self) -> f64 {
         self.bucket.max_tokens()
     }
 
-    /// Why nobody may be migrated now.
+    /// Returns the reason for which no client may be migrated now, if any.
     pub(super) fn hold_reason(&self, now: Time) -> Option<HoldReason> {
         if self.setup_times.are_slow() {
             return Some(HoldReason::SlowSetups);
@@ -99,7 +102,7 @@
         self.backoff.reason(now)
     }
 
-    /// What the migration of a client of mean priority weight costs.
+    /// Returns the cost of migrating a client of mean priority weight.
     pub(super) fn client_cost(
         &self,
         mean_disconnected_seconds: f64,
@@ -121,51 +124,53 @@
 // ---- Events ----
 
 impl MigrationRate {
-    /// A migrated client has reconnected here.
+    /// Records that a client migrated by this balancer has reconnected here.
     pub(super) fn on_returned(&mut self) {
         self.reconnections.on_returned();
     }
 
-    /// A client reconnected that another balancer migrated or lost.
+    /// Records the reconnection of a client that another balancer migrated, or whose connection there broke.
     pub(super) fn on_returned_from_other(&mut self) {
         self.reconnections.on_returned_from_other();
     }
 
-    /// A connection was established, this time after its request at the server.
-    pub(super) fn on_setup(&mut self, now: Time, took: Micros) {
+    /// Records that a connection was established `setup_time` after its request at the server.
+    pub(super) fn on_setup(&mut self, now: Time, setup_time: Micros) {
         self.rejection_share.on_established();
-        let became_slow = self.setup_times.record(now, took);
+        let became_slow = self.setup_times.record(now, setup_time);
         if became_slow {
             self.bucket.reset_rate();
         }
     }
 
-    /// A client was rejected, or its connection failed.
+    /// Records that a client was rejected, or that its connection failed.
     pub(super) fn on_rejected(&mut self) {
         self.rejection_share.on_rejected();
     }
 
-    /// A client that had been migrated was rejected, or its connection failed.
+    /// Records that a migrated client was rejected, or that its connection failed. Begins a hold.
     pub(super) fn on_migrated_rejected(&mut self, now: Time) {
         self.hold(now, HoldReason::ClientsRejected);
     }
 
-    /// Judges past migrations by the largest excess of a server, in slots.
+    /// Records the largest excess of a server, in slots. Begins a hold if past migrations had no effect on
+    /// it.
     pub(super) fn on_excess(&mut self, now: Time, excess_slots: f64) {
-        if self.outcome.judge_excess(now, excess_slots) {
+        if self.outcome.compare_excess(now, excess_slots) {
             self.hold(now, HoldReason::ExcessNotFalling);
         }
     }
 
-    /// Clients are migrated now.
+    /// Records the migration of clients, and spends their tokens.
     pub(super) fn on_migrated(&mut self, now: Time, clients: usize) {
         self.bucket.spend(clients);
         self.outcome.on_migrated(clients);
         self.last_migration = Some(now);
     }
 
-    /// Brings the rate up to date. `established`: number of connections; `timed_out`: number of migrated clients whose
-    /// time to reconnect is over.
+    /// Updates the rate, the tokens and the holds to time `now`. `established` is the number of established
+    /// connections, `timed_out` the number of migrated clients that did not reconnect in time since the last
+    /// call.
     pub(super) fn advance(&mut self, now: Time, established: usize, timed_out: usize) {
         let seconds = now.since(self.updated).as_f64() / 1e6;
         self.updated = now;
@@ -177,13 +182,13 @@
         self.bucket.refill(seconds, established);
         self.rejection_share.decay(seconds);
         self.reconnections.on_timed_out(timed_out);
-        if self.reconnections.take_failure() {
+        if self.reconnections.detect_failure() {
             self.hold(now, HoldReason::ClientsNotReturning);
         }
         self.reconnections.decay(seconds);
     }
 
-    /// Whether clients were migrated recently, with success as far as is seen.
+    /// Returns whether clients were migrated recently, without a sign of failure.
     fn is_successful(&self, now: Time) -> bool {
         let migrated_recently = self.last_migration.is_some_and(|at| now.since(at) <= RECENT_MIGRATION);
         migrated_recently && self.reconnections.are_sufficient() && !self.is_on_hold()
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -1,36 +1,38 @@
-//! Rebalancing: which established connections are migrated so that load evens out, when, and how many.
+//! Rebalancing: migrates established connections to even out the load of servers.
 //!
-//! **Inputs.** Events of connections, servers, the endpoint list and the configuration ([`Rebalancer::on_event`]), and
-//! about twice a second the state of all servers ([`Rebalancer::evaluate`]). The unit of load is a slot: the load of a
-//! mean connection.
+//! **Inputs.** Events of connections, servers, the endpoint list and the configuration
+//! ([`Rebalancer::on_event`]), and about twice per second the state of all servers
+//! ([`Rebalancer::evaluate`]). The unit of load is a slot: the load of a mean connection.
 //!
-//! **Why are clients migrated now?** At an evaluation all of this has to be true:
-//! 1. Rebalancing is not on hold. The log and the metric `rebalance.FRONT.held` give the [`HoldReason`]: a condition
-//!    elsewhere (`hold_conditions.rs`), slow connection setups (`setup_times.rs`), or earlier migrations that turned out
-//!    badly (`migration_rate.rs`).
-//! 2. A server is certainly under pressure: it holds more than its fair share (`fair_share.rs`) and more than random
-//!    placement explains (`placement_noise.rs`), and has slow messages where servers report them (`pressure.rs`).
+//! **When are clients migrated?** At an evaluation all of these conditions have to be met:
+//! 1. Rebalancing is not on hold. The log and the metric `rebalance.FRONT.held` show the [`HoldReason`]: a
+//!    condition elsewhere in the balancer (`hold_conditions.rs`), slow connection setups (`setup_times.rs`),
+//!    or earlier migrations that were unsuccessful (`migration_rate.rs`).
+//! 2. A server is certainly under pressure: its occupied slots exceed its fair share (`fair_share.rs`) by
+//!    more than random placement explains (`placement_noise.rs`). If servers report message times, the
+//!    server's messages are also slow (`pressure.rs`).
 //! 3. Other servers have spare capacity (`spare_capacity.rs`).
-//! 4. The server was not itself filled by migrations recently, unless its message times are reported
+//! 4. The server was not recently filled by migrations, unless servers report message times
 //!    (`migration_history.rs`).
-//! 5. There is a token (`token_bucket.rs`), and the slots that may be migrated are not used up: at most
-//!    `MIGRATED_SHARE` of the excess and of the spare capacity, less what migrated clients will still occupy
-//!    (`disconnected_clients.rs`).
+//! 5. A token is available (`token_bucket.rs`), and the slots that may be migrated are not used up. These are
+//!    at most `MIGRATED_SHARE` of the excess, and at most `MIGRATED_SHARE` of the spare capacity less the
+//!    slots that migrated clients will still occupy (`disconnected_clients.rs`).
 //!
-//! **Why these clients?** They are at the servers under pressure, the one with the slowest messages first. Those that
-//! are known to have reconnected are excluded, and groups are migrated completely or not at all
-//! (`migration_candidates.rs`). Of the rest those are chosen whose migration gains most for its cost
-//! (`cost_benefit.rs`), in this order and within the limits (`selection.rs`).
+//! **Which clients are migrated?** Clients at servers under pressure, beginning with the server with the
+//! slowest messages. Clients that are known to have reconnected are excluded, and groups are migrated
+//! completely or not at all (`migration_candidates.rs`). Among the remaining candidates those with the
+//! largest gain for their cost (`cost_benefit.rs`) are selected first, within the limits (`selection.rs`).
 //!
-//! **Where do they go?** To any server that the policy selects when they reconnect, at random by free slots. Two
-//! changes of ceilings lead them, and new clients, to the right servers: that of a server under pressure is lowered to
-//! its occupied slots, and that of a server whose capacity is unknown is raised towards its fair share.
+//! **Where do they reconnect?** At the server that the policy selects when the client reconnects, at random
+//! by free slots. Two changes of ceilings direct migrated and new clients to servers with spare capacity: the
+//! ceiling of a server under pressure is lowered to its occupied slots, and the ceiling of a server whose
+//! capacity is unknown is raised towards its fair share.
 //!
-//! **Guarantees.** Same settings, seed, events and times give the same migrations. A client that is known, by its key
-//! or by its own report, to have reconnected is not migrated again for balance; a hot restart forgets that. Memory is
-//! bounded by the open connections, the endpoint list and a fixed number of disconnected clients. There is no access to
-//! clock, sockets or files: the reducer (`src/routing/`) owns one [`Rebalancer`] for each pool and carries out its
-//! decisions.
+//! **Guarantees.** The same settings, seed, events and times yield the same migrations. A client that is
+//! known to have reconnected, by its key or by its own report, is not migrated again for balance. A hot
+//! restart loses this knowledge. Memory is bounded by the open connections, the endpoint list and a fixed
+//! number of disconnected clients. The module does not access clock, sockets or files: the reducer
+//! (`src/routing/`) owns one [`Rebalancer`] for each pool and carries out its decisions.
 //!
 //! `docs/rebalancing.md` explains the design.
 #![deny(missing_docs)]
@@ -93,13 +95,15 @@
 
 /// Time between two evaluations, before jitter.
 const EVALUATION_INTERVAL: Micros = Micros::from_millis(500);
-/// Factors of the interval, from which one is drawn: balancers must not act in step.
+/// Range of the random factor by which the interval is multiplied, so that balancers do not evaluate in step.
 const EVALUATION_JITTER: std::ops::Range<f64> = 0.8..1.2;
-/// Share of an excess, and of all spare capacity, that is migrated at once: other balancers see the same servers.
+/// Largest share of an excess, and of all spare capacity, that is migrated at one evaluation. Other balancers
+/// observe the same servers and migrate as well.
 const MIGRATED_SHARE: f64 = 0.5;
-/// Tokens that the migration of one client takes.
+/// Number of tokens that the migration of one client costs.
 const TOKENS_PER_MIGRATION: f64 = 1.0;
-/// Distinguishes this random generator from others with the same seed.
+/// Value that is combined with the seed, so that this random generator differs from others with the same
+/// seed.
 const SEED_SALT: u64 = 0x6d6f_7665;
 
 /// Rebalances one pool of one balancer.
@@ -120,7 +124,7 @@
 // ---- Settings and state ----
 
 impl Rebalancer {
-    /// A rebalancer without observations.
+    /// Creates a rebalancer without observations.
     pub fn new(config: RebalanceConfig, context: RebalanceContext, seed: u64, now: Time) -> Rebalancer {
         Rebalancer {
             config,
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Applies other settings from now on, and keeps all observations.
+    /// Replaces the settings. All observations are kept.
     pub fn configure(&mut self, now: Time, config: RebalanceConfig, context: RebalanceContext) {
         self.rate.configure(&config, &context);
         self.connections.set_message_objective(context.message_objective);
@@ -147,18 +151,18 @@
         self.on_event(now, RebalanceEvent::ConfigurationReloaded);
     }
 
-    /// The time of the next evaluation; none while rebalancing is disabled.
+    /// Returns the time of the next evaluation, or `None` while rebalancing is disabled.
     pub fn next_evaluation(&self) -> Option<Time> {
         self.next_evaluation
     }
 
-    /// The metrics now.
+    /// Returns the current metrics.
     pub fn metrics(&self) -> RebalanceMetrics {
         let migrations_per_second = if self.config.enabled { self.rate.allowed_per_second() } else { 0.0 };
         RebalanceMetrics { migrations_per_second, ..self.metrics }
     }
 
-    /// An established connection: for tests.
+    /// Returns a connection if it is established. Used by tests.
     pub fn connection(&self, connection: ConnectionId) -> Option<EstablishedConnection> {
         self.connections.get(connection)
     }
@@ -198,11 +202,11 @@
 
     fn on_requested(&mut self, now: Time, connection: ConnectionId, key: Option<u64>, reconnecting: bool) {
         self.hold_conditions.on_arrival(now);
-        let returned = self.disconnected.on_requested(now, connection, key);
-        if returned || reconnecting {
+        let was_migrated = self.disconnected.on_requested(now, connection, key);
+        if was_migrated || reconnecting {
             self.connections.on_reconnecting(connection);
         }
-        if returned {
+        if was_migrated {
             self.metrics.returned += 1;
             self.rate.on_returned();
         } else if reconnecting {
@@ -217,10 +221,11 @@
         properties: ConnectionProperties,
         setup: Option<Micros>,
     ) {
-        // Setups at a slow server are slow for that reason, and show nothing of the session store.
+        // A setup at a slow server is slow because of the server, and does not indicate the state of the
+        // session store.
         let is_slow = self.connections.reported_slow(now, properties.server);
-        if let Some(took) = setup.filter(|_| !is_slow) {
-            self.rate.on_setup(now, took);
+        if let Some(setup_time) = setup.filter(|_| !is_slow) {
+            self.rate.on_setup(now, setup_time);
         }
         self.connections.on_established(now, connection, properties);
     }
@@ -238,7 +243,8 @@
 // ---- Evaluation ----
 
 impl Rebalancer {
-    /// Decides which connections are migrated now, and which ceilings are changed. The decision counts as carried out.
+    /// Decides which connections are migrated now, and which ceilings are changed. The caller has to carry
+    /// out the decision: the rebalancer assumes that it is carried out.
     pub fn evaluate(
         &mut self,
         now: Time,
@@ -259,7 +265,7 @@
         Decision { hold_transition, ..self.balance(now, servers) }
     }
 
-    /// The steps of an evaluation while rebalancing is not on hold.
+    /// Makes the decisions of an evaluation while rebalancing is not on hold.
     fn balance(&mut self, now: Time, servers: &[ServerSnapshot]) -> Decision {
         let fair_share = FairShare::new(servers);
         let ceiling_increases = self.capacity_estimator(now, fair_share).ceiling_increases(servers);
@@ -269,7 +275,7 @@
         let pressures = self.estimate_pressures(now, servers, fair_share);
         let ceilings_to_lower = pressures.iter().map(|pressure| pressure.server).collect();
         let sources = self.migration_sources(pressures);
-        self.judge_outcome(now, &sources);
+        self.record_excess(now, &sources);
         if sources.is_empty() || self.rate.tokens() < TOKENS_PER_MIGRATION {
             return Decision { ceiling_increases, ceilings_to_lower, ..Decision::default() };
         }
@@ -290,7 +296,8 @@
         self.rate.advance(now, self.connections.established(), timed_out);
     }
 
-    /// Why nobody may be migrated now. Conditions elsewhere come before the outcome of migrations.
+    /// Returns the reason for which no client may be migrated now. Conditions elsewhere in the balancer take
+    /// precedence over the outcome of migrations.
     fn hold_reason(
         &mut self,
         now: Time,
@@ -302,18 +309,18 @@
         condition.or_else(|| self.rate.hold_reason(now))
     }
 
-    /// Returns a change for the log. A hold that begins before the first migration is normal at a start, and is not
-    /// logged.
+    /// Records the current hold reason. Returns a change to be logged. A hold that begins before the first
+    /// migration is normal at startup and is not logged.
     fn record_hold_reason(&mut self, reason: Option<HoldReason>) -> Option<HoldTransition> {
         let previous = std::mem::replace(&mut self.metrics.hold_reason, reason);
-        let is_relevant = self.metrics.migrated > 0 || previous.is_some();
-        if previous == reason || !is_relevant {
+        let is_logged = self.metrics.migrated > 0 || previous.is_some();
+        if previous == reason || !is_logged {
             return None;
         }
         Some(reason.map_or(HoldTransition::Resumed, HoldTransition::Held))
     }
 
-    /// The pressure on each ready server that has any.
+    /// Estimates the pressure on each ready server. Servers without pressure are omitted.
     fn estimate_pressures(
         &self,
         now: Time,
@@ -333,8 +340,8 @@
             .collect()
     }
 
-    /// The servers that clients may be migrated away from. One that was recently filled must not pass the same clients
-    /// on, unless its pressure is measured.
+    /// Returns the servers that clients may be migrated away from. A recently filled server is excluded
+    /// unless its pressure is measured, because it would pass on the clients that it just received.
     fn migration_sources(&self, mut pressures: Vec<Pressure>) -> Vec<Pressure> {
         let is_measured = self.context.reports_message_time;
         pressures.retain(|pressure| {
@@ -344,8 +351,8 @@
         pressures
     }
 
-    /// Judges earlier migrations by the largest excess that is left.
-    fn judge_outcome(&mut self, now: Time, sources: &[Pressure]) {
+    /// Records the largest remaining excess, by which earlier migrations are checked.
+    fn record_excess(&mut self, now: Time, sources: &[Pressure]) {
         let max_excess_slots = sources.iter().map(|pressure| pressure.excess_slots).fold(0.0, f64::max);
         self.rate.on_excess(now, max_excess_slots);
     }
@@ -365,8 +372,8 @@
         CapacityEstimator { now, context: &self.context, connections: &self.connections, fair_share }
     }
 
-    /// Selects clients at each source, the one with the slowest messages first, until spare capacity or tokens are used
-    /// up.
+    /// Selects clients at each source, beginning with the source with the slowest messages, until spare
+    /// capacity or tokens are used up.
     fn select_migrations(
         &mut self,
         now: Time,
@@ -411,7 +418,8 @@
         }
     }
 
-    /// Remembers the migrated clients until they reconnect, and the server that is expected to be filled by them.
+    /// Records the migrated clients until they reconnect, and the server to which they are expected to
+    /// reconnect.
     fn record_migrations(&mut self, now: Time, migrations: &[Migration], spare: &[SpareCapacity]) {
         let emptiest = spare.iter().max_by(|a, b| a.slots.total_cmp(&b.slots));
         if let (false, Some(target)) = (migrations.is_empty(), emptiest) {
--- a/src/rebalance/observed_connections.rs
+++ b/src/rebalance/observed_connections.rs
@@ -1,7 +1,9 @@
-//! The established connections of the pool, by server and by group, with what they and their servers have reported.
+//! Established connections of the pool by server and by group, with the reports of the connections and their
+//! servers.
 //!
-//! One slot is the load of a mean connection; a connection's load is in microseconds of work a second. Memory is
-//! bounded by the number of open connections: nothing is stored of a server without connections.
+//! One slot is the load of a mean connection. A connection's load is in microseconds of work per second.
+//! Memory is bounded by the number of open connections, because nothing is stored for a server without
+//! connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,40 +13,40 @@
 use super::slow_message_reports::SlowMessageReports;
 use crate::{ConnectionId, Micros, ServerId, Time};
 
-/// An established connection's properties.
+/// Properties of an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionProperties {
-    /// Its server.
+    /// Server at which the connection is established.
     pub server: ServerId,
-    /// The index of its class.
+    /// Index of the class.
     pub class: u16,
-    /// Its group.
+    /// Group of the connection, if any.
     pub group: Option<u64>,
-    /// The load that it reported last, in microseconds of work a second.
+    /// Last reported load, in microseconds of work per second; `None` before the first report.
     pub load: Option<f64>,
-    /// The key of its flow, by which its client is recognised when it reconnects.
+    /// Key of the flow, by which the client is recognised when it reconnects; `None` if unknown.
     pub key: Option<u64>,
 }
 
-/// An established connection, with its history at this balancer.
+/// Established connection, with its history at this balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EstablishedConnection {
-    /// Its properties.
+    /// Properties of the connection.
     pub properties: ConnectionProperties,
-    /// When it was established.
+    /// Time at which the connection was established.
     pub since: Time,
-    /// Whether its client reconnected after a migration or a break.
+    /// Whether the client had reconnected after a migration or a broken connection.
     pub reconnected: bool,
 }
 
-/// An established connection without a group.
+/// Established connection without a group.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SingleConnection {
     pub(super) id: ConnectionId,
     pub(super) connection: EstablishedConnection,
 }
 
-/// A server's connections.
+/// Connections of a server.
 #[derive(Debug, Default)]
 pub(super) struct ServerConnections {
     /// Connections without a group.
@@ -59,14 +61,14 @@
     slow_message_reports: SlowMessageReports,
 }
 
-/// The established connections and their servers.
+/// Established connections and their servers.
 #[derive(Debug)]
 pub(super) struct ObservedConnections {
     connections: BTreeMap<ConnectionId, EstablishedConnection>,
     servers: BTreeMap<ServerId, ObservedServer>,
     groups: GroupLocations,
     mean_load: MeanLoad,
-    /// Connections whose clients report a migration or a break, at whichever balancer.
+    /// Connections whose clients report a migration or a broken connection, at this or another balancer.
     reconnecting: BTreeSet<ConnectionId>,
     lifetime: LifetimeEstimator,
     message_objective: Micros,
@@ -91,7 +93,8 @@
         self.message_objective = message_objective;
     }
 
-    /// The client of this request was migrated, or its connection broke.
+    /// Records that the client of a requested connection was migrated before, or that its previous connection
+    /// broke.
     pub(super) fn on_reconnecting(&mut self, connection: ConnectionId) {
         self.reconnecting.insert(connection);
     }
@@ -117,13 +120,14 @@
         }
     }
 
-    /// Records a server's message time; that of a server without connections, which may not even be listed, is ignored.
+    /// Records the message time of a server. The report is ignored if the server has no connections, in which
+    /// case it may not even be in the endpoint list.
     pub(super) fn on_message_time_reported(&mut self, now: Time, server: ServerId, took: Micros) {
         let Some(server) = self.servers.get_mut(&server) else { return };
         server.slow_message_reports.record(now, took, self.message_objective);
     }
 
-    /// A connection has ended; `natural` if its client ended it.
+    /// Records the end of a connection. `natural` means that the client ended it.
     pub(super) fn on_ended(&mut self, now: Time, connection: ConnectionId, natural: bool) {
         if self.remove(now, connection) && natural {
             self.lifetime.on_natural_end();
@@ -159,28 +163,28 @@
 // ---- Queries ----
 
 impl ObservedConnections {
-    /// Number of established connections.
+    /// Returns the number of established connections.
     pub(super) fn established(&self) -> usize {
         self.connections.len()
     }
 
-    /// An established connection.
+    /// Returns a connection if it is established.
     pub(super) fn get(&self, connection: ConnectionId) -> Option<EstablishedConnection> {
         self.connections.get(&connection).copied()
     }
 
-    /// Slots that a connection occupies.
+    /// Returns the slots that a connection occupies.
     pub(super) fn slots_of(&self, properties: &ConnectionProperties) -> f64 {
         self.mean_load.slots_of(properties.load)
     }
 
-    /// Slots that these connections occupy, as far as they are established.
+    /// Returns the total slots of the given connections. Those that are not established are ignored.
     pub(super) fn total_slots_of(&self, connections: &[ConnectionId]) -> f64 {
         let established = connections.iter().filter_map(|id| self.connections.get(id));
         established.map(|connection| self.slots_of(&connection.properties)).sum()
     }
 
-    /// A server's connections, single ones apart from groups.
+    /// Returns the connections at a server, separated into single connections and groups.
     pub(super) fn connections_at(&self, server: ServerId) -> ServerConnections {
         let mut at_server = ServerConnections::default();
         for id in self.servers.get(&server).into_iter().flat_map(|server| &server.connections) {
@@ -193,22 +197,22 @@
         at_server
     }
 
-    /// Number of a group's connections at other servers than this one.
+    /// Returns the number of the group's connections at servers other than `server`.
     pub(super) fn group_members_elsewhere(&self, group: u64, server: ServerId) -> usize {
         self.groups.members_elsewhere(group, server)
     }
 
-    /// Message time of a server that has been slow for a while.
+    /// Returns the message time of a server that has been slow for several seconds.
     pub(super) fn sustained_message_time(&self, now: Time, server: ServerId) -> Option<Micros> {
         self.servers.get(&server)?.slow_message_reports.sustained_message_time(now)
     }
 
-    /// Whether a server reported a slow message recently.
+    /// Returns whether a server reported a slow message recently.
     pub(super) fn reported_slow(&self, now: Time, server: ServerId) -> bool {
         self.servers.get(&server).is_some_and(|server| server.slow_message_reports.any_recent(now))
     }
 
-    /// Estimated mean lifetime of a connection, in seconds.
+    /// Returns the estimated mean lifetime of a connection, in seconds.
     pub(super) fn mean_lifetime_seconds(&self, now: Time) -> f64 {
         self.lifetime.mean_seconds(now, self.connections.len())
     }
--- a/src/rebalance/placement_noise.rs
+++ b/src/rebalance/placement_noise.rs
@@ -1,33 +1,34 @@
-//! The imbalance that random placement explains.
+//! Estimates the imbalance that random placement explains.
 //!
-//! **Decided:** the standard deviation of the slots that are occupied at a server, and how many of its connections are
-//! in groups.
+//! **Decided:** the standard deviation of the occupied slots of a server, and the share of its connections
+//! that are in groups.
 //!
 //! **Inputs:** the server's connections, with their slots and groups.
 //!
-//! **Rule:** single connections and groups are placed at random, each group as one unit with its overhead. The number
-//! of slots is then a compound Poisson sum, whose variance is the sum of the units' squared slots. A server with x
-//! connections of one slot each therefore deviates by sqrt(x).
+//! **Rule:** single connections and groups are placed at random, each group as one unit with its overhead.
+//! The number of slots is then a compound Poisson sum, whose variance is the sum of the squared slots of the
+//! units. A server with x connections of one slot each therefore has a standard deviation of sqrt(x).
 //!
-//! **Reason:** an excess within this deviation is no cause to migrate anybody: it arises and vanishes by chance.
+//! **Reason:** an excess within this deviation is no reason for a migration, because it appears and
+//! disappears by chance.
 
 use super::observed_connections::{ObservedConnections, ServerConnections};
 use crate::ServerId;
 
-/// Slots that a group with several members costs its server beyond those of its connections.
+/// Slots that a group with several members occupies at a server, in addition to the slots of its connections.
 pub(super) const GROUP_OVERHEAD_SLOTS: f64 = 3.0;
 
-/// How much of what a server holds is explained by random placement.
+/// Deviation of a server's occupied slots that random placement explains.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlacementNoise {
     /// Standard deviation of the occupied slots.
     pub(super) deviation_slots: f64,
-    /// Share of the connections that are there with other members of their group.
+    /// Share of the connections that have other members of their group at the same server.
     pub(super) grouped_share: f64,
 }
 
 impl PlacementNoise {
-    /// The noise of the connections at a server.
+    /// Computes the noise for the connections at a server.
     pub(super) fn at(connections: &ObservedConnections, server: ServerId) -> PlacementNoise {
         let ServerConnections { singles, groups } = connections.connections_at(server);
         let mut variance = 0.0;
@@ -38,11 +39,11 @@
         let mut total_members = singles.len();
         let mut grouped_members = 0;
         for members in groups.values() {
-            let has_several = members.len() > 1;
-            let overhead = if has_several { GROUP_OVERHEAD_SLOTS } else { 0.0 };
+            let has_several_members = members.len() > 1;
+            let overhead = if has_several_members { GROUP_OVERHEAD_SLOTS } else { 0.0 };
             variance += (connections.total_slots_of(members) + overhead).powi(2);
             total_members += members.len();
-            grouped_members += if has_several { members.len() } else { 0 };
+            grouped_members += if has_several_members { members.len() } else { 0 };
         }
         PlacementNoise {
             deviation_slots: variance.sqrt(),
--- a/src/rebalance/reconnections.rs
+++ b/src/rebalance/reconnections.rs
@@ -1,20 +1,21 @@
-//! Whether migrated clients reconnect.
+//! Checks whether migrated clients reconnect.
 //!
-//! **Decided:** whether enough clients reconnect to migrate more, and whether so few do that migrations are put on
-//! hold.
+//! **Decided:** whether enough clients reconnect to raise the rate of migrations, and whether so few
+//! reconnect that migrations are put on hold.
 //!
-//! **Inputs:** the number c of clients with a flow key that were migrated here and have reconnected, or whose time to
-//! do so is over; the number of reconnections seen here; the number of balancers n.
+//! **Inputs:** the number c of clients with a flow key that this balancer migrated and that have reconnected
+//! or timed out; the number of reconnections observed at this balancer; the number n of balancers.
 //!
-//! **Rule:** c/n of these clients are expected to reconnect here, and as many of the other balancers' clients. Seen are
-//! own clients, by their key, and with several balancers all that report a migration elsewhere. Half of the expected
-//! number is sufficient. Reconnections have failed when fewer than half are seen and, with several balancers,
-//! the shortfall exceeds [`TOLERATED_DEVIATIONS`] standard deviations of a Poisson count. Counts decay exponentially
-//! over [`DECAY_SECONDS`].
+//! **Rule:** c/n of these clients are expected to reconnect here, and as many clients of the other balancers.
+//! Observed are this balancer's own clients, which are recognised by their key, and with several balancers
+//! all clients that report a migration elsewhere. Half of the expected number is sufficient. Reconnections
+//! have failed when fewer than half are observed and, with several balancers, the shortfall exceeds
+//! [`TOLERATED_DEVIATIONS`] standard deviations of a Poisson count. Counts decay exponentially over
+//! [`DECAY_SECONDS`].
 
-/// The fewest concluded migrations from which a failure is inferred.
+/// Smallest number of concluded migrations from which a failure is inferred.
 const MIN_CONCLUDED: f64 = 4.0;
-/// Standard deviations by which the number may fall short by chance.
+/// Shortfall that is attributed to chance, in standard deviations.
 const TOLERATED_DEVIATIONS: f64 = 2.0;
 /// Time constant of the counts' decay.
 const DECAY_SECONDS: f64 = 60.0;
@@ -23,9 +24,9 @@
 #[derive(Debug)]
 pub(super) struct Reconnections {
     balancers: f64,
-    /// Clients that this balancer migrated and that have returned, or whose time to return is over.
+    /// Clients that this balancer migrated and that have reconnected or timed out.
     concluded: f64,
-    /// Those of them that returned here.
+    /// Concluded clients that reconnected here.
     returned: f64,
     /// Clients of other balancers that reconnected here.
     from_others: f64,
@@ -49,20 +50,20 @@
         self.from_others += 1.0;
     }
 
-    /// The time to return is over for these clients.
+    /// Records the number of clients that did not reconnect in time.
     pub(super) fn on_timed_out(&mut self, clients: usize) {
         self.concluded += clients as f64;
     }
 
-    /// Whether enough clients reconnect to raise the rate of migrations.
+    /// Returns whether enough clients reconnect to raise the rate of migrations.
     pub(super) fn are_sufficient(&self) -> bool {
         self.concluded > 0.0 && self.observed() >= self.concluded / self.balancers / 2.0
     }
 
-    /// Whether too few clients reconnect. If so, the counts start again from zero.
-    pub(super) fn take_failure(&mut self) -> bool {
+    /// Returns whether too few clients reconnect. If so, resets the counts to zero.
+    pub(super) fn detect_failure(&mut self) -> bool {
         let expected = self.concluded / self.balancers;
-        // The clients of a single balancer have no other one to reconnect to.
+        // The clients of a single balancer cannot reconnect to another balancer.
         let tolerance = if self.balancers > 1.0 { TOLERATED_DEVIATIONS * expected.sqrt() } else { 0.0 };
         let observed = self.observed();
         let failed =
@@ -80,7 +81,8 @@
         self.from_others *= factor;
     }
 
-    /// Clients that reconnected here: this balancer's and, of several balancers, the others'.
+    /// Returns the number of reconnections here: of this balancer's clients and, with several balancers, of
+    /// the clients of the other balancers.
     fn observed(&self) -> f64 {
         self.returned + if self.balancers > 1.0 { self.from_others } else { 0.0 }
     }
--- a/src/rebalance/rejection_share.rs
+++ b/src/rebalance/rejection_share.rs
@@ -1,9 +1,9 @@
-//! The share of connection requests that are rejected.
+//! Estimates the share of connection requests that are rejected.
 //!
-//! **Rule:** counts of established and of rejected or failed connections decay exponentially over [`DECAY_SECONDS`]; a
-//! prior of [`PRIOR_ANSWERS`] answers without a rejection counts in.
+//! **Rule:** the counts of established connections and of rejected or failed connections decay exponentially
+//! over [`DECAY_SECONDS`]. The share includes a prior of [`PRIOR_ANSWERS`] answers without a rejection.
 
-/// Answers of which the prior consists.
+/// Number of answers in the prior.
 const PRIOR_ANSWERS: f64 = 4.0;
 /// Time constant of the counts' decay.
 const DECAY_SECONDS: f64 = 20.0;
@@ -20,12 +20,12 @@
         self.established += 1.0;
     }
 
-    /// A connection was rejected, or failed.
+    /// Records that a connection was rejected, or failed.
     pub(super) fn on_rejected(&mut self) {
         self.rejected += 1.0;
     }
 
-    /// Rejected requests over all, 0 to 1.
+    /// Returns the share of rejected requests, from 0 to 1.
     pub(super) fn get(&self) -> f64 {
         self.rejected / (self.established + self.rejected + PRIOR_ANSWERS)
     }
--- a/src/rebalance/selection.rs
+++ b/src/rebalance/selection.rs
@@ -1,35 +1,36 @@
-//! Which of a server's candidates are migrated now.
+//! Selects the candidates of a server that are migrated now.
 //!
 //! **Decided:** the candidates of one server that are migrated at this evaluation.
 //!
-//! **Inputs:** the candidates; their gain and cost; the tokens of the migration rate, one for each client; the slots
-//! that may be migrated.
+//! **Inputs:** the candidates; their gain and cost; the tokens of the migration rate, of which each client
+//! needs one; the slots that may be migrated.
 //!
-//! **Rule:** worthwhile candidates are taken in the order of gain over cost while tokens and slots last. A candidate
-//! may exceed the remaining slots by half of its own. One that needs more tokens than there are now, but no more than
-//! can be saved up, ends the selection.
+//! **Rule:** candidates whose gain is large enough are selected in the order of gain over cost until tokens
+//! or slots are used up. A candidate may exceed the remaining slots by half of its own slots. A candidate
+//! that needs more tokens than are available, but no more than can be saved up, ends the selection.
 //!
-//! **Reason:** a small excess would otherwise never be relieved, as a candidate may be larger than it. Single
-//! connections would otherwise use each token as it comes, and no group would ever be migrated.
+//! **Reason:** a candidate may be larger than a small excess. Without the allowance for exceeding the
+//! remaining slots, such an excess would never be relieved. Without the saving of tokens, single connections
+//! would use each token as soon as it is added, and no group would ever be migrated.
 
 use super::cost_benefit::CostBenefit;
 use super::migration_candidates::MigrationCandidate;
 
-/// The least share of a candidate's slots that has to be within the limit.
+/// Smallest share of a candidate's slots that has to be within the limit.
 const MIN_FITTING_SHARE: f64 = 0.5;
 
-/// What may be migrated away from one server now.
+/// Limits of the migrations away from one server at one evaluation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MigrationLimits {
-    /// Clients that may be migrated now.
+    /// Number of clients that may be migrated now.
     pub(super) tokens: f64,
-    /// Clients that may be migrated at once after all tokens have been saved up.
+    /// Number of clients that may be migrated at the same time when the token bucket is full.
     pub(super) max_tokens: f64,
-    /// Slots that may be migrated now.
+    /// Number of slots that may be migrated now.
     pub(super) slots: f64,
 }
 
-/// The candidates that are migrated now.
+/// Selects the candidates that are migrated now.
 pub(super) fn select_candidates(
     candidates: Vec<MigrationCandidate>,
     cost_benefit: &CostBenefit,
--- a/src/rebalance/server_snapshot.rs
+++ b/src/rebalance/server_snapshot.rs
@@ -1,24 +1,25 @@
-//! The state of a server at the time of an evaluation.
+//! State of a server at the time of an evaluation.
 
 use crate::{ServerId, Time};
 
-/// What the policy and the endpoint list know of a server now.
+/// State of a server according to the policy and the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSnapshot {
-    /// The server.
+    /// Server that the snapshot describes.
     pub server: ServerId,
-    /// Whether it is listed as ready and has no failures left in its failure count.
+    /// Whether the server is listed as ready and its failure score is 0.
     pub ready: bool,
-    /// Slots that this balancer's connections occupy there.
+    /// Slots that this balancer's connections occupy at the server.
     pub occupied_slots: f64,
-    /// Concurrency limit: the most slots that this balancer's connections may occupy there.
+    /// Concurrency limit: the largest number of slots that this balancer's connections may occupy at the
+    /// server.
     pub ceiling: f64,
-    /// Its weight in the endpoint list.
+    /// Weight of the server in the endpoint list.
     pub weight: f64,
-    /// Share of its capacity that is available during its slow start, 0 to 1.
+    /// Share of the capacity that is available during slow start, from 0 to 1.
     pub warmth: f64,
-    /// When its process started, if the endpoint list says so.
+    /// Time at which the server process started; `None` if the endpoint list does not contain it.
     pub started: Option<Time>,
-    /// When it last rejected, dropped or delayed a request, in this incarnation.
+    /// Time at which the current server process last rejected, dropped or delayed a request.
     pub last_fault: Option<Time>,
 }
--- a/src/rebalance/setup_times.rs
+++ b/src/rebalance/setup_times.rs
@@ -1,32 +1,35 @@
-//! Detects slow connection setups, whose cause is the session store that all servers share.
+//! Detects slow connection setups that are caused by the session store, which all servers share.
 //!
-//! **Decided:** whether setups are slow, during which nobody is migrated: each migration is one more setup.
+//! **Decided:** whether setups are slow. While they are, no client is migrated, because each migration causes
+//! another setup.
 //!
-//! **Inputs:** the time of each setup in microseconds, without those at slow servers; the tightest setup objective.
+//! **Inputs:** the time of each setup in microseconds, except setups at slow servers; the tightest setup
+//! objective.
 //!
-//! **Rule:** a fast mean (weight [`RECENT_MEAN_WEIGHT`]) is compared with a slow one (weight [`USUAL_MEAN_WEIGHT`]).
-//! Setups are slow when the recent mean exceeds [`SLOW_USUAL_MULTIPLE`] times the usual mean by more than
-//! [`SLOW_MIN_EXTRA_MICROS`], or exceeds [`SLOW_OBJECTIVE_SHARE`] of the objective. They are normal again below
+//! **Rule:** the recent mean, an exponentially weighted mean with weight [`RECENT_MEAN_WEIGHT`], is compared
+//! with the usual mean, which has the smaller weight [`USUAL_MEAN_WEIGHT`]. Setups are slow when the recent
+//! mean exceeds [`SLOW_USUAL_MULTIPLE`] times the usual mean by more than [`SLOW_MIN_EXTRA_MICROS`], or
+//! exceeds [`SLOW_OBJECTIVE_SHARE`] of the objective. Setups are normal again when the recent mean is below
 //! [`RECOVERY_SHARE`] of both limits, or after a time without setups.
 
 use crate::{Micros, Time};
 
-/// Weight of a new setup in the recent mean, which follows within about four.
+/// Weight of a new setup in the recent mean, which adapts within about four setups.
 const RECENT_MEAN_WEIGHT: f64 = 1.0 / 4.0;
-/// Weight of a new setup in the usual mean, which follows within about a hundred.
+/// Weight of a new setup in the usual mean, which adapts within about a hundred setups.
 const USUAL_MEAN_WEIGHT: f64 = 1.0 / 128.0;
-/// Number of setups from which on there is a usual time.
+/// Number of setups from which the usual mean is used.
 const MIN_SETUPS: u32 = 16;
-/// Setup time at which setups are slow, as a multiple of the usual time...
+/// Setup time above which setups are slow, as a multiple of the usual time...
 const SLOW_USUAL_MULTIPLE: f64 = 2.0;
-/// ...plus this time: usual times of a millisecond vary by more than their multiple.
+/// ...plus this time. Usual times of a millisecond vary by more than a multiple of themselves.
 const SLOW_MIN_EXTRA_MICROS: f64 = 20_000.0;
-/// Setup time at which setups are slow, as a share of the tightest objective.
+/// Setup time above which setups are slow, as a share of the tightest objective.
 const SLOW_OBJECTIVE_SHARE: f64 = 1.0 / 2.0;
 /// Share of both limits below which setups are normal again.
 const RECOVERY_SHARE: f64 = 0.6;
 
-/// The mean setup times, and whether setups are slow.
+/// Mean setup times, and whether setups are slow.
 #[derive(Debug)]
 pub(super) struct SetupTimes {
     objective_micros: f64,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Sets the tightest objective; zero where there is none.
+    /// Sets the tightest setup objective. Zero means that there is none.
     pub(super) fn set_objective(&mut self, objective: Micros) {
         self.objective_micros = objective.as_f64();
     }
@@ -62,10 +65,10 @@
         self.recent_mean_micros / 1e6
     }
 
-    /// Records a setup. Returns whether setups have become slow with it.
-    pub(super) fn record(&mut self, now: Time, took: Micros) -> bool {
+    /// Records a setup. Returns whether it made setups slow that were normal before.
+    pub(super) fn record(&mut self, now: Time, setup_time: Micros) -> bool {
         self.last_setup = now;
-        self.update_means(took.as_f64());
+        self.update_means(setup_time.as_f64());
         if !self.slow && self.exceeds_limits(1.0) {
             self.slow = true;
             return true;
@@ -76,7 +79,8 @@
         false
     }
 
-    /// Setups no longer count as slow after a time without any: nothing else would show that the store has recovered.
+    /// Resets slow setups to normal after `timeout` without a setup. While there are no setups, no other
+    /// input could show that the session store has recovered.
     pub(super) fn expire_slowness(&mut self, now: Time, timeout: Micros) {
         if self.slow && now.since(self.last_setup) > timeout {
             self.slow = false;
@@ -84,15 +88,15 @@
         }
     }
 
-    fn update_means(&mut self, took_micros: f64) {
+    fn update_means(&mut self, setup_micros: f64) {
         if self.count == 0 {
-            self.recent_mean_micros = took_micros;
-            self.usual_mean_micros = took_micros;
+            self.recent_mean_micros = setup_micros;
+            self.usual_mean_micros = setup_micros;
         }
         self.count = self.count.saturating_add(1);
-        self.recent_mean_micros += (took_micros - self.recent_mean_micros) * RECENT_MEAN_WEIGHT;
-        // The time is capped so that a slow store does not become usual.
-        let capped = took_micros.min(self.usual_limit_micros());
+        self.recent_mean_micros += (setup_micros - self.recent_mean_micros) * RECENT_MEAN_WEIGHT;
+        // The time is capped so that the times of a slow session store do not become the usual times.
+        let capped = setup_micros.min(self.usual_limit_micros());
         let weight = (1.0 / f64::from(self.count)).max(USUAL_MEAN_WEIGHT);
         self.usual_mean_micros += (capped - self.usual_mean_micros) * weight;
     }
@@ -101,7 +105,7 @@
         self.usual_mean_micros * SLOW_USUAL_MULTIPLE + SLOW_MIN_EXTRA_MICROS
     }
 
-    /// Whether the recent mean is over this share of either limit.
+    /// Returns whether the recent mean exceeds `share` of either limit.
     fn exceeds_limits(&self, share: f64) -> bool {
         let exceeds_usual =
             self.count >= MIN_SETUPS && self.recent_mean_micros > self.usual_limit_micros() * share;
--- a/src/rebalance/slow_message_reports.rs
+++ b/src/rebalance/slow_message_reports.rs
@@ -1,25 +1,26 @@
-//! Reports of slow messages from one server.
+//! Reports of slow messages by one server.
 //!
-//! **Decided:** whether a server's messages have been slow for several seconds, which counts as pressure, or were slow
-//! at all recently.
+//! **Decided:** whether a server's messages have been slow for several seconds, which is a condition of
+//! pressure; and whether the server has reported any slow message recently.
 //!
-//! **Inputs:** message times that the server reports about once a second while it is slow; the message objective.
+//! **Inputs:** message times, which the server reports about once per second while it is slow; the message
+//! objective.
 //!
-//! **Rule:** a message is slow from a third of the objective on. A server is slow for a while when it has sent
-//! [`MIN_REPORTS`] such reports within [`REPORT_WINDOW`], the last within [`REPORT_TIMEOUT`]. A report of a fast
-//! message clears the earlier ones.
+//! **Rule:** a message is slow if it takes at least a third of the objective. A server's slowness is
+//! sustained if the server sent [`MIN_REPORTS`] reports of slow messages within [`REPORT_WINDOW`], the last
+//! one within [`REPORT_TIMEOUT`]. A report of a fast message clears the earlier reports.
 
 use crate::{Micros, Time};
 
-/// Number of reports that show slowness for a while.
+/// Number of reports that show sustained slowness.
 const MIN_REPORTS: usize = 3;
-/// Reports older than this are forgotten.
+/// Age above which reports are removed.
 const REPORT_WINDOW: Micros = Micros::from_secs(4);
-/// After this time without a report a server, which reports every second while it is slow, has recovered.
+/// Time without a report after which a server counts as recovered. A slow server reports every second.
 const REPORT_TIMEOUT: Micros = Micros::from_millis(2500);
-/// Reports that follow one another sooner than this count as one.
+/// Smallest time between two reports. Reports in quicker succession count as one.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(500);
-/// Divisor of the objective that gives the least time of a slow message.
+/// Divisor of the objective that yields the smallest time of a slow message.
 const SLOW_OBJECTIVE_DIVISOR: u64 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -28,14 +29,14 @@
     message_time: Micros,
 }
 
-/// The recent reports of slow messages, the latest last.
+/// Recent reports of slow messages, in the order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct SlowMessageReports {
     reports: Vec<SlowMessageReport>,
 }
 
 impl SlowMessageReports {
-    /// Records a report, which may be of a fast message.
+    /// Records a report of a slow or fast message.
     pub(super) fn record(&mut self, now: Time, message_time: Micros, objective: Micros) {
         self.reports.retain(|report| now.since(report.at) <= REPORT_WINDOW);
         let slow_threshold = objective / SLOW_OBJECTIVE_DIVISOR;
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The last message time of a server that has been slow for a while.
+    /// Returns the last message time if the slowness of the server is sustained.
     pub(super) fn sustained_message_time(&self, now: Time) -> Option<Micros> {
         let recent = self.reports.iter().filter(|report| now.since(report.at) <= REPORT_WINDOW);
         let last = self.reports.last()?;
@@ -54,7 +55,7 @@
         sustained.then_some(last.message_time)
     }
 
-    /// Whether the server reported a slow message recently.
+    /// Returns whether the server reported a slow message recently.
     pub(super) fn any_recent(&self, now: Time) -> bool {
         self.reports.last().is_some_and(|report| now.since(report.at) <= REPORT_WINDOW)
     }
--- a/src/rebalance/spare_capacity.rs
+++ b/src/rebalance/spare_capacity.rs
@@ -1,51 +1,55 @@
-//! Which servers can take migrated clients, and whose ceilings are too low for what they can hold.
+//! Finds servers that can accept migrated clients, and servers whose ceilings are too low for their capacity.
 //!
-//! **Decided:** the slots that each server can take beyond those that are occupied, and the ceilings to raise.
+//! **Decided:** the slots that each server can accept in addition to its occupied slots, and the ceilings to
+//! raise.
 //!
-//! **Inputs:** occupied and fair slots, ceiling, warmth, and the times of its start and of its last fault, for each
-//! server; whether it reported slow messages recently.
+//! **Inputs:** for each server, its occupied and fair slots, ceiling, warmth, the times of its start and of
+//! its last fault, and whether it reported slow messages recently.
 //!
-//! **Rule:** a server has spare capacity if it is below its fair share by more than random placement explains, did not
-//! report slow messages recently, and had no fault within [`FAULT_COOLDOWN`]. Its spare capacity reaches
-//! - up to its ceiling, at most its fair share, times its warmth, if it had a fault in this incarnation: the ceiling
-//!   was lowered for it;
-//! - up to its fair share times its warmth while it is in slow start, and at once by no more than a part of the fair
-//!   share: [`WARMING_BATCH_SECONDS`] over the duration of a slow start;
-//! - up to its fair share otherwise, whatever its ceiling is.
+//! **Rule:** a server has spare capacity if it is below its fair share by more than random placement
+//! explains, did not report slow messages recently, and had no fault within [`FAULT_COOLDOWN`]. Its spare
+//! capacity is the difference between its occupied slots and one of these limits:
+//! - if the current server process has had a fault, the smaller of ceiling and fair share, times the warmth,
+//!   because the ceiling was lowered for the fault;
+//! - during slow start, the fair share times the warmth. At most a part of the fair share may be used at a
+//!   time: [`WARMING_BATCH_SECONDS`] divided by the duration of a slow start;
+//! - otherwise the fair share, regardless of the ceiling.
 //!
-//! The ceiling of a ready server that has started recently and had no fault is raised to [`RAISED_CEILING_SHARE`] of
-//! its fair share.
+//! The ceiling of a ready server that has started recently and had no fault is raised to
+//! [`RAISED_CEILING_SHARE`] of its fair share.
 //!
-//! **Reason:** a server starts with a ceiling of a few slots, which is raised only as they are filled. While servers
-//! with more occupied slots show more free ones, new connections keep going there.
+//! **Reason:** a server starts with a ceiling of a few slots, which is raised only when they are filled. As
+//! long as servers with more occupied slots also have more free slots, new connections continue to be placed
+//! there.
 
 use super::fair_share::FairShare;
 use super::observed_connections::ObservedConnections;
 use super::{CeilingIncrease, RebalanceContext, ServerSnapshot};
 use crate::{Micros, ServerId, Time};
 
-/// A server that started longer ago than this has shown what it can hold.
+/// Time after its start for which a server counts as recently started. After this time its capacity is known.
 const RECENT_START: Micros = Micros::from_secs(60);
-/// The least deficit of a server that has started recently, in standard deviations of its fair share.
+/// Smallest deficit of a recently started server, in standard deviations of its fair share.
 const MIN_DEFICIT_DEVIATIONS_RECENT_START: f64 = 1.0;
-/// The least deficit of any other server: by chance some server is always below its fair share.
+/// Smallest deficit of any other server, in standard deviations of its fair share. By chance, some server is
+/// always below its fair share.
 const MIN_DEFICIT_DEVIATIONS: f64 = 3.0;
-/// Time after a fault in which a server has no spare capacity: a slow server shows few connections because it cannot
-/// hold more.
+/// Time after a fault in which a server has no spare capacity. A slow server has few connections because it
+/// cannot handle more.
 const FAULT_COOLDOWN: Micros = Micros::from_secs(5);
-/// Seconds of a slow start: the part of the fair share that it adds in them may be taken at once.
+/// Seconds of a slow start whose increase of capacity may be used at a time.
 const WARMING_BATCH_SECONDS: f64 = 2.0;
-/// Share of the fair share to which a ceiling is raised.
+/// Ceiling to which a recently started server is raised, as a share of its fair share.
 const RAISED_CEILING_SHARE: f64 = 0.9;
 
-/// The slots that a server can take for migrated clients.
+/// Slots that a server can accept for migrated clients.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SpareCapacity {
     pub(super) server: ServerId,
     pub(super) slots: f64,
 }
 
-/// Finds spare capacity and ceilings that are too low.
+/// Inputs from which spare capacity and too low ceilings are found.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CapacityEstimator<'a> {
     pub(super) now: Time,
@@ -55,7 +59,7 @@
 }
 
 impl CapacityEstimator<'_> {
-    /// The ceilings to raise.
+    /// Returns the ceilings to raise.
     pub(super) fn ceiling_increases(&self, servers: &[ServerSnapshot]) -> Vec<CeilingIncrease> {
         let mut increases = Vec::new();
         for server in servers.iter().filter(|server| self.has_unknown_capacity(server)) {
@@ -67,7 +71,7 @@
         increases
     }
 
-    /// Ready servers with spare capacity, except those of `excluded`.
+    /// Returns the ready servers with spare capacity, except those for which `excluded` returns true.
     pub(super) fn find(
         &self,
         servers: &[ServerSnapshot],
@@ -83,7 +87,8 @@
         spare
     }
 
-    /// Slots that a server can take; zero or less if there are none.
+    /// Returns the slots that a server can accept. The result may be negative, which means that there are
+    /// none.
     fn spare_slots(&self, server: &ServerSnapshot) -> f64 {
         let fair_slots = self.fair_share.slots_of(server);
         if self.is_slow(server) || self.is_within_noise(server, fair_slots) {
@@ -97,14 +102,14 @@
         }
     }
 
-    /// Slots that a server in slow start can take.
+    /// Returns the slots that a server in slow start can accept.
     fn warming_slots(&self, server: &ServerSnapshot, fair_slots: f64) -> f64 {
         let slow_start_micros = self.context.slow_start_duration.max(Micros(1)).as_f64();
         let slots_per_second = fair_slots * 1e6 / slow_start_micros;
         (fair_slots * server.warmth - server.occupied_slots).min(WARMING_BATCH_SECONDS * slots_per_second)
     }
 
-    /// Whether random placement explains how far a server is below its fair share.
+    /// Returns whether random placement explains the deficit of a server below its fair share.
     fn is_within_noise(&self, server: &ServerSnapshot, fair_slots: f64) -> bool {
         let min_deviations = if self.started_recently(server) {
             MIN_DEFICIT_DEVIATIONS_RECENT_START
@@ -114,7 +119,8 @@
         fair_slots - server.occupied_slots < min_deviations * fair_slots.sqrt()
     }
 
-    /// Whether a server has started recently without a fault since: its low ceiling then says nothing of its capacity.
+    /// Returns whether a server has started recently and had no fault since. Its low ceiling then does not
+    /// indicate its capacity.
     fn has_unknown_capacity(&self, server: &ServerSnapshot) -> bool {
         self.started_recently(server) && server.ready && server.last_fault.is_none() && !self.is_slow(server)
     }
--- a/src/rebalance/token_bucket.rs
+++ b/src/rebalance/token_bucket.rs
@@ -1,23 +1,23 @@
-//! A token bucket whose rate rises additively and falls multiplicatively.
+//! Token bucket with additive increase and multiplicative decrease of its rate.
 //!
-//! One token is one client's migration. The rate follows Chiu and Jain (Analysis of the Increase and Decrease
-//! Algorithms for Congestion Avoidance, 1989): balancers that share servers and a session store without seeing each
-//! other reach a fair and stable rate.
+//! One token allows the migration of one client. The rate follows Chiu and Jain (Analysis of the Increase and
+//! Decrease Algorithms for Congestion Avoidance, 1989): balancers that share servers and a session store, but
+//! do not know of each other, reach a fair and stable rate.
 
-/// The rate to begin with, and the least to which it is lowered.
+/// Initial rate, which is also the smallest rate.
 const MIN_RATE_PER_SECOND: f64 = 0.25;
-/// Rise of the rate in each second of successful migrations.
+/// Increase of the rate in each second of successful migrations.
 const RATE_INCREASE_PER_SECOND: f64 = 0.25;
-/// Divisor of the rate at a decrease.
+/// Divisor by which the rate is decreased.
 const RATE_DECREASE_DIVISOR: f64 = 2.0;
-/// Share of all established connections to which the rate is limited.
+/// Largest rate, as a share of all established connections.
 const MAX_MIGRATED_SHARE_PER_SECOND: f64 = 0.05;
-/// Seconds for which tokens are saved up...
+/// Largest number of saved tokens, in seconds at the current rate...
 const MAX_SAVED_SECONDS: f64 = 4.0;
-/// ...or this many tokens, if that is more.
+/// ...or this number of tokens, if it is larger.
 const MIN_SAVED_TOKENS: f64 = 2.0;
 
-/// The tokens, and the rate at which they are added.
+/// Saved tokens, and the rate at which tokens are added.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     max_rate_per_second: f64,
@@ -39,7 +39,7 @@
         self.rate_per_second = self.rate_per_second.min(max_rate_per_second);
     }
 
-    /// Tokens that are added in a second.
+    /// Returns the number of tokens that are added per second.
     pub(super) fn rate_per_second(&self) -> f64 {
         self.rate_per_second.min(self.max_rate_per_second)
     }
@@ -48,17 +48,17 @@
         self.tokens
     }
 
-    /// The most tokens that can be saved up.
+    /// Returns the largest number of tokens that can be saved up.
     pub(super) fn max_tokens(&self) -> f64 {
         (self.rate_per_second * MAX_SAVED_SECONDS).max(MIN_SAVED_TOKENS)
     }
 
-    /// Raises the rate for a time of successful migrations.
+    /// Raises the rate after `seconds` of successful migrations.
     pub(super) fn increase_rate(&mut self, seconds: f64) {
         self.rate_per_second += RATE_INCREASE_PER_SECOND * seconds;
     }
 
-    /// Adds the tokens of a time in which this number of connections was established.
+    /// Adds the tokens for `seconds`, during which `established` connections existed.
     pub(super) fn refill(&mut self, seconds: f64, established: usize) {
         let share_limit = (established as f64 * MAX_MIGRATED_SHARE_PER_SECOND).max(MIN_RATE_PER_SECOND);
         self.rate_per_second = self.rate_per_second.min(self.max_rate_per_second.min(share_limit));
@@ -69,7 +69,7 @@
         self.tokens -= clients as f64;
     }
 
-    /// Divides the rate and empties the bucket.
+    /// Decreases the rate by its divisor and empties the bucket.
     pub(super) fn decrease_rate(&mut self) {
         self.rate_per_second = (self.rate_per_second / RATE_DECREASE_DIVISOR)
             .max(MIN_RATE_PER_SECOND)
@@ -77,7 +77,7 @@
         self.tokens = 0.0;
     }
 
-    /// Lowers the rate to the least and empties the bucket.
+    /// Lowers the rate to the smallest rate and empties the bucket.
     pub(super) fn reset_rate(&mut self) {
         self.rate_per_second = MIN_RATE_PER_SECOND.min(self.max_rate_per_second);
         self.tokens = 0.0;
--- a/tests/rebalance/holds.rs
+++ b/tests/rebalance/holds.rs
@@ -72,7 +72,7 @@
     harness.conditions.hot_restart = true;
     let held = harness.evaluate_after_half_second(None).hold_transition;
     assert_eq!(held, Some(HoldTransition::Held(HoldReason::HotRestart)));
-    assert_eq!(HoldReason::HotRestart.to_string(), "another process serves beside this one");
+    assert_eq!(HoldReason::HotRestart.to_string(), "a hot restart is under way");
     assert_eq!(harness.evaluate_after_half_second(None).hold_transition, None, "nothing has changed");
     harness.conditions.hot_restart = false;
     assert_eq!(harness.evaluate_after_half_second(None).hold_transition, Some(HoldTransition::Resumed));
