--- a/tests/bookkeeping.rs
+++ b/tests/bookkeeping.rs
@@ -1,4 +1,4 @@
-//! What the decision module counts with, each part on its own.
+//! Unit tests of the quantities on which the decision module bases its decisions.
 
 use connection_balancer::bookkeeping::*;
 use connection_balancer::policy::retry_policy::RetryState;
@@ -19,22 +19,30 @@
 fn weighted_draw_follows_the_weights_and_skips_items_without_weight() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let items = [("none", 0.0), ("one", 1.0), ("three", 3.0)];
-    let mut drawn = [0; 3];
+    let mut draw_counts = [0; 3];
     for _ in 0..4_000 {
-        let item = draw_weighted(&mut rng, &items, |item| item.1).expect("some weight is above 0");
-        drawn[items.iter().position(|other| other.0 == item.0).expect("an item of the list")] += 1;
+        let item =
+            draw_weighted(&mut rng, &items, |item| item.1).expect("two of the items have a weight above 0");
+        let index = items.iter().position(|other| other.0 == item.0).expect("the drawn item is in the list");
+        draw_counts[index] += 1;
     }
-    assert_eq!(drawn[0], 0);
-    assert!((900..1_100).contains(&drawn[1]), "{drawn:?}");
+    assert_eq!(draw_counts[0], 0);
+    assert!(
+        (900..1_100).contains(&draw_counts[1]),
+        "a quarter of 4000 draws should be of item 1: {draw_counts:?}"
+    );
     assert_eq!(draw_weighted(&mut rng, &items[..1], |item| item.1), None);
 }
 
 #[test]
 fn backoff_doubles_with_each_failure_up_to_its_maximum_with_jitter() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
-    for (failures, wait) in [(0, 100), (1, 200), (3, 800), (10, 1_000), (u32::MAX, 1_000)] {
+    for (failures, unjittered) in [(0, 100), (1, 200), (3, 800), (10, 1_000), (u32::MAX, 1_000)] {
         let jittered = jittered_backoff(&mut rng, Micros(100), failures, Micros::from_millis(1));
-        assert!((wait / 2..=wait * 3 / 2).contains(&jittered.0), "{failures} failures: {jittered:?}");
+        assert!(
+            (unjittered / 2..=unjittered * 3 / 2).contains(&jittered.0),
+            "after {failures} failures: {jittered:?}, without jitter {unjittered} µs"
+        );
     }
 }
 
@@ -42,30 +50,34 @@
 fn exponential_draw_is_the_same_for_equal_keys_and_has_a_mean_of_one() {
     assert_eq!(exponential_for((7, 8)), exponential_for((7, 8)));
     let mean = (0..10_000).map(exponential_for).sum::<f64>() / 10_000.0;
-    assert!((0.95..1.05).contains(&mean), "{mean}");
+    assert!((0.95..1.05).contains(&mean), "mean of 10000 draws: {mean}");
 }
 
 #[test]
-fn groups_have_their_share_of_observations_and_old_ones_fade() {
+fn group_share_follows_observations_and_old_observations_decay() {
     let mut statistics = GroupStatistics::default();
     (0..30).for_each(|_| statistics.record(Some(GroupId(1).short_hash())));
     statistics.record(None);
     assert_eq!(statistics.share(GroupId(1)), 30.0 / 40.0);
     (0..2_000).for_each(|_| statistics.record(Some(GroupId(2).short_hash())));
-    assert_eq!(statistics.share(GroupId(1)), 0.0, "halved until it is forgotten");
+    assert_eq!(statistics.share(GroupId(1)), 0.0, "the count was halved until the group was removed");
 }
 
 #[test]
-fn a_group_costs_its_server_slots_once() {
+fn group_occupies_its_slots_once_per_server() {
     let group = Some(GroupId(3));
     let mut connections = ServerConnections::default();
     connections.start_attempt(group, 1.0);
     connections.start_attempt(group, 1.0);
     let slots = (connections.occupied_slots(), connections.slots_to_free(group, 1.0));
-    assert_eq!(slots, (4.0, 1.0), "two connections and their group");
+    assert_eq!(
+        slots,
+        (4.0, 1.0),
+        "two connections and their group are occupied; one connection can be freed"
+    );
     connections.end_attempt(group, 1.0);
     let slots = (connections.occupied_slots(), connections.slots_to_free(group, 1.0));
-    assert_eq!(slots, (3.0, 3.0), "the last one frees the group's");
+    assert_eq!(slots, (3.0, 3.0), "ending the last connection also frees the slots of the group");
     connections.end_attempt(group, 1.0);
     assert_eq!((connections.occupied_slots(), connections.contains_group(group)), (0.0, false));
 }
@@ -73,12 +85,16 @@
 #[test]
 fn connections_are_sized_by_announced_load_then_by_class_and_never_beyond_the_maximum() {
     let mut sizes = ConnectionSizes::new(2);
-    assert_eq!(sizes.estimate(ClassId(0), None), 1.0, "nothing is known yet");
+    assert_eq!(sizes.estimate(ClassId(0), None), 1.0, "one slot without any measurement");
     assert_eq!(sizes.record(ClassId(0), f64::NAN), None);
     sizes.record(ClassId(0), 100.0);
     sizes.record(ClassId(1), 300.0);
     assert!(sizes.estimate(ClassId(0), None) < 1.0 && sizes.estimate(ClassId(1), None) > 1.0);
-    assert_eq!(sizes.estimate(ClassId(0), Some(50.0)), 1.0, "the first announced load is the mean itself");
+    assert_eq!(
+        sizes.estimate(ClassId(0), Some(50.0)),
+        1.0,
+        "the first announced load equals the mean of announced loads"
+    );
     for _ in 0..1_000 {
         sizes.record(ClassId(0), 1.0);
     }
@@ -86,11 +102,11 @@
 }
 
 #[test]
-fn a_key_protects_from_a_second_effect_for_its_window_only() {
-    let keyed = Idempotency::IdempotencyKey { scope: KeyScope::All, window: Micros(100) };
+fn idempotency_key_is_valid_for_its_window_only() {
+    let with_key = Idempotency::IdempotencyKey { scope: KeyScope::All, window: Micros(100) };
     let mut retry = RetryState::default();
     retry.on_attempt_ended(EndpointEntry::default(), Time(1_000), Outcome::TimedOut);
-    assert_eq!(retry.key_window_left(keyed, Time(1_040)), Some(Micros(60)));
-    assert_eq!(retry.key_window_left(keyed, Time(2_000)), Some(Micros::ZERO));
+    assert_eq!(retry.key_window_left(with_key, Time(1_040)), Some(Micros(60)));
+    assert_eq!(retry.key_window_left(with_key, Time(2_000)), Some(Micros::ZERO));
     assert_eq!(retry.key_window_left(Idempotency::Idempotent, Time(1_040)), None);
 }
--- a/tests/rebalance/candidates.rs
+++ b/tests/rebalance/candidates.rs
@@ -1,14 +1,14 @@
-//! Which connections of an overloaded server are migrated.
+//! Tests which connections of an overloaded server are migrated.
 
 use connection_balancer::rebalance::RebalanceEvent;
 use connection_balancer::{ConnectionId, Micros, ServerId};
 
 use crate::harness::{
-    config, context, RebalanceHarness, RETURNED_CONNECTIONS, SECOND, SETUP_TIME, SLOW_MESSAGE_TIME,
+    config, context, RebalanceHarness, RECONNECTED_ID_OFFSET, SECOND, SETUP_TIME, SLOW_MESSAGE_TIME,
 };
 
 #[test]
-fn migrates_a_group_whole_or_not_at_all() {
+fn migrates_a_group_completely_or_not_at_all() {
     for size in [2, 5, 20, 60] {
         let mut harness = RebalanceHarness::new(config(), context(), 4);
         let groups: Vec<Vec<ConnectionId>> =
@@ -19,23 +19,27 @@
         for second in 0..60 {
             harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
             harness.servers[3].started = Some(harness.now);
-            let migrated = |connection: &&ConnectionId| {
-                harness.rebalance.metrics().migrated > 0 && !harness.is_established(**connection)
+            let was_migrated = |connection: &&ConnectionId| {
+                harness.rebalancer.metrics().migrated > 0 && !harness.is_established(**connection)
             };
             for group in &groups {
-                let migrated = group.iter().filter(migrated).count();
+                let migrated = group.iter().filter(was_migrated).count();
                 assert!(
                     migrated == 0 || migrated == size,
-                    "{migrated} of {size} migrated in second {second}"
+                    "{migrated} of {size} members of a group were migrated by second {second}"
                 );
             }
         }
-        // Larger ones take more tokens than a low rate saves, or are within their own placement noise.
-        assert!(size > 2 || harness.rebalance.metrics().migrated > 0, "no group of {size} was ever migrated");
+        // Larger groups need more tokens than can be saved up at a low rate, or are within their own
+        // placement noise.
+        assert!(
+            size > 2 || harness.rebalancer.metrics().migrated > 0,
+            "no group of {size} connections was migrated"
+        );
     }
 }
 
-/// A group is one unit of random placement, however many members it has.
+/// A group is one unit of random placement, regardless of the number of its members.
 #[test]
 fn ignores_the_imbalance_of_a_single_large_group() {
     let mut harness = RebalanceHarness::new(config(), context(), 4);
@@ -47,33 +51,39 @@
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
 }
 
-/// The larger part stays, the smaller one goes to it.
+/// The larger part of a split group is not migrated, so that the smaller part can join it.
 #[test]
 fn migrates_the_smaller_part_of_a_split_group_first() {
     let mut harness = RebalanceHarness::unbalanced();
-    let small = harness.establish(0, 2, Some(5));
+    let smaller_part = harness.establish(0, 2, Some(5));
     harness.establish(1, 6, Some(5));
-    let large = harness.establish(0, 3, Some(6));
+    let larger_part = harness.establish(0, 3, Some(6));
     harness.establish(2, 1, Some(6));
-    let moved = harness.run_seconds(6, Some(SLOW_MESSAGE_TIME));
-    assert!(moved.len() >= 2 && moved[..2] == small[..], "{moved:?}");
-    assert!(moved.iter().all(|connection| !large.contains(connection)), "{moved:?}");
+    let migrated = harness.run_seconds(6, Some(SLOW_MESSAGE_TIME));
+    assert!(
+        migrated.len() >= 2 && migrated[..2] == smaller_part[..],
+        "the smaller part {smaller_part:?} should be migrated first: {migrated:?}"
+    );
+    assert!(
+        migrated.iter().all(|connection| !larger_part.contains(connection)),
+        "no connection of the larger part {larger_part:?} should be migrated: {migrated:?}"
+    );
 }
 
-/// A client must not be migrated from server to server.
+/// A client must not be migrated repeatedly from server to server.
 #[test]
-fn does_not_migrate_a_returned_client_again() {
+fn does_not_migrate_a_reconnected_client_again() {
     let mut harness = RebalanceHarness::unbalanced();
-    let mut returned = Vec::new();
+    let mut reconnected = Vec::new();
     for _ in 0..8 {
         for connection in harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)) {
-            harness.return_client(connection, SETUP_TIME);
-            returned.push(ConnectionId(harness.next + RETURNED_CONNECTIONS));
+            harness.reconnect_client(connection, SETUP_TIME);
+            reconnected.push(ConnectionId(harness.last_connection_id + RECONNECTED_ID_OFFSET));
         }
     }
-    let metrics = harness.rebalance.metrics();
+    let metrics = harness.rebalancer.metrics();
     assert!(metrics.migrated > 0 && metrics.returned == metrics.migrated, "{metrics:?}");
-    // Now the last server is the one that is full.
+    // The last server is now the overloaded one.
     harness.servers[3].occupied_slots = 60.0;
     for _ in 0..40 {
         harness.now = harness.now.plus(SECOND / 2);
@@ -81,7 +91,7 @@
             server: ServerId(3),
             took: Micros::from_millis(90),
         });
-        let decision = harness.rebalance.evaluate(harness.now, harness.conditions, &harness.servers);
-        assert!(decision.migrations.iter().all(|migration| !returned.contains(&migration.connection)));
+        let decision = harness.rebalancer.evaluate(harness.now, harness.conditions, &harness.servers);
+        assert!(decision.migrations.iter().all(|migration| !reconnected.contains(&migration.connection)));
     }
 }
--- a/tests/rebalance/harness.rs
+++ b/tests/rebalance/harness.rs
@@ -1,4 +1,4 @@
-//! A rebalancer with servers and a clock, without a reducer.
+//! Test harness: a rebalancer with servers and a clock, without a reducer.
 
 use connection_balancer::rebalance::{
     ConnectionProperties, Decision, HoldReason, Migration, RebalanceConfig, RebalanceContext, RebalanceEvent,
@@ -8,13 +8,14 @@
 
 pub(crate) const SECOND: Micros = Micros::from_secs(1);
 
-/// A message time that is slow by the objective of [`context`], in microseconds.
+/// Message time that is slow by the objective of [`context`].
 pub(crate) const SLOW_MESSAGE_TIME: Micros = Micros::from_millis(80);
 
-/// Ids of connections of returned clients begin here.
-pub(crate) const RETURNED_CONNECTIONS: u64 = 10_000;
+/// Offset of the connection ids of reconnected clients, so that they differ from the ids of first
+/// connections.
+pub(crate) const RECONNECTED_ID_OFFSET: u64 = 10_000;
 
-/// A usual setup time.
+/// Usual setup time of a connection.
 pub(crate) const SETUP_TIME: Micros = Micros::from_millis(30);
 
 pub(crate) fn context() -> RebalanceContext {
@@ -33,12 +34,14 @@
     RebalanceConfig { enabled: true, max_migrations_per_second: 20.0, ..RebalanceConfig::default() }
 }
 
-/// A [`Rebalancer`] with servers and a clock.
+/// [`Rebalancer`] with servers and a clock.
 pub(crate) struct RebalanceHarness {
-    pub(crate) rebalance: Rebalancer,
+    pub(crate) rebalancer: Rebalancer,
     pub(crate) now: Time,
     pub(crate) servers: Vec<ServerSnapshot>,
-    pub(crate) next: u64,
+    /// Id of the connection that was established last. The ids of reconnected clients have an additional
+    /// offset of [`RECONNECTED_ID_OFFSET`].
+    pub(crate) last_connection_id: u64,
     pub(crate) conditions: SystemConditions,
 }
 
@@ -61,17 +64,18 @@
         };
         let servers = (0..servers as u32).map(server).collect();
         let mut harness = RebalanceHarness {
-            rebalance: Rebalancer::new(config, context, 7, now),
+            rebalancer: Rebalancer::new(config, context, 7, now),
             now,
             servers,
-            next: 0,
+            last_connection_id: 0,
             conditions: SystemConditions::default(),
         };
         harness.notify(RebalanceEvent::EndpointListChanged { ready: harness.servers.len() });
         harness
     }
 
-    /// Four servers: the first full and, where asked, slow; the last restarted and empty.
+    /// Creates four servers. The first has twice as many connections as the next two. The last has just
+    /// restarted and has no connections.
     pub(crate) fn unbalanced() -> RebalanceHarness {
         let mut harness = RebalanceHarness::new(config(), context(), 4);
         for server in 0..3 {
@@ -82,7 +86,7 @@
     }
 
     pub(crate) fn notify(&mut self, event: RebalanceEvent) {
-        self.rebalance.on_event(self.now, event);
+        self.rebalancer.on_event(self.now, event);
     }
 
     pub(crate) fn establish(&mut self, server: u32, count: usize, group: Option<u64>) -> Vec<ConnectionId> {
@@ -92,21 +96,21 @@
     }
 
     pub(crate) fn establish_one(&mut self, server: u32, group: Option<u64>) -> ConnectionId {
-        self.next += 1;
-        let (connection, key) = (ConnectionId(self.next), Some(self.next));
+        self.last_connection_id += 1;
+        let (connection, key) = (ConnectionId(self.last_connection_id), Some(self.last_connection_id));
         let properties = ConnectionProperties { server: ServerId(server), class: 0, group, load: None, key };
         self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: None });
         self.servers[server as usize].occupied_slots += 1.0;
         connection
     }
 
-    /// Evaluates half a second later; the first server reports this message time each second.
+    /// Evaluates half a second later. The first server reports `message_time` once per second.
     pub(crate) fn evaluate_after_half_second(&mut self, message_time: Option<Micros>) -> Decision {
         self.now = self.now.plus(SECOND / 2);
         if let Some(took) = message_time.filter(|_| self.now.0.is_multiple_of(SECOND.0)) {
             self.notify(RebalanceEvent::MessageTimeReported { server: ServerId(0), took });
         }
-        let decision = self.rebalance.evaluate(self.now, self.conditions, &self.servers);
+        let decision = self.rebalancer.evaluate(self.now, self.conditions, &self.servers);
         for &Migration { connection, from } in &decision.migrations {
             self.servers[from.0 as usize].occupied_slots -= 1.0;
             self.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
@@ -114,32 +118,33 @@
         decision
     }
 
-    /// Evaluates for so many seconds; who was migrated.
+    /// Evaluates every half second for `count` seconds. Returns the migrated connections.
     pub(crate) fn run_seconds(&mut self, count: u64, message_time: Option<Micros>) -> Vec<ConnectionId> {
         let mut migrated = Vec::new();
         for _ in 0..2 * count {
-            let moves = self.evaluate_after_half_second(message_time).migrations;
-            migrated.extend(moves.into_iter().map(|migration| migration.connection));
+            let migrations = self.evaluate_after_half_second(message_time).migrations;
+            migrated.extend(migrations.into_iter().map(|migration| migration.connection));
         }
         migrated
     }
 
-    /// The client of a migrated connection comes back and is established at the last server.
-    pub(crate) fn return_client(&mut self, migrated: ConnectionId, setup: Micros) {
-        self.next += 1;
-        let (connection, key) = (ConnectionId(self.next + RETURNED_CONNECTIONS), Some(migrated.0));
+    /// Reconnects the client of a migrated connection, at the last server.
+    pub(crate) fn reconnect_client(&mut self, migrated: ConnectionId, setup: Micros) {
+        self.last_connection_id += 1;
+        let (connection, key) =
+            (ConnectionId(self.last_connection_id + RECONNECTED_ID_OFFSET), Some(migrated.0));
         self.notify(RebalanceEvent::ConnectionRequested { connection, key, reconnecting: true });
         let server = ServerId(self.servers.len() as u32 - 1);
         let properties = ConnectionProperties { server, class: 0, group: None, load: None, key };
         self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: Some(setup) });
-        self.servers.last_mut().expect("a server").occupied_slots += 1.0;
+        self.servers.last_mut().expect("the harness has servers").occupied_slots += 1.0;
     }
 
     pub(crate) fn hold_reason(&self) -> Option<HoldReason> {
-        self.rebalance.metrics().hold_reason
+        self.rebalancer.metrics().hold_reason
     }
 
     pub(crate) fn is_established(&self, connection: ConnectionId) -> bool {
-        self.rebalance.connection(connection).is_some()
+        self.rebalancer.connection(connection).is_some()
     }
 }
--- a/tests/rebalance/invariants.rs
+++ b/tests/rebalance/invariants.rs
@@ -1,4 +1,4 @@
-//! Guarantees that hold whatever happens in whatever order.
+//! Property tests of the guarantees that hold for any sequence of events.
 
 use connection_balancer::rebalance::{
     CeilingIncrease, ConnectionProperties, Decision, Migration, RebalanceEvent,
@@ -10,16 +10,17 @@
 use crate::harness::{config, context, RebalanceHarness, SECOND};
 
 proptest! {
-    // The same steps each run.
+    // Each run uses the same steps.
     #![proptest_config(ProptestConfig {
-        // The saved cases are beside this file.
+        // Failed cases are saved in a file in the same directory.
         failure_persistence: Some(Box::new(FileFailurePersistence::WithSource("proptest-regressions"))),
         rng_seed: proptest::test_runner::RngSeed::Fixed(9),
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens in whatever order: bounded, at most so many moves as tokens allow, each of an established
-    /// connection at a server in use, none twice; the same events give the same moves.
+    /// For any sequence of events, the rate of migrations is bounded, migrations do not exceed the tokens,
+    /// each migration is of an established connection at a ready server, and no connection is migrated twice.
+    /// The same events yield the same decisions.
     #[test]
     fn keeps_its_guarantees_under_arbitrary_events(
         steps in prop::collection::vec((0u8..14, 0u64..40, 0u32..5), 1..400)
@@ -28,10 +29,10 @@
     }
 }
 
-/// The kind of event, a number that the event's details derive from, and a server.
+/// Kind of event, number from which the details of the event are derived, and server.
 type Step = (u8, u64, u32);
 
-/// Applies the steps to a new harness and checks the guarantees after each; the decisions.
+/// Applies the steps to a new harness and checks the guarantees after each step. Returns the decisions.
 fn replay(steps: &[Step]) -> Result<Vec<Decision>, TestCaseError> {
     let mut harness = RebalanceHarness::new(config(), context(), 5);
     let mut decisions = Vec::new();
@@ -47,7 +48,7 @@
         if kind <= 3 {
             harness.servers[server as usize].occupied_slots += 1.0;
         }
-        let metrics = harness.rebalance.metrics();
+        let metrics = harness.rebalancer.metrics();
         prop_assert!(
             metrics.migrations_per_second.is_finite()
                 && (0.0..=20.0).contains(&metrics.migrations_per_second)
@@ -82,7 +83,7 @@
     }
 }
 
-/// Evaluates after three seconds of message times from a server, and checks the decision.
+/// Reports message times of a server for three seconds, evaluates, and checks the decision.
 fn evaluate_checked(
     harness: &mut RebalanceHarness,
     number: u64,
@@ -93,18 +94,19 @@
         let server = ServerId(slow_server);
         harness.notify(RebalanceEvent::MessageTimeReported { server, took: Micros(number * 10_000) });
     }
-    let known = (0..40).filter_map(|n| harness.rebalance.connection(ConnectionId(n))).count();
-    let decision = harness.rebalance.evaluate(harness.now, harness.conditions, &harness.servers);
-    let mut seen = std::collections::BTreeSet::new();
+    let established_count = (0..40).filter_map(|n| harness.rebalancer.connection(ConnectionId(n))).count();
+    let decision = harness.rebalancer.evaluate(harness.now, harness.conditions, &harness.servers);
+    let mut migrated = std::collections::BTreeSet::new();
     for &Migration { connection, from } in &decision.migrations {
-        prop_assert!(seen.insert(connection), "{connection:?} twice");
+        prop_assert!(migrated.insert(connection), "{connection:?} is migrated twice in one decision");
         prop_assert!(harness.servers[from.0 as usize].ready);
-        let server = harness.rebalance.connection(connection).map(|known| known.properties.server);
+        let server =
+            harness.rebalancer.connection(connection).map(|established| established.properties.server);
         prop_assert_eq!(server, Some(from));
         harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
     }
-    prop_assert!(decision.migrations.len() <= known);
-    let sound = |increase: &CeilingIncrease| increase.ceiling.is_finite() && increase.ceiling > 0.0;
-    prop_assert!(decision.ceiling_increases.iter().all(sound));
+    prop_assert!(decision.migrations.len() <= established_count);
+    let is_valid = |increase: &CeilingIncrease| increase.ceiling.is_finite() && increase.ceiling > 0.0;
+    prop_assert!(decision.ceiling_increases.iter().all(is_valid));
     Ok(decision)
 }
--- a/tests/rebalance/main.rs
+++ b/tests/rebalance/main.rs
@@ -1,4 +1,4 @@
-//! Rebalancing: its parts in virtual time, its place in the reducer, and its settings.
+//! Tests of rebalancing: its parts in virtual time, its use by the reducer, and its settings.
 
 #[path = "../reducer_harness/mod.rs"]
 mod reducer_harness;
--- a/tests/rebalance/outcomes.rs
+++ b/tests/rebalance/outcomes.rs
@@ -1,15 +1,16 @@
-//! Holds after migrations that turn out badly, and while connection setups are slow.
+//! Tests of holds after unsuccessful migrations, and while connection setups are slow.
 
 use connection_balancer::rebalance::{ConnectionProperties, HoldReason, RebalanceContext, RebalanceEvent};
 use connection_balancer::{ConnectionId, Micros, ServerId, Time};
 
 use crate::harness::{config, context, RebalanceHarness, SECOND, SETUP_TIME, SLOW_MESSAGE_TIME};
 
-/// The session store five times slower: from the start, beginning midway, and over again.
+/// The session store becomes five times slower after a time of normal setups, and recovers. In a second run
+/// it is slow from the start.
 #[test]
-fn holds_moves_while_setups_are_slow_and_resumes_afterwards() {
+fn holds_migrations_while_setups_are_slow_and_resumes_afterwards() {
     let mut harness = RebalanceHarness::unbalanced();
-    let complete_setups = |harness: &mut RebalanceHarness, took: u64, server: u32| {
+    let complete_setups = |harness: &mut RebalanceHarness, setup_micros: u64, server: u32| {
         for _ in 0..20 {
             let connection = harness.establish_one(server, None);
             let properties = ConnectionProperties {
@@ -22,7 +23,7 @@
             harness.notify(RebalanceEvent::ConnectionEstablished {
                 connection,
                 properties,
-                setup: Some(Micros(took)),
+                setup: Some(Micros(setup_micros)),
             });
             harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: true });
             harness.servers[server as usize].occupied_slots -= 1.0;
@@ -33,18 +34,18 @@
     complete_setups(&mut harness, 200_000, 1);
     assert!(harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)).is_empty());
     assert_eq!(harness.hold_reason(), Some(HoldReason::SlowSetups));
-    assert_eq!(harness.rebalance.metrics().migrations_per_second, 0.0);
+    assert_eq!(harness.rebalancer.metrics().migrations_per_second, 0.0);
     complete_setups(&mut harness, 40_000, 1);
     harness.run_seconds(8, Some(SLOW_MESSAGE_TIME));
     assert_eq!(harness.hold_reason(), None);
-    // From the start there is no usual time: the objective decides.
+    // Without earlier setups there is no usual time, so that only the objective shows that setups are slow.
     let mut harness = RebalanceHarness::unbalanced();
     complete_setups(&mut harness, 200_000, 1);
     assert!(harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)).is_empty());
     assert_eq!(harness.hold_reason(), Some(HoldReason::SlowSetups));
 }
 
-/// At a slow server a setup is slow, too; the session store has no part in that.
+/// A setup at a slow server is slow because of the server, not because of the session store.
 #[test]
 fn ignores_slow_setups_at_a_slow_server() {
     let mut harness = RebalanceHarness::unbalanced();
@@ -64,34 +65,35 @@
 }
 
 #[test]
-fn holds_moves_when_migrated_clients_do_not_return() {
+fn holds_migrations_when_migrated_clients_do_not_reconnect() {
     let mut harness = RebalanceHarness::unbalanced();
     harness.establish(0, 100, None);
-    let mut held = false;
+    let mut was_held = false;
     for _ in 0..40 {
         harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
         harness.servers[3].started = Some(harness.now);
-        held |= harness.hold_reason() == Some(HoldReason::ClientsNotReturning);
+        was_held |= harness.hold_reason() == Some(HoldReason::ClientsNotReturning);
     }
-    assert!(held, "{:?}", harness.rebalance.metrics());
-    let moved = harness.rebalance.metrics().migrated;
-    assert!(moved <= 16, "{moved} moved, though none came back");
+    assert!(was_held, "{:?}", harness.rebalancer.metrics());
+    let migrated = harness.rebalancer.metrics().migrated;
+    assert!(migrated <= 16, "{migrated} clients migrated, at most 16 allowed: none of them reconnected");
 }
 
-/// Of three balancers' clients two thirds come back to another one: that is no reason to stop.
+/// With three balancers, two thirds of the migrated clients reconnect to another balancer. This must not
+/// cause a hold.
 #[test]
-fn tolerates_clients_that_return_to_another_balancer() {
+fn tolerates_clients_that_reconnect_to_another_balancer() {
     let mut harness = RebalanceHarness::unbalanced();
-    harness.rebalance.configure(harness.now, config(), RebalanceContext { balancers: 3, ..context() });
-    let mut count = 0;
+    harness.rebalancer.configure(harness.now, config(), RebalanceContext { balancers: 3, ..context() });
+    let mut migrated_count = 0;
     for _ in 0..40 {
         for connection in harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)) {
-            count += 1;
-            if count % 3 == 0 {
-                harness.return_client(connection, SETUP_TIME);
+            migrated_count += 1;
+            if migrated_count % 3 == 0 {
+                harness.reconnect_client(connection, SETUP_TIME);
             }
-            // As many of the others' clients come here.
-            if count % 3 == 1 {
+            // The same number of other balancers' clients reconnects to this balancer.
+            if migrated_count % 3 == 1 {
                 harness.notify(RebalanceEvent::ConnectionRequested {
                     connection: ConnectionId(50_000 + connection.0),
                     key: Some(90_000 + connection.0),
@@ -101,23 +103,23 @@
         }
         assert_ne!(harness.hold_reason(), Some(HoldReason::ClientsNotReturning));
     }
-    assert!(count > 3);
+    assert!(migrated_count > 3, "{migrated_count} clients migrated; more than 3 are needed for the test");
 }
 
 #[test]
-fn holds_moves_longer_after_each_rejected_migrated_client() {
+fn holds_migrations_longer_after_each_rejected_migrated_client() {
     let mut harness = RebalanceHarness::unbalanced();
-    let mut waits = Vec::new();
+    let mut hold_durations = Vec::new();
     for _ in 0..3 {
-        let mut moved = Vec::new();
-        while moved.is_empty() {
-            moved = harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
-            assert!(harness.now < Time(2_000_000_000), "nobody moved");
+        let mut migrated = Vec::new();
+        while migrated.is_empty() {
+            migrated = harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
+            assert!(harness.now < Time(2_000_000_000), "no client was migrated within 1000 s");
         }
         harness.servers[3].started = Some(harness.now);
-        for (n, connection) in moved.into_iter().enumerate() {
+        for (n, connection) in migrated.into_iter().enumerate() {
             if n > 0 {
-                harness.return_client(connection, SETUP_TIME);
+                harness.reconnect_client(connection, SETUP_TIME);
                 continue;
             }
             let reconnected = ConnectionId(70_000 + connection.0);
@@ -129,32 +131,38 @@
             harness.notify(RebalanceEvent::ConnectionRejected { connection: reconnected });
             harness.notify(RebalanceEvent::ConnectionEnded { connection: reconnected, natural: false });
         }
-        let since = harness.now;
+        let hold_start = harness.now;
         harness.evaluate_after_half_second(Some(SLOW_MESSAGE_TIME));
         assert_eq!(harness.hold_reason(), Some(HoldReason::ClientsRejected));
         while harness.hold_reason() == Some(HoldReason::ClientsRejected) {
             harness.evaluate_after_half_second(Some(SLOW_MESSAGE_TIME));
         }
-        waits.push(harness.now.since(since));
+        hold_durations.push(harness.now.since(hold_start));
     }
-    assert_eq!(harness.rebalance.metrics().rejected, 3);
-    assert!(waits[0] >= 2 * SECOND && waits[1] > waits[0] && waits[2] > waits[1], "{waits:?}");
+    assert_eq!(harness.rebalancer.metrics().rejected, 3);
+    assert!(
+        hold_durations[0] >= 2 * SECOND
+            && hold_durations[1] > hold_durations[0]
+            && hold_durations[2] > hold_durations[1],
+        "{hold_durations:?}"
+    );
 }
 
 #[test]
-fn holds_moves_that_have_no_effect() {
+fn holds_migrations_that_have_no_effect() {
     let mut harness = RebalanceHarness::unbalanced();
     harness.establish(0, 100, None);
-    let mut held = false;
+    let mut was_held = false;
     for _ in 0..60 {
         harness.servers[3].started = Some(harness.now);
         for connection in harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)) {
-            harness.return_client(connection, SETUP_TIME);
-            // As many connect to the pressured server as leave it, and none to the empty one.
+            harness.reconnect_client(connection, SETUP_TIME);
+            // For each client that leaves the overloaded server, another client connects to it. No client
+            // connects to the empty server.
             harness.servers[3].occupied_slots -= 1.0;
             harness.establish_one(0, None);
         }
-        held |= harness.hold_reason() == Some(HoldReason::ExcessNotFalling);
+        was_held |= harness.hold_reason() == Some(HoldReason::ExcessNotFalling);
     }
-    assert!(held, "{:?}", harness.rebalance.metrics());
+    assert!(was_held, "{:?}", harness.rebalancer.metrics());
 }
--- a/tests/rebalance/pressure.rs
+++ b/tests/rebalance/pressure.rs
@@ -1,4 +1,4 @@
-//! Which servers count as overloaded, and what is done about it.
+//! Tests which servers count as overloaded, and when connections are migrated away from them.
 
 use connection_balancer::rebalance::{RebalanceConfig, RebalanceContext};
 use connection_balancer::Micros;
@@ -6,22 +6,26 @@
 use crate::harness::{config, context, RebalanceHarness, SLOW_MESSAGE_TIME};
 
 #[test]
-fn migrates_connections_from_a_pressured_server_to_a_restarted_empty_one() {
+fn migrates_connections_from_a_server_under_pressure_to_a_restarted_empty_one() {
     let mut harness = RebalanceHarness::unbalanced();
-    let moved = harness.run_seconds(10, Some(SLOW_MESSAGE_TIME));
-    assert!(!moved.is_empty(), "nobody moved");
-    assert!(moved.len() <= 10, "{} moved in ten seconds, from a rate that begins low", moved.len());
+    let migrated = harness.run_seconds(10, Some(SLOW_MESSAGE_TIME));
+    assert!(!migrated.is_empty(), "no client was migrated");
     assert!(
-        moved.iter().all(|connection| connection.0 <= 40),
-        "only those of the pressured server: {moved:?}"
+        migrated.len() <= 10,
+        "{} clients migrated in ten seconds; at most 10 allowed, because the initial rate is low",
+        migrated.len()
+    );
+    assert!(
+        migrated.iter().all(|connection| connection.0 <= 40),
+        "only connections 1 to 40 of the server under pressure may be migrated: {migrated:?}"
     );
 }
 
 #[test]
-fn migrates_nobody_while_disabled() {
+fn migrates_no_client_while_disabled() {
     let mut harness = RebalanceHarness::unbalanced();
-    harness.rebalance.configure(harness.now, RebalanceConfig { enabled: false, ..config() }, context());
-    assert_eq!(harness.rebalance.next_evaluation(), None);
+    harness.rebalancer.configure(harness.now, RebalanceConfig { enabled: false, ..config() }, context());
+    assert_eq!(harness.rebalancer.next_evaluation(), None);
     assert!(harness.run_seconds(10, Some(SLOW_MESSAGE_TIME)).is_empty());
 }
 
@@ -32,9 +36,10 @@
     assert!(harness.run_seconds(20, None).is_empty());
 }
 
-/// Random placement deviates by about the square root of what a server holds; that is no cause to move anybody.
+/// Random placement deviates by about the square root of the number of connections at a server. Such a
+/// deviation is no reason for a migration.
 #[test]
-fn ignores_imbalance_that_random_placement_explains() {
+fn ignores_imbalance_explained_by_random_placement() {
     for reports_message_time in [true, false] {
         let context = RebalanceContext {
             reports_message_time,
@@ -63,9 +68,9 @@
     assert!(!harness.run_seconds(10, None).is_empty());
 }
 
-/// A reload may bring another objective, by which message times are then judged.
+/// A reload may change the message objective. Message times are then compared with the new objective.
 #[test]
-fn applies_another_message_objective_from_the_reload_on() {
+fn applies_a_changed_message_objective_after_a_reload() {
     let mut harness = RebalanceHarness::new(
         config(),
         RebalanceContext { message_objective: Micros::from_secs(1), ..context() },
@@ -75,8 +80,11 @@
     harness.servers[3].started = Some(harness.now);
     assert!(
         harness.run_seconds(10, Some(SLOW_MESSAGE_TIME)).is_empty(),
-        "80 ms are fast where 1 s is wanted"
+        "message times of 80 ms are fast with an objective of 1 s"
+    );
+    harness.rebalancer.configure(harness.now, config(), context());
+    assert!(
+        !harness.run_seconds(10, Some(SLOW_MESSAGE_TIME)).is_empty(),
+        "message times of 80 ms are slow with an objective of 100 ms"
     );
-    harness.rebalance.configure(harness.now, config(), context());
-    assert!(!harness.run_seconds(10, Some(SLOW_MESSAGE_TIME)).is_empty(), "and slow where 100 ms are");
 }
--- a/tests/rebalance/reducer.rs
+++ b/tests/rebalance/reducer.rs
@@ -1,4 +1,4 @@
-//! Rebalancing as a part of the reducer.
+//! Tests of rebalancing by the reducer.
 
 use connection_balancer::rebalance::RebalanceConfig;
 use connection_balancer::routing::*;
@@ -17,7 +17,8 @@
     }
 }
 
-/// A reducer that rebalances, with most connections at the first server and an empty, restarted last one.
+/// Creates a reducer with rebalancing enabled, with most connections at the first server. The last server has
+/// just restarted and has no connections.
 fn unbalanced_reducer() -> (ReducerHarness, Vec<ConnectionId>) {
     let mut harness = ReducerHarness::new();
     harness.feed(Input::ConfigurationChanged {
@@ -28,16 +29,19 @@
     let mut connections = Vec::new();
     for n in 0..40 {
         let connection = harness.connect_client();
-        let at = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
-        let request =
-            ConnectionRequest { established_at: Some(at), key: Some(connection.0), ..connection_request() };
+        let server = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
+        let request = ConnectionRequest {
+            established_at: Some(server),
+            key: Some(connection.0),
+            ..connection_request()
+        };
         harness.feed(Input::ConnectionRequested { connection, request });
         harness.feed(Input::RequestForwarded { connection, attempt: 0 });
         harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
         harness.feed(Input::LoadReported { connection, load: 60_000.0 });
         connections.push(connection);
     }
-    // The last server has restarted: by the endpoint list it started just now.
+    // The last server has restarted: its start time in the endpoint list is now.
     harness.restart_server(4);
     (harness, connections)
 }
@@ -47,31 +51,31 @@
     connections: &[ConnectionId],
     seconds: u32,
 ) -> Vec<ConnectionId> {
-    let mut moved = Vec::new();
+    let mut migrated = Vec::new();
     for _ in 0..seconds {
         for tenth in 0..10 {
             harness.advance(Micros::from_millis(100));
             let mut effects = harness.feed(Input::TimerFired);
             if let (0, Some(&connection)) =
-                (tenth, connections.iter().find(|connection| !moved.contains(*connection)))
+                (tenth, connections.iter().find(|connection| !migrated.contains(*connection)))
             {
-                // A third of the objective: no cause for the decision module to migrate anybody by itself.
+                // A third of the objective: the decision module migrates no client for such a message time.
                 effects.extend(harness.feed(Input::LoadReported { connection, load: 45.0 }));
             }
-            moved.extend(effects.iter().filter_map(|effect| match effect {
+            migrated.extend(effects.iter().filter_map(|effect| match effect {
                 Effect::Answer { connection, answer: Answer::Migrated } => Some(*connection),
                 _ => None,
             }));
         }
     }
-    moved
+    migrated
 }
 
 #[test]
-fn reducer_migrates_clients_of_a_pressured_server_and_counts_them() {
+fn reducer_migrates_clients_of_a_server_under_pressure_and_counts_them() {
     let (mut harness, connections) = unbalanced_reducer();
     let migrated = run_and_collect_migrated(&mut harness, &connections, 15);
-    assert!(!migrated.is_empty(), "nobody moved");
+    assert!(!migrated.is_empty(), "no client was migrated");
     assert!(migrated.iter().all(|connection| connections[..25].contains(connection)));
     let reply =
         harness.feed(Input::AdminRequest { admin_client: AdminClientId(1), call: AdminCall::Metrics });
@@ -79,7 +83,7 @@
         panic!("{reply:?}")
     };
     assert_eq!(metrics.rebalance["platform"].migrated as usize, migrated.len());
-    // One comes back and is recognised by its key.
+    // A migrated client reconnects and is recognised by its key.
     let connection = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
         connection,
@@ -93,7 +97,7 @@
 }
 
 #[test]
-fn reducer_migrates_nobody_for_balance_during_shutdown_or_hot_restart() {
+fn reducer_migrates_no_client_for_balance_during_shutdown_or_hot_restart() {
     let (mut harness, connections) = unbalanced_reducer();
     harness.feed(Input::SuccessorStarted);
     assert!(run_and_collect_migrated(&mut harness, &connections, 15).is_empty());
@@ -104,14 +108,14 @@
 }
 
 #[test]
-fn gives_draining_precedence_over_balance() {
+fn does_not_rebalance_while_a_server_drains() {
     let (mut harness, connections) = unbalanced_reducer();
     harness.drain_server(1);
     assert!(run_and_collect_migrated(&mut harness, &connections, 15).is_empty());
 }
 
 #[test]
-fn stops_when_a_reload_disables_it() {
+fn stops_rebalancing_when_a_reload_disables_it() {
     let (mut harness, connections) = unbalanced_reducer();
     harness.feed(Input::ConfigurationChanged {
         pools: vec![reducer_harness::pool_config()],
--- a/tests/rebalance/settings.rs
+++ b/tests/rebalance/settings.rs
@@ -1,18 +1,19 @@
-//! The operator's settings file.
+//! Tests of the operator's settings file of rebalancing.
 
 use connection_balancer::program::config as program_config;
 
 #[test]
-fn checks_its_settings_file_by_key() {
-    let sound =
-        program_config::parse_rebalance(include_bytes!("../../deploy/rebalance.json")).expect("sound");
-    assert!(sound["irc"].enabled);
-    let fault =
-        |text: &str| program_config::parse_rebalance(text.as_bytes()).expect_err("faulty").to_string();
-    assert!(fault(r#"{"platform": {"margin": 0.5}}"#).starts_with("platform.margin: at least 1"));
-    assert!(fault(r#"{"irc": {"most_per_s": 0}}"#).starts_with("irc.most_per_s: more than 0"));
-    assert!(fault(r#"{"irc": {"assumed_use": 1}}"#).starts_with("irc.assumed_use: a share"));
-    assert!(fault(r#"{"irc": {"speed": 1}}"#).starts_with("irc.speed: no such key"));
-    assert!(fault(r#"{"smtp": {}}"#).starts_with("smtp: no such key"));
-    assert!(fault("{").starts_with("document: not JSON"));
+fn reports_invalid_settings_by_key() {
+    let deployed = program_config::parse_rebalance(include_bytes!("../../deploy/rebalance.json"))
+        .expect("the deployed settings are valid");
+    assert!(deployed["irc"].enabled);
+    let error_of = |text: &str| {
+        program_config::parse_rebalance(text.as_bytes()).expect_err("the settings are invalid").to_string()
+    };
+    assert!(error_of(r#"{"platform": {"margin": 0.5}}"#).starts_with("platform.margin: at least 1"));
+    assert!(error_of(r#"{"irc": {"most_per_s": 0}}"#).starts_with("irc.most_per_s: more than 0"));
+    assert!(error_of(r#"{"irc": {"assumed_use": 1}}"#).starts_with("irc.assumed_use: a share"));
+    assert!(error_of(r#"{"irc": {"speed": 1}}"#).starts_with("irc.speed: no such key"));
+    assert!(error_of(r#"{"smtp": {}}"#).starts_with("smtp: no such key"));
+    assert!(error_of("{").starts_with("document: not JSON"));
 }
--- a/tests/rebalance/spare_capacity.rs
+++ b/tests/rebalance/spare_capacity.rs
@@ -1,4 +1,4 @@
-//! Which servers can take migrated clients, and whose ceilings are changed.
+//! Tests which servers can accept migrated clients, and which ceilings are changed.
 
 use connection_balancer::rebalance::CeilingIncrease;
 use connection_balancer::ServerId;
@@ -6,17 +6,17 @@
 use crate::harness::{RebalanceHarness, SECOND, SLOW_MESSAGE_TIME};
 
 #[test]
-fn migrates_nobody_where_no_server_has_room() {
+fn migrates_no_client_without_spare_capacity() {
     let mut harness = RebalanceHarness::unbalanced();
-    // As full as the others, and none has started recently.
+    // The last server has about as many connections as the others, and no server has started recently.
     harness.establish(3, 25, None);
     harness.servers[3].started = None;
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
 }
 
-/// A slow server shows few connections because that is all it can hold.
+/// A slow server has few connections because it cannot handle more.
 #[test]
-fn does_not_fill_a_slow_server_that_holds_less_than_its_share() {
+fn does_not_migrate_to_a_slow_server_below_its_fair_share() {
     let mut harness = RebalanceHarness::unbalanced();
     harness.establish(3, 8, None);
     harness.servers[3].started = None;
@@ -24,13 +24,14 @@
     harness.servers[3].ceiling = 8.0;
     harness.now = harness.now.plus(30 * SECOND);
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
-    // And its ceiling stays as its fault has cut it.
+    // The ceiling, which was lowered for the fault, is not raised.
     assert!(harness.evaluate_after_half_second(None).ceiling_increases.is_empty());
 }
 
-/// Ceilings change before anybody is migrated: new connections are placed elsewhere at no cost.
+/// Ceilings are changed before any client is migrated, because placing new connections at other servers costs
+/// nothing.
 #[test]
-fn lowers_the_ceiling_of_a_server_over_its_share_and_raises_an_unknown_one() {
+fn lowers_the_ceiling_of_a_server_over_its_share_and_raises_that_of_a_restarted_one() {
     let mut harness = RebalanceHarness::unbalanced();
     let decision = harness.evaluate_after_half_second(None);
     assert_eq!(decision.ceilings_to_lower, [ServerId(0)]);
@@ -38,22 +39,26 @@
         panic!("{decision:?}")
     };
     assert_eq!(server, ServerId(3));
-    assert!((ceiling - 18.0).abs() < 1e-9, "0.9 of its share of 20: {ceiling}");
+    assert!(
+        (ceiling - 18.0).abs() < 1e-9,
+        "the ceiling is {ceiling}, expected 18: 0.9 of the fair share of 20"
+    );
     assert!(decision.migrations.is_empty());
 }
 
 #[test]
-fn limits_moves_to_what_a_warming_server_can_take() {
+fn limits_migrations_to_the_capacity_of_a_warming_server() {
     let mut harness = RebalanceHarness::unbalanced();
     harness.servers[3].warmth = 0.34;
-    let moved = harness.run_seconds(4, Some(SLOW_MESSAGE_TIME)).len();
-    // 20 slots over 8.8 s: at most four and a half in two seconds, and half of that at a time.
-    assert!(moved <= 4, "{moved}");
+    let migrated = harness.run_seconds(4, Some(SLOW_MESSAGE_TIME)).len();
+    // The capacity of 20 slots grows over 8.8 s: by at most four and a half slots in two seconds, and half of
+    // that is migrated at a time.
+    assert!(migrated <= 4, "{migrated} clients migrated; at most 4 allowed");
 }
 
-/// A server that comes back and dies again while it is being filled has no spare capacity any more.
+/// A server that restarts and fails again while clients are migrated to it has no spare capacity.
 #[test]
-fn sends_nobody_to_a_server_that_is_gone_again() {
+fn migrates_no_client_to_a_server_that_is_gone_again() {
     let mut harness = RebalanceHarness::unbalanced();
     assert!(!harness.run_seconds(8, Some(SLOW_MESSAGE_TIME)).is_empty());
     harness.servers[3].ready = false;
