--- a/src/bookkeeping/connection_size.rs
+++ b/src/bookkeeping/connection_size.rs
@@ -56,7 +56,7 @@
 
     /// Adds a measured load and returns the slots of its connection. Returns `None` for an invalid load.
     pub fn record(&mut self, class: ClassId, load: f64) -> Option<f64> {
-        // One NaN or infinite value would make the means invalid permanently.
+        // One invalid value would falsify the means permanently.
         if !(load.is_finite() && load >= 0.0) {
             return None;
         }
--- a/src/bookkeeping/running_mean.rs
+++ b/src/bookkeeping/running_mean.rs
@@ -28,8 +28,7 @@
         self.count == 0.0
     }
 
-    /// Returns a value between `fallback` and the mean, which is closer to the mean the more values there
-    /// are.
+    /// Returns a value between `fallback` and the mean, which approaches the mean as values are added.
     pub fn shrunk_towards(&self, fallback: f64) -> f64 {
         (self.sum + PRIOR_WEIGHT * fallback) / (self.count + PRIOR_WEIGHT)
     }
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Subject {
     /// Connection setups at all servers.
-    SetUps,
+    Setups,
     /// One server.
     Server(ServerId),
 }
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn subject(self) -> Subject {
-        self.server().map_or(Subject::SetUps, Subject::Server)
+        self.server().map_or(Subject::Setups, Subject::Server)
     }
 }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -83,8 +83,8 @@
         self.credit.earn(self.config.price, self.config.balancers);
     }
 
-    /// Decides whether an observation of this balancer is broadcast. If it is, spends the credit for it and
-    /// records it.
+    /// Decides whether an observation of this balancer is broadcast. If it is, records it. The credit is spent
+    /// even if the random draw (`credit`) then decides against the broadcast.
     pub fn should_broadcast(&mut self, now: Time, observation: Observation) -> bool {
         let has_receivers = self.config.enabled && self.config.balancers > 1;
         if !has_receivers || !self.is_relevant(observation) {
--- a/src/rebalance/arrival_storm.rs
+++ b/src/rebalance/arrival_storm.rs
@@ -19,9 +19,10 @@
 const WINDOW: Micros = Micros::from_secs(2);
 /// Number of windows over which the usual count is averaged.
 const USUAL_COUNT_WINDOWS: f64 = 16.0;
-/// Arrivals in a window above which a storm begins, as a multiple of the usual count...
+/// Multiple of the usual count in the storm threshold.
 const STORM_USUAL_MULTIPLE: f64 = 3.0;
-/// ...plus this number. Small counts vary by more than a multiple of themselves.
+/// Number of arrivals that is added to the multiple of the usual count in the storm threshold. Small counts
+/// vary by more than a multiple of themselves.
 const STORM_MIN_EXTRA_ARRIVALS: f64 = 6.0;
 /// Time from the last request above the threshold to the end of a storm.
 const STORM_COOLDOWN: Micros = Micros::from_secs(3);
@@ -75,6 +76,7 @@
     }
 }
 
+/// Returns the count of a window above which a storm begins.
 fn storm_threshold(usual_count: f64) -> f64 {
     STORM_USUAL_MULTIPLE * usual_count + STORM_MIN_EXTRA_ARRIVALS
 }
--- a/src/rebalance/hold_reason.rs
+++ b/src/rebalance/hold_reason.rs
@@ -28,10 +28,10 @@
     ArrivalStorm,
     /// 9: connection setups take far longer than usual, or too long for their objective.
     SlowSetups,
-    /// 10: a migrated client was rejected or failed.
+    /// 10: a migrated client was rejected, or its connection failed.
     ClientsRejected,
     /// 11: migrated clients do not reconnect.
-    ClientsNotReturning,
+    ClientsNotReconnecting,
     /// 12: migrations did not lower the largest excess of a server over its fair share.
     ExcessNotFalling,
 }
@@ -49,7 +49,7 @@
             HoldReason::ArrivalStorm => "many more clients arrive than usual",
             HoldReason::SlowSetups => "connection setups are slow",
             HoldReason::ClientsRejected => "migrated clients were rejected",
-            HoldReason::ClientsNotReturning => "migrated clients do not reconnect",
+            HoldReason::ClientsNotReconnecting => "migrated clients do not reconnect",
             HoldReason::ExcessNotFalling => "migrations do not lower the excess load",
         })
     }
--- a/src/rebalance/migration_candidates.rs
+++ b/src/rebalance/migration_candidates.rs
@@ -6,8 +6,8 @@
 //! **Inputs:** the server's connections with their slots, classes and groups; the classes' priority weights.
 //!
 //! **Rule:** each single connection and each complete group is a candidate, except clients that have
-//! reconnected after a migration or a break, groups with such a member, and the larger part of a group that
-//! is split between servers.
+//! reconnected after a migration or a broken connection, groups with such a member, and the larger part of a
+//! group that is split between servers.
 //!
 //! **Reason:** a client must not be migrated from server to server repeatedly. The smaller part of a split
 //! group reconnects to the server of the larger part, which removes the group's overhead at this server. If
--- a/src/rebalance/migration_rate.rs
+++ b/src/rebalance/migration_rate.rs
@@ -125,13 +125,13 @@
 
 impl MigrationRate {
     /// Records that a client migrated by this balancer has reconnected here.
-    pub(super) fn on_returned(&mut self) {
-        self.reconnections.on_returned();
+    pub(super) fn on_reconnected(&mut self) {
+        self.reconnections.on_reconnected();
     }
 
     /// Records the reconnection of a client that another balancer migrated, or whose connection there broke.
-    pub(super) fn on_returned_from_other(&mut self) {
-        self.reconnections.on_returned_from_other();
+    pub(super) fn on_reconnected_from_other(&mut self) {
+        self.reconnections.on_reconnected_from_other();
     }
 
     /// Records that a connection was established `setup_time` after its request at the server.
@@ -183,7 +183,7 @@
         self.rejection_share.decay(seconds);
         self.reconnections.on_timed_out(timed_out);
         if self.reconnections.detect_failure() {
-            self.hold(now, HoldReason::ClientsNotReturning);
+            self.hold(now, HoldReason::ClientsNotReconnecting);
         }
         self.reconnections.decay(seconds);
     }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -31,7 +31,7 @@
 //! **Guarantees.** The same settings, seed, events and times yield the same migrations. A client that is
 //! known to have reconnected, by its key or by its own report, is not migrated again for balance. A hot
 //! restart loses this knowledge. Memory is bounded by the open connections, the endpoint list and a fixed
-//! number of disconnected clients. The module does not access clock, sockets or files: the reducer
+//! maximum number of disconnected clients. The module does not access clock, sockets or files: the reducer
 //! (`src/routing/`) owns one [`Rebalancer`] for each pool and carries out its decisions.
 //!
 //! `docs/rebalancing.md` explains the design.
@@ -208,9 +208,9 @@
         }
         if was_migrated {
             self.metrics.returned += 1;
-            self.rate.on_returned();
+            self.rate.on_reconnected();
         } else if reconnecting {
-            self.rate.on_returned_from_other();
+            self.rate.on_reconnected_from_other();
         }
     }
 
--- a/src/rebalance/observed_connections.rs
+++ b/src/rebalance/observed_connections.rs
@@ -34,7 +34,7 @@
     /// Properties of the connection.
     pub properties: ConnectionProperties,
     /// Time at which the connection was established.
-    pub since: Time,
+    pub established_at: Time,
     /// Whether the client had reconnected after a migration or a broken connection.
     pub reconnected: bool,
 }
@@ -109,7 +109,7 @@
             self.groups.add_member(group, properties.server);
         }
         let reconnected = self.reconnecting.contains(&id);
-        self.connections.insert(id, EstablishedConnection { properties, since: now, reconnected });
+        self.connections.insert(id, EstablishedConnection { properties, established_at: now, reconnected });
     }
 
     pub(super) fn on_load_reported(&mut self, connection: ConnectionId, load: f64) {
--- a/src/rebalance/reconnections.rs
+++ b/src/rebalance/reconnections.rs
@@ -27,26 +27,26 @@
     /// Clients that this balancer migrated and that have reconnected or timed out.
     concluded: f64,
     /// Concluded clients that reconnected here.
-    returned: f64,
+    reconnected: f64,
     /// Clients of other balancers that reconnected here.
     from_others: f64,
 }
 
 impl Reconnections {
     pub(super) fn new() -> Reconnections {
-        Reconnections { balancers: 1.0, concluded: 0.0, returned: 0.0, from_others: 0.0 }
+        Reconnections { balancers: 1.0, concluded: 0.0, reconnected: 0.0, from_others: 0.0 }
     }
 
     pub(super) fn set_balancers(&mut self, balancers: u32) {
         self.balancers = f64::from(balancers.max(1));
     }
 
-    pub(super) fn on_returned(&mut self) {
+    pub(super) fn on_reconnected(&mut self) {
         self.concluded += 1.0;
-        self.returned += 1.0;
+        self.reconnected += 1.0;
     }
 
-    pub(super) fn on_returned_from_other(&mut self) {
+    pub(super) fn on_reconnected_from_other(&mut self) {
         self.from_others += 1.0;
     }
 
@@ -69,7 +69,7 @@
         let failed =
             self.concluded >= MIN_CONCLUDED && observed < expected / 2.0 && observed < expected - tolerance;
         if failed {
-            (self.concluded, self.returned, self.from_others) = (0.0, 0.0, 0.0);
+            (self.concluded, self.reconnected, self.from_others) = (0.0, 0.0, 0.0);
         }
         failed
     }
@@ -77,13 +77,13 @@
     pub(super) fn decay(&mut self, seconds: f64) {
         let factor = (-seconds / DECAY_SECONDS).exp();
         self.concluded *= factor;
-        self.returned *= factor;
+        self.reconnected *= factor;
         self.from_others *= factor;
     }
 
     /// Returns the number of reconnections here: of this balancer's clients and, with several balancers, of
     /// the clients of the other balancers.
     fn observed(&self) -> f64 {
-        self.returned + if self.balancers > 1.0 { self.from_others } else { 0.0 }
+        self.reconnected + if self.balancers > 1.0 { self.from_others } else { 0.0 }
     }
 }
--- a/src/rebalance/setup_times.rs
+++ b/src/rebalance/setup_times.rs
@@ -20,9 +20,10 @@
 const USUAL_MEAN_WEIGHT: f64 = 1.0 / 128.0;
 /// Number of setups from which the usual mean is used.
 const MIN_SETUPS: u32 = 16;
-/// Setup time above which setups are slow, as a multiple of the usual time...
+/// Multiple of the usual mean in the limit above which setups are slow.
 const SLOW_USUAL_MULTIPLE: f64 = 2.0;
-/// ...plus this time. Usual times of a millisecond vary by more than a multiple of themselves.
+/// Time that is added to the multiple of the usual mean in this limit. Usual times of a millisecond vary by
+/// more than a multiple of themselves.
 const SLOW_MIN_EXTRA_MICROS: f64 = 20_000.0;
 /// Setup time above which setups are slow, as a share of the tightest objective.
 const SLOW_OBJECTIVE_SHARE: f64 = 1.0 / 2.0;
--- a/src/rebalance/token_bucket.rs
+++ b/src/rebalance/token_bucket.rs
@@ -12,9 +12,9 @@
 const RATE_DECREASE_DIVISOR: f64 = 2.0;
 /// Largest rate, as a share of all established connections.
 const MAX_MIGRATED_SHARE_PER_SECOND: f64 = 0.05;
-/// Largest number of saved tokens, in seconds at the current rate...
+/// Time at the current rate for which tokens are saved up, if that is more than [`MIN_SAVED_TOKENS`].
 const MAX_SAVED_SECONDS: f64 = 4.0;
-/// ...or this number of tokens, if it is larger.
+/// Smallest limit of the number of saved tokens.
 const MIN_SAVED_TOKENS: f64 = 2.0;
 
 /// Saved tokens, and the rate at which tokens are added.
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -59,8 +59,8 @@
         /// Time at which the unanswered call was made.
         since: Time,
     },
-    /// A call for the endpoint list failed, or the connection of a watch broke. The previous list remains
-    /// valid.
+    /// A call for the endpoint list failed, or the connection of a watch broke. The previous list is
+    /// kept.
     EndpointWatchFailed(WatchFailure),
     /// A client requests a connection. The balancer gives the request exactly one final answer.
     RequestArrived {
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -1,5 +1,4 @@
-//! Identifiers of requests, connections, servers, and the classes, tenants, zones, cells and groups they
-//! belong to.
+//! Identifiers of requests, connections and servers, and of their classes, tenants, zones, cells and groups.
 
 /// Identifier of a request for one connection, assigned by the host. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/tests/rebalance/outcomes.rs
+++ b/tests/rebalance/outcomes.rs
@@ -72,7 +72,7 @@
     for _ in 0..40 {
         harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
         harness.servers[3].started = Some(harness.now);
-        was_held |= harness.hold_reason() == Some(HoldReason::ClientsNotReturning);
+        was_held |= harness.hold_reason() == Some(HoldReason::ClientsNotReconnecting);
     }
     assert!(was_held, "{:?}", harness.rebalancer.metrics());
     let migrated = harness.rebalancer.metrics().migrated;
@@ -101,7 +101,7 @@
                 });
             }
         }
-        assert_ne!(harness.hold_reason(), Some(HoldReason::ClientsNotReturning));
+        assert_ne!(harness.hold_reason(), Some(HoldReason::ClientsNotReconnecting));
     }
     assert!(migrated_count > 3, "{migrated_count} clients migrated; more than 3 are needed for the test");
 }
