--- a/src/routing/admitted_connections.rs
+++ b/src/routing/admitted_connections.rs
@@ -1,8 +1,8 @@
-//! The admitted connections of one pool: their number, and the ids that their clients gave them.
+//! The admitted connections of one pool: their number, and the ids that their clients chose for them.
 //!
-//! No two open connections may have the same id. During a hot restart this also holds for connections that
-//! the predecessor still serves, so their ids are recorded apart until each connection is transferred or the
-//! predecessor ends.
+//! No two open connections may have the same id. During a hot restart, this includes connections that the
+//! predecessor still serves. Their ids are kept in a separate set, each until its connection is transferred
+//! or the predecessor ends.
 
 use std::collections::BTreeSet;
 
@@ -21,14 +21,14 @@
         self.count
     }
 
-    /// Whether a request's id is that of an open connection.
+    /// Returns whether an open connection has the id of this request.
     pub(super) fn has_id_of(&self, request: &ConnectionRequest) -> bool {
         let is_open =
             |id: &String| self.request_ids.contains(id) || self.request_ids_at_predecessor.contains(id);
         request.id.as_ref().is_some_and(is_open)
     }
 
-    /// Adds a connection of this process.
+    /// Adds a connection that this process has admitted.
     pub(super) fn add(&mut self, request: &ConnectionRequest) {
         self.count += 1;
         self.request_ids.extend(request.id.clone());
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The ids of this process's own connections.
+    /// Returns the ids of this process's own connections.
     pub(super) fn request_ids(&self) -> Vec<String> {
         self.request_ids.iter().cloned().collect()
     }
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -1,9 +1,10 @@
 //! Final answers to clients, and the end of their connections.
 //!
-//! Each request has exactly one final answer. Those of this balancer are sent and counted in
-//! [`State::send_answer`] alone; its caller removes the connection's record, so that no later input can lead
-//! to a second one. A server's own verdict, and a success, are counted in [`super::attempts`]. A connection
-//! that was established counts as succeeded when it is established; its end is not counted.
+//! Each request gets exactly one final answer. Answers of this balancer are sent and counted in
+//! [`State::send_answer`] alone. The caller of that function removes the connection's record, so that no
+//! later input can cause a second answer. Successes and the servers' own verdicts are counted in
+//! [`super::attempts`]. A connection counts as succeeded when it is established. The end of an established
+//! connection is not counted.
 //!
 //! This module owns no state; the counters are the pool's.
 
@@ -14,32 +15,34 @@
 use crate::{Event, Micros, Outcome, Time};
 
 impl State {
-    /// Answers a client and removes its connection, unless that has ended already.
-    pub(super) fn answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
+    /// Answers a client and removes its connection, unless the connection has ended already.
+    pub(super) fn answer_and_remove(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         if self.connections.contains(id) {
             self.send_answer(now, id, answer);
             self.remove_connection(now, id);
         }
     }
 
-    /// Sends an answer and counts it.
+    /// Sends an answer, and counts it if it is the final answer to a request. The caller removes the
+    /// connection.
     pub(super) fn send_answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         match answer {
             Answer::Rejected(_) => {
                 self.count_outcome(id, |counters| counters.declined += 1);
-                self.notify_declined(now, id);
+                self.notify_rejected(now, id);
             }
             Answer::Failed => {
                 self.count_outcome(id, |counters| counters.aborted += 1);
-                self.notify_declined(now, id);
+                self.notify_rejected(now, id);
             }
-            // A migrated connection was counted when it was established. Without a request there is no class.
+            // A migrated connection was counted when it was established. A client that sent no request has no
+            // class to count for.
             Answer::Migrated | Answer::HandshakeTimedOut => {}
         }
         self.effects.push(Effect::Answer { connection: id, answer });
     }
 
-    /// Counts an outcome for a connection's class, if that is configured.
+    /// Counts an outcome for a connection's class, if the class is configured.
     pub(super) fn count_outcome(&mut self, id: ConnectionId, count: impl FnOnce(&mut ClassCounters)) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(class) = connection.class else { return };
@@ -48,35 +51,36 @@
         }
     }
 
-    /// Whether a client may be rejected, which tells it that a retry of its request is harmless.
+    /// Returns whether a client may be rejected. A rejection tells the client that a retry of its request is
+    /// harmless.
     pub(super) fn may_reject(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         self.pools[connection.pool].balancer.may_reject(request_id(id))
     }
 
-    /// A rejection with this Retry-After, limited to the pool's longest. It is 0 where the settings rule out
-    /// any advice.
-    pub(super) fn reject_with_retry_after(&self, id: ConnectionId, retry_after: Micros) -> Answer {
+    /// Returns a rejection with this Retry-After, limited to the pool's maximum. The Retry-After is 0 where
+    /// the settings switch it off.
+    pub(super) fn rejection_with_retry_after(&self, id: ConnectionId, retry_after: Micros) -> Answer {
         let pool = self.connections.pool_of(id);
         let settings = pool.map(|pool| &self.pools[pool].config.settings);
-        let longest = settings
+        let max_retry_after = settings
             .filter(|settings| settings.retry_after)
             .map_or(Micros::ZERO, |settings| settings.max_retry_after);
-        Answer::Rejected(retry_after.min(longest))
+        Answer::Rejected(retry_after.min(max_retry_after))
     }
 
-    /// Ends a connection that was answered or needs no answer, together with its attempt. `outcome` is what
-    /// the balancer counts for the server.
+    /// Ends a connection that was answered or needs no answer, together with its attempt. The balancer counts
+    /// `outcome` for the server.
     pub(super) fn end_connection(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         let Some(connection) = self.connections.get(id) else { return };
         let (pool, phase) = (connection.pool, connection.phase);
-        // The rebalancer ignores this report where the connection was reported as migrated or broken before.
+        // The rebalancer ignores this event if the connection was reported as migrated or broken before.
         let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
         self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionEnded { connection: id, natural });
         let attempt = self.remove_connection(now, id).map(|attempt| attempt.number);
         let attempt = match phase {
-            // The balancer knows a restored connection as established by attempt 0, however many attempts
-            // were made.
+            // For the balancer, a restored connection was established by attempt 0, regardless of how many
+            // attempts were made.
             Phase::Restoring { .. } => Some(0),
             _ => attempt,
         };
@@ -87,8 +91,8 @@
         }
     }
 
-    /// Removes a connection's record, and returns its attempt. Its sockets are closed later, so it becomes
-    /// pending.
+    /// Removes a connection's record, and returns its attempt. Its sockets are closed later, so the
+    /// connection is counted as pending until then.
     pub(super) fn remove_connection(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,19 +1,20 @@
 //! Attempts to set up a request's connection at a server: opening, deadlines, acceptance and failure.
 //!
-//! A request has at most one attempt in flight. The balancer chooses its server and, after a failure, whether
-//! to retry (`src/policy/`). This module gives each attempt its number and these deadlines, and the earliest
-//! is the timer of the connection:
+//! A request has at most one attempt in flight. The balancer chooses its server and decides after a failure
+//! whether to retry (`src/policy/`). This module numbers the attempts of a request and sets these deadlines
+//! for each. The connection's timer is set to the earliest one:
 //!
-//! - to be connected and have its request written, the pool's connect timeout;
-//! - to have its request written in full, where the balancer limits that: a server may recognise a repeated
-//!   request for a limited time only, and the endpoint list may expire;
-//! - to be accepted by the server, the timeout that the balancer gives.
+//! - The attempt has to be connected and its request written within the pool's connect timeout.
+//! - The request has to be written in full within the balancer's forwarding timeout, if it sets one. It does
+//!   so because a server may recognise a repeated request for a limited time only, and because the endpoint
+//!   list may expire.
+//! - The server has to accept within the timeout that the balancer sets.
 //!
-//! Reports of an earlier attempt are ignored by their number.
+//! Reports that carry the number of an earlier attempt are ignored.
 //!
 //! A connection in [`Phase::Restoring`] belongs to one server, where it was established before this process
-//! started. It is retried there every [`RESTORE_RETRY_INTERVAL`], without the balancer, until its deadline or
-//! the most attempts of a request are reached.
+//! started. Without the balancer, it is retried there every [`RESTORE_RETRY_INTERVAL`], until its deadline or
+//! the largest number of attempts for a request is reached.
 //!
 //! The attempts themselves are in the connection table; this module owns no state.
 
@@ -24,13 +25,13 @@
 
 /// The time from a failed attempt to restore a connection to the next one.
 const RESTORE_RETRY_INTERVAL: Micros = Micros::from_millis(500);
-/// For how long a connection is restored at a server that is not listed. The list may still be the cached
-/// one, which may not name the server.
+/// Time since the connect after which a connection is not restored if its server is not listed. Until
+/// discovery sends a list, the cached one is in use, which may not contain the server.
 const UNLISTED_SERVER_TIMEOUT: Micros = Micros::from_secs(2);
 
 impl State {
-    /// Opens an attempt that the server has to accept within `acceptance_timeout`. Its request has to be
-    /// written in full within `forwarding_timeout`, if given.
+    /// Opens an attempt that the server has to accept within `acceptance_timeout`. The request has to be
+    /// written in full within `forwarding_timeout`, if that is set.
     pub(super) fn open_attempt(
         &mut self,
         now: Time,
@@ -46,7 +47,7 @@
         let address = pool.endpoints.get(server).map_or(String::new(), |endpoint| endpoint.address.clone());
         let attempt = self.connections.begin_attempt(id, server, acceptance_deadline, forwarding_deadline);
         let Some(attempt) = attempt else { return };
-        self.connections.set_timer(id, Some(attempt.first_deadline(connect_deadline)));
+        self.connections.set_timer(id, Some(attempt.earliest_deadline(connect_deadline)));
         self.effects.push(Effect::OpenAttempt {
             connection: id,
             attempt: attempt.number,
@@ -55,7 +56,8 @@
         });
     }
 
-    /// Counts a request that is written in full, and gives the server the rest of its time to accept.
+    /// Counts a request that is written in full, and sets the timer to the deadline for the server's
+    /// acceptance.
     pub(super) fn on_request_forwarded(&mut self, now: Time, id: ConnectionId, number: u32) {
         if self.connections.mark_forwarded(now, id, number) {
             self.forwarded_requests += 1;
@@ -63,7 +65,8 @@
         self.schedule_acceptance_timer(id);
     }
 
-    /// Sets the timer of a connection whose request is written to the deadline for the server's acceptance.
+    /// Sets a connection's timer to the deadline for the server's acceptance, if its request is written in
+    /// full and the connection is not established.
     fn schedule_acceptance_timer(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let forwarded = connection.attempt().filter(Attempt::is_forwarded);
@@ -94,7 +97,8 @@
         self.transfer_connection(id);
     }
 
-    /// Retries a request whose attempt failed, where that may help, or ends its connection.
+    /// Handles the end of an attempt: schedules the next attempt to restore the connection, reports the
+    /// failure to the balancer, or ends the connection.
     pub(super) fn on_attempt_ended(&mut self, now: Time, id: ConnectionId, number: u32, end: AttemptOutcome) {
         if self.connections.attempt(id, number).is_none() {
             return;
@@ -108,12 +112,12 @@
             Phase::Connecting if end != AttemptOutcome::VerdictForwarded => {
                 self.on_attempt_failed(now, id, outcome_of(end));
             }
-            _ => self.on_last_attempt_ended(now, id, phase, end),
+            _ => self.on_final_attempt_ended(now, id, phase, end),
         }
     }
 
-    /// Ends a connection together with its attempt.
-    fn on_last_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, end: AttemptOutcome) {
+    /// Ends a connection whose attempt has ended and is not retried.
+    fn on_final_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, end: AttemptOutcome) {
         if phase != Phase::Established && end == AttemptOutcome::VerdictForwarded {
             self.count_outcome(id, |counters| counters.declined += 1);
         }
@@ -123,7 +127,7 @@
         self.end_connection(now, id, outcome_of(end));
     }
 
-    /// Reports a failed attempt to the balancer, which retries the request or answers it.
+    /// Removes a failed attempt and reports it to the balancer, which retries the request or answers it.
     pub(super) fn on_attempt_failed(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         let Some(pool) = self.connections.pool_of(id) else { return };
         let Some(attempt) = self.connections.remove_attempt(id) else { return };
@@ -132,8 +136,8 @@
         self.dispatch(now, pool, Event::AttemptEnded { request, attempt, outcome, answered });
     }
 
-    /// Takes the next step of restoring a connection: opens an attempt, waits until its server is listed, or
-    /// fails the request.
+    /// Continues to restore a connection: opens an attempt, waits for its server to be listed, or fails the
+    /// request.
     pub(super) fn continue_restoring(
         &mut self,
         now: Time,
@@ -159,8 +163,9 @@
         }
     }
 
-    /// Whether another attempt to restore a connection may follow. A client may name a server that never
-    /// existed, so one that is not listed is awaited for a short time only.
+    /// Returns whether another attempt to restore a connection may be made. A client may name a server that
+    /// never existed. A server that is not listed is therefore awaited for a short time only
+    /// ([`UNLISTED_SERVER_TIMEOUT`]).
     fn may_restore(&self, now: Time, id: ConnectionId, deadline: Time, server: ServerId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let max_attempts = self.pools[connection.pool].config.settings.max_attempts;
@@ -176,10 +181,10 @@
     }
 }
 
-/// How an attempt's end counts for its server.
+/// Translates the end of an attempt into the outcome that the balancer counts for the server.
 fn outcome_of(end: AttemptOutcome) -> Outcome {
     match end {
-        // A server that forwards its own verdict works as it should.
+        // A server that answers the client with its own verdict works correctly.
         AttemptOutcome::Served | AttemptOutcome::VerdictForwarded => Outcome::Ok,
         AttemptOutcome::RedirectedByServer => Outcome::Cancelled,
         AttemptOutcome::Error => Outcome::Error,
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,23 +1,25 @@
-//! Requests of clients: from a new connection's handshake to the admission of its request.
+//! Requests of clients, from the handshake of a new connection to the admission of its request.
 //!
 //! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake
-//! timeout. It ends earlier when its descriptor is needed for others ([`super::pending_connections`]), or at
-//! the latest exit of a shutdown. These checks follow in order, and the first that fails ends the connection:
+//! timeout. It is closed earlier when its descriptor is needed for other connections
+//! ([`super::pending_connections`]), or at the latest exit of a shutdown. When the request arrives, it passes
+//! these checks in order. The first one that fails ends the connection:
 //!
 //! 1. Graceful shutdown: the request is rejected with a Retry-After, unless a successor of a hot restart
 //!    serves.
-//! 2. Connection limits: the pool's (from the replicated map where it holds one, or else from the
-//!    configuration) and that of all fronts. At either, the request is rejected with half the longest
-//!    Retry-After.
-//! 3. Names: a class that is not configured, a tenant that is not where any are, and an id that an open
-//!    connection has, fail the request, without a log line; without a configured class also without a metric.
-//!    A rejection would invite a retry, which could not succeed.
+//! 2. Connection limits: the limit of the pool and the limit of all fronts together. The pool's limit is the
+//!    one in the replicated map if there is one, and otherwise the configured one. At either limit, the
+//!    request is rejected with half of the longest Retry-After.
+//! 3. Names: the request fails if its class is not configured, if its tenant is not configured while others
+//!    are, or if an open connection has the same id. The failure is not logged. It is counted in the metrics
+//!    only if the class is configured. The request is not rejected, because a rejection invites a retry, and
+//!    the retry could not succeed.
 //!
-//! An admitted request goes to the pool's balancer, which chooses a server, rejects or fails it
-//! (`src/policy/`). A request of a connection that was established before this process started returns to its
-//! server instead ([`Phase::Restoring`]).
+//! An admitted request is passed to the pool's balancer, which chooses a server for it, rejects it or fails
+//! it (`src/policy/`). If the request belongs to a connection that was established before this process
+//! started, it is sent to the server of that connection instead ([`Phase::Restoring`]).
 //!
-//! The state of a connection is in the connection table; this module owns none.
+//! The state of a connection is in the connection table; this module owns no state.
 
 use super::connection_table::{ClientConnection, Phase};
 use super::dispatch::request_id;
@@ -25,14 +27,15 @@
 use crate::rebalance::RebalanceEvent;
 use crate::{ClassId, Event, GroupId, Micros, Outcome, TenantId, Time};
 
-/// The Retry-After of rejections during a graceful shutdown. By then new clients are sent to other balancers.
+/// The Retry-After of rejections during a graceful shutdown. After this time, new clients are directed to
+/// other balancers.
 pub(super) const SHUTDOWN_RETRY_AFTER: Micros = Micros::from_millis(400);
-/// For how long attempts are made to restore a connection that was established before the start.
+/// Time within which a connection that was established before this process started can be restored.
 const RESTORE_TIMEOUT: Micros = Micros::from_secs(30);
-/// Key of the replicated map whose value limits the connections of each pool.
+/// Key of the replicated map whose value is the limit of connections of each pool that uses the map.
 const CONNECTION_LIMIT_KEY: &str = "limit/connections";
 
-/// What the balancer needs to know of a request to place it.
+/// The properties of a request by which the balancer chooses a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestProfile {
     pub(super) class: ClassId,
@@ -42,7 +45,7 @@
 }
 
 impl State {
-    /// Adds an accepted connection, whose request has to arrive within the pool's handshake timeout.
+    /// Adds an accepted connection, and sets its timer to the end of the pool's handshake timeout.
     pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
         let Some(pool) = self.pools.get(pool_id) else { return };
         let handshake_timeout = pool.config.handshake_timeout;
@@ -52,11 +55,11 @@
         self.evict_idle_connection(now);
     }
 
-    /// Answers a client whose request did not arrive in time. Feeding this input is the driver's part of
-    /// [`super::Effect::CheckHandshake`]: all that the client has sent was read before.
+    /// Answers a client whose request did not arrive in time. The driver feeds this input after
+    /// [`super::Effect::CheckHandshake`], once it has read all bytes that the client sent.
     pub(super) fn on_handshake_timed_out(&mut self, now: Time, id: ConnectionId) {
         if self.connections.get_handshaking(id).is_some() {
-            self.answer(now, id, Answer::HandshakeTimedOut);
+            self.answer_and_remove(now, id, Answer::HandshakeTimedOut);
         }
     }
 
@@ -71,10 +74,10 @@
         let pool_id = connection.pool;
         self.classify_connection(id, pool_id, &request);
         if let Some(rejection) = self.check_admission(id, pool_id) {
-            return self.answer(now, id, rejection);
+            return self.answer_and_remove(now, id, rejection);
         }
         let Some(profile) = self.profile_request(id, pool_id, &request) else {
-            return self.answer(now, id, Answer::Failed);
+            return self.answer_and_remove(now, id, Answer::Failed);
         };
         self.admit(now, id, pool_id, &request);
         match &request.established_at {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Records a connection's class, by which its outcome is counted.
+    /// Records a connection's class. The outcome of the connection is counted for this class.
     fn classify_connection(&mut self, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         // A class that is no longer configured has an empty name, which must not be matched.
         let name = Some(&request.class).filter(|name| !name.is_empty());
@@ -91,17 +94,18 @@
         self.connections.record_class(id, class);
     }
 
-    /// The rejection of a request during a shutdown, or at a connection limit.
+    /// Returns the rejection of a request during a shutdown or at a connection limit, or `None` if the
+    /// request may be admitted.
     fn check_admission(&self, id: ConnectionId, pool_id: PoolId) -> Option<Answer> {
-        // Clients that arrive during a graceful shutdown are served sooner by another balancer. Where a
-        // successor serves on this machine, no new ones arrive, and those that connected before are served
-        // here.
+        // Another balancer serves a client that arrives during a graceful shutdown sooner than this one.
+        // While a successor serves on this machine, no new clients arrive, and the clients that connected
+        // before are served here.
         if self.shutdown.has_begun() && !self.hot_restart.successor_serves() {
-            return Some(self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
+            return Some(self.rejection_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
         }
         if self.is_at_connection_limit(pool_id) {
             let retry_after = self.pools[pool_id].config.settings.max_retry_after / 2;
-            return Some(self.reject_with_retry_after(id, retry_after));
+            return Some(self.rejection_with_retry_after(id, retry_after));
         }
         None
     }
@@ -109,16 +113,16 @@
     fn is_at_connection_limit(&self, pool_id: PoolId) -> bool {
         let pool = &self.pools[pool_id];
         let replicated_limit = self.replication.map().get(CONNECTION_LIMIT_KEY);
-        let usable_limit = replicated_limit.filter(|_| pool.config.uses_replicated_map);
-        let parsed_limit = usable_limit.and_then(|text| text.parse().ok());
+        let applicable_limit = replicated_limit.filter(|_| pool.config.uses_replicated_map);
+        let parsed_limit = applicable_limit.and_then(|text| text.parse().ok());
         let limit: usize = parsed_limit.unwrap_or(pool.config.max_connections);
         let admitted_in_all_pools: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
         pool.admitted.count() >= limit || admitted_in_all_pools >= self.admission.budget().admitted
     }
 
-    /// Looks up the names in a request. Returns `None` for a class or tenant that is not configured, which
-    /// servers would reject, and for an id that an open connection has, because clients and servers tell
-    /// connections apart by their ids.
+    /// Looks up the names in a request. Returns `None` if the class or the tenant is not configured, because
+    /// servers would reject the request. Also returns `None` if an open connection has the same id, because
+    /// clients and servers distinguish connections by their ids.
     fn profile_request(
         &self,
         id: ConnectionId,
@@ -150,8 +154,8 @@
         self.connections.record_admission(id, request);
     }
 
-    /// Has the balancer choose a server. The client waits for its answer for `timeout`, or, without one,
-    /// until the end of its handshake timeout.
+    /// Requests a server from the balancer. The client waits for its answer for `timeout`. If it gave none,
+    /// it waits until the end of its handshake timeout.
     fn place_connection(
         &mut self,
         now: Time,
@@ -170,7 +174,7 @@
         self.dispatch(now, pool_id, event);
     }
 
-    /// Restores a connection at the server where it was established before this process started.
+    /// Begins to restore a connection at the server where it was established before this process started.
     fn restore_connection(
         &mut self,
         now: Time,
@@ -189,7 +193,7 @@
         self.continue_restoring(now, id, deadline, server);
     }
 
-    /// Ends a connection whose client has closed it. No answer is owed any more.
+    /// Ends a connection that its client has closed, without an answer.
     pub(super) fn on_client_disconnected(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let pool = connection.pool;
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -1,10 +1,10 @@
 //! Reload of the configuration.
 //!
-//! The new configuration is complete and checked when it arrives here, and is put in place in one step.
-//! Connections, exclusions and what was learned of servers remain. So does the endpoint list, until the watch
-//! at a new discovery address delivers another. Classes, tenants and zones keep their numbers
-//! ([`PoolConfig::replacing`]), by which connections and the balancer refer to them. The number of pools does
-//! not change.
+//! The new configuration is complete and checked when it arrives here, and it is applied in one step.
+//! Connections, exclusions and the learned state of servers remain. The endpoint list also remains, until the
+//! watch at a new discovery address delivers another one. Classes, tenants and zones keep their numbers
+//! ([`PoolConfig::renumbered_like`]), because connections and the balancer refer to them by number. The
+//! number of pools does not change.
 
 use std::net::SocketAddr;
 
@@ -28,10 +28,10 @@
         self.replication.set_peers(now, peers);
     }
 
-    /// Replaces a pool's configuration, and begins a new watch if its discovery address has changed.
+    /// Replaces a pool's configuration, and starts a new watch if its discovery address has changed.
     fn configure_pool(&mut self, now: Time, pool_id: PoolId, config: PoolConfig) {
         let pool = &mut self.pools[pool_id];
-        let config = config.replacing(&pool.config);
+        let config = config.renumbered_like(&pool.config);
         let new_discovery = config.discovery.filter(|_| config.discovery != pool.config.discovery);
         pool.configure(now, config);
         self.refresh_endpoints(now, pool_id);
--- a/src/routing/connection_request.rs
+++ b/src/routing/connection_request.rs
@@ -1,27 +1,28 @@
-//! What a client requests, independent of the protocol that it speaks.
+//! The request of a client for a connection, independent of the protocol that the client speaks.
 
 use crate::Micros;
 
 /// A client's request for a connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConnectionRequest {
-    /// The client's own id for the connection, if it gives one. No two open connections may have the same.
+    /// The client's own id for the connection, if it sent one. No two open connections may have the same id.
     pub id: Option<String>,
-    /// Name of its class.
+    /// Name of the client's class.
     pub class: String,
-    /// Name of its tenant.
+    /// Name of the client's tenant, if it sent one.
     pub tenant: Option<String>,
-    /// Its group: connections of one group are placed at one server where possible.
+    /// Number of the client's group, if it has one. Connections of one group are placed at one server where
+    /// possible.
     pub group: Option<u64>,
-    /// Its usual load, in the unit of the settings.
+    /// The connection's usual load, in the unit of the settings, if the client sent it.
     pub load: Option<f64>,
-    /// How long the client waits for its answer from now on. Without it, until the end of the handshake
-    /// timeout.
+    /// Time for which the client waits for its answer, from the arrival of the request. Without it, the
+    /// client waits until the end of the handshake timeout.
     pub timeout: Option<Micros>,
     /// Name of the server at which the connection was established before this process started.
     pub established_at: Option<String>,
     /// Hash of the flow's key, by which a returning client is recognised.
     pub key: Option<u64>,
-    /// Whether the client returns after its connection broke or was migrated.
+    /// Whether the client reconnects after its connection broke or was migrated.
     pub reconnecting: bool,
 }
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -1,35 +1,37 @@
 //! The table of open connections, with two indexes: their timers, and their attempts by server.
 //!
-//! Owns each client connection's record from its accept to its end. A connection has at most one timer and at
-//! most one attempt. Both are private to this module, and every change of them updates the index, so that
+//! The table owns the record of each client connection from its accept to its end. A connection has at most
+//! one timer and at most one attempt. Both are private to this module, and every change of them updates the
+//! index. Therefore
 //!
-//! - the first timer is found without a search over all connections;
-//! - the connections at one server are found without a search, when it drains or is removed.
+//! - the earliest timer is found without a search over all connections;
+//! - the connections at a server that drains or is removed are found without a search.
 //!
-//! Handlers read a record and change it only through the table's methods, each of which is named for an
-//! event. All iteration is in the order of connection numbers, or of servers and then connection numbers, so
-//! that the same inputs give the same effects in the same order.
+//! Handlers read records, and change them only through methods of the table. All iteration is in the order of
+//! connection numbers, or of servers and then connection numbers, so that the same inputs give the same
+//! effects in the same order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{ConnectionId, ConnectionRequest, EstablishedConnection, PoolId};
 use crate::{ClassId, ServerId, Time};
 
-/// How far a connection has come.
+/// The phase of a connection between its accept and its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// Connected, without a request.
+    /// The client is connected, and its request has not arrived yet.
     Handshaking,
-    /// Requested and admitted, without an answer yet.
+    /// The request is admitted and not answered yet.
     Connecting,
-    /// Established before this process started, and not yet accepted again by its server.
+    /// The connection was established before this process started, and its server has not accepted it again
+    /// yet.
     Restoring {
         /// No attempt is made after this time.
         deadline: Time,
         /// The server at which the connection was established.
         server: ServerId,
     },
-    /// Accepted by the server: lines are relayed in both directions.
+    /// The server has accepted the connection: lines are relayed in both directions.
     Established,
 }
 
@@ -39,22 +41,22 @@
     /// Counted from 0 for each connection.
     pub(super) number: u32,
     pub(super) server: ServerId,
-    /// When the request was written in full.
+    /// Time at which the request was written in full.
     pub(super) forwarded_at: Option<Time>,
-    /// By when the server has to accept.
+    /// Time by which the server has to accept.
     pub(super) acceptance_deadline: Time,
-    /// By when the request has to be written in full, where that is limited.
+    /// Time by which the request has to be written in full. `None` if that is not limited.
     pub(super) forwarding_deadline: Option<Time>,
 }
 
 impl Attempt {
-    /// Whether the request is written in full.
+    /// Returns whether the request is written in full.
     pub(super) fn is_forwarded(&self) -> bool {
         self.forwarded_at.is_some()
     }
 
-    /// The earliest of its deadlines while it has no connection to the server yet.
-    pub(super) fn first_deadline(&self, connect_deadline: Time) -> Time {
+    /// Returns the earliest deadline of an attempt that is not connected to its server yet.
+    pub(super) fn earliest_deadline(&self, connect_deadline: Time) -> Time {
         let deadline = self.acceptance_deadline.min(connect_deadline);
         earliest(self.forwarding_deadline, deadline)
     }
@@ -65,22 +67,23 @@
     pub(super) pool: PoolId,
     pub(super) class: Option<ClassId>,
     pub(super) request: ConnectionRequest,
-    /// The load in its server's last report.
+    /// The load that the server reported last for this connection.
     pub(super) load: Option<f64>,
     pub(super) phase: Phase,
-    /// The number of attempts opened so far.
+    /// Number of attempts opened so far.
     pub(super) attempts: u32,
     pub(super) connected_at: Time,
-    /// When the connection is to be migrated.
+    /// Time at which the connection will be migrated, if that is scheduled.
     pub(super) migrate_at: Option<Time>,
-    /// When the earliest line without an answer of the server was forwarded.
+    /// Time at which the first line that the server has not answered was forwarded. `None` if there is no
+    /// such line.
     pub(super) awaiting_server_since: Option<Time>,
     attempt: Option<Attempt>,
     timer: Option<Time>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Returns the record of a connection that was just accepted.
     pub(super) fn new(pool: PoolId, now: Time) -> ClientConnection {
         ClientConnection {
             pool,
@@ -97,8 +100,8 @@
         }
     }
 
-    /// A connection that the predecessor of a hot restart established, with the class that its request names
-    /// here.
+    /// Returns the record of a connection that the predecessor of a hot restart established. `class` is the
+    /// class that its request names in this process's configuration.
     pub(super) fn transferred(
         pool: PoolId,
         now: Time,
@@ -114,32 +117,32 @@
         }
     }
 
-    /// The attempt in flight or accepted.
+    /// Returns the attempt that is in flight or accepted.
     pub(super) fn attempt(&self) -> Option<Attempt> {
         self.attempt
     }
 
-    /// The time at which the timer fires, if it is set.
+    /// Returns the time at which the timer fires, if it is set.
     pub(super) fn timer(&self) -> Option<Time> {
         self.timer
     }
 }
 
-/// A connection and the server at which its attempt is.
+/// A connection and the server of its attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlacedConnection {
     pub(super) connection: ConnectionId,
     pub(super) server: ServerId,
 }
 
-/// Ordered by time, and then by connection.
+/// An entry of the timer index, ordered by time and then by connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionTimer {
     deadline: Time,
     connection: ConnectionId,
 }
 
-/// A server of one pool.
+/// A key of the server index: a server of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolServer {
     pool: PoolId,
@@ -159,7 +162,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// Removes a connection with its timer and its attempt, which the returned record still names.
+    /// Removes a connection, its timer and its attempt. The returned record still contains the attempt.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<ClientConnection> {
         let attempt = self.remove_attempt(id);
         self.set_timer(id, None);
@@ -172,12 +175,12 @@
         self.connections.get(&id)
     }
 
-    /// The connection, if it is established.
+    /// Returns the connection if it is established.
     pub(super) fn get_established(&self, id: ConnectionId) -> Option<&ClientConnection> {
         self.get(id).filter(|connection| connection.phase == Phase::Established)
     }
 
-    /// The connection, if no request has arrived on it yet.
+    /// Returns the connection if no request has arrived on it yet.
     pub(super) fn get_handshaking(&self, id: ConnectionId) -> Option<&ClientConnection> {
         self.get(id).filter(|connection| connection.phase == Phase::Handshaking)
     }
@@ -194,12 +197,12 @@
         self.connections.is_empty()
     }
 
-    /// The ids of all connections, in their order.
+    /// Returns the ids of all connections, ascending.
     pub(super) fn ids(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().collect()
     }
 
-    /// The ids of established connections, in their order.
+    /// Returns the ids of established connections, ascending.
     pub(super) fn established_ids(&self) -> Vec<ConnectionId> {
         let established =
             self.connections.iter().filter(|(_, connection)| connection.phase == Phase::Established);
@@ -212,7 +215,7 @@
 
     // ---- Events of a connection ----
 
-    /// Records the class that a connection's request names, if it is configured.
+    /// Records the class that a connection's request names. `None` stands for a class that is not configured.
     pub(super) fn record_class(&mut self, id: ConnectionId, class: Option<ClassId>) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.class = class;
@@ -227,7 +230,7 @@
         self.set_timer(id, None);
     }
 
-    /// Records that a connection is established, and when it is to be migrated, if that is known already.
+    /// Records that a connection is established, and the time of its migration if that is known already.
     pub(super) fn record_established(&mut self, id: ConnectionId, migrate_at: Option<Time>) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.phase = Phase::Established;
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Schedules the migration of a connection, unless it is scheduled for an earlier time.
+    /// Schedules the migration of a connection, unless it is already scheduled for an earlier time.
     pub(super) fn schedule_migration(&mut self, id: ConnectionId, migrate_at: Time) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.migrate_at = Some(earliest(connection.migrate_at, migrate_at));
@@ -249,8 +252,8 @@
         }
     }
 
-    /// Records that the server of an established connection has sent something, which counts as its answer to
-    /// all lines before.
+    /// Records that the server of an established connection has sent bytes. They count as its answer to all
+    /// lines that were forwarded before.
     pub(super) fn record_server_activity(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             if connection.phase == Phase::Established {
@@ -259,14 +262,14 @@
         }
     }
 
-    /// Records the load that a connection's server has reported.
+    /// Records the load that the server has reported for a connection.
     pub(super) fn record_load(&mut self, id: ConnectionId, load: f64) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.load = Some(load);
         }
     }
 
-    /// Moves a connection to another phase of its set-up.
+    /// Moves a connection to another phase.
     pub(super) fn set_phase(&mut self, id: ConnectionId, phase: Phase) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.phase = phase;
@@ -286,12 +289,12 @@
         }
     }
 
-    /// When the first timer fires.
+    /// Returns the time at which the earliest timer fires.
     pub(super) fn next_timer(&self) -> Option<Time> {
         self.timers.first().map(|timer| timer.deadline)
     }
 
-    /// Stops the first timer if it has expired, and returns its connection.
+    /// Stops the earliest timer if it has expired, and returns its connection.
     pub(super) fn pop_expired_timer(&mut self, now: Time) -> Option<ConnectionId> {
         let id = self.timers.first().filter(|timer| timer.deadline <= now)?.connection;
         self.set_timer(id, None);
@@ -300,7 +303,7 @@
 
     // ---- Attempts ----
 
-    /// Gives a connection its next attempt, and returns that. An earlier one has to be removed first.
+    /// Adds the next attempt of a connection, and returns it. An earlier attempt has to be removed first.
     pub(super) fn begin_attempt(
         &mut self,
         id: ConnectionId,
@@ -333,13 +336,14 @@
         Some(attempt)
     }
 
-    /// The connection's attempt, if it has this number. Late reports of an earlier attempt find none.
+    /// Returns the connection's attempt if it has this number. Reports of an earlier attempt that arrive late
+    /// are recognised by this.
     pub(super) fn attempt(&self, id: ConnectionId, number: u32) -> Option<Attempt> {
         self.get(id)?.attempt.filter(|attempt| attempt.number == number)
     }
 
-    /// Records that an attempt's request is written in full. Returns false if that was known, or the attempt
-    /// has ended.
+    /// Records that an attempt's request is written in full. Returns false if that was recorded before or the
+    /// attempt has ended.
     pub(super) fn mark_forwarded(&mut self, now: Time, id: ConnectionId, number: u32) -> bool {
         let attempt = self.connections.get_mut(&id).and_then(|connection| connection.attempt.as_mut());
         let is_unforwarded = |attempt: &&mut Attempt| attempt.number == number && !attempt.is_forwarded();
@@ -348,8 +352,8 @@
         true
     }
 
-    /// Limits the time by which the request of a connection's attempt may be written. An earlier deadline
-    /// remains.
+    /// Sets a deadline by which the request of a connection's attempt has to be written in full. An earlier
+    /// deadline remains.
     pub(super) fn limit_forwarding(&mut self, id: ConnectionId, deadline: Time) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let is_connecting = connection.phase == Phase::Connecting;
@@ -362,7 +366,7 @@
         self.set_timer(id, Some(timer));
     }
 
-    /// All connections with an attempt at a pool's servers, by server and then by connection.
+    /// Returns all connections with an attempt at a pool's servers, ordered by server and then by connection.
     pub(super) fn placed(&self, pool: PoolId) -> impl Iterator<Item = PlacedConnection> + '_ {
         let first = PoolServer { pool, server: ServerId(0) };
         let last = PoolServer { pool, server: ServerId(u32::MAX) };
@@ -372,7 +376,7 @@
     }
 }
 
-/// The earlier of an optional deadline and another one.
-fn earliest(earlier: Option<Time>, deadline: Time) -> Time {
-    earlier.map_or(deadline, |earlier| earlier.min(deadline))
+/// Returns the earlier of two deadlines, of which the first is optional.
+fn earliest(existing: Option<Time>, deadline: Time) -> Time {
+    existing.map_or(deadline, |existing| existing.min(deadline))
 }
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -1,11 +1,11 @@
-//! The interface to the balancers: events go in, and the actions that a balancer returns are executed.
+//! The interface to the balancers: passes them events, and executes the actions that they return.
 //!
 //! A balancer (`src/policy/`) decides and has no side effects. This module translates its actions into
-//! effects and calls of other handlers, in the order in which they were returned. An action may lead to
-//! further events and so to further actions, which are appended.
+//! effects and calls of other handlers, in the order in which they were returned. An action may cause further
+//! events and thereby further actions, which are appended to the queue.
 //!
-//! Where the balancer rejects or fails a request, its reason is counted in the metrics and logged, both here
-//! alone.
+//! Where the balancer rejects or fails a request, this module counts the reason in the metrics and logs it.
+//! No other module does either.
 //!
 //! This module owns no state.
 
@@ -16,19 +16,19 @@
 use crate::{Action, Event, Outcome, RefusalReason, RequestId, Time};
 
 impl State {
-    /// Hands an event to a pool's balancer, and executes its actions in order.
+    /// Passes an event to a pool's balancer, and executes the returned actions in order.
     pub(super) fn dispatch(&mut self, now: Time, pool: PoolId, event: Event<'_>) {
         let mut actions = Vec::new();
         self.pools[pool].balancer.handle(now, event, &mut actions);
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
-            // A cancelled attempt may lead to further actions. They are executed after those that were
-            // returned first.
+            // Cancelling an attempt may cause further actions. They are executed after the actions that are
+            // already queued.
             actions.extend(self.apply_action(now, pool, action));
         }
     }
 
-    /// Executes one action, and returns the actions to which that leads.
+    /// Executes one action, and returns the further actions that it causes.
     fn apply_action(&mut self, now: Time, pool: PoolId, action: Action) -> Vec<Action> {
         match action {
             Action::StartAttempt { request, server, timeout, forwarding_timeout } => {
@@ -60,18 +60,19 @@
         Vec::new()
     }
 
-    /// Rejects or fails a request for which the balancer has no server, and records its reason.
+    /// Rejects or fails a request for which the balancer has no server, and counts and logs the reason.
     fn answer_without_server(&mut self, now: Time, id: ConnectionId, reason: RefusalReason, answer: Answer) {
         let Some(pool) = self.connections.pool_of(id) else { return };
         self.pools[pool].count_refusal(reason);
-        self.answer(now, id, answer);
+        self.answer_and_remove(now, id, answer);
         self.effects.push(Effect::Log(LogEvent::RequestRefused { connection: id, reason }));
         if reason == RefusalReason::EndpointListExpired {
             self.log_endpoint_list_expiry(pool);
         }
     }
 
-    /// Logs that a pool's endpoint list has expired, once until it is confirmed.
+    /// Logs that a pool's endpoint list has expired, unless that is logged and the list was not confirmed
+    /// since.
     fn log_endpoint_list_expiry(&mut self, pool: PoolId) {
         let pool = &mut self.pools[pool];
         if pool.record_expiry() {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Closes an attempt in flight, and returns the actions to which its end leads.
+    /// Closes an attempt in flight, and returns the balancer's actions on its end.
     fn cancel_attempt(&mut self, now: Time, pool: PoolId, request: RequestId, attempt: u32) -> Vec<Action> {
         let id = connection_id(request);
         if self.connections.attempt(id, attempt).is_some() {
@@ -94,12 +95,12 @@
     }
 }
 
-/// The connection of a balancer's request. Both have the same number.
+/// Returns the connection of a balancer's request. Both have the same number.
 fn connection_id(request: RequestId) -> ConnectionId {
     ConnectionId(request.0)
 }
 
-/// The balancer's request of a connection.
+/// Returns the balancer's request of a connection. Both have the same number.
 pub(super) fn request_id(connection: ConnectionId) -> RequestId {
     RequestId(connection.0)
 }
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -1,4 +1,4 @@
-//! Effects: what the reducer asks the driver to do outside of its state.
+//! Effects: the actions outside its state that the reducer asks the driver to execute.
 
 use std::net::SocketAddr;
 
@@ -15,41 +15,41 @@
 pub enum Effect {
     /// Connect to a server and send the request.
     OpenAttempt {
-        /// The connection.
+        /// The connection whose request is sent. It has no other attempt in flight.
         connection: ConnectionId,
-        /// Number of the attempt.
+        /// Number of the attempt, counted from 0 for each connection.
         attempt: u32,
-        /// The server's address.
+        /// Address at which this balancer reaches the server; empty if the server is not listed any more.
         address: String,
-        /// How long the server may take to accept. The request carries it, too.
+        /// Time within which the server has to accept. The request also carries it.
         timeout: Micros,
     },
     /// Close the attempt in flight.
     CloseAttempt {
-        /// The connection.
+        /// The connection to which the attempt belongs.
         connection: ConnectionId,
     },
-    /// Send an answer to the client, then end both sides.
+    /// Send an answer to the client, then close both sides.
     Answer {
-        /// The connection.
+        /// The connection whose client is answered.
         connection: ConnectionId,
-        /// The answer.
+        /// The answer, which the front encodes in its protocol.
         answer: Answer,
     },
     /// Read once more from a client whose handshake timeout has passed, and feed
     /// [`super::Input::HandshakeTimedOut`] if there is no request.
     CheckHandshake {
-        /// The connection.
+        /// The connection without a request.
         connection: ConnectionId,
     },
-    /// Close all sockets of a connection at once.
+    /// Close all sockets of a connection at once, without an answer.
     AbortConnection {
-        /// The connection.
+        /// The connection, whose record is already removed.
         connection: ConnectionId,
     },
     /// Open or close the accept gate of the fronts.
     SetAccepting {
-        /// Whether connections are accepted from now on. Otherwise they stay in the listeners' queues.
+        /// True to accept connections from now on, false to leave them in the listeners' queues.
         open: bool,
     },
     /// Send an observation to the other balancers of the tier.
@@ -58,25 +58,25 @@
     ProbeServer {
         /// The server's pool.
         pool: PoolId,
-        /// The server.
+        /// The server to probe.
         server: ServerId,
-        /// Its address.
+        /// Address at which this balancer reaches the server.
         address: String,
-        /// Names under which its report may carry the utilisation. The first one that the report contains is
-        /// used.
+        /// Names of fields under which the report may carry the utilisation. The first one that the report
+        /// contains is used.
         names: Vec<&'static str>,
-        /// How long the connect and the answer may take together.
+        /// Time within which the connect and the answer both have to be complete.
         timeout: Micros,
     },
     /// Resume the watch on a pool's endpoint list, beginning with the changes since the last answer.
     WatchEndpoints {
-        /// The pool.
+        /// The pool whose list is watched.
         pool: PoolId,
     },
     /// Stop the watch on a pool's endpoint list and start one at another address, which begins with a
     /// snapshot.
     WatchEndpointsAt {
-        /// The pool.
+        /// The pool whose list is watched.
         pool: PoolId,
         /// Address of the discovery service.
         discovery: SocketAddr,
@@ -85,18 +85,19 @@
     SendReplicaMessage(AddressedReplicaMessage),
     /// Store an entry of the replicated map on disk.
     PersistEntry {
-        /// Its key.
+        /// Key of the entry.
         key: String,
-        /// The entry.
+        /// The entry to store; a tombstone where the key was deleted.
         entry: Entry,
     },
     /// Send this process's state to its successor.
     ExportState(Box<HandoverState>),
-    /// Transfer an established connection to the successor as soon as it is between two lines.
+    /// Transfer an established connection to the successor as soon as it is between two lines, so that no
+    /// line is partly relayed.
     TransferConnection {
-        /// The connection.
+        /// The connection's number in this process.
         connection: ConnectionId,
-        /// Its pool.
+        /// The pool of the front at which the client connected.
         pool: PoolId,
         /// The state with which the successor continues it.
         established: EstablishedConnection,
@@ -107,16 +108,16 @@
         admin_client: AdminClientId,
         /// Name of the server.
         server: String,
-        /// Whether it is excluded now.
+        /// True if the server was excluded, false if it was readmitted.
         excluded: bool,
     },
     /// Store the names of the servers that an operator excluded on disk.
     PersistExclusions(Vec<String>),
     /// Reply to an admin client.
     AdminReply {
-        /// The client.
+        /// Number of the call that is answered.
         admin_client: AdminClientId,
-        /// The reply.
+        /// The reply, which the driver encodes and sends.
         reply: AdminResponse,
     },
     /// Write a line to the log.
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,14 +1,15 @@
 //! Established connections: silence of their servers, load reports, and migration.
 //!
-//! - **Silence.** A server that fails may close nothing, and its clients would wait without end. From the
-//!   first line without an answer on, a server has the pool's `server_silence_timeout`, after which the
-//!   connection is migrated and the server's fault is reported to the balancer. The timer is not moved with
-//!   each line: where it fires too early, it is set again.
-//! - **Load reports.** A value is the connection's load or the server's message time
-//!   ([`super::load_reports`]). Either is recorded, and goes to the rebalancer and the balancer; a message
-//!   time also goes to the other balancers by gossip.
-//! - **Migration.** The client is asked to reconnect and both sides are closed. Several connections are
-//!   migrated one by one at equal intervals, since all of them at once would overload the other servers.
+//! - **Silence.** A server may fail without closing its connections, and its clients would then wait for
+//!   ever. The server has to send something within the pool's `server_silence_timeout` after the first line
+//!   that it has not answered. Otherwise the connection is migrated and a fault of the server is reported to
+//!   the balancer. The timer is not set anew for each line; if it fires too early, it is set again.
+//! - **Load reports.** A reported value is the connection's load or the server's message time
+//!   ([`super::load_reports`]). It is recorded and passed to the rebalancer and the balancer. A message time
+//!   is also sent to the other balancers by gossip.
+//! - **Migration.** The client is asked to reconnect, and both sides are closed. Several connections are
+//!   migrated one by one at equal intervals, because migrating all of them at once would overload the other
+//!   servers.
 //!
 //! The connections are in the connection table; this module owns no state.
 
@@ -21,21 +22,22 @@
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
 impl State {
-    /// Records a client's line, from which on its server's silence may count.
+    /// Records a client's line, which starts the server's silence timeout unless an earlier line is
+    /// unanswered.
     pub(super) fn on_line_forwarded(&mut self, now: Time, id: ConnectionId) {
         self.connections.record_forwarded_line(now, id);
     }
 
-    /// Records that the server is not silent.
+    /// Records that the server has sent bytes, which ends its silence.
     pub(super) fn on_server_activity(&mut self, id: ConnectionId) {
         self.connections.record_server_activity(id);
     }
 
-    /// Records a load report and hands it to the balancer.
+    /// Records a load report, and passes it to the balancer. Ignores a value that is negative or not finite.
     pub(super) fn on_load_reported(&mut self, now: Time, id: ConnectionId, value: f64) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
-        // Running means would never recover from a value that is negative or not a number.
+        // The running means would never recover from a value that is negative, infinite or not a number.
         if !(value.is_finite() && value >= 0.0) {
             return;
         }
@@ -84,32 +86,32 @@
         self.connections.set_timer(id, deadline);
     }
 
-    /// Migrates a connection whose time has come, or whose server has been silent for too long.
+    /// Migrates a connection that is due for migration or whose server's silence timeout has passed, or else
+    /// sets the timer again.
     pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let silence_timeout = self.pools[connection.pool].config.server_silence_timeout;
         let is_server_silent = silence_timeout > Micros::ZERO
             && connection.awaiting_server_since.is_some_and(|since| since.plus(silence_timeout) <= now);
-        let is_migration_time = connection.migrate_at.is_some_and(|at| at <= now);
+        let is_migration_due = connection.migrate_at.is_some_and(|at| at <= now);
         if is_server_silent {
             self.migrate(now, id, Outcome::Reset);
-        } else if is_migration_time {
+        } else if is_migration_due {
             self.migrate(now, id, Outcome::Cancelled);
         } else {
             self.schedule_established_timer(now, id);
         }
     }
 
-    /// Asks a client to reconnect, and closes both sides. `outcome` is what the balancer counts for the
-    /// server.
+    /// Asks a client to reconnect, and closes both sides. The balancer counts `outcome` for the server.
     pub(super) fn migrate(&mut self, now: Time, id: ConnectionId, outcome: Outcome) {
         self.send_answer(now, id, Answer::Migrated);
         self.notify_interrupted(now, id);
         self.end_connection(now, id, outcome);
     }
 
-    /// Schedules the migration of connections at equal intervals within `duration`, which begins after
-    /// `delay`. A connection whose migration is scheduled for an earlier time keeps that time.
+    /// Schedules the migration of connections at equal intervals within `duration`, which starts after
+    /// `delay`. If the migration of a connection is already scheduled for an earlier time, that time remains.
     pub(super) fn migrate_gradually(
         &mut self,
         now: Time,
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -1,40 +1,42 @@
 //! Admission at the sockets: how many connections without an attempt may be open, and when the fronts accept.
 //!
-//! Owns the limits of all fronts ([`Budget`]) and the set of pending connections: those that have sent no
-//! request yet, and those that are answered but whose sockets are not closed yet. Each of them uses a
-//! descriptor of the process and nothing that limits admitted connections applies to it, so clients that
-//! connect without a request could use up all descriptors.
+//! This module owns the limits of all fronts ([`Budget`]) and the set of pending connections. A connection is
+//! pending if it has sent no request yet, or if it is answered and its sockets are not closed yet. It uses a
+//! descriptor of the process, and no limit of admitted connections applies to it. Clients that connect
+//! without sending a request could therefore use up all descriptors.
 //!
-//! Rule: while fewer than `Budget::pending` connections are pending, less what the predecessor of a hot
-//! restart still uses, the fronts accept. At the limit, the oldest pending connection is aborted once it is
-//! [`MIN_PENDING_TIME`] old. While all are younger, the accept gate is closed and new clients stay in the
-//! listeners' queues.
+//! Rule: the limit is `Budget::pending`, less the descriptors that the predecessor of a hot restart still
+//! uses. While fewer connections are pending, the fronts accept. At the limit, the oldest pending connection
+//! is aborted once it has been pending for [`MIN_PENDING_TIME`]. Until then, the accept gate is closed and
+//! new clients wait in the listeners' queues.
 
 use std::collections::BTreeMap;
 
 use super::{Budget, ConnectionId};
 use crate::{Micros, Time};
 
-/// The age from which a pending connection may be aborted at the limit. A client that means to send a request
-/// does so at once, but its line needs time to arrive.
+/// Time for which a connection has to be pending before it may be aborted at the limit. Clients normally send
+/// their request at once, but its line takes time to arrive.
 const MIN_PENDING_TIME: Micros = Micros::from_millis(100);
 
-/// The limits of all fronts, and the connections that have no attempt.
+/// The limits of all fronts, and the pending connections.
 pub(super) struct FrontAdmission {
     budget: Budget,
-    /// Connections without a request, and ended ones whose sockets are open; since when each is pending.
+    /// Connections without a request and ended ones whose sockets are still open, each with the time since
+    /// which it is pending.
     pending: BTreeMap<ConnectionId, Time>,
-    /// While the accept gate is closed: when the oldest pending connection may be aborted.
+    /// Time at which the oldest pending connection may be aborted. `None` while the accept gate is open.
     gate_closed_until: Option<Time>,
 }
 
-/// Whether one more connection may be accepted.
+/// When one more connection may be accepted.
 pub(super) enum Capacity {
+    /// At once.
     Available,
-    /// Only once this connection is aborted.
-    AfterAborting(ConnectionId),
-    /// Not before this time.
-    NotBefore(Time),
+    /// Once this connection is aborted, which is allowed now.
+    AvailableAfterAborting(ConnectionId),
+    /// At this time, when the oldest pending connection may be aborted.
+    AvailableAt(Time),
 }
 
 impl FrontAdmission {
@@ -50,12 +52,12 @@
         self.budget = budget;
     }
 
-    /// Records that a connection has no attempt from now on.
+    /// Records that a connection is pending from now on.
     pub(super) fn add_pending(&mut self, now: Time, id: ConnectionId) {
         self.pending.insert(id, now);
     }
 
-    /// Records that a connection was admitted, transferred or closed.
+    /// Records that a connection is no longer pending, because it was admitted, transferred or closed.
     pub(super) fn remove_pending(&mut self, id: ConnectionId) {
         self.pending.remove(&id);
     }
@@ -64,12 +66,12 @@
         self.pending.len()
     }
 
-    /// While the accept gate is closed: when it is checked again.
+    /// Returns the time at which capacity is checked again. `None` while the accept gate is open.
     pub(super) fn gate_closed_until(&self) -> Option<Time> {
         self.gate_closed_until
     }
 
-    /// Closes the accept gate until a time, or opens it.
+    /// Records that the accept gate is closed until a time, or open for `None`.
     pub(super) fn set_gate_closed_until(&mut self, closed_until: Option<Time>) {
         self.gate_closed_until = closed_until;
     }
@@ -78,8 +80,8 @@
         self.gate_closed_until.is_none()
     }
 
-    /// Whether one more connection fits, given how many descriptors a predecessor uses of this process's
-    /// share.
+    /// Returns when one more connection may be accepted. `borrowed_descriptors` is the number of descriptors
+    /// for pending connections that a predecessor uses.
     pub(super) fn capacity(&self, now: Time, borrowed_descriptors: usize) -> Capacity {
         if self.pending.len() + borrowed_descriptors < self.budget.pending {
             return Capacity::Available;
@@ -88,9 +90,9 @@
             return Capacity::Available;
         };
         if now.since(since) < MIN_PENDING_TIME {
-            Capacity::NotBefore(since.plus(MIN_PENDING_TIME))
+            Capacity::AvailableAt(since.plus(MIN_PENDING_TIME))
         } else {
-            Capacity::AfterAborting(oldest)
+            Capacity::AvailableAfterAborting(oldest)
         }
     }
 }
--- a/src/routing/ids.rs
+++ b/src/routing/ids.rs
@@ -1,10 +1,10 @@
-//! Numbers by which the reducer and the driver name what they share.
+//! Numbers by which the reducer and the driver identify connections, pools and admin clients.
 
 pub use crate::ConnectionId;
 
-/// Index of a pool of servers in the configuration; each pool has its own endpoint list and balancer.
+/// Index of a pool of servers in the configuration, from 0. Each pool has its own endpoint list and balancer.
 pub type PoolId = usize;
 
-/// One call of an admin client. Its reply has the same number.
+/// Number of one call of an admin client, assigned by the driver. The reply has the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AdminClientId(pub u64);
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -1,4 +1,4 @@
-//! Inputs: what happened outside of the reducer. Each has one handler, `State::on_…`.
+//! Inputs: the events outside the reducer that change its state. Each has one handler, `State::on_…`.
 
 use std::net::SocketAddr;
 
@@ -11,78 +11,79 @@
 use crate::ServerId;
 use crate::{Micros, WatchFailure};
 
-/// One thing that happened.
+/// One event that the driver feeds to the reducer.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A client connected to a pool's front.
     ClientConnected {
-        /// The new connection.
+        /// Number of the new connection, which the driver assigns and never uses twice.
         connection: ConnectionId,
-        /// The pool whose front it is.
+        /// The pool of the front that accepted the client.
         pool: PoolId,
     },
     /// A client requested a connection.
     ConnectionRequested {
-        /// The connection.
+        /// The connection on which the request arrived.
         connection: ConnectionId,
-        /// What it requested.
+        /// The request, parsed by the front's protocol.
         request: ConnectionRequest,
     },
-    /// All that a client has sent was read after its handshake timeout, and there was no request: see
-    /// [`super::Effect::CheckHandshake`].
+    /// The handshake timeout has passed, and the bytes that the client sent until now, all of which have been
+    /// read, contain no request: see [`super::Effect::CheckHandshake`].
     HandshakeTimedOut {
-        /// The connection.
+        /// The connection that was checked.
         connection: ConnectionId,
     },
     /// A client closed its connection.
     ClientDisconnected {
-        /// The connection.
+        /// The connection that the client closed.
         connection: ConnectionId,
     },
     /// All sockets of a connection are closed.
     SocketsClosed {
-        /// The connection.
+        /// The connection whose last socket was closed.
         connection: ConnectionId,
     },
     /// An attempt's request is written in full.
     RequestForwarded {
-        /// The connection.
+        /// The connection to which the attempt belongs.
         connection: ConnectionId,
-        /// Number of the attempt.
+        /// Number of the attempt, as in [`super::Effect::OpenAttempt`].
         attempt: u32,
     },
     /// The server accepted an attempt. Lines are relayed in both directions from now on.
     AttemptAccepted {
-        /// The connection.
+        /// The connection to which the attempt belongs.
         connection: ConnectionId,
-        /// Number of the attempt.
+        /// Number of the attempt, as in [`super::Effect::OpenAttempt`].
         attempt: u32,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The connection.
+        /// The connection to which the attempt belongs.
         connection: ConnectionId,
-        /// Number of the attempt.
+        /// Number of the attempt, as in [`super::Effect::OpenAttempt`].
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         end: AttemptOutcome,
     },
     /// A client's line was forwarded to the server of an established connection.
     LineForwarded {
-        /// The connection.
+        /// The established connection.
         connection: ConnectionId,
     },
-    /// The server of an established connection sent something.
+    /// The server of an established connection sent bytes.
     ServerActivity {
-        /// The connection.
+        /// The established connection.
         connection: ConnectionId,
     },
     /// The server sent a load report for a connection.
     LoadReported {
-        /// The connection.
+        /// The connection that the report concerns.
         connection: ConnectionId,
-        /// The connection's load in microseconds of work a second. Where the settings have servers report
-        /// that, it may also be the time that a message takes at the server, in milliseconds.
+        /// The connection's load in microseconds of work per second. Where the settings say that servers
+        /// report message times, it may instead be the time that a message takes at the server, in
+        /// milliseconds.
         load: f64,
     },
     /// The state that an earlier process stored was read.
@@ -92,86 +93,86 @@
         /// Names of servers that an operator excluded without a replicated map.
         excluded_by_operator: Vec<String>,
     },
-    /// An endpoint list of before the start was read. It may be out of date.
+    /// An endpoint list that was cached before the process started was read. It may be out of date.
     CachedEndpoints {
-        /// The pool.
+        /// The pool whose list was cached.
         pool: PoolId,
         /// All servers of the list.
         endpoints: Vec<Endpoint>,
     },
     /// Discovery sent an update of an endpoint list, or the operator's file was read.
     EndpointsUpdated {
-        /// The pool.
+        /// The pool whose list is updated.
         pool: PoolId,
-        /// Whether the update is a snapshot of the list, or else a delta.
+        /// True for a snapshot of the whole list, false for a delta.
         is_snapshot: bool,
-        /// The listed or changed servers.
+        /// All listed servers of a snapshot, or the changed servers of a delta.
         endpoints: Vec<Endpoint>,
     },
     /// Another balancer of the tier sent an observation.
     GossipReceived {
-        /// The pool that it concerns.
+        /// The pool whose servers the observation concerns.
         pool: PoolId,
-        /// The message.
+        /// The observation, with a sample of the sender's groups.
         message: GossipMessage,
     },
     /// A health check of a server ended.
     ProbeCompleted {
         /// The server's pool.
         pool: PoolId,
-        /// The server.
+        /// The probed server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended, with the load report if the server sent one.
         end: ProbeEnd,
     },
     /// The watch on a pool's endpoint list broke, or could not be established.
     EndpointWatchLost {
-        /// The pool.
+        /// The pool whose list was watched.
         pool: PoolId,
-        /// What is known of discovery by that.
+        /// What the failure shows of discovery's state.
         failure: WatchFailure,
     },
     /// A poll of a pool's endpoint list had no answer in time. The driver repeats it.
     EndpointWatchSilent {
-        /// The pool.
+        /// The pool whose list was polled.
         pool: PoolId,
-        /// How long ago the poll was sent.
+        /// Time since the unanswered poll was sent.
         called_ago: Micros,
     },
     /// A message of another replica or of an operator's command arrived.
     ReplicaMessage {
-        /// Its sender.
+        /// Address of the sender.
         from: SocketAddr,
-        /// The message.
+        /// The decoded message.
         message: ReplicaMessage,
     },
     /// The configuration was read again.
     ConfigurationChanged {
         /// The pools, in their old order.
         pools: Vec<PoolConfig>,
-        /// The other replicas.
+        /// Addresses of the other replicas.
         peers: Vec<SocketAddr>,
         /// The limits of all fronts together.
         budget: Budget,
     },
-    /// The fronts listen.
+    /// The listeners of all fronts are open.
     Listening,
     /// A successor started and requests this process's state.
     SuccessorStarted,
-    /// The successor serves.
+    /// The successor accepts and serves clients.
     SuccessorReady,
-    /// The successor has the sockets of an established connection.
+    /// The successor has received the sockets of an established connection.
     ConnectionTransferred {
-        /// The connection.
+        /// The connection's number in this process.
         connection: ConnectionId,
     },
     /// The predecessor's state arrived.
     ImportState(Box<HandoverState>),
     /// An established connection arrived from the predecessor.
     ConnectionReceived {
-        /// Its id in this process.
+        /// The connection's number in this process.
         connection: ConnectionId,
-        /// Its pool.
+        /// The pool of the front at which the client connected.
         pool: PoolId,
         /// The state with which the predecessor transferred it.
         established: EstablishedConnection,
@@ -182,7 +183,7 @@
     ExclusionShared {
         /// Name of the server.
         server: String,
-        /// Whether it is excluded now.
+        /// True if the server was excluded, false if it was readmitted.
         excluded: bool,
     },
     /// The peer process has applied an exclusion that was shared with it.
@@ -190,11 +191,11 @@
         /// The admin client whose reply waits for the acknowledgement.
         admin_client: AdminClientId,
     },
-    /// An admin client called.
+    /// An admin client sent a call.
     AdminRequest {
-        /// The client, for the reply.
+        /// Number that the driver assigned to the call, by which it routes the reply.
         admin_client: AdminClientId,
-        /// The call.
+        /// The parsed call.
         call: AdminCall,
     },
     /// A graceful shutdown was requested.
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -1,16 +1,17 @@
 //! Load reports of servers: a connection's load, or the time that a message takes at the server.
 //!
-//! Both may arrive in the same form, as one number, so they are distinguished by value. A message time that
-//! counted as a load would make the slowest server look idle, and it would receive more connections.
+//! Both may arrive in the same form, as one number. They are therefore distinguished by their values. If a
+//! message time were taken for a load, the slowest server would look idle and receive more connections.
 //!
-//! Owns, for each pool, the mean of all loads (in the settings' unit) and each server's last message time (in
-//! milliseconds). Rule, where servers report message times at all: a value is a message time if
+//! The module owns, for each pool, the mean of all loads (in the settings' unit) and the last message time of
+//! each server (in milliseconds). Rule, where servers report message times: a value is a message time if
 //!
 //! - servers do not report loads; or
-//! - it is below [`MIN_LOAD_SHARE`] of the mean load, which the load of no connection is; or
-//! - it resembles the server's last message time. A slow server repeats its report every second, so a value
-//!   within [`REPEATED_REPORT_FACTOR`] of the last one and [`REPEATED_REPORT_TIMEOUT`] after it is the next
-//!   report.
+//! - the value is below [`MIN_LOAD_SHARE`] of the mean load, since the load of no connection is that small;
+//!   or
+//! - the value resembles the server's last message time. A slow server repeats its report every second. A
+//!   value that differs from the last one by a factor of at most [`REPEATED_REPORT_FACTOR`] and arrives
+//!   within [`REPEATED_REPORT_TIMEOUT`] after it is therefore taken for the next report.
 
 use std::collections::BTreeMap;
 
@@ -18,14 +19,14 @@
 use crate::bookkeeping::RunningMean;
 use crate::{Micros, ServerId, Time};
 
-/// A value below this share of the mean load is no load. That of an idle connection is still above it.
+/// The share of the mean load below which a value is not a load. The load of an idle connection is above it.
 const MIN_LOAD_SHARE: f64 = 1.0 / 64.0;
-/// The largest ratio between two message times in a row of one server.
+/// The largest ratio between two consecutive message times of one server.
 const REPEATED_REPORT_FACTOR: f64 = 2.5;
-/// The longest time between two reports in a row of one server.
+/// The longest time between two consecutive reports of one server.
 const REPEATED_REPORT_TIMEOUT: Micros = Micros::from_millis(1_300);
 
-/// A server's report of how long a message takes there.
+/// A server's report of its message time.
 #[derive(Clone, Copy, Debug)]
 struct MessageTimeReport {
     at: Time,
@@ -41,7 +42,7 @@
 }
 
 impl LoadReports {
-    /// Whether a reported value is a message time in milliseconds, and not a load.
+    /// Returns whether a reported value is a message time in milliseconds, and not a load.
     pub(super) fn is_message_time(
         &self,
         now: Time,
@@ -50,9 +51,9 @@
         config: &PoolConfig,
     ) -> bool {
         let is_below_any_load = value < self.mean_load.mean() * MIN_LOAD_SHARE;
-        let is_likely =
+        let is_not_a_load =
             is_below_any_load || self.resembles_last_report(now, server, value) || !config.reports_load;
-        config.reports_message_time && is_likely
+        config.reports_message_time && is_not_a_load
     }
 
     fn resembles_last_report(&self, now: Time, server: ServerId, value: f64) -> bool {
@@ -64,12 +65,12 @@
         })
     }
 
-    /// Records a server's message time.
+    /// Records the message time that a server reported.
     pub(super) fn add_message_time(&mut self, now: Time, server: ServerId, message_time_ms: f64) {
         self.message_times.insert(server, MessageTimeReport { at: now, message_time_ms });
     }
 
-    /// Records the load of a connection.
+    /// Adds the load of a connection to the mean load.
     pub(super) fn add_load(&mut self, load: f64) {
         self.mean_load.add(load);
     }
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -1,7 +1,8 @@
-//! The log lines of the reducer. They are written by `src/transport/driver.rs`, which is their target.
-
-//! Each event has one line, and `docs/oncall.md` a row for each line: a test compares the two, by the
-//! literals below.
+//! The log lines of the reducer. `src/transport/driver.rs` writes them, so its module path is their log
+//! target.
+//!
+//! Each event is one line of the log, and `docs/oncall.md` has a row for each line. A test compares the rows
+//! with the literals below.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 use crate::rebalance::HoldReason;
 use crate::RefusalReason;
 
-/// One line of the log. Each variant has one literal template.
+/// One line of the log. The text of each variant is one literal template.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// An operator excluded a server.
@@ -30,46 +31,46 @@
         /// Name of the server.
         server: String,
     },
-    /// A message for replicas came from an address that is not configured as a peer.
+    /// A message for replicas arrived from an address that is not configured as another replica's.
     MessageFromUnknownPeer {
-        /// Its sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
-    /// A write to the replicated map came from another machine.
+    /// A write to the replicated map arrived from another machine.
     RemoteWriteIgnored {
-        /// Its sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
-    /// The replicated map has a new value.
+    /// A key of the replicated map has a new value.
     EntryStored {
-        /// The key.
+        /// The key that was written.
         key: String,
-        /// Its value.
+        /// The new value of the key.
         value: String,
         /// Name of the node that wrote it.
         node: String,
     },
     /// A key of the replicated map was deleted.
     EntryDeleted {
-        /// The key.
+        /// The key that was deleted.
         key: String,
         /// Name of the node that deleted it.
         node: String,
     },
-    /// The successor of a hot restart serves.
+    /// The successor of a hot restart accepts and serves clients.
     SuccessorReady,
-    /// The successor of a hot restart ended.
+    /// The successor of a hot restart ended, or the link to it broke.
     SuccessorLost,
     /// A graceful shutdown has begun.
     ShutdownStarted {
-        /// Connections that are open now.
+        /// Number of connections that are open at the start of the shutdown.
         connections: usize,
     },
-    /// A request is rejected or failed without a server.
+    /// The balancer rejected or failed a request.
     RequestRefused {
-        /// Its connection.
+        /// The connection of the request.
         connection: ConnectionId,
-        /// Why there was no server.
+        /// The reason of the balancer.
         reason: RefusalReason,
     },
     /// A pool's endpoint list has expired. Requests are rejected from now on.
@@ -86,7 +87,7 @@
     RebalancingPaused {
         /// Name of the pool's front.
         pool: &'static str,
-        /// Why it is paused.
+        /// The reason for the pause.
         reason: HoldReason,
     },
     /// Migration for balance is resumed at a pool.
@@ -97,7 +98,8 @@
 }
 
 impl LogEvent {
-    /// The level at which the line is logged. Lines that come with each request are logged at debug level.
+    /// Returns the level at which the line is logged. Lines that are written once per request have the debug
+    /// level.
     pub(crate) fn level(&self) -> Level {
         match self {
             LogEvent::RequestRefused { .. } => Level::DEBUG,
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that the balancer reports: counters since the start of the process, and gauges.
+//! The metrics that the daemon reports: counters since the start of the process, and gauges.
 //!
 //! The names on the wire are in `src/protocol/admin.rs`.
 
@@ -7,37 +7,37 @@
 use crate::rebalance::RebalanceMetrics;
 use crate::{Micros, RefusalReason};
 
-/// Outcomes of the connections of one class, counted since the process started.
+/// Numbers of connections of one class by their outcome, counted since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Established.
+    /// Connections that were established.
     pub succeeded: u64,
-    /// Rejected.
+    /// Connections that were rejected by the balancer, or answered by the server with its own verdict.
     pub declined: u64,
-    /// Failed.
+    /// Connections that the balancer failed.
     pub aborted: u64,
 }
 
-/// Counts since the process started, and gauges as they are now.
+/// Counters since the process started, and the current values of gauges.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
     /// Outcomes of every configured class, by its name.
     pub classes: BTreeMap<String, ClassCounters>,
-    /// Attempts written in full.
+    /// Counter of attempts whose request was written in full.
     pub forwards: u64,
-    /// Connections admitted and not yet ended, established ones included.
+    /// Gauge of connections that are admitted and not ended, including established ones.
     pub outstanding: u64,
-    /// Servers listed.
+    /// Gauge of listed servers.
     pub discovered: u64,
-    /// Listed servers that are excluded or ejected now.
+    /// Gauge of listed servers that are excluded or ejected.
     pub ejected: u64,
-    /// Requests that were rejected or failed without a server, by reason.
+    /// Counters of requests that the balancer rejected or failed, by reason.
     pub refusals: BTreeMap<RefusalReason, u64>,
-    /// Polls of the endpoint list that failed.
+    /// Counter of polls of the endpoint list that failed.
     pub discovery_failures: u64,
-    /// The time since discovery last sent an endpoint list or confirmed it, of the pool where that is
-    /// longest; `None` where no list was received.
+    /// Time since discovery last sent or confirmed an endpoint list, in the pool where this time is longest.
+    /// `None` if no list was received.
     pub endpoint_list_age: Option<Micros>,
-    /// Metrics of rebalancing, by the name of the front, where it is on.
+    /// Metrics of rebalancing, by the name of the front, for the pools where it is on.
     pub rebalance: BTreeMap<String, RebalanceMetrics>,
 }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -1,14 +1,14 @@
 //! The reducer's side of rebalancing: notifications to the rebalancer, and the execution of its decisions.
 //!
 //! The rebalancer (`src/rebalance/`, one for each pool) decides which established connections migrate for
-//! balance. It sees the connections through [`RebalanceEvent`]s and the servers through a snapshot taken for
-//! each decision: occupied slots and ceiling (in slots), weight, share of the capacity while warming up (0 to
-//! 1) and the last fault.
+//! balance. It learns of connections through [`RebalanceEvent`]s, and of servers through a snapshot that is
+//! taken for each decision. The snapshot of a server contains its occupied slots, its ceiling (in slots), its
+//! weight, the share of its capacity while it is warming up (0 to 1) and its last fault.
 //!
-//! A decision consists of migrations, of ceilings to raise and of ceilings to lower. The balancer keeps the
-//! ceilings; this module asks for the changes. After a migration, the ceiling of the server
-//! falls to its occupied slots: the slot that has become free might be the only one anywhere, and the same
-//! client would return to it.
+//! A decision lists connections to migrate, ceilings to raise and ceilings to lower. The balancer owns the
+//! ceilings and changes them at this module's request. After a migration, the ceiling of the server that the
+//! client left is lowered to its occupied slots. Otherwise the same client might return there, because the
+//! slot that it left might be the only free one at any server.
 //!
 //! This module owns no state.
 
@@ -21,9 +21,9 @@
 
 use super::pool::Pool;
 
-/// The smallest share of its capacity with which a server that is warming up counts.
+/// The smallest share of its capacity that is assumed for a server that is warming up.
 const MIN_WARMTH: f64 = 0.01;
-/// The weight of a server whose listed weight is not a positive number.
+/// The weight assumed for a server whose listed weight is not a positive finite number.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 // ---- Notifications ----
@@ -35,14 +35,15 @@
         }
     }
 
-    /// Reports a connection that was rejected or failed.
-    pub(super) fn notify_declined(&mut self, now: Time, id: ConnectionId) {
+    /// Reports to the rebalancer that a connection was rejected or failed.
+    pub(super) fn notify_rejected(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.pool_of(id) {
             self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionRejected { connection: id });
         }
     }
 
-    /// Reports an established connection that is migrated or redirected before its client ends it.
+    /// Reports to the rebalancer that an established connection is migrated or redirected, so that its end is
+    /// not its client's decision.
     pub(super) fn notify_interrupted(&mut self, now: Time, id: ConnectionId) {
         if let Some(pool) = self.connections.pool_of(id) {
             self.notify_rebalancer(
@@ -53,8 +54,9 @@
         }
     }
 
-    /// Reports an established connection. `setup_time` is the time from its forwarded request to the server's
-    /// acceptance, where it was placed here.
+    /// Reports to the rebalancer that a connection is established. `setup_time` is the time from the
+    /// forwarded request to the server's acceptance. It is `None` for a connection that this process did not
+    /// place.
     pub(super) fn notify_established(&mut self, now: Time, id: ConnectionId, setup_time: Option<Micros>) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
@@ -73,7 +75,8 @@
         );
     }
 
-    /// Metrics of a pool's rebalancing, where it is on, for simulations and tests.
+    /// Returns the metrics of a pool's rebalancing for simulations and tests, or `None` if rebalancing is
+    /// off.
     pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
         let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.enabled)?;
         Some(pool.rebalance.metrics())
@@ -83,7 +86,7 @@
 // ---- Decisions ----
 
 impl State {
-    /// Has the rebalancer of a pool decide which connections migrate, and executes its decision.
+    /// Requests a decision from the rebalancer of a pool, and executes it.
     pub(super) fn rebalance(&mut self, now: Time, pool_id: PoolId) {
         let conditions = self.system_conditions(pool_id);
         let pool = &mut self.pools[pool_id];
@@ -92,7 +95,7 @@
         self.apply_decision(now, pool_id, decision);
     }
 
-    /// What may rule out migrations for balance at the moment.
+    /// Returns the conditions of this process because of which the rebalancer may pause migrations.
     fn system_conditions(&self, pool_id: PoolId) -> SystemConditions {
         SystemConditions {
             shutting_down: self.shutdown.has_begun(),
@@ -122,7 +125,7 @@
 }
 
 impl Pool {
-    /// What rebalancing has to know of each listed server that the decision module knows.
+    /// Returns a snapshot of each listed server that the balancer knows.
     fn server_snapshots(&self, now: Time) -> Vec<ServerSnapshot> {
         self.endpoints.ids().filter_map(|server| self.server_snapshot(now, server)).collect()
     }
@@ -146,7 +149,8 @@
         })
     }
 
-    /// The share of its capacity that a server has so long after its start; over 1 once it is warm.
+    /// Returns the share of its capacity that a server has reached by now, by its start; above 1 once slow
+    /// start has ended.
     fn warmth(&self, now: Time, started: Time) -> f64 {
         let settings = &self.config.settings;
         let progress = now.since(started).as_f64() / settings.slow_start_duration.max(Micros(1)).as_f64();
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`reduce`] takes an [`Input`] (something that happened outside) and the time, changes the [`State`], and
 //! returns [`Effect`]s (what has to be done outside) in order. It performs no input or output, reads no clock
-//! and has no randomness but seeded draws: the same configuration and inputs give the same effects. The
-//! driver in `src/transport/` feeds inputs and executes effects.
+//! and draws random numbers only from seeded generators, so the same configuration and inputs give the same
+//! effects. The driver in `src/transport/` feeds inputs and executes effects.
 //!
 //! Each kind of input has one handler, `State::on_…`, in the module of its concern:
 //!
@@ -28,8 +28,9 @@
 //! | exclusions and replicated map | `operator_exclusions`, `replica`, `store` |
 //! | hot restart and shutdown | `hot_restart_state`, `shutdown_state` |
 //!
-//! Each pool of servers has a balancer (`src/policy/`), which decides where a request goes. A connection here
-//! is a request there, under the same number.
+//! Each pool of servers has a balancer (`src/policy/`), which chooses the server for each request. A
+//! [`ConnectionId`] and the balancer's [`RequestId`](crate::RequestId) of the same connection have the same
+//! number.
 #![deny(missing_docs)]
 
 mod admin;
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -4,10 +4,10 @@
 
 use crate::{LoadReport, Micros};
 
-/// How an attempt ended, as seen at its server or in the network.
+/// The end of an attempt, as observed at its server or in the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served to an orderly end.
+    /// The connection was served and closed in order.
     Served,
     /// The server redirected the client.
     RedirectedByServer,
@@ -15,13 +15,14 @@
     Error,
     /// The server rejected the request without processing it.
     Rejected,
-    /// The server could not be reached, or the connection broke before the request was written in full.
+    /// The server was not reached, or the connection to it broke before the request was written in full.
     ConnectFailed,
-    /// The connection broke or ended without an answer after the request was written.
+    /// After the request was written, the connection to the server broke, or the server closed it without an
+    /// answer.
     Reset,
-    /// This machine had no socket left for the attempt, which is no fault of the server.
+    /// This machine had no socket left for the attempt. This does not count against the server.
     OutOfSockets,
-    /// The server's own final answer was forwarded to the client, which needs no other.
+    /// The server's own final answer was forwarded to the client. The balancer sends no other answer.
     VerdictForwarded,
 }
 
@@ -40,21 +41,22 @@
     }
 }
 
-/// A final answer, or the notice that an established connection is migrated.
+/// An answer of the balancer to a client: the final answer to its request, or the notice that its established
+/// connection is migrated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The request was not processed, and a retry is harmless. The client should wait for this time before
-    /// it, or gets no such advice where it is 0.
+    /// The request is rejected, and a retry is harmless. The value is the Retry-After, the time for which the
+    /// client should wait before it retries. At 0, the answer carries no Retry-After.
     Rejected(Micros),
     /// The request failed. A server may have processed it.
     Failed,
     /// No request arrived within the handshake timeout.
     HandshakeTimedOut,
-    /// The client should reconnect at once, since its connection is migrated.
+    /// The connection is migrated: the client should reconnect at once.
     Migrated,
 }
 
-/// How a probe ended.
+/// The end of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeEnd {
     /// The server answered, possibly with a load report.
@@ -63,6 +65,6 @@
     Error(Option<LoadReport>),
     /// The server answered that it must not be probed.
     Declined,
-    /// The server could not be reached, or did not answer in time.
+    /// The server was not reached, or did not answer in time.
     NoAnswer,
 }
--- a/src/routing/pending_connections.rs
+++ b/src/routing/pending_connections.rs
@@ -1,20 +1,22 @@
-//! Connections without an attempt: aborts the oldest for new clients, and opens and closes the accept gate.
+//! Pending connections, which have no attempt: aborts the oldest ones to make room for new clients, and opens
+//! and closes the accept gate.
 //!
-//! [`super::front_admission`] has the rule and the state.
+//! The rule and the state are in [`super::front_admission`].
 
 use super::front_admission::Capacity;
 use super::{ConnectionId, Effect, State};
 use crate::Time;
 
 impl State {
-    /// Aborts the oldest pending connections until the next client fits, and opens or closes the accept gate.
+    /// Aborts the oldest pending connections until one more client can be accepted, and opens or closes the
+    /// accept gate. The gate is not opened while a successor accepts.
     pub(super) fn evict_idle_connection(&mut self, now: Time) {
         let borrowed_descriptors = self.hot_restart.borrowed_descriptors(self.admission.budget());
         let closed_until = loop {
             match self.admission.capacity(now, borrowed_descriptors) {
                 Capacity::Available => break None,
-                Capacity::NotBefore(time) => break Some(time),
-                Capacity::AfterAborting(id) => self.abort_connection(now, id),
+                Capacity::AvailableAt(time) => break Some(time),
+                Capacity::AvailableAfterAborting(id) => self.abort_connection(now, id),
             }
         };
         if closed_until.is_some() == self.admission.is_gate_open() {
@@ -30,7 +32,7 @@
         self.effects.push(Effect::AbortConnection { connection: id });
     }
 
-    /// Handles the end of a connection's last socket.
+    /// Handles the close of a connection's last socket, which may make room for another client.
     pub(super) fn on_sockets_closed(&mut self, now: Time, id: ConnectionId) {
         self.admission.remove_pending(id);
         self.evict_idle_connection(now);
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -4,11 +4,11 @@
 //!
 //! | part | decides or records |
 //! | --- | --- |
-//! | `balancer` | server, retry and rejection for each request; occupancy and what is learned of servers |
+//! | `balancer` | server, retry and rejection for each request; occupancy and learned state of servers |
 //! | `rebalance` | which established connections migrate for balance |
 //! | `peers` | which observations are sent to the other balancers |
 //! | `probes` | health checks in flight, and processes that decline them |
-//! | `listed`, `endpoints` | the list as received, and the list in effect |
+//! | `listed`, `endpoints` | the endpoint list as received, and the list in effect |
 //! | `exclusions` | excluded and readmitted servers |
 //! | `admitted` | number and request ids of admitted connections |
 //! | `load_reports` | whether a reported value is a load or a message time |
@@ -28,7 +28,7 @@
 use crate::rebalance::Rebalancer;
 use crate::{Balancer, ClassId, Micros, RefusalReason, ServerId, Time};
 
-/// The parts of a pool.
+/// One pool of servers, with the parts that keep its state.
 pub(super) struct Pool {
     pub(super) config: PoolConfig,
     pub(super) balancer: Balancer,
@@ -38,20 +38,20 @@
     pub(super) probes: ProbeRecords,
     /// The endpoint list in effect, derived from `listed`, the replicated map and the exclusions.
     pub(super) endpoints: EndpointList,
-    /// The endpoint list as discovery or the operator's file has it.
+    /// The endpoint list as received from discovery or read from the operator's file.
     pub(super) listed: ListedEndpoints,
-    /// Whether the endpoint list's expiry is logged, and its confirmation is not yet.
+    /// Whether the endpoint list's expiry was logged and the list was not received again since.
     is_expiry_logged: bool,
     pub(super) exclusions: PoolExclusions,
     pub(super) admitted: AdmittedConnections,
     pub(super) load_reports: LoadReports,
-    /// Outcomes by class, in the order of the configuration.
+    /// Outcomes of connections by class, in the order of the configuration.
     class_counters: Vec<ClassCounters>,
-    /// Requests that were answered without a server.
+    /// Number of requests that the balancer rejected or failed, by reason.
     refusals: BTreeMap<RefusalReason, u64>,
-    /// Polls of the endpoint list that failed.
+    /// Number of polls of the endpoint list that failed.
     discovery_failures: u64,
-    /// When the balancer has to be handed [`crate::Event::TimerFired`].
+    /// Time at which [`crate::Event::TimerFired`] has to be passed to the balancer, if its timer is set.
     balancer_timer: Option<Time>,
 }
 
@@ -76,18 +76,18 @@
         }
     }
 
-    /// Records that the list has expired. Returns false if that is logged already.
+    /// Records that the endpoint list has expired. Returns whether that still has to be logged.
     pub(super) fn record_expiry(&mut self) -> bool {
         !std::mem::replace(&mut self.is_expiry_logged, true)
     }
 
-    /// Records that a list was received. Returns whether the one before was logged as expired.
+    /// Records that an endpoint list was received. Returns whether the expiry of the list before was logged.
     pub(super) fn record_received_list(&mut self, now: Time) -> bool {
         self.listed.record_received(now);
         std::mem::take(&mut self.is_expiry_logged)
     }
 
-    /// Replaces the configuration. Connections and what was learned of servers remain.
+    /// Replaces the configuration. Connections and the learned state of servers remain.
     pub(super) fn configure(&mut self, now: Time, config: PoolConfig) {
         self.balancer.configure(config.settings.clone());
         self.peers.configure(config.gossip_config());
@@ -102,12 +102,12 @@
         self.balancer_timer
     }
 
-    /// Sets the balancer's timer, unless it is set to an earlier time.
+    /// Sets the balancer's timer, unless it is already set to an earlier time.
     pub(super) fn set_balancer_timer(&mut self, at: Time) {
         self.balancer_timer = Some(self.balancer_timer.map_or(at, |earlier| earlier.min(at)));
     }
 
-    /// Stops the balancer's timer if it has expired, and returns whether it had.
+    /// Stops the balancer's timer if it has expired. Returns whether it had expired.
     pub(super) fn clear_expired_balancer_timer(&mut self, now: Time) -> bool {
         self.balancer_timer.take_if(|at| *at <= now).is_some()
     }
@@ -126,12 +126,12 @@
         self.discovery_failures += 1;
     }
 
-    /// Adds this pool's share to the metrics.
+    /// Adds this pool's counters and gauges to the metrics.
     pub(super) fn add_to_metrics(&self, now: Time, metrics: &mut Metrics) {
         // A class that is no longer configured has an empty name.
-        let named =
+        let configured =
             self.config.classes.iter().zip(&self.class_counters).filter(|(class, _)| !class.is_empty());
-        for (class, counters) in named {
+        for (class, counters) in configured {
             let total = metrics.classes.entry(class.clone()).or_default();
             total.succeeded += counters.succeeded;
             total.declined += counters.declined;
@@ -144,7 +144,7 @@
             *metrics.refusals.entry(reason).or_default() += count;
         }
         metrics.discovery_failures += self.discovery_failures;
-        // Only a watched list has an age.
+        // Only a list that is watched at discovery has an age. A list from a file does not expire.
         let received_at = self.listed.received_at().filter(|_| self.config.discovery.is_some());
         metrics.endpoint_list_age = metrics.endpoint_list_age.max(received_at.map(|at| now.since(at)));
         if self.config.rebalance.enabled {
@@ -156,14 +156,14 @@
         self.is_excluded(server) || self.balancer.is_avoided(now, server)
     }
 
-    /// Whether a server is listed, and excluded by an operator.
+    /// Returns whether a server is listed and excluded by an operator.
     pub(super) fn is_excluded(&self, server: ServerId) -> bool {
         self.endpoints.get(server).is_some_and(|endpoint| self.exclusions.contains(&endpoint.name))
     }
 
     // ---- Hot restart ----
 
-    /// The state of this pool for a successor.
+    /// Returns the state of this pool for a successor.
     pub(super) fn export_state(&self) -> PoolHandoverState {
         let export = |endpoint: &Endpoint| ExportedEndpoint {
             endpoint: endpoint.clone(),
@@ -186,7 +186,8 @@
         }
     }
 
-    /// Imports what the predecessor learned of servers. They have to be in the list in effect by then.
+    /// Imports the predecessor's learned state of servers. The servers have to be in the list in effect
+    /// before this call.
     pub(super) fn import_learned_state(&mut self, state: &PoolHandoverState) {
         for ExportedEndpoint { endpoint, learned } in &state.endpoints {
             if let Some(learned) = *learned {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// For how long a server counts as warming up after its start.
+    /// Returns the time for which a server counts as warming up after its start.
     pub(super) fn slow_start_duration(&self) -> Micros {
         self.config.settings.slow_start_duration
     }
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -1,7 +1,8 @@
 //! The reducer's configuration: its pools of servers, its replicas and the limits of its fronts.
 //!
 //! The program reads it from the settings files (`src/program/config/`). [`PoolConfig`] also derives the
-//! parts that concern gossip and rebalancing, and numbers a reloaded configuration like the one before.
+//! configurations of gossip and of the rebalancer, and renumbers a reloaded configuration so that each name
+//! keeps its number.
 
 use std::net::SocketAddr;
 
@@ -10,27 +11,28 @@
 /// Configuration of the replicated map.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicationConfig {
-    /// Name of this replica, unique among all.
+    /// Name of this replica, unique among all replicas.
     pub node: String,
-    /// The other replicas.
+    /// Addresses of the other replicas.
     pub peers: Vec<SocketAddr>,
 }
 
 /// Limits of all fronts together, derived from the limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Connections without an attempt: those without a request, and answered ones whose sockets are open.
+    /// Limit of pending connections, which have no attempt: those without a request, and answered ones whose
+    /// sockets are still open.
     pub pending: usize,
-    /// Connections whose request was admitted, established ones included.
+    /// Limit of connections whose request was admitted, including established ones.
     pub admitted: usize,
-    /// Bytes buffered for one side of a connection before no more is read from the other side.
+    /// Bytes buffered for one side of a connection at which the balancer stops to read from the other side.
     pub buffer: usize,
 }
 
 /// Configuration of one pool of servers.
 #[derive(Clone, Debug)]
 pub struct PoolConfig {
-    /// Name of its front.
+    /// Name of the pool's front.
     pub name: &'static str,
     /// Names of the classes, in the order of their [`crate::ClassId`]s.
     pub classes: Vec<String>,
@@ -40,47 +42,50 @@
     pub zones: Vec<String>,
     /// Settings of the balancer.
     pub settings: Settings,
-    /// Seed of the random draws.
+    /// Seed of the random draws of the balancer, the rebalancer and gossip.
     pub seed: u64,
-    /// Address at which the endpoint list is watched. `None` where it comes from a file.
+    /// Address at which the endpoint list is watched. `None` if the list is read from a file.
     pub discovery: Option<SocketAddr>,
-    /// How long a client may take to send its request.
+    /// Time within which a client has to send its request after it has connected.
     pub handshake_timeout: Micros,
     /// Whether entries of the replicated map may add servers and limit the connections.
     pub uses_replicated_map: bool,
-    /// The limit of connections where the replicated map holds none.
+    /// The limit of connections that applies if the replicated map contains none.
     pub max_connections: usize,
-    /// Time over which clients of a draining server are migrated; 0 where servers redirect them themselves.
+    /// Time over which clients of a draining server are migrated; 0 if servers redirect their clients
+    /// themselves.
     pub drain_duration: Micros,
-    /// An established connection whose server is silent for this long after a line is migrated; 0 for never.
+    /// Time after a forwarded line without an answer from the server, after which the established connection
+    /// is migrated; 0 if silence has no effect.
     pub server_silence_timeout: Micros,
-    /// Whether servers report how long messages take.
+    /// Whether servers report message times.
     pub reports_message_time: bool,
-    /// Whether servers report the load of a connection, in the same form.
+    /// Whether servers report the load of a connection, in the same form as message times.
     pub reports_load: bool,
-    /// Names under which a probe's answer may carry a server's utilisation, in the order of preference.
+    /// Names of the fields in a probe's answer that may carry the server's utilisation, in the order of
+    /// preference.
     pub load_report_fields: Vec<&'static str>,
     /// The longest time that a client waits for its answer.
     pub longest_wait: Micros,
-    /// How established connections are migrated towards balance.
+    /// Configuration of the migration of established connections for balance.
     pub rebalance: rebalance::RebalanceConfig,
-    /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` where the
+    /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` if the
     /// balancers of the tier do not gossip.
     pub gossip_price: Option<f64>,
 }
 
 impl PoolConfig {
-    /// The class of this name.
+    /// Returns the class of this name.
     pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|class| class == name).map(|index| ClassId(index as u16))
     }
 
-    /// The tenant of this name.
+    /// Returns the tenant of this name.
     pub(super) fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.tenants.iter().position(|tenant| tenant == name).map(|index| TenantId(index as u16))
     }
 
-    /// The configuration of gossip between the balancers of the tier.
+    /// Returns the configuration of gossip between the balancers of the tier.
     pub(super) fn gossip_config(&self) -> peers::GossipConfig {
         peers::GossipConfig {
             enabled: self.gossip_price.is_some(),
@@ -92,7 +97,7 @@
         }
     }
 
-    /// What the rebalancer has to know of the configuration.
+    /// Returns the settings that the rebalancer needs.
     pub(super) fn rebalance_context(&self) -> rebalance::RebalanceContext {
         let Settings { classes, balancers, migration_cost, slow_start_duration, .. } = &self.settings;
         let setup_objectives = classes.iter().map(|class| class.setup_objective);
@@ -108,10 +113,10 @@
         }
     }
 
-    /// This configuration, numbered like the `old` one that it replaces. Connections and the balancer refer
-    /// to classes, tenants and zones by number, so each name keeps its number. A number whose name is no
-    /// longer configured has an empty name.
-    pub(super) fn replacing(mut self, old: &PoolConfig) -> PoolConfig {
+    /// Returns this configuration with the numbers of the `old` one that it replaces. Connections and the
+    /// balancer refer to classes, tenants and zones by number, so each name keeps its number. A number whose
+    /// name is no longer configured gets an empty name.
+    pub(super) fn renumbered_like(mut self, old: &PoolConfig) -> PoolConfig {
         let settings = &mut self.settings;
         let local_zone = self.zones.get(settings.zone.0 as usize).cloned();
         self.classes = renumber(&old.classes, &old.settings.classes, &self.classes, &mut settings.classes);
@@ -123,8 +128,8 @@
     }
 }
 
-/// Returns the names in an order in which the old ones keep their positions, and sorts `new_items` in that
-/// order.
+/// Returns the names in an order in which the old ones keep their positions, and puts `new_items` in that
+/// order. A name that is no longer configured becomes empty and keeps its old item.
 fn renumber<T: Clone>(
     old_names: &[String],
     old_items: &[T],
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -1,20 +1,23 @@
 //! Health checks (probes): requests to a server for its load report.
 //!
-//! The balancer decides when to probe which server, and what a result changes (`src/policy/`). The probes in
-//! flight and the processes that decline probes are in [`super::probe_records`]. Rule: a probe is sent only
+//! The balancer decides which server to probe, when, and how a result changes its state (`src/policy/`). The
+//! probes in flight and the processes that decline probes are recorded in [`super::probe_records`]. Rule: a
+//! probe is sent only
 //!
-//! - to a server that is ready, so that draining ones get nothing new;
-//! - to a server without a probe in flight, since one that has not answered yet is busy;
+//! - to a server that is ready, because a draining server must not receive new requests;
+//! - to a server without a probe in flight, because a server that has not answered yet is busy;
 //! - while fewer than [`super::MAX_PROBES`] are in flight in its pool, for which descriptors are reserved;
 //! - to a process that has not declined probes.
 //!
-//! A server's process is identified by its start. A result of a process that has been replaced is dropped.
+//! A server's process is identified by its start time. The result of a probe is ignored if the probed process
+//! was replaced meanwhile.
 
-use super::probe_records::Incarnation;
+use super::probe_records::ServerProcess;
 use super::{Effect, LogEvent, PoolId, ProbeEnd, State};
 use crate::{Event, Micros, Outcome, ServerId, Settings, Time};
 
-/// The timeout for an answer where no set-up objective is configured, as a multiple of the connect timeout.
+/// The timeout for the answer to a probe if no set-up objective is configured, as a multiple of the connect
+/// timeout.
 const ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS: u64 = 4;
 
 impl State {
@@ -22,7 +25,7 @@
     pub(super) fn start_probe(&mut self, pool_id: PoolId, server: ServerId) {
         let pool = &mut self.pools[pool_id];
         let Some(endpoint) = pool.endpoints.get_ready(server) else { return };
-        if !pool.probes.try_start(Incarnation { server, started: endpoint.started }) {
+        if !pool.probes.try_start(ServerProcess { server, started: endpoint.started }) {
             return;
         }
         self.effects.push(Effect::ProbeServer {
@@ -34,12 +37,12 @@
         });
     }
 
-    /// Reports a probe's result to the balancer, if the probed process still serves.
+    /// Reports a probe's result to the balancer, if the probed process is still listed as ready.
     pub(super) fn on_probe_completed(&mut self, now: Time, pool_id: PoolId, server: ServerId, end: ProbeEnd) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let Some(probed) = pool.probes.finish(server) else { return };
-        let started = pool.endpoints.get_ready(server).map(|endpoint| endpoint.started);
-        if started != Some(probed.started) {
+        let current_start = pool.endpoints.get_ready(server).map(|endpoint| endpoint.started);
+        if current_start != Some(probed.started) {
             return;
         }
         let (outcome, report) = match end {
@@ -54,7 +57,7 @@
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
 
-    fn on_probes_declined(&mut self, pool_id: PoolId, probed: Incarnation) {
+    fn on_probes_declined(&mut self, pool_id: PoolId, probed: ServerProcess) {
         let pool = &mut self.pools[pool_id];
         pool.probes.record_declined(probed, &pool.endpoints);
         let name = pool.endpoints.get(probed.server).map_or("", |endpoint| &endpoint.name);
@@ -62,7 +65,7 @@
     }
 }
 
-/// The timeout of a probe: the connect timeout, plus the set-up objective for the answer.
+/// Returns the timeout of a probe: the connect timeout, plus the set-up objective for the answer.
 fn probe_timeout(settings: &Settings) -> Micros {
     let answer_timeout = match settings.setup_objective() {
         Micros::ZERO => ANSWER_TIMEOUT_IN_CONNECT_TIMEOUTS * settings.connect_timeout,
--- a/src/routing/reducer.rs
+++ b/src/routing/reducer.rs
@@ -3,15 +3,16 @@
 use super::{Effect, Input, State};
 use crate::Time;
 
-/// Applies one input to the state, and returns what has to be done, in order. The state changes in no other
-/// way.
+/// Applies one input to the state, and returns the effects to execute, in order. No other function changes
+/// the state.
 pub fn reduce(state: &mut State, now: Time, input: Input) -> Vec<Effect> {
     state.handle_input(now, input);
     std::mem::take(&mut state.effects)
 }
 
 impl State {
-    /// Hands an input to its handler, in one arm for each kind of input.
+    /// Calls the handler of an input, and ends a graceful shutdown whose time has come or whose last
+    /// connection has ended.
     #[expect(clippy::too_many_lines, reason = "a pure dispatcher with one arm for each input")]
     fn handle_input(&mut self, now: Time, input: Input) {
         match input {
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -3,19 +3,21 @@
 //!
 //! The window of time within which the process exits is in [`super::shutdown_state`]. Rule:
 //!
-//! - The latest exit is the longest time that a client waits for its answer, at most [`MAX_ANSWER_WAIT`],
-//!   plus [`SHUTDOWN_MARGIN`] after the request for the shutdown. Requests in flight can so still be
-//!   answered.
-//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after the request for the shutdown (or the latest exit,
-//!   if that is earlier), once no connection is left. Until the clients learn of the shutdown, new ones
-//!   arrive and need an answer. Where a successor of a hot restart serves, none arrive, and the process exits
-//!   as soon as it is empty.
+//! - The latest exit follows the request for the shutdown after the longest time that a client waits for its
+//!   answer, limited to [`MAX_ANSWER_WAIT`], plus [`SHUTDOWN_MARGIN`]. Until then, requests in flight can
+//!   still be answered.
+//! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after the request for the shutdown, or the latest exit if
+//!   that is earlier. From then on, the process exits as soon as no connection is open. It does not exit
+//!   earlier because new clients arrive until they learn of the shutdown, and they need an answer. While a
+//!   successor of a hot restart serves, no new clients arrive, so the process exits as soon as no connection
+//!   is open.
 //! - Migrations are spread evenly from [`FIRST_MIGRATION_DELAY`] after the request until
-//!   [`LAST_MIGRATION_MARGIN`] before the latest exit. A connection that is established meanwhile is migrated
-//!   [`FIRST_MIGRATION_DELAY`] later. All at once they would overload the other balancers, of which one may
-//!   be starting.
-//! - New requests are rejected with a Retry-After ([`super::client`]). At the latest exit, whoever is left is
-//!   migrated, rejected where a retry is harmless, or failed.
+//!   [`LAST_MIGRATION_MARGIN`] before the latest exit. A connection that is established during the shutdown
+//!   is migrated [`FIRST_MIGRATION_DELAY`] later. Migrating all connections at once would overload the other
+//!   balancers, one of which may just be starting.
+//! - New requests are rejected with a Retry-After ([`super::client`]). At the latest exit, established
+//!   connections are migrated. Requests that are not answered yet are rejected if a retry is harmless, and
+//!   failed otherwise.
 
 use super::client::SHUTDOWN_RETRY_AFTER;
 use super::connection_table::Phase;
@@ -23,14 +25,14 @@
 use super::{Answer, ConnectionId, Effect, LogEvent, State};
 use crate::{Micros, Outcome, Time};
 
-/// The longest wait of a client for its answer that a shutdown takes into account.
+/// Limit of the time for which a shutdown waits for clients to get their answers.
 const MAX_ANSWER_WAIT: Micros = Micros::from_secs(3);
-/// The time from the longest wait of a client to the latest exit. The platform kills the process a little
-/// later.
+/// Time that is added to the longest wait of a client to get the latest exit. The platform kills the process
+/// shortly after that.
 const SHUTDOWN_MARGIN: Micros = Micros::from_millis(400);
-/// The time from the last migration to the latest exit.
+/// Time between the last scheduled migration and the latest exit.
 const LAST_MIGRATION_MARGIN: Micros = Micros::from_millis(300);
-/// The least duration of a shutdown without a successor, even where no connection is open.
+/// The shortest duration of a shutdown without a successor, even if no connection is open.
 const MIN_SHUTDOWN_DURATION: Micros = Micros::from_secs(1);
 
 impl State {
@@ -52,13 +54,13 @@
         self.effects.push(Effect::Log(LogEvent::ShutdownStarted { connections }));
     }
 
-    /// At the time of the exit: answers all clients that are left, and requests the exit once. Clients that
-    /// connect before the process has ended are rejected like those before them.
+    /// Answers all remaining clients and requests the exit, once the time of the exit is reached. Clients
+    /// that connect after that, until the process ends, are rejected as before.
     pub(super) fn finish_shutdown_if_complete(&mut self, now: Time) {
         if !self.shutdown.is_exit_time(now, !self.connections.is_empty()) {
             return;
         }
-        self.shutdown.finish();
+        self.shutdown.record_exit_requested();
         for id in self.connections.ids() {
             self.finish_connection(now, id);
         }
@@ -72,10 +74,10 @@
                 return self.effects.push(Effect::CheckHandshake { connection: id });
             }
             Some(Phase::Established) => Answer::Migrated,
-            // The client may wait for longer than this process lives, and another balancer can still serve
-            // it.
+            // The client may still wait after this process has exited, so another balancer can serve its
+            // retry.
             Some(Phase::Connecting) if self.may_reject(id) => {
-                self.reject_with_retry_after(id, SHUTDOWN_RETRY_AFTER)
+                self.rejection_with_retry_after(id, SHUTDOWN_RETRY_AFTER)
             }
             _ => Answer::Failed,
         };
--- a/src/routing/shutdown_state.rs
+++ b/src/routing/shutdown_state.rs
@@ -2,54 +2,57 @@
 
 use crate::{Micros, Time};
 
-/// The time from the request for a shutdown to the first migration.
+/// Time from the request for a shutdown to the start of the migrations. Also the time after which a
+/// connection that is established during the shutdown is migrated.
 pub(super) const FIRST_MIGRATION_DELAY: Micros = Micros::from_millis(50);
 
-/// When the process may exit.
+/// The window of time within which the process exits.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownWindow {
-    /// From this time on the process exits if no connection is open.
+    /// Time from which the process exits once no connection is open.
     pub(super) earliest_exit: Time,
-    /// At this time the process exits in any case.
+    /// Time at which the process exits even if connections are open.
     pub(super) latest_exit: Time,
 }
 
 /// The progress of a graceful shutdown.
 #[derive(Default)]
 pub(super) struct ShutdownState {
-    /// Set once it has begun.
+    /// `None` until the shutdown begins.
     window: Option<ShutdownWindow>,
-    /// Whether the exit was ordered.
-    is_finished: bool,
+    /// Whether the reducer has returned [`super::Effect::Exit`].
+    is_exit_requested: bool,
 }
 
 impl ShutdownState {
-    /// Begins the shutdown.
+    /// Records that the shutdown has begun, and when the process may exit.
     pub(super) fn begin(&mut self, window: ShutdownWindow) {
         self.window = Some(window);
     }
 
-    /// Records that the exit was ordered.
-    pub(super) fn finish(&mut self) {
-        self.is_finished = true;
+    /// Records that the exit is requested, so that it is not requested again.
+    pub(super) fn record_exit_requested(&mut self) {
+        self.is_exit_requested = true;
     }
 
     pub(super) fn has_begun(&self) -> bool {
         self.window.is_some()
     }
 
-    /// When the process exits if no connection is opened or closed until then.
-    pub(super) fn next_exit(&self, has_connections: bool) -> Option<Time> {
-        let window = self.window.filter(|_| !self.is_finished)?;
+    /// Returns the time at which the process exits, by whether connections are open now. Returns `None`
+    /// before a shutdown and after the exit was requested.
+    pub(super) fn exit_time(&self, has_connections: bool) -> Option<Time> {
+        let window = self.window.filter(|_| !self.is_exit_requested)?;
         Some(if has_connections { window.latest_exit } else { window.earliest_exit })
     }
 
-    /// When a connection that is established now has to migrate, if a shutdown has begun.
+    /// Returns the time at which a connection that is established now has to be migrated, if a shutdown has
+    /// begun.
     pub(super) fn migration_time(&self, now: Time) -> Option<Time> {
         self.window.map(|window| window.latest_exit.min(now.plus(FIRST_MIGRATION_DELAY)))
     }
 
     pub(super) fn is_exit_time(&self, now: Time, has_connections: bool) -> bool {
-        self.next_exit(has_connections).is_some_and(|exit_at| exit_at <= now)
+        self.exit_time(has_connections).is_some_and(|exit_at| exit_at <= now)
     }
 }
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -19,16 +19,16 @@
     pub(super) replication: Replica,
     pub(super) hot_restart: HotRestartState,
     pub(super) shutdown: ShutdownState,
-    /// Whether the fronts listen.
+    /// Whether the fronts' listeners are open. Set by [`super::Input::Listening`] and never cleared.
     pub(super) is_listening: bool,
-    /// Attempts written in full since the start.
+    /// Number of attempts whose request was written in full, since the process started.
     pub(super) forwarded_requests: u64,
-    /// Effects of the input that is being handled.
+    /// Effects of the input that is being handled, in the order in which they are returned.
     pub(super) effects: Vec<Effect>,
 }
 
 impl State {
-    /// The state of a process that has just started with this configuration.
+    /// Returns the state of a process that has just started with this configuration.
     pub fn new(pools: Vec<PoolConfig>, replication: ReplicationConfig, budget: Budget, now: Time) -> State {
         State {
             pools: pools.into_iter().map(|config| Pool::new(config, now)).collect(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The limits of all fronts.
+    /// Returns the limits of all fronts together.
     pub fn budget(&self) -> Budget {
         self.admission.budget()
     }
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -1,14 +1,15 @@
-//! Timers: when the reducer has to be called next, and what is done then.
+//! Timers: the time at which the reducer has to be called next, and the handling of expired timers.
 //!
-//! The reducer has no timers of its own: the driver asks for the earliest deadline of all parts of the state
-//! after each input, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
+//! The reducer cannot wait for a time itself. After each input, the driver queries the earliest deadline of
+//! all parts of the state, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
 
 use super::connection_table::Phase;
 use super::{ConnectionId, Effect, State};
 use crate::{Event, Outcome, Time};
 
 impl State {
-    /// The time at which [`super::Input::TimerFired`] has to be fed next.
+    /// Returns the time at which [`super::Input::TimerFired`] has to be fed next, or `None` if no timer is
+    /// set.
     pub fn next_deadline(&self) -> Option<Time> {
         let balancers = self.pools.iter().filter_map(|pool| pool.balancer_timer());
         let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.next_evaluation());
@@ -16,18 +17,20 @@
             .chain(rebalancing)
             .chain(self.connections.next_timer())
             .chain(self.hot_restart.next_acknowledgement_timeout())
-            .chain(self.shutdown.next_exit(!self.connections.is_empty()))
+            .chain(self.shutdown.exit_time(!self.connections.is_empty()))
             .chain(self.replication.next_digest_at())
             .chain(self.admission.gate_closed_until())
             .min()
     }
 
-    /// Whether a connection's timer has expired, and [`super::Input::TimerFired`] has not been fed since.
+    /// Returns whether a connection's timer has expired and [`super::Input::TimerFired`] has not been fed
+    /// since.
     pub fn is_timer_expired(&self, now: Time, id: ConnectionId) -> bool {
         self.connections.get(id).and_then(|connection| connection.timer()).is_some_and(|timer| timer <= now)
     }
 
-    /// Handles all expired timers. Those of connections come first, so that clients are answered in time.
+    /// Handles all expired timers. Timers of connections are handled first, so that clients are answered in
+    /// time.
     pub(super) fn on_timer_fired(&mut self, now: Time) {
         while let Some(id) = self.connections.pop_expired_timer(now) {
             self.on_connection_timer(now, id);
@@ -57,8 +60,8 @@
         }
     }
 
-    /// Ends an attempt that has missed one of its deadlines: to connect, to be written in full or to be
-    /// accepted.
+    /// Ends an attempt that has missed one of its deadlines: for the connect, for writing the request in
+    /// full, or for the server's acceptance.
     fn on_attempt_timer(&mut self, now: Time, id: ConnectionId) {
         let attempt = self.connections.get(id).and_then(|connection| connection.attempt());
         let is_forwarded = attempt.is_some_and(|attempt| attempt.is_forwarded());
