--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -1,29 +1,31 @@
-//! Attempts: at which server, how often, until when, and what the client is answered.
+//! Attempts: choice of the server, retries, deadlines, and the client's answer.
 
 use connection_balancer::peers::{GossipMessage, Observation};
 use connection_balancer::routing::*;
 use connection_balancer::{Micros, RefusalReason, WatchFailure};
 
 use crate::harness::reload;
-use crate::reducer_harness::{connection_request, pool_config, ReducerHarness, SERVERS, WAIT};
+use crate::reducer_harness::{connection_request, pool_config, ReducerHarness, CLIENT_TIMEOUT, SERVERS};
 
-/// An attempt that waits for its connection must not write to a server that drains meanwhile.
+/// While an attempt is connecting, its server may start to drain. The request must then not be written to it.
 #[test]
-fn retries_an_unwritten_attempt_elsewhere_when_its_server_drains() {
+fn retries_an_unwritten_attempt_at_another_server_when_its_server_drains() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
     let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
-        panic!("no attempt: {effects:?}")
+        panic!("no attempt was opened: {effects:?}")
     };
-    let server = harness.server_at(address);
+    let server = harness.server_index(address);
     let effects = harness.drain_server(server);
     assert!(matches!(effects[0], Effect::CloseAttempt { .. }), "{effects:?}");
-    let Effect::OpenAttempt { address: next, attempt: 1, .. } = &effects[1] else { panic!("{effects:?}") };
-    assert_ne!(next, address);
+    let Effect::OpenAttempt { address: retry_address, attempt: 1, .. } = &effects[1] else {
+        panic!("{effects:?}")
+    };
+    assert_ne!(retry_address, address);
 }
 
-/// The server may have received the request already, and there are never two attempts in flight.
+/// The server may already have received the request, and a retry would put two attempts in flight.
 #[test]
 fn keeps_a_written_attempt_when_its_server_drains() {
     let mut harness = ReducerHarness::new();
@@ -32,20 +34,21 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
 }
 
-/// An acceptance that arrives together with the deadline counts first: the policy must not reject the request as overdue.
+/// If the server's acceptance and the deadline arrive at the same time, the acceptance is handled first. The
+/// policy must not reject the request as timed out.
 #[test]
-fn serves_a_connection_established_at_the_last_moment() {
+fn keeps_a_connection_that_is_established_exactly_at_its_deadline() {
     let mut harness = ReducerHarness::new();
     let (connection, _) = harness.forward_request();
-    harness.advance(WAIT);
+    harness.advance(CLIENT_TIMEOUT);
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
     assert_eq!(harness.feed(Input::TimerFired), []);
 }
 
-/// A server that drops an established connection is gossiped about once, and one that drains is not. A balancer that
-/// receives that gossip uses half of the free slots there.
+/// A balancer sends gossip once when a server drops an established connection, and none if that server
+/// drains. A balancer that receives this gossip uses half of the server's free slots.
 #[test]
-fn gossips_a_dropped_connection_and_sends_less_to_its_server() {
+fn gossips_a_dropped_connection_and_places_fewer_at_its_server() {
     let gossip = |effects: &[Effect]| -> Vec<GossipMessage> {
         let message = |effect: &Effect| {
             if let Effect::BroadcastGossip(message) = effect {
@@ -71,20 +74,20 @@
     let [message] = sent[..] else { panic!("{sent:?}") };
     assert_eq!(message.observation, Observation::Dropped(server_id(SERVERS[server])));
     receiver.feed(Input::GossipReceived { pool: 0, message });
-    // Each of the five has four slots at first, and that one half of them now.
-    let placed_there = (0..18).filter(|_| receiver.forward_request().1 == server).count();
-    assert_eq!(placed_there, 2, "of 18 after gossip on {server}");
+    // Each of the five servers has four slots at first. After the gossip, this server has half of them.
+    let placed_at_server = (0..18).filter(|_| receiver.forward_request().1 == server).count();
+    assert_eq!(placed_at_server, 2, "of 18 connections placed at server {server} after gossip about it");
     let (connection, server) = receiver.forward_request();
     receiver.feed(Input::AttemptAccepted { connection, attempt: 0 });
     receiver.drain_server(server);
     assert_eq!(
         gossip(&receiver.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset })),
         [],
-        "it drains"
+        "gossip about a server that drains"
     );
 }
 
-/// Late reports must not be taken for reports of the next attempt.
+/// Reports of an ended attempt that arrive late must not be applied to the next attempt.
 #[test]
 fn ignores_late_reports_of_an_ended_attempt() {
     let mut harness = ReducerHarness::new();
@@ -96,7 +99,7 @@
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// A connection from before the start is tried again while its server does not accept it.
+/// A connection that was established before the start is retried at its server until the server accepts it.
 #[test]
 fn retries_a_restored_connection_at_its_own_server() {
     let mut harness = ReducerHarness::new();
@@ -109,13 +112,13 @@
     harness.advance(Micros::from_millis(600));
     let effects = harness.feed(Input::TimerFired);
     assert!(
-        matches!(&effects[..], [Effect::OpenAttempt { address: second, attempt: 1, .. }] if second == address),
+        matches!(&effects[..], [Effect::OpenAttempt { address: retry, attempt: 1, .. }] if retry == address),
         "{effects:?}"
     );
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
 
-/// The client may name a server that never existed, for which there is no address to attempt.
+/// A client may name a server that never existed. There is no address at which to attempt it.
 #[test]
 fn fails_a_restored_connection_of_an_unlisted_server_within_three_seconds() {
     let mut harness = ReducerHarness::new();
@@ -144,8 +147,8 @@
     assert_eq!(event, &LogEvent::RequestRefused { connection, reason: RefusalReason::NoServer });
 }
 
-/// Hundreds of connections without a request, or not closed after their answer, would use up the descriptors. The oldest
-/// is aborted, but none whose request may still be on its way.
+/// Hundreds of connections without a request, or with open sockets after their answer, would use up the
+/// descriptors. The oldest one is aborted, unless its request may still be on the way.
 #[test]
 fn aborts_the_oldest_connections_without_an_attempt_at_the_limit() {
     let mut harness = ReducerHarness::with_budget(Budget { pending: 3, admitted: 2, buffer: 8192 });
@@ -159,7 +162,7 @@
     assert_eq!(
         effects,
         [Effect::SetAccepting { open: false }],
-        "all may still send a request: the next have to wait"
+        "any of the three may still send a request, so the next clients have to wait"
     );
     harness.advance(Micros::from_millis(100));
     let effects = harness.feed(Input::TimerFired);
@@ -169,7 +172,8 @@
     );
     let (_, effects) = harness.connect_client_with_effects();
     assert_eq!(effects, [Effect::AbortConnection { connection: answered }]);
-    // With an attempt a connection is not counted here, and closed ones free their place by themselves.
+    // A connection with an attempt is not pending, and a pending connection whose sockets are closed makes
+    // room.
     harness.feed(Input::ConnectionRequested { connection: third, request: connection_request() });
     assert_eq!(harness.connect_client_with_effects().1, []);
     let (last, effects) = harness.connect_client_with_effects();
@@ -179,12 +183,12 @@
         harness.feed(Input::SocketsClosed { connection: last }),
         [Effect::SetAccepting { open: true }]
     );
-    // Attempts use descriptors, too: requests over their budget are rejected.
-    let next = harness.connect_client();
-    harness.feed(Input::ConnectionRequested { connection: next, request: connection_request() });
-    let over = harness.connect_client();
+    // Attempts also use descriptors: requests above the limit of admitted connections are rejected.
+    let second_admitted = harness.connect_client();
+    harness.feed(Input::ConnectionRequested { connection: second_admitted, request: connection_request() });
+    let above_limit = harness.connect_client();
     let effects =
-        harness.feed(Input::ConnectionRequested { connection: over, request: connection_request() });
+        harness.feed(Input::ConnectionRequested { connection: above_limit, request: connection_request() });
     assert!(
         matches!(effects[..], [Effect::Answer { answer: Answer::Rejected(Micros(1..)), .. }]),
         "{effects:?}"
@@ -192,25 +196,25 @@
 }
 
 #[test]
-fn fails_requests_with_an_unknown_name_or_an_open_id() {
+fn fails_requests_with_an_unknown_name_or_the_id_of_an_open_connection() {
     let mut harness = ReducerHarness::new();
-    let named = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..connection_request() };
+    let request_with_id = |id: &str| ConnectionRequest { id: Some(id.to_owned()), ..connection_request() };
     let first = harness.connect_client();
-    harness.feed(Input::ConnectionRequested { connection: first, request: named("a") });
-    let failed = |harness: &mut ReducerHarness, ask| {
+    harness.feed(Input::ConnectionRequested { connection: first, request: request_with_id("a") });
+    let fails = |harness: &mut ReducerHarness, request| {
         let connection = harness.connect_client();
-        let effects = harness.feed(Input::ConnectionRequested { connection, request: ask });
+        let effects = harness.feed(Input::ConnectionRequested { connection, request });
         effects == [Effect::Answer { connection, answer: Answer::Failed }]
     };
-    assert!(failed(&mut harness, named("a")), "the id of an open connection");
-    assert!(failed(&mut harness, ConnectionRequest { class: "unknown".to_owned(), ..named("b") }));
-    assert!(failed(&mut harness, ConnectionRequest { class: String::new(), ..named("b") }));
-    assert!(!failed(&mut harness, named("b")));
+    assert!(fails(&mut harness, request_with_id("a")), "the id of an open connection");
+    assert!(fails(&mut harness, ConnectionRequest { class: "unknown".to_owned(), ..request_with_id("b") }));
+    assert!(fails(&mut harness, ConnectionRequest { class: String::new(), ..request_with_id("b") }));
+    assert!(!fails(&mut harness, request_with_id("b")));
     harness.feed(Input::ClientDisconnected { connection: first });
-    assert!(!failed(&mut harness, named("a")), "free again");
+    assert!(!fails(&mut harness, request_with_id("a")), "the id of a connection that has ended");
 }
 
-/// A machine out of descriptors would take every server to be down.
+/// A balancer on a machine without free descriptors must not conclude that every server is down.
 #[test]
 fn does_not_count_missing_sockets_against_the_server() {
     let mut harness = ReducerHarness::new();
@@ -225,10 +229,11 @@
     assert!(matches!(effects[..], [Effect::OpenAttempt { .. }]), "{effects:?}");
 }
 
-/// A silent watch, then no discovery at all: the list stays in use. Once discovery is there again and has only errors, what
-/// it listed before counts: a request that is not written yet goes nowhere.
+/// The watch becomes silent, and then discovery is unreachable: the list remains in use. When discovery is
+/// reachable again and answers only errors, the changes that it listed before count as notified, so the list
+/// has expired. A request that is not written yet must then not be sent to any server.
 #[test]
-fn takes_back_unwritten_requests_when_an_unreachable_discovery_is_back_and_overloaded() {
+fn rejects_unwritten_requests_when_discovery_is_reachable_again_but_overloaded() {
     let mut harness = ReducerHarness::new();
     harness.advance(Micros::from_millis(3_500));
     harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: Micros::from_millis(3_500) });
@@ -254,6 +259,6 @@
     );
     assert!(
         harness.feed(Input::AttemptAccepted { connection: forwarded, attempt: 0 }).is_empty(),
-        "it goes on"
+        "the attempt whose request is written must continue"
     );
 }
--- a/tests/reducer/harness.rs
+++ b/tests/reducer/harness.rs
@@ -1,11 +1,11 @@
-//! What only the reducer's own tests need of its harness.
+//! Helpers of the reducer's harness that only the tests of `tests/reducer/` need.
 
 use connection_balancer::routing::*;
 
 use crate::reducer_harness::{connection_request, ReducerHarness, BUDGET, SERVERS};
 
 impl ReducerHarness {
-    /// A reducer that does not listen yet, and has nothing but a cached endpoint list.
+    /// Returns a reducer that does not listen yet and has only a cached endpoint list.
     pub(crate) fn with_cached_endpoints() -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(BUDGET);
         let endpoints = harness.endpoints();
@@ -13,19 +13,23 @@
         harness
     }
 
-    /// The index of the server at an address.
-    pub(crate) fn server_at(&self, address: &str) -> usize {
-        SERVERS.iter().position(|server| self.address(server) == address).expect("a listed server")
+    /// Returns the index in [`SERVERS`] of the server with an address.
+    pub(crate) fn server_index(&self, address: &str) -> usize {
+        SERVERS
+            .iter()
+            .position(|server| self.address(server) == address)
+            .expect("the address of one of the five servers")
     }
 
-    /// A connection whose first attempt is written in full, and the index of its server.
+    /// Connects a client, and writes the request of its first attempt in full. Returns the connection and the
+    /// index of the server.
     pub(crate) fn forward_request(&mut self) -> (ConnectionId, usize) {
         let connection = self.connect_client();
         let effects = self.feed(Input::ConnectionRequested { connection, request: connection_request() });
         let Some(Effect::OpenAttempt { address, .. }) = effects.first() else {
-            panic!("no attempt: {effects:?}")
+            panic!("no attempt was opened: {effects:?}")
         };
-        let server = self.server_at(address);
+        let server = self.server_index(address);
         self.feed(Input::RequestForwarded { connection, attempt: 0 });
         (connection, server)
     }
--- a/tests/reducer/main.rs
+++ b/tests/reducer/main.rs
@@ -1,4 +1,4 @@
-//! The reducer on its own: inputs and a clock in, effects out.
+//! Tests of the reducer without a driver: they feed inputs and times, and check the returned effects.
 
 #[path = "../reducer_harness/mod.rs"]
 mod reducer_harness;
--- a/tests/reducer/probes.rs
+++ b/tests/reducer/probes.rs
@@ -6,7 +6,7 @@
 use crate::harness::reload;
 use crate::reducer_harness::{pool_config, ReducerHarness};
 
-/// A reducer whose servers may be probed.
+/// Returns a reducer whose servers may be probed.
 fn probing_harness() -> ReducerHarness {
     let mut harness = ReducerHarness::new();
     let mut config = pool_config();
@@ -27,7 +27,7 @@
     ProbeEnd::Answered(Some(LoadReport { utilisation, connections: None }))
 }
 
-/// Establishes connections, a minute apart, and returns the servers that were probed meanwhile.
+/// Establishes connections one minute apart, and returns the servers that are probed meanwhile.
 fn probed_while_connecting(harness: &mut ReducerHarness, connections: usize) -> Vec<ServerId> {
     let mut servers = Vec::new();
     for _ in 0..connections {
@@ -38,18 +38,21 @@
     servers
 }
 
-/// A server that does not answer is busy enough, and one that drains may be sent nothing new.
+/// A server that has not answered a probe is busy, and a draining server must not receive new requests.
 #[test]
 fn probes_a_server_once_at_a_time_and_not_while_it_drains() {
     let mut harness = probing_harness();
     let mut first = probed_while_connecting(&mut harness, 30);
     first.sort();
-    assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each once, as none has answered");
+    assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each is probed once, because none has answered");
     harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::NoAnswer });
     harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::NoAnswer });
     harness.drain_server(1);
-    let again = probed_while_connecting(&mut harness, 10);
-    assert!(again.contains(&ServerId(3)) && again.iter().all(|server| *server == ServerId(3)), "{again:?}");
+    let probed = probed_while_connecting(&mut harness, 10);
+    assert!(
+        probed.contains(&ServerId(3)) && probed.iter().all(|server| *server == ServerId(3)),
+        "{probed:?}"
+    );
 }
 
 #[test]
@@ -63,11 +66,11 @@
     assert_eq!(probed_while_connecting(&mut harness, 10), [ServerId(1)]);
 }
 
-/// A server that has restarted is cold: what it reported before does not count. One that reports more than its
-/// capacity is sent nothing more.
+/// A load report from before a server's restart does not apply to the new process, which is cold. A server
+/// that reports more load than its capacity gets no new connections.
 #[test]
-fn ignores_a_load_report_of_an_earlier_incarnation() {
-    let placed = |restarts: bool| {
+fn ignores_a_load_report_of_a_replaced_process() {
+    let placed_at_server = |restarts: bool| {
         let mut harness = probing_harness();
         probed_while_connecting(&mut harness, 10);
         if restarts {
@@ -77,6 +80,6 @@
         harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(1), end: load_report(3.0) });
         (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
-    assert_eq!(placed(false), 0, "it has three times the load that it can bear");
-    assert!(placed(true) > 0, "that was the incarnation before");
+    assert_eq!(placed_at_server(false), 0, "the server reported three times its capacity");
+    assert!(placed_at_server(true) > 0, "the report came from the replaced process");
 }
--- a/tests/reducer/random_steps.rs
+++ b/tests/reducer/random_steps.rs
@@ -1,4 +1,4 @@
-//! The reducer under random steps, against what its rules allow.
+//! Feeds random inputs to the reducer and checks its effects against a model of the rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,25 +6,25 @@
 use connection_balancer::{Micros, Time};
 use proptest::prelude::*;
 
-use crate::reducer_harness::{connection_request, ReducerHarness, SERVERS, WAIT};
+use crate::reducer_harness::{connection_request, ReducerHarness, CLIENT_TIMEOUT, SERVERS};
 
-/// The number of an attempt that is never opened.
+/// An attempt number that is never assigned, because a request has at most [`MAX_ATTEMPTS`] attempts.
 const UNKNOWN_ATTEMPT: u32 = 9;
 const MAX_ATTEMPTS: u32 = 6;
 
-/// The reducer, and what its rules allow at each moment.
+/// The reducer, and the record of events by which its next effects are checked.
 struct Model {
     harness: ReducerHarness,
-    /// All connections, and when they requested.
+    /// All connections, each with the time of its request.
     connections: Vec<(ConnectionId, Time)>,
-    /// The attempt in flight of each connection.
+    /// Number of the attempt that each connection has in flight.
     in_flight: BTreeMap<ConnectionId, u32>,
-    /// When each connection was answered or established, or its client left.
+    /// Time at which each connection was answered or established, or its client disconnected.
     answered: BTreeMap<ConnectionId, Time>,
-    /// How many attempts each connection had.
+    /// Number of attempts that each connection had.
     attempts: BTreeMap<ConnectionId, u32>,
-    /// Addresses of servers that drain.
-    drained: BTreeSet<String>,
+    /// Addresses of draining servers.
+    draining: BTreeSet<String>,
 }
 
 impl Model {
@@ -35,20 +35,20 @@
             in_flight: BTreeMap::new(),
             answered: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            drained: BTreeSet::new(),
+            draining: BTreeSet::new(),
         }
     }
 
-    /// Feeds the input of a random step.
-    fn step(&mut self, what: u8, which: usize, pause: u64) -> Vec<Effect> {
-        let chosen = self.connections.get(which % self.connections.len().max(1));
+    /// Feeds the input of a random step: `kind` selects the input, and `index` the connection or server.
+    fn step(&mut self, kind: u8, index: usize, pause: u64) -> Vec<Effect> {
+        let chosen = self.connections.get(index % self.connections.len().max(1));
         let connection = chosen.map_or(ConnectionId(u64::MAX), |&(connection, _)| connection);
         let attempt = self.in_flight.get(&connection).copied().unwrap_or(UNKNOWN_ATTEMPT);
-        match what {
+        match kind {
             0..=2 => self.request_connection(),
             3 => self.harness.feed(Input::RequestForwarded { connection, attempt }),
             4 => {
-                // From here on the client is served.
+                // An established connection counts as answered.
                 if self.in_flight.contains_key(&connection) {
                     self.answered.entry(connection).or_insert(self.harness.now);
                 }
@@ -61,12 +61,12 @@
                 self.answered.entry(connection).or_insert(self.harness.now);
                 self.harness.feed(Input::ClientDisconnected { connection })
             }
-            8 if which < SERVERS.len() => {
-                self.drained.insert(self.harness.address(SERVERS[which]));
-                self.harness.drain_server(which)
+            8 if index < SERVERS.len() => {
+                self.draining.insert(self.harness.address(SERVERS[index]));
+                self.harness.drain_server(index)
             }
-            9 if which == 0 && pause < 40_000 => self.harness.feed(Input::ShutdownRequested),
-            // Late: the request has come.
+            9 if index == 0 && pause < 40_000 => self.harness.feed(Input::ShutdownRequested),
+            // This input arrives late: the request was received before.
             9 => self.harness.feed(Input::HandshakeTimedOut { connection }),
             _ => Vec::new(),
         }
@@ -83,7 +83,7 @@
         self.harness.feed(Input::AttemptEnded { connection, attempt, end })
     }
 
-    /// Checks effects against the rules, in order.
+    /// Checks effects against the rules, in order, and records them.
     fn check_effects(&mut self, effects: Vec<Effect>) -> Result<(), TestCaseError> {
         for effect in effects {
             match effect {
@@ -94,7 +94,7 @@
                 Effect::Answer { connection, answer: Answer::Rejected(_) | Answer::Failed } => {
                     self.in_flight.remove(&connection);
                     let earlier = self.answered.insert(connection, self.harness.now);
-                    prop_assert!(earlier.is_none(), "answered twice");
+                    prop_assert!(earlier.is_none(), "{connection:?} was answered twice");
                 }
                 _ => {}
             }
@@ -109,24 +109,31 @@
         address: &str,
     ) -> Result<(), TestCaseError> {
         let earlier = self.in_flight.insert(connection, attempt);
-        prop_assert!(earlier.is_none(), "two attempts at once");
+        prop_assert!(earlier.is_none(), "{connection:?} has two attempts in flight");
         let count = self.attempts.entry(connection).or_default();
         *count += 1;
-        prop_assert!(*count <= MAX_ATTEMPTS, "{count} attempts");
-        prop_assert!(!self.answered.contains_key(&connection), "an attempt after the answer");
-        prop_assert!(!self.drained.contains(address), "an attempt to a server that drains");
+        prop_assert!(*count <= MAX_ATTEMPTS, "{count} attempts, the limit is {MAX_ATTEMPTS}");
+        prop_assert!(
+            !self.answered.contains_key(&connection),
+            "an attempt of {connection:?} after its answer"
+        );
+        prop_assert!(!self.draining.contains(address), "an attempt at {address}, which drains");
         Ok(())
     }
 
     fn check_all_answered_in_time(&self) -> Result<(), TestCaseError> {
-        for (connection, since) in &self.connections {
-            let late = self.harness.now.since(*since) > WAIT;
-            prop_assert!(!late || self.answered.contains_key(connection), "no answer in time");
+        for (connection, requested_at) in &self.connections {
+            let is_overdue = self.harness.now.since(*requested_at) > CLIENT_TIMEOUT;
+            let is_answered = self.answered.contains_key(connection);
+            prop_assert!(
+                !is_overdue || is_answered,
+                "{connection:?} has no answer within {CLIENT_TIMEOUT:?}"
+            );
         }
         Ok(())
     }
 
-    /// Has all clients leave, and checks that nothing is in flight after that.
+    /// Disconnects all clients, and checks that no connection remains admitted.
     fn check_nothing_remains(&mut self) -> Result<(), TestCaseError> {
         for &(connection, _) in &self.connections {
             self.harness.feed(Input::ClientDisconnected { connection });
@@ -142,16 +149,17 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order: one answer for each connection and in time, at most six
-    /// attempts and never two at once, no new attempt to a server that drains, and none in flight in the end.
+    /// For any order of inputs, each connection gets one answer and in time, has at most six attempts and
+    /// never two at once, and no attempt is opened at a draining server. After all clients have left, no
+    /// connection is admitted.
     #[test]
     fn rules_hold_under_random_steps(steps in prop::collection::vec((0u8..10, 0usize..8, 1u64..400_000), 1..200)) {
         let mut model = Model::new();
-        for (what, which, pause) in steps {
+        for (kind, index, pause) in steps {
             model.harness.advance(Micros(pause));
             let effects = model.harness.feed(Input::TimerFired);
             model.check_effects(effects)?;
-            let effects = model.step(what, which, pause);
+            let effects = model.step(kind, index, pause);
             model.check_effects(effects)?;
             model.check_all_answered_in_time()?;
         }
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -1,28 +1,32 @@
-//! A reducer with five servers and a clock that the test advances.
+//! Test harness: a reducer with one pool of five servers, and a clock that the test advances.
 
 use connection_balancer::routing::*;
 use connection_balancer::*;
 
 pub(crate) const SERVERS: [&str; 5] = ["s-00000001", "s-00000002", "s-00000003", "s-00000004", "s-00000005"];
-/// How long the client waits for its answer.
-pub(crate) const WAIT: Micros = Micros::from_millis(3_200);
+/// Time for which a client of [`connection_request`] waits for its answer.
+pub(crate) const CLIENT_TIMEOUT: Micros = Micros::from_millis(3_200);
 
-/// Limits that no test reaches unless it sets its own.
+/// Limits that no test reaches. Tests of the limits set their own.
 pub(crate) const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
 
-/// The reducer's state, the time that it is handed, and the number of the last connection.
+/// The reducer's state, the time that is passed with each input, and the number of the last connection.
 pub(crate) struct ReducerHarness {
     pub state: State,
     pub now: Time,
     last_connection: u64,
 }
 
-/// A request that any server may take.
+/// Returns a request that may be placed at any server.
 pub(crate) fn connection_request() -> ConnectionRequest {
-    ConnectionRequest { class: "chat".to_owned(), timeout: Some(WAIT), ..ConnectionRequest::default() }
+    ConnectionRequest {
+        class: "chat".to_owned(),
+        timeout: Some(CLIENT_TIMEOUT),
+        ..ConnectionRequest::default()
+    }
 }
 
-/// The configuration of the harness's one pool.
+/// Returns the configuration of the harness's only pool.
 pub(crate) fn pool_config() -> PoolConfig {
     let class = Class {
         priority_weight: 1.0,
@@ -52,7 +56,7 @@
         reports_message_time: true,
         reports_load: true,
         load_report_fields: Vec::new(),
-        longest_wait: WAIT,
+        longest_wait: CLIENT_TIMEOUT,
         rebalance: rebalance::RebalanceConfig::default(),
         gossip_price: None,
     }
@@ -63,7 +67,7 @@
         ReducerHarness::with_budget(BUDGET)
     }
 
-    /// A reducer that is ready, with all servers in its list.
+    /// Returns a reducer that listens and has all servers in its list.
     pub(crate) fn with_budget(budget: Budget) -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(budget);
         let endpoints = harness.endpoints();
@@ -72,7 +76,7 @@
         harness
     }
 
-    /// A reducer that does not listen yet, and has no endpoint list.
+    /// Returns a reducer that does not listen yet and has no endpoint list.
     pub(crate) fn without_endpoints(budget: Budget) -> ReducerHarness {
         let now = Time(1_000_000_000);
         ReducerHarness {
@@ -82,7 +86,7 @@
         }
     }
 
-    /// All servers, ready.
+    /// Returns an endpoint list with all servers ready.
     pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
         (0..SERVERS.len()).map(|server| self.endpoint(server, Lifecycle::Ready)).collect()
     }
@@ -109,7 +113,7 @@
         self.connect_client_with_effects().0
     }
 
-    /// Connects a client, and returns the effects as well.
+    /// Connects a client, and returns the effects of that as well.
     pub(crate) fn connect_client_with_effects(&mut self) -> (ConnectionId, Vec<Effect>) {
         self.last_connection += 1;
         let connection = ConnectionId(self.last_connection);
@@ -120,10 +124,10 @@
         self.update_endpoint(server, Lifecycle::Draining)
     }
 
-    /// Has the list show that a server has restarted now.
+    /// Updates the list so that a server's process started now.
     pub(crate) fn restart_server(&mut self, server: usize) -> Vec<Effect> {
-        let server = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
-        self.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints: vec![server] })
+        let endpoint = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
+        self.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints: vec![endpoint] })
     }
 
     pub(crate) fn update_endpoint(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
