--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -10,10 +10,10 @@
 //! 2. Connection limits: the limit of the pool and the limit of all fronts together. The pool's limit is the
 //!    one in the replicated map if there is one, and otherwise the configured one. At either limit, the
 //!    request is rejected with half of the longest Retry-After.
-//! 3. Names: the request fails if its class is not configured, if its tenant is not configured while others
-//!    are, or if an open connection has the same id. The failure is not logged. It is counted in the metrics
-//!    only if the class is configured. The request is not rejected, because a rejection invites a retry, and
-//!    the retry could not succeed.
+//! 3. Names: the request fails if its class is not configured, if tenants are configured and its tenant is
+//!    not among them, or if an open connection has the same id. The failure is not logged. It is counted in
+//!    the metrics only if the class is configured. The request is not rejected, because a rejection invites a
+//!    retry, and the retry could not succeed.
 //!
 //! An admitted request is passed to the pool's balancer, which chooses a server for it, rejects it or fails
 //! it (`src/policy/`). If the request belongs to a connection that was established before this process
@@ -30,7 +30,7 @@
 /// The Retry-After of rejections during a graceful shutdown. After this time, new clients are directed to
 /// other balancers.
 pub(super) const SHUTDOWN_RETRY_AFTER: Micros = Micros::from_millis(400);
-/// Time within which a connection that was established before this process started can be restored.
+/// Time for which attempts are made to restore a connection that was established before this process started.
 const RESTORE_TIMEOUT: Micros = Micros::from_secs(30);
 /// Key of the replicated map whose value is the limit of connections of each pool that uses the map.
 const CONNECTION_LIMIT_KEY: &str = "limit/connections";
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -15,8 +15,8 @@
 use super::{Budget, ConnectionId};
 use crate::{Micros, Time};
 
-/// Time for which a connection has to be pending before it may be aborted at the limit. Clients normally send
-/// their request at once, but its line takes time to arrive.
+/// Time for which a connection has to be pending before it may be aborted at the limit. A client that intends
+/// to send a request sends it at once, but its line takes time to arrive.
 const MIN_PENDING_TIME: Micros = Micros::from_millis(100);
 
 /// The limits of all fronts, and the pending connections.
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -69,12 +69,12 @@
     },
     /// A client's line was forwarded to the server of an established connection.
     LineForwarded {
-        /// The established connection.
+        /// The connection whose client sent the line.
         connection: ConnectionId,
     },
     /// The server of an established connection sent bytes.
     ServerActivity {
-        /// The established connection.
+        /// The connection whose server sent the bytes.
         connection: ConnectionId,
     },
     /// The server sent a load report for a connection.
@@ -129,7 +129,7 @@
     EndpointWatchLost {
         /// The pool whose list was watched.
         pool: PoolId,
-        /// What the failure shows of discovery's state.
+        /// The state of discovery that the failure indicates.
         failure: WatchFailure,
     },
     /// A poll of a pool's endpoint list had no answer in time. The driver repeats it.
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -70,7 +70,7 @@
     RequestRefused {
         /// The connection of the request.
         connection: ConnectionId,
-        /// The reason of the balancer.
+        /// The balancer's reason for the refusal.
         reason: RefusalReason,
     },
     /// A pool's endpoint list has expired. Requests are rejected from now on.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,9 +1,9 @@
 //! The reducer: all state of the daemon, and the one function that changes it.
 //!
-//! [`reduce`] takes an [`Input`] (something that happened outside) and the time, changes the [`State`], and
-//! returns [`Effect`]s (what has to be done outside) in order. It performs no input or output, reads no clock
-//! and draws random numbers only from seeded generators, so the same configuration and inputs give the same
-//! effects. The driver in `src/transport/` feeds inputs and executes effects.
+//! [`reduce`] takes an [`Input`] (an event outside the reducer) and the time, changes the [`State`], and
+//! returns [`Effect`]s (actions to execute outside the reducer) in order. It performs no input or output,
+//! reads no clock and draws random numbers only from seeded generators, so the same configuration and inputs
+//! give the same effects. The driver in `src/transport/` feeds inputs and executes effects.
 //!
 //! Each kind of input has one handler, `State::on_…`, in the module of its concern:
 //!
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -180,7 +180,7 @@
     pub(super) fn import_state(&mut self, state: &PoolHandoverState) {
         self.exclusions.import_readmitted(&state.readmitted);
         self.admitted.import_request_ids(&state.ids);
-        // Without discovery, the list comes from this process's own configuration.
+        // Without discovery, the list is read from this process's own configuration.
         if self.config.discovery.is_some() && !state.endpoints.is_empty() {
             self.listed.import(state.endpoints.iter().map(|exported| &exported.endpoint));
         }
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -25,7 +25,7 @@
     pub pending: usize,
     /// Limit of connections whose request was admitted, including established ones.
     pub admitted: usize,
-    /// Bytes buffered for one side of a connection at which the balancer stops to read from the other side.
+    /// Bytes buffered for one side of a connection at which the balancer stops reading from the other side.
     pub buffer: usize,
 }
 
@@ -55,8 +55,8 @@
     /// Time over which clients of a draining server are migrated; 0 if servers redirect their clients
     /// themselves.
     pub drain_duration: Micros,
-    /// Time after a forwarded line without an answer from the server, after which the established connection
-    /// is migrated; 0 if silence has no effect.
+    /// Time within which a server has to answer a forwarded line. Otherwise the established connection is
+    /// migrated. 0 if silence has no effect.
     pub server_silence_timeout: Micros,
     /// Whether servers report message times.
     pub reports_message_time: bool,
--- a/src/routing/reducer.rs
+++ b/src/routing/reducer.rs
@@ -11,8 +11,7 @@
 }
 
 impl State {
-    /// Calls the handler of an input, and ends a graceful shutdown whose time has come or whose last
-    /// connection has ended.
+    /// Calls the handler of an input, and then finishes a graceful shutdown if its exit time is reached.
     #[expect(clippy::too_many_lines, reason = "a pure dispatcher with one arm for each input")]
     fn handle_input(&mut self, now: Time, input: Input) {
         match input {
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -8,7 +8,7 @@
 //!   still be answered.
 //! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after the request for the shutdown, or the latest exit if
 //!   that is earlier. From then on, the process exits as soon as no connection is open. It does not exit
-//!   earlier because new clients arrive until they learn of the shutdown, and they need an answer. While a
+//!   earlier, because new clients arrive until they learn of the shutdown, and they need an answer. While a
 //!   successor of a hot restart serves, no new clients arrive, so the process exits as soon as no connection
 //!   is open.
 //! - Migrations are spread evenly from [`FIRST_MIGRATION_DELAY`] after the request until
@@ -74,8 +74,8 @@
                 return self.effects.push(Effect::CheckHandshake { connection: id });
             }
             Some(Phase::Established) => Answer::Migrated,
-            // The client may still wait after this process has exited, so another balancer can serve its
-            // retry.
+            // The client may still wait for its answer after this process has exited, and another balancer
+            // can still serve it.
             Some(Phase::Connecting) if self.may_reject(id) => {
                 self.rejection_with_retry_after(id, SHUTDOWN_RETRY_AFTER)
             }
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -1,4 +1,4 @@
-//! The state of the daemon, composed of the parts that own it.
+//! The state of the daemon, composed of one part for each concern.
 
 use super::connection_table::ConnectionTable;
 use super::front_admission::FrontAdmission;
--- a/tests/reducer/migration.rs
+++ b/tests/reducer/migration.rs
@@ -76,7 +76,7 @@
     assert!(exit_tenth.is_some_and(|tenth| (30..35).contains(&tenth)), "exit in tenth {exit_tenth:?}");
 }
 
-/// New clients continue to arrive for 0.4 s after the request for the shutdown, and they have to be answered.
+/// The front continues to direct new clients to this process for 0.4 s, and they have to be answered.
 #[test]
 fn graceful_shutdown_without_connections_lasts_one_second() {
     let mut harness = ReducerHarness::new();
