--- a/src/routing/probe_records.rs
+++ b/src/routing/probe_records.rs
@@ -12,9 +12,9 @@
 /// Descriptors are reserved for them.
 pub const MAX_PROBES: usize = 16;
 
-/// One process of a server, which a restart of the server replaces.
+/// One incarnation of a server: its process, which a restart replaces by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ServerProcess {
+pub(super) struct Incarnation {
     pub(super) server: ServerId,
     pub(super) started: Option<Time>,
 }
@@ -25,12 +25,12 @@
     /// The probes in flight: for each server, the start time of the probed process.
     in_flight: BTreeMap<ServerId, Option<Time>>,
     /// Processes that answered that they must not be probed.
-    declining: BTreeSet<ServerProcess>,
+    declining: BTreeSet<Incarnation>,
 }
 
 impl ProbeRecords {
     /// Records a probe of a process as in flight. Returns false if the process must not be probed now.
-    pub(super) fn try_start(&mut self, probed: ServerProcess) -> bool {
+    pub(super) fn try_start(&mut self, probed: Incarnation) -> bool {
         let may_start = self.in_flight.len() < MAX_PROBES
             && !self.in_flight.contains_key(&probed.server)
             && !self.declining.contains(&probed);
@@ -41,14 +41,14 @@
     }
 
     /// Records the end of a server's probe, and returns the probed process.
-    pub(super) fn finish(&mut self, server: ServerId) -> Option<ServerProcess> {
+    pub(super) fn finish(&mut self, server: ServerId) -> Option<Incarnation> {
         let started = self.in_flight.remove(&server)?;
-        Some(ServerProcess { server, started })
+        Some(Incarnation { server, started })
     }
 
     /// Records that a process declines probes, and removes the records of processes that were replaced or are
     /// not listed any more.
-    pub(super) fn record_declined(&mut self, probed: ServerProcess, endpoints: &EndpointList) {
+    pub(super) fn record_declined(&mut self, probed: Incarnation, endpoints: &EndpointList) {
         self.declining.retain(|process| {
             endpoints.get(process.server).is_some_and(|endpoint| endpoint.started == process.started)
         });
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -12,7 +12,7 @@
 //! A server's process is identified by its start time. The result of a probe is ignored if the probed process
 //! was replaced meanwhile.
 
-use super::probe_records::ServerProcess;
+use super::probe_records::Incarnation;
 use super::{Effect, LogEvent, PoolId, ProbeEnd, State};
 use crate::{Event, Micros, Outcome, ServerId, Settings, Time};
 
@@ -25,7 +25,7 @@
     pub(super) fn start_probe(&mut self, pool_id: PoolId, server: ServerId) {
         let pool = &mut self.pools[pool_id];
         let Some(endpoint) = pool.endpoints.get_ready(server) else { return };
-        if !pool.probes.try_start(ServerProcess { server, started: endpoint.started }) {
+        if !pool.probes.try_start(Incarnation { server, started: endpoint.started }) {
             return;
         }
         self.effects.push(Effect::ProbeServer {
@@ -57,7 +57,7 @@
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
 
-    fn on_probes_declined(&mut self, pool_id: PoolId, probed: ServerProcess) {
+    fn on_probes_declined(&mut self, pool_id: PoolId, probed: Incarnation) {
         let pool = &mut self.pools[pool_id];
         pool.probes.record_declined(probed, &pool.endpoints);
         let name = pool.endpoints.get(probed.server).map_or("", |endpoint| &endpoint.name);
--- a/tests/reducer/probes.rs
+++ b/tests/reducer/probes.rs
@@ -66,10 +66,10 @@
     assert_eq!(probed_while_connecting(&mut harness, 10), [ServerId(1)]);
 }
 
-/// A load report from before a server's restart does not apply to the new process, which is cold. A server
-/// that reports more load than its capacity gets no new connections.
+/// A load report from before a server's restart does not apply to the new incarnation, which is cold. A
+/// server that reports more load than its capacity gets no new connections.
 #[test]
-fn ignores_a_load_report_of_a_replaced_process() {
+fn ignores_a_load_report_of_an_earlier_incarnation() {
     let placed_at_server = |restarts: bool| {
         let mut harness = probing_harness();
         probed_while_connecting(&mut harness, 10);
@@ -81,5 +81,5 @@
         (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
     assert_eq!(placed_at_server(false), 0, "the server reported three times its capacity");
-    assert!(placed_at_server(true) > 0, "the report came from the replaced process");
+    assert!(placed_at_server(true) > 0, "the report came from the earlier incarnation");
 }
