--- a/src/transport/accepting.rs
+++ b/src/transport/accepting.rs
@@ -1,20 +1,21 @@
-//! Whether the fronts accept connections: set by the reducer, awaited by the tasks that accept.
+//! The switch that tells whether the fronts accept connections. The reducer sets it, and the tasks that accept
+//! connections wait on it.
 
 use std::rc::Rc;
 
 use tokio::sync::watch;
 
-/// Whether the fronts accept connections. Clones are handles of the same switch.
+/// Switch for whether the fronts accept connections. Clones refer to the same switch.
 #[derive(Clone)]
 pub(super) struct Accepting(Rc<watch::Sender<bool>>);
 
 impl Accepting {
-    /// A switch that is on.
+    /// Creates a switch that is on.
     pub(super) fn on() -> Accepting {
         Accepting(Rc::new(watch::Sender::new(true)))
     }
 
-    /// Whether the fronts accept connections now.
+    /// Returns whether the fronts accept connections.
     pub(super) fn is_on(&self) -> bool {
         *self.0.borrow()
     }
@@ -24,9 +25,9 @@
         self.0.send_replace(on);
     }
 
-    /// Waits until the fronts accept connections, or until they do not.
+    /// Waits until the switch is in the given position.
     pub(super) async fn wait_until(&self, on: bool) {
-        // It fails only when the sender is gone, which this handle owns.
+        // The wait fails only after the sender is dropped, and this handle owns the sender.
         let _ = self.0.subscribe().wait_for(|current| *current == on).await;
     }
 }
--- a/src/transport/assembly.rs
+++ b/src/transport/assembly.rs
@@ -1,6 +1,6 @@
-//! Assembles the reducer: its state, its pools, and the dispatcher of its effects.
+//! Assembles the reducer from its initial state, its pools, and the dispatcher of its effects.
 //!
-//! The daemon and replays both begin with this; each then starts the tasks that it needs.
+//! The daemon and replays both start with an [`Assembly`]; each then starts the tasks that it needs.
 
 use std::rc::Rc;
 
@@ -15,25 +15,24 @@
 use crate::program::config::Config;
 use crate::routing::{Input, PoolId, ReplicationConfig, State};
 
-/// The reducer, what carries out its effects, and the pools of the fronts that are configured.
+/// The reducer, the dispatcher of its effects, and the pools of the configured fronts.
 pub(super) struct Assembly {
-    /// The reducer.
+    /// Handle to the reducer, for the tasks that feed inputs.
     pub reducer: ReducerHandle,
-    /// Where its effects go.
+    /// Dispatcher of the reducer's effects, with which the daemon registers consumers.
     pub effects: Rc<EffectDispatcher>,
     /// Records the fronts' traffic.
     pub recorder: TrafficRecorder,
-    /// Reports that the process can exit.
+    /// Receives a value when the process can exit.
     pub exit: UnboundedReceiver<()>,
-    /// Pool of the platform's front.
+    /// Pool of the platform's front, if that front is configured.
     pub platform: Option<PoolId>,
-    /// Pool of the IRC front.
+    /// Pool of the IRC front, if that front is configured.
     pub irc: Option<PoolId>,
 }
 
 impl Assembly {
-    /// Sets up the pools, and feeds the reducer the endpoints that the configuration holds; nothing listens
-    /// yet.
+    /// Sets up the pools, and feeds the reducer the endpoints in the configuration. Opens no sockets.
     pub(super) fn new(config: &Config) -> Assembly {
         let clock = Clock::start();
         let (effects, exit) = EffectDispatcher::new();
@@ -61,7 +60,7 @@
         }
     }
 
-    /// What the tasks of connections need.
+    /// Returns the context that each connection task is started with.
     pub(super) fn connection_context(&self) -> ConnectionContext {
         ConnectionContext {
             reducer: self.reducer.clone(),
@@ -70,7 +69,7 @@
         }
     }
 
-    /// What the tasks of admin clients need.
+    /// Returns the context that the tasks of admin clients are started with.
     pub(super) fn admin_context(&self) -> AdminContext {
         AdminContext { reducer: self.reducer.clone(), calls: self.effects.admin_calls.clone() }
     }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -1,7 +1,7 @@
 //! Commands for the tasks that carry out effects.
 //!
-//! Only types live here: the tasks and the dispatcher of effects ([`driver`](super::driver)) import this
-//! module, and neither imports the other.
+//! This module only defines types. The tasks and the dispatcher of effects ([`driver`](super::driver)) import
+//! it, so that neither has to import the other.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -15,38 +15,40 @@
 /// A command for the task of one connection.
 #[derive(Debug)]
 pub(super) enum ConnectionCommand {
-    /// Open an attempt.
+    /// Connect to a server and send the request.
     OpenAttempt {
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Address of the server.
+        /// Address of the server, with its port.
         address: String,
         /// Time-out of the server's answer.
-        wait: Micros,
+        timeout: Micros,
     },
-    /// Close the attempt.
+    /// Close the current attempt.
     CloseAttempt,
-    /// Send the client this answer, then close both sides in order.
+    /// Send an answer to the client, then close both sides in order.
     SendAnswer(Answer),
-    /// Read what the client has sent by now. Without a complete request, feed
-    /// [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut).
+    /// Read the bytes that the client has sent so far, then feed
+    /// [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut). The reducer ignores this input if the
+    /// bytes completed the request.
     CheckHandshake,
-    /// Close all sockets at once. Pending bytes are dropped.
+    /// Close all sockets immediately. Pending bytes are dropped.
     Abort,
-    /// Transfer the sockets to the successor, if the connection is between two lines.
+    /// Send the sockets through this channel for a transfer to the successor, if the connection is between two
+    /// lines. The sender is dropped otherwise.
     Transfer(oneshot::Sender<TransferredConnection>),
 }
 
-/// A connection on its way to the successor.
+/// The sockets and state of a connection that is being transferred to the successor.
 #[derive(Debug)]
 pub(super) struct TransferredConnection {
-    /// The client's socket.
+    /// Socket to the client.
     pub client: OwnedFd,
-    /// The attempt's socket.
+    /// Socket to the server that accepted the attempt.
     pub attempt: OwnedFd,
-    /// State of the front, for the successor.
+    /// State of the front's protocol, from which the successor continues the connection.
     pub front_state: Vec<u8>,
-    /// Sent to the client if the successor cannot be reached.
+    /// Bytes that ask the client to reconnect. They are sent if the successor cannot be reached.
     pub migration_notice: Vec<u8>,
 }
 
@@ -58,48 +60,48 @@
         admin_client: AdminClientId,
         /// Name of the server.
         server: String,
-        /// Whether it is excluded, or else readmitted.
+        /// True if the server was excluded, false if it was readmitted.
         excluded: bool,
     },
-    /// An established connection is transferred to the successor.
+    /// Transfers an established connection to the successor.
     TransferConnection {
-        /// Its id in this process.
+        /// Id of the connection in this process.
         connection: ConnectionId,
-        /// Its pool.
+        /// Pool of the connection's front.
         pool: PoolId,
-        /// What the reducer knows of it.
+        /// The reducer's state of the connection, from which the successor continues it.
         established: Box<EstablishedConnection>,
     },
 }
 
 /// A command to request a server's load report.
 pub(super) struct ProbeCommand {
-    /// The server's pool.
+    /// Pool of the server.
     pub pool: PoolId,
-    /// The server.
+    /// Id of the server, which the result of the probe repeats.
     pub server: ServerId,
-    /// Its address.
+    /// Address of the server, with its port.
     pub address: String,
     /// Names of the report's fields that may hold the load, in order of preference.
     pub load_names: Vec<&'static str>,
-    /// Time-out of the report.
+    /// Time-out of the probe, including the time to connect.
     pub timeout: Duration,
 }
 
 /// A command for the watches on endpoint lists.
 pub(super) enum WatchCommand {
-    /// Resume the watch of this pool after it was lost. Discovery first sends the changes since then.
+    /// Resume a pool's watch after it was lost. Discovery first sends the changes since the loss.
     Resume {
-        /// The pool.
+        /// Pool whose endpoint list is watched.
         pool: PoolId,
     },
-    /// Start a watch, in the place of the pool's old one.
+    /// Start a pool's watch, and replace its old watch if it has one.
     Start {
-        /// The pool.
+        /// Pool whose endpoint list is watched.
         pool: PoolId,
         /// Address of discovery.
         discovery: SocketAddr,
-        /// Generation of the endpoint list at hand; without one a snapshot is requested.
+        /// Generation of the endpoint list that this process has. If there is none, a snapshot is requested.
         generation: Option<u64>,
     },
 }
--- a/src/transport/connection/client_side.rs
+++ b/src/transport/connection/client_side.rs
@@ -1,4 +1,4 @@
-//! The client's side of a connection.
+//! The client's side of a connection: reads and writes of its socket.
 
 use std::io;
 
@@ -9,11 +9,12 @@
 use crate::protocol::pcap::{Close, Direction};
 use crate::routing::Input;
 
-/// How a socket is read: [`SocketEnd::read`] or [`SocketEnd::read_from_system`].
+/// A function that reads a socket: [`SocketEnd::read`] or [`SocketEnd::read_from_system`].
 type ReadSocket = fn(&SocketEnd, &mut [u8]) -> io::Result<Option<usize>>;
 
 impl Connection {
-    /// Reads once from the client. Returns whether there were bytes or the end of the stream.
+    /// Reads once from the client. Returns false if there was nothing to read, and true if bytes, the end of
+    /// the stream or an error were read.
     pub(super) fn read_client(&mut self, read: ReadSocket) -> bool {
         let mut buffer = [0; READ_BUFFER_BYTES];
         match read(&self.client, &mut buffer) {
@@ -36,7 +37,7 @@
         true
     }
 
-    /// Reads what the client has sent by now, unless the connection is established or closing.
+    /// Reads all bytes that the client has sent so far, unless the connection is established or closing.
     pub(super) fn read_pending_request(&mut self) {
         while !self.is_closing() && !self.established && self.read_client(SocketEnd::read_from_system) {}
     }
@@ -55,15 +56,16 @@
         }
     }
 
-    /// The client has closed its side: it has disconnected, and the server's side is closed in order.
+    /// Handles the end of the client's stream. It counts as a disconnect, and the server's side is closed in
+    /// order.
     fn on_client_ended(&mut self) {
         self.client.set_read_ended();
         self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Orderly));
         if self.is_closing() {
             return;
         }
-        match self.upstream.end_mut().filter(|_| self.established) {
-            // The client may still read, so the server's last output is delivered for a while.
+        match self.upstream.socket_mut().filter(|_| self.established) {
+            // The client may still read, so the server's last output is delivered until the deadline.
             Some(attempt) => {
                 attempt.close_when_written();
                 self.close_deadline = Some(Instant::now() + CLOSE_TIMEOUT);
@@ -73,11 +75,12 @@
         self.context.reducer.feed(Input::ClientDisconnected { connection: self.id });
     }
 
+    /// Handles a failed read or write of the client's socket. An established attempt is reset as well.
     fn on_client_broken(&mut self) {
         self.client.set_read_ended();
         self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Reset));
-        let resets_attempt = self.established && !self.client.is_write_closing();
-        if let Some(attempt) = self.upstream.take_connected().filter(|_| resets_attempt) {
+        let must_reset_attempt = self.established && !self.client.is_write_closing();
+        if let Some(attempt) = self.upstream.take_connected().filter(|_| must_reset_attempt) {
             attempt.reset_on_drop();
         }
         if !self.is_closing() {
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -1,8 +1,8 @@
-//! One connection of a client, with the attempt that is open for it: a task that owns both sockets.
+//! The task of one client connection. It owns the client's socket and the socket of the current attempt.
 //!
-//! [`SocketEnd`] is one socket with its pending bytes, [`Upstream`] the attempt. Bytes of either side pass
-//! through the front's protocol ([`Front`]), whose [`FrontEvent`]s become inputs of the reducer. The reducer's
-//! effects arrive as [`ConnectionCommand`]s.
+//! [`SocketEnd`] is one socket with its pending bytes, and [`Upstream`] is the attempt. Bytes from both sides
+//! pass through the front's protocol ([`Front`]). The protocol's [`FrontEvent`]s become inputs of the reducer,
+//! and the reducer's effects arrive as [`ConnectionCommand`]s.
 
 mod client_side;
 mod server_side;
@@ -27,23 +27,24 @@
 use socket_end::{wait_readable, wait_writable, SocketEnd};
 use upstream::{wait_connected, Awaited, Upstream};
 
-/// Bytes read at once.
+/// Size of the buffer for a single read.
 const READ_BUFFER_BYTES: usize = 8 << 10;
-/// How long a finished connection stays open at most, for its last lines to be delivered.
+/// Longest time for which a closing connection keeps its sockets open, so that its last lines are delivered.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// A finished connection is closed earlier once all is written and the client has sent nothing for this long:
-/// its descriptors are needed for other connections.
+/// Time without bytes from the client after which a closing connection is closed before [`CLOSE_TIMEOUT`], if
+/// all pending bytes are written. The early close frees descriptors for other connections.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(100);
-/// Most bytes that are read and discarded from a client that has its answer. Closing the socket over unread
-/// bytes would reset the connection and may lose the answer. The limit is for a client that never stops.
+/// Maximum number of bytes that are read and discarded from a client that already has its answer. Closing the
+/// socket while bytes are unread would reset the connection, and the answer could be lost. The limit applies
+/// to clients that never stop sending.
 const MAX_DISCARDED_BYTES: usize = 128 << 10;
 
-/// What the task of a connection needs.
+/// Shared handles that a connection's task is started with.
 #[derive(Clone)]
 pub(super) struct ConnectionContext {
-    /// The reducer, which is fed what happens.
+    /// Reducer to which the connection's inputs are fed.
     pub reducer: ReducerHandle,
-    /// Where connections are registered.
+    /// Registry that assigns the connection's id and routes commands to its task.
     pub registry: ConnectionRegistry,
     /// Records the client's traffic.
     pub recorder: TrafficRecorder,
@@ -57,25 +58,26 @@
     upstream: Upstream,
     /// Number of the latest attempt, from 0.
     attempt_number: u32,
-    /// Whether a server accepted it. Still true while the connection closes.
+    /// Whether a server accepted the connection. Remains true while the connection is closing.
     established: bool,
-    /// The latest time at which the sockets are closed. Set once the reducer has forgotten the connection.
+    /// Time at which the sockets are closed at the latest. Set when the reducer forgets the connection and its
+    /// sockets only remain open to deliver pending bytes.
     close_deadline: Option<Instant>,
-    /// While it closes: since when the client has sent nothing.
+    /// Time of the last bytes from the client, or of the start of the close. Used only while closing.
     client_quiet_since: Instant,
-    /// While it closes: bytes that the client has sent.
+    /// Number of bytes that the client has sent while the connection was closing.
     discarded_bytes: usize,
-    /// Whether the client has its final answer, so that the rest of the server's output is discarded.
+    /// Whether the client has its final answer, so that further output of the server is discarded.
     discard_server_output: bool,
-    /// Pending bytes of one side at which no more are read from the other.
+    /// Number of bytes pending for one side at which reading from the other side pauses.
     buffer_limit: usize,
-    /// Set while the traffic is recorded.
+    /// Recorder of the client's traffic; none if the traffic is not recorded.
     recorder: Option<ConnectionRecorder>,
-    /// Where the sockets are sent, once the connection is transferred to the successor.
+    /// Channel through which the sockets are sent to the successor. Set when a transfer is requested.
     successor: Option<oneshot::Sender<TransferredConnection>>,
 }
 
-/// Serves a client that has just connected to a pool's front.
+/// Starts the task of a client that has just connected to a pool's front.
 pub(super) fn start(
     context: &ConnectionContext,
     pool: PoolId,
@@ -106,15 +108,15 @@
     started
 }
 
-/// The sockets of a connection that a predecessor established.
+/// The sockets of a connection that the predecessor established.
 pub(super) struct AdoptedSockets {
-    /// The client's.
+    /// Socket to the client.
     pub client: TcpStream,
-    /// The attempt's.
+    /// Socket to the server that accepted the attempt.
     pub attempt: TcpStream,
 }
 
-/// Serves a connection that a predecessor established.
+/// Starts the task of a connection that the predecessor established.
 pub(super) fn adopt(
     context: &ConnectionContext,
     pool: PoolId,
@@ -179,19 +181,20 @@
         });
     }
 
-    /// Runs until the sockets are to be closed or transferred.
+    /// Runs until the sockets must be closed or transferred.
     ///
-    /// Every branch of the `select!` is cancellation-safe: a dropped branch consumes neither readiness nor
-    /// commands, a connect continues in `upstream`, and reads and writes follow the choice without waiting.
+    /// Every branch of the `select!` is cancellation-safe. A dropped branch consumes neither readiness nor
+    /// commands, and a pending connect continues in `upstream`. Reads and writes happen after a branch is
+    /// selected and do not wait.
     async fn run(&mut self, mut commands: UnboundedReceiver<ConnectionCommand>) {
         loop {
             self.flush();
             let close_time = self.close_time();
-            if self.successor.is_some() || close_time.is_some_and(|time| self.is_closed_by(time)) {
+            if self.successor.is_some() || close_time.is_some_and(|time| self.is_close_due(time)) {
                 return;
             }
-            let reads_client = self.reads_client();
-            let reads_attempt = self.client.pending_len() < self.buffer_limit;
+            let can_read_client = self.can_read_client();
+            let can_read_attempt = self.client.pending_len() < self.buffer_limit;
             let Awaited { connecting, socket: attempt } = self.upstream.awaited();
             tokio::select! {
                 biased;
@@ -202,8 +205,8 @@
                 stream = wait_connected(connecting) => self.on_connected(stream),
                 () = wait_writable(Some(&self.client)) => {}
                 () = wait_writable(attempt) => {}
-                () = wait_readable(attempt), if reads_attempt => self.read_attempt(),
-                () = wait_readable(Some(&self.client)), if reads_client => {
+                () = wait_readable(attempt), if can_read_attempt => self.read_attempt(),
+                () = wait_readable(Some(&self.client)), if can_read_client => {
                     self.read_client(SocketEnd::read);
                 }
                 () = wait_until(close_time) => {}
@@ -211,10 +214,11 @@
         }
     }
 
-    /// When the sockets are closed; none while the connection is open.
+    /// Returns the time at which the sockets are closed; none while the connection is open.
     fn close_time(&self) -> Option<Instant> {
         let deadline = self.close_deadline?;
-        // A flooding client has more bytes on the way, over which an early close would reset the connection.
+        // A flooding client has more bytes in flight. If they arrived after an early close, they would reset
+        // the connection.
         let all_written = self.client.is_write_finished() && self.upstream.is_write_finished();
         if all_written && self.discarded_bytes < MAX_DISCARDED_BYTES {
             Some(deadline.min(self.client_quiet_since + QUIET_TIMEOUT))
@@ -223,16 +227,16 @@
         }
     }
 
-    /// Whether both sides are closed in order, or the time to close them has passed.
-    fn is_closed_by(&self, close_time: Instant) -> bool {
+    /// Returns whether both sides are closed in order, or the time to close them has passed.
+    fn is_close_due(&self, close_time: Instant) -> bool {
         let client_closed = self.client.is_write_finished() && self.client.is_read_ended();
         (client_closed && self.upstream.is_write_finished()) || Instant::now() >= close_time
     }
 
-    /// Whether more is read from the client.
-    fn reads_client(&self) -> bool {
-        let pending = self.upstream.end().map_or(0, SocketEnd::pending_len) + self.front.buffered_bytes();
-        // Before a connection is established, its front enforces a limit of its own.
+    /// Returns whether the buffers have capacity for more bytes from the client.
+    fn can_read_client(&self) -> bool {
+        let pending = self.upstream.socket().map_or(0, SocketEnd::pending_len) + self.front.buffered_bytes();
+        // Before a connection is established, its front's protocol enforces its own limit.
         let has_capacity = pending < self.buffer_limit || !self.established;
         has_capacity && self.discarded_bytes < MAX_DISCARDED_BYTES
     }
@@ -253,11 +257,11 @@
             ConnectionCommand::Transfer(successor) if self.is_transferable() => {
                 self.successor = Some(successor);
             }
-            // Dropping the sender rejects the transfer for now.
+            // Dropping the sender rejects the transfer, which is retried later.
             ConnectionCommand::Transfer(_) => {}
             _ if self.is_closing() => {}
-            ConnectionCommand::OpenAttempt { attempt, address, wait } => {
-                self.open_attempt(attempt, address, wait);
+            ConnectionCommand::OpenAttempt { attempt, address, timeout } => {
+                self.open_attempt(attempt, address, timeout);
             }
             ConnectionCommand::CloseAttempt => self.upstream = Upstream::Idle,
             ConnectionCommand::CheckHandshake => {
@@ -268,11 +272,11 @@
         }
     }
 
-    fn open_attempt(&mut self, attempt: u32, address: String, wait: Micros) {
-        // The old attempt's sockets are closed before the front begins the next.
+    fn open_attempt(&mut self, attempt: u32, address: String, timeout: Micros) {
+        // The old attempt's socket is closed before the front starts the next attempt.
         self.upstream = Upstream::Idle;
         self.attempt_number = attempt;
-        let request = self.front.open_attempt(wait);
+        let request = self.front.open_attempt(timeout);
         self.upstream = Upstream::connect(address, request);
     }
 
@@ -286,21 +290,21 @@
         }
     }
 
-    /// Closes both sides once all that is pending is written.
+    /// Starts to close both sides. Each side is shut down when its pending bytes are written.
     fn close_in_order(&mut self) {
         self.client.close_when_written();
         match &mut self.upstream {
-            Upstream::Connected(attempt) if attempt.request_forwarded => attempt.end.close_when_written(),
-            // A request that is not written in full must not be completed.
+            Upstream::Connected(attempt) if attempt.request_forwarded => attempt.socket.close_when_written(),
+            // A partly written request must not be completed, so its socket is closed immediately.
             upstream => *upstream = Upstream::Idle,
         }
         self.client_quiet_since = Instant::now();
         self.close_deadline.get_or_insert(self.client_quiet_since + CLOSE_TIMEOUT);
     }
 
-    /// Whether the connection is in a state that the successor can continue from.
+    /// Returns whether the connection is in a state from which the successor can continue it.
     fn is_transferable(&self) -> bool {
-        let settled = self.client.is_settled() && self.upstream.end().is_some_and(SocketEnd::is_settled);
+        let settled = self.client.is_settled() && self.upstream.socket().is_some_and(SocketEnd::is_settled);
         self.established && !self.is_closing() && settled && self.front.export_state().is_some()
     }
 
@@ -313,7 +317,7 @@
         let client = self.client.into_stream().into_std();
         let attempt = attempt.into_stream().into_std();
         let (Ok(client), Ok(attempt)) = (client, attempt) else { return };
-        // The receiver waits for nothing else.
+        // The receiver waits only for this value, so it is not dropped before the send.
         let _ = successor.send(TransferredConnection {
             client: client.into(),
             attempt: attempt.into(),
@@ -322,7 +326,7 @@
         });
     }
 
-    /// Writes to both sides without waiting.
+    /// Writes pending bytes to both sides without waiting.
     fn flush(&mut self) {
         if self.upstream.is_request_pending() {
             self.drop_outdated_request();
@@ -332,7 +336,7 @@
         }
     }
 
-    /// Applies the events that the front has parsed.
+    /// Applies the events that the front has parsed from received bytes.
     fn apply_events(&mut self, events: Vec<FrontEvent>) {
         let connection = self.id;
         for event in events {
@@ -341,7 +345,8 @@
                 FrontEvent::ToServer(bytes) => self.forward_to_server(&bytes),
                 _ if self.is_closing() => {}
                 FrontEvent::Ping(pong) if self.context.reducer.is_serving() => self.client.push(&pong),
-                // While this process cannot serve, a request of the client could only be rejected.
+                // A client that gets a pong would send its request. While this process cannot serve, it could
+                // only reject that request.
                 FrontEvent::Ping(_) => {
                     self.close_in_order();
                     self.context.reducer.feed(Input::ClientDisconnected { connection });
@@ -356,7 +361,7 @@
                         .feed(Input::AttemptAccepted { connection, attempt: self.attempt_number });
                 }
                 FrontEvent::Load(load) => self.context.reducer.feed(Input::LoadReported { connection, load }),
-                FrontEvent::AttemptEnded(end) => self.on_attempt_ended(end),
+                FrontEvent::AttemptEnded(outcome) => self.on_attempt_ended(outcome),
                 FrontEvent::Close => {
                     self.discard_server_output = true;
                     self.close_in_order();
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -1,4 +1,4 @@
-//! The server's side of a connection: its attempt.
+//! The server's side of a connection: reads and writes of the attempt's socket.
 
 use std::io;
 
@@ -12,6 +12,7 @@
 use crate::transport::log_event::{log_event, LogEvent};
 
 impl Connection {
+    /// Handles the result of a connect: sends the request, or reports the outcome of the failed attempt.
     pub(super) fn on_connected(&mut self, stream: io::Result<TcpStream>) {
         let Some(request) = self.upstream.take_request() else { return };
         match stream {
@@ -21,29 +22,31 @@
         }
     }
 
-    /// Closes an attempt whose request is pending, if the client has disconnected or its deadline has passed.
+    /// Closes an attempt whose request is not yet written in full, if the client has disconnected or its
+    /// deadline has passed.
     pub(super) fn drop_outdated_request(&mut self) {
-        // The client may have disconnected at the same moment as the connect succeeded.
+        // The client may have disconnected at the moment at which the connect succeeded.
         self.read_pending_request();
-        // The connect may be seen before the timer of its deadline, though the deadline has passed.
+        // The task may handle the connect before the timer task handles the deadline, although the deadline
+        // has passed.
         if self.context.reducer.is_overdue(self.id) {
             self.upstream.close_connected();
         }
     }
 
-    /// Writes to the server without waiting. Returns false if the attempt failed with this write: then the
-    /// client must not be written to.
+    /// Writes to the server without waiting. Returns false if this write made the attempt fail; the caller must
+    /// then not write to the client.
     pub(super) fn flush_attempt(&mut self) -> bool {
         let Some(attempt) = self.upstream.attempt_mut() else { return true };
-        if attempt.end.flush().is_err() {
+        if attempt.socket.flush().is_err() {
             if !attempt.request_forwarded {
                 self.on_server_ended(true);
                 return false;
             }
-            // Lines that the server sent before are still read and delivered.
-            attempt.end.set_write_broken();
+            // Lines that the server sent before the failure are still read and delivered.
+            attempt.socket.set_write_broken();
         }
-        if !attempt.request_forwarded && attempt.end.pending_len() == 0 {
+        if !attempt.request_forwarded && attempt.socket.pending_len() == 0 {
             attempt.request_forwarded = true;
             let (connection, attempt) = (self.id, self.attempt_number);
             self.context.reducer.feed(Input::RequestForwarded { connection, attempt });
@@ -51,8 +54,9 @@
         true
     }
 
+    /// Queues bytes for the server. On an established connection, also reports a forwarded line to the reducer.
     pub(super) fn forward_to_server(&mut self, bytes: &[u8]) {
-        if let Some(attempt) = self.upstream.end_mut() {
+        if let Some(attempt) = self.upstream.socket_mut() {
             attempt.push(bytes);
         }
         if self.established {
@@ -63,7 +67,7 @@
     /// Reads once from the server.
     pub(super) fn read_attempt(&mut self) {
         let mut buffer = [0; READ_BUFFER_BYTES];
-        let Some(attempt) = self.upstream.end() else { return };
+        let Some(attempt) = self.upstream.socket() else { return };
         match attempt.read(&mut buffer) {
             Ok(None) => {}
             Ok(Some(0)) => self.on_server_ended(attempt.is_write_broken()),
@@ -80,10 +84,10 @@
         }
     }
 
-    /// The server closed its side, or its TCP connection broke.
+    /// Handles the end of the server's stream, or a failure of its socket if `broken` is true.
     fn on_server_ended(&mut self, broken: bool) {
         let Some(attempt) = self.upstream.attempt_mut() else { return };
-        attempt.end.set_read_ended();
+        attempt.socket.set_read_ended();
         let request_forwarded = attempt.request_forwarded;
         if self.is_closing() {
             return self.finish_server_output();
@@ -91,12 +95,13 @@
         if self.established {
             return self.on_established_ended(broken);
         }
-        let end =
+        let outcome =
             if request_forwarded { self.front.server_ended(broken) } else { AttemptOutcome::ConnectFailed };
-        self.on_attempt_ended(end);
+        self.on_attempt_ended(outcome);
     }
 
-    /// The server closed its side of a closing connection: the rest of its output goes to the client.
+    /// Handles the end of the server's stream on a closing connection: forwards the server's last partial line
+    /// to the client, unless the client already has its final answer.
     fn finish_server_output(&mut self) {
         self.upstream.close_connected();
         let rest = self.front.take_partial_line();
@@ -106,13 +111,15 @@
         self.client.close_when_written();
     }
 
-    /// The server ended an established connection: the client's side is closed or reset in the same way.
+    /// Handles a server that ended an established connection. The client's side is reset if the server's side
+    /// broke, and closed in order otherwise.
     fn on_established_ended(&mut self, broken: bool) {
-        let end = self.front.server_ended(broken);
+        let outcome = self.front.server_ended(broken);
         let rest = self.front.take_partial_line();
         self.client.push(&rest);
         if broken {
-            // Output that was read before is written first. The reset follows even if that fails.
+            // Output that was read earlier is written before the reset. The reset follows even if the write
+            // fails.
             let _ = self.client.flush();
             self.client.reset_on_drop();
             self.client.set_read_ended();
@@ -123,21 +130,21 @@
         if broken {
             self.close_deadline = Some(Instant::now());
         }
-        self.report_attempt_end(end);
+        self.report_attempt_end(outcome);
     }
 
-    /// An attempt ended before its connection was established.
-    pub(super) fn on_attempt_ended(&mut self, end: AttemptOutcome) {
+    /// Handles an attempt that ended before its connection was established.
+    pub(super) fn on_attempt_ended(&mut self, outcome: AttemptOutcome) {
         self.upstream = Upstream::Idle;
-        if end == AttemptOutcome::VerdictForwarded {
+        if outcome == AttemptOutcome::VerdictForwarded {
             self.close_in_order();
         }
-        self.report_attempt_end(end);
+        self.report_attempt_end(outcome);
     }
 
-    fn report_attempt_end(&self, end: AttemptOutcome) {
+    fn report_attempt_end(&self, outcome: AttemptOutcome) {
         let (connection, attempt) = (self.id, self.attempt_number);
-        log_event!(LogEvent::AttemptEnded { connection, attempt, end });
-        self.context.reducer.feed(Input::AttemptEnded { connection, attempt, end });
+        log_event!(LogEvent::AttemptEnded { connection, attempt, outcome });
+        self.context.reducer.feed(Input::AttemptEnded { connection, attempt, end: outcome });
     }
 }
--- a/src/transport/connection/socket_end.rs
+++ b/src/transport/connection/socket_end.rs
@@ -1,4 +1,4 @@
-//! One socket of a connection, with its pending output.
+//! One socket of a connection, with the bytes that are pending to be written to it.
 
 use std::io::{self, Read};
 use std::net::Shutdown;
@@ -7,31 +7,31 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// What can still be read.
+/// State of a socket's read side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadSide {
     Open,
-    /// The other end sends nothing more.
+    /// The other end has closed its write side, or the socket has failed.
     Ended,
 }
 
-/// What can still be written.
+/// State of a socket's write side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteSide {
     Open,
-    /// Shut down as soon as all pending bytes are written.
+    /// Open until all pending bytes are written, then shut down.
     Closing,
-    /// Shut down in order.
+    /// Shut down after all pending bytes were written.
     ShutDown,
-    /// A write failed. Bytes that the other end sent before can still be read.
+    /// A write failed. Bytes that the other end sent before the failure can still be read.
     Broken,
 }
 
-/// A socket, and the bytes that are pending for it.
+/// A socket, and the bytes that are pending to be written to it.
 pub(super) struct SocketEnd {
     stream: TcpStream,
     pending: Vec<u8>,
-    /// Bytes written since they were last taken; none while the traffic is not recorded.
+    /// Bytes written since the last call of [`SocketEnd::take_recorded`]; none if the traffic is not recorded.
     recorded: Option<Vec<u8>>,
     read_side: ReadSide,
     write_side: WriteSide,
@@ -39,7 +39,7 @@
 
 impl SocketEnd {
     pub(super) fn new(stream: TcpStream, pending: Vec<u8>) -> SocketEnd {
-        // A failure only costs latency.
+        // A failure only increases latency.
         let _ = stream.set_nodelay(true);
         SocketEnd { stream, pending, recorded: None, read_side: ReadSide::Open, write_side: WriteSide::Open }
     }
@@ -48,12 +48,12 @@
         self.stream
     }
 
-    /// Records what is written from now on.
+    /// Starts to record the bytes that are written.
     pub(super) fn start_recording(&mut self) {
         self.recorded = Some(Vec::new());
     }
 
-    /// Takes what was written since the last call, if anything was.
+    /// Takes the bytes that were written since the last call. Returns none if there are none.
     pub(super) fn take_recorded(&mut self) -> Option<Vec<u8>> {
         let recorded = self.recorded.as_mut().filter(|recorded| !recorded.is_empty())?;
         Some(std::mem::take(recorded))
@@ -67,11 +67,12 @@
         self.pending.len()
     }
 
-    /// Writes without waiting. Shuts the write side down if it is closing and nothing is pending.
+    /// Writes pending bytes without waiting. Shuts down the write side if it is closing and all bytes are
+    /// written.
     ///
     /// # Errors
     ///
-    /// When the socket is broken.
+    /// Returns an error if the socket is broken.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         while !self.pending.is_empty() {
             match self.stream.try_write(&self.pending) {
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// When the socket is broken.
+    /// Returns an error if the socket is broken.
     pub(super) fn read(&self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         match self.stream.try_read(buffer) {
             Ok(length) => Ok(Some(length)),
@@ -105,12 +106,13 @@
         }
     }
 
-    /// As [`SocketEnd::read`], but by a system call that ignores the runtime's readiness. The runtime updates
-    /// readiness only between tasks; after a pause of the whole process its timers run first.
+    /// Reads like [`SocketEnd::read`], but by a system call that ignores the runtime's readiness. The runtime
+    /// updates readiness only between tasks. After a pause of the whole process, timers run before readiness is
+    /// updated.
     ///
     /// # Errors
     ///
-    /// When the socket is broken.
+    /// Returns an error if the socket is broken.
     pub(super) fn read_from_system(&self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         use io::ErrorKind::{Interrupted, WouldBlock};
         match (&*SockRef::from(&self.stream)).read(buffer) {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Shuts the write side down once all pending bytes are written.
+    /// Shuts down the write side as soon as all pending bytes are written.
     pub(super) fn close_when_written(&mut self) {
         if self.write_side == WriteSide::Open {
             self.write_side = WriteSide::Closing;
@@ -132,13 +134,13 @@
         self.read_side = ReadSide::Ended;
     }
 
-    /// Stops writing after a failed write, and drops the pending bytes. Reading continues.
+    /// Stops writing after a failed write, and drops the pending bytes. The socket can still be read.
     pub(super) fn set_write_broken(&mut self) {
         self.pending.clear();
         self.write_side = WriteSide::Broken;
     }
 
-    /// Makes the drop of the socket reset the connection, in place of an orderly close.
+    /// Makes the drop of the socket reset the connection instead of closing it in order.
     pub(super) fn reset_on_drop(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
@@ -147,12 +149,12 @@
         self.read_side == ReadSide::Ended
     }
 
-    /// Whether nothing more will be written.
+    /// Returns whether no more bytes will be written.
     pub(super) fn is_write_finished(&self) -> bool {
         matches!(self.write_side, WriteSide::ShutDown | WriteSide::Broken)
     }
 
-    /// Whether the write side is closed in order or closing.
+    /// Returns whether the write side is closing or shut down in order.
     pub(super) fn is_write_closing(&self) -> bool {
         matches!(self.write_side, WriteSide::Closing | WriteSide::ShutDown)
     }
@@ -161,27 +163,28 @@
         self.write_side == WriteSide::Broken
     }
 
-    /// Whether nothing is pending and neither side has ended or is closing.
+    /// Returns whether no bytes are pending, the read side has not ended and the write side is not closing.
     pub(super) fn is_settled(&self) -> bool {
         self.pending.is_empty() && !self.is_read_ended() && !self.is_write_closing()
     }
 }
 
-/// Waits until the socket is readable, or for ever if there is none. Cancellation-safe: nothing is read here.
-pub(super) async fn wait_readable(end: Option<&SocketEnd>) {
-    match end.filter(|end| !end.is_read_ended()) {
-        // An error is seen again by the read that follows.
-        Some(end) => drop(end.stream.readable().await),
+/// Waits until the socket is readable. Never returns if there is no socket or its read side has ended.
+/// Cancellation-safe: this function reads no bytes.
+pub(super) async fn wait_readable(socket: Option<&SocketEnd>) {
+    match socket.filter(|socket| !socket.is_read_ended()) {
+        // The read that follows returns the same error.
+        Some(socket) => drop(socket.stream.readable().await),
         None => std::future::pending().await,
     }
 }
 
-/// Waits until pending bytes can be written, or for ever if there are none. Cancellation-safe: nothing is
-/// written here.
-pub(super) async fn wait_writable(end: Option<&SocketEnd>) {
-    match end.filter(|end| !end.pending.is_empty()) {
-        // An error is seen again by the write that follows.
-        Some(end) => drop(end.stream.writable().await),
+/// Waits until pending bytes can be written. Never returns if there is no socket or no pending bytes.
+/// Cancellation-safe: this function writes no bytes.
+pub(super) async fn wait_writable(socket: Option<&SocketEnd>) {
+    match socket.filter(|socket| !socket.pending.is_empty()) {
+        // The write that follows returns the same error.
+        Some(socket) => drop(socket.stream.writable().await),
         None => std::future::pending().await,
     }
 }
--- a/src/transport/connection/upstream.rs
+++ b/src/transport/connection/upstream.rs
@@ -1,4 +1,4 @@
-//! The attempt of a connection: connecting to a server, or connected to it.
+//! The current attempt of a connection: idle, connecting to a server, or connected to it.
 
 use std::future::Future;
 use std::io;
@@ -14,24 +14,24 @@
 
 /// An attempt whose TCP connection is established.
 pub(super) struct Attempt {
-    pub(super) end: SocketEnd,
-    /// Whether the request is written in full.
+    pub(super) socket: SocketEnd,
+    /// Whether the request has been written in full.
     pub(super) request_forwarded: bool,
 }
 
-/// What the task of a connection waits for at its attempt.
+/// The parts of an attempt that the task of a connection waits on.
 pub(super) struct Awaited<'a> {
-    /// The connect, while there is one.
+    /// The pending connect, if the attempt is connecting.
     pub(super) connecting: Option<&'a mut Connecting>,
-    /// The socket of a connected attempt.
+    /// The attempt's socket, if the attempt is connected.
     pub(super) socket: Option<&'a SocketEnd>,
 }
 
-/// The state of the attempt.
+/// State of a connection's current attempt.
 pub(super) enum Upstream {
     /// There is no attempt.
     Idle,
-    /// The TCP connection is being established; the request follows.
+    /// The TCP connection is being established. The request is sent afterwards.
     Connecting { connecting: Connecting, request: Vec<u8> },
     /// The TCP connection is established.
     Connected(Attempt),
@@ -44,16 +44,16 @@
         Upstream::Connecting { connecting, request }
     }
 
-    /// An attempt that the predecessor established.
+    /// Creates a connected attempt from a socket that the predecessor established.
     pub(super) fn adopt(stream: TcpStream) -> Upstream {
-        let end = SocketEnd::new(stream, Vec::new());
-        Upstream::Connected(Attempt { end, request_forwarded: true })
+        let socket = SocketEnd::new(stream, Vec::new());
+        Upstream::Connected(Attempt { socket, request_forwarded: true })
     }
 
-    /// A connected attempt with its request pending.
+    /// Creates a connected attempt whose request is pending.
     pub(super) fn send_request(stream: TcpStream, request: Vec<u8>) -> Upstream {
-        let end = SocketEnd::new(stream, request);
-        Upstream::Connected(Attempt { end, request_forwarded: false })
+        let socket = SocketEnd::new(stream, request);
+        Upstream::Connected(Attempt { socket, request_forwarded: false })
     }
 
     pub(super) fn attempt(&self) -> Option<&Attempt> {
@@ -70,32 +70,32 @@
         }
     }
 
-    pub(super) fn end(&self) -> Option<&SocketEnd> {
-        self.attempt().map(|attempt| &attempt.end)
+    pub(super) fn socket(&self) -> Option<&SocketEnd> {
+        self.attempt().map(|attempt| &attempt.socket)
     }
 
-    pub(super) fn end_mut(&mut self) -> Option<&mut SocketEnd> {
-        self.attempt_mut().map(|attempt| &mut attempt.end)
+    pub(super) fn socket_mut(&mut self) -> Option<&mut SocketEnd> {
+        self.attempt_mut().map(|attempt| &mut attempt.socket)
     }
 
-    /// The connect or the socket, whichever there is.
+    /// Returns the pending connect or the socket, whichever exists.
     pub(super) fn awaited(&mut self) -> Awaited<'_> {
         match self {
             Upstream::Idle => Awaited { connecting: None, socket: None },
             Upstream::Connecting { connecting, .. } => Awaited { connecting: Some(connecting), socket: None },
-            Upstream::Connected(attempt) => Awaited { connecting: None, socket: Some(&attempt.end) },
+            Upstream::Connected(attempt) => Awaited { connecting: None, socket: Some(&attempt.socket) },
         }
     }
 
-    /// Closes the socket of a connected attempt. One that is connecting is left as it is.
+    /// Closes the socket of a connected attempt. An attempt that is still connecting is not changed.
     pub(super) fn close_connected(&mut self) {
         self.take_connected();
     }
 
-    /// Takes the socket of a connected attempt. One that is connecting is left as it is.
+    /// Takes the socket of a connected attempt. An attempt that is still connecting is not changed.
     pub(super) fn take_connected(&mut self) -> Option<SocketEnd> {
         match std::mem::replace(self, Upstream::Idle) {
-            Upstream::Connected(attempt) => Some(attempt.end),
+            Upstream::Connected(attempt) => Some(attempt.socket),
             other => {
                 *self = other;
                 None
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes the request of an attempt that is connecting.
+    /// Takes the request of an attempt that is connecting, and makes the attempt idle.
     pub(super) fn take_request(&mut self) -> Option<Vec<u8>> {
         match std::mem::replace(self, Upstream::Idle) {
             Upstream::Connecting { request, .. } => Some(request),
@@ -114,18 +114,18 @@
         }
     }
 
-    /// Whether there is a connected attempt whose request is not written in full.
+    /// Returns whether there is a connected attempt whose request has not been written in full.
     pub(super) fn is_request_pending(&self) -> bool {
         self.attempt().is_some_and(|attempt| !attempt.request_forwarded)
     }
 
-    /// Whether nothing more will be written to a connected attempt, or there is none.
+    /// Returns whether no more bytes will be written to the attempt, or there is no connected attempt.
     pub(super) fn is_write_finished(&self) -> bool {
-        self.end().is_none_or(SocketEnd::is_write_finished)
+        self.socket().is_none_or(SocketEnd::is_write_finished)
     }
 }
 
-/// Waits for a connect, or for ever if there is none. Cancellation-safe: the connect stays with its owner.
+/// Waits for a connect. Never returns if there is none. Cancellation-safe: the owner keeps the pending connect.
 pub(super) async fn wait_connected(connecting: Option<&mut Connecting>) -> io::Result<TcpStream> {
     match connecting {
         Some(connecting) => connecting.await,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Whether a connect failed because this machine had no descriptor, memory or port left.
+/// Returns whether a connect failed because this machine has no free descriptor, memory or port.
 pub(super) fn is_local_shortage(error: &io::Error) -> bool {
     use io::ErrorKind::{AddrNotAvailable, OutOfMemory};
     matches!(error.kind(), AddrNotAvailable | OutOfMemory)
--- a/src/transport/daemon/mod.rs
+++ b/src/transport/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: its start, its reloads, and its end.
+//! The daemon: start, reloads and shutdown.
 
 mod reload;
 mod running;
@@ -15,11 +15,11 @@
 use running::read_configuration;
 use start::Start;
 
-/// Runs the daemon until its shutdown is complete, and records the fronts' traffic if that is configured.
+/// Runs the daemon until its shutdown is complete. Records the fronts' traffic if `recording` is set.
 ///
 /// # Errors
 ///
-/// When the daemon cannot start.
+/// Returns an error if the daemon cannot start.
 pub fn serve(sources: Sources, recording: Option<RecordingConfig>) -> Result<(), TransportError> {
     let recorder = recording.map(Recorder::create).transpose()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -27,7 +27,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, run(sources, recorder))
 }
 
-/// The signals that the daemon handles. Without a handler each would end the process.
+/// The signals that the daemon handles. Each would terminate the process if it had no handler.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -1,4 +1,4 @@
-//! The start: assembles the daemon from its configuration and the state that a predecessor exported.
+//! Starts the daemon from its configuration and the state that a predecessor exported.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use super::super::files::{Files, OpenedFiles, SharedFiles};
 use super::super::fronts::{irc_factory, platform_factory, ActiveFront, ActiveFronts};
 use super::super::hot_restart::{self, ExportedState, HotRestartContext, ReceivedState, REPLICATION_SOCKET};
-use super::super::listener::{bind_shared_datagrams, bound_address, listen, AcceptGate};
+use super::super::listener::{bind_shared_datagrams, bound_address, listen, Acceptor};
 use super::super::log_event::{log_event, LogEvent};
 use super::super::record::Recorder;
 use super::super::{discovery_watch, excluded_servers, probes};
@@ -23,7 +23,7 @@
 use crate::routing::store::AddressedReplicaMessage;
 use crate::routing::{Input, PoolId};
 
-/// A front that is configured, with its pool.
+/// Configuration of a front, with the front's pool.
 struct PooledFront<T> {
     pool: PoolId,
     config: T,
@@ -35,30 +35,38 @@
     }
 }
 
-/// A daemon that is starting: the admin endpoint is open, the fronts are not.
+/// A daemon that is starting. The admin endpoint is open, and the fronts are still closed.
 pub(super) struct Start {
     daemon: Daemon,
     platform: Option<PooledFront<Platform>>,
     irc: Option<PooledFront<Irc>>,
-    /// The socket on which the predecessor exports its state, and this process will.
+    /// Path of the socket on which a process exports its state: first the predecessor, later this process.
     pub(super) hot_restart_socket: PathBuf,
 }
 
 impl Start {
-    /// Sets up the pools and opens the admin endpoint, which reports that this process is not ready yet.
+    /// Sets up the pools and opens the admin endpoint. Until the start is finished, the admin endpoint reports
+    /// that this process is not ready.
     pub(super) fn begin(sources: Sources, config: Config) -> Result<Start, TransportError> {
         let admin_listener = config.mgmt.map(listen).transpose()?;
         let assembly = Assembly::new(&config);
         let admin_endpoint = config.mgmt.zip(admin_listener);
-        let admin_gate =
+        let admin_acceptor =
             admin_endpoint.map(|(configured, listener)| open_admin_endpoint(&assembly, configured, listener));
         let hot_restart_socket = hot_restart::socket_path(&config);
         let platform = PooledFront::zip(assembly.platform, config.platform);
         let irc = PooledFront::zip(assembly.irc, config.irc);
         let fronts = ActiveFronts::default();
         let store = config.store;
-        let daemon =
-            Daemon { assembly, fronts, sources, store, platform_gate: None, irc_gate: None, admin_gate };
+        let daemon = Daemon {
+            assembly,
+            fronts,
+            sources,
+            store,
+            platform_acceptor: None,
+            irc_acceptor: None,
+            admin_acceptor,
+        };
         Ok(Start { daemon, platform, irc, hot_restart_socket })
     }
 
@@ -67,7 +75,7 @@
         self.daemon.assembly.recorder.set_recorder(recorder);
     }
 
-    /// Imports what the predecessor exported, if anything, and starts to serve.
+    /// Imports the state that the predecessor exported, if there is one, and starts to serve.
     pub(super) async fn finish(
         mut self,
         mut received: Option<ReceivedState>,
@@ -80,11 +88,11 @@
         self.persist_exclusions();
         reducer.feed(self.restored_state(received.as_mut()));
         if let Some(PooledFront { pool, config: platform }) = self.platform.take() {
-            let gate = start_platform(&self.daemon, pool, &platform, received.as_mut())?;
-            self.daemon.platform_gate = Some(gate);
+            let acceptor = start_platform(&self.daemon, pool, &platform, received.as_mut())?;
+            self.daemon.platform_acceptor = Some(acceptor);
         }
         if let Some(PooledFront { pool, config: irc }) = self.irc.take() {
-            self.daemon.irc_gate = Some(start_irc(&self.daemon, pool, irc, received.as_mut())?);
+            self.daemon.irc_acceptor = Some(start_irc(&self.daemon, pool, irc, received.as_mut())?);
         }
         reducer.feed(Input::Listening);
         let context = self.hot_restart_context(store);
@@ -106,7 +114,7 @@
         }
     }
 
-    /// Persists the exclusions by operators from now on.
+    /// Registers the consumer that writes the operators' exclusions to their file.
     fn persist_exclusions(&self) {
         let hot_restart_socket = self.hot_restart_socket.clone();
         let persist = move |excluded: Vec<String>| {
@@ -115,7 +123,7 @@
         self.daemon.assembly.effects.exclusions.register(persist);
     }
 
-    /// What a hot restart needs. The state that the reducer exports goes there from now on.
+    /// Returns the context of hot restarts, and registers it as the consumer of the reducer's exported state.
     fn hot_restart_context(&self, store: Option<OpenStore>) -> HotRestartContext {
         let effects = &self.daemon.assembly.effects;
         let (files, replication) = match store {
@@ -126,7 +134,7 @@
         let (exported, open_files) = (exported_state.clone(), files.clone());
         effects.exported_state.register(move |state| {
             exported.set(state);
-            // Two processes that append to one file would corrupt it.
+            // The successor appends to the same files. Appends by two processes would corrupt them.
             if let Some(files) = &open_files {
                 files.close();
             }
@@ -142,20 +150,20 @@
     }
 }
 
-/// The replicated map's files and socket.
+/// The files and the socket of the replicated map.
 struct OpenStore {
-    /// None where the map is kept in memory alone.
+    /// None if the map is kept only in memory.
     files: Option<SharedFiles>,
     replication: ReplicationSocket,
 }
 
-/// Restores the replicated map from its files, and begins to replicate.
+/// Restores the replicated map from its files, and starts to replicate it.
 async fn start_store(
     assembly: &Assembly,
     store: &StoreConfig,
     received: Option<&mut ReceivedState>,
 ) -> Result<OpenStore, TransportError> {
-    // A predecessor writes to the files until it has exported its state.
+    // The files must not be opened before the predecessor has exported its state: until then it writes to them.
     let files = store.data.as_deref().map(|folder| open_files(assembly, folder)).transpose()?;
     let inherited = received.and_then(|received| received.take_socket(REPLICATION_SOCKET));
     let socket = match inherited {
@@ -171,7 +179,8 @@
     Ok(OpenStore { files, replication })
 }
 
-/// Opens the replicated map's files, and persists entries there from now on.
+/// Opens the files of the replicated map, feeds their entries to the reducer, and registers the consumer that
+/// persists new entries.
 fn open_files(assembly: &Assembly, folder: &Path) -> Result<SharedFiles, TransportError> {
     let OpenedFiles { files, entries } = Files::open(folder)?;
     let files = SharedFiles::new(files);
@@ -181,7 +190,7 @@
     Ok(files)
 }
 
-/// Exchanges replica messages on a socket from now on.
+/// Starts to exchange replica messages on a socket.
 fn start_replication(assembly: &Assembly, socket: &ReplicationSocket) {
     let sending = socket.clone();
     assembly
@@ -192,7 +201,7 @@
     tokio::task::spawn_local(receiving);
 }
 
-/// Exchanges gossip for a pool on a socket from now on.
+/// Starts to exchange gossip for a pool on a socket.
 fn start_gossip(assembly: &Assembly, pool: PoolId, socket: UdpSocket, peers: &PeersAt) {
     let socket = GossipSocket::new(socket, peers.all);
     let sending = socket.clone();
@@ -200,7 +209,7 @@
     tokio::task::spawn_local(socket.receive(assembly.reducer.clone(), pool, peers.from.clone()));
 }
 
-/// Starts the probes of servers and the watch on a pool's endpoint list.
+/// Starts the tasks that probe servers and watch endpoint lists, and the watch on a pool's endpoint list.
 fn start_discovery(assembly: &Assembly, pool: PoolId, discovery: SocketAddr, generation: u64) {
     let Assembly { reducer, effects, .. } = assembly;
     let commands = effects.probes.open_channel();
@@ -210,20 +219,20 @@
     effects.watches.pass(WatchCommand::Start { pool, discovery, generation: Some(generation) });
 }
 
-/// Starts the platform's front, with the watch, the probes and the gossip of its pool.
+/// Opens the platform's front, and starts the watch, the probes and the gossip of its pool.
 fn start_platform(
     daemon: &Daemon,
     pool: PoolId,
     platform: &Platform,
     received: Option<&mut ReceivedState>,
-) -> Result<AcceptGate, TransportError> {
+) -> Result<Acceptor, TransportError> {
     if let Some(discovery) = platform.pool.discovery {
         start_discovery(&daemon.assembly, pool, discovery, platform.known.generation);
     }
     if let Some(peers) = &platform.peers {
         match bind_shared_datagrams(peers.listen) {
             Ok(socket) => start_gossip(&daemon.assembly, pool, socket, peers),
-            // Gossip is optional: without it each balancer learns by itself.
+            // Gossip is optional: without gossip each balancer learns by itself.
             Err(error) => log_event!(LogEvent::GossipUnavailable { error: &error }),
         }
     }
@@ -234,12 +243,13 @@
     Ok(daemon.open_front(PLATFORM_FRONT, platform.listen, front))
 }
 
+/// Opens the IRC front.
 fn start_irc(
     daemon: &Daemon,
     pool: PoolId,
     mut irc: Irc,
     received: Option<&mut ReceivedState>,
-) -> Result<AcceptGate, TransportError> {
+) -> Result<Acceptor, TransportError> {
     let listener = inherit_listener(received, IRC_FRONT, irc.listen)?;
     irc.take_port(bound_address(&listener, irc.listen));
     let address = bound_address(&listener, irc.listen);
@@ -248,8 +258,8 @@
     Ok(daemon.open_front(IRC_FRONT, irc.listen, front))
 }
 
-/// The listener that the predecessor exported for a front, if it is at the configured address, or else a new
-/// one.
+/// Returns the listener that the predecessor exported for a front if it is bound to the configured address,
+/// and opens a new listener otherwise.
 fn inherit_listener(
     received: Option<&mut ReceivedState>,
     name: &str,
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -1,5 +1,5 @@
-//! Dispatches the reducer's effects: each goes to the channel of its task, or to the consumer that the daemon
-//! has registered for its kind.
+//! Dispatches each effect of the reducer to the channel of its task, or to the consumer that the daemon has
+//! registered for effects of its kind.
 
 use std::time::Duration;
 
@@ -15,51 +15,50 @@
 use super::pending_admin_calls::PendingAdminCalls;
 use super::reducer::EffectHandler;
 use crate::peers::GossipMessage;
-
 use crate::routing::store::{AddressedReplicaMessage, Entry};
 use crate::routing::{Effect, HandoverState};
 
-/// An entry of the replicated map that is to be persisted.
+/// An entry of the replicated map that must be written to disk.
 pub(super) struct EntryToPersist {
-    /// Its key.
+    /// Key of the entry in the replicated map.
     pub key: String,
-    /// The entry.
+    /// Value of the key, with the counter and node of its write.
     pub entry: Entry,
 }
 
-/// Hands each effect to what carries it out.
+/// Dispatches effects to the tasks and consumers that carry them out.
 ///
-/// Channels to tasks are unbounded, since a bounded one could be full when an effect comes. The reducer itself
-/// limits what waits in them.
+/// Channels to tasks are unbounded, because [`EffectHandler::carry_out`] must not wait and a bounded channel
+/// could be full. The reducer limits the number of commands that are pending in each channel.
 pub(super) struct EffectDispatcher {
-    /// The tasks of connections.
+    /// Channels to the tasks of connections.
     pub connections: ConnectionRegistry,
     /// Whether the fronts accept connections.
     pub accepting: Accepting,
-    /// Admin clients that wait for their replies.
+    /// Calls of admin clients that are waiting for replies.
     pub admin_calls: PendingAdminCalls,
-    /// The link to the peer process.
+    /// Channel to the peer process of a hot restart.
     pub peer_process: PeerProcess,
-    /// The task of the watches. The reducer gives one command for each watch that is lost.
+    /// Consumed by the task that watches endpoint lists. The reducer sends one command for each lost watch.
     pub watches: Outlet<WatchCommand>,
-    /// The task of the probes. The reducer limits how many are in flight.
+    /// Consumed by the task that probes servers. The reducer limits the number of probes in flight.
     pub probes: Outlet<ProbeCommand>,
-    /// The socket for gossip.
+    /// Consumed by the gossip socket.
     pub gossip: Outlet<GossipMessage>,
-    /// The socket for replica messages.
+    /// Consumed by the replication socket.
     pub replica_messages: Outlet<AddressedReplicaMessage>,
-    /// The files of the replicated map.
+    /// Consumed by the files of the replicated map.
     pub entries: Outlet<EntryToPersist>,
-    /// The file of the servers that operators excluded.
+    /// Names of all servers that operators excluded. Consumed by the file that keeps them.
     pub exclusions: Outlet<Vec<String>>,
-    /// What exports this process's state to a successor.
+    /// Consumed by the hot restart, which sends this process's state to the successor.
     pub exported_state: Outlet<HandoverState>,
     /// Reports that the process can exit.
     exit: mpsc::UnboundedSender<()>,
 }
 
 impl EffectDispatcher {
-    /// A dispatcher, and the channel on which it reports that the process can exit.
+    /// Returns a dispatcher, and the channel on which it reports that the process can exit.
     pub(super) fn new() -> (EffectDispatcher, mpsc::UnboundedReceiver<()>) {
         let ids = IdSequence::default();
         let (exit, exited) = mpsc::unbounded_channel();
@@ -87,12 +86,13 @@
 }
 
 impl EffectHandler for EffectDispatcher {
-    // Longer than other functions: it only dispatches, with one arm for each effect.
+    // This function is long because it has one arm for each effect. The arms only dispatch.
     fn carry_out(&self, effect: Effect) {
         match effect {
-            Effect::OpenAttempt { connection, attempt, address, timeout: wait } => {
+            Effect::OpenAttempt { connection, attempt, address, timeout } => {
                 log_event!(LogEvent::AttemptOpened { connection, attempt, address: &address });
-                self.connections.send(connection, ConnectionCommand::OpenAttempt { attempt, address, wait });
+                let command = ConnectionCommand::OpenAttempt { attempt, address, timeout };
+                self.connections.send(connection, command);
             }
             Effect::CloseAttempt { connection } => {
                 log_event!(LogEvent::AttemptClosed { connection });
@@ -109,8 +109,8 @@
             }
             Effect::SetAccepting { open } => self.accepting.set(open),
             Effect::BroadcastGossip(message) => self.gossip.pass(message),
-            Effect::ProbeServer { pool, server, address, names, timeout: wait } => {
-                let timeout = Duration::from(wait);
+            Effect::ProbeServer { pool, server, address, names, timeout } => {
+                let timeout = Duration::from(timeout);
                 self.probes.pass(ProbeCommand { pool, server, address, load_names: names, timeout });
             }
             Effect::WatchEndpoints { pool } => self.watches.pass(WatchCommand::Resume { pool }),
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the tasks that accept their connections.
+//! Listening sockets, and the tasks that accept connections on them.
 
 use std::future::Future;
 use std::io;
@@ -14,17 +14,19 @@
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
 
-/// Connections that may wait to be accepted: enough for a burst of reconnecting clients.
+/// Maximum length of a listener's queue of connections that are not accepted yet. It is long enough for a
+/// burst of reconnecting clients.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Backoff after a failed accept, which doubles at each failure in a row.
+/// Initial backoff after a failed accept. The backoff doubles with each consecutive failure.
 const MIN_ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Upper limit of the backoff after failed accepts.
 const MAX_ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Opens a TCP listener at an address.
 ///
 /// # Errors
 ///
-/// [`TransportError::Listen`] when the system refuses.
+/// Returns [`TransportError::Listen`] if the socket cannot be opened or bound.
 pub(super) fn listen(address: SocketAddr) -> Result<Rc<TcpListener>, TransportError> {
     bind_listener(address).map(Rc::new).map_err(|source| TransportError::Listen { address, source })
 }
@@ -32,7 +34,7 @@
 fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    // A new process must be able to serve beside a predecessor that hangs.
+    // A new process must be able to listen on the address while a predecessor that hangs still holds it.
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
@@ -40,11 +42,11 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Opens a UDP socket at an address, also while the predecessor still has one there.
+/// Opens a UDP socket at an address. The predecessor may still have a socket at the same address.
 ///
 /// # Errors
 ///
-/// When the system refuses.
+/// Returns an error if the socket cannot be opened or bound.
 pub(super) fn bind_shared_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_reuse_port(true)?;
@@ -53,77 +55,80 @@
     UdpSocket::from_std(socket.into())
 }
 
-/// The address that a listener is bound to, with the port that the system chose.
+/// Returns the address that a listener is bound to, with the port that the system chose for a configured
+/// port 0.
 pub(super) fn bound_address(listener: &TcpListener, configured: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(configured)
 }
 
-/// Starts the task of a connection that was accepted.
+/// Starts the task of an accepted connection.
 pub(super) type ConnectionStarter = Rc<dyn Fn(TcpStream)>;
 
-/// A listener, and the task that accepts its connections.
-pub(super) struct AcceptGate {
-    /// The address as configured, perhaps with port 0.
+/// A listener, and the task that accepts connections on it.
+pub(super) struct Acceptor {
+    /// The address as configured. Its port may be 0.
     configured: SocketAddr,
     listener: Rc<TcpListener>,
     task: JoinHandle<()>,
-    /// The front that takes its connections; none for the admin endpoint.
-    front: Option<GateFront>,
+    /// The front that serves the accepted connections; none for the admin endpoint.
+    front: Option<AcceptorFront>,
 }
 
-/// The front behind a gate.
+/// The front that serves the connections of an acceptor.
 #[derive(Clone)]
-struct GateFront {
+struct AcceptorFront {
     accepting: Accepting,
     start_connection: ConnectionStarter,
 }
 
-impl AcceptGate {
-    /// Accepts a front's connections, whenever the fronts accept any.
+impl Acceptor {
+    /// Starts to accept a front's connections. The task pauses while `accepting` is off.
     pub(super) fn open_front(
         accepting: &Accepting,
         configured: SocketAddr,
         listener: Rc<TcpListener>,
         start_connection: ConnectionStarter,
-    ) -> AcceptGate {
-        let front = GateFront { accepting: accepting.clone(), start_connection };
+    ) -> Acceptor {
+        let front = AcceptorFront { accepting: accepting.clone(), start_connection };
         let accept_connections = accept_connections(listener.clone(), front.clone());
         let task = tokio::task::spawn_local(accept_connections);
-        AcceptGate { configured, listener, task, front: Some(front) }
+        Acceptor { configured, listener, task, front: Some(front) }
     }
 
-    /// Runs the task that accepts admin clients.
+    /// Starts the task that accepts admin clients, and logs the endpoint's address.
     pub(super) fn open_admin_endpoint(
         configured: SocketAddr,
         listener: Rc<TcpListener>,
         accept_clients: impl Future<Output = ()> + 'static,
-    ) -> AcceptGate {
+    ) -> Acceptor {
         log_event!(LogEvent::AdminEndpointOpen { address: bound_address(&listener, configured) });
-        AcceptGate { configured, listener, task: tokio::task::spawn_local(accept_clients), front: None }
+        Acceptor { configured, listener, task: tokio::task::spawn_local(accept_clients), front: None }
     }
 
-    /// Whether this gate was configured with that address.
+    /// Returns whether this acceptor was configured with the given address.
     pub(super) fn is_at(&self, configured: SocketAddr) -> bool {
         self.configured == configured
     }
 
-    /// The listener of an old gate that was configured with this address, or else a new one.
+    /// Returns the listener of an old acceptor if it was configured with the given address, and opens a new
+    /// listener otherwise.
     ///
     /// # Errors
     ///
-    /// [`TransportError::Listen`] when a new one cannot be opened.
+    /// Returns [`TransportError::Listen`] if a new listener cannot be opened.
     pub(super) fn reuse_listener(
-        old: Option<&AcceptGate>,
+        old: Option<&Acceptor>,
         configured: SocketAddr,
     ) -> Result<Rc<TcpListener>, TransportError> {
-        match old.filter(|gate| gate.is_at(configured)) {
-            Some(gate) => Ok(gate.listener.clone()),
+        match old.filter(|acceptor| acceptor.is_at(configured)) {
+            Some(acceptor) => Ok(acceptor.listener.clone()),
             None => listen(configured),
         }
     }
 
-    /// Takes the place of an old gate, which accepts nothing more.
-    pub(super) fn replace(self, old: &mut Option<AcceptGate>) {
+    /// Replaces an old acceptor and stops it. If the old listener is not reused, the connections in its queue
+    /// are accepted before the listener is closed.
+    pub(super) fn replace(self, old: &mut Option<Acceptor>) {
         let listener = self.listener.clone();
         if let Some(old) = old.replace(self) {
             old.close();
@@ -133,16 +138,17 @@
         }
     }
 
-    /// Accepts nothing more.
+    /// Stops accepting connections.
     pub(super) fn close(&self) {
         self.task.abort();
     }
 
-    /// Accepts the connections in the listener's queue, which would be reset when the listener is closed. Does
-    /// nothing while a successor accepts from the same socket.
+    /// Accepts all connections in the listener's queue, because closing the listener would reset them. Does
+    /// nothing while a successor accepts connections from the same socket.
     pub(super) fn accept_queued(&self) {
         let Some(front) = self.front.as_ref().filter(|front| front.accepting.is_on()) else { return };
-        // The runtime may not know of them yet, so this accepts from the system directly.
+        // The runtime may not have been notified of these connections yet, so they are accepted by direct
+        // system calls.
         while let Ok((socket, _)) = socket2::SockRef::from(&*self.listener).accept() {
             let stream = socket.set_nonblocking(true).map(|()| std::net::TcpStream::from(socket));
             if let Ok(stream) = stream.and_then(TcpStream::from_std) {
@@ -152,30 +158,32 @@
     }
 }
 
-async fn accept_connections(listener: Rc<TcpListener>, front: GateFront) {
-    let GateFront { accepting, start_connection } = front;
+async fn accept_connections(listener: Rc<TcpListener>, front: AcceptorFront) {
+    let AcceptorFront { accepting, start_connection } = front;
     let start_connection = async |stream| {
         start_connection(stream);
-        // The new connection's task can read its first line before the next connection is accepted.
+        // Lets the new connection's task read its first line before the next connection is accepted.
         tokio::task::yield_now().await;
     };
-    let wait_until_accepting = async |open| accepting.wait_until(open).await;
+    let wait_until_accepting = async |on| accepting.wait_until(on).await;
     accept_each(&listener, wait_until_accepting, start_connection).await;
 }
 
-/// Accepts connections for ever, whenever the gate is open. `wait_for_gate` waits until it is open, or until
-/// it is closed. Cancellation-safe: a cancelled accept takes nothing out of the queue.
+/// Accepts connections while accepting is on. Never returns.
+///
+/// `wait_until_accepting` waits until accepting is on if its argument is true, and until it is off otherwise.
+/// Cancellation-safe: a cancelled accept takes no connection out of the queue.
 pub(super) async fn accept_each(
     listener: &TcpListener,
-    wait_for_gate: impl AsyncFn(bool),
+    wait_until_accepting: impl AsyncFn(bool),
     mut start_connection: impl AsyncFnMut(TcpStream),
 ) {
     let mut retry_interval = MIN_ACCEPT_RETRY_INTERVAL;
     loop {
-        wait_for_gate(true).await;
+        wait_until_accepting(true).await;
         let accepted = tokio::select! {
             biased;
-            () = wait_for_gate(false) => continue,
+            () = wait_until_accepting(false) => continue,
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -187,7 +195,7 @@
                 if retry_interval == MIN_ACCEPT_RETRY_INTERVAL {
                     log_event!(LogEvent::AcceptFailed { error: &error });
                 }
-                // Without a free descriptor accept fails at once, so a retry must wait.
+                // Without a free descriptor accept fails immediately, so a retry without a delay would spin.
                 tokio::time::sleep(retry_interval).await;
                 retry_interval = (retry_interval * 2).min(MAX_ACCEPT_RETRY_INTERVAL);
             }
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -54,7 +54,7 @@
     /// An attempt is cancelled by this process.
     AttemptClosed { connection: ConnectionId },
     /// An attempt ended at its server or in the network.
-    AttemptEnded { connection: ConnectionId, attempt: u32, end: AttemptOutcome },
+    AttemptEnded { connection: ConnectionId, attempt: u32, outcome: AttemptOutcome },
     /// The recording has reached its maximum size.
     RecordingFull { file: &'a Path },
     /// The recording cannot be written.
@@ -189,8 +189,8 @@
             LogEvent::AttemptClosed { connection } => {
                 write!(formatter, "connection {}: attempt cancelled", connection.0)
             }
-            LogEvent::AttemptEnded { connection, attempt, end } => {
-                write!(formatter, "connection {}: attempt {attempt} ended: {end}", connection.0)
+            LogEvent::AttemptEnded { connection, attempt, outcome } => {
+                write!(formatter, "connection {}: attempt {attempt} ended: {outcome}", connection.0)
             }
             LogEvent::RecordingFull { file } => {
                 write!(formatter, "{}: the recording is full", file.display())
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,15 +1,15 @@
-//! Sockets and timers on tokio, on one thread. Nothing is decided here: what comes in is fed to the reducer,
-//! and its effects are carried out.
+//! Sockets, timers and files of the process, on one tokio thread. This layer makes no decisions: it feeds
+//! each event to the reducer as an input, and carries out the effects that the reducer returns.
 //!
-//! Modules depend in one direction only:
+//! Dependencies between modules point in one direction only:
 //!
 //! 1. `clock`, `commands`, `error`, `log_event`, `observation`, `outlet` and the registries that tasks share
 //!    (`accepting`, `connection_registry`, `fronts`, `peer_process`, `record`) depend on no task.
-//! 2. `reducer` is the handle that every task holds: it feeds inputs and reads the clock.
+//! 2. `reducer` defines the handle through which every task feeds inputs to the reducer and reads the clock.
 //! 3. Each kind of task or socket has a module: `connection`, `listener`, `admin_server`, `discovery_watch`,
 //!    `probes`, `datagrams`, `hot_restart`.
-//! 4. `driver` dispatches effects to channels and registered consumers, and knows none of the tasks.
-//! 5. `assembly` puts the reducer and the driver together; `daemon` and `replay` start the tasks.
+//! 4. `driver` dispatches effects to channels and registered consumers, and imports none of the tasks.
+//! 5. `assembly` connects the reducer to the driver; `daemon` and `replay` start the tasks.
 #![deny(missing_docs)]
 
 mod accepting;
--- a/src/transport/reducer.rs
+++ b/src/transport/reducer.rs
@@ -1,8 +1,8 @@
-//! The handle of the reducer that every task holds: it feeds inputs, reads the clock and answers questions
-//! about the reducer's state.
+//! The handle through which every task uses the reducer: it feeds inputs, reads the clock and queries the
+//! reducer's state.
 //!
-//! The effects of an input are passed to an [`EffectHandler`], in their order and before the next input is
-//! fed. This module knows the trait only; the daemon chooses who implements it.
+//! The effects of an input are passed in order to an [`EffectHandler`] before the next input is fed. This
+//! module depends only on the trait; [`assembly`](super::assembly) chooses the implementation.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,11 +18,11 @@
 
 /// Carries out the reducer's effects.
 pub(super) trait EffectHandler {
-    /// Carries out one effect. It returns without waiting, and feeds no input.
+    /// Carries out one effect. Implementations must return without waiting and must not feed an input.
     fn carry_out(&self, effect: Effect);
 }
 
-/// A handle of the reducer. Clones are handles of the same one.
+/// A handle to the reducer. Clones refer to the same reducer.
 #[derive(Clone)]
 pub(super) struct ReducerHandle(Rc<Reducer>);
 
@@ -30,14 +30,14 @@
     state: RefCell<State>,
     clock: Clock,
     effects: Rc<dyn EffectHandler>,
-    /// Set in replays only.
+    /// Collects observations of connections. Set only in replays.
     observer: RefCell<Option<Observer>>,
-    /// Notified when the reducer's next deadline has changed.
+    /// Wakes the timer task when the reducer's next deadline has changed.
     deadline_changed: Notify,
 }
 
 impl ReducerHandle {
-    /// A reducer that begins with this state, and whose effects go to `effects`.
+    /// Creates a reducer with an initial state. Its effects are passed to `effects`.
     pub(super) fn new(state: State, clock: Clock, effects: Rc<dyn EffectHandler>) -> ReducerHandle {
         ReducerHandle(Rc::new(Reducer {
             state: RefCell::new(state),
@@ -48,22 +48,22 @@
         }))
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub(super) fn now(&self) -> Time {
         self.0.clock.now()
     }
 
-    /// Hands an input to the reducer and has its effects carried out, in their order.
+    /// Feeds an input to the reducer, and passes the resulting effects in order to the effect handler.
     pub(super) fn feed(&self, input: Input) {
         let Reducer { state, effects: handler, observer, deadline_changed, .. } = &*self.0;
         if let Some(observer) = observer.borrow_mut().as_mut() {
             observer.observe_input(self.now(), &input);
         }
-        let (effects, is_deadline_changed) = {
+        let (effects, next_deadline_differs) = {
             let mut state = state.borrow_mut();
-            let deadline = state.next_deadline();
+            let previous_deadline = state.next_deadline();
             let effects = reduce(&mut state, self.now(), input);
-            (effects, state.next_deadline() != deadline)
+            (effects, state.next_deadline() != previous_deadline)
         };
         for effect in effects {
             if let Some(observer) = observer.borrow_mut().as_mut() {
@@ -71,12 +71,12 @@
             }
             handler.carry_out(effect);
         }
-        if is_deadline_changed {
+        if next_deadline_differs {
             deadline_changed.notify_one();
         }
     }
 
-    /// Feeds the reducer whenever one of its deadlines has passed, for ever.
+    /// Feeds [`Input::TimerFired`] whenever one of the reducer's deadlines has passed. Never returns.
     pub(super) async fn run_timer(self) {
         loop {
             let next_deadline = self.0.state.borrow().next_deadline();
@@ -95,42 +95,42 @@
     }
 }
 
-/// Questions about the reducer's state.
+/// Queries of the reducer's state.
 impl ReducerHandle {
-    /// Whether this process can serve.
+    /// Returns whether this process can serve clients.
     pub(super) fn is_serving(&self) -> bool {
         self.0.state.borrow().serves()
     }
 
-    /// Whether a deadline of a connection has passed that the reducer has not been fed yet.
+    /// Returns whether a deadline of a connection has passed and [`Input::TimerFired`] has not been fed since.
     pub(super) fn is_overdue(&self, connection: ConnectionId) -> bool {
         self.0.state.borrow().is_timer_expired(self.now(), connection)
     }
 
-    /// Bytes that a connection may buffer for a side that does not read.
+    /// Returns how many bytes a connection may buffer for a side that does not read.
     pub(super) fn buffer_limit(&self) -> usize {
         self.0.state.borrow().budget().buffer
     }
 
-    /// How a pool's watch on its endpoint list is to be timed.
+    /// Returns the time-outs and delays of a pool's watch on its endpoint list.
     pub(super) fn endpoint_watch_timing(&self, pool: PoolId) -> EndpointWatchTiming {
         self.0.state.borrow().endpoint_watch_timing(pool)
     }
 
-    /// Lends the replicated map to a function, which must feed no input.
+    /// Calls a function with the replicated map. The function must not feed an input.
     pub(super) fn with_replicated_map(&self, read: impl FnOnce(&ReplicatedMap)) {
         read(self.0.state.borrow().store());
     }
 }
 
-/// Observations, for replays.
+/// Observations of connections, for the reports of replays.
 impl ReducerHandle {
-    /// Observes all connections from now on.
+    /// Starts to observe all connections.
     pub(super) fn start_observing(&self) {
         *self.0.observer.borrow_mut() = Some(Observer::default());
     }
 
-    /// What was observed of a connection so far.
+    /// Returns the observations of a connection so far, in order.
     pub(super) fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
         let observer = self.0.observer.borrow();
         observer.as_ref().map(|observer| observer.observations(connection)).unwrap_or_default()
