--- a/src/transport/accepting.rs
+++ b/src/transport/accepting.rs
@@ -1,5 +1,5 @@
-//! The switch that tells whether the fronts accept connections. The reducer sets it, and the tasks that accept
-//! connections wait on it.
+//! The switch that tells whether the fronts accept connections. The reducer sets it, and the tasks that
+//! accept connections wait on it.
 
 use std::rc::Rc;
 
--- a/src/transport/admin_client.rs
+++ b/src/transport/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls of the command line to a running balancer.
+//! Blocking calls of the command line to a running balancer: its admin endpoint and its store.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -6,44 +6,54 @@
 
 use thiserror::Error;
 
-use crate::protocol::replica_messages;
+use crate::protocol::replica_messages::{self, MAX_DATAGRAM_LENGTH};
 use crate::routing::store::{Entry, ReplicaMessage};
 
 /// Time-out of each read of an admin endpoint's answer.
 const ADMIN_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often an entry is sent to a store, and the time-out of each answer.
+/// How many times a write is sent to a store before it fails.
 const STORE_WRITE_ATTEMPTS: usize = 6;
+/// Time-out of the store's answer to each of these attempts.
 const STORE_READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// Any port of this machine, for the answers of its stores.
+/// Local address for the answers of this machine's stores. The system chooses the port.
 const LOOPBACK: &str = "127.0.0.1:0";
 
 /// Why a call failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The balancer cannot be reached, or its connection broke.
-    #[error("{address}: {source}")]
+    /// The balancer cannot be reached, or the connection to it failed.
+    #[error("call to {address} failed: {source}")]
     Socket {
-        /// The address that was called.
+        /// Address of the admin endpoint or the store.
         address: String,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The admin endpoint closed the connection without an answer.
-    #[error("{address}: no answer")]
+    #[error("{address}: the admin endpoint closed the connection without an answer")]
     NoAnswer {
-        /// The address that was called.
+        /// Address of the admin endpoint.
         address: String,
     },
-    /// The key and value do not fit a datagram.
-    #[error("{key}: the name is too long")]
-    KeyTooLong {
-        /// The key.
+    /// The key and value do not fit in a datagram.
+    #[error(
+        "{key}: a key of {} bytes and a value of {value_bytes} bytes exceed a datagram of \
+         {MAX_DATAGRAM_LENGTH} bytes",
+        .key.len()
+    )]
+    EntryTooLong {
+        /// Key of the entry.
         key: String,
+        /// Length of the value, in bytes.
+        value_bytes: usize,
     },
-    /// No store answered.
-    #[error("{store}: no node's store answers there")]
+    /// No store acknowledged the write.
+    #[error(
+        "{store}: no store acknowledged the write in {STORE_WRITE_ATTEMPTS} attempts of {} ms",
+        STORE_READ_TIMEOUT.as_millis()
+    )]
     NoStore {
-        /// The address that was called.
+        /// Address to which the write was sent.
         store: SocketAddr,
     },
 }
@@ -59,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// When the endpoint cannot be reached or gives no answer.
+/// Returns an error if the endpoint cannot be reached or sends no answer.
 pub fn call_admin_endpoint(address: &str, call: &str) -> Result<String, ClientError> {
     let failed = ClientError::socket(address);
     let mut stream = TcpStream::connect(address).map_err(&failed)?;
@@ -73,11 +83,12 @@
     Ok(answer)
 }
 
-/// Writes a key to a node's store, or removes it, and returns the resulting entry.
+/// Writes a value to a key of a node's store, or removes the key if `value` is none. Returns the resulting
+/// entry.
 ///
 /// # Errors
 ///
-/// When the key is too long, or no store answers.
+/// Returns an error if the key and value are too long, or no store acknowledges the write.
 pub fn write_store_entry(store: SocketAddr, key: &str, value: Option<String>) -> Result<Entry, ClientError> {
     let failed = ClientError::socket(store);
     let socket = UdpSocket::bind(LOOPBACK).map_err(&failed)?;
@@ -85,9 +96,10 @@
     socket.set_read_timeout(Some(STORE_READ_TIMEOUT)).map_err(&failed)?;
     let write =
         replica_messages::encode(&ReplicaMessage::Write { key: key.to_owned(), value: value.clone() });
-    let write = write.ok_or_else(|| ClientError::KeyTooLong { key: key.to_owned() })?;
-    let mut bytes = [0; replica_messages::MAX_DATAGRAM_LENGTH];
-    // Either datagram may be lost. The write is idempotent.
+    let value_bytes = value.as_ref().map_or(0, String::len);
+    let write = write.ok_or_else(|| ClientError::EntryTooLong { key: key.to_owned(), value_bytes })?;
+    let mut bytes = [0; MAX_DATAGRAM_LENGTH];
+    // The write or its answer may be lost. Sending the write again is safe because it is idempotent.
     for _ in 0..STORE_WRITE_ATTEMPTS {
         socket.send(&write).map_err(&failed)?;
         let Ok(length) = socket.recv(&mut bytes) else { continue };
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: its clients, each with one line and one answer.
+//! The admin endpoint. Each client sends one call of one line and receives one answer.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -19,34 +19,35 @@
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::routing::{AdminRejection, AdminResponse, Input};
 
-/// Time-out of a client's line. Some clients send nothing or an incomplete line, and stay connected.
+/// Time-out of a client's line. Some clients send nothing or an incomplete line, and remain connected.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client has to close after its answer. Closing the socket over unread bytes would reset the
-/// connection and lose the answer.
+/// How long a client has to close its connection after the answer. Closing the socket while bytes are unread
+/// would reset the connection, and the answer would be lost.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the tasks of admin clients need.
+/// Shared handles that the tasks of admin clients are started with.
 #[derive(Clone)]
 pub(super) struct AdminContext {
-    /// The reducer, which the calls are for.
+    /// Reducer to which the calls are fed.
     pub reducer: ReducerHandle,
-    /// Where they wait for their replies.
+    /// Calls that are waiting for replies of the reducer.
     pub calls: PendingAdminCalls,
 }
 
-/// One admin client.
+/// One connected admin client.
 struct AdminClient {
     task: JoinHandle<()>,
-    /// Whether its line was received.
+    /// Whether the client's line was received.
     called: Rc<Cell<bool>>,
 }
 
-/// The admin clients that are connected, the oldest first.
+/// The connected admin clients, the oldest first.
 #[derive(Default)]
 struct AdminClients(VecDeque<AdminClient>);
 
 impl AdminClients {
-    /// Serves a new client. At the limit, the oldest client without a complete line is disconnected.
+    /// Serves a new client. If there are already [`MAX_ADMIN_CLIENTS`], disconnects the oldest client that
+    /// has not sent a complete line.
     fn serve(&mut self, context: &AdminContext, stream: TcpStream) {
         self.0.retain(|admin_client| !admin_client.task.is_finished());
         if self.0.len() >= MAX_ADMIN_CLIENTS {
@@ -61,15 +62,16 @@
     }
 }
 
-/// Accepts admin clients, for ever.
+/// Accepts admin clients. Never returns.
 pub(super) async fn accept_clients(context: AdminContext, listener: Rc<TcpListener>) {
     let mut clients = AdminClients::default();
-    let always_open = async |open: bool| {
-        if !open {
+    // The admin endpoint always accepts, so the wait for accepting to be turned off never ends.
+    let wait_until_accepting = async |on: bool| {
+        if !on {
             std::future::pending::<()>().await;
         }
     };
-    accept_each(&listener, always_open, async |stream| clients.serve(&context, stream)).await;
+    accept_each(&listener, wait_until_accepting, async |stream| clients.serve(&context, stream)).await;
 }
 
 async fn serve_client(context: AdminContext, mut stream: TcpStream, called: Rc<Cell<bool>>) {
@@ -83,14 +85,14 @@
         Ok(line) => handle_call(&context, &line).await,
         Err(error) => AdminResponse::No(AdminRejection::InvalidCall(error.to_string())),
     };
-    // The answer is sent by now, whether the client closes in time or not.
+    // A time-out is ignored: the answer has been sent even if the client does not close in time.
     let _ = timeout(CLOSE_TIMEOUT, write_reply(&mut stream, &reply)).await;
 }
 
-/// Why a client's line could not be read.
+/// Why a client's line could not be read. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, Error)]
 enum CallLineError {
-    /// The client closed the connection, or it broke, before a line was sent. There is no reply.
+    /// The connection was closed or failed before the client sent a line. No reply is sent.
     #[error("the connection is closed")]
     Closed,
     #[error("no line came in time")]
@@ -102,7 +104,7 @@
     Unterminated,
 }
 
-/// Reads a client's line.
+/// Reads a client's line, without its end.
 async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, CallLineError> {
     let mut lines = LineBuffer::default();
     loop {
@@ -131,7 +133,7 @@
     }
 }
 
-/// Writes the reply, and reads until the client has closed its side.
+/// Writes the reply, then reads and discards bytes until the client has closed its side.
 async fn write_reply(stream: &mut TcpStream, reply: &AdminResponse) -> std::io::Result<()> {
     stream.write_all(&admin::encode_response(reply)).await?;
     stream.shutdown().await?;
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -1,15 +1,15 @@
-//! The process's clock: the system's time at the start, continued by the monotonic clock.
+//! The process's clock: the system's time at the start of the process, advanced by the monotonic clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use crate::Time;
 
-/// A clock that is comparable between machines and never runs backwards in this process.
+/// A clock whose times can be compared between machines, and which never runs backwards in this process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     /// The system's time when this clock was started.
     started_at: Time,
-    /// The monotonic clock at the same moment.
+    /// Reading of the monotonic clock at the same moment.
     started: Instant,
 }
 
@@ -20,12 +20,12 @@
         Clock { started_at: Time(since_epoch.as_micros() as u64), started: Instant::now() }
     }
 
-    /// The system's time when this clock was started.
+    /// Returns the system's time when this clock was started.
     pub(super) fn started_at(&self) -> Time {
         self.started_at
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub(super) fn now(&self) -> Time {
         Time(self.started_at.0 + self.started.elapsed().as_micros() as u64)
     }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -34,8 +34,8 @@
     CheckHandshake,
     /// Close all sockets immediately. Pending bytes are dropped.
     Abort,
-    /// Send the sockets through this channel for a transfer to the successor, if the connection is between two
-    /// lines. The sender is dropped otherwise.
+    /// Send the sockets through this channel for a transfer to the successor, if the connection is between
+    /// two lines. The sender is dropped otherwise.
     Transfer(oneshot::Sender<TransferredConnection>),
 }
 
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -1,8 +1,8 @@
 //! The task of one client connection. It owns the client's socket and the socket of the current attempt.
 //!
 //! [`SocketEnd`] is one socket with its pending bytes, and [`Upstream`] is the attempt. Bytes from both sides
-//! pass through the front's protocol ([`Front`]). The protocol's [`FrontEvent`]s become inputs of the reducer,
-//! and the reducer's effects arrive as [`ConnectionCommand`]s.
+//! pass through the front's protocol ([`Front`]). The protocol's [`FrontEvent`]s become inputs of the
+//! reducer, and the reducer's effects arrive as [`ConnectionCommand`]s.
 
 mod client_side;
 mod server_side;
@@ -60,8 +60,8 @@
     attempt_number: u32,
     /// Whether a server accepted the connection. Remains true while the connection is closing.
     established: bool,
-    /// Time at which the sockets are closed at the latest. Set when the reducer forgets the connection and its
-    /// sockets only remain open to deliver pending bytes.
+    /// Time at which the sockets are closed at the latest. Set when the reducer forgets the connection and
+    /// its sockets only remain open to deliver pending bytes.
     close_deadline: Option<Instant>,
     /// Time of the last bytes from the client, or of the start of the close. Used only while closing.
     client_quiet_since: Instant,
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Writes to the server without waiting. Returns false if this write made the attempt fail; the caller must
-    /// then not write to the client.
+    /// Writes to the server without waiting. Returns false if this write made the attempt fail; the caller
+    /// must then not write to the client.
     pub(super) fn flush_attempt(&mut self) -> bool {
         let Some(attempt) = self.upstream.attempt_mut() else { return true };
         if attempt.socket.flush().is_err() {
@@ -54,7 +54,8 @@
         true
     }
 
-    /// Queues bytes for the server. On an established connection, also reports a forwarded line to the reducer.
+    /// Queues bytes for the server. On an established connection, also reports a forwarded line to the
+    /// reducer.
     pub(super) fn forward_to_server(&mut self, bytes: &[u8]) {
         if let Some(attempt) = self.upstream.socket_mut() {
             attempt.push(bytes);
@@ -100,8 +101,8 @@
         self.on_attempt_ended(outcome);
     }
 
-    /// Handles the end of the server's stream on a closing connection: forwards the server's last partial line
-    /// to the client, unless the client already has its final answer.
+    /// Handles the end of the server's stream on a closing connection: forwards the server's last partial
+    /// line to the client, unless the client already has its final answer.
     fn finish_server_output(&mut self) {
         self.upstream.close_connected();
         let rest = self.front.take_partial_line();
--- a/src/transport/connection/socket_end.rs
+++ b/src/transport/connection/socket_end.rs
@@ -31,7 +31,8 @@
 pub(super) struct SocketEnd {
     stream: TcpStream,
     pending: Vec<u8>,
-    /// Bytes written since the last call of [`SocketEnd::take_recorded`]; none if the traffic is not recorded.
+    /// Bytes written since the last call of [`SocketEnd::take_recorded`]; none if the traffic is not
+    /// recorded.
     recorded: Option<Vec<u8>>,
     read_side: ReadSide,
     write_side: WriteSide,
@@ -107,8 +108,8 @@
     }
 
     /// Reads like [`SocketEnd::read`], but by a system call that ignores the runtime's readiness. The runtime
-    /// updates readiness only between tasks. After a pause of the whole process, timers run before readiness is
-    /// updated.
+    /// updates readiness only between tasks. After a pause of the whole process, timers run before readiness
+    /// is updated.
     ///
     /// # Errors
     ///
--- a/src/transport/connection/upstream.rs
+++ b/src/transport/connection/upstream.rs
@@ -125,7 +125,8 @@
     }
 }
 
-/// Waits for a connect. Never returns if there is none. Cancellation-safe: the owner keeps the pending connect.
+/// Waits for a connect. Never returns if there is none. Cancellation-safe: the owner keeps the pending
+/// connect.
 pub(super) async fn wait_connected(connecting: Option<&mut Connecting>) -> io::Result<TcpStream> {
     match connecting {
         Some(connecting) => connecting.await,
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -38,8 +38,8 @@
 }
 
 impl Daemon {
-    /// Reads the configuration again and applies it. Every step that can fail is done before the first change,
-    /// so that a reload is applied in full or not at all.
+    /// Reads the configuration again and applies it. Every step that can fail is done before the first
+    /// change, so that a reload is applied in full or not at all.
     pub(super) fn reload(&mut self) -> Result<(), TransportError> {
         let Config { platform, irc, mgmt, store, budget, log: _ } = read_configuration(&self.sources)?;
         if without_peers(&store) != without_peers(&self.store) {
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -45,8 +45,8 @@
 }
 
 impl Start {
-    /// Sets up the pools and opens the admin endpoint. Until the start is finished, the admin endpoint reports
-    /// that this process is not ready.
+    /// Sets up the pools and opens the admin endpoint. Until the start is finished, the admin endpoint
+    /// reports that this process is not ready.
     pub(super) fn begin(sources: Sources, config: Config) -> Result<Start, TransportError> {
         let admin_listener = config.mgmt.map(listen).transpose()?;
         let assembly = Assembly::new(&config);
@@ -163,7 +163,8 @@
     store: &StoreConfig,
     received: Option<&mut ReceivedState>,
 ) -> Result<OpenStore, TransportError> {
-    // The files must not be opened before the predecessor has exported its state: until then it writes to them.
+    // The files must not be opened before the predecessor has exported its state: until then it writes to
+    // them.
     let files = store.data.as_deref().map(|folder| open_files(assembly, folder)).transpose()?;
     let inherited = received.and_then(|received| received.take_socket(REPLICATION_SOCKET));
     let socket = match inherited {
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes: replica messages of the replicated map, and gossip between the balancers of a
 //! tier.
 //!
-//! Both protocols tolerate lost datagrams, so one that cannot be sent at once is dropped.
+//! Both protocols tolerate lost datagrams, so a datagram that cannot be sent immediately is dropped.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,10 +17,11 @@
 use crate::routing::store::ReplicaMessage;
 use crate::routing::{Input, PoolId};
 
-/// Wait after a failed receive. The system reports an unreachable peer in this way, which needs no action.
+/// Delay after a failed receive. The system reports an unreachable peer as a failed receive, which requires
+/// no action.
 const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The socket for replica messages. Clones are handles of the same socket.
+/// The socket for replica messages. Clones refer to the same socket.
 #[derive(Clone)]
 pub(super) struct ReplicationSocket(Rc<UdpSocket>);
 
@@ -29,23 +30,23 @@
         ReplicationSocket(Rc::new(socket))
     }
 
-    /// The system's socket.
+    /// Returns the underlying socket, whose descriptor a hot restart passes to the successor.
     pub(super) fn socket(&self) -> &UdpSocket {
         &self.0
     }
 
-    /// Sends a message. One that does not fit a datagram is dropped.
+    /// Sends a message. A message that does not fit in a datagram is dropped.
     pub(super) fn send(&self, to: SocketAddr, message: &ReplicaMessage) {
         if let Some(bytes) = replica_messages::encode(message) {
             let _ = self.0.try_send_to(&bytes, to);
         }
     }
 
-    /// Feeds the messages that come to the reducer, for ever.
+    /// Feeds received messages to the reducer. Never returns.
     pub(super) async fn receive(self, reducer: ReducerHandle, accepting: Accepting) {
         let mut bytes = [0; replica_messages::MAX_DATAGRAM_LENGTH + 1];
         loop {
-            // While a successor serves on the same socket, the messages are for it.
+            // While a successor uses the same socket, the successor must receive the messages.
             accepting.wait_until(true).await;
             match self.0.recv_from(&mut bytes).await {
                 Ok((length, from)) => match replica_messages::decode(&bytes[..length]) {
@@ -58,8 +59,8 @@
     }
 }
 
-/// The socket for gossip, and the address that all balancers of the tier listen on. Clones are handles of the
-/// same socket.
+/// The socket for gossip, and the address on which all balancers of the tier listen. Clones refer to the same
+/// socket.
 #[derive(Clone)]
 pub(super) struct GossipSocket {
     socket: Rc<UdpSocket>,
@@ -76,13 +77,13 @@
         let _ = self.socket.try_send_to(&gossip::encode(message), self.broadcast);
     }
 
-    /// Feeds the messages that come from known addresses to the reducer, for ever.
-    pub(super) async fn receive(self, reducer: ReducerHandle, pool: PoolId, known: Vec<SocketAddr>) {
+    /// Feeds messages from the addresses in `peers` to the reducer, and logs all others. Never returns.
+    pub(super) async fn receive(self, reducer: ReducerHandle, pool: PoolId, peers: Vec<SocketAddr>) {
         let mut bytes = [0; gossip::MAX_DATAGRAM_LENGTH + 1];
         loop {
             match self.socket.recv_from(&mut bytes).await {
                 Ok((length, from)) => {
-                    match gossip::decode(&bytes[..length]).filter(|_| known.contains(&from)) {
+                    match gossip::decode(&bytes[..length]).filter(|_| peers.contains(&from)) {
                         Some(message) => reducer.feed(Input::GossipReceived { pool, message }),
                         None => log_event!(LogEvent::GossipUnreadable { from }),
                     }
--- a/src/transport/discovery_watch/connection.rs
+++ b/src/transport/discovery_watch/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery, and the calls that are made on it.
+//! The connection to discovery, and the HTTP calls on it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use super::error::DiscoveryError;
 use crate::protocol::http::{self, EndpointListUpdate};
 
-/// The HTTP status of an answer that holds the list.
+/// HTTP status of an answer that contains an endpoint list.
 const STATUS_OK: u16 = 200;
 
-/// A request for the changes since a generation.
+/// Parameters of a call for the changes since a generation.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Since {
-    /// The generation.
+pub(super) struct ChangesSince {
+    /// Generation of the endpoint list that the caller has.
     pub(super) generation: u64,
-    /// How long discovery holds the call while nothing changes.
+    /// How long discovery holds the call while the list does not change.
     pub(super) hold: Duration,
 }
 
-/// The connection to discovery. It is reused for the next call. Discovery counts a call that comes over 200
-/// ms after its last answer as a new watch.
+/// A connection to discovery that is reused for consecutive calls. Discovery counts a call that arrives more
+/// than 200 ms after its last answer as a new watch.
 pub(super) struct DiscoveryConnection {
     discovery: SocketAddr,
     open: Option<OpenConnection>,
@@ -31,42 +31,47 @@
 
 struct OpenConnection {
     stream: TcpStream,
-    /// Bytes that were read and are not parsed yet.
+    /// Bytes that have been read and not parsed yet.
     received: Vec<u8>,
 }
 
-/// A call that has ended, and the connection for the next one.
+/// The result of a call, and the connection for the next call.
 pub(super) struct FinishedCall {
     pub(super) connection: DiscoveryConnection,
-    /// When it was made.
+    /// Time at which the call was started.
     pub(super) called_at: Instant,
     pub(super) result: Result<EndpointListUpdate, DiscoveryError>,
 }
 
 impl DiscoveryConnection {
-    /// A connection that is opened by its first call.
+    /// Creates a connection that is opened by its first call.
     pub(super) fn new(discovery: SocketAddr) -> DiscoveryConnection {
         DiscoveryConnection { discovery, open: None }
     }
 
-    /// Makes a call that fails after the time limit.
-    pub(super) async fn call_within(mut self, since: Option<Since>, limit: Duration) -> FinishedCall {
+    /// Makes a call that fails if it takes longer than `call_timeout`.
+    pub(super) async fn call_with_timeout(
+        mut self,
+        since: Option<ChangesSince>,
+        call_timeout: Duration,
+    ) -> FinishedCall {
         let called_at = Instant::now();
-        let result = match timeout(limit, self.call(since)).await {
+        let result = match timeout(call_timeout, self.call(since)).await {
             Ok(result) => result,
-            Err(_) if self.open.is_none() => Err(DiscoveryError::NotConnected),
-            Err(_) => Err(DiscoveryError::TimedOut),
+            Err(_) if self.open.is_none() => Err(DiscoveryError::NotConnected { call_timeout }),
+            Err(_) => Err(DiscoveryError::TimedOut { call_timeout }),
         };
         FinishedCall { connection: self, called_at, result }
     }
 
-    /// Requests the changes since a generation, or else a snapshot. Not cancellation-safe: the connection of
-    /// a cancelled call must be closed.
-    async fn call(&mut self, since: Option<Since>) -> Result<EndpointListUpdate, DiscoveryError> {
+    /// Requests the changes since a generation, or a snapshot if `since` is none. Not cancellation-safe: the
+    /// connection of a cancelled call must be closed.
+    async fn call(&mut self, since: Option<ChangesSince>) -> Result<EndpointListUpdate, DiscoveryError> {
         let was_open = self.open.is_some();
         let answer = match self.exchange(since).await {
-            // Discovery may have closed the reused connection between two calls. An answer is not retried,
-            // whatever its status: that would double the load of an overloaded discovery.
+            // Discovery may have closed the reused connection between two calls, so an error is retried once
+            // on a new connection. An answer is never retried, whatever its status, because a retry would
+            // double the load of an overloaded discovery.
             Err(_) if was_open => {
                 self.open = None;
                 self.exchange(since).await
@@ -78,13 +83,13 @@
         }
         let update = http::parse_endpoint_list(&answer.body).map_err(DiscoveryError::InvalidList)?;
         if !update.is_snapshot && since.is_none() {
-            return Err(DiscoveryError::UnexpectedDelta);
+            return Err(DiscoveryError::UnexpectedDelta { generation: update.generation });
         }
         Ok(update)
     }
 
-    /// Sends one request, and reads its answer.
-    async fn exchange(&mut self, since: Option<Since>) -> Result<http::Response, DiscoveryError> {
+    /// Sends one request and reads the answer.
+    async fn exchange(&mut self, since: Option<ChangesSince>) -> Result<http::Response, DiscoveryError> {
         let open = match self.open.take() {
             Some(open) => open,
             None => OpenConnection::connect(self.discovery).await?,
@@ -120,7 +125,7 @@
                 return Ok(answer);
             }
             if ended {
-                return Err(DiscoveryError::Closed);
+                return Err(DiscoveryError::Closed { received: self.received.len() });
             }
         }
     }
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -1,8 +1,10 @@
-//! Follows one pool's endpoint list by long polls, which discovery holds until something changes.
+//! Follows one pool's endpoint list by long polls. Discovery holds each call until the list changes or the
+//! hold expires.
 //!
-//! A held call without an answer in time is silent. The watch is then opened again with a call that is not
-//! held, after a random delay. The silent call stays open, and its answer is used unless the list at hand is
-//! newer. A call that is not held and times out is reported as silent too, and ends the watch with an error.
+//! A held call is silent if it has no answer at the end of its hold and an additional answer time-out. The
+//! watch is then reopened after a random delay with a call that is not held. The silent call remains open,
+//! and its answer is used unless it is older than the current list. A call that is not held and times out is
+//! also reported as silent, and ends the watch with an error.
 
 use std::future::{pending, Future};
 use std::hash::{BuildHasher, RandomState};
@@ -13,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::connection::{DiscoveryConnection, FinishedCall, Since};
+use super::connection::{ChangesSince, DiscoveryConnection, FinishedCall};
 use super::error::DiscoveryError;
 use crate::protocol::http::EndpointListUpdate;
 use crate::routing::{Endpoint, EndpointWatchTiming, Input, Lifecycle, PoolId};
@@ -21,29 +23,31 @@
 use crate::transport::reducer::ReducerHandle;
 use crate::Micros;
 
-/// How long discovery holds a call while nothing changes. A change must be known when the lease of the list
-/// ends (6 s), and a silent watch looks like one without changes until the hold is over.
+/// How long discovery holds a call while the list does not change. A change must be known before the lease of
+/// the list expires (6 s), and until the hold expires a silent watch cannot be distinguished from a watch
+/// without changes.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time-out of a call for a snapshot, and of a held call beyond its hold. It is generous, since an overloaded
-/// discovery still serves calls that were cancelled: short time-outs would waste all its work.
+/// Time-out of a call for a snapshot, and of a held call in addition to its hold. The time-out is long
+/// because an overloaded discovery still serves cancelled calls: with short time-outs all its work would be
+/// wasted.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(5);
-/// Wait after an immediate answer without changes. It limits the calls to a discovery that does not hold
-/// them; beyond 200 ms the next call would count as a new watch.
+/// Pause after an answer without changes that arrives faster than this. The pause limits the rate of calls to
+/// a discovery that does not hold calls. With more than 200 ms the next call would count as a new watch.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A call without an answer so far.
+/// A call that has no answer yet.
 struct PendingCall {
     future: Pin<Box<dyn Future<Output = FinishedCall>>>,
-    /// When it is made.
+    /// Time at which the call starts.
     called_at: Instant,
-    /// When it counts as silent without an answer; none for a call that is not held.
+    /// Time from which the unanswered call counts as silent; none for a call that is not held.
     silent_at: Option<Instant>,
 }
 
-/// The end of a call.
-enum CallEnd {
+/// The outcome of waiting for a call.
+enum CallOutcome {
     Finished(FinishedCall),
-    /// It has no answer in time.
+    /// The call counts as silent, and is still pending.
     Silent,
 }
 
@@ -52,20 +56,20 @@
     reducer: ReducerHandle,
     pool: PoolId,
     discovery: SocketAddr,
-    /// The connection of the last answer, for the next call.
+    /// The connection of the last answer, which the next call reuses.
     connection: Option<DiscoveryConnection>,
     /// A silent call, which a slow discovery may answer before the call that replaced it.
     silent_call: Option<PendingCall>,
-    /// Generation of the list that this process has, if it has one.
+    /// Generation of the list that this process has; none if it has no list.
     generation: Option<u64>,
     /// How long discovery holds the next call.
     hold: Duration,
-    /// When discovery last answered, or when the watch was started.
+    /// Time of discovery's last answer, or of the start of the watch.
     answered_at: Instant,
 }
 
 impl EndpointListFollower {
-    /// A follower of a list of which this process has the given generation, if any.
+    /// Creates a follower for a list of which this process has the given generation, or no list yet.
     pub(super) fn new(
         reducer: ReducerHandle,
         pool: PoolId,
@@ -79,35 +83,35 @@
             connection: None,
             silent_call: None,
             generation,
-            // With a list at hand the first call can be held, which spares discovery one call of each
-            // balancer when a fleet restarts.
+            // If this process has a list, its first call can be held. When a fleet restarts, discovery then
+            // serves one call less for each balancer.
             hold: if generation.is_some() { HOLD_TIMEOUT } else { Duration::ZERO },
             answered_at: Instant::now(),
         }
     }
 
-    /// Follows the list for ever. A watch continues until a call fails; then the reducer decides when to open
-    /// it again.
+    /// Follows the list. Returns only when the channel of requests is closed. A watch continues until a call
+    /// fails. The reducer then decides when the watch is reopened.
     pub(super) async fn run(mut self, mut requested: mpsc::Receiver<()>) {
         while self.wait_for_request(&mut requested).await {
             let error = self.follow_until_error().await;
             log_event!(LogEvent::EndpointListFailed { error: &error, age: self.answered_at.elapsed() });
-            // Requests from before this failure are satisfied.
+            // Requests from before this failure were satisfied by the watch that has just ended.
             while requested.try_recv().is_ok() {}
             self.reducer.feed(Input::EndpointWatchLost { pool: self.pool, failure: error.watch_failure() });
         }
     }
 
-    /// Waits until the watch is requested, or the silent call is answered after all. Returns false once no
-    /// request can come any more.
+    /// Waits until the watch is requested, or the silent call gets an answer that is accepted. Returns false
+    /// if the channel of requests is closed.
     async fn wait_for_request(&mut self, requested: &mut mpsc::Receiver<()>) -> bool {
         loop {
             tokio::select! {
                 request = requested.recv() => return request.is_some(),
-                finished = silent_call_answer(&mut self.silent_call) => {
+                finished = wait_for_silent_call(&mut self.silent_call) => {
                     if let Some(finished) = self.accept_silent_call_answer(finished) {
                         // An accepted answer is never an error.
-                        let _ = self.take_answer(finished).await;
+                        let _ = self.apply_result(finished).await;
                         return true;
                     }
                 }
@@ -118,15 +122,15 @@
     async fn follow_until_error(&mut self) -> DiscoveryError {
         let mut delay = Duration::ZERO;
         loop {
-            let mut call = self.begin_call(delay);
+            let mut call = self.start_call(delay);
             delay = Duration::ZERO;
             match self.wait_for_answer(&mut call).await {
-                CallEnd::Finished(finished) => {
-                    if let Err(error) = self.take_answer(finished).await {
+                CallOutcome::Finished(finished) => {
+                    if let Err(error) = self.apply_result(finished).await {
                         return error;
                     }
                 }
-                CallEnd::Silent => {
+                CallOutcome::Silent => {
                     delay = self.on_silent(call.called_at);
                     self.silent_call = Some(call);
                 }
@@ -134,24 +138,24 @@
         }
     }
 
-    /// Begins a call after a delay.
-    fn begin_call(&mut self, delay: Duration) -> PendingCall {
+    /// Starts a call after a delay.
+    fn start_call(&mut self, delay: Duration) -> PendingCall {
         let connection = self.connection.take().unwrap_or_else(|| DiscoveryConnection::new(self.discovery));
-        let since = self.generation.map(|generation| Since { generation, hold: self.hold });
+        let since = self.generation.map(|generation| ChangesSince { generation, hold: self.hold });
         let hold = since.map_or(Duration::ZERO, |since| since.hold);
         let timing = self.reducer.endpoint_watch_timing(self.pool);
         let called_at = Instant::now() + delay;
         let silent_at = (!hold.is_zero()).then(|| called_at + hold + Duration::from(timing.answer_timeout));
-        let limit = self.call_limit(&timing);
+        let call_timeout = self.call_timeout(&timing);
         let future = Box::pin(async move {
             sleep(delay).await;
-            connection.call_within(since, limit).await
+            connection.call_with_timeout(since, call_timeout).await
         });
         PendingCall { future, called_at, silent_at }
     }
 
-    /// How long the next call may take.
-    fn call_limit(&self, timing: &EndpointWatchTiming) -> Duration {
+    /// Returns the time-out of the next call.
+    fn call_timeout(&self, timing: &EndpointWatchTiming) -> Duration {
         match (self.generation, self.hold) {
             (None, _) => MAX_ANSWER_TIME,
             (Some(_), Duration::ZERO) => Duration::from(timing.reopening_timeout),
@@ -159,32 +163,34 @@
         }
     }
 
-    /// Waits until a call ends or is silent. An answer of the earlier silent call is returned in its place.
-    async fn wait_for_answer(&mut self, call: &mut PendingCall) -> CallEnd {
+    /// Waits until a call finishes or counts as silent. If the earlier silent call gets an answer that is
+    /// accepted, returns that answer instead.
+    async fn wait_for_answer(&mut self, call: &mut PendingCall) -> CallOutcome {
         loop {
             tokio::select! {
-                finished = &mut call.future => return CallEnd::Finished(finished),
-                () = silence(call.silent_at) => return CallEnd::Silent,
-                finished = silent_call_answer(&mut self.silent_call) => {
+                finished = &mut call.future => return CallOutcome::Finished(finished),
+                () = wait_until_silent(call.silent_at) => return CallOutcome::Silent,
+                finished = wait_for_silent_call(&mut self.silent_call) => {
                     if let Some(finished) = self.accept_silent_call_answer(finished) {
-                        return CallEnd::Finished(finished);
+                        return CallOutcome::Finished(finished);
                     }
                 }
             }
         }
     }
 
-    /// The answer of the silent call, unless it is an error or older than the list at hand.
+    /// Returns the answer of the silent call, or none if it is an error or older than the current list.
     fn accept_silent_call_answer(&mut self, finished: FinishedCall) -> Option<FinishedCall> {
         self.silent_call = None;
         let is_current = finished.result.as_ref().is_ok_and(|update| !self.is_outdated(update));
         is_current.then_some(finished)
     }
 
-    /// Reports that the watch is silent, and returns the delay before it is opened again. The next call is
-    /// not held, since a held call without changes looks like a silent one.
+    /// Reports that the watch is silent, and returns the delay before it is reopened. The next call is not
+    /// held, because a held call without changes cannot be distinguished from a silent call.
     fn on_silent(&mut self, called_at: Instant) -> Duration {
-        log_event!(LogEvent::EndpointListRetried { age: self.answered_at.elapsed() });
+        let (waited, age) = (called_at.elapsed(), self.answered_at.elapsed());
+        log_event!(LogEvent::EndpointListRetried { waited, age });
         self.feed_silence(called_at);
         self.hold = Duration::ZERO;
         let timing = self.reducer.endpoint_watch_timing(self.pool);
@@ -196,13 +202,13 @@
         self.reducer.feed(Input::EndpointWatchSilent { pool: self.pool, called_ago });
     }
 
-    /// Applies the result of a call.
-    async fn take_answer(&mut self, finished: FinishedCall) -> Result<(), DiscoveryError> {
+    /// Applies the list of a successful call, or returns the call's error.
+    async fn apply_result(&mut self, finished: FinishedCall) -> Result<(), DiscoveryError> {
         let FinishedCall { connection, called_at, result } = finished;
         let update = match result {
             Ok(update) => update,
             Err(error) => {
-                if matches!(error, DiscoveryError::TimedOut) {
+                if matches!(error, DiscoveryError::TimedOut { .. }) {
                     self.feed_silence(called_at);
                 }
                 return Err(error);
@@ -210,7 +216,8 @@
         };
         self.connection = Some(connection);
         if self.is_outdated(&update) {
-            log_event!(LogEvent::EndpointListOutdated { generation: update.generation });
+            let current = self.generation.unwrap_or_default();
+            log_event!(LogEvent::EndpointListOutdated { generation: update.generation, current });
             self.generation = None;
             self.hold = Duration::ZERO;
         } else {
@@ -220,10 +227,10 @@
         Ok(())
     }
 
-    /// Whether an update is a delta of an older list than the one at hand: another incarnation of discovery
-    /// sent it.
+    /// Returns whether an update is a delta of a list that is older than the current list. Such an update was
+    /// sent by another incarnation of discovery.
     fn is_outdated(&self, update: &EndpointListUpdate) -> bool {
-        !update.is_snapshot && self.generation.is_some_and(|held| update.generation < held)
+        !update.is_snapshot && self.generation.is_some_and(|current| update.generation < current)
     }
 
     fn log_update(&self, generation: u64, endpoints: &[Endpoint]) {
@@ -249,23 +256,23 @@
     }
 }
 
-/// Waits for the end of the silent call, or for ever if there is none.
-async fn silent_call_answer(silent_call: &mut Option<PendingCall>) -> FinishedCall {
+/// Waits until the silent call finishes. Never returns if there is no silent call.
+async fn wait_for_silent_call(silent_call: &mut Option<PendingCall>) -> FinishedCall {
     match silent_call {
         Some(call) => call.future.as_mut().await,
         None => pending().await,
     }
 }
 
-/// Waits until a call counts as silent, or for ever if it never does.
-async fn silence(at: Option<Instant>) {
-    match at {
-        Some(at) => sleep_until(at).await,
+/// Waits until a call counts as silent. Never returns for a call that is not held.
+async fn wait_until_silent(silent_at: Option<Instant>) {
+    match silent_at {
+        Some(silent_at) => sleep_until(silent_at).await,
         None => pending().await,
     }
 }
 
-/// A random number from 0 to 1, different in each process and at each call.
+/// Returns a random number from 0 to 1, which differs between processes and between calls.
 fn random_fraction() -> f64 {
     RandomState::new().hash_one(()) as f64 / u64::MAX as f64
 }
--- a/src/transport/discovery_watch/mod.rs
+++ b/src/transport/discovery_watch/mod.rs
@@ -1,4 +1,5 @@
-//! Watches on discovery's endpoint lists: opened at the reducer's request, and renewed until a call fails.
+//! Watches on discovery's endpoint lists. A watch is opened at the reducer's request and repeats its call
+//! until a call fails.
 
 mod connection;
 mod error;
@@ -15,21 +16,21 @@
 use super::reducer::ReducerHandle;
 use crate::routing::PoolId;
 
-/// The task of a pool's watch.
+/// The task of a pool's watch, and the channel to it.
 struct Watch {
-    /// Requests to open the watch again after it was lost.
+    /// Requests to reopen the watch after it was lost.
     requests: mpsc::Sender<()>,
     task: JoinHandle<()>,
 }
 
-/// Keeps a watch for each pool, by the reducer's commands.
+/// Starts and resumes the watches of pools by the reducer's commands.
 pub(super) async fn run_watches(reducer: ReducerHandle, mut commands: mpsc::UnboundedReceiver<WatchCommand>) {
     let mut watches: HashMap<PoolId, Watch> = HashMap::new();
     while let Some(command) = commands.recv().await {
         match command {
             WatchCommand::Resume { pool } => {
                 if let Some(watch) = watches.get(&pool) {
-                    // A second request changes nothing while the first is pending.
+                    // While a request is pending, a second request has no effect.
                     let _ = watch.requests.try_send(());
                 }
             }
@@ -50,7 +51,7 @@
     generation: Option<u64>,
 ) -> Watch {
     let (requests, requested) = mpsc::channel(1);
-    // The first request is implied by the command. The channel holds one, so this cannot fail.
+    // The command implies the first request. The channel has capacity for one request, so this cannot fail.
     let _ = requests.try_send(());
     let follower = EndpointListFollower::new(reducer.clone(), pool, discovery, generation);
     Watch { requests, task: tokio::task::spawn_local(follower.run(requested)) }
--- a/src/transport/excluded_servers.rs
+++ b/src/transport/excluded_servers.rs
@@ -1,18 +1,20 @@
-//! The file of servers that operators excluded, beside the hot-restart socket.
+//! The file that lists the servers excluded by operators. It is in the same folder as the hot-restart socket.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use super::log_event::{log_event, LogEvent};
 
-/// Extension of the file, in the place of the socket's. Processes of other versions read the file, so it stays.
+/// Extension of the file, which replaces the extension of the socket's path. It must not change, because
+/// processes of other versions read the file.
 const EXCLUDED_FILE_EXTENSION: &str = "bans";
 
 fn excluded_file(hot_restart_socket: &Path) -> PathBuf {
     hot_restart_socket.with_extension(EXCLUDED_FILE_EXTENSION)
 }
 
-/// Writes the list of excluded servers, for a later process. A crash leaves the old list or the new one.
+/// Writes the list of excluded servers, which a later process reads. After a crash the file contains either
+/// the old or the new list.
 pub(super) fn persist_excluded(hot_restart_socket: &Path, excluded: &[String]) {
     let file = excluded_file(hot_restart_socket);
     let new = file.with_extension(format!("{}.new", std::process::id()));
@@ -22,7 +24,8 @@
     }
 }
 
-/// Reads the list of servers that were excluded when an earlier process last wrote it.
+/// Reads the list of excluded servers that an earlier process wrote. Returns an empty list if there is no
+/// file or it cannot be read; the latter is logged.
 pub(super) fn load_excluded(hot_restart_socket: &Path) -> Vec<String> {
     let file = excluded_file(hot_restart_socket);
     match std::fs::read(&file) {
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -1,5 +1,8 @@
-//! Files of the replicated map: a journal that every entry is appended to, and a snapshot that replaces it
-//! when it has grown long. Both are sequences of records: length, its complement, checksum, entry.
+//! Files of the replicated map: a journal to which every new entry is appended, and a snapshot that replaces
+//! the journal when the journal exceeds `MAX_JOURNAL_BYTES`.
+//!
+//! Both files are sequences of records. A record consists of the entry's length, the complement of the
+//! length, a checksum and the entry.
 
 use std::cell::RefCell;
 use std::fs::{self, File, OpenOptions};
@@ -12,44 +15,44 @@
 use crate::protocol::replica_messages;
 use crate::routing::store::{Entry, ReplicatedMap};
 
-/// Length at which the journal is folded into the snapshot.
+/// Length beyond which the journal is replaced by a new snapshot.
 const MAX_JOURNAL_BYTES: u64 = 256 << 10;
-/// Bytes of a record before its entry.
+/// Length of a record's header, which precedes the entry.
 pub const RECORD_HEAD_BYTES: usize = 12;
 
 const SNAPSHOT_FILE: &str = "store.snapshot";
 const JOURNAL_FILE: &str = "store.journal";
-/// A snapshot that is being written.
+/// Temporary name of a snapshot while it is being written.
 const NEW_SNAPSHOT_FILE: &str = "store.new";
 
 /// Keys with their entries, in the order in which they were written.
 pub type Entries = Vec<(String, Entry)>;
 
-/// The end of a sequence of records.
+/// How a sequence of records ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordsEnd {
-    /// A complete record.
+    /// The last record is complete.
     Complete,
-    /// An interrupted write.
+    /// The last write was interrupted.
     Torn {
-        /// Offset of that write, in bytes.
+        /// Offset in the file at which the interrupted write starts, in bytes.
         offset: usize,
     },
 }
 
-/// The content of a file.
+/// The decoded content of a file.
 #[derive(Debug)]
 pub struct Records {
-    /// The entries of its complete records.
+    /// The entries of all complete records.
     pub entries: Entries,
-    /// How it ends.
+    /// Whether the last write was complete or interrupted.
     pub end: RecordsEnd,
 }
 
 /// A record that is corrupt in a way that an interrupted write cannot cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CorruptRecord {
-    /// Where it begins, in bytes.
+    /// Offset of the record in the file, in bytes.
     pub offset: usize,
 }
 
@@ -57,37 +60,40 @@
 pub fn encode_record(key: &str, entry: &Entry) -> Vec<u8> {
     let body = replica_messages::encode_entry(key, entry);
     let length = body.len() as u32;
-    let head = [length.to_be_bytes(), (!length).to_be_bytes(), crc32fast::hash(&body).to_be_bytes()];
-    [&head.concat()[..], &body].concat()
+    let header = [length.to_be_bytes(), (!length).to_be_bytes(), crc32fast::hash(&body).to_be_bytes()];
+    [&header.concat()[..], &body].concat()
 }
 
 /// Decodes the records of a file.
 ///
 /// # Errors
 ///
-/// When a record is corrupt in a way that an interrupted last write cannot cause.
+/// Returns an error if a record is corrupt in a way that an interrupted last write cannot cause.
 pub fn decode_records(bytes: &[u8]) -> Result<Records, CorruptRecord> {
     let mut entries = Vec::new();
     let mut offset = 0;
     while offset < bytes.len() {
         let torn = RecordsEnd::Torn { offset };
-        let rest = &bytes[offset..];
-        // The file's length may have been updated before the bytes of the write: they read as zeros.
-        if rest.len() < RECORD_HEAD_BYTES || rest.iter().all(|&byte| byte == 0) {
+        let remaining = &bytes[offset..];
+        // An interrupted write may have updated the file's length before the written bytes. They then read as
+        // zeros.
+        if remaining.len() < RECORD_HEAD_BYTES || remaining.iter().all(|&byte| byte == 0) {
             return Ok(Records { entries, end: torn });
         }
-        let head_field = |at: usize| u32::from_be_bytes([rest[at], rest[at + 1], rest[at + 2], rest[at + 3]]);
-        let (length, complement, checksum) = (head_field(0), head_field(4), head_field(8));
+        let header_field = |at: usize| {
+            u32::from_be_bytes([remaining[at], remaining[at + 1], remaining[at + 2], remaining[at + 3]])
+        };
+        let (length, complement, checksum) = (header_field(0), header_field(4), header_field(8));
         if length != !complement {
             return Err(CorruptRecord { offset });
         }
         let record_end = RECORD_HEAD_BYTES + length as usize;
-        let Some(body) = rest.get(RECORD_HEAD_BYTES..record_end) else {
+        let Some(body) = remaining.get(RECORD_HEAD_BYTES..record_end) else {
             return Ok(Records { entries, end: torn });
         };
         match replica_messages::decode_entry(body).filter(|_| crc32fast::hash(body) == checksum) {
             Some(entry) => entries.push(entry),
-            None if record_end == rest.len() => return Ok(Records { entries, end: torn }),
+            None if record_end == remaining.len() => return Ok(Records { entries, end: torn }),
             None => return Err(CorruptRecord { offset }),
         }
         offset += record_end;
@@ -98,27 +104,29 @@
 /// The open files of a replicated map.
 pub struct Files {
     folder: PathBuf,
-    /// None while a successor appends to it.
+    /// None while a successor appends to the journal.
     journal: Option<File>,
     journal_bytes: u64,
-    /// All entries, for the next snapshot.
+    /// All entries, from which the next snapshot is written.
     entries: ReplicatedMap,
 }
 
-/// Files that were just opened, with their content.
+/// Newly opened files, with their content.
 pub struct OpenedFiles {
-    /// The files.
+    /// The files, ready to persist further entries.
     pub files: Files,
     /// The entries of the snapshot, then those of the journal.
     pub entries: Entries,
 }
 
 impl Files {
-    /// Opens the files of a folder, which is created if it is missing. A torn end of the journal is truncated.
+    /// Opens the files in a folder, which is created if it does not exist. A torn write at the end of the
+    /// journal is truncated.
     ///
     /// # Errors
     ///
-    /// When a file cannot be opened or written, or is corrupt beyond an interrupted last write.
+    /// Returns an error if a file cannot be opened or written, or is corrupt in a way that an interrupted
+    /// last write cannot cause.
     pub fn open(folder: &Path) -> Result<OpenedFiles, TransportError> {
         let file_error = |source| TransportError::File { path: folder.to_owned(), source };
         fs::create_dir_all(folder).map_err(file_error)?;
@@ -138,12 +146,13 @@
         Ok(OpenedFiles { files, entries })
     }
 
-    /// Closes the files for a successor: nothing more is written.
+    /// Closes the journal, because a successor appends to it. Later entries are not written.
     pub fn close(&mut self) {
         self.journal = None;
     }
 
-    /// Reopens the files after a successor is lost, and persists all entries of the replicated map.
+    /// Reopens the files after the successor is lost, and persists all entries of the replicated map. Does
+    /// nothing if the files are open.
     pub fn reopen(&mut self, store: &ReplicatedMap) {
         if self.journal.is_some() {
             return;
@@ -157,29 +166,31 @@
         }
     }
 
-    /// Persists an entry. On return it is synced to disk, or the error is logged.
+    /// Persists an entry. On return the entry is synced to disk, or the error is logged. While the files are
+    /// closed the entry is kept only in memory.
     pub fn persist(&mut self, key: &str, entry: &Entry) {
         self.entries.merge_entry(key, entry.clone());
         let record = encode_record(key, entry);
         let Some(journal) = &mut self.journal else { return };
         let appended = journal.write_all(&record).and_then(|()| journal.sync_data());
         self.journal_bytes += record.len() as u64;
-        let is_long = self.journal_bytes > MAX_JOURNAL_BYTES;
-        let persisted = appended.and_then(|()| if is_long { self.fold() } else { Ok(()) });
+        let is_over_limit = self.journal_bytes > MAX_JOURNAL_BYTES;
+        let persisted = appended.and_then(|()| if is_over_limit { self.fold() } else { Ok(()) });
         if let Err(error) = persisted {
             log_event!(LogEvent::EntryNotPersisted { folder: &self.folder, key, error: &error });
-            // An incomplete record followed by others would be corrupt at the next start, so all entries are
-            // written anew. If that fails too, the next entry tries again.
+            // An incomplete record that is followed by others would count as corrupt at the next start. All
+            // entries are therefore written to a new snapshot. If that also fails, the next entry tries
+            // again.
             let _ = self.fold();
         }
     }
 
-    /// Replaces the snapshot and empties the journal. A crash between the two leaves entries in both, which is
-    /// harmless.
+    /// Replaces the snapshot and empties the journal. After a crash between these two steps some entries are
+    /// in both files, which is harmless.
     ///
     /// # Errors
     ///
-    /// When a file cannot be written.
+    /// Returns an error if a file cannot be written.
     #[doc(hidden)]
     pub fn fold(&mut self) -> io::Result<()> {
         let (new, snapshot) = (self.folder.join(NEW_SNAPSHOT_FILE), self.folder.join(SNAPSHOT_FILE));
@@ -199,8 +210,8 @@
     }
 }
 
-/// The files of a replicated map, as what persists entries and the hot restart share them. Clones are handles
-/// of the same files.
+/// The files of a replicated map, shared by the consumer that persists entries and by the hot restart. Clones
+/// refer to the same files.
 #[derive(Clone)]
 pub(super) struct SharedFiles(Rc<RefCell<Files>>);
 
@@ -209,23 +220,23 @@
         SharedFiles(Rc::new(RefCell::new(files)))
     }
 
-    /// As [`Files::persist`].
+    /// See [`Files::persist`].
     pub(super) fn persist(&self, key: &str, entry: &Entry) {
         self.0.borrow_mut().persist(key, entry);
     }
 
-    /// As [`Files::close`].
+    /// See [`Files::close`].
     pub(super) fn close(&self) {
         self.0.borrow_mut().close();
     }
 
-    /// As [`Files::reopen`].
+    /// See [`Files::reopen`].
     pub(super) fn reopen(&self, store: &ReplicatedMap) {
         self.0.borrow_mut().reopen(store);
     }
 }
 
-/// Reads a file. A missing file is empty.
+/// Reads a file. Returns no bytes if the file does not exist.
 fn read_file(path: &Path) -> Result<Vec<u8>, TransportError> {
     match fs::read(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
@@ -237,7 +248,7 @@
     TransportError::CorruptFile { path: path.to_owned(), offset }
 }
 
-/// Reads the snapshot. It is replaced atomically, so a torn end is corrupt.
+/// Reads the snapshot. The snapshot is replaced atomically, so a torn write in it counts as corrupt.
 fn read_snapshot(path: &Path) -> Result<Entries, TransportError> {
     let records = decode_records(&read_file(path)?).map_err(|corrupt| corrupt_file(path, corrupt.offset))?;
     match records.end {
@@ -246,10 +257,10 @@
     }
 }
 
-/// The content of the journal before its torn end.
+/// The complete records of the journal, without a torn write at the end.
 struct JournalContent {
     entries: Entries,
-    /// Length of these entries, in bytes.
+    /// Length of these records, in bytes.
     length: usize,
 }
 
--- a/src/transport/hot_restart/link.rs
+++ b/src/transport/hot_restart/link.rs
@@ -1,4 +1,4 @@
-//! The link between two processes: a Unix socket of messages, with descriptors attached to them.
+//! The link between two processes: a Unix socket that carries messages with attached descriptors.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -15,14 +15,14 @@
 use super::error::LinkError;
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_MESSAGE_LENGTH, MAX_SOCKETS};
 
-/// Time-out of sending a message: the other process may hang.
+/// Time-out of sending a message. Without it this process would wait for a peer process that hangs.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Processes that may wait to be accepted.
+/// Maximum number of processes whose connections wait to be accepted.
 const LISTEN_BACKLOG: i32 = 8;
-/// Permissions of the socket: for this user only.
+/// Permissions of the socket: only this user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// The connected socket. It is of type `SOCK_SEQPACKET`, though the runtime calls it a stream.
+/// The connected socket. Its type is `SOCK_SEQPACKET`, although the runtime calls it a stream.
 pub(super) struct Link(UnixStream);
 
 /// A message, and the descriptors attached to it.
@@ -42,7 +42,8 @@
     ///
     /// # Errors
     ///
-    /// When no process listens there, or one of another user.
+    /// Returns [`LinkError::Socket`] if no process listens at the path, and [`LinkError::OtherUser`] if the
+    /// process belongs to another user.
     pub(super) fn connect(path: &Path) -> Result<Link, LinkError> {
         let socket = open_socket().map_err(io::Error::from)?;
         let address = net::SocketAddrUnix::new(path).map_err(io::Error::from)?;
@@ -50,14 +51,15 @@
         Link::new(UnixStream::from_std(socket.into())?)
     }
 
-    /// A link over a socket, if its other end belongs to the same user.
+    /// Creates a link over a socket whose other end belongs to the same user.
     ///
     /// # Errors
     ///
-    /// [`LinkError::OtherUser`] if it does not.
+    /// Returns [`LinkError::OtherUser`] if the other end belongs to another user.
     pub(super) fn new(socket: UnixStream) -> Result<Link, LinkError> {
-        if socket.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-            return Err(LinkError::OtherUser);
+        let (peer, own) = (socket.peer_cred()?.uid(), rustix::process::geteuid().as_raw());
+        if peer != own {
+            return Err(LinkError::OtherUser { peer, own });
         }
         Ok(Link(socket))
     }
@@ -66,7 +68,8 @@
     ///
     /// # Errors
     ///
-    /// When the message is too long, the link is broken or the other process does not read in time.
+    /// Returns an error if the message is too long, the link is broken, or the other process does not read
+    /// the message within [`SEND_TIMEOUT`].
     pub(super) async fn send(
         &self,
         message: &HandoverMessage,
@@ -74,7 +77,7 @@
     ) -> Result<(), LinkError> {
         let bytes = hot_restart::encode(message).ok_or(LinkError::MessageTooLong)?;
         let sent = timeout(SEND_TIMEOUT, self.send_bytes(&bytes, sockets)).await;
-        Ok(sent.map_err(|_| LinkError::SendTimedOut)??)
+        Ok(sent.map_err(|_| LinkError::SendTimedOut { send_timeout: SEND_TIMEOUT })??)
     }
 
     async fn send_bytes(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
@@ -88,8 +91,8 @@
     }
 
     fn try_send(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
+        let mut ancillary = SendAncillaryBuffer::new(&mut control_buffer);
         if !sockets.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(sockets)) {
             return Err(io::ErrorKind::InvalidInput.into());
         }
@@ -97,12 +100,12 @@
         Ok(net::sendmsg(&self.0, &[IoSlice::new(bytes)], &mut ancillary, flags).map(drop)?)
     }
 
-    /// Receives the next message; none at the end of the stream. Cancellation-safe: a message is received by a
-    /// single system call.
+    /// Receives the next message. Returns none if the other process has closed the link. Cancellation-safe: a
+    /// message is received by a single system call.
     ///
     /// # Errors
     ///
-    /// When the link is broken, or the message is invalid.
+    /// Returns an error if the link is broken or the message is invalid.
     pub(super) async fn receive(&self) -> Result<Option<ReceivedMessage>, LinkError> {
         let ReceivedBytes { bytes, sockets } = loop {
             self.0.readable().await?;
@@ -114,14 +117,15 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        let message = hot_restart::decode(&bytes).ok_or(LinkError::InvalidMessage)?;
+        let length = bytes.len();
+        let message = hot_restart::decode(&bytes).ok_or(LinkError::InvalidMessage { length })?;
         Ok(Some(ReceivedMessage { message, sockets }))
     }
 
     fn try_receive(&self) -> io::Result<ReceivedBytes> {
         let mut bytes = vec![0; MAX_MESSAGE_LENGTH];
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut control_buffer);
         let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
         let received = net::recvmsg(&self.0, &mut [IoSliceMut::new(&mut bytes)], &mut ancillary, flags)?;
         let rights = ancillary.drain().filter_map(|message| match message {
@@ -130,7 +134,9 @@
         });
         let sockets: Vec<OwnedFd> = rights.flatten().collect();
         if received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC) {
-            return Err(io::ErrorKind::InvalidData.into());
+            let reason =
+                format!("a message exceeds the limit of {MAX_MESSAGE_LENGTH} bytes or {MAX_SOCKETS} sockets");
+            return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
         }
         bytes.truncate(received.bytes);
         Ok(ReceivedBytes { bytes, sockets })
@@ -142,19 +148,19 @@
     net::socket_with(net::AddressFamily::UNIX, net::SocketType::SEQPACKET, flags, None)
 }
 
-/// Listens at a path, and replaces an earlier socket there.
+/// Listens at a path, and replaces an earlier socket at the same path.
 ///
 /// # Errors
 ///
-/// When the system refuses.
+/// Returns an error if the socket cannot be opened, bound or renamed.
 pub(super) fn listen(path: &Path) -> io::Result<UnixListener> {
-    // The rename replaces the old socket atomically.
-    let own_path = path.with_extension(std::process::id().to_string());
+    // The socket is bound at a temporary path. Renaming it replaces the old socket atomically.
+    let temporary_path = path.with_extension(std::process::id().to_string());
     let socket = open_socket()?;
-    let _ = std::fs::remove_file(&own_path);
-    net::bind(&socket, &net::SocketAddrUnix::new(&own_path)?)?;
-    std::fs::set_permissions(&own_path, std::os::unix::fs::PermissionsExt::from_mode(SOCKET_MODE))?;
+    let _ = std::fs::remove_file(&temporary_path);
+    net::bind(&socket, &net::SocketAddrUnix::new(&temporary_path)?)?;
+    std::fs::set_permissions(&temporary_path, std::os::unix::fs::PermissionsExt::from_mode(SOCKET_MODE))?;
     net::listen(&socket, LISTEN_BACKLOG)?;
-    std::fs::rename(&own_path, path)?;
+    std::fs::rename(&temporary_path, path)?;
     UnixListener::from_std(socket.into())
 }
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -3,8 +3,11 @@
 //!
 //! The successor connects to a socket in the temporary directory ([`socket_path`]). It imports the state and
 //! the listening sockets ([`import_state`]), starts to serve, and notifies the predecessor
-//! ([`run_as_successor`]). From the request for its state on the predecessor accepts nothing new, and new
-//! clients wait in the listener's queue; it goes on with what it has accepted ([`offer_state`]).
+//! ([`run_as_successor`]).
+//!
+//! The predecessor ([`offer_state`]) stops accepting connections when its state is requested. From then on,
+//! new clients wait in the listener's queue. The predecessor continues to serve the connections that it has
+//! already accepted.
 
 mod context;
 mod error;
@@ -33,19 +36,20 @@
 
 pub(super) use context::{ExportedState, HotRestartContext, REPLICATION_SOCKET};
 
-/// Time-out of the export of a predecessor's state, and of a successor's request for it: the other process
-/// may hang.
+/// Time-out for a predecessor to export its state, and for a connected successor to request it. Without a
+/// time-out this process would wait for a process that hangs.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a predecessor that is busy with another successor is polled, and the interval.
+/// How long a successor keeps requesting the state of a predecessor that is busy with another successor.
 const BUSY_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between these requests.
 const BUSY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time from a successor's request until it must serve; after that it counts as lost.
+/// Time from a successor's request within which it must serve. After that it counts as lost.
 const SUCCESSOR_READY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait after a successor could not be accepted.
+/// Delay after a successor's connection could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The path of the hot-restart socket of a process that serves this configuration. It depends on the
-/// listening addresses, and is the same for every version.
+/// Returns the path of the hot-restart socket for a configuration. The path depends on the names and
+/// listening addresses of the fronts, and is the same for every version.
 pub(super) fn socket_path(config: &Config) -> PathBuf {
     let platform = config.platform.iter().map(|platform| format!("{} {}", platform.name, platform.listen));
     let irc = config.irc.iter().map(|irc| format!("{} {}", irc.setup.name, irc.listen));
@@ -53,26 +57,28 @@
     std::env::temp_dir().join(format!("sagemount-{:08x}.sock", crc32fast::hash(fronts.as_bytes())))
 }
 
-/// The state that the predecessor exported, and the link to it.
+/// The state and sockets that the predecessor exported, and the link to it.
 pub(super) struct ReceivedState {
     link: Link,
     sockets: HashMap<String, OwnedFd>,
-    /// State for the reducer.
+    /// Exported state of the predecessor's reducer.
     pub state: HandoverState,
 }
 
 impl ReceivedState {
-    /// Takes the socket of that name, if the predecessor exported one.
+    /// Takes the socket with the given name. Returns none if the predecessor exported no such socket.
     pub(super) fn take_socket(&mut self, name: &str) -> Option<OwnedFd> {
         self.sockets.remove(name)
     }
 }
 
-/// Requests the state of the serving process. None if there is no such process, it does not answer in
-/// [`ANSWER_TIMEOUT`], or it stays busy with another successor for [`BUSY_RETRY_TIMEOUT`], which is not
-/// logged.
+/// Requests the state of the serving process.
+///
+/// Returns none if no process is serving, the request fails, the process does not answer within
+/// [`ANSWER_TIMEOUT`], or it is busy with another successor for [`BUSY_RETRY_TIMEOUT`]. A failed or
+/// unanswered request is logged; an absent or busy process is not.
 pub(super) async fn import_state(path: &Path) -> Option<ReceivedState> {
-    let since = Instant::now();
+    let started_at = Instant::now();
     loop {
         let received = match timeout(ANSWER_TIMEOUT, request_state(path)).await {
             Ok(Ok(received)) => received,
@@ -82,24 +88,24 @@
                 return None;
             }
             Err(_) => {
-                log_event!(LogEvent::ImportTimedOut { socket: path });
+                log_event!(LogEvent::ImportTimedOut { socket: path, timeout: ANSWER_TIMEOUT });
                 return None;
             }
         };
-        if received.is_some() || since.elapsed() >= BUSY_RETRY_TIMEOUT {
+        if received.is_some() || started_at.elapsed() >= BUSY_RETRY_TIMEOUT {
             return received;
         }
         sleep(BUSY_RETRY_INTERVAL).await;
     }
 }
 
-/// Whether an error shows that no process listens at the socket.
+/// Returns whether an error shows that no process listens on the socket.
 fn is_absent(error: &LinkError) -> bool {
     use io::ErrorKind::{ConnectionRefused, NotFound};
     matches!(error, LinkError::Socket(error) if matches!(error.kind(), NotFound | ConnectionRefused))
 }
 
-/// Requests the state once. None if the predecessor is busy with another successor.
+/// Requests the state once. Returns none if the predecessor is busy with another successor.
 async fn request_state(path: &Path) -> Result<Option<ReceivedState>, LinkError> {
     let link = Link::connect(path)?;
     link.send(&HandoverMessage::RequestState, &[]).await?;
@@ -121,14 +127,14 @@
     Err(LinkError::TooManyParts)
 }
 
-/// Closes the channel to a lost peer process. This is no drop guard, since it must not run when the runtime
-/// drops its tasks at the end of this process.
+/// Closes the channel to a lost peer process, and reports the loss to the reducer. This is not a drop guard,
+/// because it must not run when the runtime drops its tasks at the end of this process.
 fn disconnect_peer_process(context: &HotRestartContext) {
     context.peer_process.disconnect();
     context.reducer().feed(Input::PeerProcessLost);
 }
 
-/// Notifies the predecessor that this process serves, and takes its connections over.
+/// Notifies the predecessor that this process serves, and receives the connections that it transfers.
 pub(super) async fn run_as_successor(context: HotRestartContext, received: ReceivedState) {
     let outgoing = context.peer_process.connect();
     if received.link.send(&HandoverMessage::Serving, &[]).await.is_ok() {
@@ -137,7 +143,7 @@
     disconnect_peer_process(&context);
 }
 
-/// Offers this process's state to successors, for ever. A failure to listen is logged.
+/// Starts to offer this process's state to successors. A failure to listen is logged.
 pub(super) fn offer_state(context: HotRestartContext, path: &Path) {
     match link::listen(path) {
         Ok(listener) => drop(tokio::task::spawn_local(accept_successors(context, listener))),
@@ -154,8 +160,8 @@
     }
 }
 
-/// Exports the state to a successor, and transfers the connections once it serves. If it never does, this
-/// process continues as before.
+/// Exports the state to a successor, and transfers the connections when it serves. If the successor fails to
+/// serve, this process continues to serve.
 async fn serve_successor(context: HotRestartContext, link: Link) {
     let request = timeout(ANSWER_TIMEOUT, link.receive()).await;
     let is_request =
@@ -187,7 +193,7 @@
     }
     for part in hot_restart::split_state(context.exported_state.take()) {
         let message = HandoverMessage::Part(part);
-        // A part that does not fit a message is dropped: no valid name or id is so long.
+        // A part that does not fit in a message is dropped. No valid name or id is that long.
         if hot_restart::encode(&message).is_some() {
             link.send(&message, &[]).await?;
         }
@@ -200,7 +206,7 @@
     }
 }
 
-/// Exchanges messages with the peer process until the link fails or an invalid message arrives.
+/// Exchanges messages with the peer process until the link is closed, fails, or delivers an invalid message.
 async fn exchange_messages(
     context: &HotRestartContext,
     link: &Link,
--- a/src/transport/hot_restart/transfer.rs
+++ b/src/transport/hot_restart/transfer.rs
@@ -18,14 +18,14 @@
 use crate::protocol::hot_restart::HandoverMessage;
 use crate::routing::{ConnectionId, EstablishedConnection, Input, PoolId};
 
-/// Interval at which the transfer of a connection that is not between two lines is retried.
+/// Interval at which the transfer of a connection is retried until the connection is between two lines.
 const TRANSFER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves a connection that the predecessor has transferred.
+/// Starts to serve a connection that the predecessor has transferred.
 ///
 /// # Errors
 ///
-/// When the message did not come with both sockets, or they cannot be used.
+/// Returns an error if the message arrived without both sockets, or they cannot be used.
 pub(super) fn adopt_connection(
     context: &HotRestartContext,
     sockets: Vec<OwnedFd>,
@@ -33,11 +33,12 @@
     front_state: &[u8],
     established: EstablishedConnection,
 ) -> Result<(), LinkError> {
+    let received = sockets.len();
     let Ok([client, attempt]) = <[OwnedFd; 2]>::try_from(sockets) else {
-        return Err(LinkError::InvalidMessage);
+        return Err(LinkError::WrongSocketCount { sockets: received });
     };
     let sockets = AdoptedSockets { client: to_stream(client)?, attempt: to_stream(attempt)? };
-    // Without such a front the sockets are closed, and the client reconnects.
+    // If this process has no such front, the sockets are closed and the client reconnects.
     if let Some(FrontConnection { pool, mut front }) = context.fronts.new_connection(front) {
         front.import_state(front_state);
         connection::adopt(&context.connections, pool, sockets, front, established);
@@ -49,11 +50,11 @@
     TcpStream::from_std(std::net::TcpStream::from(socket))
 }
 
-/// Transfers a connection if it is between two lines, or else retries later.
+/// Transfers a connection if it is between two lines, and schedules a retry otherwise.
 ///
 /// # Errors
 ///
-/// When the link to the successor is broken.
+/// Returns an error if the link to the successor is broken.
 pub(super) async fn transfer_connection(
     context: &HotRestartContext,
     link: &Link,
@@ -61,9 +62,9 @@
     pool: PoolId,
     established: EstablishedConnection,
 ) -> Result<(), LinkError> {
-    let (sender, transferred) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     context.connections.registry.send(connection, ConnectionCommand::Transfer(sender));
-    let Ok(transferred) = transferred.await else {
+    let Ok(transferred) = receiver.await else {
         if context.connections.registry.contains(connection) {
             retry_transfer_later(&context.peer_process, connection, pool, established);
         }
@@ -74,7 +75,7 @@
     let message = HandoverMessage::EstablishedConnection { front, established, state: front_state };
     let sent = link.send(&message, &[client.as_fd(), attempt.as_fd()]).await;
     if sent.is_err() {
-        // No process has the connection any more, so its client is asked to reconnect.
+        // Neither process serves the connection any more, so the client is asked to reconnect.
         let _ = std::net::TcpStream::from(client).write(&migration_notice);
     }
     context.reducer().feed(Input::ConnectionTransferred { connection });
--- a/src/transport/log_event.rs
+++ b/src/transport/log_event.rs
@@ -1,6 +1,6 @@
-//! Every line that this folder logs: one variant and one text for each.
+//! All log lines of the transport. Each line has one variant and one text.
 //!
-//! On-call staff look lines up by these texts, so each is written here in one piece.
+//! On-call staff search for these texts, so each text is written here in one piece.
 
 use std::error::Error;
 use std::fmt;
@@ -14,7 +14,7 @@
 use super::error::TransportError;
 use crate::routing::{AttemptOutcome, ConnectionId};
 
-/// A line for the log.
+/// An event that is written to the log as one line.
 #[derive(Debug)]
 pub(super) enum LogEvent<'a> {
     /// The admin endpoint accepts clients.
@@ -33,20 +33,21 @@
     ReloadFailed { error: &'a TransportError },
     /// A graceful shutdown is complete.
     ShutDown,
-    /// A connection cannot be accepted; this is logged once until one can be again.
+    /// A connection cannot be accepted. Logged once, and again only after another connection was accepted.
     AcceptFailed { error: &'a io::Error },
     /// Gossip cannot be exchanged.
     GossipUnavailable { error: &'a io::Error },
-    /// A datagram for the replicated map cannot be read.
+    /// A datagram for the replicated map cannot be decoded.
     ReplicaMessageUnreadable { from: SocketAddr },
-    /// A datagram for gossip cannot be read, or comes from an unknown address.
+    /// A datagram for gossip cannot be decoded, or was sent from an unknown address.
     GossipUnreadable { from: SocketAddr },
-    /// Discovery sent an endpoint list, or a delta of it.
+    /// Discovery sent an endpoint list, or a delta of it. `age` is the time since discovery's previous
+    /// answer.
     EndpointListUpdated { generation: u64, entries: usize, draining: usize, age: Duration },
-    /// Discovery did not answer in time; it is polled once more.
-    EndpointListRetried { age: Duration },
-    /// Discovery sent a delta of an older endpoint list.
-    EndpointListOutdated { generation: u64 },
+    /// Discovery did not answer a call for the time `waited`, and is polled again.
+    EndpointListRetried { waited: Duration, age: Duration },
+    /// Discovery sent a delta whose generation is older than the current endpoint list.
+    EndpointListOutdated { generation: u64, current: u64 },
     /// A call to discovery failed.
     EndpointListFailed { error: &'a dyn Error, age: Duration },
     /// An attempt of a request is started.
@@ -61,30 +62,30 @@
     RecordingFailed { file: &'a Path, error: &'a io::Error },
     /// The journal ended in an incomplete record.
     JournalTruncated { journal: &'a Path, offset: usize, removed: usize },
-    /// An entry of the replicated map is not on disk.
+    /// An entry of the replicated map could not be written to disk.
     EntryNotPersisted { folder: &'a Path, key: &'a str, error: &'a io::Error },
     /// The store's files cannot be reopened after a hot restart was aborted.
     StoreNotReopened { error: &'a TransportError },
-    /// The list of excluded servers is not on disk.
+    /// The list of excluded servers could not be written to disk.
     ExclusionsNotPersisted { file: &'a Path, error: &'a io::Error },
     /// The list of excluded servers cannot be read.
     ExclusionsUnreadable { file: &'a Path, error: &'a io::Error },
-    /// No successor can ask this process for its state.
+    /// The socket on which successors request the state could not be opened.
     HotRestartUnavailable { socket: &'a Path, error: &'a io::Error },
     /// A predecessor did not export its state.
     ImportFailed { socket: &'a Path, error: &'a dyn Error },
     /// A predecessor did not answer in time.
-    ImportTimedOut { socket: &'a Path },
+    ImportTimedOut { socket: &'a Path, timeout: Duration },
     /// The state could not be exported to a successor.
     ExportFailed { error: &'a dyn Error },
-    /// The successor did not begin to serve in time.
+    /// The successor did not start to serve in time.
     ExportTimedOut,
     /// The link to the peer process failed.
     PeerProcessFailed { error: &'a dyn Error },
 }
 
 impl LogEvent<'_> {
-    /// The level at which the line is logged.
+    /// Returns the level at which the line is logged.
     pub(super) fn level(&self) -> Level {
         match self {
             LogEvent::AdminEndpointOpen { .. }
@@ -151,7 +152,7 @@
             LogEvent::ShutDown => write!(formatter, "shut down"),
             LogEvent::AcceptFailed { error } => write!(formatter, "cannot accept connections: {error}"),
             LogEvent::GossipUnavailable { error } => {
-                write!(formatter, "no gossip with the tier's other balancers: {error}")
+                write!(formatter, "cannot exchange gossip with the tier's other balancers: {error}")
             }
             LogEvent::ReplicaMessageUnreadable { from } => {
                 write!(formatter, "a datagram from {from} is not a replica message")
@@ -167,17 +168,19 @@
                     age.as_millis()
                 )
             }
-            LogEvent::EndpointListRetried { age } => {
+            LogEvent::EndpointListRetried { waited, age } => {
                 write!(
                     formatter,
-                    "endpoint list: no answer in time, polled again, {} ms after the last answer",
+                    "endpoint list: no answer within {} ms, polled again, {} ms after the last answer",
+                    waited.as_millis(),
                     age.as_millis()
                 )
             }
-            LogEvent::EndpointListOutdated { generation } => {
+            LogEvent::EndpointListOutdated { generation, current } => {
                 write!(
                     formatter,
-                    "endpoint list: generation {generation} after a later one, snapshot requested"
+                    "endpoint list: generation {generation} is older than generation {current}, snapshot \
+                     requested"
                 )
             }
             LogEvent::EndpointListFailed { error, age } => {
@@ -218,24 +221,31 @@
                 write!(formatter, "{}: excluded servers cannot be read: {error}", file.display())
             }
             LogEvent::HotRestartUnavailable { socket, error } => {
-                write!(formatter, "{}: no hot restart possible: {error}", socket.display())
+                write!(formatter, "{}: cannot offer hot restarts: {error}", socket.display())
             }
             LogEvent::ImportFailed { socket, error } => {
-                write!(formatter, "{}: no state imported: {error}", socket.display())
+                write!(formatter, "{}: cannot import the predecessor's state: {error}", socket.display())
             }
-            LogEvent::ImportTimedOut { socket } => {
-                write!(formatter, "{}: no state imported: no answer in time", socket.display())
+            LogEvent::ImportTimedOut { socket, timeout } => {
+                write!(
+                    formatter,
+                    "{}: cannot import the predecessor's state: no answer within {} ms",
+                    socket.display(),
+                    timeout.as_millis()
+                )
             }
             LogEvent::ExportFailed { error } => write!(formatter, "hot restart aborted: {error}"),
             LogEvent::ExportTimedOut => {
                 write!(formatter, "hot restart aborted: the successor does not serve in time")
             }
-            LogEvent::PeerProcessFailed { error } => write!(formatter, "peer process: {error}"),
+            LogEvent::PeerProcessFailed { error } => {
+                write!(formatter, "link to the peer process failed: {error}")
+            }
         }
     }
 }
 
-/// Logs an event with the calling module as its target, for which levels can be configured.
+/// Logs an event. Its target is the calling module, so that log levels can be configured per module.
 macro_rules! log_event {
     ($event:expr) => {{
         let event = $event;
--- a/src/transport/observation.rs
+++ b/src/transport/observation.rs
@@ -1,4 +1,4 @@
-//! Observations of connections, for the reports of replays.
+//! Observations of connections, from which the reports of replays are printed.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,27 +6,27 @@
 use crate::routing::{Answer, AttemptOutcome, ConnectionId, Effect, Input};
 use crate::{Micros, Time};
 
-/// A step in the life of a connection.
+/// An observed event of a connection.
 #[derive(Clone, Debug)]
 pub(super) enum Observation {
-    /// It was established.
+    /// A server accepted the connection.
     Established {
         /// Time since the client connected.
         after: Micros,
-        /// The attempt that was accepted, from 0.
+        /// Number of the accepted attempt, from 0.
         attempt: u32,
     },
-    /// A server's verdict was forwarded to the client.
+    /// A server's rejection was forwarded to the client.
     VerdictForwarded,
-    /// The client was given an answer.
+    /// The balancer sent an answer to the client.
     Answered {
         /// Time since the client connected.
         after: Micros,
-        /// The answer.
+        /// The answer that was sent. A rejection contains its Retry-After.
         answer: Answer,
     },
-    /// The client left.
-    ClientLeft,
+    /// The client disconnected.
+    ClientDisconnected,
     /// The server ended the connection.
     ServerEnded,
 }
@@ -41,10 +41,10 @@
             Observation::Established { after, attempt } => {
                 write!(formatter, "served after {:.1} ms on attempt {}", milliseconds(after), attempt + 1)
             }
-            Observation::VerdictForwarded => write!(formatter, "rejected by its server's own verdict"),
+            Observation::VerdictForwarded => write!(formatter, "rejected by the server"),
             Observation::Answered { after, answer: Answer::Rejected(retry_after) } => {
                 let (after, retry_after) = (milliseconds(after), milliseconds(retry_after));
-                write!(formatter, "rejected after {after:.1} ms, to retry in {retry_after:.0} ms")
+                write!(formatter, "rejected after {after:.1} ms with a Retry-After of {retry_after:.0} ms")
             }
             Observation::Answered { after, answer: Answer::Failed } => {
                 write!(formatter, "failed after {:.1} ms", milliseconds(after))
@@ -53,13 +53,13 @@
                 write!(formatter, "handshake timed out")
             }
             Observation::Answered { answer: Answer::Migrated, .. } => write!(formatter, "migrated"),
-            Observation::ClientLeft => write!(formatter, "left"),
-            Observation::ServerEnded => write!(formatter, "ended by its server"),
+            Observation::ClientDisconnected => write!(formatter, "left"),
+            Observation::ServerEnded => write!(formatter, "ended by the server"),
         }
     }
 }
 
-/// Keeps the observations of all connections.
+/// Collects the observations of all connections.
 #[derive(Default)]
 pub(super) struct Observer {
     connected_at: HashMap<ConnectionId, Time>,
@@ -67,12 +67,12 @@
 }
 
 impl Observer {
-    /// What was observed of a connection so far, in order.
+    /// Returns the observations of a connection so far, in order.
     pub(super) fn observations(&self, connection: ConnectionId) -> Vec<Observation> {
         self.observations.get(&connection).cloned().unwrap_or_default()
     }
 
-    /// Observes an input before the reducer has it.
+    /// Observes an input before it is fed to the reducer.
     pub(super) fn observe_input(&mut self, now: Time, input: &Input) {
         match *input {
             Input::ClientConnected { connection, .. } => {
@@ -90,7 +90,9 @@
                 end: AttemptOutcome::Served | AttemptOutcome::RedirectedByServer,
                 ..
             } => self.push(connection, Observation::ServerEnded),
-            Input::ClientDisconnected { connection } => self.push(connection, Observation::ClientLeft),
+            Input::ClientDisconnected { connection } => {
+                self.push(connection, Observation::ClientDisconnected);
+            }
             _ => {}
         }
     }
--- a/src/transport/pending_admin_calls.rs
+++ b/src/transport/pending_admin_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of admin clients that wait for the reducer's replies.
+//! Calls of admin clients that are waiting for replies of the reducer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,21 +10,23 @@
 use super::reducer::ReducerHandle;
 use crate::routing::{AdminClientId, AdminRejection, AdminResponse, Input};
 
-/// The calls that have no reply yet. Clones are handles of the same calls.
+/// The calls that have no reply yet. Clones refer to the same calls.
 #[derive(Clone)]
 pub(super) struct PendingAdminCalls {
     ids: IdSequence,
-    /// Where each client waits; at most [`MAX_ADMIN_CLIENTS`](crate::program::config::MAX_ADMIN_CLIENTS).
+    /// Channels to the waiting clients. There are at most
+    /// [`MAX_ADMIN_CLIENTS`](crate::program::config::MAX_ADMIN_CLIENTS) of them.
     waiting: Rc<RefCell<HashMap<AdminClientId, oneshot::Sender<AdminResponse>>>>,
 }
 
 impl PendingAdminCalls {
-    /// No calls. Clients are numbered by a sequence.
+    /// Creates an empty set of calls. Clients get their ids from `ids`.
     pub(super) fn new(ids: IdSequence) -> PendingAdminCalls {
         PendingAdminCalls { ids, waiting: Rc::default() }
     }
 
-    /// Feeds a client's call to the reducer, and waits for the reply.
+    /// Feeds a client's call to the reducer and waits for the reply. Returns
+    /// [`AdminRejection::NoReply`] if the channel of the reply is dropped.
     pub(super) async fn call(
         &self,
         reducer: &ReducerHandle,
@@ -37,11 +39,11 @@
         reply.await.unwrap_or(AdminResponse::No(AdminRejection::NoReply))
     }
 
-    /// Passes the reducer's reply on to the client that waits for it.
+    /// Passes the reducer's reply to the client that is waiting for it.
     pub(super) fn reply(&self, admin_client: AdminClientId, reply: AdminResponse) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&admin_client) {
-            // A client that has gone needs no reply.
-            let _ = waiting.send(reply);
+        if let Some(sender) = self.waiting.borrow_mut().remove(&admin_client) {
+            // The send fails if the client has disconnected and needs no reply.
+            let _ = sender.send(reply);
         }
     }
 }
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -1,6 +1,7 @@
-//! Probes of servers' load: requested by the reducer, each with one result.
+//! Probes of servers' load. The reducer requests each probe, and each probe feeds back one result.
 //!
-//! The connection of a probe is cached for the next, since a new connection costs a server more than the probe.
+//! The connection of a probe is cached for the next probe of the same server, because a new connection costs
+//! a server more than the probe itself.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,18 +19,20 @@
 use crate::routing::{Input, ProbeEnd, MAX_PROBES};
 use crate::ServerId;
 
-/// How long an idle connection is cached: servers close idle connections after a while.
+/// How long an idle connection is cached. The time is limited because servers close idle connections after a
+/// while.
 const CACHE_TIMEOUT: Duration = Duration::from_secs(4);
 const READ_BUFFER_BYTES: usize = 512;
 
-/// The target of a probe. The address alone does not identify it: another server may take the address over.
+/// Target of a probe. The address alone does not identify the server, because another server may take over
+/// the address.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ProbeTarget {
     server: ServerId,
     address: String,
 }
 
-/// A connection whose probe is complete.
+/// A connection whose probe is complete, with the target that it is connected to.
 struct IdleConnection {
     target: ProbeTarget,
     stream: TcpStream,
@@ -43,13 +46,13 @@
 
 type ConnectionCache = HashMap<ProbeTarget, CachedConnection>;
 
-/// A load report, and the connection that it came over.
+/// A load report, and the connection on which it was received.
 struct ProbeReport {
     line: Vec<u8>,
     stream: TcpStream,
 }
 
-/// Carries out probes by the reducer's commands, for ever.
+/// Carries out probes by the reducer's commands. Returns only when the channel of commands is closed.
 pub(super) async fn run_probes(reducer: ReducerHandle, mut commands: mpsc::UnboundedReceiver<ProbeCommand>) {
     let mut cache = ConnectionCache::new();
     let mut in_flight = JoinSet::new();
@@ -62,9 +65,9 @@
                 let cached = cache.remove(&target).map(|cached| cached.stream);
                 in_flight.spawn_local(carry_out_probe(reducer.clone(), command, cached));
             }
-            Some(done) = in_flight.join_next() => {
+            Some(finished) = in_flight.join_next() => {
                 let has_capacity = cache.len() + in_flight.len() < MAX_PROBES;
-                if let (Ok(Some(IdleConnection { target, stream })), true) = (done, has_capacity) {
+                if let (Ok(Some(IdleConnection { target, stream })), true) = (finished, has_capacity) {
                     cache.insert(target, CachedConnection { stream, cached_at: Instant::now() });
                 }
             }
@@ -82,7 +85,8 @@
     }
 }
 
-/// Carries out one probe. Returns its connection if it can be cached, which takes a complete report.
+/// Carries out one probe. Returns its connection if the connection can be cached, which requires a complete
+/// report.
 async fn carry_out_probe(
     reducer: ReducerHandle,
     command: ProbeCommand,
@@ -101,7 +105,7 @@
     stream.map(|stream| IdleConnection { target: ProbeTarget { server, address }, stream })
 }
 
-/// Requests a report over the cached connection; if that fails, over a new one.
+/// Requests a report over the cached connection, and over a new connection if that fails.
 async fn request_report(address: &str, cached: Option<TcpStream>) -> Option<ProbeReport> {
     if let Some(stream) = cached {
         if let Some(report) = exchange_report(stream).await {
@@ -121,7 +125,7 @@
         let length = stream.read(&mut buffer).await.ok().filter(|&length| length > 0)?;
         lines.push(&buffer[..length]);
         match lines.next_line(MAX_LINE_LENGTH) {
-            // Bytes after the report would be read as the report of the next probe.
+            // On a cached connection, bytes after the report would be read as the report of the next probe.
             NextLine::Line(line) if lines.is_empty() => return Some(ProbeReport { line, stream }),
             NextLine::Incomplete => {}
             _ => return None,
--- a/src/transport/record.rs
+++ b/src/transport/record.rs
@@ -1,4 +1,4 @@
-//! Recordings of the fronts' traffic: a pcap file of limited size.
+//! Recordings of the fronts' traffic in a pcap file of limited size.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -12,10 +12,10 @@
 use crate::protocol::pcap;
 use crate::Time;
 
-/// Where the fronts' traffic is recorded.
+/// File and size limit of a recording of the fronts' traffic.
 #[derive(Clone, Debug)]
 pub struct RecordingConfig {
-    /// The pcap file, which is created anew.
+    /// Path of the pcap file. An existing file is overwritten.
     pub path: PathBuf,
     /// Maximum size of the file, in bytes.
     pub max_bytes: usize,
@@ -25,7 +25,7 @@
 pub(super) struct Recorder {
     file: File,
     path: PathBuf,
-    /// Bytes that may still be written; 0 once the recording has ended.
+    /// Number of bytes that may still be written; 0 after the recording has ended.
     remaining_bytes: usize,
 }
 
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be created.
+    /// Returns [`TransportError::File`] if the file cannot be created.
     pub(super) fn create(config: RecordingConfig) -> Result<Recorder, TransportError> {
         let RecordingConfig { path, max_bytes } = config;
         let file = match File::create(&path) {
@@ -46,8 +46,8 @@
         Ok(recorder)
     }
 
-    /// Writes complete records. The first that does not fit, or cannot be written, ends the recording: an
-    /// incomplete record would corrupt the file.
+    /// Writes complete records. Records that do not fit in the file or cannot be written end the recording,
+    /// because an incomplete record would corrupt the file.
     pub(super) fn write(&mut self, records: &[u8]) {
         if self.remaining_bytes == 0 || records.is_empty() {
             return;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Adds records to the recording, if there is one. Clones are handles of the same recording.
+/// Adds records to the recording, if there is one. Clones refer to the same recording.
 #[derive(Clone)]
 pub(super) struct TrafficRecorder {
     clock: Clock,
@@ -75,17 +75,18 @@
 }
 
 impl TrafficRecorder {
-    /// A handle that records nothing yet.
+    /// Creates a recorder that discards all records until [`TrafficRecorder::set_recorder`] is called.
     pub(super) fn new(clock: Clock) -> TrafficRecorder {
         TrafficRecorder { clock, recorder: Rc::default() }
     }
 
-    /// Records the fronts' traffic from now on, if there is a recorder.
+    /// Sets the recording that records are added to. With none, records are discarded.
     pub(super) fn set_recorder(&self, recorder: Option<Recorder>) {
         *self.recorder.borrow_mut() = recorder;
     }
 
-    /// Adds to the recording, if there is one, what `records` makes at the present time.
+    /// Adds records to the recording, if there is one. `records` is called with the current time and returns
+    /// the encoded records.
     pub(super) fn record(&self, records: impl FnOnce(Time) -> Vec<u8>) {
         if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
             recorder.write(&records(self.clock.now()));
--- a/src/transport/reducer.rs
+++ b/src/transport/reducer.rs
@@ -102,7 +102,8 @@
         self.0.state.borrow().serves()
     }
 
-    /// Returns whether a deadline of a connection has passed and [`Input::TimerFired`] has not been fed since.
+    /// Returns whether a deadline of a connection has passed and [`Input::TimerFired`] has not been fed
+    /// since.
     pub(super) fn is_overdue(&self, connection: ConnectionId) -> bool {
         self.0.state.borrow().is_timer_expired(self.now(), connection)
     }
--- a/src/transport/replay/mod.rs
+++ b/src/transport/replay/mod.rs
@@ -1,4 +1,7 @@
-//! Replays the clients' flows of a capture into a front, at their recorded spacing.
+//! Replays the clients' flows in a capture to a front, with their recorded timing.
+//!
+//! The replay runs a front on loopback in this process and connects one client for each flow. The servers of
+//! the configuration must also be on loopback.
 
 mod player;
 mod report;
@@ -22,10 +25,10 @@
 use crate::protocol::pcap::{self, PcapError};
 use player::Replay;
 
-/// Any port of this machine: the replay listens there.
+/// Local address on which the replay listens. The system chooses the port.
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// A front that takes flows.
+/// The front to which flows are replayed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FrontKind {
     /// The platform's front.
@@ -34,9 +37,9 @@
     Irc,
 }
 
-/// The name of no front.
+/// A text that is not the name of a front.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("platform or irc is wanted")]
+#[error("the front must be platform or irc")]
 pub struct UnknownFront;
 
 impl FromStr for FrontKind {
@@ -57,26 +60,26 @@
     /// The capture cannot be read.
     #[error("{0}")]
     ReadFile(#[source] ConfigError),
-    /// The capture is no pcap file.
+    /// The capture is not a valid pcap file.
     #[error("{}: {source}", path.display())]
     BadFile {
-        /// The file.
+        /// Path of the capture.
         path: PathBuf,
-        /// What is wrong with it.
+        /// First error in the capture, with its offset.
         source: PcapError,
     },
     /// The front is not configured.
     #[error("the configuration has no {front:?} front")]
     NoFront {
-        /// The front.
+        /// Front that the command line selected.
         front: FrontKind,
     },
-    /// The capture holds nothing for the front.
-    #[error("{}: no flow to port {port}; --port names another", path.display())]
+    /// The capture contains no flow to the front's port.
+    #[error("{}: no flow to port {port}; use --port to select another port", path.display())]
     NoFlows {
-        /// The file.
+        /// Path of the capture.
         path: PathBuf,
-        /// The port that flows were looked for by.
+        /// Destination port by which flows were selected.
         port: u16,
     },
     /// A configured server is not on loopback. A replay must never reach a server in service.
@@ -84,23 +87,26 @@
     ServerNotOnLoopback {
         /// Name of the server.
         name: String,
-        /// Its address.
+        /// Configured address of the server.
         address: String,
     },
     /// The asynchronous runtime cannot be built.
-    #[error("cannot start: {0}")]
+    #[error("cannot build the asynchronous runtime: {0}")]
     RuntimeStart(#[source] io::Error),
     /// The replay cannot listen on loopback.
-    #[error("no loopback: {0}")]
+    #[error("cannot listen on {LOOPBACK}: {0}")]
     Listen(#[source] io::Error),
 }
 
-/// Replays a file's flows and prints what became of each.
+/// Replays the flows in a capture, and prints the outcome of each flow.
+///
+/// `port` is the destination port by which flows are selected. Without it the front's configured port is
+/// used.
 ///
 /// # Errors
 ///
-/// When the file cannot be read, or the configuration does not fit it. A single flow that cannot be played is
-/// printed.
+/// Returns an error if the file cannot be read, or the configuration does not match it. A single flow that
+/// cannot be played is only printed.
 pub fn replay(file: &Path, config: Config, front: FrontKind, port: Option<u16>) -> Result<(), ReplayError> {
     let flows = read_flows(file, &config, front, port)?;
     check_servers_on_loopback(&config)?;
@@ -161,14 +167,14 @@
         pool,
         factory,
         listener: Mutex::new(listener),
-        first_start: flows.iter().map(|flow| flow.start).min().unwrap_or_default(),
-        started: Instant::now(),
+        first_flow_start: flows.iter().map(|flow| flow.start).min().unwrap_or_default(),
+        started_at: Instant::now(),
         counts: RefCell::default(),
     });
     let play = |flow| tokio::task::spawn_local(replay.clone().play_and_print(flow));
     let tasks: Vec<_> = flows.into_iter().map(play).collect();
     for task in tasks {
-        // A task that panicked has reported that itself.
+        // The result is ignored: a panic of a task has already been printed.
         let _ = task.await;
     }
     let counts = replay.counts.borrow();
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -1,4 +1,4 @@
-//! Plays single flows at their recorded times.
+//! Plays single flows with their recorded timing.
 
 use std::cell::RefCell;
 use std::io;
@@ -21,11 +21,11 @@
 use crate::routing::{ConnectionId, PoolId};
 use crate::Time;
 
-/// How long a flow waits, after its last recorded byte, for the last answers.
+/// How long a flow waits for the last answers after it has ended.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long bytes that were recorded after an answer wait for that answer, beyond their recorded time.
+/// How long bytes are delayed beyond their recorded time to wait for answers that were recorded before them.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before a flow whose end was not captured is ended.
+/// Delay after which a flow is ended whose end was not captured.
 const UNCAPTURED_END_DELAY: Duration = Duration::from_secs(1);
 const READ_BUFFER_BYTES: usize = 4096;
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -33,55 +33,59 @@
 /// Why one flow was not played.
 #[derive(Debug, Error)]
 enum FlowError {
-    #[error("not played: {0}")]
+    #[error("not played, cannot connect to the front: {0}")]
     Connect(#[from] io::Error),
-    #[error("no such front")]
+    #[error("not played, the front is not configured")]
     NoFront,
 }
 
 /// Counts of flows.
 #[derive(Default)]
 pub(super) struct FlowCounts {
+    /// Flows that have ended, including flows that could not be played.
     pub(super) played: usize,
+    /// Flows whose connection a server accepted.
     pub(super) served: usize,
 }
 
-/// The client of a flow, and the connection that the front has for it.
+/// The client of a flow, and the id of its connection at the front.
 struct PlayedClient {
     stream: TcpStream,
     connection: ConnectionId,
 }
 
-/// What all flows of a replay share.
+/// State that all flows of a replay share.
 pub(super) struct Replay {
     pub(super) context: ConnectionContext,
+    /// Pool of the front; none if the front is not configured.
     pub(super) pool: Option<PoolId>,
     pub(super) factory: ConnectionFactory,
-    /// The front's listener. The lock makes each accepted stream belong to the flow that has just connected.
+    /// The front's listener. Each flow holds the lock from its connect to its accept, so that the accepted
+    /// stream belongs to this flow.
     pub(super) listener: Mutex<TcpListener>,
-    pub(super) started: Instant,
-    /// Recorded time of the first flow.
-    pub(super) first_start: Time,
+    pub(super) started_at: Instant,
+    /// Recorded start of the earliest flow.
+    pub(super) first_flow_start: Time,
     pub(super) counts: RefCell<FlowCounts>,
 }
 
 impl Replay {
-    /// Plays a flow, and prints what became of it.
+    /// Plays a flow, and prints its outcome.
     pub(super) async fn play_and_print(self: Rc<Self>, flow: Flow) {
         let result = self.play(&flow).await;
         let mut counts = self.counts.borrow_mut();
         counts.played += 1;
         counts.served += usize::from(result.as_ref().is_ok_and(FlowReport::is_served));
-        let at_seconds = flow.start.since(self.first_start).as_f64() / MICROS_PER_SECOND;
+        let at_seconds = flow.start.since(self.first_flow_start).as_f64() / MICROS_PER_SECOND;
         match result {
             Ok(report) => println!("{} at {at_seconds:.3} s: {report}", flow.from),
             Err(error) => println!("{} at {at_seconds:.3} s: {error}", flow.from),
         }
     }
 
-    /// The time in the replay that corresponds to a recorded time.
+    /// Returns the time in the replay that corresponds to a recorded time.
     fn replay_time(&self, recorded: Time) -> Instant {
-        self.started + Duration::from(recorded.since(self.first_start))
+        self.started_at + Duration::from(recorded.since(self.first_flow_start))
     }
 
     async fn play(&self, flow: &Flow) -> Result<FlowReport, FlowError> {
@@ -90,9 +94,9 @@
         let (reader, mut writer) = stream.into_split();
         let (lines, received_lines) = watch::channel(0);
         let reading = tokio::task::spawn_local(count_answers(reader, lines));
-        let mut pacer = Pacer { replay: self, flow, received_lines, in_step: true };
-        let sent = send_pieces(&mut pacer, &mut writer).await;
-        // The writer is dropped after the answers are counted, since the drop closes the socket.
+        let mut pacer = Pacer { replay: self, flow, received_lines, waits_for_answers: true };
+        let sent = send_chunks(&mut pacer, &mut writer).await;
+        // Dropping the writer closes the socket, so the writer is kept until the answers are counted.
         let _writer = end_flow(&mut pacer, writer).await;
         Ok(FlowReport {
             answered_bytes: wait_for_end(reading).await,
@@ -114,7 +118,8 @@
     }
 }
 
-/// Counts the bytes that the front sends until it ends, and reports the number of lines among them.
+/// Counts the bytes that the front sends until the stream ends. Publishes the number of lines received so
+/// far.
 async fn count_answers(mut reader: OwnedReadHalf, lines: watch::Sender<usize>) -> usize {
     let mut buffer = [0; READ_BUFFER_BYTES];
     let mut count = 0;
@@ -129,34 +134,37 @@
     count
 }
 
-/// Waits until a reading task ends; none if it does not in time.
+/// Waits for the byte count of a reading task. Returns none if the task does not end within
+/// [`LAST_ANSWER_TIMEOUT`].
 async fn wait_for_end(reading: JoinHandle<usize>) -> Option<usize> {
     timeout(LAST_ANSWER_TIMEOUT, reading).await.ok().and_then(Result::ok)
 }
 
-/// Paces the bytes of a flow by the answers. Servers of a replay may be slower than the recorded ones, and
-/// bytes that overtake an answer would have another meaning.
+/// Paces the bytes of a flow by the front's answers. The servers of a replay may be slower than the recorded
+/// servers, and bytes that are sent before an answer instead of after it would have another meaning.
 struct Pacer<'a> {
     replay: &'a Replay,
     flow: &'a Flow,
     received_lines: watch::Receiver<usize>,
-    /// Whether all answers came in time so far. After the first that did not, none is awaited.
-    in_step: bool,
+    /// Whether the flow still waits for answers. False after the first answer that did not arrive within
+    /// [`ANSWER_TIMEOUT`].
+    waits_for_answers: bool,
 }
 
 impl Pacer<'_> {
-    /// Waits for a recorded time, and for the answers that had come by then.
+    /// Waits for a recorded time, and for the answers that had been recorded by that time.
     async fn wait(&mut self, recorded: Time) {
         sleep_until(self.replay.replay_time(recorded)).await;
-        let wanted = self.flow.answers_before(recorded);
-        if self.in_step {
-            let answered = self.received_lines.wait_for(|lines| *lines >= wanted);
-            self.in_step = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
+        let expected_lines = self.flow.answers_before(recorded);
+        if self.waits_for_answers {
+            let answered = self.received_lines.wait_for(|lines| *lines >= expected_lines);
+            self.waits_for_answers = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
         }
     }
 }
 
-async fn send_pieces(pacer: &mut Pacer<'_>, writer: &mut OwnedWriteHalf) -> io::Result<()> {
+/// Sends the chunks of a flow, each at its paced time.
+async fn send_chunks(pacer: &mut Pacer<'_>, writer: &mut OwnedWriteHalf) -> io::Result<()> {
     for FlowChunk { at, bytes } in &pacer.flow.chunks {
         pacer.wait(*at).await;
         writer.write_all(bytes).await?;
@@ -164,7 +172,7 @@
     Ok(())
 }
 
-/// Ends a flow as it was recorded. Returns the writer unless the connection is broken off.
+/// Ends a flow in the recorded way. Returns the writer unless the flow ends with a reset.
 async fn end_flow(pacer: &mut Pacer<'_>, mut writer: OwnedWriteHalf) -> Option<OwnedWriteHalf> {
     match pacer.flow.end {
         Some(FlowEnd { at, close: Close::Orderly }) => {
@@ -174,7 +182,7 @@
         }
         Some(FlowEnd { at, close: Close::Reset }) => {
             pacer.wait(at).await;
-            // With a linger time of zero the drop resets the connection.
+            // With a linger time of zero, dropping the socket resets the connection.
             let _ = socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO));
             None
         }
