--- a/src/transport/admin_client.rs
+++ b/src/transport/admin_client.rs
@@ -49,7 +49,7 @@
     },
     /// No store acknowledged the write.
     #[error(
-        "{store}: no store acknowledged the write in {STORE_WRITE_ATTEMPTS} attempts of {} ms",
+        "{store}: no store acknowledged the write in {STORE_WRITE_ATTEMPTS} attempts of at most {} ms",
         STORE_READ_TIMEOUT.as_millis()
     )]
     NoStore {
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -295,7 +295,7 @@
         self.client.close_when_written();
         match &mut self.upstream {
             Upstream::Connected(attempt) if attempt.request_forwarded => attempt.socket.close_when_written(),
-            // A partly written request must not be completed, so its socket is closed immediately.
+            // A request that is not written in full must not be completed, so the attempt is dropped.
             upstream => *upstream = Upstream::Idle,
         }
         self.client_quiet_since = Instant::now();
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -1,7 +1,7 @@
 //! Follows one pool's endpoint list by long polls. Discovery holds each call until the list changes or the
 //! hold expires.
 //!
-//! A held call is silent if it has no answer at the end of its hold and an additional answer time-out. The
+//! A held call is silent if it has no answer within its hold and an additional answer time-out. The
 //! watch is then reopened after a random delay with a call that is not held. The silent call remains open,
 //! and its answer is used unless it is older than the current list. A call that is not held and times out is
 //! also reported as silent, and ends the watch with an error.
@@ -23,7 +23,7 @@
 use crate::transport::reducer::ReducerHandle;
 use crate::Micros;
 
-/// How long discovery holds a call while the list does not change. A change must be known before the lease of
+/// How long discovery holds a call while the list does not change. A change must be known when the lease of
 /// the list expires (6 s), and until the hold expires a silent watch cannot be distinguished from a watch
 /// without changes.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
@@ -84,7 +84,7 @@
             silent_call: None,
             generation,
             // If this process has a list, its first call can be held. When a fleet restarts, discovery then
-            // serves one call less for each balancer.
+            // serves one call fewer for each balancer.
             hold: if generation.is_some() { HOLD_TIMEOUT } else { Duration::ZERO },
             answered_at: Instant::now(),
         }
