--- a/src/protocol/http/endpoint_list.rs
+++ b/src/protocol/http/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in JSON.
+//! Decoding of the endpoint list from JSON.
 
 use crate::protocol::json::{self, DecodeError, JsonNode};
 use crate::routing::{Endpoint, Lifecycle};
@@ -7,7 +7,7 @@
 /// Keys of the list and of its entries.
 mod key {
     pub(super) const GENERATION: &str = "generation";
-    /// Whether the list is complete, rather than changes.
+    /// Whether the list is complete. Otherwise it contains changes only.
     pub(super) const IS_SNAPSHOT: &str = "reset";
     pub(super) const ENDPOINTS: &str = "instances";
     pub(super) const NAME: &str = "instanceId";
@@ -16,7 +16,7 @@
     pub(super) const CELL: &str = "cell";
     pub(super) const LIFECYCLE: &str = "lifecycle";
     pub(super) const WEIGHT: &str = "weight";
-    /// Start of the process, in milliseconds; 0 if unknown.
+    /// Start time of the server's process, in milliseconds; 0 if unknown.
     pub(super) const STARTED_AT_MS: &str = "startedAtMs";
 }
 
@@ -24,14 +24,14 @@
 const LIFECYCLE_DRAINING: &str = "draining";
 const LIFECYCLE_GONE: &str = "gone";
 
-/// An endpoint list, or changes of it.
+/// Complete endpoint list, or changes to the endpoint list.
 #[derive(Debug, PartialEq)]
 pub struct EndpointListUpdate {
-    /// Its version.
+    /// Version of the list after this update, set by discovery.
     pub generation: u64,
-    /// It is the whole list, not changes only.
+    /// The update is the complete list. Otherwise it contains changes only.
     pub is_snapshot: bool,
-    /// Its entries.
+    /// Listed endpoints. Changes include endpoints that are gone.
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -46,7 +46,7 @@
             LIFECYCLE_READY => Lifecycle::Ready,
             LIFECYCLE_DRAINING => Lifecycle::Draining,
             LIFECYCLE_GONE => Lifecycle::Gone,
-            _ => return Err(lifecycle.error("ready, draining or gone is wanted")),
+            _ => return Err(lifecycle.unexpected("ready, draining or gone")),
         },
         weight: node.field(key::WEIGHT).number(1.0)?,
         started: Some(node.field(key::STARTED_AT_MS).duration_ms(Micros::ZERO)?)
@@ -55,10 +55,11 @@
     })
 }
 
-/// Decodes an endpoint list; whatever is absent has its default.
+/// Decodes an endpoint list. An absent value has its default, except for the name, address and lifecycle of
+/// an endpoint.
 ///
 /// # Errors
-/// [`DecodeError`] with the key that is wrong.
+/// [`DecodeError`] with the key of the first faulty value.
 pub fn decode_endpoint_list(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
     Ok(EndpointListUpdate {
         generation: node.field(key::GENERATION).number(0.0)? as u64,
@@ -72,14 +73,14 @@
     })
 }
 
-/// Parses the body of a response.
+/// Parses an endpoint list from the body of a response.
 ///
 /// # Errors
-/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+/// [`DecodeError`] if the body is not JSON, or with the key of the first faulty value.
 pub fn parse_endpoint_list(body: &[u8]) -> Result<EndpointListUpdate, DecodeError> {
     let document = json::parse_document(body)?;
     let root = JsonNode::root(&document);
-    // Without this check, a document of another kind would be decoded as an empty list.
+    // Without this check, any other JSON document would be decoded as an empty list.
     for required in [key::GENERATION, key::ENDPOINTS] {
         if !root.field(required).is_present() {
             return Err(root.field(required).error("is missing"));
