--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -1,4 +1,4 @@
-//! The protocol of the admin endpoint: a call of one line, and a response of one or more.
+//! Protocol of the admin endpoint. A call is one line, a response one or more lines.
 
 use std::fmt::Write;
 
@@ -13,9 +13,9 @@
 use crate::routing::{AdminCall, AdminResponse, Metrics};
 use crate::RefusalReason;
 
-/// The longest call in bytes, its line's end included.
+/// Maximum length of a call in bytes, including its line ending.
 pub const MAX_CALL_LENGTH: usize = 256;
-/// The longest name of a server, in bytes.
+/// Maximum length of a server's name in a call, in bytes.
 const MAX_SERVER_NAME_LENGTH: usize = 128;
 
 // Calls.
@@ -24,31 +24,32 @@
 const EXCLUDE: &str = "exclude";
 const INCLUDE: &str = "include";
 
-/// Names of metrics, and of their parts.
+/// Names of metrics and parts of such names.
 mod metric {
     pub(super) const PREFIX: &str = "edge_node";
-    // Counts of each class, after `RESULTS` and the class's name.
+    // Counters of each class, preceded by `RESULTS` and the name of the class.
     pub(super) const RESULTS: &str = "results";
     pub(super) const SUCCEEDED: &str = "succeeded";
     pub(super) const DECLINED: &str = "declined";
     pub(super) const ABORTED: &str = "aborted";
-    // Figures of all pools together.
+    // Metrics of all pools together.
     pub(super) const FORWARDS: &str = "forwards";
     pub(super) const OUTSTANDING: &str = "outstanding";
     pub(super) const DISCOVERED: &str = "discovered";
     pub(super) const EJECTED: &str = "ejected";
     pub(super) const DISCOVERY_FAILURES: &str = "discovery_failures";
     pub(super) const ENDPOINT_LIST_AGE_MS: &str = "endpoint_list_age_ms";
-    /// Rejections, before the name of their reason.
+    /// Counters of requests that were rejected or failed without a server, followed by the name of the
+    /// reason.
     pub(super) const REFUSALS: &str = "refusals";
-    // Figures of rebalancing, after `REBALANCE` and the front's name.
+    // Metrics of rebalancing, preceded by `REBALANCE` and the name of the front.
     pub(super) const REBALANCE: &str = "rebalance";
     pub(super) const MIGRATED: &str = "moved";
     pub(super) const RETURNED: &str = "returned";
     pub(super) const REJECTED: &str = "refused";
-    /// Migrations that are allowed in a second, in thousandths.
+    /// Migrations allowed per second, in thousandths.
     pub(super) const RATE_MILLI: &str = "rate_milli";
-    /// Number of the hold's reason; 0 if there is no hold.
+    /// Code of the reason for the current hold; 0 if there is no hold.
     pub(super) const HOLD_REASON: &str = "held";
 }
 
@@ -57,36 +58,36 @@
 // Responses.
 const YES: &str = "YES";
 const NO: &str = "NO";
-/// The end of a response with metrics.
+/// Last line of a response with metrics.
 const END: &str = "END\r\n";
 
-/// A line that is no call.
+/// Error for a line that is not a valid call.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{}", UnknownCall::EXPECTED)]
 pub struct UnknownCall;
 
 impl UnknownCall {
-    /// What the admin client is answered with.
+    /// Text of the answer to such a line, which lists the valid calls.
     pub const EXPECTED: &str = "readyz, telemetry, exclude ID or include ID is wanted";
 }
 
-/// Parses a call, without its line's end.
+/// Parses a line, without its ending.
 ///
 /// # Errors
-/// [`UnknownCall`] if it is none of the calls, or without a valid name of a server.
+/// [`UnknownCall`] if the line is not one of the calls, or lacks a valid server name that the call requires.
 pub fn parse_call(line: &[u8]) -> Result<AdminCall, UnknownCall> {
-    let name = || take_while(1..=MAX_SERVER_NAME_LENGTH, |b: u8| b.is_ascii_graphic());
-    let name = || name().verify_map(|name: &[u8]| String::from_utf8(name.to_vec()).ok());
+    let name_bytes = || take_while(1..=MAX_SERVER_NAME_LENGTH, |b: u8| b.is_ascii_graphic());
+    let server_name = || name_bytes().verify_map(|name: &[u8]| String::from_utf8(name.to_vec()).ok());
     let mut call = alt((
         READYZ.as_bytes().value(AdminCall::Ready),
         TELEMETRY.as_bytes().value(AdminCall::Metrics),
-        preceded((EXCLUDE.as_bytes(), space1), name()).map(AdminCall::Exclude),
-        preceded((INCLUDE.as_bytes(), space1), name()).map(AdminCall::Readmit),
+        preceded((EXCLUDE.as_bytes(), space1), server_name()).map(AdminCall::Exclude),
+        preceded((INCLUDE.as_bytes(), space1), server_name()).map(AdminCall::Readmit),
     ));
     Parser::<_, _, ContextError>::parse(&mut call, line).map_err(|_| UnknownCall)
 }
 
-/// Encodes a call, without its line's end.
+/// Encodes a call, without a line ending.
 pub fn encode_call(call: &AdminCall) -> String {
     match call {
         AdminCall::Ready => READYZ.to_owned(),
@@ -96,18 +97,19 @@
     }
 }
 
-/// Whether a response says that the call has failed.
+/// Returns whether a response reports that the call failed.
 pub fn is_failure(response: &str) -> bool {
     response.starts_with(NO)
 }
 
-/// Replaces what must not be in a part of a metric's name, which has no blanks and ends at a colon.
+/// Replaces each character that is not allowed in a part of a metric's name by `_`. A name contains no
+/// blanks, and ends at the first colon.
 fn metric_name_part(name: &str) -> String {
     let is_allowed = |c: char| c.is_ascii_graphic() && !":|@#".contains(c);
     name.chars().map(|c| if is_allowed(c) { c } else { '_' }).collect()
 }
 
-/// The text of metrics, a line each.
+/// Text of metrics, with one line for each.
 #[derive(Default)]
 struct MetricLines(String);
 
@@ -153,7 +155,7 @@
     }
 }
 
-/// Writes a line for each reason, whether there was such a rejection or not.
+/// Writes a line for each reason, including reasons that have not occurred.
 fn push_refusals(lines: &mut MetricLines, metrics: &Metrics) {
     for reason in RefusalReason::ALL {
         let count = metrics.refusals.get(&reason).copied().unwrap_or_default();
--- a/src/protocol/flows.rs
+++ b/src/protocol/flows.rs
@@ -1,4 +1,7 @@
-//! Reassembly of flows from TCP segments: bytes in order, without retransmissions, up to the first gap.
+//! Reassembly of flows from captured TCP segments.
+//!
+//! A flow holds the bytes that one side of a connection sent, in order and without retransmissions. Segments
+//! that arrive out of order are kept until the bytes before them have arrived. A flow stops at its first gap.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,91 +9,100 @@
 use super::pcap::{Close, Segment};
 use crate::Time;
 
-/// The most bytes of a flow that wait for a missing one before it is taken to be lost.
-const MAX_WAITING_BYTES: usize = 256 << 10;
+/// Maximum number of bytes of a flow that are kept while an earlier byte is missing. Beyond it, the missing
+/// byte counts as lost.
+const MAX_PENDING_BYTES: usize = 256 << 10;
 
-/// What one side sent on a connection.
+/// Bytes that one side sent on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Flow {
-    /// The sending side.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// The receiving side.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// When it began.
+    /// Capture time of the flow's first segment.
     pub start: Time,
-    /// Its start was not captured: the connection was open before.
+    /// The flow's start was not captured, since the connection was open before the capture began.
     pub began_before_capture: bool,
-    /// Its bytes, by when they could be read.
+    /// Bytes of the flow in order.
     pub chunks: Vec<FlowChunk>,
-    /// How many lines the other side had sent, by when they were captured.
-    pub answers: Vec<AnswerCount>,
-    /// How this side ended; none if its end was not captured.
+    /// Cumulative number of lines from the other side, with an element for each captured segment that adds
+    /// lines.
+    pub answer_line_counts: Vec<AnswerLineCount>,
+    /// End of the flow, or `None` if it was not captured.
     pub end: Option<FlowEnd>,
-    /// Bytes are missing after this many. What follows them is left out, since it may not be whole lines.
+    /// Number of bytes after which bytes are missing, if any are. The bytes after the gap are left out, since
+    /// they may not be whole lines.
     pub gap: Option<usize>,
 }
 
-/// Bytes of a flow that could be read at one time.
+/// Bytes of a flow that became readable at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowChunk {
-    /// When they could be read.
+    /// Time at which these bytes and all bytes before them had arrived.
     pub at: Time,
-    /// The bytes.
+    /// The bytes, without those of earlier chunks.
     pub bytes: Vec<u8>,
 }
 
-/// The number of lines that the other side of a flow had sent by a time.
+/// Number of lines that the other side of a flow had sent by a certain time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AnswerCount {
-    /// The time.
+pub struct AnswerLineCount {
+    /// Capture time of the segment with the last of the lines.
     pub at: Time,
-    /// The lines from the start up to that time.
+    /// Number of lines from the start of the capture up to that time.
     pub lines: usize,
 }
 
-/// The end of a flow.
+/// End of a flow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlowEnd {
-    /// When it ended.
+    /// Time at which the flow ended.
     pub at: Time,
-    /// How it ended.
+    /// Whether the sender closed the connection in order or reset it.
     pub close: Close,
 }
 
 impl Flow {
-    /// How many lines the other side had sent by then.
+    /// Returns the number of lines that the other side had sent by a time, including lines captured at that
+    /// time.
     pub fn answers_before(&self, at: Time) -> usize {
-        self.answers.iter().take_while(|count| count.at <= at).last().map_or(0, |count| count.lines)
+        self.answer_line_counts
+            .iter()
+            .take_while(|count| count.at <= at)
+            .last()
+            .map_or(0, |count| count.lines)
     }
 }
 
-/// The sequence number of the first byte of a segment's payload.
+/// Returns the sequence number of the first byte of a segment's payload. A SYN takes one sequence number.
 fn payload_seq(segment: &Segment) -> u32 {
     segment.seq.wrapping_add(u32::from(segment.flags.syn))
 }
 
-/// A flow that is being reassembled. Offsets are in bytes from the flow's start.
+/// Flow that is being reassembled. Offsets are in bytes from the flow's start.
 #[derive(Debug)]
 struct FlowAssembler {
     flow: Flow,
-    /// Sequence number of its SYN.
+    /// Sequence number of the flow's SYN, if it was captured.
     syn_seq: Option<u32>,
-    /// Sequence number of the next byte.
+    /// Sequence number of the next byte to append to the flow.
     next_seq: u32,
-    /// Offset of the next byte.
+    /// Offset of the next byte to append to the flow.
     next_offset: usize,
-    /// Segments that arrived before their turn, by their offset.
-    early: BTreeMap<usize, FlowChunk>,
-    /// Number of bytes in them.
-    early_bytes: usize,
-    /// Sequence number of the other side's next byte.
+    /// Received bytes that have not been appended to the flow, by their offset.
+    pending: BTreeMap<usize, FlowChunk>,
+    /// Number of bytes in `pending`.
+    pending_bytes: usize,
+    /// Sequence number of the next byte of the other side, once a segment of it was captured.
     next_answer_seq: Option<u32>,
     fin: Option<Fin>,
 }
 
+/// First FIN of a flow.
 #[derive(Clone, Copy, Debug)]
 struct Fin {
-    /// Offset after the last byte.
+    /// Offset after the flow's last byte.
     offset: usize,
     at: Time,
 }
@@ -104,15 +116,15 @@
                 start: segment.at,
                 began_before_capture: !segment.flags.syn,
                 chunks: Vec::new(),
-                answers: Vec::new(),
+                answer_line_counts: Vec::new(),
                 end: None,
                 gap: None,
             },
             syn_seq: segment.flags.syn.then_some(segment.seq),
             next_seq: payload_seq(segment),
             next_offset: 0,
-            early: BTreeMap::new(),
-            early_bytes: 0,
+            pending: BTreeMap::new(),
+            pending_bytes: 0,
             next_answer_seq: None,
             fin: None,
         }
@@ -126,7 +138,8 @@
             self.flow.end = Some(FlowEnd { at: segment.at, close: Close::Reset });
             return;
         }
-        // Sequence numbers wrap: one that is less than half of them ahead is ahead.
+        // Sequence numbers wrap around. One that is less than half of their range ahead of `next_seq` counts
+        // as ahead, any other as behind.
         let distance = payload_seq(segment).wrapping_sub(self.next_seq) as i32;
         let next_offset = self.next_offset as i64;
         let start = next_offset + i64::from(distance);
@@ -135,37 +148,39 @@
         if segment.flags.fin && end >= next_offset {
             self.fin.get_or_insert(Fin { offset: end as usize, at: segment.at });
         }
-        // The start of a retransmission may be known already.
-        let known = (next_offset - start).clamp(0, length) as usize;
-        let unknown = &segment.payload[known..];
-        if !unknown.is_empty() {
-            self.add_early((start + known as i64) as usize, segment.at, unknown);
+        // A retransmission may start with bytes that are in the flow already.
+        let appended_length = (next_offset - start).clamp(0, length) as usize;
+        let new_bytes = &segment.payload[appended_length..];
+        if !new_bytes.is_empty() {
+            self.add_pending((start + appended_length as i64) as usize, segment.at, new_bytes);
         }
-        self.append_early(segment.at);
-        if self.early_bytes > MAX_WAITING_BYTES {
+        self.append_contiguous(segment.at);
+        if self.pending_bytes > MAX_PENDING_BYTES {
             self.flow.gap = Some(self.next_offset);
         }
     }
 
-    /// Keeps bytes until those before them have arrived; of two segments at one offset, the longer.
-    fn add_early(&mut self, offset: usize, at: Time, bytes: &[u8]) {
-        let chunk = self.early.entry(offset).or_insert_with(|| FlowChunk { at, bytes: Vec::new() });
+    /// Keeps bytes until all bytes before them have arrived. Of two segments with the same offset, the longer
+    /// is kept.
+    fn add_pending(&mut self, offset: usize, at: Time, bytes: &[u8]) {
+        let chunk = self.pending.entry(offset).or_insert_with(|| FlowChunk { at, bytes: Vec::new() });
         if chunk.bytes.len() < bytes.len() {
-            self.early_bytes += bytes.len() - chunk.bytes.len();
+            self.pending_bytes += bytes.len() - chunk.bytes.len();
             *chunk = FlowChunk { at, bytes: bytes.to_vec() };
         }
     }
 
-    /// Appends the bytes whose turn has come.
-    fn append_early(&mut self, now: Time) {
-        while let Some(entry) = self.early.first_entry().filter(|entry| *entry.key() <= self.next_offset) {
+    /// Appends the pending bytes up to the next missing byte, and ends the flow once all bytes before its FIN
+    /// are appended.
+    fn append_contiguous(&mut self, now: Time) {
+        while let Some(entry) = self.pending.first_entry().filter(|entry| *entry.key() <= self.next_offset) {
             let (start, FlowChunk { bytes, .. }) = entry.remove_entry();
-            self.early_bytes -= bytes.len();
-            let unknown = bytes.get(self.next_offset - start..).unwrap_or_default();
-            if !unknown.is_empty() {
-                self.flow.chunks.push(FlowChunk { at: now, bytes: unknown.to_vec() });
-                self.next_offset += unknown.len();
-                self.next_seq = self.next_seq.wrapping_add(unknown.len() as u32);
+            self.pending_bytes -= bytes.len();
+            let new_bytes = bytes.get(self.next_offset - start..).unwrap_or_default();
+            if !new_bytes.is_empty() {
+                self.flow.chunks.push(FlowChunk { at: now, bytes: new_bytes.to_vec() });
+                self.next_offset += new_bytes.len();
+                self.next_seq = self.next_seq.wrapping_add(new_bytes.len() as u32);
             }
         }
         if let Some(fin) = self.fin.filter(|fin| fin.offset <= self.next_offset) {
@@ -173,28 +188,30 @@
         }
     }
 
-    /// Counts the lines of a segment of the other side, once each.
+    /// Counts the lines of a segment of the other side. Retransmitted lines are not counted again.
     fn add_answer(&mut self, segment: &Segment) {
         let seq = payload_seq(segment);
         let next_seq = *self.next_answer_seq.get_or_insert(seq);
-        let known = (next_seq.wrapping_sub(seq) as i32).max(0) as usize;
-        let Some(unknown) = segment.payload.get(known..) else { return };
+        let counted_length = (next_seq.wrapping_sub(seq) as i32).max(0) as usize;
+        let Some(new_bytes) = segment.payload.get(counted_length..) else { return };
         self.next_answer_seq = Some(seq.wrapping_add(segment.payload.len() as u32));
-        let lines = unknown.iter().filter(|&&b| b == b'\n').count();
+        let lines = new_bytes.iter().filter(|&&b| b == b'\n').count();
         if lines > 0 {
-            let lines_before = self.flow.answers.last().map_or(0, |count| count.lines);
-            self.flow.answers.push(AnswerCount { at: segment.at, lines: lines_before + lines });
+            let lines_before = self.flow.answer_line_counts.last().map_or(0, |count| count.lines);
+            let count = AnswerLineCount { at: segment.at, lines: lines_before + lines };
+            self.flow.answer_line_counts.push(count);
         }
     }
 
-    /// Whether this segment opens another connection with the same ports. The same SYN sent twice does not.
+    /// Returns whether this segment opens another connection with the same ports. A retransmitted SYN does
+    /// not.
     fn is_reopened_by(&self, segment: &Segment) -> bool {
         segment.flags.syn && self.syn_seq != Some(segment.seq)
     }
 
     fn finish(mut self) -> Flow {
         let is_missing_bytes =
-            !self.early.is_empty() || self.fin.is_some_and(|fin| fin.offset > self.next_offset);
+            !self.pending.is_empty() || self.fin.is_some_and(|fin| fin.offset > self.next_offset);
         if self.flow.gap.is_none() && is_missing_bytes && self.flow.end.is_none() {
             self.flow.gap = Some(self.next_offset);
         }
@@ -202,29 +219,30 @@
     }
 }
 
-/// Reassembles the flows to a port, one for each connection, in the order in which they began.
+/// Reassembles the flows to a port, one for each connection, in the order of their start.
 pub fn reassemble_flows(segments: &[Segment], port: u16) -> Vec<Flow> {
-    let mut open = HashMap::<(SocketAddr, SocketAddr), FlowAssembler>::new();
-    let mut finished = Vec::new();
+    let mut open_flows = HashMap::<(SocketAddr, SocketAddr), FlowAssembler>::new();
+    let mut finished_flows = Vec::new();
     for segment in segments {
-        if let Some(answered) = open.get_mut(&(segment.to, segment.from)) {
-            answered.add_answer(segment);
+        if let Some(opposite_flow) = open_flows.get_mut(&(segment.to, segment.from)) {
+            opposite_flow.add_answer(segment);
         }
         if segment.to.port() != port {
             continue;
         }
         let key = (segment.from, segment.to);
-        if open.get(&key).is_some_and(|assembler| assembler.is_reopened_by(segment)) {
-            finished.extend(open.remove(&key).map(FlowAssembler::finish));
+        if open_flows.get(&key).is_some_and(|assembler| assembler.is_reopened_by(segment)) {
+            finished_flows.extend(open_flows.remove(&key).map(FlowAssembler::finish));
         }
-        // The last acknowledgements of a connection that began before the capture are not a flow.
-        let is_bare = segment.payload.is_empty() && !segment.flags.syn;
-        if !open.contains_key(&key) && is_bare {
+        // A segment with neither SYN nor payload starts no flow: it may be one of the last acknowledgements
+        // of a connection that began before the capture.
+        let is_empty_segment = segment.payload.is_empty() && !segment.flags.syn;
+        if !open_flows.contains_key(&key) && is_empty_segment {
             continue;
         }
-        open.entry(key).or_insert_with(|| FlowAssembler::new(segment)).add_segment(segment);
+        open_flows.entry(key).or_insert_with(|| FlowAssembler::new(segment)).add_segment(segment);
     }
-    finished.extend(open.into_values().map(FlowAssembler::finish));
-    finished.sort_by_key(|flow| (flow.start, flow.from));
-    finished
+    finished_flows.extend(open_flows.into_values().map(FlowAssembler::finish));
+    finished_flows.sort_by_key(|flow| (flow.start, flow.from));
+    finished_flows
 }
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip between the balancers of a tier: one observation in each datagram, of at most sixteen bytes.
+//! Encoding of gossip between the balancers of a tier. Each datagram holds one observation, in at most
+//! sixteen bytes.
 
 use winnow::binary::{be_u16, be_u32, length_repeat, u8};
 use winnow::combinator::{alt, preceded};
@@ -7,19 +8,20 @@
 use crate::peers::{GossipMessage, GroupSample, Observation, MAX_SAMPLED_GROUPS};
 use crate::{GroupHash, Micros, ServerId};
 
-/// The longest datagram that the platform carries, in bytes.
+/// Maximum length of a datagram that the platform delivers, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
 
-// The first byte of a datagram: the kind of the observation, and the version of its format.
-/// A slow server, as the version before sent it: without groups.
+// The first byte of a datagram is the kind of the observation with the version of its format.
+/// Slow server in the format of the previous version, which has no groups.
 const SLOW_SERVER_V1: &[u8] = b"1";
-/// A slow server, with the number of groups and the groups.
+/// Slow server, followed by the number of groups and the groups.
 const SLOW_SERVER_V2: &[u8] = b"2";
-const SLOW_SET_UPS_V1: &[u8] = b"3";
-/// A server that dropped a connection.
+/// Slow connection setups at all servers.
+const SLOW_SETUPS_V1: &[u8] = b"3";
+/// Server that dropped a connection.
 const DROPPED_V1: &[u8] = b"4";
 
-/// Encodes a message. A duration too long for its field is sent as the longest, of about a minute.
+/// Encodes a message. A duration that exceeds its field of 16 bits is sent as the longest one, 65.535 s.
 pub fn encode(message: GossipMessage) -> Vec<u8> {
     let mut bytes = match message.observation {
         Observation::SlowServer(server, duration) => {
@@ -27,7 +29,7 @@
             [SLOW_SERVER_V2, &server.0.to_be_bytes(), &duration_ms.to_be_bytes()].concat()
         }
         Observation::Dropped(server) => [DROPPED_V1, &server.0.to_be_bytes()].concat(),
-        Observation::SlowSetUps => SLOW_SET_UPS_V1.to_vec(),
+        Observation::SlowSetUps => SLOW_SETUPS_V1.to_vec(),
     };
     bytes.push(message.groups.iter().flatten().count() as u8);
     bytes.extend(message.groups.iter().flatten().flat_map(|group| group.0.to_be_bytes()));
@@ -54,7 +56,7 @@
     let dropped = be_u32.map(|server| Observation::Dropped(ServerId(server)));
     let (observation, groups) = alt((
         (preceded(SLOW_SERVER_V2, parse_slow_server), parse_groups),
-        (SLOW_SET_UPS_V1.value(Observation::SlowSetUps), parse_groups),
+        (SLOW_SETUPS_V1.value(Observation::SlowSetUps), parse_groups),
         (preceded(DROPPED_V1, dropped), parse_groups),
         (preceded(SLOW_SERVER_V1, parse_slow_server), no_groups),
     ))
@@ -62,7 +64,7 @@
     Ok(GossipMessage { observation, groups })
 }
 
-/// Decodes a datagram; none if it is malformed.
+/// Decodes a datagram. Returns `None` if it is malformed.
 pub fn decode(bytes: &[u8]) -> Option<GossipMessage> {
     parse_message.parse(bytes).ok()
 }
--- a/src/protocol/lines.rs
+++ b/src/protocol/lines.rs
@@ -1,23 +1,24 @@
-//! Splitting a stream of bytes into lines, whatever pieces it arrives in. Lengths of lines are in bytes and include the
-//! line's end.
+//! Splitting a byte stream into lines. The result does not depend on how the bytes arrive in pieces. Lengths
+//! of lines are in bytes and include the line ending.
 
 use winnow::combinator::terminated;
 use winnow::stream::Partial;
 use winnow::token::take_till;
 use winnow::{ModalResult, Parser};
 
-/// A buffer for received bytes, of which the last line may be incomplete.
+/// Buffer for received bytes, whose last line may be incomplete.
 #[derive(Default, Debug)]
 pub struct LineBuffer {
     bytes: Vec<u8>,
 }
 
-/// The result of [`LineBuffer::next_line`].
+/// Result of [`LineBuffer::next_line`].
 #[derive(Debug, PartialEq)]
 pub enum NextLine {
-    /// A line, without its end.
+    /// A line, without its ending.
     Line(Vec<u8>),
-    /// The line is longer than allowed. Its bytes stay in the buffer for [`LineBuffer::skip_line`].
+    /// The line is longer than allowed. Its bytes stay in the buffer until [`LineBuffer::skip_line`] drops
+    /// them.
     TooLong,
     /// The buffer holds no complete line yet.
     Incomplete,
@@ -27,7 +28,7 @@
     terminated(take_till(0.., b'\n'), b'\n').parse_next(input)
 }
 
-/// Length of the first line in `bytes`, or of all of them if its end is missing.
+/// Returns the length of the first line in `bytes`, or the length of `bytes` if the line is incomplete.
 fn first_line_length(bytes: &[u8]) -> usize {
     bytes.iter().position(|&b| b == b'\n').map_or(bytes.len(), |end| end + 1)
 }
@@ -38,27 +39,28 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Number of buffered bytes.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether no bytes are buffered.
+    /// Returns whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Takes all buffered bytes, the incomplete line included.
+    /// Removes and returns all buffered bytes, including an incomplete line.
     pub fn take_all(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.bytes)
     }
 
+    /// Removes and returns all complete lines.
     fn take_complete_lines(&mut self) -> Vec<u8> {
         let end = self.bytes.iter().rposition(|&b| b == b'\n').map_or(0, |end| end + 1);
         self.bytes.drain(..end).collect()
     }
 
-    /// Drops the buffered bytes of the current line; returns whether its end was among them.
+    /// Drops the buffered bytes of the first line. Returns whether that line was complete.
     pub fn skip_line(&mut self) -> bool {
         let length = first_line_length(&self.bytes);
         let is_complete = self.bytes[..length].ends_with(b"\n");
@@ -66,7 +68,7 @@
         is_complete
     }
 
-    /// Takes the next line, if it has at most `max_length` bytes.
+    /// Removes and returns the first line, if it is complete and has at most `max_length` bytes.
     pub fn next_line(&mut self, max_length: usize) -> NextLine {
         let mut input = Partial::new(&self.bytes[..]);
         match parse_line(&mut input) {
@@ -85,20 +87,21 @@
     }
 }
 
-/// Checks the length of the lines of a stream whose bytes are passed on as they arrive.
+/// Checks the line lengths of a stream whose bytes are forwarded as they arrive.
 #[derive(Default, Debug)]
 pub struct LineLengthValidator {
-    /// Length of the current line so far.
+    /// Number of bytes of the current line that have been received.
     length: usize,
 }
 
 impl LineLengthValidator {
-    /// Whether the stream is between two lines.
+    /// Returns whether the stream is between two lines.
     pub fn is_between_lines(&self) -> bool {
         self.length == 0
     }
 
-    /// Takes the next bytes of the stream; returns whether no line among them is longer than `max_length`.
+    /// Processes the next bytes of the stream. Returns whether all of their lines have at most `max_length`
+    /// bytes.
     pub fn accept(&mut self, bytes: &[u8], max_length: usize) -> bool {
         let mut all_fit = true;
         for piece in bytes.split_inclusive(|&b| b == b'\n') {
@@ -112,43 +115,45 @@
     }
 }
 
-/// Relays whole lines, so that a line of the balancer's own can be put between two of them. Only lines that are too
-/// long to be buffered are relayed in pieces.
+/// Relays whole lines, so that the balancer can insert a line of its own between two of them. Only lines that
+/// are too long to be buffered are relayed in pieces.
 #[derive(Default, Debug)]
 pub struct LineRelay {
     lines: LineBuffer,
-    /// The current line has been relayed in part.
+    /// Part of the current line has been relayed.
     is_mid_line: bool,
 }
 
-/// The bytes that a [`LineRelay`] passes on.
+/// Bytes that a [`LineRelay`] forwards.
 #[derive(Debug, Default, PartialEq)]
 pub struct RelayedBytes {
-    /// More of a line that was relayed in part before.
+    /// Further bytes of a line whose start was relayed earlier.
     pub continuation: Vec<u8>,
-    /// Lines from their start. The last may be incomplete if it is too long to be buffered.
+    /// Lines from their start. The last one may be incomplete if it is too long to be buffered.
     pub lines: Vec<u8>,
 }
 
 impl RelayedBytes {
-    /// All bytes in their order.
+    /// Returns all bytes in the order of the stream.
     pub fn into_bytes(self) -> Vec<u8> {
         [self.continuation, self.lines].concat()
     }
 }
 
 impl LineRelay {
-    /// Whether the stream is between two lines, with nothing buffered.
+    /// Returns whether the stream is between two lines and nothing is buffered.
     pub fn is_between_lines(&self) -> bool {
         !self.is_mid_line && self.lines.is_empty()
     }
 
-    /// Whether an unfinished line has been relayed in part, so that no other line may follow yet.
+    /// Returns whether only part of the current line has been relayed, so that no other line may be inserted
+    /// now.
     pub fn is_mid_line(&self) -> bool {
         self.is_mid_line
     }
 
-    /// Takes the next bytes of the stream, and returns what can be passed on.
+    /// Adds the next bytes of the stream, and returns the bytes to forward. An incomplete line is buffered up
+    /// to `max_length` bytes.
     pub fn relay(&mut self, bytes: &[u8], max_length: usize) -> RelayedBytes {
         self.lines.push(bytes);
         let mut continuation = Vec::new();
@@ -160,14 +165,14 @@
         }
         let mut lines = self.lines.take_complete_lines();
         if self.lines.len() > max_length {
-            // A line without an end must not be buffered forever, or it would fill the memory.
+            // An unterminated line must not be buffered without limit, since it would exhaust the memory.
             self.is_mid_line = true;
             lines.extend(self.lines.take_all());
         }
         RelayedBytes { continuation, lines }
     }
 
-    /// Takes the buffered bytes of an unfinished line.
+    /// Removes and returns the buffered bytes of an unfinished line.
     pub fn take_partial_line(&mut self) -> Vec<u8> {
         self.lines.take_all()
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! Parsers and encoders of all wire formats, without sockets. Each front is a small state machine over bytes.
+//! Parsers and encoders of all wire formats, without sockets. The protocol of each front is a small state
+//! machine over bytes: see [`Front`].
 
 #![deny(missing_docs)]
 
@@ -18,61 +19,66 @@
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
 
-/// The longest line of the platform's wire in bytes, CRLF included.
+/// Maximum length of a line of the platform's protocol in bytes, including its CRLF.
 pub const MAX_LINE_LENGTH: usize = 4096;
 
-/// The end of a line that is written.
+/// Line ending of all lines that are written.
 const CRLF: &[u8] = b"\r\n";
 
-/// Hashes the key by which a client is recognised when it connects again. Two clients whose keys collide are taken for
-/// one, which only makes a count inexact.
+/// Hashes the key that identifies a returning client. Two clients with the same hash are treated as one
+/// client, which only makes a count inexact.
 fn hash_client_key(key: &[u8]) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     std::hash::Hasher::write(&mut hasher, key);
     std::hash::Hasher::finish(&hasher)
 }
 
-/// What a front makes of received bytes, in order.
+/// Result of bytes that a front received. Events apply in the order in which the front appends them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrontEvent {
     /// Send bytes to the client.
     ToClient(Vec<u8>),
     /// Send bytes to the server.
     ToServer(Vec<u8>),
-    /// The client asks whether this balancer can serve; these bytes are the answer if it can.
+    /// The client asks whether this balancer can serve. These bytes are the answer that is sent if it can.
     Ping(Vec<u8>),
     /// The client requests a connection.
     ConnectionRequested(ConnectionRequest),
     /// The server accepted the connection.
     Accepted,
-    /// The server reported the connection's load.
+    /// The server reported this load of the connection.
     Load(f64),
-    /// The server ended the attempt by a message. For [`AttemptOutcome::VerdictForwarded`] the client's answer is among
-    /// the events before.
+    /// A message of the server ended the attempt. For [`AttemptOutcome::VerdictForwarded`], an earlier event
+    /// sends the server's answer to the client.
     AttemptEnded(AttemptOutcome),
-    /// The client quit, or broke its protocol, and has been answered: close its connection.
+    /// Close the client's connection, since the client quit or violated the protocol. An earlier event sends
+    /// it the answer.
     Close,
 }
 
-/// The protocol of one client connection, with the attempt that is made for it.
+/// Protocol of one client connection and of the current attempt for it.
 pub trait Front {
-    /// Takes bytes from the client.
+    /// Processes bytes that the client sent, and appends the resulting events.
     fn client_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>);
-    /// Begins an attempt that may take `wait`; returns the bytes that open it at the server.
-    fn open_attempt(&mut self, wait: Micros) -> Vec<u8>;
-    /// Takes bytes from the server.
+    /// Starts an attempt, and returns the request to send to the server. The server has to accept within
+    /// `acceptance_timeout`.
+    fn open_attempt(&mut self, acceptance_timeout: Micros) -> Vec<u8>;
+    /// Processes bytes that the server sent, and appends the resulting events.
     fn server_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>);
-    /// The server ended its side, or its connection broke: returns the attempt's outcome.
+    /// Returns the outcome of the attempt after the server closed its side or, if `broken`, after its
+    /// connection broke.
     fn server_ended(&mut self, broken: bool) -> AttemptOutcome;
-    /// Encodes an answer to the client; empty where this protocol has none.
+    /// Encodes an answer to the client. The result is empty if this protocol has no message for the answer,
+    /// or if a line of the server has been relayed only in part.
     fn encode_answer(&mut self, answer: Answer) -> Vec<u8>;
-    /// Takes the bytes of an unfinished line of the server, of which no more will be received.
+    /// Removes and returns the buffered bytes of an unfinished line of the server, of which no more will be
+    /// received.
     fn take_partial_line(&mut self) -> Vec<u8>;
-    /// The state that another process needs to continue an established connection; none unless it is between two lines
-    /// in both directions.
+    /// Returns the state that another process needs to continue this connection. Returns `None` unless the
+    /// connection is established, is between two lines in both directions, and no line has announced its end.
     fn export_state(&self) -> Option<Vec<u8>>;
-    /// Continues a connection that was established at another process, from its exported state.
+    /// Continues a connection that was established by another process, from the state that it exported.
     fn import_state(&mut self, state: &[u8]);
-    /// Number of the client's bytes that are buffered until a server has accepted.
+    /// Returns the number of the client's bytes that are buffered until a server has accepted.
     fn buffered_bytes(&self) -> usize;
 }
--- a/src/protocol/platform_settings.rs
+++ b/src/protocol/platform_settings.rs
@@ -1,5 +1,5 @@
-//! Keys and words of the platform's settings, beside the names that the code uses. Both the daemon's configuration and
-//! the simulator's messages hold these settings. Times are in milliseconds.
+//! Keys and values of the platform's settings, under the names that the code uses for them. Both the daemon's
+//! configuration and the simulator's messages contain these settings. Times are in milliseconds.
 
 /// Keys of the settings.
 pub mod key {
@@ -7,29 +7,30 @@
     pub const ZONES: &str = "zones";
     /// Name of the balancer's zone.
     pub const ZONE: &str = "zone";
-    /// What is particular to this family of servers: see [`family_key`](super::family_key).
+    /// Properties of this family of servers: see [`family_key`](super::family_key).
     pub const FAMILY_INFO: &str = "family-info";
-    /// See [`limit_key`](super::limit_key).
+    /// Limits and permissions of the balancer: see [`limit_key`](super::limit_key).
     pub const LIMITS: &str = "limits";
-    /// See [`charge_key`](super::charge_key).
+    /// Charges for probes, cross-zone requests, migrations and gossip: see [`charge_key`](super::charge_key).
     pub const CHARGES: &str = "charges";
     /// Priority classes: see [`class_key`](super::class_key).
     pub const CLASSES: &str = "classes";
     /// Tenants: see [`tenant_key`](super::tenant_key).
     pub const TENANTS: &str = "accounts";
-    /// See [`rule_key`](super::rule_key).
+    /// Rules that servers and balancers keep: see [`rule_key`](super::rule_key).
     pub const RULES: &str = "invariants";
     /// Number of balancers that share the servers.
     pub const BALANCERS: &str = "balancers";
-    /// Weight of requests over their tenant's quota, 0 to 1.
+    /// Weight of requests that exceed their tenant's quota, from 0 to 1.
     pub const OVER_QUOTA_WEIGHT: &str = "over-share-worth";
-    /// How the endpoint list is received: see [`DISCOVERY_PUSHED`](super::DISCOVERY_PUSHED).
+    /// Whether discovery pushes the endpoint list or has to be polled: see
+    /// [`DISCOVERY_PUSHED`](super::DISCOVERY_PUSHED).
     pub const DISCOVERY_MODE: &str = "discovery";
     /// Load reports: see [`reporting_key`](super::reporting_key).
     pub const REPORTING: &str = "reporting";
 }
 
-/// Keys of what is particular to this family of servers.
+/// Keys of the properties of a family of servers.
 pub mod family_key {
     /// Whether servers report how long messages take.
     pub const REPORTS_MESSAGE_TIME: &str = "tells-delay";
@@ -37,7 +38,7 @@
     pub const REPORTS_LOAD: &str = "tells-load";
     /// Latency objective of a message for each class, in milliseconds.
     pub const MESSAGE_OBJECTIVES: &str = "message-aim";
-    /// Established connections of each tenant within its quota.
+    /// Number of established connections that each tenant's quota covers.
     pub const TENANT_CONNECTION_QUOTAS: &str = "tenant-quota-connections";
     /// Present if the first field of load reports is the utilisation.
     pub const FIRST_REPORT_FIELD: &str = "report-x0";
@@ -45,15 +46,15 @@
 
 /// Keys of a priority class.
 pub mod class_key {
-    /// Its name.
+    /// Name of the class.
     pub const NAME: &str = "name";
-    /// How long its clients wait, in milliseconds.
+    /// Time that clients of the class wait for an answer, in milliseconds.
     pub const DEADLINE_MS: &str = "deadline";
-    /// The value of one second of its service.
+    /// Value of one second of service for the class.
     pub const PRIORITY_WEIGHT: &str = "gain";
     /// Latency objective of a connection setup, in milliseconds.
     pub const SETUP_OBJECTIVE_MS: &str = "objective";
-    /// Whether its requests may be repeated: see [`IDEMPOTENT`](super::IDEMPOTENT).
+    /// Whether requests of the class may be repeated: see [`IDEMPOTENT`](super::IDEMPOTENT).
     pub const IDEMPOTENCY: &str = "repeat";
     /// Servers that recognise an idempotency key: see [`SCOPE_ALL`](super::SCOPE_ALL).
     pub const KEY_SCOPE: &str = "group";
@@ -63,23 +64,23 @@
 
 /// Keys of a tenant.
 pub mod tenant_key {
-    /// Its name.
+    /// Name of the tenant.
     pub const NAME: &str = "name";
-    /// Requests a second within its quota.
+    /// Number of requests per second that the tenant's quota covers.
     pub const QUOTA_PER_SECOND: &str = "quota-per-s";
 }
 
 /// Keys of the limits.
 pub mod limit_key {
-    /// The most attempts of a request.
+    /// Maximum number of attempts for a request.
     pub const MAX_ATTEMPTS: &str = "try-limit";
     /// Whether an attempt may be cancelled.
     pub const CANCEL: &str = "cancel";
-    /// Whether rejected clients get a Retry-After.
+    /// Whether rejected clients receive a Retry-After.
     pub const RETRY_AFTER: &str = "retry-after";
-    /// The longest Retry-After that clients honour, in milliseconds.
+    /// Longest Retry-After that clients honour, in milliseconds.
     pub const MAX_RETRY_AFTER_MS: &str = "max-retry-after";
-    /// Timeout of a connection to a server, in milliseconds.
+    /// Timeout for connecting to a server, in milliseconds.
     pub const CONNECT_TIMEOUT_MS: &str = "connect-timeout";
     /// Whether servers may be probed.
     pub const PROBES: &str = "probing";
@@ -87,15 +88,15 @@
     pub const PEERS: &str = "peers";
 }
 
-/// Keys of the charges, as shares of all delivered value.
+/// Keys of the charges. A charge is a share of the value of all delivered service.
 pub mod charge_key {
-    /// If each request were probed for once.
+    /// Charge for probes if one probe were sent for each request.
     pub const PROBE: &str = "probe";
-    /// If each request crossed zones once.
+    /// Charge for cross-zone requests if each request crossed zones once.
     pub const CROSS_ZONE: &str = "cross-zone";
-    /// If each client migrated once.
+    /// Charge for migrations if each client migrated once.
     pub const MIGRATION: &str = "moves";
-    /// For gossip.
+    /// Charge for gossip.
     pub const GOSSIP: &str = "peer";
 }
 
@@ -103,15 +104,15 @@
 pub mod rule_key {
     /// Longest time between polls of the endpoint list, in milliseconds.
     pub const POLL_INTERVAL_MS: &str = "must-ask-in";
-    /// Time within which attempts to a server have to end once its draining is notified, in milliseconds.
+    /// Time within which attempts at a server have to end after its draining was announced, in milliseconds.
     pub const DRAIN_GRACE_MS: &str = "drain-grace";
-    /// Share of its capacity that a server has when it starts.
+    /// Share of its full capacity that a server has when it starts.
     pub const SLOW_START_SHARE: &str = "cold-share";
-    /// Time after which a started server has all of its capacity, in milliseconds.
+    /// Time from a server's start until it has its full capacity, in milliseconds.
     pub const SLOW_START_DURATION_MS: &str = "warm-up";
     /// Load at which a server in slow start fails, as a multiple of its present capacity.
     pub const SLOW_START_OVERLOAD_FACTOR: &str = "tip-multiple";
-    /// Time for which it has to get such a load to fail, in milliseconds.
+    /// Time for which a server in slow start must receive such a load before it fails, in milliseconds.
     pub const SLOW_START_WINDOW_MS: &str = "overload-for";
 }
 
@@ -119,7 +120,7 @@
 pub mod reporting_key {
     /// Names of the reported fields.
     pub const FIELDS: &str = "fields";
-    /// How reports are received: see [`REPORTING_OFF`](super::REPORTING_OFF).
+    /// Mode of reporting: see [`REPORTING_OFF`](super::REPORTING_OFF).
     pub const MODE: &str = "how";
 }
 
@@ -141,11 +142,11 @@
 /// Servers of one cell recognise a key.
 pub const SCOPE_CELL: &str = "cell";
 
-/// There are no load reports.
+/// Servers send no load reports.
 pub const REPORTING_OFF: &str = "off";
 /// Name of the first field of a load report.
 pub const FIRST_FIELD: &str = "x0";
-/// Field of a load report with the utilisation.
+/// Name of the field of a load report that holds the utilisation.
 pub const UTILISATION: &str = "utilization";
-/// The short form of [`UTILISATION`], which answers on sockets also use.
+/// Short form of [`UTILISATION`]. Servers that answer probes on sockets may use either form.
 pub const UTILISATION_SHORT: &str = "util";
--- a/src/protocol/replica_messages.rs
+++ b/src/protocol/replica_messages.rs
@@ -1,4 +1,5 @@
-//! Messages between the replicas of the map, one in each datagram, and the records of a replica's files.
+//! Encoding of the messages between replicas of the replicated map, one in each datagram, and of the records
+//! in a replica's files.
 
 use winnow::binary::{be_u64, length_take, u8};
 use winnow::combinator::{dispatch, fail, preceded, repeat};
@@ -6,24 +7,24 @@
 
 use crate::routing::store::{Entry, ReplicaMessage, ReplicatedMap, DIGEST_BUCKETS};
 
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
-/// What each datagram begins with: the name of this protocol, and its version.
+/// First bytes of each datagram, which name the protocol and its version.
 const MAGIC: &[u8] = b"SGM1";
 
-// The byte after it: the kind of the message.
+// The byte after the magic is the kind of the message.
 const DIGEST: u8 = b'D';
 const ENTRY: u8 = b'E';
 const WRITE: u8 = b'W';
 
-// Flags, and whether an optional value is there.
+// Values of a flag, and of the byte before an optional value that tells whether the value follows.
 const NO: u8 = 0;
 const YES: u8 = 1;
 
-/// The longest text that a length of one byte can describe.
+/// Maximum length of a text in bytes, since its length is sent as one byte.
 const MAX_TEXT_LENGTH: usize = u8::MAX as usize;
 
-/// An entry with its key.
+/// Key and entry of the map.
 type KeyedEntry = (String, Entry);
 
 fn parse_text(input: &mut &[u8]) -> ModalResult<String> {
@@ -61,18 +62,19 @@
     preceded(MAGIC, body).parse_next(input)
 }
 
-/// Decodes a datagram; none if it is malformed.
+/// Decodes a datagram. Returns `None` if it is malformed.
 pub fn decode(bytes: &[u8]) -> Option<ReplicaMessage> {
     parse_message.parse(bytes).ok()
 }
 
-/// Decodes the record of an entry; none if it is malformed.
+/// Decodes the record of an entry. Returns `None` if it is malformed.
 pub fn decode_entry(bytes: &[u8]) -> Option<(String, Entry)> {
     parse_valid_entry.parse(bytes).ok()
 }
 
 fn encode_text(out: &mut Vec<u8>, text: &str) {
-    // Valid keys, values and names are far shorter. A longer text makes a message that its receiver drops.
+    // Valid keys, values and names are far shorter. A longer text is cut off, and the receiver drops the
+    // message.
     let length = text.len().min(MAX_TEXT_LENGTH);
     out.push(length as u8);
     out.extend_from_slice(&text.as_bytes()[..length]);
@@ -95,7 +97,7 @@
     out
 }
 
-/// Encodes a datagram; none if it would be too long.
+/// Encodes a datagram. Returns `None` if it would be longer than [`MAX_DATAGRAM_LENGTH`].
 pub fn encode(message: &ReplicaMessage) -> Option<Vec<u8>> {
     let mut out = MAGIC.to_vec();
     match message {
