--- a/src/protocol/http/mod.rs
+++ b/src/protocol/http/mod.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 of the discovery service: requests for the endpoint list, responses, and the list in JSON.
+//! Subset of HTTP/1.1 for the discovery service: requests for the endpoint list, responses, and the list in
+//! JSON.
 
 mod endpoint_list;
 mod request;
--- a/src/protocol/http/request.rs
+++ b/src/protocol/http/request.rs
@@ -1,15 +1,15 @@
 //! Requests for the endpoint list.
 
-/// A query for the changes of the endpoint list only.
+/// Query for changes to the endpoint list only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangesQuery {
-    /// The generation since which changes are wanted.
+    /// Generation of the balancer's list: changes after it are requested.
     pub generation: u64,
-    /// How long the response may be held until there are changes, in milliseconds.
+    /// Longest time that discovery may delay the response while there are no changes, in milliseconds.
     pub hold_ms: u64,
 }
 
-/// Encodes a request for changes of the endpoint list, or else for the whole list.
+/// Encodes a request for changes to the endpoint list, or for the whole list if `changes` is `None`.
 pub fn encode_request(host: &str, changes: Option<ChangesQuery>) -> Vec<u8> {
     let query = changes.map_or(String::new(), |ChangesQuery { generation, hold_ms }| {
         format!("?from={generation}&hold_ms={hold_ms}")
--- a/src/protocol/http/response.rs
+++ b/src/protocol/http/response.rs
@@ -1,5 +1,5 @@
-//! Responses of the discovery service: a head, and a body that is chunked, of a given length, or up to the end of the
-//! connection.
+//! Responses of the discovery service: a head, and a body that is chunked, has a given length, or extends to
+//! the end of the connection.
 
 use thiserror::Error;
 use winnow::ascii::{dec_uint, space0};
@@ -9,37 +9,54 @@
 use winnow::token::{take, take_till, take_while};
 use winnow::{ModalResult, Parser};
 
-/// The longest response that is accepted, in bytes: many times what the list of the largest fleet needs.
+/// Maximum length of a response in bytes, many times the length of the endpoint list of the largest fleet.
 pub const MAX_RESPONSE_LENGTH: usize = 4 << 20;
-/// The most hexadecimal digits of a chunk's size.
+/// Maximum number of hexadecimal digits in the size of a chunk.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
-// Headers, whose names are compared without regard to case.
+// Names of headers, which are compared case-insensitively.
 const CONTENT_LENGTH: &[u8] = b"content-length";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
 const CONNECTION: &[u8] = b"connection";
-// Their values.
+// Values of headers.
 const CHUNKED: &[u8] = b"chunked";
 const CLOSE: &[u8] = b"close";
 
-/// Why a response of the discovery service cannot be read.
+/// Error of reading a response of the discovery service.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// It is longer than [`MAX_RESPONSE_LENGTH`].
-    #[error("discovery: answer too long")]
-    TooLong,
-    /// Its head is not that of an HTTP/1.1 response.
-    #[error("discovery: answer is no HTTP/1.1")]
-    MalformedHead,
-    /// A chunk of its body is malformed.
-    #[error("discovery: broken chunk")]
-    MalformedChunk,
+    /// The received bytes are longer than [`MAX_RESPONSE_LENGTH`].
+    #[error("discovery: response of at least {received} bytes exceeds the limit of {MAX_RESPONSE_LENGTH}")]
+    TooLong {
+        /// Number of bytes received.
+        received: usize,
+    },
+    /// The head is not that of an HTTP/1.1 response, or the connection ended within it.
+    #[error("discovery: response has no valid HTTP/1.1 head in its first {received} bytes")]
+    MalformedHead {
+        /// Number of bytes received.
+        received: usize,
+    },
+    /// A chunk of the body is malformed or too long, or the connection ended within it.
+    #[error(
+        "discovery: chunk after {body_length} bytes of the body is malformed, truncated or longer than the limit of \
+         {MAX_RESPONSE_LENGTH}"
+    )]
+    MalformedChunk {
+        /// Number of bytes of the body in earlier chunks.
+        body_length: usize,
+    },
     /// The connection ended before the body was complete.
-    #[error("discovery: answer cut short")]
-    Truncated,
+    #[error("discovery: response truncated: got {received} of {expected} bytes of the body")]
+    Truncated {
+        /// Number of bytes of the body that were received.
+        received: usize,
+        /// Length of the body according to its head.
+        expected: usize,
+    },
 }
 
-/// What is used of a response's head.
+/// Fields of a response's head that the balancer uses.
 #[derive(Debug, PartialEq)]
 struct Head {
     status: u16,
@@ -48,16 +65,16 @@
     close: bool,
 }
 
-/// A complete response.
+/// Complete response.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// Its status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body.
+    /// Body, decoded if it was chunked.
     pub body: Vec<u8>,
-    /// The connection cannot be used again.
+    /// The connection cannot be used for another request.
     pub close: bool,
-    /// Bytes of the input that it took.
+    /// Number of input bytes that the response occupies.
     pub taken: usize,
 }
 
@@ -93,7 +110,7 @@
     Ok(head)
 }
 
-/// The bytes of a chunk; the last one of a body is empty.
+/// Parses a chunk, and returns its bytes. The last chunk of a body is empty.
 fn parse_chunk<'a>(input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
     let digits = take_while(1..=MAX_CHUNK_SIZE_DIGITS, |b: u8| b.is_ascii_hexdigit());
     let size = digits.verify_map(|digits: &[u8]| {
@@ -104,12 +121,12 @@
     terminated(take(size), b"\r\n").parse_next(input)
 }
 
-/// Whether a parser failed only because the input is not complete yet, and more can come.
+/// Returns whether a parser failed only because the input is incomplete, and more input may arrive.
 fn needs_more_input(error: &ErrMode<ContextError>, ended: bool) -> bool {
     matches!(error, ErrMode::Incomplete(_)) && !ended
 }
 
-/// Reads a chunked body; none while it is incomplete.
+/// Reads a chunked body. Returns `None` while it is incomplete.
 fn read_chunked_body(input: &mut Input<'_>, ended: bool) -> Result<Option<Vec<u8>>, HttpError> {
     let mut body = Vec::new();
     loop {
@@ -117,12 +134,13 @@
             Ok([]) => return Ok(Some(body)),
             Ok(chunk) => body.extend_from_slice(chunk),
             Err(error) if needs_more_input(&error, ended) => return Ok(None),
-            Err(_) => return Err(HttpError::MalformedChunk),
+            Err(_) => return Err(HttpError::MalformedChunk { body_length: body.len() }),
         }
     }
 }
 
-/// Reads a body of this length, or up to the end of the connection; none while it is incomplete.
+/// Reads a body of the given length, or up to the end of the connection. Returns `None` while it is
+/// incomplete.
 fn read_plain_body(
     input: &mut Input<'_>,
     content_length: Option<usize>,
@@ -139,24 +157,25 @@
             *input = Partial::new(after);
             Ok(Some(body.to_vec()))
         }
-        None if ended => Err(HttpError::Truncated),
+        None if ended => Err(HttpError::Truncated { received: remaining.len(), expected: length }),
         None => Ok(None),
     }
 }
 
-/// Reads a response from the start of `bytes`: none while it is incomplete. `ended` says that no more bytes will come.
+/// Reads a response from the start of `bytes`. Returns `None` while it is incomplete. `ended` tells that the
+/// connection has ended, so that no more bytes will arrive.
 ///
 /// # Errors
-/// [`HttpError`] if the bytes are not a response, or too long.
+/// [`HttpError`] if the bytes are not a valid response, or exceed [`MAX_RESPONSE_LENGTH`].
 pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<Response>, HttpError> {
     if bytes.len() > MAX_RESPONSE_LENGTH {
-        return Err(HttpError::TooLong);
+        return Err(HttpError::TooLong { received: bytes.len() });
     }
     let mut input = Partial::new(bytes);
     let head = match parse_head(&mut input) {
         Ok(head) => head,
         Err(error) if needs_more_input(&error, ended) => return Ok(None),
-        Err(_) => return Err(HttpError::MalformedHead),
+        Err(_) => return Err(HttpError::MalformedHead { received: bytes.len() }),
     };
     let body = if head.chunked {
         read_chunked_body(&mut input, ended)?
