--- a/src/protocol/platform/connection.rs
+++ b/src/protocol/platform/connection.rs
@@ -1,82 +1,84 @@
-//! The protocol of one client connection, from its first line to the end of its session.
+//! Protocol of one client connection, from the client's first line until the connection ends.
 
 use super::keywords::{BUSY, ERR, MOVE, PONG};
 use super::reply::{parse_server_reply, ServerReply};
-use super::request::{parse_greeting, Greeting, RequestTemplate};
+use super::request::{parse_client_command, ClientCommand, RequestTemplate};
 use crate::protocol::lines::{LineBuffer, LineLengthValidator, LineRelay, NextLine};
 use crate::protocol::{Front, FrontEvent, CRLF, MAX_LINE_LENGTH};
 use crate::routing::{Answer, AttemptOutcome};
 use crate::Micros;
 
-/// The most pings on one connection.
+/// Maximum number of pings on one connection.
 const MAX_PINGS: u32 = 8;
 
 #[derive(Debug, Default, PartialEq)]
 enum Phase {
-    /// The client's first line is awaited.
+    /// The client may send pings and its request.
     #[default]
-    Greeting,
-    /// A server is being sought.
+    AwaitingRequest,
+    /// The client has sent its request, and no server has accepted it.
     Placing,
     /// A server has accepted, and lines are relayed.
     Established,
-    /// The client broke its protocol, and nothing more of it is read.
+    /// The client violated the protocol. Its further bytes are ignored.
     Closed,
 }
 
-/// The protocol of one client connection.
+/// Protocol of one client connection.
 #[derive(Debug, Default)]
 pub struct Connection {
     phase: Phase,
-    /// Pings that have been answered.
+    /// Number of answered pings.
     pings: u32,
     client_lines: LineBuffer,
     /// Lines of the server before it accepts.
     server_lines: LineBuffer,
     request_template: RequestTemplate,
-    /// The outcome that the server's last message announced.
+    /// Outcome that the server announced by its latest `BYE` or `MOVE`.
     announced_outcome: Option<AttemptOutcome>,
-    /// Lines of the server once it has accepted.
+    /// Lines of the server after it has accepted.
     relay: LineRelay,
-    /// Checks the client's lines once a server has accepted.
+    /// Checks the length of the client's lines after a server has accepted.
     client_validator: LineLengthValidator,
 }
 
 impl Connection {
-    fn read_greetings(&mut self, events: &mut Vec<FrontEvent>) {
-        while self.phase == Phase::Greeting {
+    /// Reads the client's lines until its request. Bytes after the request violate the protocol.
+    fn read_client_commands(&mut self, events: &mut Vec<FrontEvent>) {
+        while self.phase == Phase::AwaitingRequest {
             let line = match self.client_lines.next_line(MAX_LINE_LENGTH) {
                 NextLine::Line(line) => line,
                 NextLine::Incomplete => return,
-                NextLine::TooLong => return self.fail_protocol(events),
+                NextLine::TooLong => return self.close_on_protocol_error(events),
             };
-            match parse_greeting(&line) {
-                Some(Greeting::Ping) if self.pings < MAX_PINGS => {
+            match parse_client_command(&line) {
+                Some(ClientCommand::Ping) if self.pings < MAX_PINGS => {
                     self.pings += 1;
                     events.push(FrontEvent::Ping([PONG, CRLF].concat()));
                 }
                 // A client has to wait for its answer: no bytes may follow its request.
-                Some(Greeting::Open { request, template }) if self.client_lines.is_empty() => {
+                Some(ClientCommand::Open { request, template }) if self.client_lines.is_empty() => {
                     self.phase = Phase::Placing;
                     self.request_template = template;
                     events.push(FrontEvent::ConnectionRequested(*request));
                 }
-                _ => return self.fail_protocol(events),
+                _ => return self.close_on_protocol_error(events),
             }
         }
         if !self.client_lines.is_empty() {
-            self.fail_protocol(events);
+            self.close_on_protocol_error(events);
         }
     }
 
-    /// Answers a client that broke the protocol with an error, and reads nothing more of it.
-    fn fail_protocol(&mut self, events: &mut Vec<FrontEvent>) {
+    /// Sends an error to a client that violated the protocol, and closes its connection. Its further bytes
+    /// are ignored.
+    fn close_on_protocol_error(&mut self, events: &mut Vec<FrontEvent>) {
         self.phase = Phase::Closed;
         self.client_lines.take_all();
         events.extend([FrontEvent::ToClient([ERR, CRLF].concat()), FrontEvent::Close]);
     }
 
-    /// Reads the first line of the server, which decides the attempt.
+    /// Reads the server's first line, which accepts the connection or ends the attempt.
     fn read_verdict(&mut self, events: &mut Vec<FrontEvent>) {
         let line = match self.server_lines.next_line(MAX_LINE_LENGTH) {
             NextLine::Line(line) => line,
@@ -118,18 +120,18 @@
             Phase::Established if self.client_validator.accept(bytes, MAX_LINE_LENGTH) => {
                 events.push(FrontEvent::ToServer(bytes.to_vec()));
             }
-            // A line without an end would keep this balancer and a server busy forever.
-            Phase::Established => self.fail_protocol(events),
-            Phase::Greeting | Phase::Placing => {
+            // An unterminated line would occupy this balancer and a server without limit.
+            Phase::Established => self.close_on_protocol_error(events),
+            Phase::AwaitingRequest | Phase::Placing => {
                 self.client_lines.push(bytes);
-                self.read_greetings(events);
+                self.read_client_commands(events);
             }
         }
     }
 
-    fn open_attempt(&mut self, wait: Micros) -> Vec<u8> {
+    fn open_attempt(&mut self, acceptance_timeout: Micros) -> Vec<u8> {
         self.server_lines = LineBuffer::default();
-        self.request_template.with_wait(wait)
+        self.request_template.with_timeout(acceptance_timeout)
     }
 
     fn server_sent(&mut self, bytes: &[u8], events: &mut Vec<FrontEvent>) {
@@ -151,13 +153,13 @@
     fn encode_answer(&mut self, answer: Answer) -> Vec<u8> {
         match answer {
             Answer::Rejected(Micros::ZERO) => [BUSY, CRLF].concat(),
-            Answer::Rejected(wait) => {
-                let wait_ms = wait.as_millis_ceil().to_string();
-                [BUSY, b" ", wait_ms.as_bytes(), CRLF].concat()
+            Answer::Rejected(retry_after) => {
+                let retry_after_ms = retry_after.as_millis_ceil().to_string();
+                [BUSY, b" ", retry_after_ms.as_bytes(), CRLF].concat()
             }
             Answer::Failed => [ERR, CRLF].concat(),
             Answer::HandshakeTimedOut => Vec::new(),
-            // Within an unfinished line it would be read as part of that line.
+            // After part of a line, the client would read the message as the rest of that line.
             Answer::Migrated if self.relay.is_mid_line() => Vec::new(),
             Answer::Migrated => [MOVE, CRLF].concat(),
         }
--- a/src/protocol/platform/field.rs
+++ b/src/protocol/platform/field.rs
@@ -1,21 +1,21 @@
-//! The lists of fields `name=value` in lines of clients and servers.
+//! Parsing of the lists of fields `name=value` in lines of clients and servers.
 
 use winnow::combinator::separated_pair;
 use winnow::token::take_while;
 use winnow::{ModalResult, Parser};
 
-/// The longest name or key, in bytes.
+/// Maximum length of a name or key, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// A field `name=value` of a list.
+/// Field `name=value` of a list.
 #[derive(Clone, Copy)]
 pub(super) struct Field<'a> {
     pub name: &'a [u8],
     pub value: &'a [u8],
 }
 
-/// Parses a name or key. Neither `=` nor `,` may be in it: where one is left out, the list after it must not be taken
-/// for it.
+/// Parses a name or key, which contains neither `=` nor `,`. Otherwise, if a line lacked its id or key, the
+/// list of fields would be parsed as the id or key.
 pub(super) fn parse_name<'a>(input: &mut &'a [u8]) -> ModalResult<&'a [u8]> {
     let is_name_byte = |b: u8| b.is_ascii_graphic() && b != b'=' && b != b',';
     take_while(1..=MAX_NAME_LENGTH, is_name_byte).parse_next(input)
--- a/src/protocol/platform/keywords.rs
+++ b/src/protocol/platform/keywords.rs
@@ -1,13 +1,13 @@
-//! Keywords and units that the lines of clients and those of servers have in common.
+//! Keywords and units of lines to and from clients and servers.
 
-/// A server rejects the connection, and so does this balancer.
+/// Rejection of a connection, sent by a server or by this balancer.
 pub(super) const BUSY: &[u8] = b"BUSY";
-/// A request cannot be served.
+/// Error answer: the request cannot be served.
 pub(super) const ERR: &[u8] = b"ERR";
-/// The client is to connect elsewhere.
+/// Tells the client to reconnect elsewhere.
 pub(super) const MOVE: &[u8] = b"MOVE";
-/// The answer to a ping, and that of a healthy server to a health check.
+/// Answer to a client's ping, and answer of a healthy server to a probe.
 pub(super) const PONG: &[u8] = b"PONG";
 
-/// Times in lines are in milliseconds.
+/// Microseconds in a millisecond, the unit of times in lines.
 pub(super) const MICROS_PER_MS: u64 = 1000;
--- a/src/protocol/platform/mod.rs
+++ b/src/protocol/platform/mod.rs
@@ -1,5 +1,6 @@
-//! The platform's front: `OPEN` from the client, `UP`, `BUSY`, `ERR`, `BYE` and `MOVE` from servers, and lines in both
-//! directions between.
+//! The platform's front. A client requests a connection by `OPEN`. A server accepts by `UP`, or answers
+//! `BUSY` or `ERR`. Then lines are relayed in both directions, until the server ends the connection, by `BYE`
+//! or `MOVE`, or the client does.
 
 mod connection;
 mod field;
@@ -9,4 +10,4 @@
 
 pub use connection::Connection;
 pub use reply::{parse_probe_answer, parse_server_reply, ServerReply, PROBE_REQUEST};
-pub use request::{parse_greeting, Greeting, RequestTemplate};
+pub use request::{parse_client_command, ClientCommand, RequestTemplate};
--- a/src/protocol/platform/reply.rs
+++ b/src/protocol/platform/reply.rs
@@ -1,4 +1,4 @@
-//! Lines of servers: what they reply to a request, and the answers to health checks.
+//! Parsing of servers' lines: replies to requests, lines of established connections, and answers to probes.
 
 use winnow::ascii::{dec_uint, float};
 use winnow::combinator::{alt, opt, preceded, separated};
@@ -16,33 +16,33 @@
 const LOAD: &[u8] = b"LOAD ";
 const NO: &[u8] = b"NO";
 
-/// The request line of a health check.
+/// Line that requests the answer to a probe.
 pub const PROBE_REQUEST: &[u8] = b"STATS\r\n";
-/// Field of a load report: the number of connections at the server.
+/// Field of a load report with the number of connections at the server.
 const REPORTED_CONNECTIONS: &str = "inflight";
-/// The highest utilisation that a load report is believed; anything beyond is invalid.
+/// Highest valid utilisation in a load report.
 const MAX_REPORTED_UTILISATION: f64 = 1000.0;
 
-/// A line of a server.
+/// Line of a server.
 #[derive(Debug, PartialEq)]
 pub enum ServerReply {
-    /// `UP`: it accepts the connection.
+    /// `UP`: the server accepts the connection.
     Up,
-    /// `BYE`: it ends the connection, which is complete.
+    /// `BYE`: the server ends the connection after serving it completely.
     Bye,
-    /// `MOVE`: the client is to connect elsewhere.
+    /// `MOVE`: the server ends the connection, and the client should reconnect to another server.
     Move,
-    /// `ERR`: it cannot serve the connection.
+    /// `ERR`: the server cannot serve the connection.
     Error,
-    /// `BUSY`: it rejects the connection.
+    /// `BUSY`: the server rejects the connection.
     Busy,
-    /// `LOAD`: the load of the connection.
+    /// `LOAD`: the server reports the load of the connection.
     Load(f64),
-    /// Any other line, which is for the client.
+    /// Any other line, which is relayed to the client.
     Other,
 }
 
-/// Reads a line of a server, without its end.
+/// Parses a line of a server, without its ending.
 pub fn parse_server_reply(line: &[u8]) -> ServerReply {
     let arguments = || opt(preceded(b' ', rest));
     let parsed = alt((
@@ -57,7 +57,8 @@
     parsed.unwrap_or(ServerReply::Other)
 }
 
-/// The value of a field of a load report, if it is there once and from 0 to `max`.
+/// Returns the value of a field of a load report, if the field occurs exactly once and its value is from 0 to
+/// `max`.
 fn reported_number(fields: &[Field<'_>], name: &str, max: f64) -> Option<f64> {
     let mut matching = fields.iter().filter(|field| field.name == name.as_bytes());
     let field = matching.next().filter(|_| matching.next().is_none())?;
@@ -65,8 +66,9 @@
     (0.0..=max).contains(&number).then_some(number)
 }
 
-/// Decodes a load report, with the utilisation under the first of these names that it holds. A value that is invalid or
-/// ambiguous must make no server look better than it is, nor worse.
+/// Decodes a load report. The utilisation is the field with the first of `utilisation_names` that the report
+/// contains. An invalid or ambiguous value is ignored, so that a server looks neither better nor worse than
+/// it is.
 fn decode_load_report(fields: &[Field<'_>], utilisation_names: &[&str]) -> Option<LoadReport> {
     let has_field = |name: &str| fields.iter().any(|field| field.name == name.as_bytes());
     let name = utilisation_names.iter().find(|name| has_field(name))?;
@@ -74,22 +76,23 @@
     Some(LoadReport { utilisation, connections: reported_number(fields, REPORTED_CONNECTIONS, f64::MAX) })
 }
 
-/// Reads the answer to a health check, without the line's end. Its load report has the utilisation under one of
-/// `utilisation_names`.
+/// Parses the answer to a probe, without the line ending. Its load report contains the utilisation under one
+/// of `utilisation_names`.
 pub fn parse_probe_answer(line: &[u8], utilisation_names: &[&str]) -> ProbeEnd {
     #[derive(Clone, Copy)]
     enum Status {
         Healthy,
         Error,
-        Unwanted,
+        ProbingRefused,
     }
-    let status = alt((PONG.value(Status::Healthy), ERR.value(Status::Error), NO.value(Status::Unwanted)));
+    let status =
+        alt((PONG.value(Status::Healthy), ERR.value(Status::Error), NO.value(Status::ProbingRefused)));
     let fields = opt(preceded(b' ', separated(0.., parse_field, b',')));
     let Ok((status, fields)) = (status, fields).parse(line) else { return ProbeEnd::NoAnswer };
     let fields: Vec<Field<'_>> = fields.unwrap_or_default();
     match status {
         Status::Healthy => ProbeEnd::Answered(decode_load_report(&fields, utilisation_names)),
         Status::Error => ProbeEnd::Error(decode_load_report(&fields, utilisation_names)),
-        Status::Unwanted => ProbeEnd::Declined,
+        Status::ProbingRefused => ProbeEnd::Declined,
     }
 }
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -1,4 +1,4 @@
-//! The first line of a client.
+//! Parsing of the lines that a client sends before a server accepts it, and the request line for a server.
 
 use winnow::ascii::{float, hex_uint};
 use winnow::combinator::separated;
@@ -19,70 +19,70 @@
     /// Priority class.
     pub(super) const CLASS: &[u8] = b"c";
     pub(super) const TENANT: &[u8] = b"t";
-    /// Group that should share a server, a hexadecimal number.
+    /// Group of connections that should share a server, a hexadecimal number.
     pub(super) const GROUP: &[u8] = b"g";
-    /// Usual load, in the unit of the settings.
+    /// Usual load of the connection, in the unit of the settings.
     pub(super) const LOAD: &[u8] = b"h";
     /// Whether the client was migrated or its connection broke.
     pub(super) const RECONNECTING: &[u8] = b"again";
     /// Server at which the connection is established already.
     pub(super) const ESTABLISHED_AT: &[u8] = b"at";
-    /// Time that the client waits, in milliseconds.
-    pub(super) const WAIT_MS: &[u8] = b"d";
+    /// Time that the client waits for an answer, in milliseconds.
+    pub(super) const TIMEOUT_MS: &[u8] = b"d";
 }
 
 /// Value of the tenant field of a request without a tenant.
 const NO_TENANT: &str = "0";
-/// Value of a field that is a flag and set.
+/// Value of a flag field that is set.
 const TRUE: &[u8] = b"1";
 
-/// The longest wait that is accepted in a request, in milliseconds: a day.
-const MAX_WAIT_MS: f64 = 86_400_000.0;
-/// The shortest wait that is sent to a server, in milliseconds.
-const MIN_FORWARDED_WAIT_MS: u64 = 1;
+/// Longest accepted timeout of a request, in milliseconds: one day.
+const MAX_TIMEOUT_MS: f64 = 86_400_000.0;
+/// Shortest timeout that is sent to a server, in milliseconds.
+const MIN_FORWARDED_TIMEOUT_MS: u64 = 1;
 
-/// The first line of a client.
+/// Line that a client may send before a server accepts it.
 #[derive(Debug, PartialEq)]
-pub enum Greeting {
+pub enum ClientCommand {
     /// The client asks whether this balancer can serve.
     Ping,
     /// The client requests a connection.
     Open {
-        /// What it asks for.
+        /// Decoded request.
         request: Box<ConnectionRequest>,
-        /// How its line is sent to a server.
+        /// Request line, in which the timeout is set anew for each server.
         template: RequestTemplate,
     },
 }
 
-/// A client's request line around the value of its field for the time that the client waits.
+/// A client's request line, split at the value of its timeout field.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestTemplate {
-    /// The line up to the value of that field; all of it where there is no such field.
-    before_wait: Vec<u8>,
-    /// The line after that value, if the field is there.
-    after_wait: Option<Vec<u8>>,
+    /// The line up to the value of the timeout, or the whole line if it has no timeout.
+    before_timeout: Vec<u8>,
+    /// The line after the value of the timeout, or `None` if it has no timeout.
+    after_timeout: Option<Vec<u8>>,
 }
 
 impl RequestTemplate {
-    /// The line for a server that is given this time.
-    pub(super) fn with_wait(&self, wait: Micros) -> Vec<u8> {
-        let mut line = self.before_wait.clone();
-        if let Some(after_wait) = &self.after_wait {
-            let wait_ms = wait.as_millis().max(MIN_FORWARDED_WAIT_MS);
-            line.extend_from_slice(wait_ms.to_string().as_bytes());
-            line.extend_from_slice(after_wait);
+    /// Returns the request line with this timeout, if it has one.
+    pub(super) fn with_timeout(&self, timeout: Micros) -> Vec<u8> {
+        let mut line = self.before_timeout.clone();
+        if let Some(after_timeout) = &self.after_timeout {
+            let timeout_ms = timeout.as_millis().max(MIN_FORWARDED_TIMEOUT_MS);
+            line.extend_from_slice(timeout_ms.to_string().as_bytes());
+            line.extend_from_slice(after_timeout);
         }
         line.extend_from_slice(CRLF);
         line
     }
 }
 
-/// The parts of an `OPEN` line.
+/// Parts of an `OPEN` line.
 struct OpenLine<'a> {
     id: &'a [u8],
     key: &'a [u8],
-    /// Length of the line's end that holds the fields.
+    /// Length of the list of fields, which ends the line, in bytes.
     fields_length: usize,
     fields: Vec<Field<'a>>,
 }
@@ -103,42 +103,46 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Reads a client's first line, without its end. A line that is not valid in all of its parts must reach no server.
-pub fn parse_greeting(line: &[u8]) -> Option<Greeting> {
+/// Parses a line of a client before it is established, without the line ending. Returns `None` unless all
+/// parts of the line are valid, so that no malformed line reaches a server.
+pub fn parse_client_command(line: &[u8]) -> Option<ClientCommand> {
     if line == PING {
-        return Some(Greeting::Ping);
+        return Some(ClientCommand::Ping);
     }
     let open = parse_open_line.parse(line).ok()?;
     decode_open_line(line, &open)
 }
 
-fn decode_open_line(line: &[u8], open: &OpenLine<'_>) -> Option<Greeting> {
+fn decode_open_line(line: &[u8], open: &OpenLine<'_>) -> Option<ClientCommand> {
     let mut request = ConnectionRequest {
         id: Some(to_text(open.id)),
         key: Some(hash_client_key(open.key)),
         ..ConnectionRequest::default()
     };
-    // Only the value of the wait may change on its way; the rest has to stay as it was received.
-    let mut template = RequestTemplate { before_wait: line.to_vec(), after_wait: None };
+    // Only the value of the timeout may differ in the line for a server. All other bytes have to remain as
+    // received.
+    let mut template = RequestTemplate { before_timeout: line.to_vec(), after_timeout: None };
     let mut field_start = line.len() - open.fields_length;
     for (index, field) in open.fields.iter().enumerate() {
         if open.fields[..index].iter().any(|earlier| earlier.name == field.name) {
             return None;
         }
-        if field.name == field_name::WAIT_MS {
+        if field.name == field_name::TIMEOUT_MS {
             let value_start = field_start + field.name.len() + 1;
-            template.before_wait = line[..value_start].to_vec();
-            template.after_wait = Some(line[value_start + field.value.len()..].to_vec());
+            template.before_timeout = line[..value_start].to_vec();
+            template.after_timeout = Some(line[value_start + field.value.len()..].to_vec());
         }
         apply_request_field(&mut request, *field)?;
         field_start += field.name.len() + field.value.len() + 2;
     }
-    // A request without a wait is valid only for a connection that was established before.
-    let has_wait = request.timeout.is_some() || request.established_at.is_some();
-    (has_wait && !request.class.is_empty()).then_some(Greeting::Open { request: Box::new(request), template })
+    // A request without a timeout is valid only for a connection that is established already.
+    let has_required_fields =
+        (request.timeout.is_some() || request.established_at.is_some()) && !request.class.is_empty();
+    has_required_fields.then_some(ClientCommand::Open { request: Box::new(request), template })
 }
 
-/// Sets what a field of a request says; none if its value is invalid. Unknown fields are passed on unread.
+/// Applies a field of a request line. Returns `None` if its value is invalid. Unknown fields are ignored here
+/// and are sent to the server.
 fn apply_request_field(request: &mut ConnectionRequest, field: Field<'_>) -> Option<()> {
     let value = field.value;
     match field.name {
@@ -150,9 +154,9 @@
         field_name::ESTABLISHED_AT => {
             request.established_at = Some(to_text(value)).filter(|name| !name.is_empty());
         }
-        field_name::WAIT_MS => {
-            let wait_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_WAIT_MS)?;
-            request.timeout = Some(Micros::from_f64(wait_ms * MICROS_PER_MS as f64));
+        field_name::TIMEOUT_MS => {
+            let timeout_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_TIMEOUT_MS)?;
+            request.timeout = Some(Micros::from_f64(timeout_ms * MICROS_PER_MS as f64));
         }
         _ => {}
     }
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -1,14 +1,17 @@
-//! The fronts' protocols without sockets. Their output must not depend on how the input is fragmented.
+//! Tests of the fronts' protocols without sockets. Their output must not depend on how the input is
+//! fragmented.
 
 use std::rc::Rc;
 
-use connection_balancer::protocol::platform::{parse_greeting, parse_server_reply, Greeting, ServerReply};
+use connection_balancer::protocol::platform::{
+    parse_client_command, parse_server_reply, ClientCommand, ServerReply,
+};
 use connection_balancer::protocol::{http, irc, platform, Front, FrontEvent};
 use connection_balancer::routing::{Answer, AttemptOutcome, Lifecycle};
 use connection_balancer::Micros;
 use proptest::prelude::*;
 
-/// The output of a front: the bytes for each side, and the other events in order.
+/// Output of a front: the bytes for each side, and the other events in order.
 #[derive(Debug, Default, PartialEq)]
 struct FrontOutput {
     to_client: Vec<u8>,
@@ -29,7 +32,7 @@
     }
 }
 
-/// Splits bytes at these places.
+/// Splits bytes at the given positions.
 fn split_at<'a>(bytes: &'a [u8], cuts: &[prop::sample::Index]) -> Vec<&'a [u8]> {
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len().max(1))).collect();
     ends.extend([0, bytes.len()]);
@@ -37,23 +40,29 @@
     ends.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect()
 }
 
-/// Feeds a front with what the client sends, what the server sends in an attempt, and what the client sends then.
-fn run_front(mut front: impl Front, before: &[&[u8]], attempt: &[&[u8]], after: &[&[u8]]) -> FrontOutput {
+/// Runs a front with pieces of bytes: those that the client sends before an attempt, those that the server
+/// sends in the attempt, and those that the client sends after it.
+fn run_front(
+    mut front: impl Front,
+    client_before: &[&[u8]],
+    server_in_attempt: &[&[u8]],
+    client_after: &[&[u8]],
+) -> FrontOutput {
     let mut output = FrontOutput::default();
-    let mut feed = |front: &mut dyn Front, pieces: &[&[u8]], server: bool| {
+    let mut feed = |front: &mut dyn Front, pieces: &[&[u8]], from_server: bool| {
         for piece in pieces {
             let mut events = Vec::new();
-            match server {
+            match from_server {
                 true => front.server_sent(piece, &mut events),
                 false => front.client_sent(piece, &mut events),
             }
             output.add(events);
         }
     };
-    feed(&mut front, before, false);
+    feed(&mut front, client_before, false);
     front.open_attempt(Micros::from_millis(250));
-    feed(&mut front, attempt, true);
-    feed(&mut front, after, false);
+    feed(&mut front, server_in_attempt, true);
+    feed(&mut front, client_after, false);
     output.to_client.extend(front.take_partial_line());
     output.to_client.extend(front.encode_answer(Answer::Migrated));
     output
@@ -65,27 +74,30 @@
 
 struct FrontCase {
     front: Box<dyn Front>,
-    /// What a client requests a connection with.
+    /// Bytes by which a client requests a connection.
     request: &'static [u8],
-    /// What a server accepts it with.
+    /// Bytes by which a server accepts the connection.
     acceptance: &'static [u8],
 }
 
 const OPEN: &[u8] = b"PING\r\nOPEN 9b1f 7f3a c=chat,t=acme,d=2000.5,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n";
 
 proptest! {
-    // Long lines are scanned anew for each piece, which takes its time without optimisation.
+    // Long lines are scanned again for each piece, which is slow without optimisation. Hence only 48 cases.
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
     fn platform_front_output_is_independent_of_fragmentation(
-        long in 0usize..9000,
+        line_length in 0usize..9000,
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
-        let attempt = [b"UP 7\r\nLOAD 8000.5\r\n", &vec![b'x'; long][..], b"\r\nM 1\r\nBYE\r\npart"].concat();
-        let whole = run_front(platform::Connection::default(), &[OPEN], &[&attempt], &[b"M 2\r\nhalf"]);
-        let cut = run_front(platform::Connection::default(), &split_at(OPEN, &cuts), &split_at(&attempt, &cuts), &[b"M 2\r\nhalf"]);
-        prop_assert_eq!(&cut.to_client, &[&b"PONG\r\n"[..], &attempt, b"MOVE\r\n"].concat());
+        let line = vec![b'x'; line_length];
+        let server_bytes = [b"UP 7\r\nLOAD 8000.5\r\n", &line[..], b"\r\nM 1\r\nBYE\r\npart"].concat();
+        let client_pieces = split_at(OPEN, &cuts);
+        let server_pieces = split_at(&server_bytes, &cuts);
+        let whole = run_front(platform::Connection::default(), &[OPEN], &[&server_bytes], &[b"M 2\r\nhalf"]);
+        let cut = run_front(platform::Connection::default(), &client_pieces, &server_pieces, &[b"M 2\r\nhalf"]);
+        prop_assert_eq!(&cut.to_client, &[&b"PONG\r\n"[..], &server_bytes, b"MOVE\r\n"].concat());
         prop_assert_eq!(&cut.to_server, b"M 2\r\nhalf");
         prop_assert_eq!(cut, whole);
     }
@@ -93,21 +105,29 @@
     #[test]
     fn irc_front_output_is_independent_of_fragmentation(
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
-        long in 0usize..20_000,
+        line_length in 0usize..20_000,
     ) {
-        let registration = [b"CAP LS\r\nFOO\r\n", &vec![b'x'; long][..], b"\r\nNICK a\nUSER u 0 * :r r\r\nCAP END\r\nJOIN #a\r\n"].concat();
-        let attempt = [b":h NOTICE * :hi\r\nPING :1\r\n:h 001 a :w\r\n@t=1 :x PRIVMSG a :", &vec![b'y'; long][..], b"\r\nend"].concat();
-        let whole = run_front(irc_front(), &[&registration], &[&attempt], &[b"PART #a\r\nhalf"]);
-        let cut = run_front(irc_front(), &split_at(&registration, &cuts), &split_at(&attempt, &cuts), &[b"PART #a\r\nhalf"]);
+        let client_line = vec![b'x'; line_length];
+        let server_line = vec![b'y'; line_length];
+        let client_bytes = [
+            b"CAP LS\r\nFOO\r\n", &client_line[..], b"\r\nNICK a\nUSER u 0 * :r r\r\nCAP END\r\nJOIN #a\r\n",
+        ].concat();
+        let server_bytes = [
+            b":h NOTICE * :hi\r\nPING :1\r\n:h 001 a :w\r\n@t=1 :x PRIVMSG a :", &server_line[..], b"\r\nend",
+        ].concat();
+        let client_pieces = split_at(&client_bytes, &cuts);
+        let server_pieces = split_at(&server_bytes, &cuts);
+        let whole = run_front(irc_front(), &[&client_bytes], &[&server_bytes], &[b"PART #a\r\nhalf"]);
+        let cut = run_front(irc_front(), &client_pieces, &server_pieces, &[b"PART #a\r\nhalf"]);
         prop_assert_eq!(&cut.to_server, b"PONG :1\r\nJOIN #a\r\nPART #a\r\n");
         prop_assert!(cut.other_events.contains(&FrontEvent::Accepted));
         prop_assert_eq!(cut, whole);
     }
 
-    /// Whatever either side sends, nothing panics, and the buffers stay bounded.
+    /// Arbitrary bytes from either side cause no panic, no second request and no unbounded buffer.
     #[test]
-    fn no_input_breaks_a_front_or_its_bounds(
-        events in prop::collection::vec((any::<bool>(), prop::collection::vec(
+    fn arbitrary_input_neither_panics_nor_exceeds_the_buffer_limits(
+        pieces in prop::collection::vec((any::<bool>(), prop::collection::vec(
             prop_oneof![Just(b'\n'), Just(b' '), Just(b':'), Just(0), prop::sample::select(b"PINGOPENUPCAPBYE001=,@".to_vec()), any::<u8>()], 0..300)), 0..30),
         established in any::<bool>(),
     ) {
@@ -116,50 +136,52 @@
             FrontCase { front: Box::new(irc_front()), request: b"NICK a\r\nUSER u 0 * :r\r\n", acceptance: b":h 001 a :w\r\n" },
         ];
         for FrontCase { mut front, request, acceptance } in cases {
-            let mut out = Vec::new();
+            let mut events = Vec::new();
             if established {
-                front.client_sent(request, &mut out);
+                front.client_sent(request, &mut events);
                 front.open_attempt(Micros(1));
-                front.server_sent(acceptance, &mut out);
-                prop_assert!(out.contains(&FrontEvent::Accepted));
+                front.server_sent(acceptance, &mut events);
+                prop_assert!(events.contains(&FrontEvent::Accepted));
             }
-            for (server, bytes) in &events {
-                match server {
-                    true => front.server_sent(bytes, &mut out),
-                    false => front.client_sent(bytes, &mut out),
+            for (from_server, bytes) in &pieces {
+                match from_server {
+                    true => front.server_sent(bytes, &mut events),
+                    false => front.client_sent(bytes, &mut events),
                 }
                 prop_assert!(front.buffered_bytes() <= 9000);
             }
-            prop_assert!(out.iter().filter(|event| matches!(event, FrontEvent::ConnectionRequested(_))).count() <= 1);
+            let is_request = |event: &&FrontEvent| matches!(event, FrontEvent::ConnectionRequested(_));
+            prop_assert!(events.iter().filter(is_request).count() <= 1);
             front.server_ended(true);
         }
     }
 
-    /// Responses of the discovery service are fragmented, too.
+    /// Responses of the discovery service also arrive in fragments.
     #[test]
     fn http_response_is_read_once_it_is_complete(cut in any::<prop::sample::Index>(), chunked in any::<bool>()) {
         let body = br#"{"generation":41,"reset":true,"instances":[{"instanceId":"s-5be2a07c","hostPort":"10.1.0.18:8081","zone":"a","machineType":"m2","cell":3,"lifecycle":"draining","weight":1.0,"startedAtMs":1700000000123}]}"#;
         let bytes = if chunked {
-            let (a, b) = body.split_at(60);
-            let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", a.len());
-            [head.as_bytes(), a, format!("\r\n{:X};x\r\n", b.len()).as_bytes(), b, b"\r\n0\r\n\r\n"].concat()
+            let (first_chunk, second_chunk) = body.split_at(60);
+            let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", first_chunk.len());
+            let second_size = format!("\r\n{:X};x\r\n", second_chunk.len());
+            [head.as_bytes(), first_chunk, second_size.as_bytes(), second_chunk, b"\r\n0\r\n\r\n"].concat()
         } else {
             [format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len()).as_bytes(), body].concat()
         };
-        let part = cut.index(bytes.len());
-        prop_assert_eq!(http::parse_response(&bytes[..part], false).unwrap(), None);
-        let answer = http::parse_response(&bytes, false).unwrap().unwrap();
-        prop_assert_eq!((answer.status, answer.close, answer.taken), (200, false, bytes.len()));
-        let update = http::parse_endpoint_list(&answer.body).unwrap();
+        let received_length = cut.index(bytes.len());
+        prop_assert_eq!(http::parse_response(&bytes[..received_length], false).unwrap(), None);
+        let response = http::parse_response(&bytes, false).unwrap().unwrap();
+        prop_assert_eq!((response.status, response.close, response.taken), (200, false, bytes.len()));
+        let update = http::parse_endpoint_list(&response.body).unwrap();
         prop_assert_eq!((update.generation, update.is_snapshot, update.endpoints.len()), (41, true, 1));
         prop_assert_eq!(update.endpoints[0].lifecycle, Lifecycle::Draining);
         prop_assert_eq!(update.endpoints[0].started.unwrap().0, 1_700_000_000_123_000);
     }
 }
 
-/// If anything else changed in a request line, it would be one that no client sent.
+/// A request line with any other change would be one that no client has sent.
 #[test]
-fn only_the_wait_of_a_request_line_is_rewritten() {
+fn only_the_timeout_of_a_request_line_is_rewritten() {
     let mut front = platform::Connection::default();
     let mut events = Vec::new();
     front.client_sent(OPEN, &mut events);
@@ -171,7 +193,7 @@
     );
     let line = front.open_attempt(Micros(734_900));
     assert_eq!(line, b"OPEN 9b1f 7f3a c=chat,t=acme,d=734,g=5c0f6e1a2b3d4c59,h=1.5,x=\r\n");
-    // Without a `d`, the line is passed on unchanged.
+    // A line without the field `d` is sent unchanged.
     let mut front = platform::Connection::default();
     front.client_sent(b"OPEN a b c=chat,at=s-00000001\r\n", &mut events);
     assert_eq!(front.open_attempt(Micros(5)), b"OPEN a b c=chat,at=s-00000001\r\n");
@@ -193,64 +215,65 @@
     for (line, reply) in replies {
         assert_eq!(parse_server_reply(line.as_bytes()), reply, "{line}");
     }
-    assert_eq!(parse_greeting(b"PING"), Some(Greeting::Ping));
+    assert_eq!(parse_client_command(b"PING"), Some(ClientCommand::Ping));
 }
 
 #[test]
 fn first_line_of_the_server_decides_the_attempt() {
-    for (line, end) in [
+    for (line, outcome) in [
         ("BUSY\r\n", AttemptOutcome::Rejected),
         ("ERR\r\n", AttemptOutcome::Error),
         ("SYNTAX\r\n", AttemptOutcome::Error),
     ] {
         let output = run_front(platform::Connection::default(), &[OPEN], &[line.as_bytes()], &[]);
-        assert_eq!(output.other_events.last(), Some(&FrontEvent::AttemptEnded(end)), "{line}");
+        assert_eq!(output.other_events.last(), Some(&FrontEvent::AttemptEnded(outcome)), "{line}");
     }
 }
 
-/// What a client of the platform may not send first: nothing of it reaches a server.
+/// A client of the platform that sends a malformed first line gets an error, and no byte of it reaches a
+/// server.
 #[test]
 fn malformed_first_lines_are_answered_with_an_error() {
-    let long = format!("OPEN a b c=chat,d=1,x={}\r\n", "y".repeat(4100));
-    let name = format!("OPEN {} b c=chat,d=1\r\n", "a".repeat(65));
-    let malformed: [(&str, &str); 27] = [
-        ("no command", "\r\n"),
-        ("another command", "HELO\r\n"),
-        ("another protocol", "GET / HTTP/1.1\r\n"),
-        ("nothing but the command", "OPEN\r\n"),
-        ("no list", "OPEN a b\r\n"),
-        ("a list without values", "OPEN a b c\r\n"),
-        ("no id", "OPEN  b c=chat,d=1\r\n"),
-        ("no id, all else moved up", "OPEN b c=chat,d=1\r\n"),
-        ("a long id", &name),
-        ("too much", "OPEN a b c=chat,d=1 e\r\n"),
+    let long_line = format!("OPEN a b c=chat,d=1,x={}\r\n", "y".repeat(4100));
+    let line_with_long_id = format!("OPEN {} b c=chat,d=1\r\n", "a".repeat(65));
+    let malformed_lines: [(&str, &str); 27] = [
+        ("empty line", "\r\n"),
+        ("unknown command", "HELO\r\n"),
+        ("other protocol", "GET / HTTP/1.1\r\n"),
+        ("command only", "OPEN\r\n"),
+        ("no fields", "OPEN a b\r\n"),
+        ("field without a value", "OPEN a b c\r\n"),
+        ("empty id", "OPEN  b c=chat,d=1\r\n"),
+        ("id or key missing", "OPEN b c=chat,d=1\r\n"),
+        ("id too long", &line_with_long_id),
+        ("extra argument", "OPEN a b c=chat,d=1 e\r\n"),
         ("no class", "OPEN a b d=1\r\n"),
-        ("an empty class", "OPEN a b c=,d=1\r\n"),
+        ("empty class", "OPEN a b c=,d=1\r\n"),
         ("two classes", "OPEN a b c=chat,c=live,d=1\r\n"),
-        ("no wait", "OPEN a b c=chat\r\n"),
-        ("an empty wait", "OPEN a b c=chat,d=\r\n"),
-        ("a wait in words", "OPEN a b c=chat,d=soon\r\n"),
-        ("a wait with a unit", "OPEN a b c=chat,d=1s\r\n"),
-        ("a wait that is no number", "OPEN a b c=chat,d=NaN\r\n"),
-        ("a wait without end", "OPEN a b c=chat,d=inf\r\n"),
-        ("a negative wait", "OPEN a b c=chat,d=-1\r\n"),
-        ("a wait of years", "OPEN a b c=chat,d=99999999999\r\n"),
-        ("a group in words", "OPEN a b c=chat,d=1,g=mine\r\n"),
-        ("a long group", "OPEN a b c=chat,d=1,g=123456789abcdef01\r\n"),
-        ("a negative load", "OPEN a b c=chat,d=1,h=-3\r\n"),
-        ("a control byte", "OPEN a b c=chat,d=1,x=\x07\r\n"),
-        ("a long line", &long),
-        ("commands at once", "OPEN a b c=chat,d=1\r\nOPEN b b c=chat,d=1\r\n"),
+        ("no timeout", "OPEN a b c=chat\r\n"),
+        ("empty timeout", "OPEN a b c=chat,d=\r\n"),
+        ("timeout as a word", "OPEN a b c=chat,d=soon\r\n"),
+        ("timeout with a unit", "OPEN a b c=chat,d=1s\r\n"),
+        ("timeout that is not a number", "OPEN a b c=chat,d=NaN\r\n"),
+        ("infinite timeout", "OPEN a b c=chat,d=inf\r\n"),
+        ("negative timeout", "OPEN a b c=chat,d=-1\r\n"),
+        ("timeout of years", "OPEN a b c=chat,d=99999999999\r\n"),
+        ("group that is not hexadecimal", "OPEN a b c=chat,d=1,g=mine\r\n"),
+        ("group of more than 64 bits", "OPEN a b c=chat,d=1,g=123456789abcdef01\r\n"),
+        ("negative load", "OPEN a b c=chat,d=1,h=-3\r\n"),
+        ("control byte", "OPEN a b c=chat,d=1,x=\x07\r\n"),
+        ("line too long", &long_line),
+        ("two requests at once", "OPEN a b c=chat,d=1\r\nOPEN b b c=chat,d=1\r\n"),
     ];
     let rejection = [FrontEvent::ToClient(b"ERR\r\n".to_vec()), FrontEvent::Close];
-    for (what, text) in malformed {
+    for (fault, text) in malformed_lines {
         let mut front = platform::Connection::default();
         let mut events = Vec::new();
         front.client_sent(text.as_bytes(), &mut events);
-        assert_eq!(events, rejection, "{what}");
-        // What the client sends after the error is ignored.
+        assert_eq!(events, rejection, "{fault}");
+        // Bytes that the client sends after the error are ignored.
         front.client_sent(b"OPEN a b c=chat,d=1\r\n", &mut events);
-        assert_eq!(events.len(), 2, "{what}");
+        assert_eq!(events.len(), 2, "{fault}");
     }
     for text in ["PING\r\n", "OPEN a b c=chat,d=1\r\n", "OPEN a b at=s-00000001,c=chat\r\n"] {
         let mut events = Vec::new();
@@ -260,26 +283,28 @@
 }
 
 #[test]
-fn clients_that_break_the_protocol_later_are_disconnected() {
-    // A client that does not wait for its answer, one that only sends pings, and one that sends a line without an end
-    // once its connection is established.
-    let again = [OPEN, b"M 1\r\n"].concat();
+fn clients_that_violate_the_protocol_after_a_valid_line_are_disconnected() {
+    // One client does not wait for the answer to its request, one sends pings only, and one sends an
+    // unterminated line once its connection is established.
+    let request_and_line = [OPEN, b"M 1\r\n"].concat();
     let pings = b"PING\r\n".repeat(99);
-    let endless = vec![b'x'; 5000];
+    let unterminated_line = vec![b'x'; 5000];
     let cases: [(&[u8], &[u8], &[u8]); 3] =
-        [(&again, b"", b""), (&pings, b"", b""), (OPEN, b"UP 1\r\n", &endless)];
-    for (before, attempt, after) in cases {
-        let output = run_front(platform::Connection::default(), &[before], &[attempt].map(|l| l), &[after]);
+        [(&request_and_line, b"", b""), (&pings, b"", b""), (OPEN, b"UP 1\r\n", &unterminated_line)];
+    for (client_before, server, client_after) in cases {
+        let front = platform::Connection::default();
+        let output = run_front(front, &[client_before], &[server], &[client_after]);
         assert_eq!(
             output.other_events.last(),
             Some(&FrontEvent::Close),
             "{}",
-            String::from_utf8_lossy(before)
+            String::from_utf8_lossy(client_before)
         );
     }
 }
 
-/// The same for the IRC front, which answers each invalid line, and closes the connection of a client that goes on.
+/// The IRC front answers each invalid line, and closes the connection of a client that sends too many bytes
+/// or lines.
 #[test]
 fn invalid_irc_registration_is_answered_and_floods_are_closed() {
     let cases: [(&str, &str); 14] = [
@@ -298,20 +323,20 @@
         ("NICK a\0\r\n", " 400 "),
         ("JOIN #a\r\n", " 451 "),
     ];
-    for (text, answer) in cases {
+    for (text, expected) in cases {
         let mut events = Vec::new();
         irc_front().client_sent(text.as_bytes(), &mut events);
         let reply = match &events[..] {
             [FrontEvent::ToClient(bytes)] => String::from_utf8_lossy(bytes).into_owned(),
             _ => panic!("{text:?}: {events:?}"),
         };
-        assert!(reply.contains(answer), "{text:?}: {reply}");
+        assert!(reply.contains(expected), "{text:?}: {reply}");
     }
     // A client that floods is disconnected long before its registration times out.
     for flood in [b"FOO\r\n".repeat(100), vec![b'x'; 200 << 10], b"PING a\r\n".repeat(100)] {
         let (mut front, mut events) = (irc_front(), Vec::new());
         flood.chunks(4096).for_each(|piece| front.client_sent(piece, &mut events));
-        let ends = events.iter().filter(|event| **event == FrontEvent::Close).count();
-        assert_eq!(ends, 1, "{} bytes", flood.len());
+        let closes = events.iter().filter(|event| **event == FrontEvent::Close).count();
+        assert_eq!(closes, 1, "flood of {} bytes", flood.len());
     }
 }
