--- a/src/protocol/irc/client_lines.rs
+++ b/src/protocol/irc/client_lines.rs
@@ -1,27 +1,28 @@
-//! The lines of a client, without those that the protocol does not allow.
+//! Lines of a client. Lines that the protocol does not allow are dropped, and reported so that they can be
+//! answered.
 
 use super::message::is_too_long;
 use super::MAX_TAGGED_LINE_LENGTH;
 use crate::protocol::lines::{LineBuffer, NextLine};
 
-/// The result of [`ClientLines::next_line`].
+/// Result of [`ClientLines::next_line`].
 #[derive(Debug, PartialEq)]
 pub(super) enum ClientLine {
-    /// A line, without its end.
+    /// A line, without its ending.
     Valid(Vec<u8>),
-    /// A line that is longer than allowed; its bytes are skipped up to its end.
+    /// A line that is longer than allowed. Its bytes are skipped.
     TooLong,
     /// A line with a NUL byte.
     ContainsNul,
-    /// No line is complete yet.
+    /// The buffer holds no complete line yet.
     Incomplete,
 }
 
-/// The bytes that a client has sent and that have not been read yet.
+/// Bytes that a client has sent and that have not been processed.
 #[derive(Debug, Default)]
 pub(super) struct ClientLines {
     buffer: LineBuffer,
-    /// The rest of a line that was too long is skipped up to its end.
+    /// The current line is too long, and its remaining bytes are skipped.
     is_skipping_line: bool,
 }
 
@@ -30,7 +31,7 @@
         self.buffer.push(bytes);
     }
 
-    /// Number of buffered bytes.
+    /// Returns the number of buffered bytes.
     pub(super) fn len(&self) -> usize {
         self.buffer.len()
     }
@@ -40,12 +41,13 @@
         self.buffer.take_all();
     }
 
-    /// Whether nothing is buffered, and no line is being skipped.
+    /// Returns whether nothing is buffered and no line is being skipped.
     pub(super) fn is_between_lines(&self) -> bool {
         self.buffer.is_empty() && !self.is_skipping_line
     }
 
-    /// Takes the next line. A line that is too long is returned once, whatever pieces it arrives in.
+    /// Removes and returns the next line. A line that is too long is reported once, even if it arrives in
+    /// pieces.
     pub(super) fn next_line(&mut self) -> ClientLine {
         loop {
             let next = self.buffer.next_line(MAX_TAGGED_LINE_LENGTH);
@@ -55,7 +57,7 @@
                     self.is_skipping_line = was_skipping;
                     return ClientLine::Incomplete;
                 }
-                // A line without an end must not fill the memory.
+                // An unterminated line must not exhaust the memory.
                 NextLine::TooLong => {
                     self.is_skipping_line = !self.buffer.skip_line();
                     if !was_skipping {
--- a/src/protocol/irc/config.rs
+++ b/src/protocol/irc/config.rs
@@ -1,21 +1,21 @@
-//! The configuration of the front.
+//! Configuration of the IRC front.
 
-/// What the front is configured with.
+/// Configuration of the IRC front.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IrcConfig {
-    /// Its name, which is the prefix of its own messages.
+    /// Name of the front as an IRC server, the prefix of its own messages.
     pub name: String,
-    /// Where a client is asked to connect again.
+    /// Address to which a migrated client should reconnect.
     pub address: AdvertisedAddress,
-    /// The class of all requests at this front.
+    /// Class of all requests at this front.
     pub class: String,
-    /// The tenant of all requests at this front.
+    /// Tenant of all requests at this front, if any.
     pub tenant: Option<String>,
-    /// Capabilities that clients may request; each server has to have them.
+    /// Capabilities that clients may request. All servers must support them.
     pub capabilities: Vec<String>,
 }
 
-/// An address that clients can connect to.
+/// Address to which clients can connect.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdvertisedAddress {
     /// Host name or IP address.
--- a/src/protocol/irc/connection.rs
+++ b/src/protocol/irc/connection.rs
@@ -1,9 +1,9 @@
-//! The protocol of one client connection.
+//! Protocol of one client connection.
 
 use std::rc::Rc;
 
 use super::client_lines::{ClientLine, ClientLines};
-use super::handshake::{Handshake, HandshakeStep};
+use super::handshake::{HandshakeStep, ServerHandshake};
 use super::message::{ERR_UNKNOWNCOMMAND, QUIT};
 use super::registration::Registration;
 use super::{parse_message, IrcConfig, MAX_TAGGED_LINE_LENGTH};
@@ -12,51 +12,53 @@
 use crate::routing::{Answer, AttemptOutcome, ConnectionRequest};
 use crate::Micros;
 
-/// The most lines that a client may send before its registration is complete.
+/// Maximum number of lines that a client may send before its registration is complete.
 const MAX_REGISTRATION_LINES: u32 = 64;
-/// The most bytes that it may send before that, those that are skipped included.
+/// Maximum number of bytes that a client may send before its registration is complete, including skipped
+/// bytes.
 const MAX_REGISTRATION_BYTES: usize = 64 << 10;
-/// The most bytes that a client may send ahead while a server is sought.
-const MAX_BYTES_AHEAD: usize = 8 << 10;
+/// Maximum number of bytes that a client may send between its registration and the acceptance by a server.
+const MAX_EARLY_BYTES: usize = 8 << 10;
 
 #[derive(Debug, Default, PartialEq)]
 enum Phase {
     /// The client's registration is not complete yet.
     #[default]
     Registering,
-    /// A server is being sought.
+    /// The registration is complete, and no server has accepted the client.
     Placing,
     /// A server has accepted, and lines are relayed.
     Established,
-    /// The client's connection is being closed, and nothing more of it is read.
+    /// The client's connection is being closed. Its further bytes are ignored.
     Closed,
 }
 
-/// The protocol of one client connection.
+/// Protocol of one client connection.
 #[derive(Debug, Default)]
 pub struct Connection {
     phase: Phase,
     registration: Registration,
-    /// Lines of the client before its registration was complete.
+    /// Number of lines that the client sent before its registration was complete.
     registration_lines: u32,
-    /// Bytes of the client before its registration was complete.
+    /// Number of bytes that the client sent before its registration was complete.
     registration_bytes: usize,
     client_lines: ClientLines,
     /// Lines of the server before it accepts.
-    handshake: Handshake,
-    /// Lines of the server once it has accepted.
+    handshake: ServerHandshake,
+    /// Lines of the server after it has accepted.
     relay: LineRelay,
-    /// The client has sent `QUIT`.
+    /// The client has sent `QUIT` after a server accepted it.
     has_quit: bool,
 }
 
 impl Connection {
-    /// A new connection of a front.
+    /// Creates the protocol of a new connection of the front.
     pub fn new(config: Rc<IrcConfig>) -> Connection {
         Connection { registration: Registration::new(config), ..Connection::default() }
     }
 
-    /// Takes the client's next valid line; answers those that are not valid.
+    /// Removes and returns the client's next valid line. Each invalid line before it is answered by one
+    /// event.
     fn next_client_line(&mut self, events: &mut Vec<FrontEvent>) -> Option<Vec<u8>> {
         loop {
             let reply = match self.client_lines.next_line() {
@@ -73,7 +75,7 @@
         while self.phase == Phase::Registering {
             let events_before = events.len();
             let line = self.next_client_line(events);
-            // Each line that cannot be read has been answered by one event.
+            // Each invalid line was answered by one event.
             self.registration_lines += (events.len() - events_before) as u32;
             let Some(line) = line else { return self.close_on_flood(events) };
             self.registration_lines += 1;
@@ -111,19 +113,19 @@
         ConnectionRequest {
             class: config.class.clone(),
             tenant: config.tenant.clone(),
-            // A client that reconnects takes its nickname again.
+            // A client that reconnects uses the same nickname.
             key: self.registration.nick().map(hash_client_key),
             ..ConnectionRequest::default()
         }
     }
 
-    /// Closes the connection of a client that sends more than it may before a server has accepted: one that never
-    /// completes its registration could keep the front busy.
+    /// Closes the connection of a client that has sent more than it may before a server accepts. Without this
+    /// limit, a client that never completes its registration could occupy the front.
     fn close_on_flood(&mut self, events: &mut Vec<FrontEvent>) {
-        let is_too_far_ahead = self.phase == Phase::Placing && self.client_lines.len() > MAX_BYTES_AHEAD;
+        let exceeds_early_bytes = self.phase == Phase::Placing && self.client_lines.len() > MAX_EARLY_BYTES;
         if self.registration_lines > MAX_REGISTRATION_LINES
             || self.registration_bytes > MAX_REGISTRATION_BYTES
-            || is_too_far_ahead
+            || exceeds_early_bytes
         {
             self.client_lines.clear();
             self.close_client("Excess Flood", events);
@@ -136,7 +138,7 @@
         events.push(FrontEvent::Close);
     }
 
-    /// Relays the client's lines to the server that has accepted it.
+    /// Relays the client's valid lines to the server, and notes a `QUIT`.
     fn relay_to_server(&mut self, events: &mut Vec<FrontEvent>) {
         let mut lines = Vec::new();
         while let Some(line) = self.next_client_line(events) {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Reads the server's lines up to the one that decides the attempt.
+    /// Processes the server's lines up to the one that accepts the client or ends the attempt.
     fn read_handshake(&mut self, events: &mut Vec<FrontEvent>) {
         while let Some(step) = self.handshake.next_step() {
             match step {
@@ -191,8 +193,8 @@
         }
         self.client_lines.push(bytes);
         self.read_registration(events);
-        // If the client were not read any further, its end would go unnoticed too, and a server would be sought for
-        // nobody.
+        // The client is still read while a server is chosen. Otherwise its disconnection would not be
+        // noticed, and a server would be chosen for a client that has left.
         if self.phase == Phase::Placing {
             self.close_on_flood(events);
         }
@@ -201,8 +203,8 @@
         }
     }
 
-    fn open_attempt(&mut self, _wait: Micros) -> Vec<u8> {
-        self.handshake = Handshake::default();
+    fn open_attempt(&mut self, _acceptance_timeout: Micros) -> Vec<u8> {
+        self.handshake = ServerHandshake::default();
         self.registration.encode_for_server()
     }
 
@@ -229,10 +231,10 @@
 
     fn encode_answer(&mut self, answer: Answer) -> Vec<u8> {
         match answer {
-            Answer::Rejected(wait) => self.registration.rejection(wait),
+            Answer::Rejected(retry_after) => self.registration.rejection(retry_after),
             Answer::Failed => self.registration.closing_link("No server could be reached"),
             Answer::HandshakeTimedOut => self.registration.closing_link("Registration timed out"),
-            // Within an unfinished line it would be read as part of that line.
+            // After part of a line, the client would read the message as the rest of that line.
             Answer::Migrated if self.relay.is_mid_line() => Vec::new(),
             Answer::Migrated => self.registration.migration_notice(),
         }
--- a/src/protocol/irc/handshake.rs
+++ b/src/protocol/irc/handshake.rs
@@ -1,4 +1,5 @@
-//! The lines of a server before its welcome, which decide an attempt.
+//! Handshake with a server: its lines up to the welcome that accepts the client, or to the line that ends the
+//! attempt.
 
 use super::message::{
     CAP, CAP_NAK, ERROR, ERR_ERRONEUSNICKNAME, ERR_NICKCOLLISION, ERR_NICKNAMEINUSE, ERR_NONICKNAMEGIVEN,
@@ -10,41 +11,41 @@
 use crate::protocol::CRLF;
 use crate::routing::AttemptOutcome;
 
-/// The most bytes of a server's notices before its welcome that are kept for the client.
+/// Maximum number of bytes of a server's notices before its welcome that are kept for the client.
 const MAX_NOTICE_BYTES: usize = 4096;
 
-/// What a line of the server leads to.
+/// Result of a line of the server.
 #[derive(Debug, PartialEq)]
 pub(super) enum HandshakeStep {
-    /// Send this to the server; the attempt is not decided yet.
+    /// Send this reply to the server. The handshake continues.
     Reply(Vec<u8>),
-    /// The server accepts the client; these are its lines so far.
+    /// The server accepts the client. These lines of the server are sent to the client.
     Accepted(Vec<u8>),
-    /// The server refuses the client as any other server would; this is its line.
+    /// The server refuses the registration by this line, as any other server would.
     RegistrationRefused(Vec<u8>),
     /// The attempt has failed.
     Failed(AttemptOutcome),
 }
 
-/// A server's lines that have not been read yet, and its notices.
+/// A server's lines that have not been processed, and its notices.
 #[derive(Debug, Default)]
-pub(super) struct Handshake {
+pub(super) struct ServerHandshake {
     lines: LineBuffer,
-    /// What the server sent before its welcome, for the client.
+    /// Lines that the server sent before its welcome. The client receives them with the welcome.
     notices: Vec<u8>,
 }
 
-impl Handshake {
+impl ServerHandshake {
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.lines.push(bytes);
     }
 
-    /// Takes the bytes after the last line that was read.
+    /// Removes and returns the bytes after the last processed line.
     pub(super) fn take_remaining(&mut self) -> Vec<u8> {
         self.lines.take_all()
     }
 
-    /// Reads lines up to the next step; none while there is no complete line.
+    /// Processes lines up to the next step. Returns `None` if no further line is complete.
     pub(super) fn next_step(&mut self) -> Option<HandshakeStep> {
         loop {
             match self.lines.next_line(MAX_TAGGED_LINE_LENGTH) {
@@ -80,9 +81,9 @@
                 bytes.extend(line);
                 Some(HandshakeStep::Accepted(bytes))
             }
-            // The server is full, or wants its clients to connect elsewhere.
+            // The server is full, or redirects its clients to another server.
             Some(RPL_TRYAGAIN | RPL_BOUNCE) => Some(HandshakeStep::Failed(AttemptOutcome::Rejected)),
-            // Another server would decide the same about the nickname or the password.
+            // Any other server would refuse the nickname or the password as well.
             Some(
                 ERR_NONICKNAMEGIVEN | ERR_ERRONEUSNICKNAME | ERR_NICKNAMEINUSE | ERR_NICKCOLLISION
                 | ERR_UNAVAILRESOURCE | ERR_PASSWDMISMATCH | ERR_YOUREBANNEDCREEP,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Whether a `CAP` message refuses capabilities.
+/// Returns whether a `CAP` message refuses capabilities.
 fn is_capability_refusal(message: &Message<'_>) -> bool {
     message.params.get(1).is_some_and(|verb| verb.eq_ignore_ascii_case(CAP_NAK))
 }
--- a/src/protocol/irc/message.rs
+++ b/src/protocol/irc/message.rs
@@ -1,17 +1,18 @@
-//! Messages of RFC 1459 and 2812, with `IRCv3`'s tags, and the commands and numerics that the balancer knows.
+//! Parsing of messages of RFC 1459 and 2812 with `IRCv3`'s tags, and the commands and numerics that the
+//! balancer uses.
 
 use winnow::combinator::{opt, preceded, repeat, terminated};
 use winnow::token::{rest, take_till, take_while};
 use winnow::{ModalResult, Parser};
 
-/// The longest line in bytes, its end included, without its tags (RFC 1459, 2.3).
+/// Maximum length of a line in bytes, including its ending and without its tags (RFC 1459, 2.3).
 pub const MAX_LINE_LENGTH: usize = 512;
-/// The longest tags of a line in bytes, `@` and the space after them included (`IRCv3` message tags).
+/// Maximum length of a line's tags in bytes, including `@` and the space after them (`IRCv3` message tags).
 pub const MAX_TAGS_LENGTH: usize = 8191;
-/// The most parameters of a message but for the trailing one.
+/// Maximum number of parameters of a message before the trailing one.
 const MAX_MIDDLE_PARAMS: usize = 15;
-const LINE_END_LENGTH: usize = 2;
-/// Digits of a numeric.
+const LINE_ENDING_LENGTH: usize = 2;
+/// Number of digits of a numeric.
 const NUMERIC_LENGTH: usize = 3;
 
 pub(super) const CAP: &[u8] = b"CAP";
@@ -30,7 +31,7 @@
 pub(super) const CAP_NAK: &[u8] = b"NAK";
 pub(super) const CAP_REQ: &[u8] = b"REQ";
 
-// Numerics, by the names that they have in RFC 2812 or in common use.
+// Numerics, named as in RFC 2812 or by common usage.
 pub(super) const RPL_WELCOME: u16 = 1;
 pub(super) const RPL_BOUNCE: u16 = 10;
 pub(super) const RPL_TRYAGAIN: u16 = 263;
@@ -49,17 +50,17 @@
 pub(super) const ERR_PASSWDMISMATCH: u16 = 464;
 pub(super) const ERR_YOUREBANNEDCREEP: u16 = 465;
 
-/// A message, without its prefix and the line's end.
+/// Message, without its tags, its prefix and the line ending.
 #[derive(Debug, PartialEq)]
 pub struct Message<'a> {
-    /// Its command, or a numeric of three digits.
+    /// Command, or a numeric of three digits.
     pub command: &'a [u8],
-    /// Its parameters.
+    /// Parameters, of which the trailing one is without its colon.
     pub params: Vec<&'a [u8]>,
 }
 
 impl Message<'_> {
-    /// The command's number, if it is a numeric.
+    /// Returns the number of the command if it is a numeric.
     pub(super) fn numeric(&self) -> Option<u16> {
         let is_numeric = self.command.len() == NUMERIC_LENGTH && self.command.iter().all(u8::is_ascii_digit);
         is_numeric.then(|| self.command.iter().fold(0, |number, digit| number * 10 + u16::from(digit - b'0')))
@@ -86,17 +87,17 @@
     Ok(Message { command, params })
 }
 
-/// Parses a line, without its end; none if it is not a message.
+/// Parses a line without its ending. Returns `None` if it is not a message.
 pub fn parse_message(line: &[u8]) -> Option<Message<'_>> {
     parse_message_parts.parse(line).ok()
 }
 
-/// Whether a line, which is given without its end, is longer than the protocol allows.
+/// Returns whether a line, given without its ending, is longer than the protocol allows.
 pub(super) fn is_too_long(line: &[u8]) -> bool {
     let tags_length = if line.first() == Some(&b'@') {
         line.iter().position(|&b| b == b' ').map_or(line.len(), |end| end + 1)
     } else {
         0
     };
-    tags_length > MAX_TAGS_LENGTH || line.len() - tags_length + LINE_END_LENGTH > MAX_LINE_LENGTH
+    tags_length > MAX_TAGS_LENGTH || line.len() - tags_length + LINE_ENDING_LENGTH > MAX_LINE_LENGTH
 }
--- a/src/protocol/irc/mod.rs
+++ b/src/protocol/irc/mod.rs
@@ -1,5 +1,5 @@
-//! The IRC front: RFC 1459 and 2812 with `IRCv3`'s `CAP`. A client's complete registration is its connection request; an
-//! attempt repeats it to a server, which accepts with `001`.
+//! The IRC front: RFC 1459 and 2812 with `IRCv3`'s `CAP`. A client's complete registration is its connection
+//! request. An attempt repeats the registration to a server, which accepts the client with `001`.
 
 mod client_lines;
 mod config;
@@ -13,5 +13,5 @@
 pub use connection::Connection;
 pub use message::{parse_message, Message, MAX_LINE_LENGTH, MAX_TAGS_LENGTH};
 
-/// The longest line with its tags, in bytes.
+/// Maximum length of a line including its tags, in bytes.
 const MAX_TAGGED_LINE_LENGTH: usize = MAX_TAGS_LENGTH + MAX_LINE_LENGTH;
--- a/src/protocol/irc/registration.rs
+++ b/src/protocol/irc/registration.rs
@@ -1,4 +1,5 @@
-//! The registration of a client: it is complete before a server is sought, and is repeated to that server.
+//! Registration of a client. A server is chosen once the registration is complete, and the registration is
+//! then repeated to that server.
 
 use std::rc::Rc;
 
@@ -9,20 +10,20 @@
 use super::IrcConfig;
 use crate::protocol::CRLF;
 
-/// The longest nickname in bytes.
+/// Maximum length of a nickname in bytes.
 const MAX_NICK_LENGTH: usize = 64;
 
-/// What a client has registered with so far.
+/// State of a client's registration.
 #[derive(Debug, Default)]
 pub(super) struct Registration {
     config: Rc<IrcConfig>,
     pass: Option<Vec<u8>>,
     nick: Option<Vec<u8>>,
-    /// The whole `USER` line.
-    user: Option<Vec<u8>>,
-    /// Capabilities that have been granted.
+    /// `USER` line as it is sent to a server, without its ending.
+    user_line: Option<Vec<u8>>,
+    /// Capabilities granted to the client.
     granted: Vec<String>,
-    /// Capabilities are being negotiated: registration waits for `CAP END`.
+    /// Capabilities are being negotiated, so that the registration is complete only after `CAP END`.
     is_negotiating: bool,
 }
 
@@ -35,9 +36,9 @@
         &self.config
     }
 
-    /// Whether a server can be sought for the client.
+    /// Returns whether the registration is complete, so that a server can be chosen.
     pub(super) fn is_complete(&self) -> bool {
-        self.nick.is_some() && self.user.is_some() && !self.is_negotiating
+        self.nick.is_some() && self.user_line.is_some() && !self.is_negotiating
     }
 
     pub(super) fn nick(&self) -> Option<&[u8]> {
@@ -48,12 +49,13 @@
         self.nick = Some(nick.to_vec());
     }
 
-    /// The client's nickname as replies have it, `*` before there is one.
+    /// Returns the client's nickname as used in replies, or `*` before the client has sent one.
     pub(super) fn display_nick(&self) -> String {
         self.nick.as_ref().map_or("*".into(), |nick| String::from_utf8_lossy(nick).into_owned())
     }
 
-    /// Applies a command of the client, given in upper case, and returns the reply, which may be empty.
+    /// Applies a command of the client, given in upper case. Returns the reply, or no bytes if the command
+    /// has none.
     pub(super) fn apply_command(&mut self, command: &[u8], params: &[&[u8]]) -> Vec<u8> {
         match (command, params) {
             (CAP | PASS, []) => self.needs_more_params(command),
@@ -72,7 +74,7 @@
                 Vec::new()
             }
             (USER, [user, mode, unused, real_name, ..]) if !user.is_empty() => {
-                self.user = Some([b"USER ", *user, b" ", mode, b" ", unused, b" :", real_name].concat());
+                self.user_line = Some([b"USER ", *user, b" ", mode, b" ", unused, b" :", real_name].concat());
                 Vec::new()
             }
             (USER, _) => self.needs_more_params(command),
@@ -118,7 +120,8 @@
         format!(":{name} CAP {nick} {subcommand} :{capabilities}\r\n").into_bytes()
     }
 
-    /// Grants the capabilities of a `CAP REQ`, or none of them if one is not offered. `-` before one gives it back.
+    /// Grants the capabilities of a `CAP REQ`, or none of them if one is not offered. A capability with the
+    /// prefix `-` is withdrawn.
     fn request_capabilities(&mut self, list: &[u8]) -> Vec<u8> {
         let list = String::from_utf8_lossy(list).into_owned();
         let requested: Vec<&str> = list.split_ascii_whitespace().collect();
@@ -136,7 +139,7 @@
         self.cap_reply("ACK", &list)
     }
 
-    /// Encodes the registration for a server.
+    /// Encodes the registration as the lines that are sent to a server.
     pub(super) fn encode_for_server(&self) -> Vec<u8> {
         let mut lines = Vec::new();
         let mut push_line = |parts: &[&[u8]]| {
@@ -151,7 +154,7 @@
             push_line(&[b"PASS :", pass]);
         }
         push_line(&[b"NICK ", self.nick.as_deref().unwrap_or_default()]);
-        push_line(&[self.user.as_deref().unwrap_or_default()]);
+        push_line(&[self.user_line.as_deref().unwrap_or_default()]);
         if !granted.is_empty() {
             push_line(&[b"CAP END"]);
         }
@@ -159,8 +162,8 @@
     }
 }
 
-/// Whether a nickname is one that servers of today accept: not too long, and without bytes that would change the
-/// meaning of a line.
+/// Returns whether current servers accept a nickname. It must not be longer than [`MAX_NICK_LENGTH`], and
+/// must not contain bytes that would change the meaning of a line.
 fn is_valid_nick(nick: &[u8]) -> bool {
     let has_valid_start = nick.first().is_some_and(|b| !b.is_ascii_digit() && !b"-:#&+!@$".contains(b));
     has_valid_start && nick.len() <= MAX_NICK_LENGTH && nick.iter().all(|b| !b" ,*?!@\0".contains(b))
--- a/src/protocol/irc/replies.rs
+++ b/src/protocol/irc/replies.rs
@@ -1,11 +1,11 @@
-//! Replies of the front that are addressed to a client.
+//! Replies of the front to a client.
 
 use super::message::{ERR_INPUTTOOLONG, ERR_UNKNOWNERROR, RPL_BOUNCE, RPL_TRYAGAIN};
 use super::registration::Registration;
 use super::AdvertisedAddress;
 use crate::Micros;
 
-/// The shortest time after which a rejected client is asked to try again, in seconds.
+/// Shortest time after which a rejected client may try again, in seconds.
 const MIN_RETRY_AFTER_SECONDS: u64 = 1;
 
 impl Registration {
@@ -14,7 +14,7 @@
         format!(":{} {numeric:03} {} {text}\r\n", self.config().name, self.display_nick()).into_bytes()
     }
 
-    /// Encodes the `ERROR` that precedes the end of the client's connection.
+    /// Encodes the `ERROR` that the front sends before it closes the client's connection.
     pub(super) fn closing_link(&self, reason: &str) -> Vec<u8> {
         format!("ERROR :Closing Link: {} ({reason})\r\n", self.display_nick()).into_bytes()
     }
@@ -29,15 +29,15 @@
         self.numeric_reply(ERR_UNKNOWNERROR, ":Line with a NUL byte")
     }
 
-    /// Encodes the answer to a client that is rejected and may try again after this time.
-    pub(super) fn rejection(&self, wait: Micros) -> Vec<u8> {
-        let seconds = wait.as_secs_ceil().max(MIN_RETRY_AFTER_SECONDS);
+    /// Encodes the answer to a client that is rejected and may try again after `retry_after`.
+    pub(super) fn rejection(&self, retry_after: Micros) -> Vec<u8> {
+        let seconds = retry_after.as_secs_ceil().max(MIN_RETRY_AFTER_SECONDS);
         let text = format!("USER :Server load is too heavy. Please wait {seconds} s and try again.");
         let error = self.closing_link(&format!("Try again in {seconds} s"));
         [self.numeric_reply(RPL_TRYAGAIN, &text), error].concat()
     }
 
-    /// Encodes the request to connect again, for a client that is migrated.
+    /// Encodes the notice that asks a migrated client to reconnect.
     pub(super) fn migration_notice(&self) -> Vec<u8> {
         let (name, nick) = (&self.config().name, self.display_nick());
         let AdvertisedAddress { host, port } = &self.config().address;
