--- a/src/protocol/pcap/mod.rs
+++ b/src/protocol/pcap/mod.rs
@@ -1,5 +1,5 @@
-//! Classic pcap files (the libpcap format, not pcapng): reading their TCP segments, and recording the connections of
-//! fronts into them. Times are in microseconds.
+//! Classic pcap files (the libpcap format, not pcapng): reading TCP segments from files, and recording
+//! connections of fronts into files. Times are in microseconds.
 
 mod error;
 mod read;
@@ -15,36 +15,36 @@
 
 /// Magic number of files with times in microseconds.
 const MAGIC_MICROS: u32 = 0xa1b2_c3d4;
-/// Link type of packets that begin with their IP header.
+/// Link type of packets that begin with an IP header.
 const LINK_RAW_IP: u32 = 101;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The flags of a TCP segment that are used.
+/// Flags of a TCP segment, without those that are not used here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TcpFlags {
     /// SYN: the sender opens the connection.
     pub syn: bool,
     /// ACK: the segment acknowledges bytes.
     pub ack: bool,
-    /// FIN: the sender has no more bytes.
+    /// FIN: the sender will send no more bytes.
     pub fin: bool,
-    /// RST: the connection is broken.
+    /// RST: the sender resets the connection.
     pub rst: bool,
 }
 
-/// One TCP segment.
+/// TCP segment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Segment {
-    /// When it was captured.
+    /// Capture time.
     pub at: Time,
-    /// Its sender.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// Its receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// Its sequence number.
+    /// Sequence number of the first byte, or of the SYN.
     pub seq: u32,
-    /// Its flags.
+    /// Flags of the segment's header.
     pub flags: TcpFlags,
-    /// Its payload.
+    /// Payload, empty for a segment that only opens, closes or acknowledges.
     pub payload: Vec<u8>,
 }
--- a/src/protocol/pcap/recorder.rs
+++ b/src/protocol/pcap/recorder.rs
@@ -1,4 +1,4 @@
-//! Recording the connections of fronts as packets.
+//! Recording of a front's connections as packets.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,27 +7,29 @@
 use super::{TcpFlags, LINK_RAW_IP, MAGIC_MICROS, MICROS_PER_SECOND};
 use crate::Time;
 
+/// Major and minor version of the pcap format.
 const FORMAT_VERSION: [u16; 2] = [2, 4];
-/// The longest packet that a written file declares, in bytes.
+/// Maximum length of a packet according to the header of a written file, in bytes.
 const SNAPSHOT_LENGTH: u32 = 1 << 18;
-/// The longest payload of a written packet, in bytes.
+/// Maximum length of the payload of a written packet, in bytes.
 const MAX_WRITTEN_PAYLOAD: usize = 1400;
-/// Hops of a written packet.
+/// Time to live of a written packet, in hops.
 const TIME_TO_LIVE: u8 = 64;
 /// Receive window of a written segment, in bytes.
 const WINDOW_SIZE: u16 = 65_535;
 
-/// Encodes the header of a file for the records of a [`ConnectionRecorder`]: times in microseconds, packets of raw IP.
+/// Encodes the header of a file for the records of a [`ConnectionRecorder`]. Its times are in microseconds,
+/// and its packets begin with an IP header.
 pub fn encode_file_header() -> Vec<u8> {
     let (time_zone, accuracy) = (0, 0);
     let words: [u32; 4] = [time_zone, accuracy, SNAPSHOT_LENGTH, LINK_RAW_IP];
     let mut bytes = MAGIC_MICROS.to_le_bytes().to_vec();
-    bytes.extend(FORMAT_VERSION.iter().flat_map(|half| half.to_le_bytes()));
+    bytes.extend(FORMAT_VERSION.iter().flat_map(|number| number.to_le_bytes()));
     bytes.extend(words.iter().flat_map(|word| word.to_le_bytes()));
     bytes
 }
 
-/// In which direction bytes went on a front's connection.
+/// Direction of bytes on a front's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Direction {
     /// From the client to the front.
@@ -36,28 +38,30 @@
     ToClient,
 }
 
-/// How a side of a connection ended.
+/// Way in which one side of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Close {
-    /// By a FIN.
+    /// The side sent a FIN.
     Orderly,
-    /// By a RST.
+    /// The side sent a RST.
     Reset,
 }
 
-/// Records a connection as packets: what its sockets read and wrote, with the sequence numbers that TCP would have
-/// given.
+/// Records the bytes that a connection's socket read and wrote as packets, with the sequence numbers that TCP
+/// would have assigned from an initial one of 0.
 #[derive(Debug)]
 pub struct ConnectionRecorder {
     client: SocketAddr,
     front: SocketAddr,
-    /// The next sequence number of each direction.
+    /// Next sequence number of each [`Direction`].
     next_seq: [u32; 2],
+    /// Whether the end of each [`Direction`] was recorded.
     is_closed: [bool; 2],
 }
 
 impl ConnectionRecorder {
-    /// Begins with a connection that was just accepted. Returns the records of its handshake as well.
+    /// Creates the recorder of a connection that was just accepted, and returns the records of the TCP
+    /// handshake.
     pub fn start(at: Time, client: SocketAddr, front: SocketAddr) -> (ConnectionRecorder, Vec<u8>) {
         let mut recorder = ConnectionRecorder { client, front, next_seq: [1, 1], is_closed: [false; 2] };
         let syn = TcpFlags { syn: true, ..TcpFlags::default() };
@@ -68,7 +72,8 @@
         (recorder, records)
     }
 
-    /// Encodes the records of bytes that went in this direction; of an acknowledgement if there are none.
+    /// Encodes the records of bytes sent in a direction, or the record of an acknowledgement if `bytes` is
+    /// empty.
     pub fn record_data(&mut self, at: Time, direction: Direction, bytes: &[u8]) -> Vec<u8> {
         let ack = TcpFlags { ack: true, ..TcpFlags::default() };
         let index = direction as usize;
@@ -83,7 +88,7 @@
         records
     }
 
-    /// Encodes the record of the end of a side; empty where that side had ended before.
+    /// Encodes the record of the end of a direction. Returns no bytes if that end was recorded before.
     pub fn record_close(&mut self, at: Time, direction: Direction, close: Close) -> Vec<u8> {
         let index = direction as usize;
         if std::mem::replace(&mut self.is_closed[index], true) {
@@ -128,7 +133,8 @@
             builder = builder.rst();
         }
         let mut packet = Vec::with_capacity(builder.size(payload.len()));
-        // Writing fails only for a payload longer than an IP packet, and MAX_WRITTEN_PAYLOAD is far shorter.
+        // Writing fails only if the payload exceeds the length of an IP packet, and MAX_WRITTEN_PAYLOAD is
+        // far less.
         if builder.write(&mut packet, payload).is_err() {
             return Vec::new();
         }
--- a/tests/daemon/pcap.rs
+++ b/tests/daemon/pcap.rs
@@ -1,4 +1,4 @@
-//! Captures: reading, reassembly of flows, recording, and the replay of a recording.
+//! Tests of captures: reading, reassembly of flows, recording, and the replay of a recording.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,50 +12,52 @@
 
 use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 
-/// A file with one packet, in this byte order, with this magic number, link type and fraction of a second.
-fn encode_file(little: bool, magic: u32, link: u32, fraction: u32, packet: &[u8]) -> Vec<u8> {
-    let word = |n: u32| if little { n.to_le_bytes() } else { n.to_be_bytes() };
-    let half = |n: u16| if little { n.to_le_bytes() } else { n.to_be_bytes() };
-    let mut bytes = word(magic).to_vec();
-    bytes.extend([half(2), half(4)].concat());
+/// Encodes a file with one packet, with the given byte order, magic number, link type and fraction of a
+/// second.
+fn encode_file(little_endian: bool, magic: u32, link: u32, fraction: u32, packet: &[u8]) -> Vec<u8> {
+    let encode_u32 = |n: u32| if little_endian { n.to_le_bytes() } else { n.to_be_bytes() };
+    let encode_u16 = |n: u16| if little_endian { n.to_le_bytes() } else { n.to_be_bytes() };
+    let mut bytes = encode_u32(magic).to_vec();
+    bytes.extend([encode_u16(2), encode_u16(4)].concat());
     let length = packet.len() as u32;
-    bytes.extend([0, 0, 65_535, link, 1_700_000_000, fraction, length, length].iter().flat_map(|&n| word(n)));
+    let words = [0, 0, 65_535, link, 1_700_000_000, fraction, length, length];
+    bytes.extend(words.iter().flat_map(|&n| encode_u32(n)));
     bytes.extend(packet);
     bytes
 }
 
 fn encode_packet(ethernet: bool, ipv6: bool) -> Vec<u8> {
-    let mut out = Vec::new();
-    let (a, b) = ([7; 6], [9; 6]);
+    let mut bytes = Vec::new();
+    let (source_mac, destination_mac) = ([7; 6], [9; 6]);
     let written = match (ethernet, ipv6) {
-        (true, false) => PacketBuilder::ethernet2(a, b)
+        (true, false) => PacketBuilder::ethernet2(source_mac, destination_mac)
             .ipv4([127, 0, 0, 1], [127, 0, 0, 2], 9)
             .tcp(5, 6667, 77, 9)
-            .write(&mut out, b"NICK a"),
-        (true, true) => PacketBuilder::ethernet2(a, b)
+            .write(&mut bytes, b"NICK a"),
+        (true, true) => PacketBuilder::ethernet2(source_mac, destination_mac)
             .ipv6([1; 16], [2; 16], 9)
             .tcp(5, 6667, 77, 9)
-            .write(&mut out, b"NICK a"),
+            .write(&mut bytes, b"NICK a"),
         (false, false) => PacketBuilder::ipv4([127, 0, 0, 1], [127, 0, 0, 2], 9)
             .tcp(5, 6667, 77, 9)
-            .write(&mut out, b"NICK a"),
+            .write(&mut bytes, b"NICK a"),
         (false, true) => {
-            PacketBuilder::ipv6([1; 16], [2; 16], 9).tcp(5, 6667, 77, 9).write(&mut out, b"NICK a")
+            PacketBuilder::ipv6([1; 16], [2; 16], 9).tcp(5, 6667, 77, 9).write(&mut bytes, b"NICK a")
         }
     };
-    written.expect("a packet");
-    out
+    written.expect("writing a packet to memory failed");
+    bytes
 }
 
 #[test]
 fn reads_all_byte_orders_time_units_and_link_types() {
-    for little in [true, false] {
+    for little_endian in [true, false] {
         for (magic, fraction) in [(0xa1b2_c3d4, 250_000), (0xa1b2_3c4d, 250_000_000)] {
             for (link, ethernet, ipv6) in
                 [(1, true, false), (1, true, true), (101, false, false), (101, false, true)]
             {
-                let bytes = encode_file(little, magic, link, fraction, &encode_packet(ethernet, ipv6));
-                let segments = pcap::read_segments(&bytes).expect("valid");
+                let bytes = encode_file(little_endian, magic, link, fraction, &encode_packet(ethernet, ipv6));
+                let segments = pcap::read_segments(&bytes).expect("a valid file was rejected");
                 let [segment] = &segments[..] else { panic!("{segments:?}") };
                 assert_eq!(segment.at, Time(1_700_000_000_250_000));
                 assert_eq!(
@@ -68,18 +70,24 @@
 }
 
 #[test]
-fn errors_name_the_offset_that_is_wrong() {
+fn errors_name_the_offset_of_the_first_fault() {
     let valid = encode_file(true, 0xa1b2_c3d4, 101, 0, &encode_packet(false, false));
-    let error_of = |bytes: &[u8]| pcap::read_segments(bytes).expect_err("an error").to_string();
-    assert!(error_of(&valid[..10]).contains("at byte 10: the file ends within its head"));
-    assert!(error_of(&[0; 30]).contains("at byte 0: no pcap file"));
-    assert!(error_of(&valid[..30]).contains("at byte 30: the file ends within a record's head"));
-    assert!(error_of(&valid[..50]).contains("at byte 50: the file ends within a packet"));
-    let link = encode_file(true, 0xa1b2_c3d4, 105, 0, &[]);
-    assert!(error_of(&link).contains("at byte 20: link type 105"));
-    let mut long = valid.clone();
-    long[32..36].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(error_of(&long).contains("at byte 32: a record of 4294967295 bytes"));
+    let error_of =
+        |bytes: &[u8]| pcap::read_segments(bytes).expect_err("an invalid file was accepted").to_string();
+    assert!(error_of(&valid[..10]).contains("at byte 10: the file ends within its header of 24 bytes"));
+    assert!(
+        error_of(&[0; 30]).contains("at byte 0: magic number 0x00000000 is not that of a classic pcap file")
+    );
+    assert!(error_of(&valid[..30]).contains("at byte 30: the file ends within a record header of 16 bytes"));
+    assert!(
+        error_of(&valid[..50]).contains("at byte 50: the file ends within a packet, after 10 of 46 bytes")
+    );
+    let with_unsupported_link = encode_file(true, 0xa1b2_c3d4, 105, 0, &[]);
+    assert!(error_of(&with_unsupported_link).contains("at byte 20: link type 105"));
+    let mut with_long_record = valid.clone();
+    with_long_record[32..36].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert!(error_of(&with_long_record)
+        .contains("at byte 32: packet record of 4294967295 bytes exceeds the limit of 1048576"));
 }
 
 fn client_and_front() -> (SocketAddr, SocketAddr) {
@@ -108,71 +116,74 @@
     assert_eq!(flows::reassemble_flows(&[], 6667), []);
 }
 
-/// A replay relies on these counts: an end that overtook the answer it was recorded after made a served client look like
-/// one that left.
+/// A replay delays a client's bytes and its end until as many answer lines have arrived as in the recording.
+/// Without correct counts, a client's end can be replayed before the answer that preceded it, so that a
+/// served client looks like one that left.
 #[test]
-fn answers_are_counted_once_by_their_time_of_capture() {
-    let (from, to) = client_and_front();
-    let answer = |at, seq, payload: &[u8]| Segment { at, from: to, to: from, ..segment(seq, payload) };
+fn answer_lines_are_counted_once_by_capture_time() {
+    let (client, front) = client_and_front();
+    let answer = |at, seq, payload: &[u8]| Segment { at, from: front, to: client, ..segment(seq, payload) };
     let syn = with_syn(segment(100, b""));
-    let all = [
+    let segments = [
         syn,
         answer(Time(5), 900, b"a\nb"),
         answer(Time(6), 900, b"a\nb"),
         answer(Time(7), 902, b"b\nc\n"),
         segment(101, b"x"),
     ];
-    let flows = flows::reassemble_flows(&all, 6667);
+    let flows = flows::reassemble_flows(&segments, 6667);
     let counts: Vec<usize> = [4, 5, 6, 7, 9].iter().map(|&at| flows[0].answers_before(Time(at))).collect();
     assert_eq!(counts, [0, 1, 1, 3, 3]);
 }
 
 #[test]
-fn new_syn_on_the_same_ports_begins_another_flow_but_its_retransmission_does_not() {
+fn another_syn_on_the_same_ports_starts_another_flow_but_a_retransmitted_one_does_not() {
     let syn = |seq| with_syn(segment(seq, b""));
     let flows =
         flows::reassemble_flows(&[syn(1), syn(1), segment(2, b"a"), syn(500), segment(501, b"b")], 6667);
-    let all: Vec<_> = flows.iter().map(|flow| flow.chunks[0].bytes.clone()).collect();
-    assert_eq!(all, [b"a", b"b"]);
+    let first_chunks: Vec<_> = flows.iter().map(|flow| flow.chunks[0].bytes.clone()).collect();
+    assert_eq!(first_chunks, [b"a", b"b"]);
 }
 
 proptest! {
-    /// Whatever segments are split, repeated, overlapping and out of order, the bytes that were sent are reassembled.
+    /// The sent bytes are reassembled from segments that are split, repeated, overlapping and out of order.
     #[test]
-    fn reassembles_what_was_sent(
-        text in prop::collection::vec(any::<u8>(), 1..400),
-        isn in prop_oneof![any::<u32>(), Just(u32::MAX - 100)],
-        cuts in prop::collection::vec((0usize..400, 1usize..120), 0..20),
+    fn reassembles_the_sent_bytes(
+        sent in prop::collection::vec(any::<u8>(), 1..400),
+        initial_seq in prop_oneof![any::<u32>(), Just(u32::MAX - 100)],
+        repeated_ranges in prop::collection::vec((0usize..400, 1usize..120), 0..20),
         order in any::<prop::sample::Index>(),
     ) {
-        let first = isn.wrapping_add(1);
-        let piece = |from: usize, to: usize| segment(first.wrapping_add(from as u32), &text[from..to]);
-        let mut segments: Vec<Segment> = text.chunks(37).enumerate()
+        let first_seq = initial_seq.wrapping_add(1);
+        let piece = |from: usize, to: usize| segment(first_seq.wrapping_add(from as u32), &sent[from..to]);
+        let mut segments: Vec<Segment> = sent.chunks(37).enumerate()
             .map(|(n, chunk)| piece(n * 37, n * 37 + chunk.len())).collect();
-        for (from, length) in cuts {
-            let from = from % text.len();
-            let at = order.index(segments.len());
-            segments.insert(at, piece(from, (from + length).min(text.len())));
+        for (from, length) in repeated_ranges {
+            let from = from % sent.len();
+            let position = order.index(segments.len());
+            segments.insert(position, piece(from, (from + length).min(sent.len())));
         }
-        segments.push(with_fin(segment(first.wrapping_add(text.len() as u32), b"")));
-        let turn = order.index(segments.len());
-        segments.rotate_left(turn);
-        segments.insert(0, with_syn(segment(isn, b"")));
+        segments.push(with_fin(segment(first_seq.wrapping_add(sent.len() as u32), b"")));
+        let rotation = order.index(segments.len());
+        segments.rotate_left(rotation);
+        segments.insert(0, with_syn(segment(initial_seq, b"")));
         let flows = flows::reassemble_flows(&segments, 6667);
         prop_assert_eq!(flows.len(), 1);
-        let got: Vec<u8> = flows[0].chunks.iter().flat_map(|chunk| chunk.bytes.clone()).collect();
-        prop_assert_eq!(got, text);
+        let reassembled: Vec<u8> = flows[0].chunks.iter().flat_map(|chunk| chunk.bytes.clone()).collect();
+        prop_assert_eq!(reassembled, sent);
         prop_assert_eq!(flows[0].end.map(|end| end.close), Some(Close::Orderly));
         prop_assert_eq!(flows[0].gap, None);
     }
 
-    /// Whatever a file holds, reading it returns, and the offset of an error lies within it.
+    /// Reading a file with arbitrary changes does not panic, and the offset of an error lies within the file.
     #[test]
-    fn no_input_breaks_the_reader(flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
+    fn arbitrary_changes_of_a_file_do_not_make_the_reader_panic(
+        changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
+    ) {
         let mut bytes = encode_file(true, 0xa1b2_c3d4, 1, 0, &encode_packet(true, false));
-        for (at, with) in flips {
-            let at = at.index(bytes.len());
-            bytes[at] = with;
+        for (position, byte) in changes {
+            let offset = position.index(bytes.len());
+            bytes[offset] = byte;
         }
         match pcap::read_segments(&bytes) {
             Err(error) => prop_assert!(error.offset <= bytes.len()),
@@ -181,7 +192,7 @@
     }
 }
 
-/// Other tools can read what is recorded: sequence numbers are continuous, and checksums are right.
+/// Other tools can read recorded files: sequence numbers are continuous, and checksums are valid.
 #[test]
 fn recorded_packets_have_valid_checksums_and_read_back() {
     let (client, front) = client_and_front();
@@ -194,21 +205,24 @@
         assert_eq!(
             recorder.record_close(Time(3_000_000), Direction::FromClient, Close::Reset),
             Vec::<u8>::new(),
-            "ended twice"
+            "the end of one side was recorded twice"
         );
-        let flows = flows::reassemble_flows(&pcap::read_segments(&bytes).expect("valid"), 6667);
+        let segments = pcap::read_segments(&bytes).expect("the recorded file was rejected");
+        let flows = flows::reassemble_flows(&segments, 6667);
         let sent: usize = flows[0].chunks.iter().map(|chunk| chunk.bytes.len()).sum();
         assert_eq!(
             (sent, flows[0].end),
             (3000, Some(FlowEnd { at: Time(3_000_000), close: Close::Orderly }))
         );
-        let mut at = 24;
-        while at < bytes.len() {
-            let length = u32::from_le_bytes(bytes[at + 8..at + 12].try_into().unwrap()) as usize;
-            let packet =
-                etherparse::SlicedPacket::from_ip(&bytes[at + 16..at + 16 + length]).expect("a packet");
-            let Some(etherparse::TransportSlice::Tcp(tcp)) = &packet.transport else { panic!("no TCP") };
-            let sum = match packet.net.as_ref().expect("IP") {
+        let mut offset = 24;
+        while offset < bytes.len() {
+            let length = u32::from_le_bytes(bytes[offset + 8..offset + 12].try_into().unwrap()) as usize;
+            let packet = etherparse::SlicedPacket::from_ip(&bytes[offset + 16..offset + 16 + length])
+                .expect("a record is not an IP packet");
+            let Some(etherparse::TransportSlice::Tcp(tcp)) = &packet.transport else {
+                panic!("the packet is not TCP")
+            };
+            let checksum = match packet.net.as_ref().expect("the packet has no IP header") {
                 etherparse::NetSlice::Ipv4(ip) => {
                     let header = ip.header().to_header();
                     assert_eq!(header.header_checksum, header.calc_header_checksum());
@@ -217,10 +231,10 @@
                 etherparse::NetSlice::Ipv6(ip) => {
                     tcp.calc_checksum_ipv6(ip.header().source(), ip.header().destination()).unwrap()
                 }
-                _ => panic!("no IP"),
+                _ => panic!("the packet is neither IPv4 nor IPv6"),
             };
-            assert_eq!(tcp.checksum(), sum);
-            at += 16 + length;
+            assert_eq!(tcp.checksum(), checksum);
+            offset += 16 + length;
         }
     }
 }
@@ -228,14 +242,14 @@
 fn run_replay(capture: &Path, config: &Path, port: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
     command.arg("replay").arg(capture).arg("--config").arg(config);
-    command.args(["--front", "irc", "--port", port]).output().expect("runs")
+    command.args(["--front", "irc", "--port", port]).output().expect("the command did not start")
 }
 
 #[test]
-fn replay_reads_what_serve_records() {
+fn replay_reads_recordings_of_serve() {
     let server = Server::start(Behaviour::Welcome);
     let folder = std::env::temp_dir().join(format!("connection-balancer-replay-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("creating the folder failed");
     let (capture, config) = (folder.join("front.pcap"), folder.join("irc.json"));
     let daemon =
         Daemon::start_with(&irc_config(&[&server], ""), None, &["--record", capture.to_str().unwrap()]);
@@ -250,24 +264,25 @@
     }
     drop(Client::connect(&daemon.irc));
     let flows = |bytes: &[u8]| {
-        flows::reassemble_flows(&pcap::read_segments(bytes).expect("valid"), port.parse().unwrap())
+        let segments = pcap::read_segments(bytes).expect("the recorded file was rejected");
+        flows::reassemble_flows(&segments, port.parse().unwrap())
     };
-    wait_until("three flows are recorded and ended", || {
+    wait_until("three flows with their ends are recorded", || {
         let flows = flows(&std::fs::read(&capture).unwrap());
         flows.len() == 3 && flows.iter().all(|flow| flow.end.is_some())
     });
     drop(daemon);
-    std::fs::write(&config, irc_config(&[&server], "")).expect("written");
+    std::fs::write(&config, irc_config(&[&server], "")).expect("writing the configuration failed");
     let replay = || run_replay(&capture, &config, &port);
-    let seen = server.count();
+    let lines_before = server.count();
     let output = replay();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
     assert_eq!(text.matches(": served after ").count(), 2, "{text}");
     assert!(text.contains(": left; 0 bytes back") && text.ends_with("3 flows, 2 served\n"), "{text}");
-    let lines = server.lines.lock().unwrap()[seen..].to_vec();
+    let lines = server.lines.lock().unwrap()[lines_before..].to_vec();
     assert_eq!(lines.iter().filter(|line| *line == "PRIVMSG #a :recorded").count(), 2, "{lines:?}");
-    // A replay must never reach a server in service.
+    // A replay must never connect to a production server.
     std::fs::write(
         &config,
         irc_config(&[&server], "").replace("127.0.0.1:", "192.0.2.1:").replacen(
@@ -276,7 +291,7 @@
             2,
         ),
     )
-    .expect("written");
+    .expect("writing the configuration failed");
     let output = replay();
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success() && text.contains("a replay uses loopback hosts only"), "{text}");
