--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -10,7 +10,7 @@
 use crate::routing::{ConnectionRequest, Endpoint, EstablishedConnection, Lifecycle};
 use crate::{LearnedState, Time};
 
-/// Decodes a message; none if it is malformed.
+/// Decodes a message. Returns `None` if it is malformed.
 pub fn decode(bytes: &[u8]) -> Option<HandoverMessage> {
     preceded(MAGIC, parse_message).parse(bytes).ok()
 }
@@ -27,7 +27,7 @@
     dispatch! {u8; flag::NO => ().value(false), flag::YES => ().value(true), _ => fail}.parse_next(input)
 }
 
-/// Parses a value that may be absent.
+/// Returns a parser of a value that may be absent.
 fn optional<'a, T>(
     mut parse: impl FnMut(&mut &'a [u8]) -> ModalResult<T>,
 ) -> impl FnMut(&mut &'a [u8]) -> ModalResult<Option<T>> {
@@ -38,7 +38,7 @@
     be_u64.map(Time).parse_next(input)
 }
 
-/// Parses a finite number: no other is ever sent.
+/// Parses a finite number. Other numbers are never sent, so a message with one is malformed.
 fn parse_number(input: &mut &[u8]) -> ModalResult<f64> {
     be_f64.verify(|number: &f64| number.is_finite()).parse_next(input)
 }
@@ -86,8 +86,8 @@
         load: optional(parse_number).parse_next(input)?,
         timeout: None,
         established_at: None,
-        // These two are not in the message, since the previous version does not know them: such a client is not
-        // recognised when it is migrated.
+        // The message does not contain these two, since the previous version does not know them. A client
+        // without a key is not recognised when it returns after a migration.
         key: None,
         reconnecting: false,
     })
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -4,14 +4,14 @@
 use crate::routing::{Endpoint, EstablishedConnection, Lifecycle};
 use crate::{LearnedState, Time};
 
-/// Encodes a message; none if it would be too long.
+/// Encodes a message. Returns `None` if it would be longer than [`MAX_MESSAGE_LENGTH`].
 pub fn encode(message: &HandoverMessage) -> Option<Vec<u8>> {
     let mut encoder = Encoder(MAGIC.to_vec());
     encoder.message(message);
     Some(encoder.0).filter(|bytes| bytes.len() <= MAX_MESSAGE_LENGTH)
 }
 
-/// The bytes of a message that is being encoded.
+/// Bytes of a message that is being encoded.
 struct Encoder(Vec<u8>);
 
 impl Encoder {
@@ -21,7 +21,8 @@
     }
 
     fn bytes(&mut self, bytes: &[u8]) -> &mut Encoder {
-        // What is longer than this makes the message too long, so that it is not sent.
+        // Bytes whose length does not fit make the message longer than MAX_MESSAGE_LENGTH, so that it is not
+        // sent.
         let length = bytes.len().min(usize::from(u16::MAX)) as u16;
         self.0.extend(length.to_be_bytes());
         self.0.extend(bytes);
@@ -137,7 +138,7 @@
                 self.byte(part_tag::READMITTED).text(pool).text(server).time(*since)
             }
             Part::Id { pool, id } => self.byte(part_tag::ID).text(pool).text(id),
-            Part::OpenDescriptors(left) => self.byte(part_tag::OPEN_DESCRIPTORS).u64(*left),
+            Part::OpenDescriptors(count) => self.byte(part_tag::OPEN_DESCRIPTORS).u64(*count),
         }
     }
 
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -1,5 +1,6 @@
-//! Messages of a hot restart, between a process and the successor that takes its place. Each is a datagram of bounded
-//! length that begins with the name and version of this protocol. Sockets are sent beside a message, not in it.
+//! Messages of a hot restart, between a process and its successor. Each message is a datagram of bounded
+//! length that begins with the name and version of this protocol. Sockets are sent with a message as
+//! ancillary data, not in its bytes.
 
 mod decode;
 mod encode;
@@ -11,16 +12,17 @@
 use crate::routing::{Endpoint, EstablishedConnection, ExportedEndpoint, HandoverState, Readmission};
 use crate::{LearnedState, Time};
 
-/// The longest message, in bytes.
+/// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_LENGTH: usize = 16 << 10;
-/// The most sockets beside a message: those of an established connection.
+/// Maximum number of sockets sent with a message: both sockets of an established connection.
 pub const MAX_SOCKETS: usize = 2;
-/// The most parts of a state. A process that never stopped sending them would fill the memory.
+/// Maximum number of parts of a state. Without this limit, a process that sends parts without end would
+/// exhaust the memory of its successor.
 pub const MAX_PARTS: usize = 200_000;
-/// What each message begins with; those of other versions begin otherwise.
+/// First bytes of each message. Messages of other versions of the protocol begin with other bytes.
 const MAGIC: &[u8] = b"SGH1";
 
-/// The byte after [`MAGIC`]: the kind of a message.
+/// Kind of a message, the byte after [`MAGIC`].
 mod message_tag {
     pub(super) const REQUEST_STATE: u8 = b'T';
     pub(super) const SOCKET: u8 = b'S';
@@ -32,7 +34,7 @@
     pub(super) const EXCLUSION_ACKNOWLEDGED: u8 = b'A';
 }
 
-/// The first byte of a part: its kind.
+/// Kind of a part, the first byte of the part.
 mod part_tag {
     pub(super) const EXCLUDED: u8 = b'B';
     pub(super) const EVER_LISTED: u8 = b'N';
@@ -43,47 +45,49 @@
     pub(super) const OPEN_DESCRIPTORS: u8 = b'L';
 }
 
-/// Flags, and whether an optional value is there.
+/// Values of a flag, and of the byte before an optional value that tells whether the value follows.
 mod flag {
     pub(super) const NO: u8 = 0;
     pub(super) const YES: u8 = 1;
 }
 
-/// A server's lifecycle. Servers that are gone are not sent.
+/// Lifecycle of a server. Servers that are gone are not sent.
 mod lifecycle {
     pub(super) const READY: u8 = 0;
     pub(super) const DRAINING: u8 = 1;
 }
 
-/// One message.
+/// Message between the two processes of a hot restart.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverMessage {
     /// The successor requests the predecessor's state.
     RequestState,
-    /// Beside this is the socket of this name: a front's listener, or that of the replicated map.
+    /// Name of the socket that is sent with the message: a front's listener, or the socket of the replicated
+    /// map.
     Socket(String),
-    /// A part of the state.
+    /// One part of the predecessor's state.
     Part(Part),
-    /// All of the state has been sent.
+    /// The predecessor has sent its whole state.
     Done,
-    /// The successor serves from now on.
+    /// The successor has started to serve.
     Serving,
-    /// Beside this are the sockets of the client and of its server, of a connection established at a front.
+    /// The predecessor transfers an established connection. The sockets of the client and of the server are
+    /// sent with the message.
     EstablishedConnection {
         /// Name of the front.
         front: String,
-        /// What the reducer needs to continue it.
+        /// State with which the reducer continues the connection.
         established: EstablishedConnection,
-        /// What the front's protocol needs to continue it.
+        /// State with which the front's protocol continues the connection.
         state: Vec<u8>,
     },
-    /// An operator excluded a server at one of the processes, or readmitted it.
+    /// An operator excluded or readmitted a server at one of the processes.
     ShareExclusion {
-        /// Number of the admin call, which its acknowledgement repeats.
+        /// Number of the admin call, repeated in the acknowledgement.
         number: u64,
         /// Name of the server.
         server: String,
-        /// Whether it is excluded.
+        /// Whether the server is excluded.
         excluded: bool,
     },
     /// The other process has applied a [`HandoverMessage::ShareExclusion`].
@@ -93,41 +97,41 @@
     },
 }
 
-/// A part of the exported state.
+/// Part of the exported state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// A server that an operator has excluded.
+    /// Name of a server that an operator has excluded.
     Excluded(String),
-    /// A server that has been in an endpoint list.
+    /// Name of a server that an endpoint list has contained.
     EverListed(String),
-    /// A key of the replicated map with its entry.
+    /// Key of the replicated map, with its entry.
     Entry(String, Entry),
-    /// An endpoint of a pool.
+    /// Endpoint of a pool.
     Endpoint {
         /// Name of the pool.
         pool: String,
-        /// The endpoint.
+        /// Endpoint as listed.
         endpoint: Endpoint,
-        /// What has been learned of its server.
+        /// State learned of the endpoint's server, or `None` if the pool's balancer does not know the server.
         learned: Option<LearnedState>,
     },
-    /// A server of a pool that an operator has readmitted.
+    /// Server of a pool that an operator has readmitted.
     Readmitted {
         /// Name of the pool.
         pool: String,
         /// Name of the server.
         server: String,
-        /// When it was readmitted.
+        /// Time of the readmission.
         since: Time,
     },
-    /// The id by which a client knows a connection that is open at the predecessor.
+    /// Id that a client gave to a connection that is open at the predecessor.
     Id {
         /// Name of the pool.
         pool: String,
-        /// The id.
+        /// Id in the client's request.
         id: String,
     },
-    /// How many descriptors the predecessor goes on using until its last connections are transferred or ended.
+    /// Number of descriptors that the predecessor uses until its last connections are transferred or ended.
     OpenDescriptors(u64),
 }
 
