--- a/src/protocol/flows.rs
+++ b/src/protocol/flows.rs
@@ -113,7 +113,7 @@
             flow: Flow {
                 from: segment.from,
                 to: segment.to,
-                start: segment.at,
+                start: segment.captured_at,
                 began_before_capture: !segment.flags.syn,
                 chunks: Vec::new(),
                 answer_line_counts: Vec::new(),
@@ -135,7 +135,7 @@
             return;
         }
         if segment.flags.rst {
-            self.flow.end = Some(FlowEnd { at: segment.at, close: Close::Reset });
+            self.flow.end = Some(FlowEnd { at: segment.captured_at, close: Close::Reset });
             return;
         }
         // Sequence numbers wrap around. One that is less than half of their range ahead of `next_seq` counts
@@ -146,15 +146,15 @@
         let length = segment.payload.len() as i64;
         let end = start + length;
         if segment.flags.fin && end >= next_offset {
-            self.fin.get_or_insert(Fin { offset: end as usize, at: segment.at });
+            self.fin.get_or_insert(Fin { offset: end as usize, at: segment.captured_at });
         }
         // A retransmission may start with bytes that are in the flow already.
         let appended_length = (next_offset - start).clamp(0, length) as usize;
         let new_bytes = &segment.payload[appended_length..];
         if !new_bytes.is_empty() {
-            self.add_pending((start + appended_length as i64) as usize, segment.at, new_bytes);
+            self.add_pending((start + appended_length as i64) as usize, segment.captured_at, new_bytes);
         }
-        self.append_contiguous(segment.at);
+        self.append_contiguous(segment.captured_at);
         if self.pending_bytes > MAX_PENDING_BYTES {
             self.flow.gap = Some(self.next_offset);
         }
@@ -198,7 +198,7 @@
         let lines = new_bytes.iter().filter(|&&b| b == b'\n').count();
         if lines > 0 {
             let lines_before = self.flow.answer_line_counts.last().map_or(0, |count| count.lines);
-            let count = AnswerLineCount { at: segment.at, lines: lines_before + lines };
+            let count = AnswerLineCount { at: segment.captured_at, lines: lines_before + lines };
             self.flow.answer_line_counts.push(count);
         }
     }
--- a/src/protocol/http/response.rs
+++ b/src/protocol/http/response.rs
@@ -39,8 +39,8 @@
     },
     /// A chunk of the body is malformed or too long, or the connection ended within it.
     #[error(
-        "discovery: chunk after {body_length} bytes of the body is malformed, truncated or longer than the limit of \
-         {MAX_RESPONSE_LENGTH}"
+        "discovery: chunk after {body_length} bytes of the body is malformed, truncated or longer than the \
+         limit of {MAX_RESPONSE_LENGTH}"
     )]
     MalformedChunk {
         /// Number of bytes of the body in earlier chunks.
--- a/src/protocol/pcap/mod.rs
+++ b/src/protocol/pcap/mod.rs
@@ -35,8 +35,8 @@
 /// TCP segment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Segment {
-    /// Capture time.
-    pub at: Time,
+    /// Time at which the segment was captured.
+    pub captured_at: Time,
     /// Address of the sender.
     pub from: SocketAddr,
     /// Address of the receiver.
--- a/src/protocol/pcap/read.rs
+++ b/src/protocol/pcap/read.rs
@@ -112,7 +112,7 @@
 }
 
 /// Parses a packet. Returns `None` if it is not TCP over IP.
-fn parse_segment(link_type: u32, at: Time, packet: &[u8]) -> Option<Segment> {
+fn parse_segment(link_type: u32, captured_at: Time, packet: &[u8]) -> Option<Segment> {
     let sliced = match link_type {
         LINK_ETHERNET => LaxSlicedPacket::from_ethernet(packet).ok()?,
         _ => LaxSlicedPacket::from_ip(packet).ok()?,
@@ -124,7 +124,7 @@
     };
     let Some(TransportSlice::Tcp(tcp)) = sliced.transport else { return None };
     Some(Segment {
-        at,
+        captured_at,
         from: (from, tcp.source_port()).into(),
         to: (to, tcp.destination_port()).into(),
         seq: tcp.sequence_number(),
--- a/tests/daemon/pcap.rs
+++ b/tests/daemon/pcap.rs
@@ -59,7 +59,7 @@
                 let bytes = encode_file(little_endian, magic, link, fraction, &encode_packet(ethernet, ipv6));
                 let segments = pcap::read_segments(&bytes).expect("a valid file was rejected");
                 let [segment] = &segments[..] else { panic!("{segments:?}") };
-                assert_eq!(segment.at, Time(1_700_000_000_250_000));
+                assert_eq!(segment.captured_at, Time(1_700_000_000_250_000));
                 assert_eq!(
                     (segment.seq, segment.to.port(), &segment.payload[..]),
                     (77, 6667, &b"NICK a"[..])
@@ -97,7 +97,7 @@
 fn segment(seq: u32, payload: &[u8]) -> Segment {
     let (from, to) = client_and_front();
     let flags = TcpFlags { ack: true, ..TcpFlags::default() };
-    Segment { at: Time(0), from, to, seq, flags, payload: payload.to_vec() }
+    Segment { captured_at: Time(0), from, to, seq, flags, payload: payload.to_vec() }
 }
 
 fn with_syn(segment: Segment) -> Segment {
@@ -122,7 +122,12 @@
 #[test]
 fn answer_lines_are_counted_once_by_capture_time() {
     let (client, front) = client_and_front();
-    let answer = |at, seq, payload: &[u8]| Segment { at, from: front, to: client, ..segment(seq, payload) };
+    let answer = |captured_at, seq, payload: &[u8]| Segment {
+        captured_at,
+        from: front,
+        to: client,
+        ..segment(seq, payload)
+    };
     let syn = with_syn(segment(100, b""));
     let segments = [
         syn,
