--- a/tests/rebalance/settings.rs
+++ b/tests/rebalance/settings.rs
@@ -13,7 +13,7 @@
     assert!(error_of(r#"{"platform": {"margin": 0.5}}"#).starts_with("platform.margin: at least 1"));
     assert!(error_of(r#"{"irc": {"most_per_s": 0}}"#).starts_with("irc.most_per_s: more than 0"));
     assert!(error_of(r#"{"irc": {"assumed_use": 1}}"#).starts_with("irc.assumed_use: a share"));
-    assert!(error_of(r#"{"irc": {"speed": 1}}"#).starts_with("irc.speed: no such key"));
-    assert!(error_of(r#"{"smtp": {}}"#).starts_with("smtp: no such key"));
+    assert!(error_of(r#"{"irc": {"speed": 1}}"#).starts_with("irc.speed: unknown key"));
+    assert!(error_of(r#"{"smtp": {}}"#).starts_with("smtp: unknown key"));
     assert!(error_of("{").starts_with("document: not JSON"));
 }
