--- a/src/program/command_line.rs
+++ b/src/program/command_line.rs
@@ -1,5 +1,5 @@
-//! The options of the command line, and the help that is printed on them.
-// The comments on options are printed as help, where backticks would only disturb.
+//! Commands and options of the command line, with their help texts.
+// The doc comments on commands and options are printed as help texts, so they contain no Markdown.
 #![allow(clippy::doc_markdown)]
 
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
     Version(Version),
 }
 
-/// Run the balancer in the foreground until SIGTERM; on SIGHUP it reads its configuration again.
+/// Run the balancer in the foreground until SIGTERM. On SIGHUP it reads its configuration again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub(super) struct Serve {
@@ -39,18 +39,19 @@
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
     #[argh(option)]
     pub(super) irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for
+    /// balance)
     #[argh(option)]
     pub(super) rebalance: Option<PathBuf>,
-    /// record what goes over the fronts' connections to this pcap file
+    /// pcap file to which the traffic of the fronts' connections is recorded (default: no recording)
     #[argh(option)]
     pub(super) record: Option<PathBuf>,
-    /// megabytes that the recording may grow to (default: 64)
+    /// maximum size of the recording in megabytes (default: 64)
     #[argh(option, default = "64")]
     pub(super) record_mb: usize,
 }
 
-/// Read and check the configuration, and report what is wrong with it.
+/// Read and validate the configuration and report the first error.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(super) struct Check {
@@ -60,30 +61,31 @@
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
     #[argh(option)]
     pub(super) irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for balance)
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for
+    /// balance)
     #[argh(option)]
     pub(super) rebalance: Option<PathBuf>,
 }
 
-/// Replay the clients' flows of a pcap file into a front, with loopback servers only.
+/// Replay the clients' flows of a pcap file to a front. All its servers must have loopback addresses.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub(super) struct Replay {
-    /// pcap file
+    /// pcap file with the recorded flows
     #[argh(positional)]
     pub(super) file: PathBuf,
     /// configuration of the platform's front, or the operator's file with --front irc
     #[argh(option)]
     pub(super) config: PathBuf,
-    /// front that takes the flows: platform or irc (default: platform)
+    /// front that receives the flows: platform or irc (default: platform)
     #[argh(option, default = "transport::FrontKind::Platform")]
     pub(super) front: transport::FrontKind,
-    /// port that the flows went to (default: the one that the front listens on)
+    /// destination port of the recorded flows (default: the port that the front listens on)
     #[argh(option)]
     pub(super) port: Option<u16>,
 }
 
-/// Exclude a server, whatever any endpoint list holds, until it is included again.
+/// Exclude a server, regardless of its state in any endpoint list, until it is included again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "exclude")]
 pub(super) struct Exclude {
@@ -95,7 +97,7 @@
     pub(super) mgmt: Option<String>,
 }
 
-/// Readmit a server that was excluded.
+/// Readmit an excluded server.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "include")]
 pub(super) struct Include {
@@ -126,17 +128,17 @@
 }
 
 /// Write an entry of the replicated map: host/NAME ("ADDRESS [ZONE [WEIGHT]]"), life/NAME (gone) or
-/// limit/connections (a number). Written at one node, it takes effect at all of them.
+/// limit/connections (a number). An entry that is written at one node takes effect at all nodes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
 pub(super) struct Set {
-    /// key
+    /// key of the entry
     #[argh(positional)]
     pub(super) key: String,
-    /// value; without one the key is deleted
+    /// value of the entry; without a value the key is deleted
     #[argh(positional)]
     pub(super) value: Option<String>,
-    /// address of any node's replica on this machine
+    /// address of the replica of any node on this machine
     #[argh(option)]
     pub(super) store: std::net::SocketAddr,
 }
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, and what they print.
+//! Runs the commands of the command line and prints their results.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,20 +13,20 @@
 use crate::routing::AdminCall;
 use crate::transport;
 
-/// Environment variable with the address of the admin endpoint.
+/// Environment variable with the address of the admin endpoint, used where no option or file gives one.
 const ADMIN_ADDRESS_VARIABLE: &str = "NODE_MGMT";
-/// Environment variable with the path of the platform's configuration.
+/// Environment variable with the path of the platform's configuration, used without the option --config.
 const CONFIG_PATH_VARIABLE: &str = "NODE_CONFIG";
-/// Bits by which a number of megabytes is shifted to give bytes.
+/// Number of bits by which megabytes are shifted left to convert them to bytes.
 const MEGABYTE_SHIFT: u32 = 20;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
-    #[error("give --mgmt ADDRESS or set NODE_MGMT")]
+    #[error("no address of an admin endpoint: give --mgmt ADDRESS or set NODE_MGMT")]
     NoAdminAddress,
-    #[error("{call}: not done")]
-    AdminCallFailed { call: String },
+    #[error("{call}: the balancer answered {answer:?}")]
+    AdminCallFailed { call: String, answer: String },
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
@@ -43,14 +43,14 @@
     std::env::var(ADMIN_ADDRESS_VARIABLE).ok().filter(|text| !text.is_empty())
 }
 
-/// Makes a call at the admin endpoint of a balancer, and prints the answer.
+/// Sends a call to the admin endpoint of a balancer and prints the answer.
 fn make_admin_call(mgmt: Option<String>, call: &AdminCall) -> Result<(), CommandError> {
     let call = admin::encode_call(call);
     let address = mgmt.or_else(admin_address_from_environment).ok_or(CommandError::NoAdminAddress)?;
     let answer = transport::call_admin_endpoint(&address, &call)?;
     print!("{}", answer.replace('\r', ""));
     if admin::is_failure(&answer) {
-        return Err(CommandError::AdminCallFailed { call });
+        return Err(CommandError::AdminCallFailed { call, answer: answer.trim_end().to_owned() });
     }
     Ok(())
 }
@@ -112,13 +112,15 @@
     }
 }
 
-/// Parses the command line and runs its command. An error is logged, and makes the exit code a failure.
+/// Parses the command line and runs its command. Logs an error of the command and returns a failure exit code
+/// for it.
 pub fn run() -> ExitCode {
-    let line: CommandLine = argh::from_env();
-    match run_command(line.command) {
+    let command_line: CommandLine = argh::from_env();
+    match run_command(command_line.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // The log is started only once the configuration has been read, which may not have happened.
+            // The log is started only after the configuration has been read. The error may have occurred
+            // before.
             super::log::start(&super::log::LogConfig::default());
             crate::log!(error, "{error}");
             ExitCode::FAILURE
--- a/src/program/config/daemon.rs
+++ b/src/program/config/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemon is configured with, by all its files together.
+//! The daemon's configuration, merged from all of its files.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,19 @@
 use crate::program::log::LogConfig;
 use crate::routing::Budget;
 
-/// What the daemon is configured with: at least one front.
+/// Configuration of the daemon. At least one front is configured.
 #[derive(Debug)]
 pub struct Config {
-    /// The platform's front.
+    /// The platform's front, if its configuration was given.
     pub platform: Option<Platform>,
-    /// The IRC front.
+    /// The IRC front, if an operator's file was given.
     pub irc: Option<Irc>,
-    /// Address of the admin endpoint, if there is to be one.
+    /// Address of the admin endpoint. Without it the daemon has no admin endpoint.
     pub mgmt: Option<SocketAddr>,
-    /// The replicated map, where an operator's file sets one up.
+    /// The replicated map, if the operator's file configures one.
     pub store: Option<StoreConfig>,
-    /// What both fronts together may hold.
+    /// Limits that all connections of both fronts share.
     pub budget: Budget,
-    /// How the log is written.
+    /// Levels and format of the log.
     pub log: LogConfig,
 }
--- a/src/program/config/error.rs
+++ b/src/program/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the configuration.
+//! Errors in the configuration and in entries for the replicated map.
 
 use std::io;
 use std::net::AddrParseError;
@@ -8,42 +8,51 @@
 
 use crate::protocol::json::DecodeError;
 
-/// Why the configuration cannot be used.
+/// The reason why the configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// Error of the system.
         source: io::Error,
     },
     /// A file's content is not a valid configuration.
     #[error("{}: {source}", path.display())]
     Decode {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong, and at which key.
+        /// Key path of the invalid value and the reason, or the syntax error.
         source: DecodeError,
     },
-    /// The address of the admin endpoint in the environment is not valid.
-    #[error("NODE_MGMT: an address with a port is wanted, such as 127.0.0.1:19000")]
+    /// The environment variable with the address of the admin endpoint has an invalid value.
+    #[error("NODE_MGMT: expected an IP address with a port, such as 127.0.0.1:19000, got {value:?}")]
     AdminAddress {
-        /// Why it cannot be parsed.
+        /// Value of the variable.
+        value: String,
+        /// Error of the parser.
         source: AddrParseError,
     },
-    /// Neither front is configured.
-    #[error("no front to serve: give --config FILE, set NODE_CONFIG or give --irc FILE")]
+    /// No configuration file was given for either front.
+    #[error("no front is configured: give --config FILE, set NODE_CONFIG or give --irc FILE")]
     NoFront,
 }
 
-/// Why an operator's entry must not be written to the replicated map.
+/// Describes the value of an entry in an error message.
+fn describe_value(value: Option<&str>) -> String {
+    value.map_or_else(|| "no value".to_owned(), |text| format!("value {text:?}"))
+}
+
+/// Error for an entry that an operator must not write to the replicated map.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{key}: {expected}")]
+#[error("{key}: got {}, expected {expected}", describe_value(.value.as_deref()))]
 pub struct ReplicatedEntryError {
-    /// The entry's key.
+    /// Key of the entry.
     pub key: String,
-    /// What is wanted in its place.
+    /// Value of the entry. `None` if the key was to be deleted.
+    pub value: Option<String>,
+    /// Keys or values that are allowed.
     pub expected: &'static str,
 }
--- a/src/program/config/irc.rs
+++ b/src/program/config/irc.rs
@@ -1,4 +1,4 @@
-//! The IRC front and its pool, from the operator's file.
+//! Decodes the configuration of the IRC front and its pool from the operator's file.
 
 use std::net::SocketAddr;
 
@@ -12,24 +12,24 @@
 use crate::routing::{Endpoint, Lifecycle, PoolConfig};
 use crate::{Class, Idempotency, Micros, Settings, Tenant};
 
-/// The front's name where none is configured.
+/// Default for the front's name.
 const DEFAULT_NAME: &str = "irc.sagemount";
-/// The name of the front's class where none is configured.
+/// Default for the name of the front's class.
 const DEFAULT_CLASS: &str = "irc";
 
-/// Time that a client has to register, and then to be connected to a server.
+/// Default time limit for a client to register, and then for its connection to a server.
 const DEFAULT_CLIENT_TIMEOUT: Micros = Micros::from_secs(10);
-/// Divisor of that time that gives the objective for placing a client.
+/// Divisor of the client's timeout that gives the default latency objective of a connection setup.
 const SETUP_OBJECTIVE_DIVISOR: u64 = 4;
 const DEFAULT_MAX_ATTEMPTS: u32 = 6;
 const MAX_ATTEMPTS: u32 = 6;
 const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_secs(10);
 const DEFAULT_CONNECT_TIMEOUT: Micros = Micros::from_secs(1);
 const DEFAULT_MAX_CONNECTIONS: f64 = 10_000.0;
-/// Time over which the clients of a draining server are migrated.
+/// Default for the time over which the clients of a draining server are migrated.
 const DEFAULT_DRAIN_DURATION: Micros = Micros::from_secs(20);
 
-/// Keys of the file.
+/// Top-level keys of the operator's file for the IRC front.
 mod key {
     pub(super) const LISTEN: &str = "listen";
     pub(super) const NAME: &str = "name";
@@ -45,7 +45,7 @@
     pub(super) const ENDPOINTS: &str = "hosts";
 }
 
-/// Keys of the class.
+/// Keys of the front's class.
 mod class_key {
     pub(super) const NAME: &str = "name";
     pub(super) const PRIORITY_WEIGHT: &str = "worth";
@@ -53,7 +53,7 @@
     pub(super) const CLIENT_TIMEOUT_MS: &str = "give_up_ms";
 }
 
-/// Keys of the limits, beside those of the process.
+/// Keys of the front's limits. The same object holds the limits of the process.
 mod limit_key {
     pub(super) const MAX_ATTEMPTS: &str = "legs";
     pub(super) const CONNECT_TIMEOUT_MS: &str = "connect_ms";
@@ -71,7 +71,7 @@
     pub(super) const WEIGHT: &str = "weight";
 }
 
-/// All keys of the file.
+/// All top-level keys of the operator's file.
 pub(super) const ROOT_KEYS: [&str; 16] = [
     key::LISTEN,
     operator_key::ADMIN_ADDRESS,
@@ -109,21 +109,22 @@
 const ENDPOINT_KEYS: [&str; 4] =
     [endpoint_key::NAME, endpoint_key::ADDRESS, endpoint_key::ZONE, endpoint_key::WEIGHT];
 
-/// What the IRC front is configured with.
+/// Configuration of the IRC front.
 #[derive(Debug)]
 pub struct Irc {
-    /// Where its clients connect.
+    /// Address that the front listens on for clients.
     pub listen: SocketAddr,
-    /// How it answers them.
+    /// The front's own name, advertised address, class, tenant and capabilities.
     pub setup: IrcConfig,
-    /// Its servers.
+    /// Servers that the file lists. The replicated map may add others.
     pub endpoints: Vec<Endpoint>,
-    /// Its pool.
+    /// Configuration of the front's pool.
     pub pool: PoolConfig,
 }
 
 impl Irc {
-    /// Advertises the port of the bound address where the configured one is 0, which asks the system for any.
+    /// Sets the advertised port to the port of the bound address if it is 0. A listener that is configured
+    /// with port 0 is bound to a free port that the system chooses.
     pub fn take_port(&mut self, bound: SocketAddr) {
         if self.setup.address.port == 0 {
             self.setup.address.port = bound.port();
@@ -131,18 +132,18 @@
     }
 }
 
-/// Settings that the pool and the front both need.
+/// Settings that both the front and its pool use.
 struct SharedSettings {
     class: String,
     tenant: Option<String>,
     zones: Vec<String>,
-    /// Time that a client waits to register, and then to be connected to a server.
+    /// Time limit for a client to register, and then for its connection to a server.
     client_timeout: Micros,
 }
 
 pub(super) fn decode_irc(root: &JsonNode<'_>) -> Result<Irc, DecodeError> {
     let listen = decode_address(&root.field(key::LISTEN))?;
-    let public = decode_optional_address(&root.field(key::ADVERTISED_ADDRESS))?.unwrap_or(listen);
+    let advertised = decode_optional_address(&root.field(key::ADVERTISED_ADDRESS))?.unwrap_or(listen);
     let class = root.field(key::CLASS);
     class.reject_unknown_fields(&CLASS_KEYS)?;
     root.field(operator_key::LIMITS).reject_unknown_fields(&LIMIT_KEYS)?;
@@ -157,7 +158,7 @@
     let settings = decode_settings(root, &shared)?;
     let setup = IrcConfig {
         name: root.field(key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
-        address: AdvertisedAddress { host: public.ip().to_string(), port: public.port() },
+        address: AdvertisedAddress { host: advertised.ip().to_string(), port: advertised.port() },
         class: shared.class.clone(),
         tenant: shared.tenant.clone(),
         capabilities: root.field(key::CAPABILITIES).text_list()?,
--- a/src/program/config/log.rs
+++ b/src/program/config/log.rs
@@ -1,4 +1,4 @@
-//! The log, from the operator's file.
+//! Decodes the configuration of the log from the operator's file.
 
 use crate::program::log::LogConfig;
 use crate::protocol::json::{DecodeError, JsonNode};
@@ -11,7 +11,7 @@
 const FORMAT_TEXT: &str = "text";
 const FORMAT_JSON: &str = "json";
 
-/// Decodes how the log is written.
+/// Decodes the levels and the format of the log, each with its default.
 pub(super) fn decode_log(node: &JsonNode<'_>) -> Result<LogConfig, DecodeError> {
     node.reject_unknown_fields(&[key::LEVELS, key::FORMAT])?;
     let (levels, format) = (node.field(key::LEVELS), node.field(key::FORMAT));
@@ -19,14 +19,19 @@
     let json = match format.optional_text()?.as_deref() {
         None | Some(FORMAT_TEXT) => false,
         Some(FORMAT_JSON) => true,
-        Some(_) => return Err(format.error("text or json is wanted")),
+        Some(other) => {
+            let reason = format!("expected {FORMAT_TEXT} or {FORMAT_JSON}, got {other:?}");
+            return Err(format.error(&reason));
+        }
     };
     let levels = match levels_text {
         None => LogConfig::default().levels,
-        // The logging library takes a misspelt level for a module's name, and would write all of that module. So levels
-        // are checked here.
+        // The logging library takes a misspelt level for a module's name and would enable all levels of that
+        // module. The text is therefore validated before the library parses it.
         Some(text) => LogConfig::levels(&text).ok_or_else(|| {
-            levels.error("levels are wanted, such as info or warn,connection_balancer::transport=debug")
+            levels.error(&format!(
+                "expected levels such as info or warn,connection_balancer::transport=debug, got {text:?}"
+            ))
         })?,
     };
     Ok(LogConfig { levels, json })
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -1,4 +1,6 @@
-//! The one place where configuration is read, checked and given its defaults. Every error names the key that is wrong.
+//! Reads and validates the configuration and applies its defaults. No other module reads configuration.
+//!
+//! Every error names the key path of the invalid value.
 
 mod daemon;
 mod error;
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: the IRC front, the replicated map, the log and the limits of the process.
+//! Parses the operator's file: the IRC front, the replicated map, the log and the limits of the process.
 
 use std::net::SocketAddr;
 
@@ -11,25 +11,25 @@
 use crate::program::log::LogConfig;
 use crate::protocol::json::{self, DecodeError, JsonNode};
 
-/// An operator's file.
+/// Content of the operator's file.
 #[derive(Debug)]
 pub struct Operator {
-    /// The IRC front.
+    /// Configuration of the IRC front.
     pub irc: Irc,
-    /// The replicated map.
+    /// Configuration of the replicated map. `None` if the file has none.
     pub store: Option<StoreConfig>,
-    /// What the process may use.
+    /// Resources that the process may use.
     pub limits: Limits,
-    /// Address of the admin endpoint.
+    /// Address of the admin endpoint. `None` if the file has none.
     pub mgmt: Option<SocketAddr>,
-    /// How the log is written.
+    /// Levels and format of the log.
     pub log: LogConfig,
 }
 
-/// Parses the text of an operator's file.
+/// Parses the text of the operator's file.
 ///
 /// # Errors
-/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+/// [`DecodeError`] if the text is not JSON, or for the first invalid value.
 pub fn parse_operator(text: &[u8]) -> Result<Operator, DecodeError> {
     let document = json::parse_document(text)?;
     let root = JsonNode::root(&document);
--- a/src/program/config/operator_key.rs
+++ b/src/program/config/operator_key.rs
@@ -1,4 +1,4 @@
-//! Keys of the operator's file that are not the IRC front's alone.
+//! Top-level keys of the operator's file for settings that are not specific to the IRC front.
 
 pub(super) const ADMIN_ADDRESS: &str = "mgmt";
 pub(super) const LIMITS: &str = "limits";
--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -1,4 +1,4 @@
-//! The configuration of the platform's front.
+//! Parses the configuration of the platform's front.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 use crate::protocol::json::{self, DecodeError, JsonNode};
 use crate::routing::PoolConfig;
 
-/// The balancer's name where none is configured. Log lines hold it.
+/// Default for the balancer's name, which log lines include.
 const DEFAULT_NAME: &str = "sagemount";
 
-/// Keys of the configuration.
+/// Top-level keys of the platform's configuration.
 mod key {
     pub(super) const LISTEN: &str = "listen";
     pub(super) const DISCOVERY: &str = "discovery";
@@ -27,40 +27,41 @@
     pub(super) const PEERS: &str = "peers";
 }
 
-/// What the platform's front is configured with.
+/// Configuration of the platform's front.
 #[derive(Debug)]
 pub struct Platform {
-    /// Its balancer's name.
+    /// Name of the balancer.
     pub name: String,
-    /// Where the platform's clients connect.
+    /// Address that the front listens on for clients.
     pub listen: SocketAddr,
-    /// The cached endpoint list.
+    /// Cached endpoint list that the pool starts with.
     pub known: EndpointListUpdate,
-    /// The platform's pool.
+    /// Configuration of the front's pool.
     pub pool: PoolConfig,
-    /// What the platform gives the process.
+    /// Resources that the process may use, as configured by the platform.
     pub limits: Limits,
-    /// Address of the admin endpoint.
+    /// Address of the admin endpoint. `None` if the configuration has none.
     pub mgmt: Option<SocketAddr>,
-    /// How the other balancers of the tier are reached, where the settings allow that.
+    /// Addresses for gossip with the other balancers of the tier. `None` if they are incomplete or the
+    /// settings disable gossip.
     pub peers: Option<PeersAt>,
 }
 
-/// How balancers of a tier reach each other.
+/// Addresses for gossip between the balancers of a tier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeersAt {
-    /// Where this one receives gossip.
+    /// Address at which this balancer receives gossip.
     pub listen: SocketAddr,
-    /// An address at which all of them receive it.
+    /// Address at which all balancers of the tier receive gossip.
     pub all: SocketAddr,
-    /// The addresses that gossip is accepted from.
+    /// Addresses from which gossip is accepted.
     pub from: Vec<SocketAddr>,
 }
 
 /// Parses the text of the platform's configuration.
 ///
 /// # Errors
-/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+/// [`DecodeError`] if the text is not JSON, or for the first invalid value.
 pub fn parse_platform(text: &[u8]) -> Result<Platform, DecodeError> {
     let document = json::parse_document(text)?;
     let root = JsonNode::root(&document);
@@ -70,7 +71,7 @@
         pool::decode_platform_pool(&root.field(key::SETTINGS), decode_seed(&root.field(key::SEED))?)?;
     pool.discovery = Some(discovery);
     let peers = decode_peers(&root)?.filter(|_| pool.gossip_price.is_some());
-    // Without addresses there is nobody to gossip with.
+    // Gossip is disabled if its addresses are not configured.
     pool.gossip_price = pool.gossip_price.filter(|_| peers.is_some());
     Ok(Platform {
         name: root.field(key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of the platform's front, from the platform's settings.
+//! Decodes the configuration of the platform's pool from the platform's settings.
 
 use super::fields::{decode_zone, MIN_SLOW_START_SHARE};
 use crate::protocol::json::{DecodeError, JsonNode};
@@ -11,16 +11,19 @@
 use crate::routing::PoolConfig;
 use crate::{Class, Idempotency, KeyScope, Micros, Settings, Tenant};
 
-/// A client of the platform sends its first line at once, and has this long for it. The platform
-/// expects a silent connection to be closed within 3 s, the time in the accept queue included.
+/// Time that a client of the platform has to send its first line, which it sends immediately after
+/// connecting. The platform expects a silent connection to be closed within 3 s, including its time in the
+/// accept queue.
 const GREETING_TIMEOUT: Micros = Micros::from_millis(1500);
-/// The platform's clients send a line every 2 s and are answered at once: after this long without an answer, the server
-/// of an established connection is taken to be lost. The platform expects that within 7 s.
+/// Time without an answer after which the server of an established connection counts as lost. The platform's
+/// clients send a line every 2 s, and servers answer immediately. The platform expects a lost server to be
+/// detected within 7 s.
 const SERVER_SILENCE_TIMEOUT: Micros = Micros::from_secs(5);
-/// The highest factor over the usual load at which slow start may see an overload.
+/// Highest value of the setting for the multiple of the usual load above which slow start detects an
+/// overload.
 const MAX_OVERLOAD_FACTOR: f64 = 1e6;
 
-/// Decodes the platform's settings.
+/// Decodes the pool from the platform's settings. `seed` is the seed of the pool's random draws.
 pub(super) fn decode_platform_pool(settings: &JsonNode<'_>, seed: u64) -> Result<PoolConfig, DecodeError> {
     let family = settings.field(key::FAMILY_INFO);
     let mut pool = PoolConfig {
@@ -52,7 +55,7 @@
     Ok(pool)
 }
 
-/// Decodes the classes, and adds their names and the longest of their deadlines to the pool.
+/// Decodes the classes. Stores their names and their longest deadline in the pool.
 fn decode_classes(settings: &JsonNode<'_>, pool: &mut PoolConfig) -> Result<Vec<Class>, DecodeError> {
     let mut classes = Vec::new();
     let message_objectives =
@@ -73,7 +76,7 @@
     Ok(classes)
 }
 
-/// Decodes the tenants, and adds their names to the pool.
+/// Decodes the tenants. Stores their names in the pool.
 fn decode_tenants(settings: &JsonNode<'_>, pool: &mut PoolConfig) -> Result<Vec<Tenant>, DecodeError> {
     let mut tenants = Vec::new();
     let connection_quotas =
@@ -113,7 +116,8 @@
         connect_timeout: limits
             .field(limit_key::CONNECT_TIMEOUT_MS)
             .positive_duration_ms(default.connect_timeout)?,
-        // On sockets a list comes only when it is polled, whatever the simulator does.
+        // The daemon receives endpoint lists only in responses to its polls, whichever mode the simulator
+        // uses.
         poll_required: true,
         poll_interval: rules.field(rule_key::POLL_INTERVAL_MS).positive_duration_ms(default.poll_interval)?,
         endpoints_pushed: decode_endpoints_pushed(&settings.field(key::DISCOVERY_MODE))?,
@@ -138,26 +142,32 @@
     })
 }
 
-/// Decodes a name that none before has: with two alike, one would be served by the other's settings.
+/// Decodes a name that must differ from all previous ones. Requests are matched to settings by name, so one
+/// of two entries with the same name would be served with the settings of the other.
 fn push_unique_name(names: &mut Vec<String>, node: &JsonNode<'_>) -> Result<(), DecodeError> {
     let name = node.required_text()?;
     if names.contains(&name) {
-        return Err(node.error("another has this name"));
+        return Err(
+            node.error(&format!("the name {name:?} is used by an earlier entry, expected a unique name"))
+        );
     }
     names.push(name);
     Ok(())
 }
 
-/// Decodes whether endpoint lists are pushed, or have to be polled.
+/// Decodes whether endpoint lists are pushed. By default they have to be polled.
 fn decode_endpoints_pushed(node: &JsonNode<'_>) -> Result<bool, DecodeError> {
     match node.optional_text()?.as_deref() {
         Some(DISCOVERY_PUSHED) => Ok(true),
         Some(DISCOVERY_POLLED) | None => Ok(false),
-        Some(_) => Err(node.error("pushed or on_request is wanted")),
+        Some(other) => {
+            Err(node.error(&format!("expected {DISCOVERY_PUSHED} or {DISCOVERY_POLLED}, got {other:?}")))
+        }
     }
 }
 
-/// Decodes the names under which load reports hold load over capacity on this wire, where a probe brings one.
+/// Decodes the names under which the platform's load reports may hold the utilisation (load over capacity).
+/// The list is empty if probes are answered without a load report that holds it.
 fn decode_report_fields(settings: &JsonNode<'_>) -> Result<Vec<&'static str>, DecodeError> {
     let reporting = settings.field(key::REPORTING);
     let fields = reporting.field(reporting_key::FIELDS).text_list()?;
@@ -180,28 +190,37 @@
 }
 
 fn decode_idempotency(class: &JsonNode<'_>) -> Result<Idempotency, DecodeError> {
-    let (repeat, group) = (class.field(class_key::IDEMPOTENCY), class.field(class_key::KEY_SCOPE));
-    let scope = match group.optional_text()?.as_deref() {
+    let (idempotency, key_scope) = (class.field(class_key::IDEMPOTENCY), class.field(class_key::KEY_SCOPE));
+    let scope = match key_scope.optional_text()?.as_deref() {
         Some(SCOPE_ALL) => KeyScope::All,
         Some(SCOPE_ZONE) => KeyScope::Zone,
         Some(SCOPE_CELL) | None => KeyScope::Cell,
-        Some(_) => return Err(group.error("all, zone or cell is wanted")),
+        Some(other) => {
+            let reason = format!("expected {SCOPE_ALL}, {SCOPE_ZONE} or {SCOPE_CELL}, got {other:?}");
+            return Err(key_scope.error(&reason));
+        }
     };
-    match repeat.optional_text()?.as_deref() {
+    match idempotency.optional_text()?.as_deref() {
         Some(IDEMPOTENT) => Ok(Idempotency::Idempotent),
         Some(IDEMPOTENT_BY_KEY) => {
             Ok(Idempotency::IdempotencyKey { scope, window: decode_deduplication_window(class)? })
         }
         Some(NOT_IDEMPOTENT) | None => Ok(Idempotency::NotIdempotent),
-        Some(_) => Err(repeat.error("repeatable, by_key or once is wanted")),
+        Some(other) => {
+            let reason =
+                format!("expected {IDEMPOTENT}, {IDEMPOTENT_BY_KEY} or {NOT_IDEMPOTENT}, got {other:?}");
+            Err(idempotency.error(&reason))
+        }
     }
 }
 
-/// Decodes how long servers drop repeats of a request by its key.
+/// Decodes for how long servers recognise the idempotency key of a request and drop repeats of it.
 fn decode_deduplication_window(class: &JsonNode<'_>) -> Result<Micros, DecodeError> {
     let window = class.field(class_key::DEDUPLICATION_WINDOW_MS);
     if !window.is_present() {
-        return Err(window.error("is missing"));
+        let reason =
+            format!("is missing; a class with {} {IDEMPOTENT_BY_KEY} requires it", class_key::IDEMPOTENCY);
+        return Err(window.error(&reason));
     }
     window.positive_duration_ms(Micros::ZERO)
 }
--- a/src/program/config/rebalance.rs
+++ b/src/program/config/rebalance.rs
@@ -1,14 +1,15 @@
-//! The operator's file on rebalancing.
+//! Parses the operator's file on rebalancing.
 
 use std::collections::BTreeMap;
 
 use crate::protocol::json::{self, DecodeError, JsonNode};
 use crate::rebalance::RebalanceConfig;
 
-/// Names of the fronts, which are the keys of the file.
+/// Names of the fronts. These are the top-level keys of the file.
 const FRONTS: [&str; 2] = ["platform", "irc"];
 
-/// Shares of the capacity that may be assumed; at 1 an inferred message time would be infinite.
+/// Allowed range of the utilisation that is assumed of servers. The message time inferred from a utilisation
+/// of 1 would be infinite.
 const ASSUMED_UTILISATION_RANGE: std::ops::RangeInclusive<f64> = 0.1..=0.9;
 
 mod key {
@@ -21,10 +22,11 @@
 const KEYS: [&str; 4] =
     [key::ENABLED, key::MAX_MIGRATIONS_PER_SECOND, key::MIN_GAIN_OVER_COST, key::ASSUMED_UTILISATION];
 
-/// Parses the text of an operator's file on rebalancing: a part for each front, by its name.
+/// Parses the text of the operator's file on rebalancing. Returns the configuration of each front by the
+/// front's name.
 ///
 /// # Errors
-/// [`DecodeError`] if it is not JSON, or with the key that is wrong.
+/// [`DecodeError`] if the text is not JSON, or for the first invalid value.
 pub fn parse_rebalance(text: &[u8]) -> Result<BTreeMap<&'static str, RebalanceConfig>, DecodeError> {
     let document = json::parse_document(text)?;
     let root = JsonNode::root(&document);
@@ -45,13 +47,24 @@
         assumed_utilisation: assumed_utilisation.number(default.assumed_utilisation)?,
     };
     if config.max_migrations_per_second <= 0.0 {
-        return Err(max_migrations_per_second.error("more than 0 is wanted; to move nobody set on to false"));
+        let reason = format!(
+            "expected more than 0 migrations per second, got {}; to disable rebalancing, set {} to false",
+            config.max_migrations_per_second,
+            key::ENABLED
+        );
+        return Err(max_migrations_per_second.error(&reason));
     }
     if config.min_gain_over_cost < 1.0 {
-        return Err(min_gain_over_cost.error("at least 1 is wanted: less moves clients at a loss"));
+        let reason = format!(
+            "expected at least 1, got {}; below 1, migrations would cost more than they gain",
+            config.min_gain_over_cost
+        );
+        return Err(min_gain_over_cost.error(&reason));
     }
     if !ASSUMED_UTILISATION_RANGE.contains(&config.assumed_utilisation) {
-        return Err(assumed_utilisation.error("a share from 0.1 to 0.9 is wanted"));
+        let (min, max) = (ASSUMED_UTILISATION_RANGE.start(), ASSUMED_UTILISATION_RANGE.end());
+        let reason = format!("expected a share from {min} to {max}, got {}", config.assumed_utilisation);
+        return Err(assumed_utilisation.error(&reason));
     }
     Ok(config)
 }
--- a/src/program/config/replicated_entry.rs
+++ b/src/program/config/replicated_entry.rs
@@ -1,38 +1,39 @@
-//! The check of what an operator writes to the replicated map.
+//! Validates entries that an operator writes to the replicated map.
 
 use super::error::ReplicatedEntryError;
 use crate::routing::stored_endpoint;
 
-// The first parts of the keys.
+// Prefixes of the keys, up to the slash.
 const ENDPOINT: &str = "host";
 const EXCLUSION: &str = "life";
 const LIMIT: &str = "limit";
-/// The value that removes a server for good.
+/// Value that removes a server permanently.
 const GONE: &str = "gone";
 
-/// Checks an entry before it is written; no value deletes the key.
+/// Validates an entry before it is written. An entry without a value deletes the key.
 ///
 /// # Errors
-/// [`ReplicatedEntryError`] if the key is unknown, or does not take this value.
+/// [`ReplicatedEntryError`] if the key is unknown or does not allow this value.
 pub fn check_replicated_entry(key: &str, value: Option<&str>) -> Result<(), ReplicatedEntryError> {
     let (is_valid, expected) = match key.split_once('/') {
         Some((ENDPOINT, name)) => {
             let valid_value = value.is_none_or(|text| stored_endpoint(name, text).is_some());
-            (valid_value && !name.is_empty(), "ADDRESS [ZONE [WEIGHT]] is wanted")
+            (valid_value && !name.is_empty(), "host/NAME with value ADDRESS [ZONE [WEIGHT]] or no value")
         }
         Some((EXCLUSION, name)) => {
             let valid_value = value.is_none_or(|text| text == GONE);
-            let expected = "gone is wanted; to take a host out for a while, exclude it";
+            let expected =
+                "life/NAME with value gone or no value; to remove a server temporarily, use exclude";
             (valid_value && !name.is_empty(), expected)
         }
         Some((LIMIT, "connections")) => {
-            (value.is_none_or(|text| text.parse::<usize>().is_ok()), "a number is wanted")
+            (value.is_none_or(|text| text.parse::<usize>().is_ok()), "a number of connections or no value")
         }
-        _ => (false, "host/NAME, life/NAME or limit/connections is wanted"),
+        _ => (false, "a key host/NAME, life/NAME or limit/connections"),
     };
     if is_valid {
         Ok(())
     } else {
-        Err(ReplicatedEntryError { key: key.to_owned(), expected })
+        Err(ReplicatedEntryError { key: key.to_owned(), value: value.map(str::to_owned), expected })
     }
 }
--- a/src/program/config/sources.rs
+++ b/src/program/config/sources.rs
@@ -1,4 +1,4 @@
-//! Where the configuration comes from, and how its parts are put together.
+//! Reads the configuration files and merges them into one [`Config`].
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,28 +11,30 @@
 use super::rebalance::parse_rebalance;
 use crate::protocol::json::DecodeError;
 
-/// Where the configuration is; it is read again on SIGHUP.
+/// Files and environment values that the configuration is read from, at start and on each SIGHUP.
 #[derive(Debug)]
 pub struct Sources {
-    /// The platform's configuration.
+    /// Path of the platform's configuration.
     pub platform: Option<PathBuf>,
-    /// An operator's file.
+    /// Path of the operator's file, which configures the IRC front.
     pub irc: Option<PathBuf>,
-    /// An operator's file on rebalancing.
+    /// Path of the operator's file on rebalancing.
     pub rebalance: Option<PathBuf>,
-    /// Address of the admin endpoint where neither file names one.
+    /// Address of the admin endpoint, from the environment. It applies if neither file has one.
     pub mgmt: Option<String>,
 }
 
 impl Sources {
-    /// Reads and checks all of it.
+    /// Reads and validates all files.
     ///
     /// # Errors
-    /// [`ConfigError`] for the first file or key that is wrong.
+    /// [`ConfigError`] for the first file that cannot be read or the first invalid value.
     pub fn read(&self) -> Result<Config, ConfigError> {
-        let mgmt = self.mgmt.as_deref().map(str::parse).transpose();
-        let mgmt = mgmt.map_err(|source| ConfigError::AdminAddress { source })?;
-        let mut config = read_config(self.platform.as_deref(), self.irc.as_deref(), mgmt)?;
+        let parse_address = |text: &str| {
+            text.parse().map_err(|source| ConfigError::AdminAddress { value: text.to_owned(), source })
+        };
+        let admin_address = self.mgmt.as_deref().map(parse_address).transpose()?;
+        let mut config = read_config(self.platform.as_deref(), self.irc.as_deref(), admin_address)?;
         if let Some(rebalance_by_front) = read_and_parse(self.rebalance.as_deref(), parse_rebalance)? {
             let platform = config.platform.as_mut().map(|platform| &mut platform.pool);
             let irc = config.irc.as_mut().map(|irc| &mut irc.pool);
@@ -44,10 +46,10 @@
     }
 }
 
-/// Reads a file.
+/// Returns the content of a file.
 ///
 /// # Errors
-/// [`ConfigError::Read`] with the file's name.
+/// [`ConfigError::Read`] with the file's path.
 pub fn read_file(path: &Path) -> Result<Vec<u8>, ConfigError> {
     std::fs::read(path).map_err(|source| ConfigError::Read { path: path.to_owned(), source })
 }
@@ -61,26 +63,30 @@
     parsed.map(Some).map_err(|source| ConfigError::Decode { path: path.to_owned(), source })
 }
 
-/// Reads and checks the platform's configuration and an operator's, as far as given. The address of the admin
-/// endpoint is the first that is named: by the platform, by the operator, or by `mgmt`.
+/// Reads and validates the platform's configuration and the operator's file, each if its path is given.
+///
+/// The address of the admin endpoint is taken from the platform's configuration, else from the operator's
+/// file, else from `default_admin_address`.
 ///
 /// # Errors
-/// [`ConfigError`] for the first file or key that is wrong, or if there is no front.
+/// [`ConfigError`] for the first file that cannot be read or the first invalid value, and if no front is
+/// configured.
 pub fn read_config(
     platform: Option<&Path>,
     irc: Option<&Path>,
-    mgmt: Option<SocketAddr>,
+    default_admin_address: Option<SocketAddr>,
 ) -> Result<Config, ConfigError> {
     let operator = read_and_parse(irc, parse_operator)?;
     let operator_limits = operator.as_ref().map(|operator| operator.limits);
-    let operator_mgmt = operator.as_ref().and_then(|operator| operator.mgmt);
+    let operator_admin_address = operator.as_ref().and_then(|operator| operator.mgmt);
     let log = operator.as_ref().map(|operator| operator.log.clone()).unwrap_or_default();
     let (irc, store) = operator.map_or((None, None), |operator| (Some(operator.irc), operator.store));
     let platform = read_and_parse(platform, parse_platform)?;
-    // Both fronts share one process, so the tighter limits apply.
+    // Both fronts share one process, so the lower limits apply.
     let platform_limits = platform.as_ref().map(|platform| platform.limits);
     let limits = [platform_limits, operator_limits].into_iter().flatten().reduce(Limits::min);
-    let mgmt = platform.as_ref().and_then(|platform| platform.mgmt).or(operator_mgmt).or(mgmt);
+    let platform_admin_address = platform.as_ref().and_then(|platform| platform.mgmt);
+    let mgmt = platform_admin_address.or(operator_admin_address).or(default_admin_address);
     let has_probes = platform
         .as_ref()
         .is_some_and(|platform| platform.pool.settings.probes && platform.pool.settings.probe_reports);
--- a/src/program/config/store.rs
+++ b/src/program/config/store.rs
@@ -1,4 +1,4 @@
-//! The replicated map, from the operator's file.
+//! Decodes the configuration of the replicated map from the operator's file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,20 +16,20 @@
 
 const KEYS: [&str; 4] = [key::NODE, key::LISTEN, key::PEERS, key::DIRECTORY];
 
-/// What the replicated map is configured with.
+/// Configuration of the replicated map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreConfig {
-    /// Name of this node.
+    /// Name of this node, at most [`MAX_NODE_LENGTH`] bytes.
     pub node: String,
-    /// Where it receives the messages of other replicas, and operators' commands.
+    /// Address at which this replica receives messages of other replicas and commands of operators.
     pub listen: SocketAddr,
-    /// The other replicas.
+    /// Addresses of the other replicas.
     pub peers: Vec<SocketAddr>,
-    /// The directory that entries are persisted in; without it they are in memory only.
+    /// Directory in which entries are persisted. Without it entries are kept in memory only.
     pub data: Option<PathBuf>,
 }
 
-/// Decodes the configuration of the replicated map, if there is any.
+/// Decodes the configuration of the replicated map, or returns `None` if the file has none.
 pub(super) fn decode_store(node: &JsonNode<'_>) -> Result<Option<StoreConfig>, DecodeError> {
     node.reject_unknown_fields(&KEYS)?;
     if !node.is_present() {
@@ -37,7 +37,9 @@
     }
     let node_name = node.field(key::NODE).required_text()?;
     if node_name.len() > MAX_NODE_LENGTH {
-        return Err(node.field(key::NODE).error("at most 32 bytes are wanted"));
+        let length = node_name.len();
+        let reason = format!("node name of {length} bytes exceeds the limit of {MAX_NODE_LENGTH}");
+        return Err(node.field(key::NODE).error(&reason));
     }
     let peers = node.field(key::PEERS).elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
     let data = node.field(key::DIRECTORY).optional_text()?.map(PathBuf::from);
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,7 +1,7 @@
-//! The log: events of `tracing`, written to standard error in one place, and rate-limited.
+//! Writes events of `tracing` to standard error as log lines, with a rate limit.
 //!
-//! As text a line is `connection-balancer: LEVEL: MESSAGE key=value`; as JSON it is one object with time,
-//! level, target and fields. Levels are configured for each module.
+//! In text format a line is `connection-balancer: LEVEL: MESSAGE key=value`. In JSON format it is one object
+//! with time, level, target and fields. The level is configurable for each module.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -17,38 +17,39 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Lines that may be written at once.
+/// Number of lines that may be written without delay between them.
 const MAX_BURST_LINES: f64 = 100.0;
-/// Lines that may be written each second after a burst.
+/// Rate at which further lines may be written after a burst.
 const LINES_PER_SECOND: f64 = 10.0;
 
 /// The crate's name in the targets of log events.
 const CRATE: &str = "connection_balancer";
-/// The name that it had before, which configurations may still hold.
+/// Former name of the crate, which existing configurations may still use in their levels.
 const FORMER_CRATE: &str = "sagemount";
 
-/// What every line of text begins with.
+/// Prefix of every line in text format.
 const LINE_PREFIX: &str = "connection-balancer";
 
-/// How the log is written.
+/// Levels and format of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogConfig {
-    /// The lowest level that is written, for each module.
+    /// Least severe level that is written, for each module.
     pub levels: Targets,
-    /// JSON lines, or else text.
+    /// Whether lines are JSON objects rather than text.
     pub json: bool,
 }
 
 impl Default for LogConfig {
-    /// Text, from info on.
+    /// Text format, with level info and more severe levels.
     fn default() -> LogConfig {
         LogConfig { levels: Targets::new().with_default(tracing::Level::INFO), json: false }
     }
 }
 
 impl LogConfig {
-    /// Reads levels: one for all, then `MODULE=LEVEL` for modules of this program. None if the text is not of
-    /// that form. Modules may be written under the program's former name, `sagemount::…`.
+    /// Parses a comma-separated list of levels: a level alone applies to all modules, and `MODULE=LEVEL` to a
+    /// module of this program. Modules may also have the program's former name, as in `sagemount::…`. Returns
+    /// `None` if the text does not have this form.
     pub fn levels(text: &str) -> Option<Targets> {
         let text = &text.replace(FORMER_CRATE, CRATE);
         let is_level = |text: &str| !text.is_empty() && text.parse::<LevelFilter>().is_ok();
@@ -60,25 +61,28 @@
     }
 }
 
-/// Limits how many lines are written.
+/// Limits the rate of log lines. A token bucket holds up to `MAX_BURST_LINES` and refills at
+/// `LINES_PER_SECOND`.
 #[doc(hidden)]
 #[derive(Debug)]
 pub struct LineLimiter {
-    /// Lines that may be written now.
+    /// Number of lines that may be written now.
     available: f64,
+    /// Time of the last call of `admit`. `None` before the first one.
     updated_at: Option<Instant>,
-    /// Lines that were dropped since the last one that was written.
+    /// Number of lines dropped since the last written line.
     dropped: u64,
 }
 
 impl LineLimiter {
-    /// A limiter that admits a full burst.
+    /// Limiter that admits a full burst.
     pub const FULL: LineLimiter = LineLimiter { available: MAX_BURST_LINES, updated_at: None, dropped: 0 };
 
-    /// Whether a line may be written now; if so, how many were dropped since the last one that was.
+    /// Decides whether a line may be written at `now`. Returns the number of lines dropped since the last
+    /// written one, or `None` if this line is dropped too.
     pub fn admit(&mut self, now: Instant) -> Option<u64> {
-        let updated_at = self.updated_at.replace(now);
-        let elapsed_seconds = updated_at.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        let last_update = self.updated_at.replace(now);
+        let elapsed_seconds = last_update.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         self.available = (self.available + elapsed_seconds * LINES_PER_SECOND).min(MAX_BURST_LINES);
         if self.available < 1.0 {
             self.dropped += 1;
@@ -89,18 +93,18 @@
     }
 }
 
-/// A crowd of bad clients must not fill the disk that the log goes to, nor block the one thread that writes
-/// it.
+/// Limiter of the process. Without a limit, many misbehaving clients could fill the disk that stores the log,
+/// or block the daemon's only thread while it writes the log.
 static LIMITER: Mutex<LineLimiter> = Mutex::new(LineLimiter::FULL);
 
-/// Standard error, as far as the limiter admits.
+/// Writer to standard error that drops the lines that [`LIMITER`] does not admit.
 #[derive(Clone, Copy, Debug)]
 struct LimitedStderr {
     json: bool,
 }
 
 impl Write for LimitedStderr {
-    /// Writes or drops one line: each event is written with one call.
+    /// Writes or drops one line. The caller writes each event as one line in a single call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut limiter = LIMITER.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let Some(dropped) = limiter.admit(Instant::now()) else { return Ok(line.len()) };
@@ -147,8 +151,8 @@
     }
 }
 
-/// Writes the log as configured from now on. Only the first call of a process has an effect; before it
-/// nothing is written.
+/// Starts the log with this configuration. Only the first call in a process has an effect. Events before it
+/// are not written.
 pub fn start(config: &LogConfig) {
     let stderr = LimitedStderr { json: config.json };
     let layer = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(stderr);
@@ -156,12 +160,12 @@
         true => layer.json().flatten_event(true).boxed(),
         false => layer.event_format(TextFormat).boxed(),
     };
-    // This fails where the log was started before: that start counts.
+    // Initialisation fails if the log is already running. Its first configuration stays in effect.
     let _ = tracing_subscriber::registry().with(layer.with_filter(config.levels.clone())).try_init();
 }
 
-/// Writes a log line: a level, then what the macros of `tracing` take. All of the daemon's log goes through
-/// here.
+/// Writes a log line. The arguments are a level and then the arguments of the `tracing` macros. All log lines
+/// of the daemon are written with this macro.
 #[macro_export]
 macro_rules! log {
     ($level:ident, $($text:tt)+) => {
--- a/src/program/main.rs
+++ b/src/program/main.rs
@@ -1,4 +1,4 @@
-//! The balancer's executable. `connection-balancer help` lists its commands.
+//! Executable of the balancer. `connection-balancer help` lists its commands.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program around the balancer: its configuration, its log and its command line.
+//! Command line, configuration and log of the executable.
 
 #![deny(missing_docs)]
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: every error names the key that is wrong.
+//! Decoding of the configuration files. Every error names the key path of the invalid value.
 
 use connection_balancer::program::config::{check_replicated_entry, parse_operator, parse_platform, Limits};
 use connection_balancer::Micros;
@@ -13,37 +13,52 @@
 #[test]
 fn operator_file_errors_name_their_key() {
     let error_of = |text: &str| parse_operator(text.as_bytes()).expect_err("an error").to_string();
-    let listening_error = |more: &str| error_of(&format!("{{\"listen\": \"127.0.0.1:6667\", {more}}}"));
+    let error_with_listen = |fields: &str| error_of(&format!("{{\"listen\": \"127.0.0.1:6667\", {fields}}}"));
     assert_eq!(error_of("{}"), "listen: is missing");
     assert!(error_of("{").starts_with("document: not JSON"));
-    assert!(error_of(r#"{"listen": "localhost"}"#).starts_with("listen: an address with a port is wanted"));
-    assert_eq!(listening_error(r#""lisen": 1"#), "lisen: no such key is known");
     assert_eq!(
-        listening_error(r#""limits": {"legs": "six"}"#),
+        error_of(r#"{"listen": "localhost"}"#),
+        r#"listen: expected an IP address with a port, such as 127.0.0.1:8081, got "localhost""#
+    );
+    assert_eq!(error_with_listen(r#""lisen": 1"#), "lisen: no such key is known");
+    assert_eq!(
+        error_with_listen(r#""limits": {"legs": "six"}"#),
+        "limits.legs: a number of 0 or more is wanted"
+    );
+    assert_eq!(
+        error_with_listen(r#""limits": {"legs": -1}"#),
         "limits.legs: a number of 0 or more is wanted"
     );
-    assert_eq!(listening_error(r#""limits": {"legs": -1}"#), "limits.legs: a number of 0 or more is wanted");
-    assert_eq!(listening_error(r#""hosts": [{"name": "a"}]"#), "hosts[0].address: is missing");
-    assert_eq!(listening_error(r#""hosts": {}"#), "hosts: a list is wanted");
-    assert_eq!(listening_error(r#""store": {"listen": "127.0.0.1:1"}"#), "store.node: is missing");
-    assert!(listening_error(r#""store": {"node": "n", "listen": "127.0.0.1:1", "peers": ["x"]}"#)
+    assert_eq!(error_with_listen(r#""hosts": [{"name": "a"}]"#), "hosts[0].address: is missing");
+    assert_eq!(error_with_listen(r#""hosts": {}"#), "hosts: a list is wanted");
+    assert_eq!(error_with_listen(r#""store": {"listen": "127.0.0.1:1"}"#), "store.node: is missing");
+    assert!(error_with_listen(r#""store": {"node": "n", "listen": "127.0.0.1:1", "peers": ["x"]}"#)
         .starts_with("store.peers[0]: "));
-    assert!(listening_error(r#""log": {"levels": "loud"}"#).starts_with("log.levels: levels are wanted"));
-    assert_eq!(listening_error(r#""log": {"format": "xml"}"#), "log.format: text or json is wanted");
-    assert_eq!(listening_error(r#""seed": "xyz""#), "seed: up to 16 hexadecimal digits are wanted");
+    assert!(error_with_listen(r#""log": {"levels": "loud"}"#)
+        .starts_with("log.levels: expected levels such as info"));
+    assert_eq!(
+        error_with_listen(r#""log": {"format": "xml"}"#),
+        r#"log.format: expected text or json, got "xml""#
+    );
+    assert_eq!(
+        error_with_listen(r#""seed": "xyz""#),
+        r#"seed: expected up to 16 hexadecimal digits, got "xyz""#
+    );
 }
 
 #[test]
 fn platform_configuration_errors_name_their_key() {
-    let error_of = |more: &str| {
-        let text = format!(r#"{{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", {more}}}"#);
+    let error_of = |fields: &str| {
+        let text = format!(r#"{{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", {fields}}}"#);
         parse_platform(text.as_bytes()).expect_err("an error").to_string()
     };
     let class_error =
-        |more: &str| error_of(&format!(r#""settings": {{"classes": [{{"name": "a"}}, {{{more}}}]}}"#));
+        |fields: &str| error_of(&format!(r#""settings": {{"classes": [{{"name": "a"}}, {{{fields}}}]}}"#));
     assert_eq!(class_error(""), "settings.classes[1].name: is missing");
-    assert!(class_error(r#""name": "b", "repeat": "often""#)
-        .starts_with("settings.classes[1].repeat: repeatable, "));
+    assert_eq!(
+        class_error(r#""name": "b", "repeat": "often""#),
+        r#"settings.classes[1].repeat: expected repeatable, by_key or once, got "often""#
+    );
     let server =
         r#""known": {"instances": [{"instanceId": "s", "hostPort": "127.0.0.1:3", "lifecycle": "odd"}]}"#;
     assert!(error_of(server).starts_with("known.instances[0].lifecycle: ready, draining or gone is wanted"));
@@ -53,7 +68,8 @@
     );
 }
 
-/// Settings of any customer: what cannot be meant is reported, and not taken for something else.
+/// Any customer may write these settings. Invalid values must be reported, not replaced by a default or read as
+/// something else.
 #[test]
 fn settings_out_of_range_are_rejected_by_their_key() {
     let check_settings = |settings: &str| {
@@ -62,7 +78,7 @@
         parse_platform(text.as_bytes()).map(drop).map_err(|error| error.to_string())
     };
     let second_class =
-        |more: &str| format!(r#""classes": [{{"name": "a", "deadline": 900}}, {{"name": "b", {more}}}]"#);
+        |fields: &str| format!(r#""classes": [{{"name": "a", "deadline": 900}}, {{"name": "b", {fields}}}]"#);
     let nested = |part: &str, key: &str, value: &str| format!(r#""{part}": {{"{key}": {value}}}"#);
     let rejected = [
         (second_class(r#""deadline": 0"#), "classes[1].deadline"),
@@ -102,7 +118,7 @@
     assert_eq!(check_settings(r#""zones": ["x", "y"], "zone": "y", "balancers": 300"#), Ok(()));
 }
 
-/// The settings of the two deployments, as far as the program relies on them.
+/// Decodes those settings of the two deployments that the program depends on.
 #[test]
 fn decodes_the_settings_of_both_deployments() {
     let platform = |settings: &str| {
@@ -137,7 +153,7 @@
     assert!(settings.probes && settings.probe_reports);
     assert_eq!((settings.probe_cost, settings.connect_timeout), (0.0021, Micros::from_millis(100)));
     assert_eq!((settings.slow_start_share, settings.slow_start_duration), (0.17, Micros::from_secs(24)));
-    // Without `report-x0`, the `x0` of a load report means something else.
+    // Without `report-x0`, the `x0` of a load report is not the utilisation.
     let without_report_x0 =
         platform(r#""reporting": {"fields": ["x0"], "how": "on_probe"}, "limits": {"probing": true}"#);
     assert!(
@@ -149,24 +165,25 @@
     assert!(off.pool.load_report_fields.is_empty());
 }
 
-/// Ordinary clients alone hold a third of the descriptors, and their attempts as many again.
+/// With 256 to 1024 descriptors, a third of them must be available for client sockets of admitted
+/// connections. The attempts for these clients need as many descriptors again.
 #[test]
 fn budget_stays_within_the_limits() {
     for (sockets, memory_mb) in [(256, 32), (1024, 32), (1024, 192), (64, 8), (65_536, 16)] {
         let budget = Limits { sockets, memory_mb }.budget(true, true);
         let all = budget.pending + 2 * budget.admitted;
-        assert!(all + 36 <= sockets, "{budget:?} of {sockets}");
-        assert!(all * budget.buffer <= memory_mb << 19, "{budget:?} of {memory_mb} MB");
+        assert!(all + 36 <= sockets, "{budget:?} exceeds {sockets} descriptors");
+        assert!(all * budget.buffer <= memory_mb << 19, "{budget:?} exceeds half of {memory_mb} MB");
         assert!(
             budget.admitted >= sockets / 3 || !(256..=1024).contains(&sockets),
-            "{budget:?} of {sockets}"
+            "{budget:?} admits less than a third of {sockets}"
         );
-        assert!(budget.pending > 0 && budget.admitted > 0, "{budget:?}");
+        assert!(budget.pending > 0 && budget.admitted > 0, "{budget:?} has an empty share");
     }
-    let parse_limits = |more: &str| {
+    let parse_limits = |fields: &str| {
         let text =
-            format!(r#"{{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {{{more}}}}}"#);
-        parse_platform(text.as_bytes()).map(|platform| platform.limits).map_err(|fault| fault.to_string())
+            format!(r#"{{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "limits": {{{fields}}}}}"#);
+        parse_platform(text.as_bytes()).map(|platform| platform.limits).map_err(|error| error.to_string())
     };
     assert_eq!(
         parse_limits(r#""sockets": 384, "memory_mb": 48"#),
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log's levels and its rate limit.
+//! Parsing of log levels, and the rate limit of the log.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +31,7 @@
     let admitted = (0..500).filter(|_| limiter.admit(now).is_some()).count();
     assert_eq!(admitted, 100);
 
-    // A second later ten more are admitted, and the first says how many were dropped.
+    // A second later ten more lines are admitted. The first returns the number of dropped lines.
     let later = now + Duration::from_secs(1);
     assert_eq!(limiter.admit(later), Some(400));
     assert_eq!((0..500).filter(|_| limiter.admit(later).is_some()).count(), 9);
