--- a/src/bin/simulator-adapter/adapter.rs
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -1,30 +1,32 @@
-//! The instances that one process runs, and the frame of messages that it is in.
+//! Passes the messages of a frame to the instances of this process and collects their actions in the reply.
 
 use std::collections::BTreeMap;
 
 use connection_balancer::{Action, Time};
 
 use crate::instance::Instance;
-use crate::message::{InstanceEvent, Message, ZonedEntry, MAX_ENDPOINT_SETS};
+use crate::message::{InstanceEvent, Message, UnresolvedEntry, MAX_ENDPOINT_SETS};
 use crate::reply;
 
-/// Passes messages to the instances and prints their actions.
+/// State of the adapter: the instances, the endpoint sets, and the position in the current frame.
 #[derive(Default)]
 pub(crate) struct Adapter {
+    /// Simulated time of the current frame.
     now: Time,
     instances: BTreeMap<u32, Instance>,
-    /// The instance that messages are for.
+    /// Instance that messages are for.
     selected: u32,
-    endpoint_sets: [Vec<ZonedEntry>; MAX_ENDPOINT_SETS],
-    /// The endpoint set that entries are added to.
+    endpoint_sets: [Vec<UnresolvedEntry>; MAX_ENDPOINT_SETS],
+    /// Index of the endpoint set that entries are added to.
     current_set: usize,
+    /// Actions of the current event. Empty between events.
     actions: Vec<Action>,
-    /// The instance whose actions were printed last in this reply.
+    /// Instance whose actions were printed last in this reply.
     printed_instance: Option<u32>,
 }
 
 impl Adapter {
-    /// Handles a message, and appends its results to the reply.
+    /// Handles a message and appends the resulting lines to the reply.
     pub(crate) fn handle_message(&mut self, message: Message<'_>, reply: &mut Vec<u8>) {
         match message {
             Message::FrameStarted(now) => self.now = now,
@@ -62,11 +64,11 @@
         }
         for action in self.actions.drain(..) {
             if let Action::Reject { request, .. } | Action::Fail { request, .. } = action {
-                instance.forget_untracked(request);
+                instance.remove_if_untracked(request);
             }
         }
         if let Some(request) = request {
-            instance.forget_untracked(request);
+            instance.remove_if_untracked(request);
         }
     }
 }
--- a/src/bin/simulator-adapter/configuration.rs
+++ b/src/bin/simulator-adapter/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of an instance, from the fields of the message that starts it.
+//! Parses the configuration of an instance from the fields of the message that starts it.
 
 use std::collections::HashMap;
 
@@ -10,45 +10,46 @@
 use connection_balancer::{Class, Idempotency, KeyScope, Micros, Settings, Tenant, ZoneId};
 
 use crate::line::{Line, MalformedField};
-use crate::values::{parse_decimal, parse_flag, parse_span};
+use crate::values::{parse_decimal, parse_duration, parse_flag};
 
-/// How settings write a value that is not there.
+/// Text in place of an absent value.
 const ABSENT: &str = "null";
-/// Lists of names and of values are separated by this.
+/// Separator of the elements of a list.
 const LIST_SEPARATOR: char = ',';
-/// The parts of a key are joined by this.
+/// Separator of the parts of a nested key.
 const KEY_SEPARATOR: &str = ".";
-/// The part of a key with the number of a list's elements.
+/// Last part of the key that holds the number of elements of a list.
 const COUNT: &str = "count";
 
-/// The settings of an instance, with the names for what the decision module numbers.
+/// Configuration of an instance: the settings of its balancer, and the names of the zones, classes and
+/// tenants, which the settings identify by their indices.
 #[derive(Default)]
 pub(crate) struct InstanceConfig {
     pub settings: Settings,
     pub zones: Vec<String>,
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
-    /// Names under which a load report may carry the utilisation.
+    /// Names under which a load report may hold the utilisation, in order of preference.
     pub utilisation_fields: Vec<&'static str>,
 }
 
-/// Something with the name that the protocol uses for it.
+/// A value and its name in the protocol.
 struct Named<T> {
     name: String,
     value: T,
 }
 
-/// Separates the names from what they name.
+/// Splits a list of named values into the list of names and the list of values.
 fn unzip_named<T>(named: Vec<Named<T>>) -> (Vec<String>, Vec<T>) {
     named.into_iter().map(|named| (named.name, named.value)).unzip()
 }
 
-/// The key of a value that is nested in parts of the settings.
+/// Joins the parts of a nested key.
 fn nested_key(parts: &[&str]) -> String {
     parts.join(KEY_SEPARATOR)
 }
 
-/// The fields of a message, by name.
+/// Reads settings from the fields of a message by their keys.
 struct SettingsReader<'a> {
     message: &'a str,
     values: HashMap<&'a str, &'a str>,
@@ -81,15 +82,15 @@
         self.parse(key, default, parse_decimal)
     }
 
-    fn span(&self, key: &str, default: Micros) -> Result<Micros, MalformedField> {
-        self.parse(key, default, parse_span)
+    fn duration(&self, key: &str, default: Micros) -> Result<Micros, MalformedField> {
+        self.parse(key, default, parse_duration)
     }
 
     fn flag(&self, key: &str) -> Result<bool, MalformedField> {
         self.parse(key, false, parse_flag)
     }
 
-    /// A list without its empty elements.
+    /// Returns the elements of a list, without empty ones. An absent list is empty.
     fn list(&self, key: &str) -> Vec<String> {
         let elements = self.text(key).unwrap_or("").split(LIST_SEPARATOR);
         elements.filter(|element| !element.is_empty()).map(str::to_owned).collect()
@@ -100,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// If a value is unreadable. Unknown settings are ignored, missing ones have their defaults.
+/// If a value cannot be parsed. Unknown settings are ignored, and absent ones have their defaults.
 pub(crate) fn parse(line: &Line<'_>) -> Result<InstanceConfig, MalformedField> {
     let reader = SettingsReader::new(line);
     let zones = reader.list(key::ZONES);
@@ -136,12 +137,12 @@
         let class_field = |name: &str| nested_key(&[key::CLASSES, &index.to_string(), name]);
         let idempotency = parse_idempotency(reader, class_field)?;
         let message_objective = match message_objectives.get(index).filter(|&text| text != ABSENT) {
-            Some(text) => parse_span(text).ok_or_else(|| reader.malformed(&message_objectives_key))?,
+            Some(text) => parse_duration(text).ok_or_else(|| reader.malformed(&message_objectives_key))?,
             None => Micros::ZERO,
         };
         let value = Class {
             priority_weight: reader.decimal(&class_field(class_key::PRIORITY_WEIGHT), 1.0)?,
-            setup_objective: reader.span(&class_field(class_key::SETUP_OBJECTIVE_MS), Micros::ZERO)?,
+            setup_objective: reader.duration(&class_field(class_key::SETUP_OBJECTIVE_MS), Micros::ZERO)?,
             message_objective,
             idempotency,
         };
@@ -151,7 +152,8 @@
     Ok(classes)
 }
 
-/// Whether a class's requests may be repeated; `class_field` gives the keys of the class.
+/// Parses whether requests of a class may be repeated. `class_field` returns the key of a setting of the
+/// class.
 fn parse_idempotency(
     reader: &SettingsReader<'_>,
     class_field: impl Fn(&str) -> String,
@@ -167,7 +169,7 @@
     match reader.text(&idempotency_key) {
         Some(IDEMPOTENT) => Ok(Idempotency::Idempotent),
         Some(IDEMPOTENT_BY_KEY) => {
-            let window = reader.span(&class_field(class_key::DEDUPLICATION_WINDOW_MS), Micros::ZERO)?;
+            let window = reader.duration(&class_field(class_key::DEDUPLICATION_WINDOW_MS), Micros::ZERO)?;
             Ok(Idempotency::IdempotencyKey { scope, window })
         }
         Some(NOT_IDEMPOTENT) | None => Ok(Idempotency::NotIdempotent),
@@ -194,7 +196,7 @@
     Ok(tenants)
 }
 
-/// The settings that are single values.
+/// Parses the settings that have a single value.
 fn parse_settings(reader: &SettingsReader<'_>) -> Result<Settings, MalformedField> {
     let default = Settings::default();
     let limit = |name: &str| nested_key(&[key::LIMITS, name]);
@@ -207,22 +209,23 @@
         max_attempts: reader.decimal(&limit(limit_key::MAX_ATTEMPTS), default.max_attempts as f64)? as u32,
         cancel: reader.flag(&limit(limit_key::CANCEL))?,
         retry_after: reader.flag(&limit(limit_key::RETRY_AFTER))?,
-        max_retry_after: reader.span(&limit(limit_key::MAX_RETRY_AFTER_MS), default.max_retry_after)?,
-        connect_timeout: reader.span(&limit(limit_key::CONNECT_TIMEOUT_MS), default.connect_timeout)?,
+        max_retry_after: reader.duration(&limit(limit_key::MAX_RETRY_AFTER_MS), default.max_retry_after)?,
+        connect_timeout: reader.duration(&limit(limit_key::CONNECT_TIMEOUT_MS), default.connect_timeout)?,
         poll_required: discovery_mode == Some(DISCOVERY_POLLED),
-        poll_interval: reader.span(&rule(rule_key::POLL_INTERVAL_MS), default.poll_interval)?,
+        poll_interval: reader.duration(&rule(rule_key::POLL_INTERVAL_MS), default.poll_interval)?,
         endpoints_pushed: discovery_mode == Some(DISCOVERY_PUSHED),
-        drain_grace: reader.span(&rule(rule_key::DRAIN_GRACE_MS), default.drain_grace)?,
+        drain_grace: reader.duration(&rule(rule_key::DRAIN_GRACE_MS), default.drain_grace)?,
         probes: reader.flag(&limit(limit_key::PROBES))?,
         probe_cost: reader.decimal(&charge(charge_key::PROBE), 0.0)?,
         cross_zone_cost: reader.decimal(&charge(charge_key::CROSS_ZONE), 0.0)?,
         migration_cost: reader.decimal(&charge(charge_key::MIGRATION), 0.0)?,
         slow_start_share: reader.decimal(&rule(rule_key::SLOW_START_SHARE), default.slow_start_share)?,
         slow_start_duration: reader
-            .span(&rule(rule_key::SLOW_START_DURATION_MS), default.slow_start_duration)?,
+            .duration(&rule(rule_key::SLOW_START_DURATION_MS), default.slow_start_duration)?,
         slow_start_overload_factor: reader
             .decimal(&rule(rule_key::SLOW_START_OVERLOAD_FACTOR), default.slow_start_overload_factor)?,
-        slow_start_window: reader.span(&rule(rule_key::SLOW_START_WINDOW_MS), default.slow_start_window)?,
+        slow_start_window: reader
+            .duration(&rule(rule_key::SLOW_START_WINDOW_MS), default.slow_start_window)?,
         ..default
     })
 }
--- a/src/bin/simulator-adapter/instance.rs
+++ b/src/bin/simulator-adapter/instance.rs
@@ -1,4 +1,5 @@
-//! One balancer with what its messages need to be put in the decision module's terms.
+//! An instance: one simulated balancer, and the mapping of the protocol's names to the decision module's
+//! identifiers.
 
 use std::rc::Rc;
 
@@ -9,13 +10,13 @@
 
 use crate::configuration::InstanceConfig;
 use crate::message::{
-    parse_load_report, EndpointSync, InstanceEvent, RequestArrival, RequestProgress, ZonedEntry,
+    parse_load_report, EndpointSync, InstanceEvent, RequestArrival, RequestProgress, UnresolvedEntry,
 };
 
-/// The number of a zone or class that is not configured.
-const UNKNOWN_NUMBER: u16 = u16::MAX;
+/// Index of a zone or class that is not configured.
+const UNKNOWN_INDEX: u16 = u16::MAX;
 
-/// A balancer, its configuration, and the numbers of its requests.
+/// A balancer, its configuration, and the identifiers of the requests that it tracks.
 pub(crate) struct Instance {
     balancer: Balancer,
     config: InstanceConfig,
@@ -24,8 +25,8 @@
     next_request: u64,
 }
 
-/// The number of a configured name.
-fn number_of(names: &[String], name: &str) -> Option<u16> {
+/// Returns the index of a configured name.
+fn index_of(names: &[String], name: &str) -> Option<u16> {
     names.iter().position(|known| known == name).map(|index| index as u16)
 }
 
@@ -40,17 +41,18 @@
         }
     }
 
-    /// The protocol's name of a request.
+    /// Returns the name of a request in the protocol, or empty text for an unknown request.
     pub(crate) fn request_name(&self, request: RequestId) -> &str {
         self.request_names.get(&request).map_or("", |name| name)
     }
 
-    /// Notifies the balancer of an event and adds its actions; the request that the event concerns.
+    /// Passes an event to the balancer and appends the balancer's actions to `actions`. Returns the request
+    /// that the event concerns, if any.
     pub(crate) fn handle_event(
         &mut self,
         now: Time,
         event: InstanceEvent<'_>,
-        sets: &[Vec<ZonedEntry>],
+        sets: &[Vec<UnresolvedEntry>],
         actions: &mut Vec<Action>,
     ) -> Option<RequestId> {
         match event {
@@ -60,7 +62,7 @@
             }
             InstanceEvent::RequestArrived(arrival) => Some(self.start_request(now, arrival, actions)),
             InstanceEvent::RequestProgressed { request, progress } => {
-                self.advance_request(now, request, progress, actions)
+                self.handle_progress(now, request, progress, actions)
             }
             InstanceEvent::TimerFired => {
                 self.balancer.handle(now, Event::TimerFired, actions);
@@ -78,13 +80,14 @@
         &mut self,
         now: Time,
         sync: EndpointSync,
-        sets: &[Vec<ZonedEntry>],
+        sets: &[Vec<UnresolvedEntry>],
         actions: &mut Vec<Action>,
     ) {
         match sync {
             EndpointSync::Failed => {
-                // The simulator does not say why. The list has no lease here, as no confirmation is handed in, so the
-                // kind does not matter.
+                // The simulator does not report the reason for the failure. The reason has no effect here: it
+                // matters only for a list with a lease, and the adapter passes no confirmations, which would
+                // start a lease.
                 let failed = Event::EndpointWatchFailed(WatchFailure::Rejected);
                 self.balancer.handle(now, failed, actions);
             }
@@ -99,9 +102,12 @@
         }
     }
 
-    fn resolve_zones(&self, set: &[ZonedEntry]) -> Vec<EndpointEntry> {
-        let zone = |name: &str| ZoneId(number_of(&self.config.zones, name).unwrap_or(UNKNOWN_NUMBER));
-        set.iter().map(|zoned| EndpointEntry { zone: zone(&zoned.zone), ..zoned.entry }).collect()
+    /// Resolves the zone names of an endpoint set.
+    fn resolve_zones(&self, set: &[UnresolvedEntry]) -> Vec<EndpointEntry> {
+        let zone = |name: &str| ZoneId(index_of(&self.config.zones, name).unwrap_or(UNKNOWN_INDEX));
+        let resolve =
+            |unresolved: &UnresolvedEntry| EndpointEntry { zone: zone(&unresolved.zone), ..unresolved.entry };
+        set.iter().map(resolve).collect()
     }
 
     fn start_request(
@@ -110,8 +116,8 @@
         arrival: RequestArrival<'_>,
         actions: &mut Vec<Action>,
     ) -> RequestId {
-        let class = ClassId(number_of(&self.config.classes, arrival.class).unwrap_or(UNKNOWN_NUMBER));
-        let tenant = arrival.tenant.and_then(|name| number_of(&self.config.tenants, name)).map(TenantId);
+        let class = ClassId(index_of(&self.config.classes, arrival.class).unwrap_or(UNKNOWN_INDEX));
+        let tenant = arrival.tenant.and_then(|name| index_of(&self.config.tenants, name)).map(TenantId);
         let request = self.add_request(arrival.request);
         let RequestArrival { group, load, .. } = arrival;
         let event = match arrival.server {
@@ -125,6 +131,7 @@
         request
     }
 
+    /// Assigns the next identifier to a request.
     fn add_request(&mut self, name: &str) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -134,7 +141,7 @@
         id
     }
 
-    fn advance_request(
+    fn handle_progress(
         &mut self,
         now: Time,
         name: &str,
@@ -156,8 +163,8 @@
         Some(request)
     }
 
-    /// Drops the name of a request that the balancer no longer tracks.
-    pub(crate) fn forget_untracked(&mut self, request: RequestId) {
+    /// Removes the name and identifier of a request if the balancer no longer tracks it.
+    pub(crate) fn remove_if_untracked(&mut self, request: RequestId) {
         if self.balancer.is_tracked(request) {
             return;
         }
--- a/src/bin/simulator-adapter/line.rs
+++ b/src/bin/simulator-adapter/line.rs
@@ -2,26 +2,28 @@
 
 use thiserror::Error;
 
-/// The most fields of a message that can be looked up, apart from settings.
+/// Number of fields at the start of a line that [`Line::text`] can find. [`Line::all_fields`] has no limit,
+/// as settings need more fields.
 const MAX_FIELDS: usize = 24;
 /// Separates the fields of a line.
 pub(crate) const FIELD_SEPARATOR: char = '\t';
 /// Separates a field's name from its value.
 pub(crate) const VALUE_SEPARATOR: char = '=';
 
-/// Why a field that a message needs cannot be used.
+/// Error in a field of a message.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum MalformedField {
-    /// Its value cannot be parsed.
+    /// The value of the field cannot be parsed.
     #[error("{message}: cannot read field '{field}' from '{value}'")]
     Unreadable { message: String, field: String, value: String },
-    /// It is not there.
+    /// The message does not have the field.
     #[error("{message}: field '{field}' is missing")]
     Missing { message: String, field: String },
 }
 
 impl MalformedField {
-    /// The error for a field of a message, which holds this value if it is there.
+    /// Creates the error for a field of a message: [`MalformedField::Unreadable`] with its value, or
+    /// [`MalformedField::Missing`] without one.
     pub(crate) fn new(message: &str, field: &str, value: Option<&str>) -> MalformedField {
         let (message, field) = (message.to_owned(), field.to_owned());
         match value {
@@ -31,48 +33,53 @@
     }
 }
 
-/// A field's name and its value.
+/// Name and value of a field.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Field<'a> {
     pub name: &'a str,
     pub value: &'a str,
 }
 
-/// One line, split into its message name and fields without copying.
+/// One line, split into the name of its message and its fields without copying.
 pub(crate) struct Line<'a> {
     pub message: &'a str,
-    rest: &'a str,
+    /// Text of the line after the name of its message.
+    field_text: &'a str,
     fields: [Field<'a>; MAX_FIELDS],
-    count: usize,
+    field_count: usize,
 }
 
 impl<'a> Line<'a> {
     pub(crate) fn split(text: &'a str) -> Line<'a> {
-        let (message, rest) = text.split_once(FIELD_SEPARATOR).unwrap_or((text, ""));
-        let mut line = Line { message, rest, fields: [Field::default(); MAX_FIELDS], count: 0 };
-        for (slot, field) in line.fields.iter_mut().zip(split_fields(rest)) {
-            *slot = field;
-            line.count += 1;
+        let (message, field_text) = text.split_once(FIELD_SEPARATOR).unwrap_or((text, ""));
+        let mut line = Line { message, field_text, fields: [Field::default(); MAX_FIELDS], field_count: 0 };
+        for (entry, field) in line.fields.iter_mut().zip(split_fields(field_text)) {
+            *entry = field;
+            line.field_count += 1;
         }
         line
     }
 
-    /// All fields, however many there are.
+    /// Returns all fields of the line, without a limit on their number.
     pub(crate) fn all_fields(&self) -> impl Iterator<Item = Field<'a>> {
-        split_fields(self.rest)
+        split_fields(self.field_text)
     }
 
-    /// A field's value.
+    /// Returns the value of a field. Searches only the first [`MAX_FIELDS`] fields.
     pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
-        self.fields[..self.count].iter().find(|field| field.name == name).map(|field| field.value)
+        self.fields[..self.field_count].iter().find(|field| field.name == name).map(|field| field.value)
     }
 
-    /// The error for a field.
+    /// Creates the error for a missing or unreadable field.
     pub(crate) fn malformed(&self, name: &str) -> MalformedField {
         MalformedField::new(self.message, name, self.text(name))
     }
 
-    /// Parses a field that may be missing, but not unreadable.
+    /// Parses an optional field.
+    ///
+    /// # Errors
+    ///
+    /// If the field is present and its value cannot be parsed.
     pub(crate) fn optional<T>(
         &self,
         name: &str,
@@ -81,7 +88,11 @@
         self.text(name).map(|value| parse(value).ok_or_else(|| self.malformed(name))).transpose()
     }
 
-    /// Parses a field that has to be there.
+    /// Parses a required field.
+    ///
+    /// # Errors
+    ///
+    /// If the field is missing or its value cannot be parsed.
     pub(crate) fn required<T>(
         &self,
         name: &str,
@@ -91,6 +102,7 @@
     }
 }
 
+/// Splits text into fields. Ignores parts without a [`VALUE_SEPARATOR`].
 fn split_fields(text: &str) -> impl Iterator<Item = Field<'_>> {
     let parts = text.split(FIELD_SEPARATOR);
     parts.filter_map(|part| part.split_once(VALUE_SEPARATOR)).map(|(name, value)| Field { name, value })
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,8 @@
-//! Runs balancers for the simulator: reads batches of messages, prints the balancers' actions. Decides nothing.
+//! Runs balancers for the simulator, which calls them instances. Each instance uses the decision module of
+//! the daemon.
+//!
+//! The adapter reads frames of messages from standard input, passes each message to the instance that it is
+//! for, and prints the actions of all instances as the reply to the frame. It makes no decisions of its own.
 #![forbid(unsafe_code)]
 
 mod adapter;
@@ -18,21 +22,25 @@
 use message::Message;
 use thiserror::Error;
 
-/// Size of the buffer for the simulator's messages, in bytes.
+/// Size of the input buffer for the simulator's messages.
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the adapter stops before the end of its input.
+/// Error that stops the adapter before the end of its input.
 #[derive(Debug, Error)]
 enum ServeError {
-    #[error("line {line}: {source}")]
+    #[error("line {line}: cannot read the input: {source}")]
     ReadLine { line: u64, source: io::Error },
     #[error("line {line}: {source}")]
     ParseLine { line: u64, source: MalformedField },
-    #[error("reply: {0}")]
+    #[error("cannot write the reply: {0}")]
     WriteReply(#[source] io::Error),
 }
 
-/// Answers each frame of messages, until the input ends.
+/// Answers each frame of messages until the input ends.
+///
+/// # Errors
+///
+/// If reading or writing fails, or for the first line with a malformed field.
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), ServeError> {
     let mut adapter = Adapter::default();
     let mut text = String::new();
--- a/src/bin/simulator-adapter/message.rs
+++ b/src/bin/simulator-adapter/message.rs
@@ -1,4 +1,4 @@
-//! The simulator's messages, and how they are parsed from lines.
+//! Messages of the simulator and their parsing from lines.
 
 use connection_balancer::{
     CellId, EndpointEntry, EndpointState, GroupId, LoadReport, Measurement, Outcome, ServerId, Time, ZoneId,
@@ -6,90 +6,93 @@
 
 use crate::configuration::{self, InstanceConfig};
 use crate::line::{Line, MalformedField};
-use crate::values::{parse_decimal, parse_flag, parse_number, parse_outcome, parse_span, parse_time};
+use crate::values::{parse_decimal, parse_duration, parse_flag, parse_number, parse_outcome, parse_time};
 use crate::wire::{endpoint_state, field, message, sync_scope, topic, NO_TENANT, REPORTED_CONNECTIONS};
 
-/// Endpoint sets are numbered from 0 to one less than this.
+/// Number of endpoint sets. They are numbered from 0.
 pub(crate) const MAX_ENDPOINT_SETS: usize = 16;
-/// A message. Names of zones, classes, tenants and requests are resolved by the instance that it is for.
+
+/// A message. Names of zones, classes, tenants and requests are resolved by the instance that receives the
+/// message.
 pub(crate) enum Message<'a> {
-    /// A frame of messages starts at this time.
+    /// A frame of messages starts at this simulated time.
     FrameStarted(Time),
-    /// It ends: the simulator waits for the reply.
+    /// The frame ends. The simulator waits for the reply.
     FrameEnded,
-    /// The messages that follow are for this instance.
+    /// Selects the instance that the following messages are for.
     InstanceSelected(u32),
-    /// The instance starts.
+    /// The selected instance starts.
     InstanceStarted { seed: u64, config: Box<InstanceConfig> },
-    /// The instance is killed.
+    /// The selected instance is killed.
     InstanceKilled,
-    /// An endpoint set is replaced by the entries that follow.
+    /// Empties an endpoint set. Its new entries follow.
     EndpointSetStarted { set: usize },
-    /// An entry of it.
-    EndpointSetEntry(ZonedEntry),
-    /// Something happens to the instance.
+    /// An entry of the endpoint set that was started last.
+    EndpointSetEntry(UnresolvedEntry),
+    /// An event for the balancer of the selected instance.
     InstanceEvent(InstanceEvent<'a>),
-    /// Nothing that this adapter uses.
+    /// A message that the adapter ignores.
     Unknown,
 }
 
-/// Something that an instance's balancer is notified of.
+/// An event for the balancer of an instance.
 pub(crate) enum InstanceEvent<'a> {
-    /// Endpoints are received, or are unavailable.
+    /// Endpoints were received, or could not be retrieved.
     EndpointsSynced(EndpointSync),
-    /// A request arrives, or a connection is open at the start.
+    /// A request arrived, or a connection was established before the instance started.
     RequestArrived(RequestArrival<'a>),
-    /// Something happens to a request.
+    /// The state of a request changed.
     RequestProgressed { request: &'a str, progress: RequestProgress },
-    /// The timer has fired.
+    /// The timer fired.
     TimerFired,
-    /// A probe has ended.
+    /// A probe completed.
     ProbeCompleted { server: ServerId, outcome: Outcome, report: &'a str },
 }
 
-/// What an instance receives of the endpoint list.
+/// An update of the endpoint list of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndpointSync {
-    /// This set is the whole list.
+    /// The set is the whole list.
     Snapshot { set: usize },
-    /// This set holds the changed entries.
+    /// The set holds only changed entries.
     Changes { set: usize },
     /// The list is unavailable.
     Failed,
 }
 
-/// An endpoint whose zone is still a name.
-pub(crate) struct ZonedEntry {
+/// An entry of an endpoint set whose zone name has not been resolved to a [`ZoneId`]. The zone in `entry` is
+/// not set.
+pub(crate) struct UnresolvedEntry {
     pub zone: String,
     pub entry: EndpointEntry,
 }
 
-/// A request as it arrives.
+/// A new request, or a connection that was established before the instance started.
 pub(crate) struct RequestArrival<'a> {
     pub request: &'a str,
     pub class: &'a str,
     pub tenant: Option<&'a str>,
     pub group: Option<GroupId>,
     pub load: Option<f64>,
-    /// None for a connection that is open at the start.
+    /// Time at which the client gives up. `None` for a connection established before the start.
     pub deadline: Option<Time>,
-    /// The server of a connection that is open at the start.
+    /// Server of a connection established before the start. `None` for a new request.
     pub server: Option<ServerId>,
 }
 
-/// What happens to a request.
+/// A change of the state of a request.
 pub(crate) enum RequestProgress {
-    /// An attempt has established the connection.
+    /// An attempt established the connection.
     Established { attempt: u32 },
-    /// A measurement; none if its topic is unknown.
+    /// The connection was measured. `None` if the topic of the measurement is unknown.
     Measured(Option<Measurement>),
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded { attempt: u32, outcome: Outcome, answered: bool },
-    /// The client has left.
+    /// The client left.
     ClientLeft,
 }
 
-/// Parses one line.
+/// Parses a message from a line.
 ///
 /// # Errors
 ///
@@ -155,8 +158,8 @@
     })
 }
 
-fn parse_entry(line: &Line<'_>) -> Result<ZonedEntry, MalformedField> {
-    Ok(ZonedEntry {
+fn parse_entry(line: &Line<'_>) -> Result<UnresolvedEntry, MalformedField> {
+    Ok(UnresolvedEntry {
         zone: line.text(field::ZONE).unwrap_or("").to_owned(),
         entry: EndpointEntry {
             server: line.required(field::SERVER, parse_number).map(ServerId)?,
@@ -183,7 +186,7 @@
     Ok(RequestArrival {
         request: line.required(field::REQUEST, Some)?,
         class: line.required(field::CLASS, Some)?,
-        tenant: line.text(field::TENANT).filter(|&owner| owner != NO_TENANT),
+        tenant: line.text(field::TENANT).filter(|&tenant| tenant != NO_TENANT),
         group: line.optional(field::GROUP, parse_number)?.map(GroupId),
         load: line.optional(field::EXPECTED_LOAD, parse_decimal)?,
         deadline: if is_restored { None } else { Some(line.required(field::DEADLINE, parse_time)?) },
@@ -210,18 +213,19 @@
     })
 }
 
-/// A measurement; none if its topic is unknown.
+/// Parses a measurement. Returns `None` if its topic is unknown.
 fn parse_measurement(line: &Line<'_>) -> Result<Option<Measurement>, MalformedField> {
     Ok(match line.required(field::MEASUREMENT_TOPIC, parse_number::<u32>)? {
         topic::LOAD => Some(Measurement::Load(line.required(field::MEASUREMENT_AMOUNT, parse_decimal)?)),
         topic::MESSAGE_TIME => {
-            Some(Measurement::MessageTime(line.required(field::MEASUREMENT_AMOUNT, parse_span)?))
+            Some(Measurement::MessageTime(line.required(field::MEASUREMENT_AMOUNT, parse_duration)?))
         }
         _ => None,
     })
 }
 
-/// A load report, if it holds the utilisation under the first known of `utilisation_fields`.
+/// Parses a load report. The utilisation is the value of the first of `utilisation_fields` that the report
+/// has with a valid number. Returns `None` if it has none of them.
 pub(crate) fn parse_load_report(text: &str, utilisation_fields: &[&str]) -> Option<LoadReport> {
     let value = |name: &str| {
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once(':'));
--- a/src/bin/simulator-adapter/reply.rs
+++ b/src/bin/simulator-adapter/reply.rs
@@ -9,7 +9,7 @@
 use crate::values::Millis;
 use crate::wire::{field, reply, TIMER_NAME};
 
-/// A line of a reply: its name, and a field for each name and value.
+/// Prints a line of a reply: its name, and a field for each pair of a name and a value.
 fn print_line(out: &mut Vec<u8>, name: &str, fields: &[(&str, &dyn Display)]) {
     // Writing to memory cannot fail.
     let _ = write!(out, "{name}");
@@ -19,38 +19,46 @@
     out.push(b'\n');
 }
 
-/// Prints that the actions which follow are this instance's.
+/// Prints the line that names the instance of the following actions.
 pub(crate) fn print_instance(out: &mut Vec<u8>, instance: u32) {
     print_line(out, reply::INSTANCE, &[(field::INSTANCE, &instance)]);
 }
 
-/// Prints that the reply is complete.
+/// Prints the last line of a reply.
 pub(crate) fn print_end(out: &mut Vec<u8>) {
     print_line(out, reply::END, &[]);
 }
 
-/// Prints an action; `name` gives the protocol's name of a request.
-pub(crate) fn print_action<'a>(out: &mut Vec<u8>, action: &Action, name: impl Fn(RequestId) -> &'a str) {
+/// Prints an action. `request_name` returns the name of a request in the protocol.
+pub(crate) fn print_action<'a>(
+    out: &mut Vec<u8>,
+    action: &Action,
+    request_name: impl Fn(RequestId) -> &'a str,
+) {
     match action {
         Action::StartAttempt { request, server, timeout, .. } => {
-            let (name, timeout) = (name(*request), Millis(*timeout));
+            let (name, timeout) = (request_name(*request), Millis(*timeout));
             let fields: [(&str, &dyn Display); 3] =
                 [(field::REQUEST, &name), (field::SERVER, &server.0), (field::TIMEOUT, &timeout)];
             print_line(out, reply::START_ATTEMPT, &fields);
         }
         Action::Reject { request, retry_after, .. } => {
-            let (name, retry_after) = (name(*request), Millis(*retry_after));
+            let (name, retry_after) = (request_name(*request), Millis(*retry_after));
             print_line(out, reply::REJECT, &[(field::REQUEST, &name), (field::RETRY_AFTER, &retry_after)]);
         }
-        Action::Fail { request, .. } => print_line(out, reply::FAIL, &[(field::REQUEST, &name(*request))]),
+        Action::Fail { request, .. } => {
+            print_line(out, reply::FAIL, &[(field::REQUEST, &request_name(*request))]);
+        }
         Action::CancelAttempt { request, attempt } => {
             let fields: [(&str, &dyn Display); 2] =
-                [(field::REQUEST, &name(*request)), (field::ATTEMPT, attempt)];
+                [(field::REQUEST, &request_name(*request)), (field::ATTEMPT, attempt)];
             print_line(out, reply::CANCEL_ATTEMPT, &fields);
         }
-        Action::Migrate { request } => print_line(out, reply::MIGRATE, &[(field::REQUEST, &name(*request))]),
+        Action::Migrate { request } => {
+            print_line(out, reply::MIGRATE, &[(field::REQUEST, &request_name(*request))]);
+        }
         Action::ProbeServer { server } => print_line(out, reply::PROBE_SERVER, &[(field::SERVER, &server.0)]),
-        // Instances of the simulator do not send one another observations.
+        // In the simulator, instances do not send observations to each other.
         Action::ReportSlowSetup | Action::ReportDrop { .. } => {}
         Action::WatchEndpoints => print_line(out, reply::WATCH_ENDPOINTS, &[(field::ENABLED, &1)]),
         Action::SetTimer(delay) => {
--- a/src/bin/simulator-adapter/values.rs
+++ b/src/bin/simulator-adapter/values.rs
@@ -1,4 +1,4 @@
-//! Parses and prints the values of the simulator's protocol.
+//! Parses and prints values of the simulator's protocol.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,26 +6,27 @@
 use connection_balancer::{Micros, Outcome, Time};
 
 const MICROS_PER_MILLI: u64 = 1000;
-/// Spans of time have to be below this, in milliseconds.
-const SPAN_LIMIT_MILLIS: f64 = 1e15;
+/// Upper limit, exclusive, of durations in milliseconds.
+const DURATION_LIMIT_MILLIS: f64 = 1e15;
 
 pub(crate) fn parse_number<T: FromStr>(text: &str) -> Option<T> {
     text.parse().ok()
 }
 
-/// A finite number.
+/// Parses a finite number.
 pub(crate) fn parse_decimal(text: &str) -> Option<f64> {
     text.parse().ok().filter(|value: &f64| value.is_finite())
 }
 
-/// Milliseconds with a fraction, as whole microseconds.
-pub(crate) fn parse_span(text: &str) -> Option<Micros> {
-    let millis = parse_decimal(text).filter(|millis| (0.0..SPAN_LIMIT_MILLIS).contains(millis))?;
+/// Parses a duration in milliseconds with a fraction, and rounds it to microseconds.
+pub(crate) fn parse_duration(text: &str) -> Option<Micros> {
+    let millis = parse_decimal(text).filter(|millis| (0.0..DURATION_LIMIT_MILLIS).contains(millis))?;
     Some(Micros::from_f64((millis * MICROS_PER_MILLI as f64).round()))
 }
 
+/// Parses a time in milliseconds with a fraction.
 pub(crate) fn parse_time(text: &str) -> Option<Time> {
-    parse_span(text).map(|span| Time(span.0))
+    parse_duration(text).map(|since_start| Time(since_start.0))
 }
 
 pub(crate) fn parse_flag(text: &str) -> Option<bool> {
@@ -50,7 +51,7 @@
     })
 }
 
-/// A span of time, printed as milliseconds.
+/// A duration that is printed in milliseconds, with three decimal places.
 pub(crate) struct Millis(pub Micros);
 
 impl fmt::Display for Millis {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,4 +1,5 @@
-//! The words of the simulator's protocol, beside the names that the code uses. Times are in milliseconds with a fraction.
+//! Names and values of the simulator's protocol as constants under this code's names. Times and durations are
+//! in milliseconds with a fraction.
 
 /// Names of messages to the adapter.
 pub(crate) mod message {
@@ -11,7 +12,7 @@
     pub(crate) const ENDPOINT_SET_ENTRY: &str = "ITEM";
     pub(crate) const ENDPOINTS_SYNCED: &str = "SYNC";
     pub(crate) const REQUEST_ARRIVED: &str = "INGRESS";
-    /// A connection that was open before the start.
+    /// A connection established before the instance started.
     pub(crate) const CONNECTION_RESTORED: &str = "INHERITED";
     pub(crate) const CONNECTION_ESTABLISHED: &str = "ACK_FIRST";
     pub(crate) const CONNECTION_MEASURED: &str = "INTERIM";
@@ -23,7 +24,7 @@
 
 /// Names of the lines of a reply.
 pub(crate) mod reply {
-    /// The actions that follow are this instance's.
+    /// Names the instance that the following actions belong to.
     pub(crate) const INSTANCE: &str = "SPEAKING";
     pub(crate) const END: &str = "EOR";
     pub(crate) const START_ATTEMPT: &str = "ATTEMPT";
@@ -57,7 +58,7 @@
     pub(crate) const EXPECTED_LOAD: &str = "hint";
     pub(crate) const DEADLINE: &str = "give-up-at";
     pub(crate) const OUTCOME: &str = "ending";
-    /// Whether the client has been answered.
+    /// Whether the client has received its answer.
     pub(crate) const ANSWERED: &str = "last";
     pub(crate) const LOAD_REPORT: &str = "feedback";
     pub(crate) const MEASUREMENT_TOPIC: &str = "topic";
@@ -79,7 +80,7 @@
 /// Values of [`field::SYNC_SCOPE`].
 pub(crate) mod sync_scope {
     pub(crate) const SNAPSHOT: &str = "C";
-    /// A snapshot as well.
+    /// Handled in the same way as [`SNAPSHOT`].
     pub(crate) const FORCED_SNAPSHOT: &str = "F";
     pub(crate) const CHANGES: &str = "D";
     pub(crate) const FAILED: &str = "X";
@@ -91,9 +92,9 @@
     pub(crate) const MESSAGE_TIME: u32 = 2;
 }
 
-/// Value of [`field::TENANT`] of requests without a tenant.
+/// Value of [`field::TENANT`] for requests without a tenant.
 pub(crate) const NO_TENANT: &str = "0";
-/// Value of [`field::TIMER`]: the only timer.
+/// Value of [`field::TIMER`]. The adapter uses a single timer.
 pub(crate) const TIMER_NAME: &str = "wake";
-/// Part of a load report: the number of connections at the server.
+/// Name in a load report for the number of connections at the server.
 pub(crate) const REPORTED_CONNECTIONS: &str = "outstanding";
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,9 +1,10 @@
-//! The adapter as the simulator uses it: frames of messages in, replies output, clear errors for malformed lines.
+//! Runs the adapter as the simulator does: writes frames of messages to its input, and checks its replies and
+//! its errors for malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// What one run of the adapter left.
+/// Exit code and output of one run of the adapter.
 #[derive(Debug, PartialEq)]
 struct Run {
     exit_code: Option<i32>,
@@ -12,13 +13,13 @@
 }
 
 impl Run {
-    /// A run that succeeded with this output and no errors.
+    /// Returns the result of a run that succeeds with this output and without errors.
     fn successful(output: &str) -> Run {
         Run { exit_code: Some(0), output: output.to_owned(), errors: String::new() }
     }
 }
 
-/// Runs the adapter over some input.
+/// Runs the adapter with this input.
 fn run_adapter(input: &str) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -26,15 +27,15 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
     let input = input.to_owned();
     let writer = std::thread::spawn(move || {
-        // A reader that stopped at a malformed line closes the pipe: not this test's concern.
+        // Writing fails if the adapter exits at a malformed line. The tests check its exit code for that.
         let _ = stdin.write_all(input.as_bytes());
     });
-    let output = child.wait_with_output().expect("the adapter ends");
-    writer.join().expect("the writer ends");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
+    let output = child.wait_with_output().expect("the adapter exits");
+    writer.join().expect("the writer thread finishes");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the adapter prints UTF-8");
     Run { exit_code: output.status.code(), output: text(output.stdout), errors: text(output.stderr) }
 }
 
@@ -43,14 +44,14 @@
     limits.try-limit=3\tlimits.retry-after=true\tlimits.max-retry-after=1000.0\tlimits.cancel=true\t\
     an.unknown.key=7\taccounts=\tfamily-info.message-aim=100.0,null";
 
-/// The messages of an endpoint set of servers in service.
+/// Returns the messages of an endpoint set in which all servers are in service.
 fn endpoint_set(set: u32, servers: &[u32]) -> String {
     let entry = |server| format!("ITEM\tsite=north\tcell=0\tmode=in_service\tbackend={server}\tunits=1\n");
     let entries: String = servers.iter().map(entry).collect();
     format!("TABLE\tset-id={set}\trows={}\n{entries}", servers.len())
 }
 
-/// The messages that start an instance with these servers.
+/// Returns the messages that start an instance with these servers.
 fn start_instance(instance: u32, servers: &[u32]) -> String {
     format!(
         "TARGET_INSTANCE\ti={instance}\n{HELLO}\n{}SYNC\tset-id=0\tscope=C\tstamp=1\n",
@@ -58,7 +59,7 @@
     )
 }
 
-/// The message of a new request.
+/// Returns the message of a new request.
 fn new_request(name: &str) -> String {
     format!("INGRESS\txid={name}\tservice=feed\tentity=5\tgive-up-at=4000.5\n")
 }
@@ -81,10 +82,14 @@
 
 #[test]
 fn retries_at_another_server_after_a_failed_attempt() {
-    let later = "FRAME\tt=1100.0\nTARGET_INSTANCE\ti=0\nRESULT\txid=r-a\twait-time=100\tleg=0\tending=4\t\
+    let second_frame =
+        "FRAME\tt=1100.0\nTARGET_INSTANCE\ti=0\nRESULT\txid=r-a\twait-time=100\tleg=0\tending=4\t\
         last=0\tbackend=1\nOVER_TO_YOU\n";
-    let input =
-        format!("FRAME\tt=1000.0\n{}{}OVER_TO_YOU\n{later}", start_instance(0, &[1, 2]), new_request("r-a"));
+    let input = format!(
+        "FRAME\tt=1000.0\n{}{}OVER_TO_YOU\n{second_frame}",
+        start_instance(0, &[1, 2]),
+        new_request("r-a")
+    );
     let Run { exit_code, output, .. } = run_adapter(&input);
     let attempts = output.matches("ATTEMPT\txid=r-a\t").count();
     assert_eq!((exit_code, attempts), (Some(0), 2), "{output}");
@@ -117,9 +122,12 @@
         new_request("r-b")
     );
     let Run { exit_code, output, errors } = run_adapter(&input);
-    let second = output.split("EOR\n").nth(1).unwrap_or("");
+    let second_reply = output.split("EOR\n").nth(1).unwrap_or("");
     assert_eq!((exit_code, errors.as_str()), (Some(0), ""));
-    assert!(second.contains("ATTEMPT\txid=r-b\tbackend=2") && !second.contains("r-a"), "{output}");
+    assert!(
+        second_reply.contains("ATTEMPT\txid=r-b\tbackend=2") && !second_reply.contains("r-a"),
+        "{output}"
+    );
 }
 
 #[test]
@@ -129,9 +137,9 @@
         format!("{}{requests}", start_instance(instance, &[1, 2, 3]))
     };
     let reply = |messages: &str| run_adapter(&format!("FRAME\tt=1000.0\n{messages}OVER_TO_YOU\n")).output;
-    let together = reply(&format!("{}{}", messages(0), messages(1)));
-    let apart = format!("{}{}", reply(&messages(0)).replace("EOR\n", ""), reply(&messages(1)));
-    assert_eq!(together, apart);
+    let in_one_process = reply(&format!("{}{}", messages(0), messages(1)));
+    let in_two_processes = format!("{}{}", reply(&messages(0)).replace("EOR\n", ""), reply(&messages(1)));
+    assert_eq!(in_one_process, in_two_processes);
 }
 
 #[test]
@@ -157,7 +165,7 @@
 
 #[test]
 fn reports_a_malformed_line_with_its_field() {
-    for (line, complaint) in [
+    for (line, expected_error) in [
         ("FRAME\tt=soon", "line 2: FRAME: cannot read field 't' from 'soon'"),
         ("FRAME\tt=-1", "line 2: FRAME: cannot read field 't' from '-1'"),
         ("INGRESS\txid=r-1\tservice=feed", "line 2: INGRESS: field 'give-up-at' is missing"),
@@ -170,7 +178,7 @@
         let Run { exit_code, errors, .. } = run_adapter(&format!("FRAME\tt=1.0\n{line}\nOVER_TO_YOU\n"));
         assert_eq!(
             (exit_code, errors.trim_end()),
-            (Some(1), format!("simulator-adapter: {complaint}").as_str())
+            (Some(1), format!("simulator-adapter: {expected_error}").as_str())
         );
     }
 }
