--- a/src/program/command_line.rs
+++ b/src/program/command_line.rs
@@ -39,8 +39,7 @@
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
     #[argh(option)]
     pub(super) irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for
-    /// balance)
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: no rebalancing)
     #[argh(option)]
     pub(super) rebalance: Option<PathBuf>,
     /// pcap file to which the traffic of the fronts' connections is recorded (default: no recording)
@@ -61,8 +60,7 @@
     /// operator's file of the IRC front, such as deploy/irc.json (default: no IRC)
     #[argh(option)]
     pub(super) irc: Option<PathBuf>,
-    /// operator's file on rebalancing, such as deploy/rebalance.json (default: clients are not moved for
-    /// balance)
+    /// operator's file on rebalancing, such as deploy/rebalance.json (default: no rebalancing)
     #[argh(option)]
     pub(super) rebalance: Option<PathBuf>,
 }
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -44,9 +44,10 @@
 }
 
 /// Sends a call to the admin endpoint of a balancer and prints the answer.
-fn make_admin_call(mgmt: Option<String>, call: &AdminCall) -> Result<(), CommandError> {
+fn make_admin_call(admin_address: Option<String>, call: &AdminCall) -> Result<(), CommandError> {
     let call = admin::encode_call(call);
-    let address = mgmt.or_else(admin_address_from_environment).ok_or(CommandError::NoAdminAddress)?;
+    let address =
+        admin_address.or_else(admin_address_from_environment).ok_or(CommandError::NoAdminAddress)?;
     let answer = transport::call_admin_endpoint(&address, &call)?;
     print!("{}", answer.replace('\r', ""));
     if admin::is_failure(&answer) {
@@ -57,7 +58,7 @@
 
 fn sources(config: Option<PathBuf>, irc: Option<PathBuf>, rebalance: Option<PathBuf>) -> Sources {
     let platform = config.or_else(|| std::env::var_os(CONFIG_PATH_VARIABLE).map(PathBuf::from));
-    Sources { platform, irc, rebalance, mgmt: admin_address_from_environment() }
+    Sources { platform, operator: irc, rebalance, admin_address: admin_address_from_environment() }
 }
 
 fn serve(options: Serve) -> Result<(), CommandError> {
@@ -112,8 +113,8 @@
     }
 }
 
-/// Parses the command line and runs its command. Logs an error of the command and returns a failure exit code
-/// for it.
+/// Parses the command line and runs its command. If the command fails, logs the error and returns a failure
+/// exit code.
 pub fn run() -> ExitCode {
     let command_line: CommandLine = argh::from_env();
     match run_command(command_line.command) {
--- a/src/program/config/limits.rs
+++ b/src/program/config/limits.rs
@@ -35,8 +35,8 @@
 }
 
 impl Default for Limits {
-    /// As many descriptors as the system allows, at most `MAX_DEFAULT_SOCKETS`, and `DEFAULT_MEMORY_MB` of
-    /// memory.
+    /// As many descriptors as the system allows, at most `MAX_DEFAULT_SOCKETS`, and a modest
+    /// `DEFAULT_MEMORY_MB` megabytes of memory.
     fn default() -> Limits {
         let system_limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = system_limit.map_or(MAX_DEFAULT_SOCKETS, |limit| limit.min(MAX_DEFAULT_SOCKETS));
--- a/src/program/config/log.rs
+++ b/src/program/config/log.rs
@@ -28,7 +28,7 @@
         None => LogConfig::default().levels,
         // The logging library takes a misspelt level for a module's name and would enable all levels of that
         // module. The text is therefore validated before the library parses it.
-        Some(text) => LogConfig::levels(&text).ok_or_else(|| {
+        Some(text) => LogConfig::parse_levels(&text).ok_or_else(|| {
             levels.error(&format!(
                 "expected levels such as info or warn,connection_balancer::transport=debug, got {text:?}"
             ))
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -21,7 +21,7 @@
     /// Resources that the process may use.
     pub limits: Limits,
     /// Address of the admin endpoint. `None` if the file has none.
-    pub mgmt: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Levels and format of the log.
     pub log: LogConfig,
 }
@@ -35,8 +35,8 @@
     let root = JsonNode::root(&document);
     root.reject_unknown_fields(&irc::ROOT_KEYS)?;
     let irc = irc::decode_irc(&root)?;
-    let mgmt = decode_optional_address(&root.field(key::ADMIN_ADDRESS))?;
+    let admin_address = decode_optional_address(&root.field(key::ADMIN_ADDRESS))?;
     let store = decode_store(&root.field(key::STORE))?;
     let log = decode_log(&root.field(key::LOG))?;
-    Ok(Operator { irc, store, limits: Limits::decode(&root.field(key::LIMITS))?, mgmt, log })
+    Ok(Operator { irc, store, limits: Limits::decode(&root.field(key::LIMITS))?, admin_address, log })
 }
--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -41,7 +41,7 @@
     /// Resources that the process may use, as configured by the platform.
     pub limits: Limits,
     /// Address of the admin endpoint. `None` if the configuration has none.
-    pub mgmt: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Addresses for gossip with the other balancers of the tier. `None` if they are incomplete or the
     /// settings disable gossip.
     pub peers: Option<PeersAt>,
@@ -79,7 +79,7 @@
         known: http::decode_endpoint_list(&root.field(key::CACHED_ENDPOINT_LIST))?,
         pool,
         limits: Limits::decode(&root.field(key::LIMITS))?,
-        mgmt: decode_optional_address(&root.field(key::ADMIN_ADDRESS))?,
+        admin_address: decode_optional_address(&root.field(key::ADMIN_ADDRESS))?,
         peers,
     })
 }
--- a/src/program/config/rebalance.rs
+++ b/src/program/config/rebalance.rs
@@ -56,7 +56,7 @@
     }
     if config.min_gain_over_cost < 1.0 {
         let reason = format!(
-            "expected at least 1, got {}; below 1, migrations would cost more than they gain",
+            "expected at least 1, got {}; a lower value would allow migrations that cost more than they gain",
             config.min_gain_over_cost
         );
         return Err(min_gain_over_cost.error(&reason));
--- a/src/program/config/replicated_entry.rs
+++ b/src/program/config/replicated_entry.rs
@@ -18,16 +18,19 @@
     let (is_valid, expected) = match key.split_once('/') {
         Some((ENDPOINT, name)) => {
             let valid_value = value.is_none_or(|text| stored_endpoint(name, text).is_some());
-            (valid_value && !name.is_empty(), "host/NAME with value ADDRESS [ZONE [WEIGHT]] or no value")
+            (
+                valid_value && !name.is_empty(),
+                "host/NAME with a nonempty NAME, and value ADDRESS [ZONE [WEIGHT]] or none",
+            )
         }
         Some((EXCLUSION, name)) => {
             let valid_value = value.is_none_or(|text| text == GONE);
             let expected =
-                "life/NAME with value gone or no value; to remove a server temporarily, use exclude";
+                "life/NAME with a nonempty NAME, and value gone or none; to remove a server temporarily, use exclude";
             (valid_value && !name.is_empty(), expected)
         }
         Some((LIMIT, "connections")) => {
-            (value.is_none_or(|text| text.parse::<usize>().is_ok()), "a number of connections or no value")
+            (value.is_none_or(|text| text.parse::<usize>().is_ok()), "a number of connections or none")
         }
         _ => (false, "a key host/NAME, life/NAME or limit/connections"),
     };
--- a/src/program/config/sources.rs
+++ b/src/program/config/sources.rs
@@ -11,17 +11,18 @@
 use super::rebalance::parse_rebalance;
 use crate::protocol::json::DecodeError;
 
-/// Files and environment values that the configuration is read from, at start and on each SIGHUP.
+/// Paths of the configuration files, and the address of the admin endpoint from the environment. The files
+/// are read at start and again on each SIGHUP.
 #[derive(Debug)]
 pub struct Sources {
     /// Path of the platform's configuration.
     pub platform: Option<PathBuf>,
     /// Path of the operator's file, which configures the IRC front.
-    pub irc: Option<PathBuf>,
+    pub operator: Option<PathBuf>,
     /// Path of the operator's file on rebalancing.
     pub rebalance: Option<PathBuf>,
     /// Address of the admin endpoint, from the environment. It applies if neither file has one.
-    pub mgmt: Option<String>,
+    pub admin_address: Option<String>,
 }
 
 impl Sources {
@@ -33,8 +34,8 @@
         let parse_address = |text: &str| {
             text.parse().map_err(|source| ConfigError::AdminAddress { value: text.to_owned(), source })
         };
-        let admin_address = self.mgmt.as_deref().map(parse_address).transpose()?;
-        let mut config = read_config(self.platform.as_deref(), self.irc.as_deref(), admin_address)?;
+        let admin_address = self.admin_address.as_deref().map(parse_address).transpose()?;
+        let mut config = read_config(self.platform.as_deref(), self.operator.as_deref(), admin_address)?;
         if let Some(rebalance_by_front) = read_and_parse(self.rebalance.as_deref(), parse_rebalance)? {
             let platform = config.platform.as_mut().map(|platform| &mut platform.pool);
             let irc = config.irc.as_mut().map(|irc| &mut irc.pool);
@@ -73,19 +74,19 @@
 /// configured.
 pub fn read_config(
     platform: Option<&Path>,
-    irc: Option<&Path>,
+    operator: Option<&Path>,
     default_admin_address: Option<SocketAddr>,
 ) -> Result<Config, ConfigError> {
-    let operator = read_and_parse(irc, parse_operator)?;
+    let operator = read_and_parse(operator, parse_operator)?;
     let operator_limits = operator.as_ref().map(|operator| operator.limits);
-    let operator_admin_address = operator.as_ref().and_then(|operator| operator.mgmt);
+    let operator_admin_address = operator.as_ref().and_then(|operator| operator.admin_address);
     let log = operator.as_ref().map(|operator| operator.log.clone()).unwrap_or_default();
     let (irc, store) = operator.map_or((None, None), |operator| (Some(operator.irc), operator.store));
     let platform = read_and_parse(platform, parse_platform)?;
     // Both fronts share one process, so the lower limits apply.
     let platform_limits = platform.as_ref().map(|platform| platform.limits);
     let limits = [platform_limits, operator_limits].into_iter().flatten().reduce(Limits::min);
-    let platform_admin_address = platform.as_ref().and_then(|platform| platform.mgmt);
+    let platform_admin_address = platform.as_ref().and_then(|platform| platform.admin_address);
     let mgmt = platform_admin_address.or(operator_admin_address).or(default_admin_address);
     let has_probes = platform
         .as_ref()
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -50,7 +50,7 @@
     /// Parses a comma-separated list of levels: a level alone applies to all modules, and `MODULE=LEVEL` to a
     /// module of this program. Modules may also have the program's former name, as in `sagemount::…`. Returns
     /// `None` if the text does not have this form.
-    pub fn levels(text: &str) -> Option<Targets> {
+    pub fn parse_levels(text: &str) -> Option<Targets> {
         let text = &text.replace(FORMER_CRATE, CRATE);
         let is_level = |text: &str| !text.is_empty() && text.parse::<LevelFilter>().is_ok();
         let is_valid = |part: &str| match part.split_once('=') {
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -9,7 +9,7 @@
     for valid in
         ["info", "off", "warn,connection_balancer::transport=debug", "warn,sagemount::transport=debug"]
     {
-        assert!(LogConfig::levels(valid).is_some(), "{valid}");
+        assert!(LogConfig::parse_levels(valid).is_some(), "{valid}");
     }
     for invalid in [
         "loud",
@@ -19,7 +19,7 @@
         "sagemount::transport=loud",
         "info,",
     ] {
-        assert!(LogConfig::levels(invalid).is_none(), "{invalid}");
+        assert!(LogConfig::parse_levels(invalid).is_none(), "{invalid}");
     }
 }
 
