--- a/src/program/config/replicated_entry.rs
+++ b/src/program/config/replicated_entry.rs
@@ -25,8 +25,8 @@
         }
         Some((EXCLUSION, name)) => {
             let valid_value = value.is_none_or(|text| text == GONE);
-            let expected =
-                "life/NAME with a nonempty NAME, and value gone or none; to remove a server temporarily, use exclude";
+            let expected = "life/NAME with a nonempty NAME, and value gone or none; \
+                 to remove a server temporarily, use exclude";
             (valid_value && !name.is_empty(), expected)
         }
         Some((LIMIT, "connections")) => {
