--- a/simulation/src/commands/day.rs
+++ b/simulation/src/commands/day.rs
@@ -1,4 +1,4 @@
-//! One day, second by second.
+//! Simulates one day and prints it second by second.
 
 use argh::FromArgs;
 use simulation::comparison::with_rebalancing;
@@ -7,7 +7,7 @@
 use simulation::scenario::{Scenario, ALL_SCENARIOS};
 use simulation::session_store::StoreCondition;
 
-/// One day, second by second.
+/// simulate one day and print it second by second
 #[derive(FromArgs)]
 #[argh(subcommand, name = "day")]
 pub(crate) struct DayArgs {
@@ -20,7 +20,7 @@
     /// mean demand of the clients, as a share of capacity (default: 0.72)
     #[argh(option, default = "0.72", long = "used")]
     demand_share: f64,
-    /// most migrations a second; 0 for rebalancing off (default: 2)
+    /// limit on migrations per second of each balancer; 0 turns rebalancing off (default: 2)
     #[argh(option, default = "2.0", long = "most")]
     max_migrations_per_second: f64,
 }
@@ -29,10 +29,10 @@
     ALL_SCENARIOS.into_iter().find(|scenario| format!("{scenario:?}").eq_ignore_ascii_case(name))
 }
 
-/// Plays and prints a day. Returns whether no invariant was violated.
+/// Simulates and prints a day. Returns whether no invariant was violated.
 pub(crate) fn run_day(args: &DayArgs) -> bool {
     let Some(scenario) = find_scenario(&args.scenario) else {
-        eprintln!("no scenario is called {}: one of {ALL_SCENARIOS:?} is wanted", args.scenario);
+        eprintln!("unknown scenario {}; expected one of {ALL_SCENARIOS:?}", args.scenario);
         return false;
     };
     let mut deployment = Deployment { demand_share: args.demand_share, ..Deployment::default() };
--- a/simulation/src/commands/faults.rs
+++ b/simulation/src/commands/faults.rs
@@ -1,4 +1,4 @@
-//! Rebalancing off against on, for every scenario.
+//! Compares rebalancing off and on for every scenario.
 
 use argh::FromArgs;
 use simulation::comparison::{grid_deployment, play_days, with_rebalancing, Comparison, GRID_GROUP_SIZES};
@@ -9,20 +9,20 @@
 use super::parallel::map_parallel;
 use super::table::{print_header, print_row};
 
-/// Rebalancing off against on, for every scenario of faults.
+/// compare rebalancing off and on for every scenario of faults
 #[derive(FromArgs)]
 #[argh(subcommand, name = "troubles")]
 pub(crate) struct FaultsArgs {
-    /// pairs for each cell (default: 20)
+    /// pairs of days for each row (default: 20)
     #[argh(option, default = "20")]
     seeds: u64,
-    /// most migrations a second (default: 2)
+    /// limit on migrations per second of each balancer (default: 2)
     #[argh(option, default = "2.0", long = "most")]
     max_migrations_per_second: f64,
     /// mean lifetime of a connection in seconds (default: 40)
     #[argh(option, default = "40.0", long = "life")]
     mean_lifetime_seconds: f64,
-    /// servers do not report how long messages take
+    /// servers do not report message times
     #[argh(switch)]
     silent: bool,
     /// mean demand of the clients, as a share of capacity (default: 0.72)
@@ -51,7 +51,7 @@
     jobs
 }
 
-/// Prints the table. Returns whether rebalancing did no harm and violated no invariant.
+/// Prints the table. Returns whether rebalancing did no significant harm and no invariant was violated.
 pub(crate) fn run_faults(args: &FaultsArgs) -> bool {
     let jobs = faults_jobs(args);
     let comparisons = map_parallel(&jobs, |FaultsJob { deployment, scenario }| {
@@ -62,7 +62,7 @@
     });
     print_header();
     for (FaultsJob { deployment, scenario }, comparison) in jobs.iter().zip(&comparisons) {
-        print_row(&format!("{scenario:?}, groups to {}", deployment.group_size.max), comparison);
+        print_row(&format!("{scenario:?}, groups of up to {}", deployment.group_size.max), comparison);
     }
-    comparisons.iter().all(|comparison| comparison.harmless() && comparison.violations.is_empty())
+    comparisons.iter().all(|comparison| comparison.is_harmless() && comparison.violations.is_empty())
 }
--- a/simulation/src/commands/grid.rs
+++ b/simulation/src/commands/grid.rs
@@ -1,4 +1,4 @@
-//! Rebalancing off against on, over a grid of conditions.
+//! Compares rebalancing off and on over a grid of conditions.
 
 use argh::FromArgs;
 use simulation::comparison::{
@@ -12,11 +12,11 @@
 use super::parallel::map_parallel;
 use super::table::{print_header, print_row};
 
-/// Rebalancing off against on, over all cells of rate, store, scenario and groups, as a table.
+/// compare rebalancing off and on for all combinations of rate limit, session store, scenario and group size
 #[derive(FromArgs)]
 #[argh(subcommand, name = "grid")]
 pub(crate) struct GridArgs {
-    /// pairs for each cell (default: 20)
+    /// pairs of days for each row (default: 20)
     #[argh(option, default = "20")]
     seeds: u64,
     /// first seed (default: 0)
@@ -24,7 +24,7 @@
     first_seed: u64,
 }
 
-/// Conditions under which all rates are compared.
+/// Conditions under which all rate limits are compared.
 struct GridJob {
     deployment: Deployment,
     scenario: Scenario,
@@ -43,7 +43,7 @@
     jobs
 }
 
-/// Prints the grid. Returns whether rebalancing did no harm and violated no invariant.
+/// Prints the grid. Returns whether rebalancing did no significant harm and no invariant was violated.
 pub(crate) fn run_grid(args: &GridArgs) -> bool {
     let seeds = args.first_seed..args.first_seed + args.seeds;
     let jobs = grid_jobs();
@@ -55,17 +55,21 @@
         })
     });
     print_header();
-    let mut sound = true;
-    for (GridJob { deployment, scenario, store }, of_rates) in jobs.iter().zip(&comparisons) {
+    let mut passed = true;
+    for (GridJob { deployment, scenario, store }, rate_comparisons) in jobs.iter().zip(&comparisons) {
         let max_group = deployment.group_size.max;
-        for (rate, comparison) in GRID_RATES.iter().zip(of_rates) {
-            let name = format!("{scenario:?}, {store:?}, groups to {max_group}, at most {rate}");
+        for (rate, comparison) in GRID_RATES.iter().zip(rate_comparisons) {
+            let name =
+                format!("{scenario:?}, {store:?}, groups of up to {max_group}, at most {rate} migrations/s");
             print_row(&name, comparison);
-            sound &= comparison.harmless() && comparison.violations.is_empty();
+            passed &= comparison.is_harmless() && comparison.violations.is_empty();
         }
     }
     let upper_ends = comparisons.iter().flatten().map(|cell| cell.gain + cell.half_interval);
-    let worst = upper_ends.fold(f64::INFINITY, f64::min);
-    println!("\nworst upper end of a gain: {worst:+.4}; {}", if sound { "sound" } else { "NOT SOUND" });
-    sound
+    let lowest_upper_end = upper_ends.fold(f64::INFINITY, f64::min);
+    println!(
+        "\nlowest upper end of a gain's 95% interval: {lowest_upper_end:+.4}; {}",
+        if passed { "sound" } else { "NOT SOUND" }
+    );
+    passed
 }
--- a/simulation/src/commands/mod.rs
+++ b/simulation/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The sub-commands. Each returns whether what it shows is as it should be.
+//! Sub-commands of the simulation. Each returns whether its checks passed.
 
 mod cost;
 mod day;
--- a/simulation/src/commands/table.rs
+++ b/simulation/src/commands/table.rs
@@ -1,13 +1,13 @@
-//! Prints comparisons as a table.
+//! Prints comparisons as rows of a table.
 
 use simulation::comparison::Comparison;
 
-/// Violations that are printed for each comparison.
+/// Number of violations that are printed for each comparison.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
 pub(super) fn print_header() {
     println!(
-        "| cell | served value off | gain | noise | migrations a day | per 1,000 connection-minutes | |"
+        "| case | served value off | gain | 95% half-interval | migrations/day | per 1,000 connection-minutes | |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
 }
@@ -15,7 +15,7 @@
 pub(super) fn print_row(name: &str, comparison: &Comparison) {
     println!(
         "| {name} | {:.4} | {:+.4} | {:.4} | {:.1} | {:.2} | {} |",
-        comparison.off,
+        comparison.served_value_off,
         comparison.gain,
         comparison.half_interval,
         comparison.migrations_per_day,
@@ -30,7 +30,7 @@
 fn verdict(comparison: &Comparison) -> &'static str {
     if !comparison.violations.is_empty() {
         "INVARIANT VIOLATED"
-    } else if !comparison.harmless() {
+    } else if !comparison.is_harmless() {
         "WORSE"
     } else if comparison.gain > comparison.half_interval {
         "better"
--- a/simulation/src/comparison.rs
+++ b/simulation/src/comparison.rs
@@ -1,4 +1,4 @@
-//! Days in pairs: the same clients and faults with rebalancing off and on.
+//! Comparison of pairs of days with the same clients and faults, one with rebalancing off and one with it on.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -7,12 +7,12 @@
 use crate::scenario::Scenario;
 use crate::session_store::StoreCondition;
 
-/// The grid's limits on migrations a second, for each balancer.
+/// Rate limits of the grid, in migrations per second of each balancer.
 pub const GRID_RATES: [f64; 5] = [0.1, 1.0, 5.0, 20.0, f64::INFINITY];
-/// The grid's conditions of the session store.
+/// Conditions of the session store in the grid.
 pub const GRID_STORES: [StoreCondition; 3] =
     [StoreCondition::Normal, StoreCondition::Slow, StoreCondition::SlowMidway];
-/// The grid's scenarios.
+/// Scenarios of the grid.
 pub const GRID_SCENARIOS: [Scenario; 5] = [
     Scenario::None,
     Scenario::ServerRestart,
@@ -20,43 +20,44 @@
     Scenario::BalancerRestart,
     Scenario::SlowServer,
 ];
-/// The grid's group sizes.
+/// Group sizes of the grid.
 pub const GRID_GROUP_SIZES: [GroupSize; 2] = [GroupSize::SINGLE, GroupSize { min: 5, max: 60 }];
 
-/// Two-sided confidence of the interval around a gain, as the quantile of its upper end.
+/// Quantile at the upper end of the two-sided 95% interval around a gain.
 const UPPER_QUANTILE: f64 = 0.975;
-/// The quantile of Student's distribution that is assumed if it cannot be computed.
+/// Quantile of Student's t-distribution that is used if it cannot be computed.
 const FALLBACK_QUANTILE: f64 = 2.0;
-/// The least connection-minutes that are divided by: avoids a division by zero.
+/// Lower bound of a divisor in connection-minutes, which avoids a division by zero.
 const MIN_CONNECTION_MINUTES: f64 = 1e-9;
 
-/// The grid's deployment: servers that can take its largest group, at a load at which imbalance has an effect.
+/// Returns the deployment of the grid. Its servers have the capacity for the largest group, and its demand is
+/// high enough for imbalance to have an effect.
 pub fn grid_deployment(group_size: GroupSize) -> Deployment {
     let server_capacity = if group_size.has_groups() { 120.0 } else { 30.0 };
-    // Split groups add to the demand of the clients.
+    // Groups that are spread over several servers add load to the demand of the clients.
     let demand_share = if group_size.has_groups() { 0.6 } else { 0.8 };
     Deployment { group_size, server_capacity, demand_share, ..Deployment::default() }
 }
 
-/// What rebalancing did to the served value of a day, over pairs of days.
+/// Effect of rebalancing on the served value, over pairs of days.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     /// Mean served value with rebalancing off.
-    pub off: f64,
-    /// Mean gain in served value.
+    pub served_value_off: f64,
+    /// Mean gain in served value by rebalancing.
     pub gain: f64,
-    /// Half of the 95% interval around the gain.
+    /// Half the width of the 95% interval around the gain.
     pub half_interval: f64,
-    /// Migrations for balance a day.
+    /// Migrations by rebalancing per day.
     pub migrations_per_day: f64,
-    /// Migrations for balance a connection-minute.
+    /// Migrations by rebalancing per connection-minute.
     pub migrations_per_minute: f64,
-    /// Invariants violated, on either side.
+    /// Descriptions of violated invariants, with rebalancing off or on.
     pub violations: Vec<String>,
 }
 
 impl Comparison {
-    /// Compares days that were played in pairs.
+    /// Compares pairs of days; entries with the same index form a pair.
     pub fn new(off: &[DayResult], on: &[DayResult]) -> Comparison {
         let pairs = off.len().min(on.len()).max(1) as f64;
         let gains: Vec<f64> =
@@ -65,7 +66,7 @@
         let migrations: u64 = on.iter().map(|day| day.migrations_for_balance).sum();
         let minutes: f64 = on.iter().map(|day| day.connection_minutes).sum();
         Comparison {
-            off: off.iter().map(|day| day.served_value).sum::<f64>() / pairs,
+            served_value_off: off.iter().map(|day| day.served_value).sum::<f64>() / pairs,
             gain,
             half_interval: half_interval(&gains, gain, pairs),
             migrations_per_day: migrations as f64 / pairs,
@@ -74,21 +75,22 @@
         }
     }
 
-    /// Whether rebalancing did no harm that the pairs' noise does not explain.
-    pub fn harmless(&self) -> bool {
+    /// Returns whether rebalancing did no significant harm: the 95% interval of the gain reaches 0 or above.
+    pub fn is_harmless(&self) -> bool {
         self.gain >= -self.half_interval
     }
 }
 
+/// Returns half the width of the 95% interval around the mean of paired gains.
 fn half_interval(gains: &[f64], mean: f64, pairs: f64) -> f64 {
-    let degrees = (pairs - 1.0).max(1.0);
-    let variance = gains.iter().map(|gain| (gain - mean).powi(2)).sum::<f64>() / degrees;
-    let distribution = StudentsT::new(0.0, 1.0, degrees);
+    let degrees_of_freedom = (pairs - 1.0).max(1.0);
+    let variance = gains.iter().map(|gain| (gain - mean).powi(2)).sum::<f64>() / degrees_of_freedom;
+    let distribution = StudentsT::new(0.0, 1.0, degrees_of_freedom);
     let quantile = distribution.map_or(FALLBACK_QUANTILE, |t| t.inverse_cdf(UPPER_QUANTILE));
     quantile * (variance / pairs).sqrt()
 }
 
-/// Plays days of these seeds.
+/// Simulates one day for each seed.
 pub fn play_days(
     deployment: &Deployment,
     scenario: Scenario,
@@ -98,7 +100,7 @@
     seeds.map(|seed| play(deployment, scenario, store, seed)).collect()
 }
 
-/// The same deployment with rebalancing on, with a limit on the migrations of each balancer.
+/// Returns the deployment with rebalancing enabled and a rate limit for each balancer.
 pub fn with_rebalancing(deployment: &Deployment, max_migrations_per_second: f64) -> Deployment {
     let mut deployment = deployment.clone();
     deployment.rebalance.enabled = true;
--- a/simulation/src/day/attempts.rs
+++ b/simulation/src/day/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers: their arrival, the setup, and their end.
+//! Attempts at servers: arrival, connection setup and end.
 
 use crate::deployment::VirtualTime;
 use connection_balancer::routing::{AttemptOutcome, Input};
@@ -8,16 +8,16 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::MEAN_LOAD_MICROS_PER_S;
 
-/// Messages that a setup takes at the server, beside the call to the session store.
+/// Duration of a setup at the server, in mean message times. The session store's processing time is added.
 const SETUP_MESSAGES: f64 = 2.0;
 
 impl Day<'_> {
-    /// The number of a request's latest attempt.
+    /// Returns the number of a request's latest attempt, counted from 0.
     pub(super) fn latest_attempt(&self, request: ConnectionRef) -> u32 {
         self.invariants.attempts(request).saturating_sub(1)
     }
 
-    /// Closes a request's attempt, and with it its connection at the server.
+    /// Closes a request's attempt and removes its connection from the server.
     pub(super) fn close_attempt(&mut self, request: ConnectionRef) {
         self.invariants.on_attempt_ended(request);
         let connections = &mut self.balancers[request.balancer].connections;
@@ -27,10 +27,10 @@
         }
     }
 
-    /// An attempt's request arrives at its server, which begins to set it up or rejects it.
+    /// Handles the arrival of an attempt at its server, which begins the setup or rejects the attempt.
     pub(super) fn accept_attempt(&mut self, attempt: AttemptRef) {
-        let AttemptRef { connection: request, server, .. } = attempt;
-        if !self.is_running(request.balancer_ref()) {
+        let AttemptRef { request, server, .. } = attempt;
+        if !self.is_current_process(request.balancer_ref()) {
             return;
         }
         let Some(client) = self.client_of(request) else { return };
@@ -45,14 +45,16 @@
         self.begin_setup(attempt, client);
     }
 
+    /// Notifies the balancer that an attempt ended before its setup began.
     fn fail_attempt(&mut self, attempt: AttemptRef, end: AttemptOutcome) {
-        let ConnectionRef { balancer, connection, .. } = attempt.connection;
-        self.invariants.on_attempt_ended(attempt.connection);
+        let ConnectionRef { balancer, connection, .. } = attempt.request;
+        self.invariants.on_attempt_ended(attempt.request);
         self.feed(balancer, Input::AttemptEnded { connection, attempt: attempt.attempt, end });
     }
 
+    /// Adds the connection to the server and schedules the completion of its setup.
     fn begin_setup(&mut self, attempt: AttemptRef, client: usize) {
-        let AttemptRef { connection: request, server: index, .. } = attempt;
+        let AttemptRef { request, server: index, .. } = attempt;
         let profile = &self.clients[client];
         let server = &mut self.servers[index];
         let warmth = server.warmth(self.now);
@@ -63,17 +65,18 @@
         if let Some(open) = self.balancers[request.balancer].connections.get_mut(&request.connection) {
             open.server = Some(index);
         }
-        // Connections that are established at the start are in the session store already.
-        let called = if self.now <= NETWORK_DELAY { self.now } else { self.store.call(self.now) };
-        let setup = server.message_micros(self.now) * SETUP_MESSAGES;
+        // Connections that are established at the start of the day are in the session store already.
+        let stored_at = if self.now <= NETWORK_DELAY { self.now } else { self.store.enqueue_setup(self.now) };
+        let setup_duration = server.message_micros(self.now) * SETUP_MESSAGES;
         let server_incarnation = server.incarnation;
-        self.schedule(called + setup as VirtualTime, Event::SetupCompletes { attempt, server_incarnation });
+        let completes_at = stored_at + setup_duration as VirtualTime;
+        self.schedule(completes_at, Event::SetupCompletes { attempt, server_incarnation });
     }
 
-    /// A server has set up an attempt's connection: it is established, if the attempt is still wanted.
+    /// Handles the completion of a setup at a server, which establishes the connection of a current attempt.
     pub(super) fn complete_setup(&mut self, attempt: AttemptRef, server_incarnation: u64) {
-        let AttemptRef { connection: request, attempt: number, server } = attempt;
-        if !self.is_running(request.balancer_ref()) || !self.is_wanted(attempt, server_incarnation) {
+        let AttemptRef { request, attempt: number, server } = attempt;
+        if !self.is_current_process(request.balancer_ref()) || !self.is_current(attempt, server_incarnation) {
             return;
         }
         let Some(client) = self.client_of(request) else { return };
@@ -86,9 +89,10 @@
         self.feed(balancer, Input::LoadReported { connection, load });
     }
 
-    /// Whether a client still waits for this attempt, and this process of the server still runs.
-    fn is_wanted(&self, attempt: AttemptRef, server_incarnation: u64) -> bool {
-        let request = attempt.connection;
+    /// Returns whether the client still waits for this attempt and the server process that began the setup
+    /// still runs.
+    fn is_current(&self, attempt: AttemptRef, server_incarnation: u64) -> bool {
+        let request = attempt.request;
         let connections = &self.balancers[request.balancer].connections;
         let Some(open) = connections.get(&request.connection) else { return false };
         let server = &self.servers[attempt.server];
@@ -96,11 +100,11 @@
             && server.incarnation == server_incarnation
             && open.server == Some(attempt.server)
             && self.client_states[open.client].phase == ClientPhase::Requesting(request)
-            // An attempt that was closed and one that followed it may be at the same server.
+            // A closed attempt and a later attempt of the same request can be at the same server.
             && self.latest_attempt(request) == attempt.attempt
     }
 
-    /// A server ends an established connection.
+    /// Ends a client's established connection from the server's side; the client reconnects.
     pub(super) fn end_by_server(&mut self, client: usize, end: AttemptOutcome) {
         let ClientPhase::Connected { connection: request, .. } = self.client_states[client].phase else {
             return;
--- a/simulation/src/day/balancer.rs
+++ b/simulation/src/day/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer: a real reducer, and the connections that are open at it.
+//! A simulated balancer: a real reducer and its open connections.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,15 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::new_reducer;
 
-/// Factors that derive a balancer's seed from the day's.
+/// Factors that derive a balancer process's seed from the day's seed.
 const DAY_SEED_FACTOR: u64 = 1_000_003;
 const BALANCER_SEED_FACTOR: u64 = 101;
 
-/// A process of a balancer.
+/// Identifies one process of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct BalancerRef {
     pub(super) index: usize,
+    /// Number of the process; each restart of the balancer adds 1.
     pub(super) incarnation: u64,
 }
 
@@ -24,20 +25,21 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenConnection {
     pub(super) client: usize,
-    /// The server of its attempt, once that is being set up.
+    /// Index of its attempt's server, once the setup has begun.
     pub(super) server: Option<usize>,
 }
 
-/// A balancer.
+/// A balancer and the state of its current process.
 pub(super) struct Balancer {
     pub(super) state: State,
     pub(super) up: bool,
-    /// Numbers its processes.
+    /// Number of the current process; each restart adds 1.
     pub(super) incarnation: u64,
     pub(super) connections: BTreeMap<ConnectionId, OpenConnection>,
     last_connection: u64,
-    /// When its timer fires next.
-    pub(super) next_timer: Option<VirtualTime>,
+    /// Time at which the reducer's timer fires next.
+    pub(super) next_timer_at: Option<VirtualTime>,
+    /// Time at which the last process died; valid while `up` is false.
     pub(super) died_at: VirtualTime,
 }
 
@@ -50,7 +52,7 @@
         ConnectionRef { balancer: index, incarnation: self.incarnation, connection }
     }
 
-    /// Adds a connection for a client.
+    /// Adds a connection of a client and returns its ID.
     pub(super) fn add_connection(&mut self, client: usize) -> ConnectionId {
         self.last_connection += 1;
         let connection = ConnectionId(self.last_connection);
@@ -60,7 +62,7 @@
 }
 
 impl Day<'_> {
-    /// A balancer without any state but its settings.
+    /// Returns a newly started balancer, which has its settings and no other state.
     pub(super) fn new_balancer(&self, index: usize, incarnation: u64) -> Balancer {
         let day_seed = self.seed.wrapping_mul(DAY_SEED_FACTOR);
         let seed = day_seed.wrapping_add(index as u64 * BALANCER_SEED_FACTOR + incarnation);
@@ -70,14 +72,14 @@
             incarnation,
             connections: BTreeMap::new(),
             last_connection: 0,
-            next_timer: None,
+            next_timer_at: None,
             died_at: 0,
         }
     }
 }
 
 impl ConnectionRef {
-    /// The process that holds the connection.
+    /// Returns the balancer process that holds the connection.
     pub(super) fn balancer_ref(self) -> BalancerRef {
         BalancerRef { index: self.balancer, incarnation: self.incarnation }
     }
--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -1,4 +1,4 @@
-//! What clients do: connect, wait, reconnect, give up and leave.
+//! Events of clients: connect, end of the wait, reconnect, and departure.
 
 use connection_balancer::Micros;
 use std::collections::BTreeMap;
@@ -13,27 +13,27 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::server_name;
 
-/// Time for which the front goes on sending clients to a dead balancer.
-const FRONT_DETECTION_TIME: VirtualTime = 2 * SECOND;
-/// Number of times that a client retries soon after a rejection or a failure.
+/// Duration for which the front still sends clients to a balancer that has died.
+const FRONT_DETECTION_DELAY: VirtualTime = 2 * SECOND;
+/// Number of retries after rejections or failures before [`SLOW_RETRY_DELAY`] is added.
 const QUICK_RETRIES: u32 = 2;
-/// Time until a client reconnects after a migration or a break.
+/// Duration until a client reconnects after a migration or a broken connection.
 const RECONNECT_DELAY: std::ops::Range<VirtualTime> = 100_000..1_300_000;
-/// Time until a client retries without a Retry-After.
+/// Duration until a client retries if it received no Retry-After.
 const RETRY_DELAY: std::ops::Range<VirtualTime> = 200_000..1_500_000;
-/// Additional time once its quick retries are used up.
+/// Additional duration until a client retries once its quick retries are used up.
 const SLOW_RETRY_DELAY: std::ops::Range<VirtualTime> = 1_000_000..4_000_000;
 
-/// Where a client is.
+/// Phase of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ClientPhase {
-    /// Without a connection; it connects at a time that is scheduled.
+    /// The client has no connection; an event at which it connects is scheduled.
     Disconnected,
-    /// It waits for a balancer's answer.
+    /// The client waits for a balancer's answer.
     Requesting(ConnectionRef),
-    /// Its connection is established.
+    /// The client's connection is established.
     Connected { connection: ConnectionRef, server: usize },
-    /// It no longer wants a connection.
+    /// The client has left and makes no further requests.
     Finished,
 }
 
@@ -41,12 +41,12 @@
 #[derive(Debug)]
 pub(super) struct ClientState {
     pub(super) phase: ClientPhase,
-    /// Numbers its requests.
+    /// Number of the current request; events of earlier requests are ignored.
     pub(super) request_number: u32,
-    quick_retries: u32,
-    /// It reconnects after a migration or a break.
+    quick_retries_left: u32,
+    /// Whether the next request follows a migration or a broken connection.
     reconnecting: bool,
-    /// It was migrated at least once.
+    /// Whether the client was migrated at least once.
     pub(super) migrated: bool,
 }
 
@@ -55,7 +55,7 @@
         ClientState {
             phase: ClientPhase::Disconnected,
             request_number: 0,
-            quick_retries: QUICK_RETRIES,
+            quick_retries_left: QUICK_RETRIES,
             reconnecting: false,
             migrated: false,
         }
@@ -63,13 +63,13 @@
 }
 
 impl Day<'_> {
-    /// Requests the connections that are established before the day, and schedules the arrivals.
+    /// Restores the connections that are established at the start of the day, and schedules the arrivals.
     pub(super) fn start_clients(&mut self) {
         let mut group_servers = BTreeMap::new();
         for client in 0..self.clients.len() {
             if !self.clients[client].connected_at_start {
-                let at = self.clients[client].from;
-                self.schedule(at, Event::ClientConnects { client, request_number: 0 });
+                let arrives_at = self.clients[client].arrives_at;
+                self.schedule(arrives_at, Event::ClientConnects { client, request_number: 0 });
                 continue;
             }
             let random_server = self.rng.random_range(0..self.servers.len());
@@ -79,11 +79,12 @@
             };
             let balancer = self.rng.random_range(0..self.balancers.len());
             self.request_connection(client, balancer, Some(server_name(server)));
-            self.schedule(self.clients[client].until, Event::ClientLeaves { client });
+            self.schedule(self.clients[client].leaves_at, Event::ClientLeaves { client });
         }
     }
 
-    /// Requests a connection at a balancer, or restores one that is established at a server.
+    /// Requests a connection at a balancer, or restores one that is established at the server
+    /// `established_at`.
     fn request_connection(&mut self, client: usize, balancer: usize, established_at: Option<String>) {
         let profile = &self.clients[client];
         let class = &CLASSES[profile.class];
@@ -94,7 +95,7 @@
             id: Some(format!("{balancer}-{}-{}", request.incarnation, connection.0)),
             class: class.name.to_owned(),
             group: profile.group,
-            timeout: Some(Micros(class.max_wait)),
+            timeout: Some(Micros(class.max_wait_duration)),
             key: Some(client as u64),
             reconnecting: self.client_states[client].reconnecting,
             established_at,
@@ -104,19 +105,19 @@
         self.feed(balancer, Input::ConnectionRequested { connection, request });
     }
 
-    /// A client connects through the front, which chooses a balancer at random.
+    /// Handles a client's connect. The front chooses a balancer at random.
     pub(super) fn connect_client(&mut self, client: usize, request_number: u32) {
         let state = &self.client_states[client];
         if state.phase != ClientPhase::Disconnected || state.request_number != request_number {
             return;
         }
         if request_number == 0 {
-            self.schedule(self.clients[client].until, Event::ClientLeaves { client });
+            self.schedule(self.clients[client].leaves_at, Event::ClientLeaves { client });
         }
-        let in_front =
-            |balancer: &Balancer| balancer.up || self.now - balancer.died_at < FRONT_DETECTION_TIME;
+        let receives_clients =
+            |balancer: &Balancer| balancer.up || self.now - balancer.died_at < FRONT_DETECTION_DELAY;
         let candidates: Vec<usize> =
-            (0..self.balancers.len()).filter(|&index| in_front(&self.balancers[index])).collect();
+            (0..self.balancers.len()).filter(|&index| receives_clients(&self.balancers[index])).collect();
         if candidates.is_empty() {
             return self.reject_client(client, 0);
         }
@@ -125,31 +126,31 @@
             return self.reject_client(client, 0);
         }
         self.request_connection(client, balancer, None);
-        let max_wait = CLASSES[self.clients[client].class].max_wait;
-        // The balancer counts the wait from when the request reaches it.
-        let gives_up_at = self.now + max_wait + 2 * NETWORK_DELAY;
-        self.schedule(gives_up_at, Event::ClientGivesUp { client, request_number });
+        let max_wait_duration = CLASSES[self.clients[client].class].max_wait_duration;
+        // The balancer counts the wait from the arrival of the request.
+        let wait_ends_at = self.now + max_wait_duration + 2 * NETWORK_DELAY;
+        self.schedule(wait_ends_at, Event::ClientGivesUp { client, request_number });
     }
 
-    /// A client has waited for its full time for the answer to a request.
+    /// Handles the end of a client's longest wait for the answer to a request.
     pub(super) fn end_client_wait(&mut self, client: usize, request_number: u32) {
         let state = &self.client_states[client];
         let ClientPhase::Requesting(request) = state.phase else { return };
         if state.request_number != request_number {
             return;
         }
-        if self.is_running(request.balancer_ref()) {
+        if self.is_current_process(request.balancer_ref()) {
             self.invariants.on_wait_ended(self.now, request);
             self.disconnect_from_balancer(request);
         }
         self.reject_client(client, 0);
     }
 
-    /// A client no longer wants its connection.
+    /// Handles the departure of a client, which closes its connection.
     pub(super) fn remove_client(&mut self, client: usize) {
         let phase = std::mem::replace(&mut self.client_states[client].phase, ClientPhase::Finished);
         if let Some(connection) = phase.connection() {
-            if self.is_running(connection.balancer_ref()) {
+            if self.is_current_process(connection.balancer_ref()) {
                 self.disconnect_from_balancer(connection);
             }
         }
@@ -163,7 +164,7 @@
         self.feed(balancer, Input::SocketsClosed { connection });
     }
 
-    /// A client is asked to reconnect; some do not.
+    /// Handles a migration: the client reconnects with the deployment's return probability, or else leaves.
     pub(super) fn migrate_client(&mut self, client: usize) {
         self.result.migrations += 1;
         self.client_states[client].migrated = true;
@@ -174,30 +175,31 @@
         }
     }
 
-    /// A client's connection broke or is migrated: it reconnects.
+    /// Schedules the reconnect of a client whose connection broke or was migrated.
     pub(super) fn reconnect_client(&mut self, client: usize) {
         let state = &mut self.client_states[client];
         state.phase = ClientPhase::Disconnected;
         state.reconnecting = true;
-        state.quick_retries = QUICK_RETRIES;
+        state.quick_retries_left = QUICK_RETRIES;
         state.request_number += 1;
         let request_number = state.request_number;
         let delay = self.rng.random_range(RECONNECT_DELAY);
         self.schedule(self.now + delay, Event::ClientConnects { client, request_number });
     }
 
-    /// A client's request was rejected or failed: it retries after `retry_after` or, where that is 0, after a
-    /// random delay.
-    pub(super) fn reject_client(&mut self, client: usize, retry_after: VirtualTime) {
+    /// Schedules the retry of a client whose request was rejected or failed: after `retry_after_duration`, or
+    /// after a random delay if that is 0.
+    pub(super) fn reject_client(&mut self, client: usize, retry_after_duration: VirtualTime) {
         self.result.rejected += 1;
         let state = &mut self.client_states[client];
-        let retries_used_up = state.quick_retries == 0;
-        state.quick_retries = state.quick_retries.saturating_sub(1);
+        let quick_retries_used_up = state.quick_retries_left == 0;
+        state.quick_retries_left = state.quick_retries_left.saturating_sub(1);
         state.phase = ClientPhase::Disconnected;
         state.request_number += 1;
         let request_number = state.request_number;
-        let mut delay = if retry_after > 0 { retry_after } else { self.rng.random_range(RETRY_DELAY) };
-        if retries_used_up {
+        let mut delay =
+            if retry_after_duration > 0 { retry_after_duration } else { self.rng.random_range(RETRY_DELAY) };
+        if quick_retries_used_up {
             delay += self.rng.random_range(SLOW_RETRY_DELAY);
         }
         self.schedule(self.now + delay, Event::ClientConnects { client, request_number });
@@ -205,7 +207,7 @@
 }
 
 impl ClientPhase {
-    /// The connection at a balancer, requested or established.
+    /// Returns the client's connection at a balancer, requested or established.
     pub(super) fn connection(self) -> Option<ConnectionRef> {
         match self {
             ClientPhase::Requesting(connection) | ClientPhase::Connected { connection, .. } => {
--- a/simulation/src/day/event_queue.rs
+++ b/simulation/src/day/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their time.
+//! The events of a day, ordered by time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -9,44 +9,44 @@
 use crate::invariants::ConnectionRef;
 use crate::scenario::Fault;
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A client connects through the front; void if it has made another request since.
+    /// A client connects through the front. Ignored if the client has made another request since.
     ClientConnects { client: usize, request_number: u32 },
-    /// It has waited for its full time for this request.
+    /// A client has waited for its longest wait for the answer to this request.
     ClientGivesUp { client: usize, request_number: u32 },
-    /// It no longer wants its connection.
+    /// A client leaves and closes its connection.
     ClientLeaves { client: usize },
-    /// An attempt's request arrives at its server.
+    /// An attempt arrives at its server.
     AttemptArrives(AttemptRef),
-    /// A server's process has set up an attempt's connection.
+    /// A server process has completed the setup of an attempt's connection.
     SetupCompletes { attempt: AttemptRef, server_incarnation: u64 },
     /// A balancer's timer fires.
     TimerFires(BalancerRef),
     /// A changed endpoint list arrives at a balancer.
     EndpointListArrives(BalancerRef),
-    /// A fault happens.
+    /// A fault of the scenario occurs.
     Fault(Fault),
-    /// The servers are brought up to date.
+    /// The servers advance by one step, and the day's course is measured.
     Step,
 }
 
 /// An attempt of a request at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRef {
-    pub(super) connection: ConnectionRef,
-    /// The balancer's number of the attempt.
+    pub(super) request: ConnectionRef,
+    /// Number of the attempt within its request, counted by the balancer.
     pub(super) attempt: u32,
     /// Index of the server.
     pub(super) server: usize,
 }
 
-/// An event with its time.
+/// An event and the time at which it occurs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScheduledEvent {
     pub(super) at: VirtualTime,
-    /// Events of the same time happen in the order in which they were scheduled.
+    /// Number of the `push`. Events with equal times occur in the order in which they were scheduled.
     sequence: u64,
     pub(super) event: Event,
 }
@@ -71,7 +71,7 @@
 
 impl Eq for ScheduledEvent {}
 
-/// The events to come, the earliest first.
+/// The scheduled events, of which `pop` returns the earliest.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
--- a/simulation/src/day/faults.rs
+++ b/simulation/src/day/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of servers and balancers.
+//! Effects of a scenario's faults on servers and balancers.
 
 use connection_balancer::routing::{AttemptOutcome, Input, Lifecycle};
 
@@ -8,6 +8,7 @@
 use crate::scenario::Fault;
 
 impl Day<'_> {
+    /// Applies a fault, or the end of one, to its server or balancer.
     pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::ServerDies(server) => self.kill_server(server),
@@ -33,15 +34,17 @@
         for client in self.servers[server].die() {
             self.reset_connection(client);
         }
-        if !self.deaths_are_unlisted {
+        if !self.dead_servers_remain_listed {
             self.update_endpoint_list(server, Lifecycle::Gone);
         }
     }
 
-    /// A client's connection, or the attempt for it, is reset by the death of its server.
+    /// Resets a client's connection or attempt because its server died. A client with an established
+    /// connection reconnects. An unanswered request continues at its balancer.
     fn reset_connection(&mut self, client: usize) {
         let phase = self.client_states[client].phase;
-        let Some(request) = phase.connection().filter(|request| self.is_running(request.balancer_ref()))
+        let Some(request) =
+            phase.connection().filter(|request| self.is_current_process(request.balancer_ref()))
         else {
             return;
         };
--- a/simulation/src/day/measurement.rs
+++ b/simulation/src/day/measurement.rs
@@ -1,4 +1,5 @@
-//! The servers' progress step by step, and its measurement.
+//! Steps of the servers and measurement of the day. Each step adds the requested and served value of service,
+//! and each second is sampled.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,27 +12,29 @@
 use crate::invariants::ConnectionRef;
 use crate::pool::MIGRATION_COST;
 
-/// Steps between two clients that a draining server sends away.
+/// Number of steps between two connections that a draining server closes.
 const DRAIN_STEPS: u64 = 2;
-/// Servers report message times above this part of the tightest objective.
-const REPORTED_OBJECTIVE_DIVISOR: f64 = 3.0;
-/// Groups with fewer established members do not count as split or whole.
+/// Servers report message times above the tightest message objective divided by this.
+const REPORT_THRESHOLD_DIVISOR: f64 = 3.0;
+/// Fewest established connections of a group that is included in the mean number of servers per group.
 const MIN_MEASURED_GROUP: usize = 3;
-/// The least value and mean that are divided by: avoid a division by zero.
+/// Lower bounds of divisors, a value and a mean, which avoid a division by zero.
 const MIN_VALUE: f64 = 1e-9;
 const MIN_MEAN_CONNECTIONS: f64 = 0.01;
 
-/// The value of all seconds of service up to a time.
+/// Value of service summed since the start of the day.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceValue {
     requested: f64,
     served: f64,
 }
 
-/// Over how many servers groups are spread.
+/// Sums for the mean number of servers over which a group is spread.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupSpread {
+    /// Number of servers, summed over all sampled groups.
     servers: f64,
+    /// Number of sampled groups.
     groups: f64,
 }
 
@@ -39,7 +42,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Measurement {
     value: ServiceValue,
-    /// At the last full second.
+    /// The value at the previous sample.
     last_value: ServiceValue,
     group_spread: GroupSpread,
 }
@@ -52,13 +55,13 @@
 }
 
 impl Day<'_> {
-    /// Servers serve for a step; the value of that is counted.
+    /// Advances the servers by one step, and counts the value of the service in it.
     pub(super) fn step(&mut self) {
         let seconds = STEP_INTERVAL as f64 / 1e6;
         for server in &mut self.servers {
             server.advance(self.now, seconds);
         }
-        self.count_value(seconds);
+        self.add_service_value(seconds);
         if self.now.is_multiple_of(SECOND) {
             self.sample();
             if self.deployment.reports_message_time {
@@ -71,25 +74,27 @@
         self.schedule(self.now + STEP_INTERVAL, Event::Step);
     }
 
-    fn count_value(&mut self, seconds: f64) {
+    /// Adds the value of service that clients requested and received in a step.
+    fn add_service_value(&mut self, seconds: f64) {
         for (client, profile) in self.clients.iter().enumerate() {
-            if profile.from >= self.now {
+            if profile.arrives_at >= self.now {
                 break;
             }
-            if profile.until <= self.now {
+            if profile.leaves_at <= self.now {
                 continue;
             }
             let class = &CLASSES[profile.class];
             self.measurement.value.requested += class.priority_weight * seconds;
             if let ClientPhase::Connected { server, .. } = self.client_states[client].phase {
-                let in_time = self.servers[server].share_within(self.now, class.message_objective_micros);
-                self.measurement.value.served += class.priority_weight * seconds * in_time;
+                let share_in_time =
+                    self.servers[server].share_within(self.now, class.message_objective_micros);
+                self.measurement.value.served += class.priority_weight * seconds * share_in_time;
                 self.result.connection_minutes += seconds / 60.0;
             }
         }
     }
 
-    /// An overloaded server drops a connection, a draining one sends a client away.
+    /// Resets one connection of an overloaded server, and redirects one client of a draining server.
     fn end_connections(&mut self, server: usize) {
         if self.servers[server].drops_connections() {
             self.end_first_connection(server, AttemptOutcome::Reset);
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Samples the day's course, each second.
+    /// Adds this second's samples to the result.
     fn sample(&mut self) {
         self.sample_quality();
         self.sample_servers();
@@ -154,10 +159,10 @@
         }
     }
 
-    /// Each slow server reports its message time on one connection of each balancer.
+    /// Reports the message time of each slow server on one of its connections at each balancer.
     fn report_message_times(&mut self) {
         let objectives = CLASSES.iter().map(|class| class.message_objective_micros);
-        let threshold = objectives.fold(f64::INFINITY, f64::min) / REPORTED_OBJECTIVE_DIVISOR;
+        let threshold = objectives.fold(f64::INFINITY, f64::min) / REPORT_THRESHOLD_DIVISOR;
         for server in 0..self.servers.len() {
             let message_micros = self.servers[server].message_micros(self.now);
             if self.servers[server].up && message_micros > threshold {
@@ -182,13 +187,13 @@
         }
     }
 
-    /// Computes the day's totals.
+    /// Computes the totals of the day, and returns its result.
     pub(super) fn finish(mut self) -> DayResult {
-        let arrived = self.clients.iter().filter(|client| client.from < self.now).count();
+        let arrived_clients = self.clients.iter().filter(|client| client.arrives_at < self.now).count();
         let migrated = self.client_states.iter().filter(|state| state.migrated).count();
         let Measurement { value, group_spread, .. } = self.measurement;
         self.result.served_value = value.served / value.requested.max(MIN_VALUE)
-            - MIGRATION_COST * migrated as f64 / arrived.max(1) as f64;
+            - MIGRATION_COST * migrated as f64 / arrived_clients.max(1) as f64;
         let metrics = self.balancers.iter().filter_map(|balancer| balancer.state.rebalancing(0));
         self.result.migrations_for_balance = metrics.map(|metrics| metrics.migrated).sum();
         if group_spread.groups > 0.0 {
--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -1,4 +1,6 @@
-//! One day: events in the order of their time, around real reducers.
+//! Simulation of one day. Events are processed in the order of their times. An event updates the models of
+//! clients and servers and passes inputs to the balancers' reducers. The reducers' effects schedule further
+//! events.
 
 mod attempts;
 mod balancer;
@@ -17,7 +19,7 @@
 use crate::clients::{self, Client};
 use crate::deployment::{Deployment, SECOND};
 use crate::invariants::{ConnectionRef, InvariantChecker};
-use crate::pool::{from_clock, server_at, to_clock};
+use crate::pool::{from_reducer_clock, server_index, to_reducer_clock};
 use crate::scenario::Scenario;
 use crate::server::Server;
 use crate::session_store::{SessionStore, StoreCondition};
@@ -28,20 +30,20 @@
 use measurement::Measurement;
 pub use result::{DayResult, ServerSample};
 
-/// Time between two updates of the servers.
+/// Duration of a step, by which the servers advance.
 const STEP_INTERVAL: VirtualTime = 100_000;
-/// Time over the network, one way.
+/// Duration of a message's way over the network, in one direction.
 const NETWORK_DELAY: VirtualTime = 600;
-/// Speed of the slow server in [`Scenario::SlowServer`], over the others'.
-const SLOW_SERVER_SPEED: f64 = 0.7;
-/// Sizes of servers, over the deployment's capacity. Balancers do not know them.
-const SERVER_SIZES: std::ops::Range<f64> = 0.9..1.1;
-/// The least rate of arrivals that the session store is sized for, in clients a second.
+/// Capacity of the slow server in [`Scenario::SlowServer`], relative to the other servers.
+const SLOW_SERVER_CAPACITY_FACTOR: f64 = 0.7;
+/// Range of the servers' capacities, relative to the deployment's. The balancers do not know them.
+const SERVER_CAPACITY_FACTORS: std::ops::Range<f64> = 0.9..1.1;
+/// Lower bound of the arrival rate for which the session store is sized, in clients per second.
 const MIN_STORE_ARRIVALS_PER_S: f64 = 0.5;
-/// Distinguishes the day's random generator from that of the clients.
-const SEED_SALT: u64 = 0x5eed;
+/// Gives the day's random generator a different seed than the generator of the clients.
+const DAY_SEED_SALT: u64 = 0x5eed;
 
-/// Plays a day.
+/// Simulates a day and returns its result.
 pub fn play(deployment: &Deployment, scenario: Scenario, store: StoreCondition, seed: u64) -> DayResult {
     let clients = clients::draw(deployment, seed);
     let mut day = Day::new(deployment, &clients, scenario, store, seed);
@@ -59,12 +61,12 @@
     queue: EventQueue,
     balancers: Vec<Balancer>,
     servers: Vec<Server>,
-    /// Each server's entry in the endpoint list.
-    listed: Vec<Lifecycle>,
-    /// Servers that die stay in the endpoint list.
-    deaths_are_unlisted: bool,
+    /// Lifecycle of each server in the endpoint list.
+    listed_lifecycles: Vec<Lifecycle>,
+    /// Whether servers that die remain in the endpoint list.
+    dead_servers_remain_listed: bool,
     store: SessionStore,
-    /// Of each of `clients`.
+    /// State of each client, by its index in `clients`.
     client_states: Vec<ClientState>,
     rng: Pcg64Mcg,
     invariants: InvariantChecker,
@@ -80,11 +82,19 @@
         store: StoreCondition,
         seed: u64,
     ) -> Day<'a> {
-        let mut rng = Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT);
-        let speed =
-            |n: usize| if scenario == Scenario::SlowServer && n == 0 { SLOW_SERVER_SPEED } else { 1.0 };
-        let server =
-            |n: usize| Server::new(deployment.server_capacity * speed(n) * rng.random_range(SERVER_SIZES));
+        let mut rng = Pcg64Mcg::seed_from_u64(seed ^ DAY_SEED_SALT);
+        let capacity_factor = |n: usize| {
+            if scenario == Scenario::SlowServer && n == 0 {
+                SLOW_SERVER_CAPACITY_FACTOR
+            } else {
+                1.0
+            }
+        };
+        let server = |n: usize| {
+            Server::new(
+                deployment.server_capacity * capacity_factor(n) * rng.random_range(SERVER_CAPACITY_FACTORS),
+            )
+        };
         let servers = (0..deployment.servers).map(server).collect();
         let arrivals_per_s = clients::arrivals_per_s(clients, deployment).max(MIN_STORE_ARRIVALS_PER_S);
         Day {
@@ -95,8 +105,8 @@
             queue: EventQueue::default(),
             balancers: Vec::new(),
             servers,
-            listed: vec![Lifecycle::Ready; deployment.servers],
-            deaths_are_unlisted: scenario == Scenario::GoneUnlisted,
+            listed_lifecycles: vec![Lifecycle::Ready; deployment.servers],
+            dead_servers_remain_listed: scenario == Scenario::GoneUnlisted,
             store: SessionStore::new(arrivals_per_s * deployment.store_rate_factor, store),
             client_states: clients.iter().map(|_| ClientState::new()).collect(),
             rng,
@@ -106,7 +116,7 @@
         }
     }
 
-    /// Starts the balancers, establishes the first connections and schedules the faults.
+    /// Starts the balancers, restores the established connections and schedules the faults.
     fn start(&mut self, scenario: Scenario) {
         for balancer in 0..self.deployment.balancers {
             self.balancers.push(self.new_balancer(balancer, 0));
@@ -121,10 +131,11 @@
         self.schedule(STEP_INTERVAL, Event::Step);
     }
 
+    /// Processes events until the end of the day.
     fn run(&mut self) {
-        let end = self.deployment.seconds * SECOND;
+        let ends_at = self.deployment.seconds * SECOND;
         while let Some(ScheduledEvent { at, event, .. }) = self.queue.pop() {
-            if at > end {
+            if at > ends_at {
                 break;
             }
             self.now = at;
@@ -132,6 +143,7 @@
         }
     }
 
+    /// Schedules an event; one whose time has passed occurs now.
     fn schedule(&mut self, at: VirtualTime, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
@@ -147,7 +159,7 @@
             }
             Event::TimerFires(balancer) => self.fire_timer(balancer),
             Event::EndpointListArrives(balancer) => {
-                if self.is_running(balancer) {
+                if self.is_current_process(balancer) {
                     self.send_endpoint_list(balancer.index);
                 }
             }
@@ -156,53 +168,56 @@
         }
     }
 
+    /// Passes the timer to a balancer's reducer, unless the timer was rescheduled or the process has ended.
     fn fire_timer(&mut self, balancer: BalancerRef) {
-        let next_timer = self.balancers[balancer.index].next_timer;
-        if next_timer.is_some_and(|at| at <= self.now) && self.is_running(balancer) {
-            self.balancers[balancer.index].next_timer = None;
+        let next_timer_at = self.balancers[balancer.index].next_timer_at;
+        if next_timer_at.is_some_and(|at| at <= self.now) && self.is_current_process(balancer) {
+            self.balancers[balancer.index].next_timer_at = None;
             self.feed(balancer.index, Input::TimerFired);
         }
     }
 
-    /// Whether this process of a balancer still runs.
-    fn is_running(&self, balancer: BalancerRef) -> bool {
+    /// Returns whether this process of a balancer still runs.
+    fn is_current_process(&self, balancer: BalancerRef) -> bool {
         let current = &self.balancers[balancer.index];
         current.up && current.incarnation == balancer.incarnation
     }
 
-    /// Gives a balancer's reducer an input, carries out its effects and schedules its timer.
+    /// Passes an input to a balancer's reducer, executes its effects and schedules its timer.
     fn feed(&mut self, balancer: usize, input: Input) {
-        let effects = reduce(&mut self.balancers[balancer].state, to_clock(self.now), input);
+        let effects = reduce(&mut self.balancers[balancer].state, to_reducer_clock(self.now), input);
         for effect in effects {
-            self.carry_out(balancer, effect);
+            self.execute_effect(balancer, effect);
         }
-        let next_timer = self.balancers[balancer].state.next_deadline().map(from_clock);
-        if next_timer != self.balancers[balancer].next_timer {
-            self.balancers[balancer].next_timer = next_timer;
+        let next_timer_at = self.balancers[balancer].state.next_deadline().map(from_reducer_clock);
+        if next_timer_at != self.balancers[balancer].next_timer_at {
+            self.balancers[balancer].next_timer_at = next_timer_at;
             let balancer = self.balancers[balancer].reference(balancer);
-            if let Some(at) = next_timer {
+            if let Some(at) = next_timer_at {
                 self.schedule(at, Event::TimerFires(balancer));
             }
         }
     }
 
-    fn carry_out(&mut self, balancer: usize, effect: Effect) {
+    /// Executes an effect of a balancer's reducer on the models of servers and clients.
+    fn execute_effect(&mut self, balancer: usize, effect: Effect) {
         match effect {
             Effect::OpenAttempt { connection, attempt, address, .. } => {
-                let connection = self.balancers[balancer].connection_ref(balancer, connection);
-                let attempt = AttemptRef { connection, attempt, server: server_at(&address) };
-                self.invariants.on_attempt_opened(self.now, connection, attempt.server);
+                let request = self.balancers[balancer].connection_ref(balancer, connection);
+                let attempt = AttemptRef { request, attempt, server: server_index(&address) };
+                self.invariants.on_attempt_opened(self.now, request, attempt.server);
                 self.schedule(self.now + NETWORK_DELAY, Event::AttemptArrives(attempt));
             }
             Effect::CloseAttempt { connection } => {
                 self.close_attempt(self.balancers[balancer].connection_ref(balancer, connection));
             }
             Effect::Answer { connection, answer } => self.answer_client(balancer, connection, answer),
-            // Endpoints are requested once at the start, and sent whenever they change.
+            // Effects of discovery are ignored: the list is delivered at the start and at each change.
             _ => {}
         }
     }
 
+    /// Handles a balancer's final answer to a client, and closes the client's connection.
     fn answer_client(&mut self, balancer: usize, connection: ConnectionId, answer: Answer) {
         let request = self.balancers[balancer].connection_ref(balancer, connection);
         let Some(client) = self.client_of(request) else { return };
@@ -222,7 +237,7 @@
         self.feed(balancer, Input::SocketsClosed { connection });
     }
 
-    /// The client of a connection that is open at a balancer.
+    /// Returns the client of a connection that is open at a balancer.
     fn client_of(&self, request: ConnectionRef) -> Option<usize> {
         let connections = &self.balancers[request.balancer].connections;
         connections.get(&request.connection).map(|open| open.client)
--- a/simulation/src/day/result.rs
+++ b/simulation/src/day/result.rs
@@ -2,40 +2,42 @@
 
 use connection_balancer::rebalance::HoldReason;
 
-/// Totals of a day, and its course second by second.
+/// Totals of a day, and samples of each second.
 #[derive(Clone, Debug, Default)]
 pub struct DayResult {
-    /// Value of well-served seconds over the value of all that was requested, less the price of migrations.
+    /// Served value divided by requested value, minus the cost of migrations. The requested value of a second
+    /// is the priority weight of the client's class. The served value is that weight times the share of
+    /// messages within the objective while the connection is established.
     pub served_value: f64,
-    /// Migrations for any reason.
+    /// Number of migrations for any reason.
     pub migrations: u64,
-    /// Migrations for balance.
+    /// Number of migrations by rebalancing.
     pub migrations_for_balance: u64,
-    /// Rejections and failures.
+    /// Number of requests that were rejected or failed, including those whose clients stopped waiting.
     pub rejected: u64,
-    /// Minutes for which connections were established.
+    /// Total time for which connections were established, in minutes.
     pub connection_minutes: f64,
-    /// Share of the requested value that was served, each second.
+    /// Served share of the requested value, each second.
     pub quality: Vec<f64>,
-    /// Connections of the fullest server over the mean of running servers, each second.
+    /// Number of connections of the fullest server over the mean of running servers, each second.
     pub spread: Vec<f64>,
-    /// Each server, each second.
+    /// Samples of all servers, each second.
     pub servers: Vec<Vec<ServerSample>>,
-    /// Migrations a second that the first balancer allows, each second.
+    /// Rate limit of the first balancer's rebalancing in migrations per second, each second.
     pub rates: Vec<f64>,
-    /// Why rebalancing is on hold at the first balancer, each second.
+    /// Reason why rebalancing is on hold at the first balancer, each second; `None` while it is not on hold.
     pub hold_reasons: Vec<Option<HoldReason>>,
-    /// Mean number of servers at which a group of three or more has members, over the day.
+    /// Mean number of servers over which a group of three or more established connections is spread.
     pub servers_per_group: f64,
     /// Descriptions of violated invariants.
     pub violations: Vec<String>,
 }
 
-/// A server at one point in time.
+/// Sample of a server at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSample {
-    /// Number of its connections.
+    /// Number of connections that are established or being set up.
     pub connections: usize,
-    /// The mean time of a message, in milliseconds.
+    /// Mean message time in milliseconds.
     pub message_millis: f64,
 }
--- a/simulation/src/deployment.rs
+++ b/simulation/src/deployment.rs
@@ -1,37 +1,40 @@
-//! The deployment that a day is played on: sizes, speeds and delays.
+//! The deployment that a day simulates: sizes, rates and delays.
 
 use connection_balancer::rebalance::RebalanceConfig;
 
-/// The simulation's virtual time in microseconds: a moment since the start of the day, or a length of time.
+/// Virtual time in microseconds: either a point in time, counted from the start of the day, or a duration.
+/// Points in time are named `now`, `at`, `..._at` or `..._since`; variables and fields with other names are
+/// durations.
 pub type VirtualTime = u64;
 
 /// Microseconds in a second.
 pub const SECOND: VirtualTime = 1_000_000;
 
-/// Servers, balancers, clients and what is between them.
+/// Sizes and behaviour of servers, balancers, clients, session store and discovery.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Number of servers.
     pub servers: usize,
     /// Capacity of a warm server, in mean connections.
     pub server_capacity: f64,
-    /// Mean demand of the clients, as a share of all capacity.
+    /// Mean load that the clients demand, as a share of the capacity of all servers.
     pub demand_share: f64,
     /// Number of balancers.
     pub balancers: usize,
-    /// How long clients want their connections.
+    /// Distribution of the durations for which clients want their connections.
     pub lifetime: Lifetime,
-    /// How many connections a client's group has.
+    /// Distribution of the number of connections in a group.
     pub group_size: GroupSize,
-    /// Rate of the session store, as a multiple of the mean rate of new connections.
+    /// Rate of the session store while it is not slow, as a multiple of the day's mean arrival rate of
+    /// clients.
     pub store_rate_factor: f64,
-    /// The longest delay after which a change of the endpoint list reaches a balancer; the shortest is half of it.
+    /// Longest duration until a change of the endpoint list reaches a balancer. The shortest is half of it.
     pub list_delay: VirtualTime,
     /// Probability that a client reconnects after a migration.
     pub return_probability: f64,
-    /// Whether servers report how long messages take.
+    /// Whether servers report their message times.
     pub reports_message_time: bool,
-    /// How established connections are migrated for balance.
+    /// Configuration of rebalancing.
     pub rebalance: RebalanceConfig,
     /// Length of the day in seconds.
     pub seconds: u64,
@@ -40,38 +43,39 @@
 /// A log-normal distribution of connection lifetimes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lifetime {
-    /// The mean, in seconds.
+    /// Mean lifetime in seconds.
     pub mean_seconds: f64,
-    /// Standard deviation of the logarithm.
+    /// Standard deviation of the logarithm of a lifetime.
     pub log_deviation: f64,
 }
 
 /// A uniform distribution of group sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupSize {
-    /// The least number of connections.
+    /// Smallest number of connections in a group.
     pub min: usize,
-    /// The largest number of connections.
+    /// Largest number of connections in a group.
     pub max: usize,
 }
 
 impl GroupSize {
-    /// Every client is alone.
+    /// Single clients without groups.
     pub const SINGLE: GroupSize = GroupSize { min: 1, max: 1 };
 
-    /// The mean number of connections.
+    /// Returns the mean number of connections in a group.
     pub fn mean(self) -> f64 {
         (self.min + self.max) as f64 / 2.0
     }
 
-    /// Whether there are groups of several connections.
+    /// Returns whether there are groups of several connections.
     pub fn has_groups(self) -> bool {
         self.max > 1
     }
 }
 
 impl Default for Deployment {
-    /// About the size of the shop: 10 servers, 3 balancers, 300 connections that last 40 s.
+    /// Returns a deployment of about the shop's size: 10 servers with a capacity of 300 mean connections in
+    /// all, 3 balancers, and connections with a mean lifetime of 40 s.
     fn default() -> Deployment {
         Deployment {
             servers: 10,
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -1,23 +1,26 @@
-//! A balancer with established connections and no traffic, to measure its CPU time.
+//! A balancer with established connections and no traffic, for measurements of its CPU time.
 
 use connection_balancer::rebalance::RebalanceConfig;
 use connection_balancer::routing::{reduce, ConnectionId, ConnectionRequest, Input, Lifecycle, State};
 
 use crate::clients::CLASSES;
 use crate::deployment::{Deployment, VirtualTime, SECOND};
-use crate::pool::{endpoint, from_clock, new_reducer, server_name, to_clock, MEAN_LOAD_MICROS_PER_S};
+use crate::pool::{
+    endpoint, from_reducer_clock, new_reducer, server_name, to_reducer_clock, MEAN_LOAD_MICROS_PER_S,
+};
 
 const SERVERS: usize = 20;
 const SEED: u64 = 1;
 
-/// One reducer that holds connections at twenty servers, a little unevenly, and gets no input but time.
+/// A reducer with connections that are spread slightly unevenly over twenty servers. After its creation,
+/// timers are its only input.
 pub struct IdleBalancer {
     state: State,
     now: VirtualTime,
 }
 
 impl IdleBalancer {
-    /// A reducer with a number of connections, with rebalancing enabled or not.
+    /// Creates a reducer with `connections` established connections.
     pub fn new(connections: usize, rebalance: bool) -> IdleBalancer {
         let deployment = Deployment {
             servers: SERVERS,
@@ -39,7 +42,8 @@
 
     fn establish(&mut self, n: usize) {
         let connection = ConnectionId(n as u64);
-        // The first server has a third more than its share, so that all of its connections are examined.
+        // The first server has a third more than its share, so that rebalancing examines all of its
+        // connections.
         let server = if n % SERVERS == SERVERS - 1 && n.is_multiple_of(3) { 0 } else { n % SERVERS };
         let request = ConnectionRequest {
             class: CLASSES[0].name.to_owned(),
@@ -56,16 +60,18 @@
     }
 
     fn feed(&mut self, input: Input) {
-        reduce(&mut self.state, to_clock(self.now), input);
+        reduce(&mut self.state, to_reducer_clock(self.now), input);
     }
 
-    /// Runs its timers for a time.
+    /// Advances the virtual time by `seconds` and fires the timers within it.
     pub fn run_seconds(&mut self, seconds: u64) {
-        let end = self.now + seconds * SECOND;
-        while let Some(due) = self.state.next_deadline().map(from_clock).filter(|due| *due < end) {
-            self.now = due.max(self.now + 1);
+        let ends_at = self.now + seconds * SECOND;
+        while let Some(timer_at) =
+            self.state.next_deadline().map(from_reducer_clock).filter(|timer_at| *timer_at < ends_at)
+        {
+            self.now = timer_at.max(self.now + 1);
             self.feed(Input::TimerFired);
         }
-        self.now = end;
+        self.now = ends_at;
     }
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,17 +1,20 @@
-//! A model of what the connection balancer serves, in virtual time: servers, a session store, clients and the front that
-//! spreads them, around several of the daemon's real reducers. It replaces sockets, not decisions.
+//! Simulates a deployment of the connection balancer in virtual time. Servers, the session store, clients and
+//! the front that distributes clients over the balancers are models. Each balancer is a real reducer of the
+//! daemon: the simulation replaces the sockets and uses the daemon's own decisions.
 //!
-//! **What it does.** [`day::play`] plays one seeded day of a [`deployment::Deployment`] under a [`scenario::Scenario`],
-//! and returns the value that was served and which invariants were violated. [`comparison`] plays days in pairs, with
-//! rebalancing off and on.
+//! **Function.** [`day::play`] simulates one seeded day of a [`deployment::Deployment`] under a
+//! [`scenario::Scenario`]. It returns the served value and the violated invariants. [`comparison`] simulates
+//! pairs of days, one with rebalancing off and one with rebalancing on.
 //!
-//! **What it guarantees.** The same deployment, scenario and seed give the same day, to the microsecond. Clients, their
-//! lifetimes, loads and groups are drawn before the day, so both sides of a pair serve the same ones.
+//! **Guarantees.** The same deployment, scenario and seed give the same day, to the microsecond. The clients
+//! with their lifetimes, loads and groups are drawn before the day starts, so both days of a pair have the
+//! same clients.
 //!
-//! **What it may touch.** Nothing outside: no sockets, files, clocks or environment.
+//! **Side effects.** None: no access to sockets, files, clocks or the environment.
 //!
-//! It is a simplified model. Its servers are queues with a mean, its network has one delay, and its figures are its own:
-//! it compares designs, it does not predict a deployment.
+//! The model is simplified: a server is described by the mean of a queue, the network has one constant delay,
+//! and the constants are the model's own. Its results compare designs and do not predict the behaviour of a
+//! deployment.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/simulation/src/main.rs
+++ b/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! The model's command line.
+//! Command line of the simulation.
 
 mod commands;
 
@@ -7,7 +7,7 @@
 use argh::FromArgs;
 use commands::{CostArgs, DayArgs, FaultsArgs, GridArgs, SettleArgs};
 
-/// Plays days of the model.
+/// Simulates days of a deployment of the connection balancer.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -26,14 +26,14 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let sound = match args.command {
+    let passed = match args.command {
         Command::Grid(args) => commands::run_grid(&args),
         Command::Faults(args) => commands::run_faults(&args),
         Command::Day(args) => commands::run_day(&args),
         Command::Cost(args) => commands::run_cost(&args),
         Command::Settle(args) => commands::run_settle(&args),
     };
-    if sound {
+    if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool settings and endpoints of the simulated balancers.
+//! Pool settings and endpoints of the simulated balancers.
 
 use connection_balancer::routing::{Budget, Endpoint, Lifecycle, PoolConfig, ReplicationConfig, State};
 use connection_balancer::{Class, Idempotency, Micros, Settings, Time};
@@ -6,31 +6,31 @@
 use crate::clients::{ClassProfile, CLASSES};
 use crate::deployment::{Deployment, VirtualTime, SECOND};
 
-/// The day begins at this time of the reducers' clock.
-const CLOCK_ORIGIN: VirtualTime = 1_000 * SECOND;
-/// Price of each client migrated once, as a share of all served value.
+/// Time on the reducers' clock at which the day starts.
+const DAY_START_ON_REDUCER_CLOCK: VirtualTime = 1_000 * SECOND;
+/// Cost of migrating each client once, as a share of the total served value.
 pub const MIGRATION_COST: f64 = 0.025;
-/// A connection's mean load, in microseconds of work a second.
+/// Mean load of a connection, in microseconds of work per second.
 pub const MEAN_LOAD_MICROS_PER_S: f64 = 60_000.0;
-/// What a reducer may hold; the model does not test its limits.
+/// Resource limits of a reducer, high enough not to take effect: the simulation does not test them.
 const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
-/// The model's only zone.
+/// Zone of all servers and balancers.
 const ZONE: &str = "a";
 
-/// A time of day on the reducers' clock.
-pub fn to_clock(at: VirtualTime) -> Time {
-    Time(CLOCK_ORIGIN + at)
+/// Converts a time of the day to the reducers' clock.
+pub fn to_reducer_clock(at: VirtualTime) -> Time {
+    Time(DAY_START_ON_REDUCER_CLOCK + at)
 }
 
-/// The time of day of a time on the reducers' clock.
-pub fn from_clock(at: Time) -> VirtualTime {
-    at.0.saturating_sub(CLOCK_ORIGIN)
+/// Converts a time on the reducers' clock to a time of the day.
+pub fn from_reducer_clock(at: Time) -> VirtualTime {
+    at.0.saturating_sub(DAY_START_ON_REDUCER_CLOCK)
 }
 
-/// A reducer without endpoints.
+/// Creates a reducer without endpoints.
 pub fn new_reducer(deployment: &Deployment, seed: u64, now: VirtualTime) -> State {
     let pools = vec![pool_config(deployment, seed)];
-    State::new(pools, ReplicationConfig::default(), BUDGET, to_clock(now))
+    State::new(pools, ReplicationConfig::default(), BUDGET, to_reducer_clock(now))
 }
 
 fn pool_config(deployment: &Deployment, seed: u64) -> PoolConfig {
@@ -85,13 +85,13 @@
     }
 }
 
-/// The name of a server, by its index.
+/// Returns the name of the server with this index.
 pub fn server_name(server: usize) -> String {
     format!("s-{:08x}", server + 1)
 }
 
-/// The endpoint of a server, whose address is its index.
-pub fn endpoint(server: usize, lifecycle: Lifecycle, started: Option<VirtualTime>) -> Endpoint {
+/// Returns the endpoint of the server with this index; the index is also its address.
+pub fn endpoint(server: usize, lifecycle: Lifecycle, started_at: Option<VirtualTime>) -> Endpoint {
     Endpoint {
         name: server_name(server),
         address: server.to_string(),
@@ -99,11 +99,11 @@
         cell: 0,
         lifecycle,
         weight: 1.0,
-        started: started.map(to_clock),
+        started: started_at.map(to_reducer_clock),
     }
 }
 
-/// The index of a server, by its endpoint's address.
-pub fn server_at(address: &str) -> usize {
+/// Returns the index of the server with this address; `usize::MAX` for an address that is no index.
+pub fn server_index(address: &str) -> usize {
     address.parse().unwrap_or(usize::MAX)
 }
--- a/simulation/src/scenario.rs
+++ b/simulation/src/scenario.rs
@@ -1,46 +1,47 @@
-//! The faults of a day.
+//! Scenarios: the faults of a day and their times.
 
 use crate::deployment::{Deployment, VirtualTime};
 
-/// Seconds into the day at which the first fault happens.
+/// Time of the first fault, in seconds from the start of the day.
 const FIRST_FAULT_SECOND: f64 = 20.0;
-/// Seconds for which a process that restarts is down.
-const DOWN_SECONDS: f64 = 4.0;
-/// Seconds into the day at which a server that restarts twice dies again.
+/// Duration for which a restarting process is down, in seconds.
+const DOWNTIME_SECONDS: f64 = 4.0;
+/// Time at which a server that restarts twice dies again, in seconds from the start of the day.
 const SECOND_RESTART_SECOND: f64 = 29.0;
-/// Seconds into the day at which a server that drains is gone.
+/// Time at which the process of a draining server ends, in seconds from the start of the day.
 const DRAINED_SECOND: f64 = 29.0;
-/// Batches of a wave of restarts...
+/// Number of batches in which a wave of restarts takes place.
 const WAVE_BATCHES: usize = 4;
-/// ...and the seconds between two of them.
+/// Duration between the starts of two batches, in seconds.
 const WAVE_BATCH_SECONDS: f64 = 7.0;
 
-/// The faults of a day. The command line accepts the names of the variants.
+/// A named sequence of faults. The command line accepts the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
     /// No fault.
     None,
-    /// One server dies in the 20th second and starts again, in slow start, 4 s later.
+    /// One server dies in the 20th second and restarts 4 s later, in slow start.
     ServerRestart,
-    /// The same, and it dies again 5 s after that for 4 s.
+    /// Like [`Scenario::ServerRestart`], and 5 s after its restart the server dies again for 4 s.
     ServerRestartsTwice,
-    /// Two servers die together and are back together.
+    /// Two servers die at the same time and restart at the same time.
     TwoServers,
-    /// All servers but one restart within 30 s, a quarter at a time.
+    /// All servers except one restart within 30 s, a quarter at a time.
     RestartWave,
-    /// One balancer dies in the 20th second and is back 4 s later with nothing but its endpoint list.
+    /// One balancer dies in the 20th second and restarts 4 s later with the endpoint list as its only state.
     BalancerRestart,
-    /// All balancers but one restart within 30 s, a quarter at a time.
+    /// All balancers except one restart within 30 s, a quarter at a time.
     BalancerWave,
-    /// One server has 0.7 of the others' speed, all day.
+    /// One server has 0.7 of the other servers' capacity, all day.
     SlowServer,
-    /// One server is listed as draining in the 20th second, sends its clients away over 8 s and is gone.
+    /// One server is listed as draining in the 20th second. It closes its connections one by one, for which
+    /// it needs 8 s, and its process ends in the 29th second.
     Drain,
-    /// One server dies in the 20th second and stays in the endpoint list.
+    /// One server dies in the 20th second and remains in the endpoint list.
     GoneUnlisted,
 }
 
-/// Every scenario.
+/// All scenarios.
 pub const ALL_SCENARIOS: [Scenario; 10] = [
     Scenario::None,
     Scenario::ServerRestart,
@@ -54,27 +55,27 @@
     Scenario::GoneUnlisted,
 ];
 
-/// Something that happens to a server or a balancer, by its index.
+/// A fault, or the end of one, of a server or balancer with this index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// This server's process dies.
+    /// The server's process dies.
     ServerDies(usize),
-    /// It starts again, in slow start.
+    /// The server starts again, in slow start.
     ServerStarts(usize),
-    /// It drains.
+    /// The server begins to drain.
     ServerDrains(usize),
-    /// This balancer dies.
+    /// The balancer's process dies.
     BalancerDies(usize),
-    /// It starts again.
+    /// The balancer starts again.
     BalancerStarts(usize),
 }
 
-/// A fault with its time.
+/// A fault and the time at which it occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// Microseconds from the start of the day.
+    /// Time in microseconds from the start of the day.
     pub at: VirtualTime,
-    /// What happens.
+    /// Fault that occurs at that time.
     pub fault: Fault,
 }
 
@@ -87,18 +88,18 @@
 fn server_restart(server: usize, at_second: f64) -> [ScheduledFault; 2] {
     [
         ScheduledFault::at_second(at_second, Fault::ServerDies(server)),
-        ScheduledFault::at_second(at_second + DOWN_SECONDS, Fault::ServerStarts(server)),
+        ScheduledFault::at_second(at_second + DOWNTIME_SECONDS, Fault::ServerStarts(server)),
     ]
 }
 
 fn balancer_restart(balancer: usize, at_second: f64) -> [ScheduledFault; 2] {
     [
         ScheduledFault::at_second(at_second, Fault::BalancerDies(balancer)),
-        ScheduledFault::at_second(at_second + DOWN_SECONDS, Fault::BalancerStarts(balancer)),
+        ScheduledFault::at_second(at_second + DOWNTIME_SECONDS, Fault::BalancerStarts(balancer)),
     ]
 }
 
-/// Restarts all but one of `count` processes in batches.
+/// Returns the restarts, in batches, of all `count` processes except the last.
 fn restart_wave(count: usize, restart: impl Fn(usize, f64) -> [ScheduledFault; 2]) -> Vec<ScheduledFault> {
     let batch_size = count.div_ceil(WAVE_BATCHES);
     let second = |n: usize| FIRST_FAULT_SECOND + WAVE_BATCH_SECONDS * (n / batch_size) as f64;
@@ -106,7 +107,7 @@
 }
 
 impl Scenario {
-    /// The faults of a day of this scenario.
+    /// Returns the faults of this scenario in a deployment.
     pub fn faults(self, deployment: &Deployment) -> Vec<ScheduledFault> {
         match self {
             Scenario::None | Scenario::SlowServer => Vec::new(),
--- a/simulation/src/session_store.rs
+++ b/simulation/src/session_store.rs
@@ -1,47 +1,49 @@
-//! The session store: one queue, served in order at a bounded rate. Each new connection needs a call.
+//! The session store: one FIFO queue that is processed at a bounded rate. Each new connection adds one
+//! setup. The store also processes setups whose clients no longer wait.
 
 use crate::deployment::VirtualTime;
 
-/// How many times longer calls take while the store is slow.
+/// Factor by which the processing of a setup takes longer while the store is slow.
 const SLOW_FACTOR: f64 = 5.0;
-/// When the store is slow under [`StoreCondition::SlowMidway`].
+/// Time range of the day in which the store is slow under [`StoreCondition::SlowMidway`].
 const SLOW_PERIOD: std::ops::Range<VirtualTime> = 26_000_000..41_000_000;
 
-/// How the session store performs during a day.
+/// Performance of the session store during a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCondition {
-    /// At its usual rate.
+    /// Usual rate all day.
     Normal,
-    /// Five times slower, from the start.
+    /// A fifth of the usual rate, all day.
     Slow,
-    /// Five times slower from the 26th second to the 41st.
+    /// A fifth of the usual rate from the 26th second to the 41st.
     SlowMidway,
 }
 
-/// The store.
+/// The session store's queue.
 #[derive(Debug)]
 pub struct SessionStore {
-    /// Calls a second when it is not slow.
+    /// Setups processed per second while the store is not slow.
     rate_per_s: f64,
     condition: StoreCondition,
-    free_at: VirtualTime,
+    /// Time at which all queued setups are processed.
+    idle_at: VirtualTime,
 }
 
 impl SessionStore {
-    /// A store with this rate of calls.
+    /// Creates a store that processes `rate_per_s` setups per second while it is not slow.
     pub fn new(rate_per_s: f64, condition: StoreCondition) -> SessionStore {
-        SessionStore { rate_per_s, condition, free_at: 0 }
+        SessionStore { rate_per_s, condition, idle_at: 0 }
     }
 
-    /// Adds a call to the queue. Returns when it is answered.
-    pub fn call(&mut self, now: VirtualTime) -> VirtualTime {
-        let slow = match self.condition {
+    /// Adds a setup to the queue. Returns the time at which its processing ends.
+    pub fn enqueue_setup(&mut self, now: VirtualTime) -> VirtualTime {
+        let is_slow = match self.condition {
             StoreCondition::Normal => false,
             StoreCondition::Slow => true,
             StoreCondition::SlowMidway => SLOW_PERIOD.contains(&now),
         };
-        let service_micros = 1e6 / self.rate_per_s * if slow { SLOW_FACTOR } else { 1.0 };
-        self.free_at = self.free_at.max(now) + service_micros as VirtualTime;
-        self.free_at
+        let service_micros = 1e6 / self.rate_per_s * if is_slow { SLOW_FACTOR } else { 1.0 };
+        self.idle_at = self.idle_at.max(now) + service_micros as VirtualTime;
+        self.idle_at
     }
 }
--- a/simulation/tests/grid.rs
+++ b/simulation/tests/grid.rs
@@ -1,5 +1,6 @@
-//! Rebalancing never makes things worse than leaving connections alone: pairs of seeded days around real reducers.
-//! The whole grid is a sub-command (`simulation grid`); here are its corners, with the same verdict each run.
+//! Rebalancing does no significant harm compared with no migrations, over pairs of simulated days with equal
+//! seeds. `simulation grid` runs the whole grid. These tests run its corners; fixed seeds give the same
+//! verdict in each run.
 
 use simulation::comparison::{
     grid_deployment, play_days, with_rebalancing, Comparison, GRID_GROUP_SIZES, GRID_SCENARIOS, GRID_STORES,
@@ -9,9 +10,10 @@
 use simulation::scenario::{Scenario, ALL_SCENARIOS};
 use simulation::session_store::StoreCondition;
 
-/// Twenty pairs let one of the thirty cells pass its own noise by chance (-0.0067 against 0.0064, and sound at sixty).
+/// Number of pairs for each comparison. With twenty pairs, one of the thirty comparisons exceeded its own 95%
+/// interval by chance (-0.0067 against 0.0064), which is sound with sixty pairs.
 const PAIRS: std::ops::Range<u64> = 0..60;
-/// Pairs that show the margin of a single restart; twenty are too few.
+/// Seeds of the pairs that show the gain after a single restart. Twenty pairs are too few to show it.
 const RESTART_PAIRS: std::ops::Range<u64> = 0..120;
 const THREADS: usize = 4;
 
@@ -21,21 +23,22 @@
     deployment: Deployment,
     scenario: Scenario,
     store: StoreCondition,
-    max_moves_per_s: f64,
+    max_migrations_per_second: f64,
 }
 
 impl Job {
-    /// A comparison at a usual session store and a moderate rate.
+    /// Creates a comparison with a normal session store and a moderate rate limit.
     fn new(deployment: &Deployment, scenario: Scenario) -> Job {
         let deployment = deployment.clone();
-        Job { deployment, scenario, store: StoreCondition::Normal, max_moves_per_s: 5.0 }
+        Job { deployment, scenario, store: StoreCondition::Normal, max_migrations_per_second: 5.0 }
     }
 
     fn compare(self) -> NamedComparison {
-        let Job { deployment, scenario, store, max_moves_per_s } = self;
+        let Job { deployment, scenario, store, max_migrations_per_second } = self;
         let max_group = deployment.group_size.max;
-        let name = format!("{scenario:?}, {store:?}, groups to {max_group}, at most {max_moves_per_s}");
-        let rebalancing = with_rebalancing(&deployment, max_moves_per_s);
+        let name =
+            format!("{scenario:?}, {store:?}, groups to {max_group}, at most {max_migrations_per_second}");
+        let rebalancing = with_rebalancing(&deployment, max_migrations_per_second);
         let off = play_days(&deployment, scenario, store, PAIRS);
         let on = play_days(&rebalancing, scenario, store, PAIRS);
         NamedComparison { name, comparison: Comparison::new(&off, &on) }
@@ -47,7 +50,7 @@
     comparison: Comparison,
 }
 
-/// Compares in parallel: the jobs share nothing.
+/// Runs the comparisons in parallel: the jobs share no state.
 fn compare_all(jobs: Vec<Job>) -> Vec<NamedComparison> {
     let chunk_size = jobs.len().div_ceil(THREADS).max(1);
     std::thread::scope(|scope| {
@@ -55,7 +58,7 @@
             .chunks(chunk_size)
             .map(|chunk| scope.spawn(move || chunk.iter().cloned().map(Job::compare).collect::<Vec<_>>()))
             .collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("the days are played")).collect()
+        threads.into_iter().flat_map(|thread| thread.join().expect("a comparison completes")).collect()
     })
 }
 
@@ -63,7 +66,10 @@
     for NamedComparison { name, comparison } in comparisons {
         let Comparison { violations, gain, half_interval, .. } = comparison;
         assert!(violations.is_empty(), "{name}: {:?}", violations.first());
-        assert!(comparison.harmless(), "{name}: {gain:+.4} beyond the noise of {half_interval:.4}");
+        assert!(
+            comparison.is_harmless(),
+            "{name}: loss is significant, gain {gain:+.4} with a 95% half-interval of {half_interval:.4}"
+        );
     }
 }
 
@@ -73,16 +79,17 @@
     let mut jobs = Vec::new();
     for scenario in GRID_SCENARIOS {
         for store in GRID_STORES {
-            for max_moves_per_s in [0.1, f64::INFINITY] {
-                jobs.push(Job { deployment: deployment.clone(), scenario, store, max_moves_per_s });
+            for max_migrations_per_second in [0.1, f64::INFINITY] {
+                jobs.push(Job { deployment: deployment.clone(), scenario, store, max_migrations_per_second });
             }
         }
     }
     let comparisons = compare_all(jobs);
     assert_harmless(&comparisons);
-    // Nobody is migrated where nothing happens.
-    let quiet = comparisons.iter().find(|named| named.name.starts_with("None, Normal"));
-    assert!(quiet.expect("it is compared").comparison.migrations_per_minute < 0.001);
+    // Without faults, almost no client is migrated.
+    let without_fault = comparisons.iter().find(|named| named.name.starts_with("None, Normal"));
+    let without_fault = without_fault.expect("the scenario without faults is compared");
+    assert!(without_fault.comparison.migrations_per_minute < 0.001);
 }
 
 #[test]
@@ -95,11 +102,11 @@
     let comparison = std::thread::scope(|scope| {
         let off_days = scope.spawn(|| play_restarts(&off));
         let on_days = play_restarts(&on);
-        Comparison::new(&off_days.join().expect("the days are played"), &on_days)
+        Comparison::new(&off_days.join().expect("the days with rebalancing off complete"), &on_days)
     });
     assert!(
         comparison.gain > 0.0005 && comparison.gain > comparison.half_interval,
-        "the promised margin: {comparison:?}"
+        "gain is at most 0.0005 or not significant: {comparison:?}"
     );
 }
 
@@ -116,13 +123,13 @@
     let jobs = ALL_SCENARIOS.map(|scenario| Job::new(&deployment, scenario));
     assert_harmless(&compare_all(jobs.to_vec()));
 
-    let late_lists = Deployment { list_delay: 4_000_000, ..deployment.clone() };
+    let delayed_lists = Deployment { list_delay: 4_000_000, ..deployment.clone() };
     let few_returns = Deployment { return_probability: 0.5, ..deployment.clone() };
-    let silent = Deployment { reports_message_time: false, ..deployment.clone() };
-    let mut jobs = [late_lists, few_returns, silent]
+    let no_message_times = Deployment { reports_message_time: false, ..deployment.clone() };
+    let mut jobs = [delayed_lists, few_returns, no_message_times]
         .map(|deployment| Job::new(&deployment, Scenario::TwoServers))
         .to_vec();
-    // 97% of 32 balancers restart, a quarter at a time, each with a small part of everything.
+    // 97% of 32 balancers restart, a quarter at a time. Each balancer has a small part of all connections.
     let many_balancers = Deployment { balancers: 32, ..deployment.clone() };
     jobs.push(Job::new(&many_balancers, Scenario::BalancerWave));
     let small_groups =
@@ -131,7 +138,7 @@
     assert_harmless(&compare_all(jobs));
 }
 
-/// The model itself: the same seed gives the same day, another gives another.
+/// Simulation is deterministic: the same seed gives the same day, and another seed gives another day.
 #[test]
 fn plays_the_same_day_for_the_same_seed() {
     let deployment = with_rebalancing(&grid_deployment(GroupSize::SINGLE), 5.0);
