--- a/benches/compatibility/checks.rs
+++ b/benches/compatibility/checks.rs
@@ -1,11 +1,11 @@
-//! The checks, each for one thing that passes from one build to another.
+//! The checks, each of one interface between two builds: files, messages or commands.
 
 use std::path::{Path, PathBuf};
 
 use crate::fake_servers::{free_tcp_address, free_udp_address, serves_irc, wait_until, Client, FakeServer};
 use crate::process::{run, Addresses, Daemon, Folder};
 
-/// The builds of one direction: the first writes, sends or serves, the second reads, receives or takes over.
+/// The builds of one direction. The first writes, sends or serves; the second reads, receives or takes over.
 #[derive(Clone)]
 pub(crate) struct Builds {
     pub(crate) first: PathBuf,
@@ -14,7 +14,7 @@
 
 type Check = fn(&Builds);
 
-/// All checks, by the name that is printed.
+/// All checks, with their printed names.
 pub(crate) const CHECKS: [(&str, Check); 8] = [
     ("settings of deploy/ and of the platform", reads_the_same_settings),
     ("data folder with entries and exclusions", restores_a_data_folder),
@@ -28,11 +28,12 @@
 
 const FIRST_SERVER: &str = "s-00000001";
 const SECOND_SERVER: &str = "s-00000002";
-/// Connections that are established before a hot restart.
+/// Number of platform connections that are established before a hot restart.
 const ESTABLISHED_CONNECTIONS: usize = 8;
 
-/// Settings of the platform's front, with a cached endpoint list and a discovery that is down.
-fn platform_settings(addresses: Addresses, servers: &[&FakeServer], more: &str) -> String {
+/// Returns settings of the platform's front, with a cached endpoint list and the address of a discovery
+/// service that is down. `extra_keys` are additional top-level keys.
+fn platform_settings(addresses: Addresses, servers: &[&FakeServer], extra_keys: &str) -> String {
     let ids = [FIRST_SERVER, SECOND_SERVER];
     let instance = |(id, server): (&&str, &&FakeServer)| {
         let address = server.address;
@@ -40,7 +41,7 @@
     };
     let instances: Vec<String> = ids.iter().zip(servers).map(instance).collect();
     format!(
-        r#"{{"name": "n0", "listen": "{}", "mgmt": "{}", "discovery": "{}", "seed": "5", {more}
+        r#"{{"name": "n0", "listen": "{}", "mgmt": "{}", "discovery": "{}", "seed": "5", {extra_keys}
             "known": {{"generation": 1, "reset": true, "instances": [{}]}},
             "settings": {{"balancers": 2, "zones": ["a"], "family-info": {{"tells-delay": true, "message-aim": [100]}},
               "classes": [{{"name": "chat", "deadline": 9000, "objective": 800, "repeat": "repeatable"}}],
@@ -52,69 +53,71 @@
     )
 }
 
-/// The operator's file of the IRC front.
-fn irc_settings(addresses: Addresses, servers: &[&FakeServer], more: &str) -> String {
+/// Returns settings of the IRC front. `extra_keys` are additional top-level keys.
+fn irc_settings(addresses: Addresses, servers: &[&FakeServer], extra_keys: &str) -> String {
     let host = |(number, server): (usize, &&FakeServer)| {
         format!(r#"{{"name": "irc-{number}", "address": "{}"}}"#, server.address)
     };
     let hosts: Vec<String> = servers.iter().enumerate().map(host).collect();
     format!(
-        r#"{{"listen": "{}", "mgmt": "{}", "name": "front.test", "drain_over_ms": 200, "hosts": [{}] {more}}}"#,
+        r#"{{"listen": "{}", "mgmt": "{}", "name": "front.test", "drain_over_ms": 200, "hosts": [{}] {extra_keys}}}"#,
         addresses.irc,
         addresses.mgmt,
         hosts.join(", ")
     )
 }
 
-/// Starts a daemon with the IRC front alone.
+/// Starts a daemon with only the IRC front.
 fn start_irc(program: &Path, folder: &Folder, addresses: Addresses, settings: &str) -> Daemon {
     let file = folder.write("irc.json", settings);
     Daemon::start(program, folder, addresses, &[Path::new("--irc"), &file])
 }
 
-/// Starts a daemon with the platform's front alone.
+/// Starts a daemon with only the platform's front.
 fn start_platform(program: &Path, folder: &Folder, addresses: Addresses, settings: &str) -> Daemon {
     let file = folder.write("config.json", settings);
     Daemon::start(program, folder, addresses, &[Path::new("--config"), &file])
 }
 
-/// Both builds accept the operators' files and a configuration of the platform.
+/// Checks that `check` of both builds prints the same for the operators' files and a configuration of the
+/// platform.
 fn reads_the_same_settings(builds: &Builds) {
     let folder = Folder::create();
     let server = FakeServer::start();
     let platform = folder.write("config.json", &platform_settings(Addresses::free(), &[&server], ""));
-    let platform = platform.to_str().expect("a UTF-8 path");
+    let platform = platform.to_str().expect("the path is UTF-8");
     let arguments =
         ["check", "--config", platform, "--irc", "deploy/irc.json", "--rebalance", "deploy/rebalance.json"];
     assert_eq!(run(&builds.first, &arguments), run(&builds.second, &arguments));
 }
 
-/// A process starts with the entries and exclusions in the data folder of a process of the other build.
+/// Checks that a process restores the entries and exclusions in the data folder of the other build.
 fn restores_a_data_folder(builds: &Builds) {
     let folder = Folder::create();
     let addresses = Addresses::free();
     let replica = free_udp_address();
-    let (listed, written) = (FakeServer::start(), FakeServer::start());
+    let (configured_server, stored_server) = (FakeServer::start(), FakeServer::start());
     let data = folder.file("data");
     let store = format!(
         r#", "store": {{"node": "n1", "listen": "{replica}", "peers": [], "data": "{}"}}"#,
         data.display()
     );
-    let settings = irc_settings(addresses, &[&listed], &store);
+    let settings = irc_settings(addresses, &[&configured_server], &store);
 
     let first = start_irc(&builds.first, &folder, addresses, &settings);
     let replica = replica.to_string();
-    run(&builds.first, &["set", "host/irc-9", &written.address.to_string(), "--store", &replica]);
+    run(&builds.first, &["set", "host/irc-9", &stored_server.address.to_string(), "--store", &replica]);
     first.admin_command(&builds.first, &["exclude", "irc-0"]);
     drop(first);
     let second = start_irc(&builds.second, &folder, addresses, &settings);
 
-    assert!(serves_irc(second.addresses.irc), "the server of the stored entry is used");
-    assert_eq!(listed.received_lines(), 0, "the excluded server is not used");
-    assert!(written.received_lines() > 0);
+    assert!(serves_irc(second.addresses.irc), "the server of the stored entry is not used");
+    assert_eq!(configured_server.received_lines(), 0, "the excluded server is used");
+    assert!(stored_server.received_lines() > 0);
 }
 
-/// A process without a replicated map starts with the exclusions of a killed process of the other build.
+/// Checks that a process without a replicated map restores the exclusions of a killed process of the other
+/// build.
 fn restores_the_file_of_exclusions(builds: &Builds) {
     let folder = Folder::create();
     let addresses = Addresses::free();
@@ -130,10 +133,10 @@
 
     assert_eq!(second.metric(&builds.second, "ejected"), 1);
     assert_eq!(Client::open(addresses.platform).1, "UP 1");
-    assert_eq!(servers[0].received_lines(), 0, "the excluded server is not used");
+    assert_eq!(servers[0].received_lines(), 0, "the excluded server is used");
 }
 
-/// One build replays what the other recorded.
+/// Checks that one build replays a recording of the other build.
 fn replays_a_recording(builds: &Builds) {
     let folder = Folder::create();
     let addresses = Addresses::free();
@@ -147,19 +150,23 @@
     assert!(answer.contains(" 001 "), "{answer}");
     client.expect_echo("PRIVMSG #a :recorded");
     drop(client);
-    let has_recorded =
+    let is_recorded =
         || std::fs::read(&capture).is_ok_and(|bytes| bytes.windows(8).any(|part| part == b"recorded"));
-    wait_until("the client's line is recorded", has_recorded);
+    wait_until("the client's line is recorded", is_recorded);
     first.terminate();
-    let before = server.received_lines();
-    let paths = [&capture, &settings].map(|path| path.to_str().expect("a UTF-8 path"));
+    let lines_before_replay = server.received_lines();
+    let paths = [&capture, &settings].map(|path| path.to_str().expect("the path is UTF-8"));
     let port = addresses.irc.port().to_string();
     run(&builds.second, &["replay", paths[0], "--config", paths[1], "--front", "irc", "--port", &port]);
 
-    assert_eq!(server.received_lines() - before, 3, "NICK, USER and PRIVMSG are sent again");
+    assert_eq!(
+        server.received_lines() - lines_before_replay,
+        3,
+        "the replay does not send exactly NICK, USER and PRIVMSG"
+    );
 }
 
-/// A balancer stops choosing a server of which a peer of the other build observed slow messages.
+/// Checks that a balancer stops choosing a server for which a peer of the other build observed slow messages.
 fn applies_gossip(builds: &Builds) {
     let server = FakeServer::start();
     let gossip = [free_udp_address(), free_udp_address()];
@@ -179,10 +186,11 @@
     assert_eq!(
         Client::open(second.addresses.platform).1,
         "UP 1",
-        "the server is used before the observation"
+        "the server is not used before the observation"
     );
 
-    // The server sends back the load of the connection, and then a message time of four times the objective.
+    // The server echoes two load reports: the load of the connection, then a message time of four times the
+    // objective.
     let (mut client, answer) = Client::open(first.addresses.platform);
     assert_eq!(answer, "UP 1");
     client.expect_echo("LOAD 90000");
@@ -193,7 +201,8 @@
     });
 }
 
-/// Writes at each of two replicas take effect at the other, and a replica that restarts from nothing is repaired.
+/// Checks that writes at each of two replicas take effect at the other, and that a replica that restarts
+/// without data is repaired.
 fn shares_the_replicated_map(builds: &Builds) {
     let server = FakeServer::start();
     let replicas = [free_udp_address(), free_udp_address()];
@@ -206,21 +215,26 @@
     };
     let first = start(&builds.first, 0);
     let second = start(&builds.second, 1);
-    assert!(!serves_irc(second.addresses.irc), "no server is known");
+    assert!(!serves_irc(second.addresses.irc), "a client is served although no server is configured");
 
     let replica = replicas[0].to_string();
     run(&builds.first, &["set", "host/irc-9", &server.address.to_string(), "--store", &replica]);
-    wait_until("a write at the first is seen at the second", || serves_irc(second.addresses.irc));
+    wait_until("a write at the first replica takes effect at the second", || {
+        serves_irc(second.addresses.irc)
+    });
     second.admin_command(&builds.second, &["exclude", "irc-9"]);
-    wait_until("a write at the second is seen at the first", || !serves_irc(first.addresses.irc));
+    wait_until("a write at the second replica takes effect at the first", || {
+        !serves_irc(first.addresses.irc)
+    });
     second.admin_command(&builds.second, &["include", "irc-9"]);
-    wait_until("the readmission is seen at the first", || serves_irc(first.addresses.irc));
+    wait_until("the readmission takes effect at the first replica", || serves_irc(first.addresses.irc));
     drop(first);
     let restarted = start(&builds.first, 0);
     wait_until("the restarted replica is repaired", || serves_irc(restarted.addresses.irc));
 }
 
-/// Established connections and an exclusion pass from a process to its successor of the other build.
+/// Checks that a hot restart transfers established connections and an exclusion to a successor of the other
+/// build.
 fn takes_over_in_a_hot_restart(builds: &Builds) {
     let folder = Folder::create();
     let addresses = Addresses::free();
@@ -251,12 +265,12 @@
         client.expect_echo(&format!("M {number}"));
     }
     assert_eq!(second.metric(&builds.second, "outstanding"), clients.len() as u64);
-    assert_eq!(second.metric(&builds.second, "ejected"), 1, "the exclusion is handed over");
+    assert_eq!(second.metric(&builds.second, "ejected"), 1, "the exclusion is not transferred");
     assert_eq!(Client::open(addresses.platform).1, "UP 1");
-    assert_eq!(servers[1].received_lines(), 0, "the excluded server is not used");
+    assert_eq!(servers[1].received_lines(), 0, "the excluded server is used");
 }
 
-/// The command line of the second build controls a daemon of the first.
+/// Checks that the command line of the second build controls a daemon of the first.
 fn answers_commands(builds: &Builds) {
     let folder = Folder::create();
     let addresses = Addresses::free();
@@ -270,10 +284,10 @@
     assert!(daemon.admin_command(&builds.second, &["telemetry"]).contains("edge_node."));
     daemon.admin_command(&builds.second, &["exclude", "irc-0"]);
     assert_eq!(daemon.metric(&builds.second, "ejected"), 1);
-    assert!(!serves_irc(addresses.irc), "the only server is excluded");
+    assert!(!serves_irc(addresses.irc), "the excluded server is used");
     let replica = replica.to_string();
     run(&builds.second, &["set", "host/irc-9", &servers[1].address.to_string(), "--store", &replica]);
-    wait_until("the server that was set is used", || serves_irc(addresses.irc));
+    wait_until("the server added by `set` is used", || serves_irc(addresses.irc));
     run(&builds.second, &["set", "host/irc-9", "--store", &replica]);
     wait_until("the deleted server is not used", || !serves_irc(addresses.irc));
     daemon.admin_command(&builds.second, &["include", "irc-0"]);
--- a/benches/compatibility/fake_servers.rs
+++ b/benches/compatibility/fake_servers.rs
@@ -1,4 +1,4 @@
-//! Servers and clients on loopback.
+//! Fake servers and clients on loopback.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -8,57 +8,60 @@
 
 /// Time limit of each step of a check.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at a condition.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until a condition holds, and panics after the time limit.
+/// Waits until a condition holds. Panics after [`STEP_TIMEOUT`].
 pub(crate) fn wait_until(condition_name: &str, mut condition: impl FnMut() -> bool) {
-    let started = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < STEP_TIMEOUT, "not within {STEP_TIMEOUT:?}: {condition_name}");
+        assert!(started_at.elapsed() < STEP_TIMEOUT, "timed out after {STEP_TIMEOUT:?}: {condition_name}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A TCP address that was free a moment ago.
+/// Returns a loopback TCP address that is free at the time of the call.
 pub(crate) fn free_tcp_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("a free port is available")
 }
 
-/// A UDP address that was free a moment ago.
+/// Returns a loopback UDP address that is free at the time of the call.
 pub(crate) fn free_udp_address() -> SocketAddr {
-    UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port")
+    UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port is available")
 }
 
-/// A server of either front: accepts each connection request, then echoes lines.
+/// A server for both fronts, which accepts each connection request and echoes all other lines.
 pub(crate) struct FakeServer {
     pub(crate) address: SocketAddr,
-    lines: Arc<AtomicUsize>,
+    received_lines: Arc<AtomicUsize>,
 }
 
 impl FakeServer {
     pub(crate) fn start() -> FakeServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("the listener's address");
-        let lines = Arc::new(AtomicUsize::new(0));
-        let counter = lines.clone();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+        let address = listener.local_addr().expect("the listener has an address");
+        let received_lines = Arc::new(AtomicUsize::new(0));
+        let counter = received_lines.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let counter = counter.clone();
                 std::thread::spawn(move || serve(stream, &counter));
             }
         });
-        FakeServer { address, lines }
+        FakeServer { address, received_lines }
     }
 
-    /// Number of lines received.
+    /// Returns the number of lines received on all connections.
     pub(crate) fn received_lines(&self) -> usize {
-        self.lines.load(Ordering::SeqCst)
+        self.received_lines.load(Ordering::SeqCst)
     }
 }
 
+/// Answers the lines of one connection.
 fn serve(mut stream: TcpStream, received_lines: &AtomicUsize) {
-    let reader = BufReader::new(stream.try_clone().expect("a second handle of the socket"));
+    let reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
     let mut nick = String::new();
     for line in reader.lines().map_while(Result::ok) {
         received_lines.fetch_add(1, Ordering::SeqCst);
@@ -90,7 +93,7 @@
         Client { reader: BufReader::new(stream) }
     }
 
-    /// Requests a connection at the platform's front. Returns the client and the first line of the answer.
+    /// Requests a connection at the platform's front. Returns the client and the first line of the response.
     pub(crate) fn open(front: SocketAddr) -> (Client, String) {
         static REQUESTS: AtomicUsize = AtomicUsize::new(0);
         let mut client = Client::connect(front);
@@ -100,7 +103,7 @@
         (client, answer)
     }
 
-    /// Registers at the IRC front. Returns the client and the first line of the answer.
+    /// Registers at the IRC front. Returns the client and the first line of the response.
     pub(crate) fn register(front: SocketAddr, nick: &str) -> (Client, String) {
         let mut client = Client::connect(front);
         client.send_line(&format!("NICK {nick}\r\nUSER u 0 * :A tool"));
@@ -112,21 +115,21 @@
         self.reader.get_ref().write_all(format!("{line}\r\n").as_bytes()).expect("the line is written");
     }
 
-    /// Reads the next line; empty at the end of the connection.
+    /// Reads the next line without its line end. Returns an empty line at the end of the connection.
     pub(crate) fn read_line(&mut self) -> String {
         let mut line = String::new();
-        self.reader.read_line(&mut line).expect("a line within the time limit");
+        self.reader.read_line(&mut line).expect("a line arrives within the time limit");
         line.trim_end().to_owned()
     }
 
-    /// Sends a line and expects its echo.
+    /// Sends a line and asserts that the server echoes it.
     pub(crate) fn expect_echo(&mut self, line: &str) {
         self.send_line(line);
         assert_eq!(self.read_line(), line);
     }
 }
 
-/// Whether a new IRC client is connected to a server.
+/// Returns whether a new IRC client is connected to a server.
 pub(crate) fn serves_irc(front: SocketAddr) -> bool {
     Client::register(front, "tia").1.contains(" 001 ")
 }
--- a/benches/compatibility/main.rs
+++ b/benches/compatibility/main.rs
@@ -1,12 +1,13 @@
-//! Shows that two builds of the balancer understand each other: their settings, stored files, gossip, replicated map,
+//! Checks that two builds of the balancer are compatible: settings, stored files, gossip, replicated map,
 //! hot-restart messages and admin calls.
 //!
 //!     cargo bench --bench compatibility -- OLD NEW
 //!
-//! OLD and NEW are paths of `connection-balancer` programs; a path that is not given stands for the build of this tree.
-//! Each check runs in both directions, with fake servers and clients on loopback, and takes a few seconds. A check that
-//! fails is named, and the program then exits with 1. Not checked here: the simulator's protocol, rebalancing, and
-//! builds that are beside each other for longer than a few seconds.
+//! OLD and NEW are paths of `connection-balancer` programs. A path that is not given defaults to the build of
+//! this tree. Each check runs in both directions, with fake servers and clients on loopback, and takes a few
+//! seconds. The result of each check is printed. The program exits with 1 if a check failed. The checks do
+//! not cover the simulator's protocol, rebalancing, or two builds that run at the same time for longer than a
+//! few seconds.
 
 mod checks;
 mod fake_servers;
@@ -17,12 +18,12 @@
 
 use checks::{Builds, CHECKS};
 
-/// The paths of the two builds.
+/// Returns the paths of the old and the new build.
 fn programs() -> [PathBuf; 2] {
-    // `cargo bench` adds options of its own.
-    let mut given = std::env::args().skip(1).filter(|argument| !argument.starts_with("--"));
+    // `cargo bench` adds options such as `--bench`.
+    let mut paths = std::env::args().skip(1).filter(|argument| !argument.starts_with("--"));
     [(); 2].map(|()| {
-        given.next().map_or(PathBuf::from(env!("CARGO_BIN_EXE_connection-balancer")), PathBuf::from)
+        paths.next().map_or(PathBuf::from(env!("CARGO_BIN_EXE_connection-balancer")), PathBuf::from)
     })
 }
 
--- a/benches/compatibility/process.rs
+++ b/benches/compatibility/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the balancer: the daemon, and commands of its command line.
+//! Processes of the balancer: the daemon, and commands on its command line.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 
 use crate::fake_servers::{free_tcp_address, wait_until};
 
-/// A folder of its own for each check, removed at its end.
+/// A temporary folder of one check, removed when it is dropped.
 pub(crate) struct Folder(PathBuf);
 
 impl Folder {
@@ -21,11 +21,12 @@
         Folder(path)
     }
 
+    /// Returns the path of a file in the folder.
     pub(crate) fn file(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
 
-    /// Writes a file of settings, and returns its path.
+    /// Writes a settings file and returns its path.
     pub(crate) fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.file(name);
         std::fs::write(&path, text).expect("the settings are written");
@@ -39,7 +40,7 @@
     }
 }
 
-/// The addresses of a daemon, which its settings name.
+/// Listening addresses in a daemon's settings.
 #[derive(Clone, Copy)]
 pub(crate) struct Addresses {
     pub(crate) platform: SocketAddr,
@@ -48,6 +49,7 @@
 }
 
 impl Addresses {
+    /// Returns addresses that no program listens on.
     pub(crate) fn free() -> Addresses {
         Addresses { platform: free_tcp_address(), irc: free_tcp_address(), mgmt: free_tcp_address() }
     }
@@ -60,8 +62,8 @@
 }
 
 impl Daemon {
-    /// Starts a daemon with the arguments of `serve`, and waits until its admin endpoint answers. A daemon that
-    /// serves with the same temporary folder hands over to it.
+    /// Starts a daemon with arguments of `serve`, and waits until its admin endpoint accepts connections. A
+    /// daemon that already runs with the same temporary folder hands over to it by a hot restart.
     pub(crate) fn start(
         program: &Path,
         folder: &Folder,
@@ -78,26 +80,28 @@
         daemon
     }
 
-    /// Sends SIGTERM and waits for the exit.
+    /// Sends SIGTERM and waits until the process exits.
     pub(crate) fn terminate(mut self) {
         let status = Command::new("kill").args(["-TERM", &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
-        wait_until("the daemon exits", || self.child.try_wait().expect("the child's status").is_some());
+        wait_until("the daemon exits", || {
+            self.child.try_wait().expect("the status of the daemon is known").is_some()
+        });
     }
 
-    /// Runs a command of `program` at this daemon's admin endpoint. Returns its standard output.
+    /// Runs a command of `program` against this daemon's admin endpoint. Returns its standard output.
     pub(crate) fn admin_command(&self, program: &Path, arguments: &[&str]) -> String {
         let mgmt = self.addresses.mgmt.to_string();
         run(program, &[arguments, &["--mgmt", &mgmt]].concat())
     }
 
-    /// Waits until the daemon reports that it serves, asked by a command of `program`.
+    /// Waits until the `readyz` command of `program` reports that the daemon is ready.
     pub(crate) fn wait_until_ready(&self, program: &Path) {
         let mgmt = self.addresses.mgmt.to_string();
         wait_until("the daemon is ready", || output(program, &["readyz", "--mgmt", &mgmt]).status.success());
     }
 
-    /// The value of a metric without a class.
+    /// Returns the value of a metric that is not split by class.
     pub(crate) fn metric(&self, program: &Path, name: &str) -> u64 {
         let metrics = self.admin_command(program, &["telemetry"]);
         let prefix = format!("edge_node.{name}:");
@@ -114,13 +118,14 @@
     }
 }
 
+/// Runs a command and returns its output.
 fn output(program: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(program);
     command.args(arguments).env_remove("NODE_CONFIG").env_remove("NODE_MGMT");
     command.output().expect("the command runs")
 }
 
-/// Runs a command that has to succeed. Returns its standard output.
+/// Runs a command and returns its standard output. Panics if the command fails.
 pub(crate) fn run(program: &Path, arguments: &[&str]) -> String {
     let output = output(program, arguments);
     assert!(output.status.success(), "{arguments:?}: {output:?}");
--- a/benches/restart/daemon.rs
+++ b/benches/restart/daemon.rs
@@ -1,20 +1,20 @@
-//! A daemon of the connection balancer in its own process.
+//! A daemon of the connection balancer in a separate process.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The process, and the folder with its settings.
+/// A daemon's process and the folder with its settings.
 pub(crate) struct Daemon {
     process: Child,
     folder: PathBuf,
-    /// The address that clients connect to.
+    /// Address that clients connect to.
     pub front: String,
 }
 
 impl Daemon {
-    /// Starts a daemon with this discovery service and initial endpoint list.
+    /// Starts a daemon with a discovery service and an initial endpoint list, and waits until it listens.
     pub(crate) fn start(rebalance: bool, discovery: SocketAddr, endpoints: &str) -> Daemon {
         let folder_name = format!("connection-balancer-restart-{}-{rebalance}", std::process::id());
         let folder = std::env::temp_dir().join(folder_name);
@@ -24,12 +24,12 @@
         command.arg("--rebalance").arg(folder.join("moves.json")).env("TMPDIR", &folder);
         command.env_remove("NODE_MGMT").stderr(Stdio::piped());
         let mut process = command.spawn().expect("the daemon starts");
-        let log = process.stderr.take().expect("the log is piped");
+        let log = process.stderr.take().expect("standard error is piped");
         let mut lines = BufReader::new(log).lines().map_while(Result::ok);
         let front = lines
             .find_map(|line| line.split_once("listens on ").map(|(_, address)| address.to_owned()))
-            .expect("the daemon listens");
-        // The rest of the log is read, so that the daemon does not block on it.
+            .expect("the log has the line with the listening address");
+        // Reads the remaining log lines, because the daemon would block on a full pipe.
         std::thread::spawn(move || lines.for_each(drop));
         Daemon { process, folder, front }
     }
@@ -54,6 +54,7 @@
               "limits": {{"connect-timeout": 500, "try-limit": 6, "cancel": true, "retry-after": true, "max-retry-after": 1500}}}}}}"#
     );
     std::fs::write(folder.join("config.json"), config).expect("the configuration is written");
-    let moves = format!(r#"{{"platform": {{"on": {rebalance}}}}}"#);
-    std::fs::write(folder.join("moves.json"), moves).expect("the rebalancing settings are written");
+    let rebalance_settings = format!(r#"{{"platform": {{"on": {rebalance}}}}}"#);
+    std::fs::write(folder.join("moves.json"), rebalance_settings)
+        .expect("the rebalancing settings are written");
 }
