--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,12 +1,12 @@
-//! The pages under `docs/` agree with the code that they describe.
+//! Checks that the pages agree with the code: documented log lines, paths and test names exist.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Upper-case words of a log line that are no placeholder.
+/// Upper-case words in documented log lines that are not placeholders.
 const FIXED_WORDS: [&str; 3] = ["IRC", "SIGHUP", "SIGTERM"];
 
-/// The pages whose paths have to exist: all but those that tell of plans and of earlier versions.
+/// Pages whose paths have to exist. Pages about plans and earlier versions are not included.
 const PAGES: [&str; 11] = [
     "README.md",
     "CONTRIBUTING.md",
@@ -21,19 +21,20 @@
     "docs/rebalancing.md",
 ];
 
+/// Returns the text of a file of the repository.
 fn read(path: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The text of the first string literal in `source`, line continuations joined.
+/// Returns the text of the first string literal in `source`, with line continuations joined.
 fn string_literal(source: &str) -> String {
     let mut text = String::new();
-    let mut characters = source.split_once('"').expect("a string literal follows").1.chars();
+    let mut characters = source.split_once('"').expect("the source has a string literal").1.chars();
     while let Some(character) = characters.next() {
         match character {
             '"' => return text,
-            '\\' => match characters.next().expect("an escaped character follows") {
+            '\\' => match characters.next().expect("a backslash is followed by a character") {
                 '\n' => text = text.trim_end().to_owned() + " ",
                 escaped => text.push(escaped),
             },
@@ -41,21 +42,21 @@
             other => text.push(other),
         }
     }
-    panic!("the string literal has no end: {text}")
+    panic!("unterminated string literal: {text}")
 }
 
-/// A format string with each placeholder as `*`.
+/// Returns a format string with each placeholder replaced by `*`.
 fn with_wildcards(template: &str) -> String {
     let mut parts = template.split('{');
     let mut text = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         text.push('*');
-        text.push_str(part.split_once('}').expect("a placeholder ends").1);
+        text.push_str(part.split_once('}').expect("a placeholder has a closing brace").1);
     }
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// A line as the page writes it, with each upper-case word and each `…` as `*`.
+/// Returns a documented log line with each placeholder, an upper-case word or `…`, replaced by `*`.
 fn row_with_wildcards(line: &str) -> String {
     let mut text = String::new();
     let mut word = String::new();
@@ -74,18 +75,20 @@
     text.trim_end_matches('\0').to_owned()
 }
 
-/// The format strings of all events that a `log_event.rs` can write.
+/// Returns the format strings of all log lines that a `log_event.rs` can write.
 fn event_templates(path: &str) -> BTreeSet<String> {
     let source = read(path);
     let writes = source.split("write!(").skip(1);
     writes.map(|rest| with_wildcards(&string_literal(rest))).collect()
 }
 
-/// The first cells of the page's table of log lines; one cell may name several lines.
+/// Returns the log lines in the first column of the table in docs/oncall.md. A cell may list several lines.
 fn documented_lines() -> BTreeSet<String> {
     let page = read("docs/oncall.md");
-    let section =
-        page.split("\n## ").find(|section| section.starts_with("Log lines")).expect("a section on log lines");
+    let section = page
+        .split("\n## ")
+        .find(|section| section.starts_with("Log lines"))
+        .expect("docs/oncall.md has a section on log lines");
     let rows = section.lines().filter(|line| line.starts_with("| `"));
     let cells = rows.map(|row| row.split(" | ").next().expect("a row has a first cell"));
     let lines = cells.flat_map(|cell| cell.split('`').skip(1).step_by(2));
@@ -93,23 +96,27 @@
 }
 
 #[test]
-fn oncall_page_documents_exactly_the_log_lines_that_there_are() {
+fn oncall_page_documents_exactly_the_existing_log_lines() {
     let mut written = event_templates("src/routing/log_event.rs");
     written.extend(event_templates("src/transport/log_event.rs"));
     let documented = documented_lines();
 
     let missing: Vec<_> = written.difference(&documented).collect();
-    let surplus: Vec<_> = documented.difference(&written).collect();
+    let outdated: Vec<_> = documented.difference(&written).collect();
 
-    assert!(written.len() > 20, "the events are read: {written:?}");
+    assert!(
+        written.len() > 20,
+        "only {} log lines were found, more than 20 are expected: {written:?}",
+        written.len()
+    );
     assert!(missing.is_empty(), "log lines without a row in docs/oncall.md: {missing:#?}");
-    assert!(surplus.is_empty(), "rows of docs/oncall.md without a log line: {surplus:#?}");
+    assert!(outdated.is_empty(), "rows of docs/oncall.md without a log line: {outdated:#?}");
 }
 
 #[test]
 fn paths_named_in_the_pages_exist() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let mut named = 0;
+    let mut path_count = 0;
     for page in PAGES {
         let text = read(page);
         for code in text.split('`').skip(1).step_by(2) {
@@ -117,16 +124,16 @@
                 .iter()
                 .any(|start| code.starts_with(start));
             if is_path && !code.contains(char::is_whitespace) {
-                named += 1;
+                path_count += 1;
                 let exists = root.join(code).exists() || root.join(format!("{code}.rs")).exists();
                 assert!(exists, "{page} names {code}, which does not exist");
             }
         }
     }
-    assert!(named > 30, "paths are found in the pages: {named}");
+    assert!(path_count > 30, "only {path_count} paths were found in the pages, more than 30 are expected");
 }
 
-/// Adds the text of each source file in a folder and its subfolders.
+/// Appends the text of each Rust file in a folder and its subfolders to `sources`.
 fn add_sources(folder: &Path, sources: &mut String) {
     for entry in std::fs::read_dir(folder).expect("a folder of tests can be read") {
         let path = entry.expect("an entry of a folder can be read").path();
@@ -139,18 +146,22 @@
 }
 
 #[test]
-fn tests_named_in_the_page_of_races_exist() {
+fn tests_named_in_the_races_page_exist() {
     let mut sources = String::new();
     add_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests"), &mut sources);
     let page = read("docs/races.md");
-    let codes = page.split('`').skip(1).step_by(2);
+    let code_texts = page.split('`').skip(1).step_by(2);
     let is_test = |code: &&str| {
         code.matches('_').count() >= 4
             && code.chars().all(|c| c.is_ascii_lowercase() || c == '_' || c.is_ascii_digit())
     };
-    let names: BTreeSet<&str> = codes.filter(is_test).collect();
-    assert!(names.len() > 30, "tests are found in the page: {names:?}");
+    let names: BTreeSet<&str> = code_texts.filter(is_test).collect();
+    assert!(
+        names.len() > 30,
+        "only {} test names were found in docs/races.md, more than 30 are expected: {names:?}",
+        names.len()
+    );
     for name in names {
-        assert!(sources.contains(&format!("fn {name}(")), "docs/races.md names {name}, which is no test");
+        assert!(sources.contains(&format!("fn {name}(")), "docs/races.md names {name}, which does not exist");
     }
 }
--- a/tests/glossary.rs
+++ b/tests/glossary.rs
@@ -1,11 +1,12 @@
-//! The pages lead from the operators' words, and from each reason of a refusal, to terms that the code uses.
+//! Checks that the glossary maps the operators' words to terms of the code, and that the on-call page maps
+//! each refusal reason to a module.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
 use connection_balancer::RefusalReason;
 
-/// The words of the operators' list: each begins the first cell of a row, or is one of several there.
+/// Words of the operators' list. Each has to be in the first cell of a row, alone or with other words.
 const OPERATORS_WORDS: [&str; 35] = [
     "turned away",
     "sent on",
@@ -44,9 +45,11 @@
     "held",
 ];
 
-/// A row of a table that leads to the code.
+/// A row of a table with three columns.
 struct Row {
+    /// First cell: the words of the operators.
     words: String,
+    /// Third cell: the terms of the code.
     terms: String,
 }
 
@@ -55,7 +58,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Adds the identifiers of all Rust files under `folder`; comments are left out.
+/// Adds the words in the code of all Rust files under `folder`, without comments, to `identifiers`.
 fn collect_identifiers(folder: &Path, identifiers: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(folder).expect("a source folder can be read") {
         let path = entry.expect("an entry of a source folder can be read").path();
@@ -76,15 +79,15 @@
     identifiers
 }
 
-/// The rows of the tables with three columns, without their heads.
+/// Returns the rows of the glossary's tables with three columns, without the header rows.
 fn rows() -> Vec<Row> {
     let page = repository_file("docs/glossary.md");
     let mut rows = Vec::new();
     let mut lines = page.lines().peekable();
     while let Some(line) = lines.next() {
-        let is_head = lines.peek().is_some_and(|next| next.starts_with("| ---"));
+        let is_header = lines.peek().is_some_and(|next| next.starts_with("| ---"));
         let cells: Vec<&str> = line.split(" | ").collect();
-        if let ([words, _, terms], false) = (&cells[..], is_head || line.starts_with("| ---")) {
+        if let ([words, _, terms], false) = (&cells[..], is_header || line.starts_with("| ---")) {
             let words = words.trim_start_matches("| ").to_owned();
             rows.push(Row { words, terms: terms.trim_end_matches(" |").to_owned() });
         }
@@ -92,7 +95,7 @@
     rows
 }
 
-/// The texts in code font.
+/// Returns the texts in code font.
 fn code_terms(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
@@ -101,24 +104,32 @@
 fn each_code_term_of_the_glossary_exists_in_the_source() {
     let source = source_identifiers();
     let rows = rows();
-    let mut named = 0;
+    let mut term_count = 0;
     for row in &rows {
         for identifier in code_terms(&row.terms).flat_map(|term| term.split("::")) {
-            named += 1;
-            assert!(source.contains(identifier), "{}: {identifier} is not in the source", row.words);
+            term_count += 1;
+            assert!(
+                source.contains(identifier),
+                "glossary row {}: {identifier} does not exist in the source",
+                row.words
+            );
         }
     }
-    assert!(rows.len() > 60 && named > 120, "terms are found: {named} in {} rows", rows.len());
+    assert!(
+        rows.len() > 60 && term_count > 120,
+        "only {term_count} terms in {} rows were found, more than 120 in more than 60 are expected",
+        rows.len()
+    );
 }
 
 #[test]
 fn the_glossary_has_a_row_for_each_word_of_the_operators() {
     let rows = rows();
     for word in OPERATORS_WORDS {
-        let is_word =
+        let is_same_word =
             |part: &str| part == word || part.strip_suffix(')').is_some_and(|p| p.starts_with(word));
-        let has_row = rows.iter().any(|row| row.words.split(", ").any(is_word));
-        assert!(has_row, "{word} has no row");
+        let has_row = rows.iter().any(|row| row.words.split(", ").any(is_same_word));
+        assert!(has_row, "the glossary has no row for {word}");
     }
 }
 
@@ -127,21 +138,25 @@
     let rows = rows();
     let mut seen = BTreeSet::new();
     for row in &rows {
-        assert!(seen.insert(&row.words), "{} has two rows", row.words);
-        assert!(!row.terms.is_empty(), "{} leads nowhere", row.words);
+        assert!(seen.insert(&row.words), "the glossary has two rows for {}", row.words);
+        assert!(!row.terms.is_empty(), "the glossary row for {} has no terms", row.words);
     }
 }
 
 #[test]
-fn the_on_call_page_leads_from_each_refusal_reason_to_a_module() {
+fn the_on_call_page_names_a_module_for_each_refusal_reason() {
     let page = repository_file("docs/oncall.md");
     let rows = page.lines().filter(|line| line.starts_with("| `"));
-    let decided: BTreeSet<&str> = rows
+    let reasons_with_module: BTreeSet<&str> = rows
         .filter_map(|row| row.trim_start_matches("| ").split_once(" | "))
         .filter(|(_, rest)| code_terms(rest).any(|term| term.ends_with(".rs")))
         .flat_map(|(reason, _)| code_terms(reason))
         .collect();
     for reason in RefusalReason::ALL {
-        assert!(decided.contains(reason.name()), "{} has no row that names a module", reason.name());
+        assert!(
+            reasons_with_module.contains(reason.name()),
+            "docs/oncall.md has no row that names a module for {}",
+            reason.name()
+        );
     }
 }
--- a/tests/module_graph.rs
+++ b/tests/module_graph.rs
@@ -1,18 +1,18 @@
-//! The files of `src` import one another in one direction only.
+//! Checks the import graph of `src`: it has no cycles, and a layer imports only lower layers.
 //!
 //! The graph has a node for each file and an edge for each path by which one file names an item of another:
 //!
-//! - Paths are read from `use` declarations and from code, if they begin with `crate`, `super`, `self`, the
-//!   library's name, a child module or an imported name. Comments and literals hold no paths.
-//! - A path leads to the file that defines the item. One that goes through a re-export, or through a name that
-//!   a parent module has imported, is followed to the end; a `mod.rs` that only re-exports is not on the way.
-//! - A child that uses an item of its parent by `super::` depends on the parent's file, and a parent that uses
-//!   an item of its child by a private `use` or by path depends on the child's file: both at once are a circle.
-//! - `mod` declarations and visibilities are no edges, and neither are re-exports (`pub use`) of a module's own descendants,
-//!   unless the module's own code uses the name.
-//! - A glob import is an edge to the module's own file.
+//! - Paths are read from `use` declarations and from code if they begin with `crate`, `super`, `self`, the
+//!   library's name, a child module or an imported name. Comments and literals are skipped.
+//! - The target of an edge is the file that defines the item. Re-exports, and names that a parent module has
+//!   imported, are resolved to that file. A `mod.rs` that only re-exports the item is not a target.
+//! - A child that uses an item of its parent by `super::` depends on the parent's file. A parent that uses an
+//!   item of its child by a private `use` or by path depends on the child's file. Together they form a cycle.
+//! - `mod` declarations and visibilities are not edges. Re-exports (`pub use`) of a module's own descendants
+//!   are not edges unless the module's own code uses the name.
+//! - A glob import is an edge to the file of the imported module.
 //!
-//! Calls of methods need no path, so they are no edges.
+//! Method calls need no path, so they are not edges.
 
 mod source_graph;
 
@@ -20,20 +20,21 @@
 
 use source_graph::Graph;
 
-/// A folder of `src`, or a file of its own.
+/// A layer: a folder of `src`, or a single file.
 #[derive(Clone, Copy, Debug)]
 struct Layer {
-    /// Its path in `src`.
-    folder: &'static str,
-    /// It may import layers of lower rank. Those of the same rank are independent of each other.
+    /// Path in `src`.
+    path: &'static str,
+    /// A layer may import layers of lower rank. Layers of the same rank may not import each other.
     rank: u32,
 }
 
-const fn layer(folder: &'static str, rank: u32) -> Layer {
-    Layer { folder, rank }
+const fn layer(path: &'static str, rank: u32) -> Layer {
+    Layer { path, rank }
 }
 
-/// The layers, from the lowest; a file belongs to the first that its path begins with.
+/// The layers from the lowest to the highest. A file belongs to the first layer whose path is a prefix of the
+/// file's.
 const LAYERS: [Layer; 12] = [
     layer("types/", 0),
     layer("bookkeeping/", 1),
@@ -42,32 +43,32 @@
     layer("rebalance/", 3),
     layer("routing/", 4),
     layer("protocol/", 5),
-    // The transport logs and reads the configuration; the rest of the program starts it.
+    // The transport uses logging and configuration. The other files of the program start the transport.
     layer("program/log.rs", 6),
     layer("program/config/", 7),
     layer("transport/", 8),
     layer("program/", 9),
     layer("bin/", 9),
 ];
-/// The library's root only declares and re-exports: it is above all.
+/// The library's root, which only declares and re-exports modules, and may import every layer.
 const LIBRARY_ROOT: Layer = layer("lib.rs", u32::MAX);
 
-/// The layer that a file lies in.
+/// Returns the layer of a file.
 fn layer_of(file: &str) -> Layer {
-    if file == LIBRARY_ROOT.folder {
+    if file == LIBRARY_ROOT.path {
         return LIBRARY_ROOT;
     }
-    let layer = LAYERS.iter().find(|layer| file.starts_with(layer.folder));
-    *layer.unwrap_or_else(|| panic!("{file} lies in no layer: add its folder to LAYERS"))
+    let layer = LAYERS.iter().find(|layer| file.starts_with(layer.path));
+    *layer.unwrap_or_else(|| panic!("{file} belongs to no layer: add its folder to LAYERS"))
 }
 
-/// Imports from a layer to one that is not below it, one a line.
+/// Describes each import from a layer to a different layer that is not lower.
 fn upward_imports(graph: &Graph) -> Vec<String> {
     let mut upward = Vec::new();
     for (file, targets) in &graph.edges {
         for target in targets {
             let (from, to) = (layer_of(file), layer_of(target));
-            if from.folder != to.folder && from.rank <= to.rank {
+            if from.path != to.path && from.rank <= to.rank {
                 upward.push(format!("{file} imports {target}"));
             }
         }
@@ -75,25 +76,26 @@
     upward
 }
 
+/// Builds the graph of files that are given as pairs of path and source.
 fn graph_of(sources: &[(&str, &str)]) -> Graph {
     Graph::new(&sources.iter().map(|(file, source)| ((*file).to_owned(), (*source).to_owned())).collect())
 }
 
 #[test]
-fn files_of_src_form_no_circle() {
+fn import_graph_of_src_has_no_cycle() {
     let graph = Graph::of_this_project();
-    let circles: Vec<String> = graph.circles().iter().map(|circle| graph.describe(circle)).collect();
-    assert!(circles.is_empty(), "files form circles of imports:\n{}", circles.join("\n"));
+    let cycles: Vec<String> = graph.cycles().iter().map(|cycle| graph.describe(cycle)).collect();
+    assert!(cycles.is_empty(), "import cycles:\n{}", cycles.join("\n"));
 }
 
 #[test]
-fn no_layer_imports_one_that_is_not_below_it() {
+fn layers_import_only_lower_layers() {
     let upward = upward_imports(&Graph::of_this_project());
-    assert!(upward.is_empty(), "upward imports:\n{}", upward.join("\n"));
+    assert!(upward.is_empty(), "imports of layers that are not lower:\n{}", upward.join("\n"));
 }
 
 #[test]
-fn finds_a_circle_through_a_reexport_and_names_its_files() {
+fn finds_a_cycle_through_a_reexport_and_names_its_files() {
     let graph = graph_of(&[
         ("lib.rs", "mod low; mod high;"),
         ("low/mod.rs", "mod first; pub use first::First;"),
@@ -101,22 +103,22 @@
         ("high.rs", "use crate::low::First; pub struct Second; fn take(_: First) {}"),
     ]);
 
-    assert_eq!(graph.circles(), [BTreeSet::from(["high.rs", "low/first.rs"])]);
+    assert_eq!(graph.cycles(), [BTreeSet::from(["high.rs", "low/first.rs"])]);
 }
 
 #[test]
-fn finds_a_circle_of_a_parent_and_its_child() {
+fn finds_a_cycle_of_a_parent_and_its_child() {
     let child = "use super::Parent; pub struct Child(Parent);";
     for parent in
         ["mod child; use child::Child; struct Parent;", "mod child; fn f() { child::f() } struct Parent;"]
     {
         let graph = graph_of(&[("low/mod.rs", parent), ("low/child.rs", child)]);
-        assert_eq!(graph.circles(), [BTreeSet::from(["low/child.rs", "low/mod.rs"])], "{parent}");
+        assert_eq!(graph.cycles(), [BTreeSet::from(["low/child.rs", "low/mod.rs"])], "{parent}");
     }
 }
 
 #[test]
-fn takes_declarations_and_reexports_of_children_for_no_edges() {
+fn declarations_and_reexports_of_children_are_not_edges() {
     let graph = graph_of(&[
         (
             "low/mod.rs",
@@ -126,7 +128,7 @@
         ("low/other.rs", "pub struct Other;"),
     ]);
 
-    assert!(graph.circles().is_empty());
+    assert!(graph.cycles().is_empty());
     assert!(graph.edges["low/mod.rs"].is_empty());
     assert_eq!(graph.edges["low/child.rs"], BTreeSet::from(["low/other.rs".to_owned()]));
 }
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn finds_an_import_of_a_higher_layer_and_of_one_beside() {
+fn finds_imports_of_a_higher_layer_and_of_a_layer_of_equal_rank() {
     let graph = graph_of(&[
         ("policy/mod.rs", "use crate::types::{Time, Micros}; use crate::routing::State;"),
         ("types/mod.rs", "pub struct Time; pub struct Micros;"),
--- a/tests/source_graph/crates.rs
+++ b/tests/source_graph/crates.rs
@@ -1,17 +1,17 @@
-//! The crates whose sources lie in `src`, and the modules that their files hold.
+//! The crates whose sources are in `src`, and the mapping from files to modules.
 
 /// Name of the library in paths of the programs.
 pub(super) const LIBRARY: &str = "connection_balancer";
-/// Roots of the crates whose sources lie in `src`, each with its crate's name in this test.
+/// Root files of the crates whose sources are in `src`, each with the name of the crate in this test.
 const CRATE_ROOTS: [(&str, &str); 3] = [
     ("lib.rs", LIBRARY),
     ("program/main.rs", "program main"),
     ("bin/simulator-adapter/main.rs", "simulator-adapter"),
 ];
-/// Folders of crates other than the library.
+/// Folders of crates other than the library, each with the name of the crate in this test.
 const CRATE_FOLDERS: [(&str, &str); 1] = [("bin/simulator-adapter/", "simulator-adapter")];
 
-/// The module that a file of `src` holds.
+/// Returns the path of the module that a file of `src` contains: the crate's name, then the modules.
 pub(super) fn module_of(file: &str) -> Vec<String> {
     if let Some((_, name)) = CRATE_ROOTS.iter().find(|(root, _)| *root == file) {
         return vec![(*name).to_owned()];
--- a/tests/source_graph/source_file.rs
+++ b/tests/source_graph/source_file.rs
@@ -1,31 +1,32 @@
-//! What a file defines, imports and names by path.
+//! Parsing of a source file into its items, imports and paths.
 
 use std::collections::BTreeSet;
 
 use super::crates::module_of;
 use super::token::{tokenize, Token};
 
-/// What one `use` declaration brings into a module under one name.
+/// A name that a `use` declaration imports into a module.
 #[derive(Clone, Debug)]
 pub(super) struct Import {
+    /// Path of the imported item, as written.
     pub(super) path: Vec<String>,
-    /// The name in the module; `*` for a glob.
+    /// Name of the item in the module; `*` for a glob.
     pub(super) name: String,
-    /// Whether the name can be used from outside the module.
+    /// Whether the declaration is a `pub use` of any visibility.
     pub(super) is_reexport: bool,
 }
 
-/// What a file says of itself.
+/// The items, imports and paths of a source file.
 #[derive(Debug, Default)]
 pub(super) struct SourceFile {
-    /// Its module: the crate's name, then the modules.
+    /// Path of the file's module: the crate's name, then the modules.
     pub(super) module: Vec<String>,
-    /// Names of the items that it defines.
+    /// Names of the items that the file defines.
     pub(super) items: BTreeSet<String>,
-    /// Macros that it defines at the root of the crate.
+    /// Names of exported macros that the file defines. They are items of the crate's root.
     pub(super) exported_macros: BTreeSet<String>,
     pub(super) imports: Vec<Import>,
-    /// Paths in code.
+    /// Paths in code outside of `use` declarations.
     pub(super) paths: Vec<Vec<String>>,
 }
 
@@ -47,8 +48,8 @@
         parsed
     }
 
-    /// A path in code; one that begins with an imported name is written out. None for a name that is not
-    /// imported: it is one of this module, or no path.
+    /// Returns a path in code, with an imported name at its start replaced by the path of the import. Returns
+    /// `None` for a single name that is not imported, which is an item of this module or not a path.
     pub(super) fn with_import_resolved(&self, path: &[String]) -> Option<Vec<String>> {
         match self.imports.iter().find(|import| path.first() == Some(&import.name)) {
             Some(import) => Some(import.path.iter().chain(&path[1..]).cloned().collect()),
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Reads a `use` declaration, whose keyword has the index `at`. Returns the index of the token after its tree.
     fn read_use(&mut self, tokens: &[Token], at: usize) -> usize {
         let is_boundary = |token: &&Token| {
             matches!(token, Token::Symbol(';' | '{' | '}' | ']')) || matches!(token, Token::Symbol('#'))
@@ -71,6 +73,7 @@
         reader.at
     }
 
+    /// Reads the name of a `macro_rules!` definition. Returns the index of the token after it.
     fn read_macro(&mut self, tokens: &[Token], at: usize) -> usize {
         if let Some(Token::Name(name)) = tokens.get(at + 2) {
             let is_exported = at >= 2 && tokens[at - 2].is_name("macro_export");
@@ -80,6 +83,7 @@
         at + 3
     }
 
+    /// Reads the name of an item after its keyword. Returns the index of the token after it.
     fn read_item(&mut self, tokens: &[Token], at: usize) -> usize {
         match tokens.get(at + 1) {
             Some(Token::Name(name)) if !defines_item(name) => {
@@ -90,6 +94,8 @@
         }
     }
 
+    /// Reads a path, which is skipped if it continues another path, is a member or is in a visibility.
+    /// Returns the index of the token after it.
     fn read_path(&mut self, tokens: &[Token], mut at: usize) -> usize {
         let is_continued = matches!(&tokens[..at], [.., Token::PathSeparator]);
         let is_member =
@@ -111,14 +117,15 @@
     }
 }
 
-/// Whether a keyword comes before the name of an item.
+/// Returns whether a keyword precedes the name of an item.
 fn defines_item(keyword: &str) -> bool {
     matches!(keyword, "struct" | "enum" | "union" | "trait" | "type" | "fn" | "const" | "static")
 }
 
-/// Reads the tree of one `use` declaration.
+/// Reads the import tree of one `use` declaration.
 struct UseReader<'a> {
     tokens: &'a [Token],
+    /// Index of the next token.
     at: usize,
     is_reexport: bool,
     imports: Vec<Import>,
@@ -130,7 +137,7 @@
         self.tokens.get(self.at - 1).cloned()
     }
 
-    /// Reads a tree, up to the token after it.
+    /// Reads a tree whose paths begin with `prefix`, up to the token after the tree.
     fn read_tree(&mut self, prefix: &[String]) {
         let mut path = prefix.to_vec();
         loop {
@@ -156,6 +163,7 @@
         self.push(path, name);
     }
 
+    /// Reads the trees of a group in braces, whose paths begin with `path`.
     fn read_group(&mut self, path: &[String]) {
         loop {
             match self.tokens.get(self.at) {
--- a/tests/source_graph/token.rs
+++ b/tests/source_graph/token.rs
@@ -1,10 +1,13 @@
-//! Splits Rust into the tokens that paths need.
+//! Splits Rust source into the tokens that are needed to read paths.
 
-/// A token of Rust, as far as paths need it.
+/// A token of Rust source.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Token {
+    /// An identifier, a keyword or a number.
     Name(String),
+    /// `::`
     PathSeparator,
+    /// Any other character that is not white space.
     Symbol(char),
 }
 
@@ -18,7 +21,7 @@
     character.is_alphanumeric() || character == '_'
 }
 
-/// Splits a source into tokens, without comments and literals.
+/// Splits a source into tokens. Comments, character literals and string literals are skipped.
 pub(super) fn tokenize(source: &str) -> Vec<Token> {
     let characters: Vec<char> = source.chars().collect();
     let mut tokens = Vec::new();
@@ -56,10 +59,12 @@
     tokens
 }
 
+/// Returns the number of characters up to the end of the line.
 fn line_length(rest: &[char]) -> usize {
     rest.iter().take_while(|&&character| character != '\n').count()
 }
 
+/// Returns the length of a block comment, which may be nested.
 fn block_comment_length(rest: &[char]) -> usize {
     let (mut depth, mut at) = (0, 0);
     while at < rest.len() {
@@ -73,6 +78,7 @@
     rest.len()
 }
 
+/// Returns the length of a string literal with its quotes.
 fn string_length(rest: &[char]) -> usize {
     let mut at = 1;
     while at < rest.len() {
@@ -85,7 +91,7 @@
     rest.len()
 }
 
-/// The length of a raw string; none for a name that begins with `r`, or a raw name.
+/// Returns the length of a raw string, or `None` for a name that begins with `r` or a raw identifier.
 fn raw_string_length(rest: &[char]) -> Option<usize> {
     let hashes = rest[1..].iter().take_while(|&&character| character == '#').count();
     if rest.get(1 + hashes) != Some(&'"') {
