--- a/benches/compatibility/checks.rs
+++ b/benches/compatibility/checks.rs
@@ -1,4 +1,4 @@
-//! The checks, each of one interface between two builds: files, messages or commands.
+//! The checks. Each covers one interface between two builds: settings, stored files, messages or commands.
 
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,7 @@
     ("pcap recording", replays_a_recording),
     ("gossip", applies_gossip),
     ("replicated map", shares_the_replicated_map),
-    ("hot restart", takes_over_in_a_hot_restart),
+    ("hot restart", transfers_state_in_a_hot_restart),
     ("command line", answers_commands),
 ];
 
@@ -79,8 +79,8 @@
     Daemon::start(program, folder, addresses, &[Path::new("--config"), &file])
 }
 
-/// Checks that `check` of both builds prints the same for the operators' files and a configuration of the
-/// platform.
+/// Checks that both builds accept the operators' files and a configuration of the platform, and that their
+/// `check` commands print the same.
 fn reads_the_same_settings(builds: &Builds) {
     let folder = Folder::create();
     let server = FakeServer::start();
@@ -235,7 +235,7 @@
 
 /// Checks that a hot restart transfers established connections and an exclusion to a successor of the other
 /// build.
-fn takes_over_in_a_hot_restart(builds: &Builds) {
+fn transfers_state_in_a_hot_restart(builds: &Builds) {
     let folder = Folder::create();
     let addresses = Addresses::free();
     let servers = [FakeServer::start(), FakeServer::start()];
--- a/benches/compatibility/fake_servers.rs
+++ b/benches/compatibility/fake_servers.rs
@@ -32,7 +32,7 @@
     UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port is available")
 }
 
-/// A server for both fronts, which accepts each connection request and echoes all other lines.
+/// A server for either front, which accepts each connection request and then echoes lines.
 pub(crate) struct FakeServer {
     pub(crate) address: SocketAddr,
     received_lines: Arc<AtomicUsize>,
--- a/benches/restart/discovery.rs
+++ b/benches/restart/discovery.rs
@@ -9,8 +9,7 @@
 
 /// Delay of each answer.
 const ANSWER_DELAY: Duration = Duration::from_secs(1);
-/// Generation of the endpoint list in the daemon's settings. Each answer of a connection has the next
-/// generation.
+/// Generation of the endpoint list in the daemon's settings. Each answer adds 1 to it.
 const FIRST_GENERATION: u64 = 1;
 
 /// Returns the endpoint list of all servers that are up, as JSON.
--- a/benches/restart/fake_server.rs
+++ b/benches/restart/fake_server.rs
@@ -98,7 +98,7 @@
         let address = lock(&self.address).take();
         let streams = std::mem::take(&mut *lock(&self.streams));
         streams.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
-        // The listener's thread is blocked until the next connection; this one makes it end.
+        // The listener's thread blocks until the next connection. This connection lets it end.
         address.map(TcpStream::connect);
     }
 
--- a/benches/restart/main.rs
+++ b/benches/restart/main.rs
@@ -1,6 +1,7 @@
 //! Measures the restart of a server over real sockets, with rebalancing off and on at the same time: how soon
-//! the restarted server is filled, and how many messages are within the objective. `cargo bench --bench
-//! restart` takes 45 s.
+//! the restarted server is filled, and how many messages are within the objective.
+//!
+//! `cargo bench --bench restart` takes 45 s.
 
 mod client;
 mod daemon;
--- a/simulation/src/commands/cost.rs
+++ b/simulation/src/commands/cost.rs
@@ -5,7 +5,7 @@
 use argh::FromArgs;
 use simulation::idle_balancer::IdleBalancer;
 
-/// Number of measurements with rebalancing off and on each, of which the fastest counts.
+/// Number of measurements for rebalancing off and for rebalancing on, of which the fastest counts.
 const ROUNDS: usize = 3;
 /// Allowed CPU time of rebalancing, in percent of a core.
 const MAX_COST_PERCENT: f64 = 1.0;
--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -83,9 +83,8 @@
         }
     }
 
-    /// Requests a connection at a balancer, or restores one that is established at the server
-    /// `established_at`.
-    fn request_connection(&mut self, client: usize, balancer: usize, established_at: Option<String>) {
+    /// Requests a connection at a balancer, or restores one that is established at `established_server`.
+    fn request_connection(&mut self, client: usize, balancer: usize, established_server: Option<String>) {
         let profile = &self.clients[client];
         let class = &CLASSES[profile.class];
         let connection = self.balancers[balancer].add_connection(client);
@@ -98,7 +97,7 @@
             timeout: Some(Micros(class.max_wait_duration)),
             key: Some(client as u64),
             reconnecting: self.client_states[client].reconnecting,
-            established_at,
+            established_at: established_server,
             ..ConnectionRequest::default()
         };
         self.feed(balancer, Input::ClientConnected { connection, pool: 0 });
--- a/simulation/src/day/event_queue.rs
+++ b/simulation/src/day/event_queue.rs
@@ -28,7 +28,7 @@
     EndpointListArrives(BalancerRef),
     /// A fault of the scenario occurs.
     Fault(Fault),
-    /// The servers advance by one step, and the day's course is measured.
+    /// The servers advance by one step, and their service is measured.
     Step,
 }
 
--- a/simulation/src/scenario.rs
+++ b/simulation/src/scenario.rs
@@ -55,7 +55,7 @@
     Scenario::GoneUnlisted,
 ];
 
-/// A fault, or the end of one, of a server or balancer with this index.
+/// A fault of the server or balancer with this index, or the end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The server's process dies.
