--- a/tests/daemon/fake_servers/client.rs
+++ b/tests/daemon/fake_servers/client.rs
@@ -1,34 +1,34 @@
-//! A client that sends and reads lines.
+//! One end of a TCP connection, which sends and reads lines.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
 use super::MAX_WAIT;
 
-/// A client that sends and reads lines.
+/// One end of a TCP connection, which sends and reads lines: a client, or the server's end of an attempt.
 pub(crate) struct Client {
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
     pub(crate) fn connect(address: &str) -> Client {
-        Client::over(TcpStream::connect(address).expect("connects"))
+        Client::from_stream(TcpStream::connect(address).expect("the client connects"))
     }
 
-    /// A client over a connection that is open already.
-    pub(crate) fn over(stream: TcpStream) -> Client {
-        stream.set_read_timeout(Some(MAX_WAIT)).expect("a socket");
+    /// Wraps a connection that is already open.
+    pub(crate) fn from_stream(stream: TcpStream) -> Client {
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("the timeout is set");
         Client { reader: BufReader::new(stream) }
     }
 
-    /// A client that registers as `nick`.
+    /// Connects an IRC client and sends its registration as `nick`.
     pub(crate) fn register(address: &str, nick: &str) -> Client {
         let mut client = Client::connect(address);
         client.send_line(&format!("NICK {nick}\r\nUSER u 0 * :A tool"));
         client
     }
 
-    /// The connection, to write to. Its lines are read by the methods below.
+    /// Returns the connection for writes. Reads from it would miss bytes that are already buffered here.
     pub(crate) fn stream(&self) -> &TcpStream {
         self.reader.get_ref()
     }
@@ -38,35 +38,38 @@
     }
 
     pub(crate) fn send_line(&mut self, line: &str) {
-        self.stream().write_all(format!("{line}\r\n").as_bytes()).expect("written");
+        self.stream().write_all(format!("{line}\r\n").as_bytes()).expect("the line is written");
     }
 
-    /// The next line; empty at the end.
+    /// Reads the next line without its line end. Returns an empty line at the end of the stream or after a
+    /// reset.
     pub(crate) fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(_) => line.trim_end().to_owned(),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => String::new(),
-            Err(e) => panic!("no line: {e}"),
+            Err(e) => panic!("no line was read: {e}"),
         }
     }
 
-    /// The next line that contains this; panics if there is none.
-    pub(crate) fn expect_line(&mut self, part: &str) -> String {
+    /// Skips lines up to the next one that contains `text`, and returns it. Panics if the stream ends before.
+    pub(crate) fn expect_line(&mut self, text: &str) -> String {
         loop {
             let line = self.read_line();
-            assert!(!line.is_empty(), "the end came before '{part}'");
-            if line.contains(part) {
+            assert!(!line.is_empty(), "the stream ended before a line with '{text}'");
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// All that comes up to the end.
+    /// Reads up to the end of the stream or a reset.
     pub(crate) fn read_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
         match self.reader.read_to_end(&mut bytes) {
-            Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => panic!("no end: {e}"),
+            Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => {
+                panic!("the stream did not end: {e}")
+            }
             _ => String::from_utf8_lossy(&bytes).into_owned(),
         }
     }
--- a/tests/daemon/fake_servers/daemon.rs
+++ b/tests/daemon/fake_servers/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process of the test.
+//! The daemon as a child process of the test.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -8,25 +8,31 @@
 
 use super::{wait_until, Client, Server, MAX_WAIT};
 
-/// A running daemon, killed at the end of the test.
+/// A running daemon. Dropping it kills the process and removes its temporary folder.
 pub(crate) struct Daemon {
     child: Child,
     log: Receiver<String>,
+    /// Address of the IRC front, from the daemon's log.
     pub irc: String,
+    /// Address of the platform's front; empty without a platform configuration.
     pub platform: String,
+    /// Address on which the replicated map exchanges messages; empty without a `store` in the operator's
+    /// file.
     pub store: String,
+    /// Address of the admin endpoint; empty without `mgmt` in the operator's file.
     pub mgmt: String,
+    /// The daemon's temporary folder, which also holds its configuration files.
     pub folder: PathBuf,
 }
 
 impl Daemon {
-    /// Starts a daemon with the texts of an operator's file and, if given, of a platform configuration.
+    /// Starts a daemon with the contents of an operator's file and, if given, of a platform configuration.
     pub(crate) fn start(irc: &str, platform: Option<&str>) -> Daemon {
         Daemon::start_with(irc, platform, &[])
     }
 
-    /// The same with more arguments.
-    pub(crate) fn start_with(irc: &str, platform: Option<&str>, more: &[&str]) -> Daemon {
+    /// Starts a daemon as [`Daemon::start`] does, with additional arguments of the `serve` command.
+    pub(crate) fn start_with(irc: &str, platform: Option<&str>, arguments: &[&str]) -> Daemon {
         static COUNT: Mutex<u32> = Mutex::new(0);
         let count = {
             let mut count = COUNT.lock().unwrap();
@@ -34,12 +40,12 @@
             *count
         };
         let folder = std::env::temp_dir().join(format!("sagemount-e2e-{}-{count}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("irc.json"), irc).expect("written");
+        std::fs::create_dir_all(&folder).expect("the folder is created");
+        std::fs::write(folder.join("irc.json"), irc).expect("the file is written");
         if let Some(platform) = platform {
-            std::fs::write(folder.join("config.json"), platform).expect("written");
+            std::fs::write(folder.join("config.json"), platform).expect("the file is written");
         }
-        Daemon::launch(folder, more)
+        Daemon::launch(folder, arguments)
     }
 
     /// Starts a successor, with the same configuration and temporary folder.
@@ -47,25 +53,27 @@
         Daemon::launch(self.folder.clone(), &[])
     }
 
-    /// Starts a successor whose request this daemon sees in the same wake-up in which it is resumed.
+    /// Resumes this suspended daemon while a successor starts, whose request for the state races with the
+    /// events that arrived during the suspension.
     pub(crate) fn resume_beside_successor(&self) -> Daemon {
         let folder = self.folder.clone();
         let successor = std::thread::spawn(|| Daemon::launch(folder, &[]));
         self.resume();
-        successor.join().expect("it starts")
+        successor.join().expect("the successor starts")
     }
 
-    fn launch(folder: PathBuf, more: &[&str]) -> Daemon {
+    fn launch(folder: PathBuf, arguments: &[&str]) -> Daemon {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        command.arg("serve").arg("--irc").arg(folder.join("irc.json")).args(more);
+        command.arg("serve").arg("--irc").arg(folder.join("irc.json")).args(arguments);
         let config = folder.join("config.json");
         if config.exists() {
             command.arg("--config").arg(config);
         }
-        // A temporary folder of its own: a daemon that serves in the same one would be its predecessor.
+        // Daemons that share a temporary folder and listening addresses perform a hot restart, so each test
+        // has its own.
         command.env("TMPDIR", &folder).env_remove("NODE_CONFIG").env_remove("NODE_MGMT");
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("starts");
-        let reader = BufReader::new(child.stderr.take().expect("a log"));
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the daemon starts");
+        let reader = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let (sender, log) = channel();
         std::thread::spawn(move || reader.lines().map_while(Result::ok).for_each(|l| drop(sender.send(l))));
         let mut daemon = Daemon {
@@ -83,94 +91,97 @@
                 let (_, rest) = line.split_once(prefix)?;
                 rest.split(' ').next().map(str::to_owned)
             };
-            if let Some(at) = address_after("replicates on ") {
-                daemon.store = at;
-            } else if let Some(at) = address_after("admin endpoint open on ") {
-                daemon.mgmt = at;
-            } else if let Some(at) = address_after("listens on ") {
-                *if line.contains("for IRC") { &mut daemon.irc } else { &mut daemon.platform } = at;
+            if let Some(address) = address_after("replicates on ") {
+                daemon.store = address;
+            } else if let Some(address) = address_after("admin endpoint open on ") {
+                daemon.mgmt = address;
+            } else if let Some(address) = address_after("listens on ") {
+                *if line.contains("for IRC") { &mut daemon.irc } else { &mut daemon.platform } = address;
             }
         }
         daemon
     }
 
-    /// The next log line that contains this.
-    pub(crate) fn log_line(&self, part: &str) -> String {
+    /// Waits for the next log line that contains `text`, and returns it. Skips the lines before it.
+    pub(crate) fn log_line(&self, text: &str) -> String {
         loop {
             let line =
-                self.log.recv_timeout(MAX_WAIT).unwrap_or_else(|_| panic!("no log line with '{part}'"));
+                self.log.recv_timeout(MAX_WAIT).unwrap_or_else(|_| panic!("no log line with '{text}'"));
 
-            if line.contains(part) {
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Replaces a configuration file, `irc.json` or `config.json`, and has it read again.
+    /// Replaces a configuration file, `irc.json` or `config.json`, and sends SIGHUP.
     pub(crate) fn reload(&self, file: &str, text: &str) {
-        std::fs::write(self.folder.join("next"), text).expect("written");
-        std::fs::rename(self.folder.join("next"), self.folder.join(file)).expect("replaced");
+        std::fs::write(self.folder.join("next"), text).expect("the file is written");
+        std::fs::rename(self.folder.join("next"), self.folder.join(file)).expect("the file is replaced");
         self.signal("-HUP");
     }
 
-    /// The reply of its admin endpoint.
+    /// Sends a call to the admin endpoint and returns the whole reply.
     pub(crate) fn admin_call(&self, call: &str) -> String {
         let mut admin_client = Client::connect(&self.mgmt);
         admin_client.send_line(call);
         admin_client.read_to_end()
     }
 
-    /// Excludes a server with the command line.
+    /// Excludes a server by the `exclude` command.
     pub(crate) fn exclude(&self, server: &str) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        let output = command.args(["exclude", server, "--mgmt", &self.mgmt]).output().expect("runs");
+        let output =
+            command.args(["exclude", server, "--mgmt", &self.mgmt]).output().expect("the command runs");
         assert!(output.status.success(), "{output:?}");
     }
 
-    /// Runs a command of the command line at this daemon's store.
+    /// Runs a command of the command line on this daemon's replicated map.
     pub(crate) fn run_store_command(&self, arguments: &[&str]) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        let output = command.args(arguments).args(["--store", &self.store]).output().expect("runs");
+        let output =
+            command.args(arguments).args(["--store", &self.store]).output().expect("the command runs");
         assert!(output.status.success(), "{output:?}");
     }
 
-    /// Sends the process a signal, such as `-TERM`.
+    /// Sends a signal, such as `-TERM`, to the process.
     pub(crate) fn signal(&self, signal: &str) {
         let status = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
     }
 
-    /// Stops the whole process: what happens from here on waits in the system, and comes to it in one wake-up when it
-    /// is resumed.
+    /// Stops the whole process by SIGSTOP. Events that follow wait in the kernel, and the event loop receives
+    /// all of them in one wake-up when the process is resumed.
     pub(crate) fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let state = || std::fs::read_to_string(&stat).unwrap_or_default();
-        wait_until("the daemon is stopped", || {
+        wait_until("the process is stopped", || {
             state().rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
         });
     }
 
-    /// Resumes the process.
+    /// Resumes the process by SIGCONT.
     pub(crate) fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// A metric that it reports, summed over all its classes.
+    /// Returns the value of a metric, summed over all keys that have `name` as a part, such as those of each
+    /// class.
     pub(crate) fn metric(&self, name: &str) -> u64 {
         let lines = self.admin_call("telemetry");
-        let of = |line: &str| {
+        let matching_value = |line: &str| {
             let (key, value) = line.split_once(':')?;
             key.split('.').any(|part| part == name).then(|| value.split('|').next()?.parse::<f64>().ok())?
         };
-        lines.lines().filter_map(of).sum::<f64>() as u64
+        lines.lines().filter_map(matching_value).sum::<f64>() as u64
     }
 
-    /// Waits for its exit. Returns whether it reported success.
+    /// Waits until the process exits. Returns whether its exit status is success.
     pub(crate) fn wait_for_exit(&mut self) -> bool {
         let mut status = None;
         wait_until("the daemon exits", || {
-            status = self.child.try_wait().expect("a child");
+            status = self.child.try_wait().expect("the exit status is read");
             status.is_some()
         });
         status.is_some_and(|s| s.success())
@@ -185,7 +196,8 @@
     }
 }
 
-/// An operator's file with these servers.
+/// Returns an operator's file that lists `servers` as `irc-0`, `irc-1` and so on. `more` is inserted as
+/// further JSON members.
 pub(crate) fn irc_config(servers: &[&Server], more: &str) -> String {
     let server = |(n, server): (usize, &&Server)| {
         format!("{{\"name\": \"irc-{n}\", \"address\": \"{}\"}}", server.address)
--- a/tests/daemon/fake_servers/discovery.rs
+++ b/tests/daemon/fake_servers/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service for any number of daemons, whose replies a test scripts or sends itself.
+//! A fake discovery service for any number of daemons. A test scripts its replies or sends them itself.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -9,72 +9,74 @@
 
 use super::MAX_WAIT;
 
-/// Number of bytes of an interrupted reply that are sent: the head, and a part of the body.
+/// Number of bytes of an interrupted reply that are sent: the head and a part of the body.
 const INTERRUPTED_REPLY_BYTES: usize = 60;
 
 /// How the service replies to a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
-    /// The endpoint list or its changes, at once or when something changes.
+    /// Sends the endpoint list, or its changes as soon as there are any.
     EndpointList,
-    /// The same, later by this much than it could be.
+    /// Replies as [`Reply::EndpointList`], with this additional delay.
     LateEndpointList(Duration),
-    /// Status 200 with this body.
+    /// Sends status 200 with this body.
     Body(String),
-    /// The same, after this delay.
+    /// Sends status 200 with this body after this delay.
     LateBody(String, Duration),
-    /// This status without a body.
+    /// Sends this status without a body.
     Status(u16),
-    /// The head and a part of this body; then the connection is closed.
+    /// Sends the head and a part of this body, then closes the connection.
     InterruptedBody(String),
-    /// None: the connection stays open.
+    /// Sends nothing and keeps the connection open.
     Silence,
-    /// What the test sends: [`Discovery::next_call`] returns the call.
-    ByTest,
+    /// Leaves the reply to the test, which gets the call from [`Discovery::next_call`].
+    Manual,
 }
 
-/// A call that was received: its request line and when it came.
+/// Record of a received call.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedCall {
-    pub at: Instant,
+    pub received_at: Instant,
+    /// The HTTP request line.
     pub request: String,
 }
 
-/// A call that the test replies to.
+/// A call to which the test replies.
 pub(crate) struct Call {
+    /// The HTTP request line.
     pub request: String,
     pub stream: TcpStream,
 }
 
 impl Call {
-    /// Replies with an endpoint list, or whatever this text is.
-    pub(crate) fn send_endpoint_list(&self, list: &str) {
-        self.send(&http_response(200, list));
+    /// Replies with status 200 and this body, usually an endpoint list.
+    pub(crate) fn send_body(&self, body: &str) {
+        self.send(&http_response(200, body));
     }
 
-    /// Replies with this status and no body.
+    /// Replies with this status and an empty body.
     pub(crate) fn send_status(&self, status: u16) {
         self.send(&http_response(status, ""));
     }
 
     fn send(&self, response: &str) {
-        (&self.stream).write_all(response.as_bytes()).expect("written");
+        (&self.stream).write_all(response.as_bytes()).expect("the response is written");
     }
 }
 
 struct State {
     /// Replies to the next calls, in order.
     script: VecDeque<Reply>,
-    /// The reply to each call after the script's end.
+    /// The reply to each call after the end of the script.
     reply: Reply,
     is_listening: bool,
     generation: u32,
-    /// Entries by name, each with the generation that changed it.
+    /// Entries by server name, each with the generation that last changed it.
     entries: BTreeMap<String, (u32, String)>,
-    /// Connections with a call that waits for a change, or that is not replied to.
+    /// Connections whose call waits for a change or gets no reply.
     open_calls: Vec<TcpStream>,
     received_calls: Vec<ReceivedCall>,
-    /// Number of calls that were replied to with a list or changes of it.
+    /// Number of replies with a list or changes of it.
     lists_sent: usize,
 }
 
@@ -83,9 +85,10 @@
         self.open_calls.iter().any(|open| open.peer_addr().is_ok_and(|at| at == peer))
     }
 
-    /// The list, or its changes since the generation that the call names.
+    /// Returns the list, or its changes since the generation that the call names.
     fn endpoint_list(&self, since: Option<u32>) -> String {
-        let changed = self.entries.values().filter(|(at, _)| since.is_none_or(|since| *at > since));
+        let changed =
+            self.entries.values().filter(|(changed_in, _)| since.is_none_or(|since| *changed_in > since));
         let entries: Vec<String> = changed.map(|(_, entry)| entry.clone()).collect();
         endpoint_list(self.generation, since.is_none(), &entries)
     }
@@ -97,7 +100,7 @@
     calls_for_test: Sender<Call>,
 }
 
-/// The discovery service. Its threads run until the test's process ends.
+/// The fake discovery service. Its threads run until the test process ends.
 pub(crate) struct Discovery {
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -105,24 +108,24 @@
 }
 
 impl Discovery {
-    /// A service whose every call the test replies to.
-    pub(crate) fn by_test() -> Discovery {
-        Discovery::start(Vec::new(), Reply::ByTest, &[])
+    /// Starts a service whose calls the test replies to, each by [`Discovery::next_call`].
+    pub(crate) fn manual() -> Discovery {
+        Discovery::start(Vec::new(), Reply::Manual, &[])
     }
 
-    /// A service that sends these replies, one for each call, and then is silent.
+    /// Starts a service that sends these replies, one for each call, and leaves later calls without a reply.
     pub(crate) fn scripted(script: Vec<Reply>) -> Discovery {
         Discovery::start(script, Reply::Silence, &[])
     }
 
-    /// A service whose first list has these entries, by name.
+    /// Starts a service whose list initially has these entries, by server name.
     pub(crate) fn serving(entries: &[(&str, String)]) -> Discovery {
         Discovery::start(Vec::new(), Reply::EndpointList, entries)
     }
 
     fn start(script: Vec<Reply>, reply: Reply, entries: &[(&str, String)]) -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+        let address = listener.local_addr().expect("the listener has an address");
         let (calls_for_test, calls) = channel();
         let state = State {
             script: script.into(),
@@ -148,22 +151,22 @@
         discovery
     }
 
-    /// The next call that the test replies to.
+    /// Waits for the next call, to which the test replies.
     pub(crate) fn next_call(&self) -> Call {
-        self.calls.recv_timeout(MAX_WAIT).expect("a call")
+        self.calls.recv_timeout(MAX_WAIT).expect("a call arrives")
     }
 
-    /// All calls so far.
+    /// Returns the records of all calls so far, in order of arrival.
     pub(crate) fn received_calls(&self) -> Vec<ReceivedCall> {
         self.shared.lock().received_calls.clone()
     }
 
-    /// Number of calls that are open now.
+    /// Returns the number of calls that currently wait for a change or get no reply.
     pub(crate) fn open_calls(&self) -> usize {
         self.shared.lock().open_calls.len()
     }
 
-    /// Number of calls that were replied to with a list or changes of it.
+    /// Returns the number of replies with a list or changes of it.
     pub(crate) fn lists_sent(&self) -> usize {
         self.shared.lock().lists_sent
     }
@@ -173,16 +176,16 @@
         self.shared.lock().reply = reply;
     }
 
-    /// Never replies to the open calls, and sets the reply to later ones.
+    /// Leaves the open calls without a reply for ever, and sets the reply to later ones.
     pub(crate) fn silence_open_calls(&self, reply: Reply) {
         let mut state = self.shared.lock();
         state.reply = reply;
-        // Connections that stay open and are never written to again.
+        // A dropped stream would close its connection.
         state.open_calls.drain(..).for_each(std::mem::forget);
         self.shared.changed.notify_all();
     }
 
-    /// Resets the open calls, and sets the reply to later ones.
+    /// Resets the connections of the open calls, and sets the reply to later ones.
     pub(crate) fn reset_open_calls(&self, reply: Reply) {
         let mut state = self.shared.lock();
         state.reply = reply;
@@ -190,21 +193,21 @@
         self.shared.changed.notify_all();
     }
 
-    /// Never replies to any call again, and refuses connections.
+    /// Leaves all calls without a reply from now on, and refuses connections.
     pub(crate) fn stop_listening(&self) {
         self.shared.lock().is_listening = false;
         self.silence_open_calls(Reply::Silence);
-        // The listener is closed when it has accepted this connection.
+        // The accepting thread closes the listener once it has accepted this connection.
         drop(TcpStream::connect(self.address));
     }
 
-    /// Replies to all open calls with a generation that changes nothing.
+    /// Replies to all open calls with a new generation without changes.
     pub(crate) fn publish_unchanged(&self) {
         self.shared.lock().generation += 1;
         self.shared.changed.notify_all();
     }
 
-    /// Changes an entry.
+    /// Replaces an entry and replies to all open calls with the change.
     pub(crate) fn publish(&self, name: &str, entry: String) {
         let mut state = self.shared.lock();
         state.generation += 1;
@@ -219,14 +222,14 @@
         self.state.lock().unwrap()
     }
 
-    /// Replies to the calls of a connection, one after another.
+    /// Replies to the calls of a connection in order.
     fn serve_connection(&self, stream: &TcpStream) {
-        let reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let reader = BufReader::new(stream.try_clone().expect("the stream is cloned"));
         let mut request = String::new();
         for line in reader.lines().map_while(Result::ok) {
             if line.starts_with("GET ") {
                 request = line;
-                let received_call = ReceivedCall { at: Instant::now(), request: request.clone() };
+                let received_call = ReceivedCall { received_at: Instant::now(), request: request.clone() };
                 self.lock().received_calls.push(received_call);
             } else if line.is_empty() && !self.reply_to_call(stream, &request) {
                 return;
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Replies to a call. Returns whether the connection's next call is read.
+    /// Replies to a call. Returns whether the next call is read from the connection.
     fn reply_to_call(&self, stream: &TcpStream, request: &str) -> bool {
         let mut state = self.lock();
         let reply = state.script.pop_front().unwrap_or_else(|| state.reply.clone());
@@ -254,11 +257,14 @@
                 return false;
             }
             Reply::Silence => {
-                state.open_calls.push(stream.try_clone().expect("a clone"));
+                state.open_calls.push(stream.try_clone().expect("the stream is cloned"));
                 return false;
             }
-            Reply::ByTest => {
-                let call = Call { request: request.to_owned(), stream: stream.try_clone().expect("a clone") };
+            Reply::Manual => {
+                let call = Call {
+                    request: request.to_owned(),
+                    stream: stream.try_clone().expect("the stream is cloned"),
+                };
                 let _ = self.calls_for_test.send(call);
                 return true;
             }
@@ -268,8 +274,8 @@
         true
     }
 
-    /// Waits until there is a change or the call's time is over. Returns the response, or none if the call was silenced
-    /// or reset meanwhile.
+    /// Waits until there is a change or the call's hold ends. Returns the response, or none if the call was
+    /// silenced or reset meanwhile.
     fn await_list<'a>(
         &'a self,
         mut state: MutexGuard<'a, State>,
@@ -278,11 +284,11 @@
     ) -> Option<String> {
         let since = parameter(request, "from=");
         let hold = Duration::from_millis(parameter(request, "hold_ms=").unwrap_or_default().into());
-        let until = Instant::now() + hold;
-        let peer = stream.peer_addr().expect("a peer");
-        state.open_calls.push(stream.try_clone().expect("a clone"));
-        while state.is_open(peer) && since == Some(state.generation) && Instant::now() < until {
-            let wait = until.saturating_duration_since(Instant::now());
+        let hold_end = Instant::now() + hold;
+        let peer = stream.peer_addr().expect("the stream has a peer address");
+        state.open_calls.push(stream.try_clone().expect("the stream is cloned"));
+        while state.is_open(peer) && since == Some(state.generation) && Instant::now() < hold_end {
+            let wait = hold_end.saturating_duration_since(Instant::now());
             state = self.changed.wait_timeout(state, wait).unwrap().0;
         }
         if let Reply::LateEndpointList(delay) = state.reply {
@@ -299,7 +305,7 @@
     }
 }
 
-/// The value of a parameter in a request line.
+/// Returns the value of a numeric parameter in a request line. `key` includes the equals sign.
 fn parameter(request: &str, key: &str) -> Option<u32> {
     let (_, rest) = request.split_once(key)?;
     rest.split(['&', ' ']).next()?.parse().ok()
@@ -309,14 +315,14 @@
     format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// An endpoint as discovery writes it.
+/// Returns an entry of a list in the JSON form of discovery.
 pub(crate) fn endpoint(name: &str, address: SocketAddr, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId": "{name}", "hostPort": "{address}", "zone": "a", "lifecycle": "{lifecycle}", "weight": 1.0}}"#
     )
 }
 
-/// An endpoint list as discovery writes it: a snapshot of the whole list, or changes.
+/// Returns the body of a reply in the JSON form of discovery: a snapshot of the whole list, or its changes.
 pub(crate) fn endpoint_list(generation: u32, is_snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"generation": {generation}, "reset": {is_snapshot}, "instances": [{}]}}"#, entries.join(","))
 }
--- a/tests/daemon/fake_servers/irc_server.rs
+++ b/tests/daemon/fake_servers/irc_server.rs
@@ -4,40 +4,42 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// How a fake IRC server answers a registration.
+/// How a fake IRC server replies to a registration.
 #[derive(Clone)]
 pub(crate) enum Behaviour {
-    /// `PING` first, and the welcome only after the right `PONG`.
+    /// Sends a `PING`, and the welcome only after the matching `PONG`.
     Welcome,
-    /// This line, then it closes.
-    Replies(&'static str),
-    /// It closes without a reply.
-    Closes,
-    /// No reply.
+    /// Sends this line and closes the connection.
+    ReplyAndClose(&'static str),
+    /// Closes the connection without a reply.
+    CloseWithoutReply,
+    /// Sends no reply and keeps the connection open.
     Silent,
 }
 
-/// A fake IRC server (RFC 2812): it keeps every line that it is sent.
+/// A fake IRC server (RFC 2812), which records every line that it receives.
 pub(crate) struct Server {
     pub address: SocketAddr,
+    /// The received lines of all connections, in order of arrival.
     pub lines: Arc<Mutex<Vec<String>>>,
+    /// All accepted connections, including closed ones.
     pub streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Server {
     pub(crate) fn start(behaviour: Behaviour) -> Server {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+        let address = listener.local_addr().expect("the listener has an address");
         let (lines, streams) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
         let server = Server { address, lines: lines.clone(), streams: streams.clone() };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (behaviour, lines) = (behaviour.clone(), lines.clone());
-                streams.lock().unwrap().push(stream.try_clone().expect("a clone"));
+                streams.lock().unwrap().push(stream.try_clone().expect("the stream is cloned"));
                 std::thread::spawn(move || {
-                    let end = stream.try_clone().expect("a clone");
+                    let stream_to_close = stream.try_clone().expect("the stream is cloned");
                     Server::serve(stream, behaviour, &lines);
-                    let _ = end.shutdown(Shutdown::Both);
+                    let _ = stream_to_close.shutdown(Shutdown::Both);
                 });
             }
         });
@@ -45,8 +47,8 @@
     }
 
     fn serve(mut stream: TcpStream, behaviour: Behaviour, lines: &Mutex<Vec<String>>) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-        let (mut line, mut nick, mut welcome) = (String::new(), String::new(), false);
+        let mut reader = BufReader::new(stream.try_clone().expect("the stream is cloned"));
+        let (mut line, mut nick, mut is_welcomed) = (String::new(), String::new(), false);
         while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
             let text = line.trim_end().to_owned();
             line.clear();
@@ -59,15 +61,15 @@
                         send(":irc.test NOTICE * :*** Looking up your hostname");
                         send("PING :cookie-17");
                     }
-                    Behaviour::Replies(line) => {
+                    Behaviour::ReplyAndClose(line) => {
                         send(line);
                         return;
                     }
-                    Behaviour::Closes => return,
+                    Behaviour::CloseWithoutReply => return,
                     Behaviour::Silent => {}
                 },
-                ("PONG", ":cookie-17") if !welcome => {
-                    welcome = true;
+                ("PONG", ":cookie-17") if !is_welcomed => {
+                    is_welcomed = true;
                     send(&format!(":irc.test 001 {nick} :Welcome"));
                 }
                 ("PRIVMSG", rest) => send(&format!(":{nick}!u@h PRIVMSG {rest}")),
@@ -80,12 +82,12 @@
         }
     }
 
-    /// Whether it was sent this line.
-    pub(crate) fn has(&self, line: &str) -> bool {
+    /// Returns whether the server has received this line.
+    pub(crate) fn received(&self, line: &str) -> bool {
         self.lines.lock().unwrap().iter().any(|l| l == line)
     }
 
-    /// Number of lines that it was sent.
+    /// Returns the number of received lines.
     pub(crate) fn count(&self) -> usize {
         self.lines.lock().unwrap().len()
     }
--- a/tests/daemon/fake_servers/manual_server.rs
+++ b/tests/daemon/fake_servers/manual_server.rs
@@ -9,8 +9,9 @@
 pub(crate) struct ManualServer {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// Connections of the test itself, which fill the queue while no other is to be established.
-    queued: Vec<TcpStream>,
+    /// Connections of the test itself. They fill the accept queue, so that no other connection is
+    /// established.
+    queue_fillers: Vec<TcpStream>,
 }
 
 impl ManualServer {
@@ -18,50 +19,51 @@
         ManualServer::with_queue(128)
     }
 
-    /// A server at which no connection is established until [`ManualServer::empty_queue`].
+    /// Starts a server at which no connection is established until [`ManualServer::empty_queue`].
     pub(crate) fn start_with_full_queue() -> ManualServer {
         let mut server = ManualServer::with_queue(0);
         let connect = || TcpStream::connect_timeout(&server.address, Duration::from_millis(200)).ok();
-        // The queue takes one or two, by the system; one that is not taken shows that it is full.
-        server.queued = std::iter::from_fn(connect).collect();
+        // The queue accepts one or two connections, depending on the kernel. The first connect that fails
+        // shows that it is full.
+        server.queue_fillers = std::iter::from_fn(connect).collect();
         server
     }
 
     fn with_queue(length: i32) -> ManualServer {
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(length).expect("listens");
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("the socket is created");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("the socket binds");
+        socket.listen(length).expect("the socket listens");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
-        ManualServer { address, listener, queued: Vec::new() }
+        let address = listener.local_addr().expect("the listener has an address");
+        ManualServer { address, listener, queue_fillers: Vec::new() }
     }
 
-    /// Lets connections be established from now on.
+    /// Accepts the connections that fill the queue: from now on others are established.
     pub(crate) fn empty_queue(&mut self) {
-        for _ in self.queued.drain(..) {
-            self.listener.accept().expect("the test's own");
+        for _ in self.queue_fillers.drain(..) {
+            self.listener.accept().expect("a connection of the test itself is accepted");
         }
     }
 
-    /// The next connection.
+    /// Waits for the next connection and returns the server's end of it.
     pub(crate) fn accept(&self) -> Client {
         let mut accepted = None;
-        wait_until("a connection comes", || {
+        wait_until("a connection arrives", || {
             accepted = self.try_accept();
             accepted.is_some()
         });
-        accepted.expect("one")
+        accepted.expect("a connection was accepted")
     }
 
-    /// The next connection, if one is there.
+    /// Accepts the next connection if one is already established, and returns the server's end of it.
     pub(crate) fn try_accept(&self) -> Option<Client> {
-        self.listener.set_nonblocking(true).expect("a socket");
+        self.listener.set_nonblocking(true).expect("the mode is set");
         let accepted = self.listener.accept().ok();
-        self.listener.set_nonblocking(false).expect("a socket");
+        self.listener.set_nonblocking(false).expect("the mode is set");
         accepted.map(|(stream, _)| {
-            stream.set_nonblocking(false).expect("a socket");
-            Client::over(stream)
+            stream.set_nonblocking(false).expect("the mode is set");
+            Client::from_stream(stream)
         })
     }
 }
--- a/tests/daemon/fake_servers/mod.rs
+++ b/tests/daemon/fake_servers/mod.rs
@@ -1,4 +1,5 @@
-//! Servers, clients and a discovery service on loopback for tests over real sockets, and the daemon between them.
+//! Fake servers, clients and discovery on loopback for tests over real sockets, and the daemon as a child
+//! process.
 
 mod client;
 mod daemon;
@@ -14,19 +15,19 @@
 pub(crate) use irc_server::{Behaviour, Server};
 pub(crate) use manual_server::ManualServer;
 
-/// Long enough for a busy machine; nothing here waits so long unless it fails.
+/// Limit of each wait of a test. It leaves room for a busy machine and is reached only where a test fails.
 pub(crate) const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds.
-pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until a condition holds. Panics with `expected`, a statement of the condition, after [`MAX_WAIT`].
+pub(crate) fn wait_until(expected: &str, mut condition: impl FnMut() -> bool) {
     let since = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < MAX_WAIT, "never: {what}");
+        assert!(since.elapsed() < MAX_WAIT, "not within {MAX_WAIT:?}: {expected}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Resets a connection, whoever else holds a copy of its descriptor.
+/// Resets a connection, also where other copies of its descriptor are open.
 pub(crate) fn reset_connection(stream: TcpStream) {
-    rustix::net::connect_unspec(&stream).expect("broken off");
+    rustix::net::connect_unspec(&stream).expect("the connection is reset");
 }
--- a/tests/daemon/hot_restart.rs
+++ b/tests/daemon/hot_restart.rs
@@ -13,8 +13,8 @@
 
 /// A platform server for tests: accepts each connection and echoes its lines.
 fn start_platform_server() -> SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+    let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
--- a/tests/daemon/irc.rs
+++ b/tests/daemon/irc.rs
@@ -30,9 +30,9 @@
     client.send_line("@label=7 TAGMSG #a\r\nPRIVMSG #a ::) two  spaces ");
     assert_eq!(client.read_line(), ":anna!u@h PRIVMSG #a ::) two  spaces");
     for line in ["CAP REQ :server-time", "PASS :secret", "NICK anna", "USER u 0 * :A tool", "CAP END"] {
-        assert!(server.has(line), "{line} in {:?}", server.lines.lock().unwrap());
+        assert!(server.received(line), "{line} in {:?}", server.lines.lock().unwrap());
     }
-    assert!(server.has("@label=7 TAGMSG #a"));
+    assert!(server.received("@label=7 TAGMSG #a"));
     client.send_line("QUIT :bye");
 
     assert_eq!(client.read_to_end(), "ERROR :Closing Link: bye\r\n");
@@ -42,9 +42,9 @@
 fn retries_at_another_server_when_one_fails() {
     let unreachable =
         Server { address: closed_port(), lines: Default::default(), streams: Default::default() };
-    let errs = Server::start(Behaviour::Replies("ERROR :Closing Link: no more"));
-    let full = Server::start(Behaviour::Replies(":irc.test 263 bert USER :Please wait"));
-    let closes = Server::start(Behaviour::Closes);
+    let errs = Server::start(Behaviour::ReplyAndClose("ERROR :Closing Link: no more"));
+    let full = Server::start(Behaviour::ReplyAndClose(":irc.test 263 bert USER :Please wait"));
+    let closes = Server::start(Behaviour::CloseWithoutReply);
     let good = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&unreachable, &errs, &full, &closes, &good], "");
 
@@ -56,14 +56,15 @@
 
 /// A port that nobody listens on.
 fn closed_port() -> std::net::SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address")
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+    listener.local_addr().expect("the listener has an address")
 }
 
 #[test]
 fn forwards_the_verdict_on_a_nick_without_a_retry() {
     let taken = ":irc.test 433 * carl :Nickname is already in use";
-    let servers = [Server::start(Behaviour::Replies(taken)), Server::start(Behaviour::Replies(taken))];
+    let servers =
+        [Server::start(Behaviour::ReplyAndClose(taken)), Server::start(Behaviour::ReplyAndClose(taken))];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
 
     let mut client = Client::register(&daemon.irc, "carl");
@@ -77,8 +78,10 @@
 
 #[test]
 fn rejects_with_retry_after_when_no_server_accepts() {
-    let servers =
-        [Server::start(Behaviour::Replies("ERROR :full")), Server::start(Behaviour::Replies("ERROR :full"))];
+    let servers = [
+        Server::start(Behaviour::ReplyAndClose("ERROR :full")),
+        Server::start(Behaviour::ReplyAndClose("ERROR :full")),
+    ];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
 
     let mut client = Client::register(&daemon.irc, "dora");
@@ -134,7 +137,8 @@
         old.count() > 0 && new.count() > 0
     });
     let (nick, client) = {
-        let at = clients.iter().position(|(nick, _)| old.has(&format!("NICK {nick}"))).expect("one is there");
+        let at =
+            clients.iter().position(|(nick, _)| old.received(&format!("NICK {nick}"))).expect("one is there");
         &mut clients[at]
     };
     daemon.exclude("irc-0");
@@ -144,12 +148,12 @@
     for n in 0..8 {
         Client::register(&daemon.irc, &format!("hugo{n}")).expect_line("001");
 
-        assert!(!old.has(&format!("NICK hugo{n}")), "a new client came to a server that drains");
+        assert!(!old.received(&format!("NICK hugo{n}")), "a new client came to a server that drains");
     }
     assert_eq!(old.streams.lock().unwrap().len(), connected, "a new connection came to a server that drains");
     client.expect_line("PING :still-there");
     client.send_line("PONG :still-there");
-    wait_until(&format!("the PONG of {nick} comes back"), || old.has("PONG :still-there"));
+    wait_until(&format!("the PONG of {nick} comes back"), || old.received("PONG :still-there"));
 }
 
 #[test]
@@ -282,18 +286,18 @@
     let mut tool = Client::register(&daemon.irc, "olga");
     tool.expect_line("001 olga");
 
-    assert!(!irc.has("M 1"));
+    assert!(!irc.received("M 1"));
     assert_eq!(irc.lines.lock().unwrap().iter().filter(|l| l.starts_with("OPEN")).count(), 0);
 }
 
 /// A shop server that accepts one connection, and sends back each line.
 fn shop_server() -> std::net::SocketAddr {
     use std::io::{BufRead, BufReader, Write};
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+    let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("an attempt");
-        let lines = BufReader::new(stream.try_clone().expect("a clone")).lines();
+        let lines = BufReader::new(stream.try_clone().expect("the stream is cloned")).lines();
         for line in lines.map_while(Result::ok) {
             let answer = if line.starts_with("OPEN ") { "UP 77".to_owned() } else { line };
             let _ = stream.write_all(format!("{answer}\r\n").as_bytes());
@@ -327,7 +331,7 @@
     client.expect_line(":anew.test PONG anew.test");
     client.expect_line("001 pia");
 
-    assert!(new.has("NICK pia") && !old.has("NICK pia"));
+    assert!(new.received("NICK pia") && !old.received("NICK pia"));
 }
 
 /// The budget is the process's: clients that connect by the hundred and send nothing cost nobody here either.
--- a/tests/daemon/main.rs
+++ b/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process, with fake servers, clients and a discovery service on loopback.
+//! Tests of the daemon as a process. Fake servers, clients and a fake discovery service run on loopback.
 
 mod admin;
 mod fake_servers;
--- a/tests/daemon/migration.rs
+++ b/tests/daemon/migration.rs
@@ -16,21 +16,21 @@
 
 impl PlatformServer {
     fn start(up: &'static str) -> PlatformServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+        let address = listener.local_addr().expect("the listener has an address");
         let streams = Arc::new(Mutex::new(Vec::new()));
         let recorded = streams.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let recorded = recorded.clone();
                 std::thread::spawn(move || {
-                    let copy = stream.try_clone().expect("a clone");
+                    let copy = stream.try_clone().expect("the stream is cloned");
                     for line in BufReader::new(copy).lines().map_while(Result::ok) {
                         let open = line.starts_with("OPEN ");
                         let answer = if open { format!("{up}\r\nLOAD 60000\r\n") } else { line + "\r\n" };
                         let _ = stream.write_all(answer.as_bytes());
                         if open {
-                            recorded.lock().unwrap().push(stream.try_clone().expect("a clone"));
+                            recorded.lock().unwrap().push(stream.try_clone().expect("the stream is cloned"));
                         }
                     }
                 });
--- a/tests/daemon/platform/clients.rs
+++ b/tests/daemon/platform/clients.rs
@@ -63,8 +63,8 @@
 /// A client that does not read must not fill the memory with what its server sends.
 #[test]
 fn stops_reading_from_the_server_of_a_client_that_does_not_read() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let shop = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+    let shop = listener.local_addr().expect("the listener has an address");
     let sent = Arc::new(Mutex::new(0usize));
     let count = sent.clone();
     std::thread::spawn(move || {
@@ -132,7 +132,7 @@
     bad.iter_mut().for_each(|client| assert_eq!(client.read_to_end(), "ERR\r\n"));
     // It sends far more than is read of it, and still has its error: it reads while it writes.
     let mut endless = Client::connect(&daemon.platform);
-    let mut writer = endless.stream().try_clone().expect("a clone");
+    let mut writer = endless.stream().try_clone().expect("the stream is cloned");
     std::thread::spawn(move || (0..1000).take_while(|_| writer.write_all(&[b'x'; 60_000]).is_ok()).count());
     assert_eq!(endless.read_line(), "ERR");
     let mut half = Client::connect(&daemon.platform);
--- a/tests/daemon/platform/endpoint_list.rs
+++ b/tests/daemon/platform/endpoint_list.rs
@@ -26,7 +26,7 @@
     let froms: Vec<_> =
         calls.iter().map(|call| call.request.split("from=").nth(1).unwrap()[..1].to_owned()).collect();
     assert_eq!(froms, ["1", "2", "2", "3"]);
-    assert!(calls[1].at - calls[0].at < Duration::from_millis(200), "renewed too late");
+    assert!(calls[1].received_at - calls[0].received_at < Duration::from_millis(200), "renewed too late");
     assert!(calls[0].request.contains("&hold_ms="), "{}", calls[0].request);
     for _ in 0..5 {
         assert_eq!(connect_and_open(&daemon).read_line(), "UP new");
@@ -49,7 +49,7 @@
 
     wait_until("it was asked anew", || discovery.received_calls().len() >= 2);
     let calls = discovery.received_calls();
-    let after = calls[1].at - calls[0].at;
+    let after = calls[1].received_at - calls[0].received_at;
 
     assert!(after < Duration::from_secs(6), "asked anew after {after:?}");
     assert!(calls[1].request.contains("from=1&"), "{}", calls[1].request);
@@ -121,7 +121,10 @@
     wait_until("it is asked again", || discovery.received_calls().len() == 3);
     let calls = discovery.received_calls();
 
-    assert!(calls[2].at - calls[1].at < Duration::from_secs(9), "it is late by more than a busy machine");
+    assert!(
+        calls[2].received_at - calls[1].received_at < Duration::from_secs(9),
+        "it is late by more than a busy machine"
+    );
     // A held one would look silent as well while nothing changes.
     assert!(calls[2].request.contains("?from=1&hold_ms=0 "), "{}", calls[2].request);
 }
--- a/tests/daemon/platform/gossip.rs
+++ b/tests/daemon/platform/gossip.rs
@@ -13,7 +13,7 @@
     let discovery = Discovery::scripted(Vec::new());
     let tier = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let own = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a port");
-    let all = tier.local_addr().expect("an address");
+    let all = tier.local_addr().expect("the listener has an address");
     let peers = format!(r#""peer_listen": "{own}", "peers_all": "{all}", "peers": ["{own}", "{all}"],"#);
     let settings =
         r#""settings": {"family-info": {"tells-delay": true, "message-aim": [100]}, "balancers": 2,"#;
@@ -23,7 +23,7 @@
     let text = text.replace(r#""retry-after": true"#, r#""retry-after": true, "peers": true"#);
     let daemon = Daemon::start(&irc_config(&[], ""), Some(&text));
 
-    tier.set_read_timeout(Some(MAX_WAIT)).expect("a socket");
+    tier.set_read_timeout(Some(MAX_WAIT)).expect("the timeout is set");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
     // Servers send back what they are sent: a load, and then what can only be a message's time, of 400 ms.
     let mut client = connect_and_open(&daemon);
--- a/tests/daemon/platform/mod.rs
+++ b/tests/daemon/platform/mod.rs
@@ -16,14 +16,16 @@
 
 /// A shop server that sends lines back and keeps what it was sent. A `silent` one sends nothing after `UP`.
 fn start_server(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+    let (address, lines) = (listener.local_addr().expect("the listener has an address"), Lines::default());
     let recorded = lines.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let recorded = recorded.clone();
             std::thread::spawn(move || {
-                for line in BufReader::new(stream.try_clone().expect("a clone")).lines().map_while(Result::ok)
+                for line in BufReader::new(stream.try_clone().expect("the stream is cloned"))
+                    .lines()
+                    .map_while(Result::ok)
                 {
                     recorded.lock().unwrap().push(line.clone());
                     let open = line.starts_with("OPEN ");
--- a/tests/daemon/platform/probes.rs
+++ b/tests/daemon/platform/probes.rs
@@ -12,8 +12,8 @@
 /// A server that replies to probes with these in turn, or never. Returns its address, the lines that it was sent, and
 /// how many of its connections carried probes.
 fn start_probed_server(answers: &'static [&'static str]) -> (SocketAddr, Lines, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (address, lines) = (listener.local_addr().expect("an address"), Lines::default());
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+    let (address, lines) = (listener.local_addr().expect("the listener has an address"), Lines::default());
     let (recorded, probing) = (lines.clone(), Arc::new(AtomicUsize::new(0)));
     let (count, next) = (probing.clone(), Arc::new(AtomicUsize::new(0)));
     std::thread::spawn(move || {
@@ -21,7 +21,9 @@
             let (recorded, count, next) = (recorded.clone(), count.clone(), next.clone());
             std::thread::spawn(move || {
                 let mut probes = 0;
-                for line in BufReader::new(stream.try_clone().expect("a clone")).lines().map_while(Result::ok)
+                for line in BufReader::new(stream.try_clone().expect("the stream is cloned"))
+                    .lines()
+                    .map_while(Result::ok)
                 {
                     recorded.lock().unwrap().push(line.clone());
                     if line != "STATS" {
--- a/tests/daemon/races/relay.rs
+++ b/tests/daemon/races/relay.rs
@@ -1,4 +1,4 @@
-//! Lines between an established client and its server, as either ends.
+//! Lines between an established client and its server as one of them closes, resets or migrates.
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -12,26 +12,26 @@
     let server = ManualServer::start();
     let (daemon, discovery) = TestSettings::default().start(&[&server]);
 
-    let (mut client, mut attempt) = establish(&daemon, &server);
-    attempt.stream().write_all(b"M 1\r\nhal").expect("written");
+    let (mut client, mut server_end) = establish(&daemon, &server);
+    server_end.stream().write_all(b"M 1\r\nhal").expect("the lines are written");
     assert_eq!(client.read_line(), "M 1");
-    discovery.next_call().send_endpoint_list(&endpoint_list(2, false, &[nth_endpoint(0, &server, "gone")]));
+    discovery.next_call().send_body(&endpoint_list(2, false, &[nth_endpoint(0, &server, "gone")]));
 
     assert_eq!(client.read_to_end(), "MOVE\r\n");
-    assert_eq!(attempt.read_to_end(), "");
+    assert_eq!(server_end.read_to_end(), "");
     wait_until_idle(&daemon);
 }
 
 #[test]
-fn delivers_what_a_server_sent_before_its_reset() {
+fn delivers_lines_that_a_server_sent_before_its_reset() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
 
-    let (mut client, attempt) = establish(&daemon, &server);
+    let (mut client, server_end) = establish(&daemon, &server);
     client.send_line("unread");
     daemon.suspend();
-    attempt.stream().write_all(b"M 1\r\nM 2\r\n").expect("written");
-    reset_connection(attempt.into_stream());
+    server_end.stream().write_all(b"M 1\r\nM 2\r\n").expect("the lines are written");
+    reset_connection(server_end.into_stream());
     daemon.resume();
     assert_eq!(
         (client.read_line(), client.read_line(), client.read_to_end()),
@@ -41,52 +41,55 @@
     wait_until_idle(&daemon);
 }
 
-/// A write fails on a connection that is gone, while the server's last lines are there to be read.
+/// The server sends its last lines and resets the connection while the balancer still has lines for it. The
+/// write that fails then must not discard the server's lines, which can still be read.
 #[test]
-fn delivers_what_a_server_sent_before_its_reset_though_writes_to_it_fail() {
+fn delivers_lines_that_a_server_sent_before_its_reset_although_writes_to_it_fail() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
 
-    let (mut client, attempt) = establish(&daemon, &server);
-    // The server reads nothing: some of this stays with the daemon.
-    client.stream().set_nonblocking(true).expect("a socket");
+    let (mut client, server_end) = establish(&daemon, &server);
+    // The server reads nothing, so that a part of these lines is still pending in the daemon.
+    client.stream().set_nonblocking(true).expect("the mode is set");
     let lines = [&[b'x'; 62][..], b"\r\n"].concat().repeat(8192);
-    let mut full = 0;
+    let mut failed_writes = 0;
     wait_until("all buffers are full", || {
-        full = if client.stream().write(&lines).is_ok() { 0 } else { full + 1 };
-        full > 20
+        failed_writes = if client.stream().write(&lines).is_ok() { 0 } else { failed_writes + 1 };
+        failed_writes > 20
     });
-    client.stream().set_nonblocking(false).expect("a socket");
+    client.stream().set_nonblocking(false).expect("the mode is set");
     daemon.suspend();
-    attempt.stream().write_all(b"M 1\r\nM 2\r\n").expect("written");
-    reset_connection(attempt.into_stream());
+    server_end.stream().write_all(b"M 1\r\nM 2\r\n").expect("the lines are written");
+    reset_connection(server_end.into_stream());
     daemon.resume();
 
     assert_eq!((client.read_line(), client.read_line()), ("M 1".into(), "M 2".into()));
     wait_until_idle(&daemon);
 }
 
-/// The client's next line crosses the server's last line, and is answered by a reset.
+/// The server closes after its last line while the client's next line is in flight, and resets the
+/// connection. The client must read the last line and an orderly end, not a reset.
 #[test]
 fn closes_in_order_after_the_last_line_of_the_server() {
     for last_line in ["BYE", "MOVE"] {
         let server = ManualServer::start();
         let (daemon, _discovery) = TestSettings::default().start(&[&server]);
 
-        let (mut client, mut attempt) = establish(&daemon, &server);
+        let (mut client, mut server_end) = establish(&daemon, &server);
         daemon.suspend();
         client.send_line("M 1");
-        attempt.send_line(last_line);
-        reset_connection(attempt.into_stream());
+        server_end.send_line(last_line);
+        reset_connection(server_end.into_stream());
         daemon.resume();
 
         assert_eq!(client.read_line(), last_line);
-        assert_eq!(client.stream().read(&mut [0]).expect("ended in order, not broken off"), 0);
+        assert_eq!(client.stream().read(&mut [0]).expect("the connection is closed in order, not reset"), 0);
         wait_until_idle(&daemon);
     }
 }
 
-/// If the connection is closed while the client still sends, the client may not see its answer.
+/// A connection that is closed while the client still sends is reset, and the client may lose its answer. The
+/// daemon therefore reads on for a while.
 #[test]
 fn does_not_reset_a_flooding_client_before_it_can_read_its_answer() {
     let server = ManualServer::start();
--- a/tests/daemon/stale_list.rs
+++ b/tests/daemon/stale_list.rs
@@ -28,8 +28,8 @@
 
 impl RecordingServer {
     fn start() -> RecordingServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
+        let address = listener.local_addr().expect("the listener has an address");
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let recorded = arrivals.clone();
         std::thread::spawn(move || {
