--- a/tests/daemon/admin.rs
+++ b/tests/daemon/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint over sockets: many clients, invalid calls, a reload, and the log.
+//! The admin endpoint over sockets: many clients, invalid calls and a reload; and the JSON form of the log.
 
 use std::io::Write;
 use std::net::Shutdown;
@@ -7,7 +7,7 @@
 
 use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
 
-/// A daemon with an IRC front and one server.
+/// Starts a daemon with an IRC front and one server. `more` is inserted as further JSON members of its file.
 fn start_daemon(more: &str) -> Daemon {
     let server = Server::start(Behaviour::Welcome);
     Daemon::start(&irc_config(&[&server], more), None)
@@ -19,13 +19,14 @@
     admin_client.read_to_end()
 }
 
-/// Some clients send nothing, or half of a call, and stay connected; and they may be many.
+/// Many clients may send nothing or half of a call and stay connected. Calls of other clients must still be
+/// answered, and the silent clients must be closed.
 #[test]
 fn answers_calls_beside_many_silent_clients_and_closes_those() {
     let daemon = start_daemon("");
     let mut silent_clients: Vec<Client> = (0..60).map(|_| Client::connect(&daemon.mgmt)).collect();
     for admin_client in silent_clients.iter_mut().step_by(2) {
-        // Those that were closed already cannot be written to.
+        // A write fails if the daemon has closed the connection already.
         let _ = admin_client.stream().write_all(b"read");
     }
     assert_eq!(admin_call(&daemon.mgmt, "readyz"), "YES\r\n");
@@ -39,20 +40,20 @@
 #[test]
 fn rejects_invalid_calls_with_a_reason_and_joins_the_pieces_of_a_call() {
     let daemon = start_daemon("");
-    for bad in ["", "readyz now", "READYZ", "GET / HTTP/1.1", &"x".repeat(5000)] {
-        let reply = admin_call(&daemon.mgmt, bad);
-        assert!(reply.starts_with("NO ") && reply.len() > 5, "{bad}: {reply}");
+    for invalid_call in ["", "readyz now", "READYZ", "GET / HTTP/1.1", &"x".repeat(5000)] {
+        let reply = admin_call(&daemon.mgmt, invalid_call);
+        assert!(reply.starts_with("NO ") && reply.len() > 5, "{invalid_call}: {reply}");
     }
     let mut admin_client = Client::connect(&daemon.mgmt);
     for piece in ["re", "ady", "z\r", "\n"] {
-        admin_client.stream().write_all(piece.as_bytes()).expect("written");
+        admin_client.stream().write_all(piece.as_bytes()).expect("the bytes are written");
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
     assert_eq!(admin_client.read_to_end(), "YES\r\n");
-    // A line that was cut off may have been the start of another call.
+    // A line without its end may be the start of another call.
     let mut admin_client = Client::connect(&daemon.mgmt);
-    admin_client.stream().write_all(b"readyz").expect("written");
-    admin_client.stream().shutdown(Shutdown::Write).expect("ended");
+    admin_client.stream().write_all(b"readyz").expect("the bytes are written");
+    admin_client.stream().shutdown(Shutdown::Write).expect("the sending side is closed");
     assert!(admin_client.read_to_end().starts_with("NO "));
 }
 
@@ -65,14 +66,14 @@
     };
     reload("\"mgmt\": \"127.0.0.2:0\",");
     let line = daemon.log_line("admin endpoint open on 127.0.0.2:");
-    let new_address = line.rsplit(' ').next().expect("an address");
+    let new_address = line.rsplit(' ').next().expect("the line ends with an address");
     assert_eq!(admin_call(new_address, "readyz"), "YES\r\n");
     wait_until("the old endpoint is closed", || std::net::TcpStream::connect(&daemon.mgmt).is_err());
     reload("");
-    wait_until("no endpoint is left", || std::net::TcpStream::connect(new_address).is_err());
+    wait_until("the new endpoint is closed", || std::net::TcpStream::connect(new_address).is_err());
 }
 
-/// As JSON, each line is one object; the levels are followed by module.
+/// In JSON form, each log line is one object, and the configured levels apply to modules.
 #[test]
 fn logs_json_lines_where_configured() {
     let json = |levels: &str| format!(r#", "log": {{"format": "json", "levels": "{levels}"}}"#);
--- a/tests/daemon/irc.rs
+++ b/tests/daemon/irc.rs
@@ -1,4 +1,4 @@
-//! The IRC front from end to end: clients and servers here are fakes on loopback.
+//! Tests of the IRC front from end to end, with fake clients and servers on loopback.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     assert_eq!(client.read_line(), ":front.test CAP anna NAK :unheard-of");
     assert_eq!(server.count(), 0, "nothing reaches a server before CAP END");
     client.send_line("CAP END\r\nPRIVMSG #a :early");
-    // What the server sent before its welcome comes too; its PING was answered by the attempt.
+    // The client also receives lines from before the welcome, but not the PING, which the attempt answered.
     assert_eq!(client.read_line(), ":irc.test NOTICE * :*** Looking up your hostname");
     assert_eq!(client.read_line(), ":irc.test 001 anna :Welcome");
     assert_eq!(client.read_line(), ":anna!u@h PRIVMSG #a :early");
@@ -42,11 +42,11 @@
 fn retries_at_another_server_when_one_fails() {
     let unreachable =
         Server { address: closed_port(), lines: Default::default(), streams: Default::default() };
-    let errs = Server::start(Behaviour::ReplyAndClose("ERROR :Closing Link: no more"));
+    let erring = Server::start(Behaviour::ReplyAndClose("ERROR :Closing Link: no more"));
     let full = Server::start(Behaviour::ReplyAndClose(":irc.test 263 bert USER :Please wait"));
-    let closes = Server::start(Behaviour::CloseWithoutReply);
-    let good = Server::start(Behaviour::Welcome);
-    let daemon = start_front(&[&unreachable, &errs, &full, &closes, &good], "");
+    let closing = Server::start(Behaviour::CloseWithoutReply);
+    let accepting = Server::start(Behaviour::Welcome);
+    let daemon = start_front(&[&unreachable, &erring, &full, &closing, &accepting], "");
 
     for n in 0..4 {
         let mut client = Client::register(&daemon.irc, &format!("bert{n}"));
@@ -54,23 +54,25 @@
     }
 }
 
-/// A port that nobody listens on.
+/// Returns a loopback address on which nothing listens.
 fn closed_port() -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("the listener binds");
     listener.local_addr().expect("the listener has an address")
 }
 
 #[test]
-fn forwards_the_verdict_on_a_nick_without_a_retry() {
-    let taken = ":irc.test 433 * carl :Nickname is already in use";
-    let servers =
-        [Server::start(Behaviour::ReplyAndClose(taken)), Server::start(Behaviour::ReplyAndClose(taken))];
+fn forwards_the_rejection_of_a_nick_without_a_retry() {
+    let nick_in_use = ":irc.test 433 * carl :Nickname is already in use";
+    let servers = [
+        Server::start(Behaviour::ReplyAndClose(nick_in_use)),
+        Server::start(Behaviour::ReplyAndClose(nick_in_use)),
+    ];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
 
     let mut client = Client::register(&daemon.irc, "carl");
     assert_eq!(
         client.read_to_end(),
-        format!("{taken}\r\nERROR :Closing Link: carl (Registration refused)\r\n")
+        format!("{nick_in_use}\r\nERROR :Closing Link: carl (Registration refused)\r\n")
     );
 
     assert_eq!(servers.iter().filter(|server| server.count() > 0).count(), 1);
@@ -114,21 +116,22 @@
     client.send_line("NICK fred");
     let rest = client.read_to_end();
     assert_eq!(rest, "ERROR :Closing Link: fred (Registration timed out)\r\n");
-    // Too late: the connection is over, whatever still comes.
+    // The connection has ended, so lines that arrive later must have no effect.
     let _ = std::io::Write::write_all(&mut client.stream(), b"USER u 0 * :late\r\n");
     std::thread::sleep(Duration::from_millis(300));
 
     assert_eq!(server.count(), 0);
 }
 
-/// The operators' hard case: a server that sends PING while it drains.
+/// The operators named this as the difficult case of draining: a server sends PING while it drains. Its
+/// established clients must stay connected and answer, and no new client may be forwarded to it.
 #[test]
 fn keeps_an_excluded_servers_clients_but_sends_it_no_new_ones() {
     let (old, new) = (Server::start(Behaviour::Welcome), Server::start(Behaviour::Welcome));
     let daemon = start_front(&[&old, &new], ", \"drain_over_ms\": 600000");
 
     let mut clients = Vec::new();
-    // Which of the two a client comes to is chance: one of each is wanted.
+    // Clients are placed at random, so they connect until each server has one.
     wait_until("both servers have a client", || {
         let nick = format!("gina{}", clients.len());
         let mut client = Client::register(&daemon.irc, &nick);
@@ -137,23 +140,25 @@
         old.count() > 0 && new.count() > 0
     });
     let (nick, client) = {
-        let at =
-            clients.iter().position(|(nick, _)| old.received(&format!("NICK {nick}"))).expect("one is there");
+        let at = clients
+            .iter()
+            .position(|(nick, _)| old.received(&format!("NICK {nick}")))
+            .expect("the excluded server has a client");
         &mut clients[at]
     };
     daemon.exclude("irc-0");
     std::thread::sleep(Duration::from_millis(250));
-    let connected = old.streams.lock().unwrap().len();
+    let connections = old.streams.lock().unwrap().len();
     old.send_line("PING :still-there");
     for n in 0..8 {
         Client::register(&daemon.irc, &format!("hugo{n}")).expect_line("001");
 
-        assert!(!old.received(&format!("NICK hugo{n}")), "a new client came to a server that drains");
+        assert!(!old.received(&format!("NICK hugo{n}")), "a new client was forwarded to a draining server");
     }
-    assert_eq!(old.streams.lock().unwrap().len(), connected, "a new connection came to a server that drains");
+    assert_eq!(old.streams.lock().unwrap().len(), connections, "an attempt was made at a draining server");
     client.expect_line("PING :still-there");
     client.send_line("PONG :still-there");
-    wait_until(&format!("the PONG of {nick} comes back"), || old.received("PONG :still-there"));
+    wait_until(&format!("the server receives the PONG of {nick}"), || old.received("PONG :still-there"));
 }
 
 #[test]
@@ -165,15 +170,15 @@
     client.expect_line("001 ida");
     daemon.exclude("irc-0");
     client.expect_line(":front.test NOTICE ida :Your server is leaving");
-    let port = daemon.irc.rsplit(':').next().expect("a port");
+    let port = daemon.irc.rsplit(':').next().expect("the address has a port");
     let bounce = format!(":front.test 010 ida 127.0.0.1 {port} :Please use this Server/Port instead\r\n");
     assert_eq!(client.read_to_end(), bounce);
-    // No server is left for it: rejected at once.
+    // No server is left for the client, so it is rejected at once.
     Client::register(&daemon.irc, "ida").expect_line(" 263 ida ");
 }
 
 #[test]
-fn applies_servers_and_limits_of_the_store() {
+fn applies_servers_and_limits_of_the_replicated_map() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[], "");
 
@@ -185,7 +190,7 @@
     Client::register(&daemon.irc, "jana").expect_line(" 263 jana ");
     daemon.run_store_command(&["set", "limit/connections"]);
     Client::register(&daemon.irc, "jana").expect_line("001 jana");
-    // Taken away, a server's clients have to go at once.
+    // The clients of a server that is removed from the map must be migrated at once.
     daemon.run_store_command(&["set", "host/irc-9"]);
     first.expect_line(" 010 ines ");
 }
@@ -197,13 +202,13 @@
 
     let mut established = Client::register(&daemon.irc, "jan");
     established.expect_line("001 jan");
-    // Still being placed, so that the daemon has to stay until it is answered.
-    let mut slow = Client::connect(&daemon.irc);
-    slow.send_line("NICK kim");
+    // This registration is not complete, so the daemon must not exit before it is answered.
+    let mut registering = Client::connect(&daemon.irc);
+    registering.send_line("NICK kim");
     daemon.signal("-TERM");
     daemon.log_line("draining: ");
-    slow.send_line("USER u 0 * :late");
-    slow.expect_line(" 263 kim ");
+    registering.send_line("USER u 0 * :late");
+    registering.expect_line(" 263 kim ");
     established.expect_line(" 010 jan ");
 
     assert_eq!(established.read_to_end(), "");
@@ -223,7 +228,7 @@
 }
 
 #[test]
-fn answers_invalid_irc_with_a_numeric_or_an_error_and_goes_on() {
+fn answers_invalid_irc_with_a_numeric_or_an_error_and_continues() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], "");
 
@@ -249,54 +254,55 @@
     client.expect_line(" 417 ");
     client.send_line("NICK mia\r\nUSER u 0 * :r");
     client.expect_line("001 mia");
-    // The limits hold on an established connection, too; the lines around go through.
+    // The limits also apply to an established connection. Valid lines around an invalid one are relayed.
     client.send_line(&format!("PRIVMSG #a :{}", "y".repeat(600)));
     client.expect_line(" 417 ");
     client.send_line("PRIVMSG #a :fine");
     client.expect_line("PRIVMSG #a :fine");
 
-    let mut flood = Client::connect(&daemon.irc);
-    let _ = std::io::Write::write_all(&mut flood.stream(), "JOIN #a\r\n".repeat(200).as_bytes());
-    flood.expect_line("ERROR :Closing Link: * (Excess Flood)");
+    let mut flooding_client = Client::connect(&daemon.irc);
+    let _ = std::io::Write::write_all(&mut flooding_client.stream(), "JOIN #a\r\n".repeat(200).as_bytes());
+    flooding_client.expect_line("ERROR :Closing Link: * (Excess Flood)");
     Client::register(&daemon.irc, "nora").expect_line("001 nora");
 }
 
-/// Both fronts in one daemon, each with its own servers.
+/// One daemon serves both fronts, each with its own servers. No line may reach a server of the other front.
 #[test]
 fn serves_both_fronts_in_one_daemon() {
     let irc = Server::start(Behaviour::Welcome);
-    let shop = shop_server();
+    let platform_server = start_platform_server();
     let config = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "{}", "seed": "5",
             "known": {{"generation": 1, "reset": true, "instances": [
-              {{"instanceId": "s-00000001", "hostPort": "{shop}", "lifecycle": "ready", "weight": 1.0}}]}},
+              {{"instanceId": "s-00000001", "hostPort": "{platform_server}", "lifecycle": "ready", "weight": 1.0}}]}},
             "settings": {{"classes": [{{"name": "chat", "deadline": 9000, "repeat": "repeatable"}}],
               "limits": {{"connect-timeout": 2000, "try-limit": 6}}}}}}"#,
         closed_port()
     );
     let daemon = Daemon::start(&irc_config(&[&irc], ""), Some(&config));
 
-    let mut player = Client::connect(&daemon.platform);
-    player.send_line("PING");
-    assert_eq!(player.read_line(), "PONG");
-    player.send_line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=9000,g=5c0f6e1a2b3d4c59");
-    assert_eq!(player.read_line(), "UP 77");
-    player.send_line("M 1");
-    assert_eq!(player.read_line(), "M 1");
-    let mut tool = Client::register(&daemon.irc, "olga");
-    tool.expect_line("001 olga");
+    let mut platform_client = Client::connect(&daemon.platform);
+    platform_client.send_line("PING");
+    assert_eq!(platform_client.read_line(), "PONG");
+    platform_client
+        .send_line("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=9000,g=5c0f6e1a2b3d4c59");
+    assert_eq!(platform_client.read_line(), "UP 77");
+    platform_client.send_line("M 1");
+    assert_eq!(platform_client.read_line(), "M 1");
+    let mut irc_client = Client::register(&daemon.irc, "olga");
+    irc_client.expect_line("001 olga");
 
     assert!(!irc.received("M 1"));
     assert_eq!(irc.lines.lock().unwrap().iter().filter(|l| l.starts_with("OPEN")).count(), 0);
 }
 
-/// A shop server that accepts one connection, and sends back each line.
-fn shop_server() -> std::net::SocketAddr {
+/// Starts a platform server that accepts one connection and echoes its lines. Returns its address.
+fn start_platform_server() -> std::net::SocketAddr {
     use std::io::{BufRead, BufReader, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("the listener binds");
     let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("an attempt");
+        let (mut stream, _) = listener.accept().expect("an attempt arrives");
         let lines = BufReader::new(stream.try_clone().expect("the stream is cloned")).lines();
         for line in lines.map_while(Result::ok) {
             let answer = if line.starts_with("OPEN ") { "UP 77".to_owned() } else { line };
@@ -306,7 +312,8 @@
     address
 }
 
-/// The operator's file is the IRC front's endpoint list: a server that it lists no more is gone.
+/// The operator's file is the endpoint list of the IRC front: a server that a new file no longer lists is
+/// gone. An invalid file must change nothing.
 #[test]
 fn applies_a_valid_irc_file_at_sighup_and_ignores_an_invalid_one() {
     let (old, new) = (Server::start(Behaviour::Welcome), Server::start(Behaviour::Welcome));
@@ -325,7 +332,10 @@
 
     daemon.reload("irc.json", &file.replace("front.test", "anew.test"));
     daemon.log_line(", reconfigured");
-    assert!(established.read_to_end().contains(" 010 olga "), "its server is listed no more");
+    assert!(
+        established.read_to_end().contains(" 010 olga "),
+        "the client of a server that is no longer listed was not migrated"
+    );
     let mut client = Client::connect(&daemon.irc);
     client.send_line("PING 1\r\nNICK pia\r\nUSER u 0 * :A tool");
     client.expect_line(":anew.test PONG anew.test");
@@ -334,17 +344,18 @@
     assert!(new.received("NICK pia") && !old.received("NICK pia"));
 }
 
-/// The budget is the process's: clients that connect by the hundred and send nothing cost nobody here either.
+/// The limit of descriptors applies to the whole process. Hundreds of clients that connect and send nothing
+/// must not affect other clients on this front either.
 #[test]
 fn serves_clients_while_hundreds_stay_silent() {
     let server = Server::start(Behaviour::Welcome);
     let daemon = start_front(&[&server], ", \"limits\": {\"sockets\": 160, \"memory_mb\": 32}");
 
-    let mut silent: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.irc)).collect();
-    let mut usual = Client::register(&daemon.irc, "rosa");
-    usual.expect_line("001 rosa");
-    // The oldest were closed for them; the last ones may still register.
-    assert_eq!(silent[0].read_to_end(), "");
-    silent[399].send_line("NICK sven\r\nUSER u 0 * :A tool");
-    silent[399].expect_line("001 sven");
+    let mut silent_clients: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.irc)).collect();
+    let mut registered = Client::register(&daemon.irc, "rosa");
+    registered.expect_line("001 rosa");
+    // The oldest silent clients were closed for newer ones. The last ones may still register.
+    assert_eq!(silent_clients[0].read_to_end(), "");
+    silent_clients[399].send_line("NICK sven\r\nUSER u 0 * :A tool");
+    silent_clients[399].expect_line("001 sven");
 }
--- a/tests/daemon/platform/mod.rs
+++ b/tests/daemon/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's front from end to end, with fake servers of the shop platform and a fake discovery.
+//! Tests of the platform's front from end to end, with fake platform servers and a fake discovery.
 
 mod clients;
 mod endpoint_list;
@@ -12,10 +12,12 @@
 
 use crate::fake_servers::{irc_config, Client, Daemon};
 
+/// The lines that a fake server has received.
 type Lines = Arc<Mutex<Vec<String>>>;
 
-/// A shop server that sends lines back and keeps what it was sent. A `silent` one sends nothing after `UP`.
-fn start_server(up: &'static str, silent: bool) -> (SocketAddr, Lines) {
+/// Starts a platform server that accepts each request with the line `up` and echoes later lines. A silent one
+/// sends nothing after `up`. The received lines are recorded, and `end` at the end of each connection.
+fn start_server(up: &'static str, is_silent: bool) -> (SocketAddr, Lines) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
     let (address, lines) = (listener.local_addr().expect("the listener has an address"), Lines::default());
     let recorded = lines.clone();
@@ -28,10 +30,10 @@
                     .map_while(Result::ok)
                 {
                     recorded.lock().unwrap().push(line.clone());
-                    let open = line.starts_with("OPEN ");
-                    let answer = if open { up } else { &line };
-                    if open || !silent {
-                        let _ = stream.write_all(format!("{answer}\r\n").as_bytes());
+                    let is_request = line.starts_with("OPEN ");
+                    let reply = if is_request { up } else { &line };
+                    if is_request || !is_silent {
+                        let _ = stream.write_all(format!("{reply}\r\n").as_bytes());
                     }
                 }
                 recorded.lock().unwrap().push("end".to_owned());
@@ -41,6 +43,8 @@
     (address, lines)
 }
 
+/// Returns a platform configuration. `known` is the endpoint list that the daemon has before it calls
+/// discovery.
 fn config(discovery: SocketAddr, known: &str) -> String {
     let limits = r#"{"sockets": 160, "memory_mb": 32}"#;
     format!(
@@ -57,8 +61,8 @@
 }
 
 fn connect_and_open(daemon: &Daemon) -> Client {
-    static COUNT: AtomicUsize = AtomicUsize::new(0);
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
     let mut client = Client::connect(&daemon.platform);
-    client.send_line(&format!("OPEN id{} 7f3a c=chat,d=3000", COUNT.fetch_add(1, Ordering::Relaxed)));
+    client.send_line(&format!("OPEN id{} 7f3a c=chat,d=3000", NEXT_ID.fetch_add(1, Ordering::Relaxed)));
     client
 }
--- a/tests/daemon/stale_list.rs
+++ b/tests/daemon/stale_list.rs
@@ -1,8 +1,9 @@
-//! A list that discovery changed while a watch on it was silent.
+//! Tests with an endpoint list that discovery changed while the watch on it was silent.
 //!
-//! A process whose watch is silent misses a drain. If discovery is overloaded when the process calls again, the answer may
-//! come later than the missed change counts as notified, which is after 6 s: a request then reaches a server after the grace
-//! of its drain. `docs/incidents/2026-12-03-drain-after-silent-watch.md` describes such a case.
+//! A process whose watch is silent misses a drain. The missed change counts as notified after 6 s. If
+//! discovery is overloaded when the process calls again, its answer may arrive later than that. Requests then
+//! reach the draining server after the grace of its drain.
+//! `docs/incidents/2026-12-03-drain-after-silent-watch.md` describes such a case.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,14 +14,14 @@
 use crate::fake_servers::discovery::{endpoint, endpoint_list, Discovery, Reply};
 use crate::fake_servers::{irc_config, wait_until, Client, Daemon, ManualServer};
 
-/// What a silent watch misses counts as notified after this long.
+/// Time after which a change that a silent watch missed counts as notified.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// By so much each limit is longer on sockets.
+/// Allowance that is added to each time limit, since the tests run over real sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 const DAEMONS: usize = 4;
 
-/// A server that accepts every request, and records when each arrived.
+/// A server that accepts every request and records the time of its arrival.
 struct RecordingServer {
     address: SocketAddr,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -52,7 +53,7 @@
         arrivals.lock().unwrap().push(Instant::now());
         let _ = stream.write_all(b"UP 1\r\n");
     }
-    // Until the balancer closes.
+    // Keeps the connection open until the balancer closes it.
     lines.for_each(drop);
 }
 
@@ -74,29 +75,32 @@
 }
 
 fn connect_and_open(address: &str) -> Client {
-    static COUNT: AtomicUsize = AtomicUsize::new(0);
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
     let mut client = Client::connect(address);
-    client.send_line(&format!("OPEN id{} 7f3a c=chat,d=9000", COUNT.fetch_add(1, Ordering::Relaxed)));
+    client.send_line(&format!("OPEN id{} 7f3a c=chat,d=9000", NEXT_ID.fetch_add(1, Ordering::Relaxed)));
     client
 }
 
-/// Waits until discovery has answered as many daemons, and holds the next call of each.
+/// Waits until discovery has answered a call of each daemon and holds the next one of each.
 fn wait_for_watches(discovery: &Discovery, daemons: usize) {
     wait_until("the first calls are held", || discovery.open_calls() == daemons);
-    let before = discovery.lists_sent();
+    let lists_sent_before = discovery.lists_sent();
     discovery.publish_unchanged();
-    wait_until("the watches go on", || {
-        discovery.lists_sent() == before + daemons && discovery.open_calls() == daemons
+    wait_until("the next calls are held", || {
+        discovery.lists_sent() == lists_sent_before + daemons && discovery.open_calls() == daemons
     });
 }
 
-/// One client after another, until this time: whether each was served.
+/// Connects clients one by one until `end`. Returns for each whether it was served.
 fn request_until(address: &str, end: Instant) -> Vec<bool> {
     let mut served = Vec::new();
     while Instant::now() < end {
         let mut client = connect_and_open(address);
         let answer = client.read_line();
-        assert!(answer == "UP 1" || answer.starts_with("BUSY"), "one answer, not {answer:?}");
+        assert!(
+            answer == "UP 1" || answer.starts_with("BUSY"),
+            "the answer is {answer:?}, neither UP 1 nor BUSY"
+        );
         served.push(answer == "UP 1");
         drop(client);
         std::thread::sleep(Duration::from_millis(10));
@@ -104,8 +108,9 @@
     served
 }
 
-/// All watches fall silent, a server begins to drain, and discovery answers the watches that are opened anew 503 until
-/// after the grace. Requests may go to no server then; once discovery answers they go to the other one.
+/// All watches fall silent and a server begins to drain. Discovery answers 503 to the watches that are
+/// reopened, until after the grace of the drain. After the grace no server may receive requests until
+/// discovery answers with the list. Then requests go to the other server.
 #[test]
 fn sends_nothing_to_a_server_that_drains_while_watches_are_silent_and_discovery_is_overloaded() {
     let (draining, other) = (RecordingServer::start(), RecordingServer::start());
@@ -124,16 +129,16 @@
         let clients: Vec<_> =
             addresses.map(|address| scope.spawn(move || request_until(address, recovery))).collect();
         for client in clients {
-            let served = client.join().expect("answered");
-            assert!(served[0], "the list still holds when the watch falls silent");
+            let served = client.join().expect("every client was answered");
+            assert!(served[0], "the list is still in use when the watch falls silent");
         }
     });
     let allowed_until = silent_since + NOTIFIED_AFTER + DRAIN_GRACE + SOCKET_SLACK;
-    let late = draining.last_arrival().map(|at| at.saturating_duration_since(allowed_until));
+    let lateness = draining.last_arrival().map(|at| at.saturating_duration_since(allowed_until));
     assert_eq!(
-        late,
+        lateness,
         Some(Duration::ZERO),
-        "a request arrived at the draining server so long after the grace"
+        "time from the end of the grace to the last request at the draining server"
     );
 
     discovery.set_reply(Reply::EndpointList);
@@ -143,7 +148,7 @@
     assert!(other.last_arrival() > Some(recovery));
 }
 
-/// The connection to the server comes up only after what the silent watch missed counts.
+/// The connect to the server completes only after the change that the silent watch missed counts as notified.
 #[test]
 fn does_not_forward_when_the_connect_completes_after_a_silent_watch_may_have_missed_a_drain() {
     let mut draining = ManualServer::start_with_full_queue();
@@ -164,15 +169,16 @@
     assert_eq!(daemon.metric("forwards"), 0);
 }
 
-/// A watch that is opened anew as soon as it is known to be silent brings the drain before it counts: nobody is refused.
+/// A watch that is reopened as soon as it counts as silent delivers the drain before it counts as notified.
+/// No request may be rejected.
 #[test]
-fn learns_of_a_drain_that_a_silent_watch_missed_before_it_counts() {
+fn learns_of_a_drain_that_a_silent_watch_missed_before_it_counts_as_notified() {
     std::thread::scope(|scope| {
-        let late = Reply::LateEndpointList(Duration::from_millis(1200));
+        let late_list = Reply::LateEndpointList(Duration::from_millis(1200));
         let cases = [
             ("on_request", Reply::EndpointList, true),
             ("on_request", Reply::EndpointList, false),
-            ("on_request", late, true),
+            ("on_request", late_list, true),
             ("pushed", Reply::EndpointList, true),
         ];
         for (delivery, reply, drains) in cases {
@@ -186,41 +192,44 @@
                 wait_for_watches(&discovery, 1);
 
                 discovery.silence_open_calls(reply);
-                let counts_at = Instant::now() + NOTIFIED_AFTER;
+                let notified_at = Instant::now() + NOTIFIED_AFTER;
                 if drains {
                     discovery.publish("s-00000001", entry(&draining, "s-00000001", "draining"));
                 }
-                let served = request_until(&daemon.platform, counts_at + Duration::from_secs(1));
+                let served = request_until(&daemon.platform, notified_at + Duration::from_secs(1));
 
-                assert!(served.iter().all(|served| *served), "{delivery}, {drains}: no request is refused");
-                let late = draining.last_arrival().map(|at| at.saturating_duration_since(counts_at));
+                assert!(
+                    served.iter().all(|served| *served),
+                    "{delivery}, drains: {drains}: a request was rejected"
+                );
+                let lateness = draining.last_arrival().map(|at| at.saturating_duration_since(notified_at));
                 assert_eq!(
-                    late == Some(Duration::ZERO),
+                    lateness == Some(Duration::ZERO),
                     drains,
-                    "{delivery}: a request came so late: {late:?}"
+                    "{delivery}: the last request at the first server was late by {lateness:?}"
                 );
             });
         }
     });
 }
 
-/// While discovery is down nothing changes that could count: the list stays in use, however old. And a watch whose answers
-/// come late, as all do then, is none that has fallen silent.
+/// While discovery is down it lists no change that could count as notified, so the list stays in use at any
+/// age. A watch whose answers are late, as all are while discovery is slow, does not count as silent.
 #[test]
-fn keeps_serving_by_its_list_while_discovery_is_down_or_slow() {
+fn serves_from_its_endpoint_list_while_discovery_is_down_or_slow() {
     type Outage = fn(&Discovery);
     let cases: [(&str, &str, Outage); 4] = [
-        ("a silent agent", "pushed", |discovery| discovery.silence_open_calls(Reply::Silence)),
-        ("a process that is gone", "on_request", |discovery| discovery.stop_listening()),
-        ("answers that come late", "on_request", |discovery| {
+        ("an agent that does not answer", "pushed", |discovery| discovery.silence_open_calls(Reply::Silence)),
+        ("a discovery that has exited", "on_request", |discovery| discovery.stop_listening()),
+        ("late answers", "on_request", |discovery| {
             discovery.set_reply(Reply::LateEndpointList(Duration::from_millis(2400)));
         }),
-        ("watches that end and 503", "on_request", |discovery| {
+        ("watches that are reset, then 503", "on_request", |discovery| {
             discovery.reset_open_calls(Reply::Status(503));
         }),
     ];
     std::thread::scope(|scope| {
-        for (what, delivery, begin_outage) in cases {
+        for (outage, delivery, begin_outage) in cases {
             scope.spawn(move || {
                 let server = RecordingServer::start();
                 let known = [endpoint("s-00000001", server.address, "ready")];
@@ -232,7 +241,7 @@
                 let end = Instant::now() + NOTIFIED_AFTER + Duration::from_secs(2);
                 let served = request_until(&daemon.platform, end);
 
-                assert!(served.iter().all(|served| *served), "{what}: no request is refused");
+                assert!(served.iter().all(|served| *served), "{outage}: a request was rejected");
             });
         }
     });
