--- a/tests/daemon/races/client.rs
+++ b/tests/daemon/races/client.rs
@@ -41,6 +41,8 @@
     }
 }
 
+/// A client leaves while the connect of its attempt is in flight. The connect must be cancelled, so that the
+/// next connection at the server is another client's.
 #[test]
 fn cancels_the_connect_of_a_client_that_leaves() {
     let mut server = ManualServer::start_with_full_queue();
@@ -59,6 +61,8 @@
     assert_eq!(daemon.metric("forwards"), 1);
 }
 
+/// The client leaves and its attempt is reset in one wake-up. The request must not be retried at the other
+/// server.
 #[test]
 fn does_not_retry_for_a_client_that_leaves_as_its_attempt_breaks() {
     let servers = [ManualServer::start(), ManualServer::start()];
--- a/tests/daemon/races/hot_restart.rs
+++ b/tests/daemon/races/hot_restart.rs
@@ -21,7 +21,7 @@
             "server's line" => server_end.as_mut().expect("the server is connected").send_line("M 2"),
             "client's end" => drop(client.take()),
             "server's reset" => {
-                reset_connection(server_end.take().expect("the server is connected").into_stream())
+                reset_connection(server_end.take().expect("the server is connected").into_stream());
             }
             _ => daemon.signal("-TERM"),
         }
--- a/tests/daemon/races/relay.rs
+++ b/tests/daemon/races/relay.rs
@@ -7,6 +7,8 @@
 use crate::fake_servers::discovery::endpoint_list;
 use crate::fake_servers::{reset_connection, wait_until, Client, ManualServer};
 
+/// The server is removed from the list while one of its lines is incomplete. The client must receive the
+/// complete lines, then `MOVE`, and no part of the incomplete line.
 #[test]
 fn sends_move_between_two_lines_and_delivers_whole_lines_before_it() {
     let server = ManualServer::start();
@@ -22,6 +24,8 @@
     wait_until_idle(&daemon);
 }
 
+/// The server sends two lines and resets the connection in one wake-up, before it has read a line of the
+/// client. Its lines must still reach the client.
 #[test]
 fn delivers_lines_that_a_server_sent_before_its_reset() {
     let server = ManualServer::start();
