--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -229,7 +229,7 @@
                 self.invariants.on_answer(self.now, request);
                 self.reject_client(client, retry_after.0);
             }
-            Answer::Failed | Answer::HandshakeTimedOut => {
+            Answer::Failed | Answer::RequestTimedOut => {
                 self.invariants.on_answer(self.now, request);
                 self.reject_client(client, 0);
             }
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -42,7 +42,7 @@
         settings: settings(deployment),
         seed,
         discovery: None,
-        handshake_timeout: Micros::from_millis(1_500),
+        request_timeout: Micros::from_millis(1_500),
         uses_replicated_map: false,
         max_connections: usize::MAX,
         drain_duration: Micros::ZERO,
--- a/src/bin/simulator-adapter/instance.rs
+++ b/src/bin/simulator-adapter/instance.rs
@@ -121,7 +121,7 @@
         let request = self.add_request(arrival.request);
         let RequestArrival { group, load, .. } = arrival;
         let event = match arrival.server {
-            Some(server) => Event::ConnectionRestored { request, class, tenant, group, load, server },
+            Some(server) => Event::EstablishedConnectionAdded { request, class, tenant, group, load, server },
             None => {
                 let deadline = arrival.deadline.unwrap_or(now);
                 Event::RequestArrived { request, class, tenant, group, load, deadline }
--- a/src/bin/simulator-adapter/reply.rs
+++ b/src/bin/simulator-adapter/reply.rs
@@ -36,10 +36,10 @@
     request_name: impl Fn(RequestId) -> &'a str,
 ) {
     match action {
-        Action::StartAttempt { request, server, timeout, .. } => {
-            let (name, timeout) = (request_name(*request), Millis(*timeout));
+        Action::StartAttempt { request, server, acceptance_timeout, .. } => {
+            let (name, acceptance_timeout) = (request_name(*request), Millis(*acceptance_timeout));
             let fields: [(&str, &dyn Display); 3] =
-                [(field::REQUEST, &name), (field::SERVER, &server.0), (field::TIMEOUT, &timeout)];
+                [(field::REQUEST, &name), (field::SERVER, &server.0), (field::TIMEOUT, &acceptance_timeout)];
             print_line(out, reply::START_ATTEMPT, &fields);
         }
         Action::Reject { request, retry_after, .. } => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -55,8 +55,8 @@
 //! balancer.handle(now, Event::EndpointsReplaced(&[server(1), server(2)]), &mut actions);
 //! let (class, tenant, group, load) = (ClassId(0), None, None, None);
 //! let (request, server) = (RequestId(0), ServerId(1));
-//! let restored = Event::ConnectionRestored { request, class, tenant, group, load, server };
-//! balancer.handle(now, restored, &mut actions);
+//! let established = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
+//! balancer.handle(now, established, &mut actions);
 //!
 //! // A client requests a connection.
 //! let (request, deadline) = (RequestId(1), now.plus(Micros::from_secs(2)));
--- a/src/peers/config.rs
+++ b/src/peers/config.rs
@@ -14,7 +14,7 @@
     /// Tightest time within which a message should be answered; 0 if no class has a message objective.
     pub message_objective: Micros,
     /// Time for which an observation of a server is valid. It is not repeated within this time.
-    pub observation_hold: Micros,
+    pub observation_validity: Micros,
     /// Time for which an observation of slow setups is valid.
-    pub slow_setup_hold: Micros,
+    pub slow_setup_validity: Micros,
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -53,24 +53,24 @@
 const SEED_MASK: u64 = u64::from_be_bytes(*b"the tier");
 
 /// Gossip of one balancer: decides which observations are broadcast, and records those of other balancers.
-pub struct Peers {
+pub struct Gossip {
     config: GossipConfig,
     rng: Pcg64Mcg,
     credit: MessageCredit,
     observations: RecentObservations,
 }
 
-impl Peers {
+impl Gossip {
     /// Creates a state without observations, with the credit that one connection earns.
-    pub fn new(config: GossipConfig, seed: u64) -> Peers {
-        let mut peers = Peers {
+    pub fn new(config: GossipConfig, seed: u64) -> Gossip {
+        let mut gossip = Gossip {
             config,
             rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK),
             credit: MessageCredit::default(),
             observations: RecentObservations::default(),
         };
-        peers.earn_credit();
-        peers
+        gossip.earn_credit();
+        gossip
     }
 
     /// Replaces the configuration. Credit and observations are kept.
--- a/src/peers/recent_observations.rs
+++ b/src/peers/recent_observations.rs
@@ -25,7 +25,7 @@
     /// Records an observation and removes expired ones. Without the removal the map would grow, because new
     /// servers get new ids.
     pub(super) fn record(&mut self, now: Time, observation: Observation, config: &GossipConfig) {
-        let longest_validity = config.observation_hold.max(config.slow_setup_hold);
+        let longest_validity = config.observation_validity.max(config.slow_setup_validity);
         self.last_observed.retain(|_, at| now.since(*at) < longest_validity);
         self.last_observed.insert(observation.subject(), now);
     }
@@ -34,7 +34,7 @@
 /// Returns the time for which an observation is valid.
 fn validity_of(observation: Observation, config: &GossipConfig) -> Micros {
     match observation {
-        Observation::SlowServer(..) | Observation::Dropped(_) => config.observation_hold,
-        Observation::SlowSetUps => config.slow_setup_hold,
+        Observation::SlowServer(..) | Observation::Dropped(_) => config.observation_validity,
+        Observation::SlowSetUps => config.slow_setup_validity,
     }
 }
--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -111,14 +111,14 @@
 
     fn decrease(&mut self, now: Time, factor: f64, settings: &Settings) {
         self.raise(now, settings);
-        let hold = settings.slow_setup_hold();
-        if self.last_decrease.is_none_or(|at| now.since(at) >= hold) {
+        let validity = settings.slow_setup_validity();
+        if self.last_decrease.is_none_or(|at| now.since(at) >= validity) {
             self.last_decrease = Some(now);
             self.share *= factor;
         }
         // Each observation postpones the rise. If the rate rose between two cuts, it would never become low
         // enough.
-        self.updated_at = now.plus(hold);
+        self.updated_at = now.plus(validity);
     }
 
     fn raise(&mut self, now: Time, settings: &Settings) {
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -49,9 +49,9 @@
     }
 
     /// Restores the state that another balancer learned of a listed server.
-    pub fn restore_learned_state(&mut self, server: ServerId, learned: LearnedState) {
+    pub fn import_learned_state(&mut self, server: ServerId, learned: LearnedState) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.restore_learned_state(&learned);
+            server.import_learned_state(&learned);
         }
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -166,10 +166,10 @@
                     Request { class, group, slots, deadline, ..Request::default() },
                 );
             }
-            Event::ConnectionRestored { request, class, group, load, server, .. } => {
+            Event::EstablishedConnectionAdded { request, class, group, load, server, .. } => {
                 let slots = self.connection_sizes.estimate(class, load);
-                let restored = Request { class, group, slots, ..Request::default() };
-                self.on_connection_restored(request, restored, server);
+                let established = Request { class, group, slots, ..Request::default() };
+                self.on_established_connection_added(request, established, server);
             }
             Event::ConnectionEstablished { request, attempt } => {
                 self.on_established(request, attempt);
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -56,7 +56,7 @@
     /// observation and must not all return to the server at once.
     pub(super) fn on_peer_observation(&mut self, id: ServerId, message_time: Option<Micros>) {
         let objective = self.settings.message_objective().max(Micros(1));
-        let delay = self.settings.peer_observation_hold().as_f64() * self.rng.random::<f64>();
+        let delay = self.settings.peer_observation_validity().as_f64() * self.rng.random::<f64>();
         let fault_time = self.now.plus(Micros::from_f64(delay));
         let Some(server) = self.servers.get_mut(id) else { return };
         let occupied = server.connections.occupied_slots();
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -27,7 +27,7 @@
 
     /// Adds a connection that was established before this balancer started. It counts like a connection that
     /// this balancer placed.
-    pub(super) fn on_connection_restored(&mut self, id: RequestId, request: Request, at: ServerId) {
+    pub(super) fn on_established_connection_added(&mut self, id: RequestId, request: Request, at: ServerId) {
         if self.requests.contains(id) {
             return;
         }
@@ -88,8 +88,13 @@
         // An attempt may use all of its client's remaining time. If it were abandoned earlier, the session
         // store would still process its setup, for no client, and the next attempt would join the same queue.
         // A server that is down is detected by the connection that cannot be opened.
-        let timeout = request.deadline.since(now).max(Micros(1));
-        self.actions.push(Action::StartAttempt { request: id, server: to, timeout, forwarding_timeout });
+        let acceptance_timeout = request.deadline.since(now).max(Micros(1));
+        self.actions.push(Action::StartAttempt {
+            request: id,
+            server: to,
+            acceptance_timeout,
+            forwarding_timeout,
+        });
         let times = EjectionTimes::from_settings(&self.settings);
         server.outlier.on_attempt_started(now, times, &mut self.rng);
     }
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -62,7 +62,7 @@
     }
 
     /// Restores the state that a predecessor of this process learned of the server.
-    pub fn restore_learned_state(&mut self, learned: &LearnedState) {
+    pub fn import_learned_state(&mut self, learned: &LearnedState) {
         self.limit = ConcurrencyLimit::from_learned(learned);
         self.outlier = OutlierDetector::from_learned(learned);
         self.slow_start.restore_wait(learned);
--- a/src/program/config/irc.rs
+++ b/src/program/config/irc.rs
@@ -217,7 +217,7 @@
         settings,
         seed: decode_seed(&root.field(key::SEED))?,
         discovery: None,
-        handshake_timeout: shared.client_timeout,
+        request_timeout: shared.client_timeout,
         uses_replicated_map: true,
         max_connections: root
             .field(operator_key::LIMITS)
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -14,7 +14,7 @@
 /// Time that a client of the platform has to send its first line, which it sends immediately after
 /// connecting. The platform expects a silent connection to be closed within 3 s, including its time in the
 /// accept queue.
-const GREETING_TIMEOUT: Micros = Micros::from_millis(1500);
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(1500);
 /// Time without an answer after which the server of an established connection counts as lost. The platform's
 /// clients send a line every 2 s, and servers answer immediately. The platform expects a lost server to be
 /// detected within 7 s.
@@ -34,7 +34,7 @@
         settings: Settings::default(),
         seed,
         discovery: None,
-        handshake_timeout: GREETING_TIMEOUT,
+        request_timeout: REQUEST_TIMEOUT,
         uses_replicated_map: false,
         max_connections: usize::MAX,
         drain_duration: Micros::ZERO,
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -150,8 +150,8 @@
     for (class, counts) in &metrics.classes {
         let prefix = format!("{}.{}", metric::RESULTS, metric_name_part(class));
         lines.counter(&format!("{prefix}.{}", metric::SUCCEEDED), counts.succeeded);
-        lines.counter(&format!("{prefix}.{}", metric::DECLINED), counts.declined);
-        lines.counter(&format!("{prefix}.{}", metric::ABORTED), counts.aborted);
+        lines.counter(&format!("{prefix}.{}", metric::DECLINED), counts.rejected);
+        lines.counter(&format!("{prefix}.{}", metric::ABORTED), counts.failed);
     }
 }
 
--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -6,8 +6,8 @@
 
 use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC};
 use crate::policy::outlier_detection::MAX_FAILURES;
-use crate::routing::store::{Entry, ReplicatedMap};
-use crate::routing::{ConnectionRequest, Endpoint, EstablishedConnection, Lifecycle};
+use crate::routing::store::{Entry, KeyedEntry, ReplicatedMap};
+use crate::routing::{ConnectionRequest, Endpoint, Lifecycle, TransferredConnection};
 use crate::{LearnedState, Time};
 
 /// Decodes a message. Returns `None` if it is malformed.
@@ -93,19 +93,19 @@
     })
 }
 
-fn parse_established_connection(input: &mut &[u8]) -> ModalResult<EstablishedConnection> {
+fn parse_established_connection(input: &mut &[u8]) -> ModalResult<TransferredConnection> {
     let (request, server, load, awaiting_server_since) =
         (parse_connection_request, parse_text, optional(parse_number), optional(parse_time))
             .parse_next(input)?;
-    Ok(EstablishedConnection { request, server, load, awaiting_server_since })
+    Ok(TransferredConnection { request, server, reported_load: load, awaiting_server_since })
 }
 
 fn parse_entry(input: &mut &[u8]) -> ModalResult<Part> {
     let fields = (parse_text, be_u64, parse_text, optional(parse_text));
     fields
-        .map(|(key, counter, node, value)| (key, Entry { counter, node, value }))
-        .verify(|(key, entry)| ReplicatedMap::is_valid(key, entry))
-        .map(|(key, entry)| Part::Entry(key, entry))
+        .map(|(key, counter, node, value)| KeyedEntry { key, entry: Entry { counter, node, value } })
+        .verify(|KeyedEntry { key, entry }| ReplicatedMap::is_valid(key, entry))
+        .map(Part::Entry)
         .parse_next(input)
 }
 
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -1,7 +1,8 @@
 //! Encoding of messages.
 
 use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC, MAX_MESSAGE_LENGTH};
-use crate::routing::{Endpoint, EstablishedConnection, Lifecycle};
+use crate::routing::store::KeyedEntry;
+use crate::routing::{Endpoint, Lifecycle, TransferredConnection};
 use crate::{LearnedState, Time};
 
 /// Encodes a message. Returns `None` if it would be longer than [`MAX_MESSAGE_LENGTH`].
@@ -107,7 +108,7 @@
             .optional_time(&endpoint.started)
     }
 
-    fn established_connection(&mut self, established: &EstablishedConnection) -> &mut Encoder {
+    fn established_connection(&mut self, established: &TransferredConnection) -> &mut Encoder {
         let request = &established.request;
         self.optional_text(&request.id)
             .text(&request.class)
@@ -115,7 +116,7 @@
             .optional(&request.group, |encoder, group| encoder.u64(*group))
             .optional_f64(&request.load)
             .text(&established.server)
-            .optional_f64(&established.load)
+            .optional_f64(&established.reported_load)
             .optional_time(&established.awaiting_server_since)
     }
 
@@ -123,7 +124,7 @@
         match part {
             Part::Excluded(server) => self.byte(part_tag::EXCLUDED).text(server),
             Part::EverListed(server) => self.byte(part_tag::EVER_LISTED).text(server),
-            Part::Entry(key, entry) => self
+            Part::Entry(KeyedEntry { key, entry }) => self
                 .byte(part_tag::ENTRY)
                 .text(key)
                 .u64(entry.counter)
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -8,8 +8,8 @@
 pub use decode::decode;
 pub use encode::encode;
 
-use crate::routing::store::Entry;
-use crate::routing::{Endpoint, EstablishedConnection, ExportedEndpoint, HandoverState, Readmission};
+use crate::routing::store::KeyedEntry;
+use crate::routing::{Endpoint, ExportedEndpoint, HandoverState, Readmission, TransferredConnection};
 use crate::{LearnedState, Time};
 
 /// Maximum length of a message, in bytes.
@@ -77,7 +77,7 @@
         /// Name of the front.
         front: String,
         /// State with which the reducer continues the connection.
-        established: EstablishedConnection,
+        established: TransferredConnection,
         /// State with which the front's protocol continues the connection.
         state: Vec<u8>,
     },
@@ -104,8 +104,8 @@
     Excluded(String),
     /// Name of a server that an endpoint list has contained.
     EverListed(String),
-    /// Key of the replicated map, with its entry.
-    Entry(String, Entry),
+    /// Entry of the replicated map.
+    Entry(KeyedEntry),
     /// Endpoint of a pool.
     Endpoint {
         /// Name of the pool.
@@ -139,7 +139,7 @@
 pub fn split_state(state: HandoverState) -> Vec<Part> {
     let mut parts: Vec<Part> = state.excluded_by_operator.into_iter().map(Part::Excluded).collect();
     parts.extend(state.ever_listed.into_iter().map(Part::EverListed));
-    parts.extend(state.entries.into_iter().map(|(key, entry)| Part::Entry(key, entry)));
+    parts.extend(state.entries.into_iter().map(Part::Entry));
     for (name, pool) in state.pools {
         parts.extend(pool.endpoints.into_iter().map(|ExportedEndpoint { endpoint, learned }| {
             Part::Endpoint { pool: name.clone(), endpoint, learned }
@@ -161,7 +161,7 @@
     match part {
         Part::Excluded(server) => state.excluded_by_operator.push(server),
         Part::EverListed(server) => state.ever_listed.push(server),
-        Part::Entry(key, entry) => state.entries.push((key, entry)),
+        Part::Entry(entry) => state.entries.push(entry),
         Part::Endpoint { pool, endpoint, learned } => {
             state.pools.entry(pool).or_default().endpoints.push(ExportedEndpoint { endpoint, learned });
         }
--- a/src/protocol/irc/connection.rs
+++ b/src/protocol/irc/connection.rs
@@ -233,7 +233,7 @@
         match answer {
             Answer::Rejected(retry_after) => self.registration.rejection(retry_after),
             Answer::Failed => self.registration.closing_link("No server could be reached"),
-            Answer::HandshakeTimedOut => self.registration.closing_link("Registration timed out"),
+            Answer::RequestTimedOut => self.registration.closing_link("Registration timed out"),
             // After part of a line, the client would read the message as the rest of that line.
             Answer::Migrated if self.relay.is_mid_line() => Vec::new(),
             Answer::Migrated => self.registration.migration_notice(),
--- a/src/protocol/platform/connection.rs
+++ b/src/protocol/platform/connection.rs
@@ -158,7 +158,7 @@
                 [BUSY, b" ", retry_after_ms.as_bytes(), CRLF].concat()
             }
             Answer::Failed => [ERR, CRLF].concat(),
-            Answer::HandshakeTimedOut => Vec::new(),
+            Answer::RequestTimedOut => Vec::new(),
             // After part of a line, the client would read the message as the rest of that line.
             Answer::Migrated if self.relay.is_mid_line() => Vec::new(),
             Answer::Migrated => [MOVE, CRLF].concat(),
--- a/src/protocol/platform/reply.rs
+++ b/src/protocol/platform/reply.rs
@@ -8,7 +8,7 @@
 
 use super::field::{parse_field, Field};
 use super::keywords::{BUSY, ERR, MOVE, PONG};
-use crate::routing::ProbeEnd;
+use crate::routing::ProbeOutcome;
 use crate::LoadReport;
 
 const UP: &[u8] = b"UP";
@@ -78,7 +78,7 @@
 
 /// Parses the answer to a probe, without the line ending. Its load report contains the utilisation under one
 /// of `utilisation_names`.
-pub fn parse_probe_answer(line: &[u8], utilisation_names: &[&str]) -> ProbeEnd {
+pub fn parse_probe_answer(line: &[u8], utilisation_names: &[&str]) -> ProbeOutcome {
     #[derive(Clone, Copy)]
     enum Status {
         Healthy,
@@ -88,11 +88,11 @@
     let status =
         alt((PONG.value(Status::Healthy), ERR.value(Status::Error), NO.value(Status::ProbingRefused)));
     let fields = opt(preceded(b' ', separated(0.., parse_field, b',')));
-    let Ok((status, fields)) = (status, fields).parse(line) else { return ProbeEnd::NoAnswer };
+    let Ok((status, fields)) = (status, fields).parse(line) else { return ProbeOutcome::NoAnswer };
     let fields: Vec<Field<'_>> = fields.unwrap_or_default();
     match status {
-        Status::Healthy => ProbeEnd::Answered(decode_load_report(&fields, utilisation_names)),
-        Status::Error => ProbeEnd::Error(decode_load_report(&fields, utilisation_names)),
-        Status::ProbingRefused => ProbeEnd::Declined,
+        Status::Healthy => ProbeOutcome::Answered(decode_load_report(&fields, utilisation_names)),
+        Status::Error => ProbeOutcome::Error(decode_load_report(&fields, utilisation_names)),
+        Status::ProbingRefused => ProbeOutcome::ProbingRefused,
     }
 }
--- a/src/protocol/replica_messages.rs
+++ b/src/protocol/replica_messages.rs
@@ -5,7 +5,7 @@
 use winnow::combinator::{dispatch, fail, preceded, repeat};
 use winnow::{ModalResult, Parser};
 
-use crate::routing::store::{Entry, ReplicaMessage, ReplicatedMap, DIGEST_BUCKETS};
+use crate::routing::store::{Entry, KeyedEntry, ReplicaMessage, ReplicatedMap, DIGEST_BUCKETS};
 
 /// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
@@ -24,9 +24,6 @@
 /// Maximum length of a text in bytes, since its length is sent as one byte.
 const MAX_TEXT_LENGTH: usize = u8::MAX as usize;
 
-/// Key and entry of the map.
-type KeyedEntry = (String, Entry);
-
 fn parse_text(input: &mut &[u8]) -> ModalResult<String> {
     length_take(u8).verify_map(|bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok()).parse_next(input)
 }
@@ -37,11 +34,11 @@
 
 fn parse_entry(input: &mut &[u8]) -> ModalResult<KeyedEntry> {
     let (key, counter, node, value) = (parse_text, be_u64, parse_text, parse_value).parse_next(input)?;
-    Ok((key, Entry { counter, node, value }))
+    Ok(KeyedEntry { key, entry: Entry { counter, node, value } })
 }
 
 fn parse_valid_entry(input: &mut &[u8]) -> ModalResult<KeyedEntry> {
-    parse_entry.verify(|(key, entry)| ReplicatedMap::is_valid(key, entry)).parse_next(input)
+    parse_entry.verify(|KeyedEntry { key, entry }| ReplicatedMap::is_valid(key, entry)).parse_next(input)
 }
 
 fn parse_digest(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
@@ -55,7 +52,7 @@
 fn parse_message(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
     let body = dispatch! {u8;
         DIGEST => parse_digest,
-        ENTRY => parse_valid_entry.map(|(key, entry)| ReplicaMessage::Entry { key, entry }),
+        ENTRY => parse_valid_entry.map(|KeyedEntry { key, entry }| ReplicaMessage::Entry { key, entry }),
         WRITE => (parse_text, parse_value).map(|(key, value)| ReplicaMessage::Write { key, value }),
         _ => fail,
     };
@@ -68,7 +65,7 @@
 }
 
 /// Decodes the record of an entry. Returns `None` if it is malformed.
-pub fn decode_entry(bytes: &[u8]) -> Option<(String, Entry)> {
+pub fn decode_entry(bytes: &[u8]) -> Option<KeyedEntry> {
     parse_valid_entry.parse(bytes).ok()
 }
 
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -28,16 +28,16 @@
     pub(super) fn send_answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         match answer {
             Answer::Rejected(_) => {
-                self.count_outcome(id, |counters| counters.declined += 1);
+                self.count_outcome(id, |counters| counters.rejected += 1);
                 self.notify_rejected(now, id);
             }
             Answer::Failed => {
-                self.count_outcome(id, |counters| counters.aborted += 1);
+                self.count_outcome(id, |counters| counters.failed += 1);
                 self.notify_rejected(now, id);
             }
             // A migrated connection was counted when it was established. A client that sent no request has no
             // class to count for.
-            Answer::Migrated | Answer::HandshakeTimedOut => {}
+            Answer::Migrated | Answer::RequestTimedOut => {}
         }
         self.effects.push(Effect::Answer { connection: id, answer });
     }
@@ -98,7 +98,7 @@
         self.admission.add_pending(now, id);
         let pool = &mut self.pools[connection.pool];
         pool.rebalance.on_event(now, RebalanceEvent::ConnectionEnded { connection: id, natural: false });
-        if connection.phase != Phase::Handshaking {
+        if connection.phase != Phase::AwaitingRequest {
             pool.admitted.remove(&connection.request);
         }
         connection.attempt()
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -52,7 +52,7 @@
             connection: id,
             attempt: attempt.number,
             address,
-            timeout: acceptance_timeout,
+            acceptance_timeout,
         });
     }
 
@@ -90,7 +90,7 @@
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, setup_time);
         if was_placed {
-            self.pools[pool].peers.earn_credit();
+            self.pools[pool].gossip.earn_credit();
             let event = Event::ConnectionEstablished { request: request_id(id), attempt: number };
             self.dispatch(now, pool, event);
         }
@@ -119,7 +119,7 @@
     /// Ends a connection whose attempt has ended and is not retried.
     fn on_final_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, end: AttemptOutcome) {
         if phase != Phase::Established && end == AttemptOutcome::VerdictForwarded {
-            self.count_outcome(id, |counters| counters.declined += 1);
+            self.count_outcome(id, |counters| counters.rejected += 1);
         }
         if end == AttemptOutcome::RedirectedByServer {
             self.notify_interrupted(now, id);
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,7 +1,7 @@
-//! Requests of clients, from the handshake of a new connection to the admission of its request.
+//! Requests of clients, from the new connection to the admission of its request.
 //!
-//! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake
-//! timeout. It is closed earlier when its descriptor is needed for other connections
+//! A connection is in [`Phase::AwaitingRequest`] until its request has arrived, for at most the pool's
+//! request timeout. It is closed earlier when its descriptor is needed for other connections
 //! ([`super::pending_connections`]), or at the latest exit of a shutdown. When the request arrives, it passes
 //! these checks in order. The first one that fails ends the connection:
 //!
@@ -45,21 +45,21 @@
 }
 
 impl State {
-    /// Adds an accepted connection, and sets its timer to the end of the pool's handshake timeout.
+    /// Adds an accepted connection, and sets its timer to the end of the pool's request timeout.
     pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
         let Some(pool) = self.pools.get(pool_id) else { return };
-        let handshake_timeout = pool.config.handshake_timeout;
+        let request_timeout = pool.config.request_timeout;
         self.connections.insert(id, ClientConnection::new(pool_id, now));
-        self.connections.set_timer(id, Some(now.plus(handshake_timeout)));
+        self.connections.set_timer(id, Some(now.plus(request_timeout)));
         self.admission.add_pending(now, id);
         self.evict_idle_connection(now);
     }
 
     /// Answers a client whose request did not arrive in time. The driver feeds this input after
-    /// [`super::Effect::CheckHandshake`], once it has read all bytes that the client sent.
-    pub(super) fn on_handshake_timed_out(&mut self, now: Time, id: ConnectionId) {
+    /// [`super::Effect::CheckRequestArrival`], once it has read all bytes that the client sent.
+    pub(super) fn on_request_timed_out(&mut self, now: Time, id: ConnectionId) {
         if self.connections.get_handshaking(id).is_some() {
-            self.answer_and_remove(now, id, Answer::HandshakeTimedOut);
+            self.answer_and_remove(now, id, Answer::RequestTimedOut);
         }
     }
 
@@ -142,7 +142,7 @@
         Some(RequestProfile { class, tenant, group: request.group.map(GroupId), load: request.load })
     }
 
-    /// Counts a request among the admitted ones and stops the handshake timer.
+    /// Counts a request among the admitted ones and stops the request timer.
     fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         self.admission.remove_pending(id);
         self.evict_idle_connection(now);
@@ -155,7 +155,7 @@
     }
 
     /// Requests a server from the balancer. The client waits for its answer for `timeout`. If it gave none,
-    /// it waits until the end of its handshake timeout.
+    /// it waits until the end of its request timeout.
     fn place_connection(
         &mut self,
         now: Time,
@@ -165,8 +165,8 @@
         timeout: Option<Micros>,
     ) {
         let Some(connection) = self.connections.get(id) else { return };
-        let handshake_deadline = connection.connected_at.plus(self.pools[pool_id].config.handshake_timeout);
-        let deadline = timeout.map_or(handshake_deadline, |timeout| now.plus(timeout));
+        let request_deadline = connection.connected_at.plus(self.pools[pool_id].config.request_timeout);
+        let deadline = timeout.map_or(request_deadline, |timeout| now.plus(timeout));
         self.connections.set_phase(id, Phase::Connecting);
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
@@ -188,7 +188,7 @@
         self.connections.set_phase(id, Phase::Restoring { deadline, server });
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
-        let event = Event::ConnectionRestored { request, class, tenant, group, load, server };
+        let event = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
         self.dispatch(now, pool_id, event);
         self.continue_restoring(now, id, deadline, server);
     }
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -17,7 +17,7 @@
         &mut self,
         now: Time,
         configs: Vec<PoolConfig>,
-        peers: Vec<SocketAddr>,
+        other_replicas: Vec<SocketAddr>,
         budget: Budget,
     ) {
         self.admission.set_budget(budget);
@@ -25,7 +25,7 @@
         for (pool, config) in configs.into_iter().enumerate().take(known_pools) {
             self.configure_pool(now, pool, config);
         }
-        self.replication.set_peers(now, peers);
+        self.replication.set_other_replicas(now, other_replicas);
     }
 
     /// Replaces a pool's configuration, and starts a new watch if its discovery address has changed.
--- a/src/routing/connection_request.rs
+++ b/src/routing/connection_request.rs
@@ -17,7 +17,7 @@
     /// The connection's usual load, in the unit of the settings, if the client sent it.
     pub load: Option<f64>,
     /// Time for which the client waits for its answer, from the arrival of the request. Without it, the
-    /// client waits until the end of the handshake timeout.
+    /// client waits until the end of the request timeout.
     pub timeout: Option<Micros>,
     /// Name of the server at which the connection was established before this process started.
     pub established_at: Option<String>,
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -13,14 +13,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{ConnectionId, ConnectionRequest, EstablishedConnection, PoolId};
+use super::{ConnectionId, ConnectionRequest, PoolId, TransferredConnection};
 use crate::{ClassId, ServerId, Time};
 
 /// The phase of a connection between its accept and its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
     /// The client is connected, and its request has not arrived yet.
-    Handshaking,
+    AwaitingRequest,
     /// The request is admitted and not answered yet.
     Connecting,
     /// The connection was established before this process started, and its server has not accepted it again
@@ -90,7 +90,7 @@
             class: None,
             request: ConnectionRequest::default(),
             load: None,
-            phase: Phase::Handshaking,
+            phase: Phase::AwaitingRequest,
             attempts: 0,
             connected_at: now,
             migrate_at: None,
@@ -106,7 +106,7 @@
         pool: PoolId,
         now: Time,
         class: Option<ClassId>,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) -> ClientConnection {
         ClientConnection {
             class,
@@ -182,7 +182,7 @@
 
     /// Returns the connection if no request has arrived on it yet.
     pub(super) fn get_handshaking(&self, id: ConnectionId) -> Option<&ClientConnection> {
-        self.get(id).filter(|connection| connection.phase == Phase::Handshaking)
+        self.get(id).filter(|connection| connection.phase == Phase::AwaitingRequest)
     }
 
     pub(super) fn contains(&self, id: ConnectionId) -> bool {
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Records an admitted request, and stops the handshake timer.
+    /// Records an admitted request, and stops the request timer.
     pub(super) fn record_admission(&mut self, id: ConnectionId, request: &ConnectionRequest) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.request = request.clone();
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -31,8 +31,14 @@
     /// Executes one action, and returns the further actions that it causes.
     fn apply_action(&mut self, now: Time, pool: PoolId, action: Action) -> Vec<Action> {
         match action {
-            Action::StartAttempt { request, server, timeout, forwarding_timeout } => {
-                self.open_attempt(now, connection_id(request), server, timeout, forwarding_timeout);
+            Action::StartAttempt { request, server, acceptance_timeout, forwarding_timeout } => {
+                self.open_attempt(
+                    now,
+                    connection_id(request),
+                    server,
+                    acceptance_timeout,
+                    forwarding_timeout,
+                );
             }
             Action::Reject { request, reason, retry_after } => {
                 self.answer_without_server(
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -4,8 +4,8 @@
 
 use super::store::{AddressedReplicaMessage, Entry};
 use super::{
-    AdminClientId, AdminResponse, Answer, ConnectionId, EstablishedConnection, HandoverState, LogEvent,
-    PoolId,
+    AdminClientId, AdminResponse, Answer, ConnectionId, HandoverState, LogEvent, PoolId,
+    TransferredConnection,
 };
 use crate::peers::GossipMessage;
 use crate::{Micros, ServerId};
@@ -22,7 +22,7 @@
         /// Address at which this balancer reaches the server; empty if the server is not listed any more.
         address: String,
         /// Time within which the server has to accept. The request also carries it.
-        timeout: Micros,
+        acceptance_timeout: Micros,
     },
     /// Close the attempt in flight.
     CloseAttempt {
@@ -36,9 +36,9 @@
         /// The answer, which the front encodes in its protocol.
         answer: Answer,
     },
-    /// Read once more from a client whose handshake timeout has passed, and feed
-    /// [`super::Input::HandshakeTimedOut`] if there is no request.
-    CheckHandshake {
+    /// Read once more from a client whose request timeout has passed, and feed
+    /// [`super::Input::RequestTimedOut`] if there is no request.
+    CheckRequestArrival {
         /// The connection without a request.
         connection: ConnectionId,
     },
@@ -100,7 +100,7 @@
         /// The pool of the front at which the client connected.
         pool: PoolId,
         /// The state with which the successor continues it.
-        established: EstablishedConnection,
+        established: TransferredConnection,
     },
     /// Send an exclusion or readmission to the peer process.
     ShareExclusion {
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -44,7 +44,7 @@
             self.dispatch(now, pool_id, Event::EndpointListConfirmed);
         }
         if was_expiry_logged {
-            self.effects.push(Effect::Log(LogEvent::EndpointListRestored { pool: name }));
+            self.effects.push(Effect::Log(LogEvent::EndpointListConfirmed { pool: name }));
         }
     }
 
--- a/src/routing/entry.rs
+++ b/src/routing/entry.rs
@@ -11,3 +11,12 @@
     /// Value of the key, or `None` for a tombstone.
     pub value: Option<String>,
 }
+
+/// Key of the replicated map, with the entry of this key.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KeyedEntry {
+    /// Key of the entry.
+    pub key: String,
+    /// Counter, writer and value.
+    pub entry: Entry,
+}
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -19,7 +19,7 @@
         if !message.observation.server().is_none_or(is_listed) {
             return;
         }
-        if !pool.peers.record_received(now, message.observation) {
+        if !pool.gossip.record_received(now, message.observation) {
             return;
         }
         self.dispatch(now, pool_id, Event::PeerGroupSample(&message.groups));
@@ -27,12 +27,12 @@
     }
 
     /// Sends an observation to the other balancers, with a sample of the groups of connections that are
-    /// established at this balancer. Does nothing if [`crate::peers::Peers::should_broadcast`] decides
+    /// established at this balancer. Does nothing if [`crate::peers::Gossip::should_broadcast`] decides
     /// against it, for instance for lack of credit.
     pub(super) fn broadcast_observation(&mut self, now: Time, pool_id: PoolId, observation: Observation) {
         let pool = &mut self.pools[pool_id];
-        if pool.peers.should_broadcast(now, observation) {
-            let groups = pool.peers.sample_groups(pool.balancer.established_groups());
+        if pool.gossip.should_broadcast(now, observation) {
+            let groups = pool.gossip.sample_groups(pool.balancer.established_groups());
             self.effects.push(Effect::BroadcastGossip(GossipMessage { observation, groups }));
         }
     }
--- a/src/routing/handover_state.rs
+++ b/src/routing/handover_state.rs
@@ -4,20 +4,20 @@
 
 use std::collections::BTreeMap;
 
-use super::store::Entry;
+use super::store::KeyedEntry;
 use super::{ConnectionRequest, Endpoint};
 use crate::{LearnedState, Time};
 
 /// State of an established connection that is transferred to the successor.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EstablishedConnection {
+pub struct TransferredConnection {
     /// The client's request for the connection.
     pub request: ConnectionRequest,
     /// Name of the server at which the connection is established.
     pub server: String,
     /// Load in the server's last report for the connection, in microseconds of work a second; `None` without
     /// a report.
-    pub load: Option<f64>,
+    pub reported_load: Option<f64>,
     /// Time at which the earliest unanswered line was forwarded to the server; `None` if no line awaits an
     /// answer.
     pub awaiting_server_since: Option<Time>,
@@ -30,8 +30,8 @@
     pub excluded_by_operator: Vec<String>,
     /// Names of all servers that were ever listed.
     pub ever_listed: Vec<String>,
-    /// Entries of the replicated map with their keys.
-    pub entries: Vec<(String, Entry)>,
+    /// Entries of the replicated map.
+    pub entries: Vec<KeyedEntry>,
     /// State of each pool, by the name of the pool.
     pub pools: BTreeMap<String, PoolHandoverState>,
     /// Number of descriptors that pending connections of the exporting process use at the time of the export.
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -25,8 +25,8 @@
 use super::dispatch::request_id;
 use super::hot_restart_state::PeerProcess;
 use super::{
-    server_id, AdminClientId, AdminResponse, ConnectionId, Effect, EstablishedConnection, HandoverState,
-    LogEvent, PoolId, State,
+    server_id, AdminClientId, AdminResponse, ConnectionId, Effect, HandoverState, LogEvent, PoolId, State,
+    TransferredConnection,
 };
 use crate::{Event, GroupId, Measurement, Outcome, ServerId, Time};
 
@@ -73,10 +73,10 @@
         let Some(attempt) = connection.attempt() else { return };
         let pool = connection.pool;
         let Some(endpoint) = self.pools[pool].endpoints.get(attempt.server) else { return };
-        let established = EstablishedConnection {
+        let established = TransferredConnection {
             request: connection.request.clone(),
             server: endpoint.name.clone(),
-            load: connection.load,
+            reported_load: connection.load,
             awaiting_server_since: connection.awaiting_server_since,
         };
         self.effects.push(Effect::TransferConnection { connection: id, pool, established });
@@ -125,13 +125,13 @@
         now: Time,
         id: ConnectionId,
         pool_id: PoolId,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let server = server_id(&established.server);
         let was_listed = pool.endpoints.get(server).is_some();
         pool.admitted.add_transferred(&established.request);
-        let load = established.load;
+        let load = established.reported_load;
         let profile = self.insert_received_connection(now, id, pool_id, server, established);
         self.report_to_balancer(now, id, pool_id, server, profile);
         if let Some(load) = load {
@@ -154,7 +154,7 @@
         id: ConnectionId,
         pool_id: PoolId,
         server: ServerId,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) -> RequestProfile {
         let config = &self.pools[pool_id].config;
         let request = &established.request;
@@ -187,7 +187,7 @@
     ) {
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
-        let event = Event::ConnectionRestored { request, class, tenant, group, load, server };
+        let event = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
         self.dispatch(now, pool_id, event);
     }
 
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use super::store::{Entry, ReplicaMessage};
+use super::store::{KeyedEntry, ReplicaMessage};
 use super::{
     AdminCall, AdminClientId, AttemptOutcome, Budget, ConnectionId, ConnectionRequest, Endpoint,
-    EstablishedConnection, HandoverState, PoolConfig, PoolId, ProbeEnd,
+    HandoverState, PoolConfig, PoolId, ProbeOutcome, TransferredConnection,
 };
 use crate::peers::GossipMessage;
 use crate::ServerId;
@@ -28,9 +28,9 @@
         /// The request, parsed by the front's protocol.
         request: ConnectionRequest,
     },
-    /// The handshake timeout has passed, and the bytes that the client sent until now, all of which have been
-    /// read, contain no request: see [`super::Effect::CheckHandshake`].
-    HandshakeTimedOut {
+    /// The request timeout has passed, and the bytes that the client sent until now, all of which have been
+    /// read, contain no request: see [`super::Effect::CheckRequestArrival`].
+    RequestTimedOut {
         /// The connection that was checked.
         connection: ConnectionId,
     },
@@ -87,9 +87,9 @@
         load: f64,
     },
     /// The state that an earlier process stored was read.
-    StateRestored {
-        /// Entries of the replicated map, by key.
-        entries: Vec<(String, Entry)>,
+    StoredStateRead {
+        /// Entries of the replicated map.
+        entries: Vec<KeyedEntry>,
         /// Names of servers that an operator excluded without a replicated map.
         excluded_by_operator: Vec<String>,
     },
@@ -123,7 +123,7 @@
         /// The probed server.
         server: ServerId,
         /// How the probe ended, with the load report if the server sent one.
-        end: ProbeEnd,
+        end: ProbeOutcome,
     },
     /// The watch on a pool's endpoint list broke, or could not be established.
     EndpointWatchLost {
@@ -151,7 +151,7 @@
         /// The pools, in their old order.
         pools: Vec<PoolConfig>,
         /// Addresses of the other replicas.
-        peers: Vec<SocketAddr>,
+        other_replicas: Vec<SocketAddr>,
         /// The limits of all fronts together.
         budget: Budget,
     },
@@ -175,7 +175,7 @@
         /// The pool of the front at which the client connected.
         pool: PoolId,
         /// The state with which the predecessor transferred it.
-        established: EstablishedConnection,
+        established: TransferredConnection,
     },
     /// The peer process of a hot restart ended, or the link to it broke.
     PeerProcessLost,
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -27,12 +27,12 @@
         server: String,
     },
     /// A server answered that it must not be probed.
-    ProbesDeclined {
+    ProbesRefused {
         /// Name of the server.
         server: String,
     },
     /// A message for replicas arrived from an address that is not configured as another replica's.
-    MessageFromUnknownPeer {
+    MessageFromUnknownReplica {
         /// Address of the sender.
         from: SocketAddr,
     },
@@ -79,7 +79,7 @@
         pool: &'static str,
     },
     /// Discovery has confirmed a list that had expired. Requests are placed again.
-    EndpointListRestored {
+    EndpointListConfirmed {
         /// Name of the pool's front.
         pool: &'static str,
     },
@@ -117,10 +117,10 @@
             LogEvent::ServerReadmitted { server } => {
                 write!(formatter, "server {server} readmitted by an operator")
             }
-            LogEvent::ProbesDeclined { server } => {
+            LogEvent::ProbesRefused { server } => {
                 write!(formatter, "server {server} declines health checks")
             }
-            LogEvent::MessageFromUnknownPeer { from } => {
+            LogEvent::MessageFromUnknownReplica { from } => {
                 write!(formatter, "ignored a message from {from}, which is not a configured peer")
             }
             LogEvent::RemoteWriteIgnored { from } => {
@@ -150,7 +150,7 @@
                     "{pool}: endpoint list expired, requests are rejected until discovery answers"
                 )
             }
-            LogEvent::EndpointListRestored { pool } => {
+            LogEvent::EndpointListConfirmed { pool } => {
                 write!(formatter, "{pool}: endpoint list confirmed, requests are placed again")
             }
             LogEvent::RebalancingPaused { pool, reason } => {
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -13,9 +13,9 @@
     /// Connections that were established.
     pub succeeded: u64,
     /// Connections that were rejected by the balancer, or answered by the server with its own verdict.
-    pub declined: u64,
+    pub rejected: u64,
     /// Connections that the balancer failed.
-    pub aborted: u64,
+    pub failed: u64,
 }
 
 /// Counters since the process started, and the current values of gauges.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -89,13 +89,13 @@
 pub use endpoint_watch::EndpointWatchTiming;
 pub use endpoints::{server_id, stored_endpoint, Endpoint, Lifecycle};
 pub use handover_state::{
-    EstablishedConnection, ExportedEndpoint, HandoverState, PoolHandoverState, Readmission,
+    ExportedEndpoint, HandoverState, PoolHandoverState, Readmission, TransferredConnection,
 };
 pub use ids::{AdminClientId, ConnectionId, PoolId};
 pub use input::Input;
 pub use log_event::LogEvent;
 pub use metrics::{ClassCounters, Metrics};
-pub use outcome::{Answer, AttemptOutcome, ProbeEnd};
+pub use outcome::{Answer, AttemptOutcome, ProbeOutcome};
 pub use pool_config::{Budget, PoolConfig, ReplicationConfig};
 pub use probe_records::MAX_PROBES;
 pub use reducer::reduce;
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -50,21 +50,21 @@
     Rejected(Micros),
     /// The request failed. A server may have processed it.
     Failed,
-    /// No request arrived within the handshake timeout.
-    HandshakeTimedOut,
+    /// No request arrived within the request timeout.
+    RequestTimedOut,
     /// The connection is migrated: the client should reconnect at once.
     Migrated,
 }
 
 /// The end of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ProbeEnd {
+pub enum ProbeOutcome {
     /// The server answered, possibly with a load report.
     Answered(Option<LoadReport>),
     /// The server answered with an error, possibly with a load report.
     Error(Option<LoadReport>),
     /// The server answered that it must not be probed.
-    Declined,
+    ProbingRefused,
     /// The server was not reached, or did not answer in time.
     NoAnswer,
 }
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -24,7 +24,7 @@
 use super::pool_exclusions::PoolExclusions;
 use super::probe_records::ProbeRecords;
 use super::{server_id, ClassCounters, Endpoint, ExportedEndpoint, Metrics, PoolConfig, PoolHandoverState};
-use crate::peers::Peers;
+use crate::peers::Gossip;
 use crate::rebalance::Rebalancer;
 use crate::{Balancer, ClassId, Micros, RefusalReason, ServerId, Time};
 
@@ -34,7 +34,7 @@
     pub(super) balancer: Balancer,
     pub(super) rebalance: Rebalancer,
     /// Gossip with the other balancers of the tier.
-    pub(super) peers: Peers,
+    pub(super) gossip: Gossip,
     pub(super) probes: ProbeRecords,
     /// The endpoint list in effect, derived from `listed`, the replicated map and the exclusions.
     pub(super) endpoints: EndpointList,
@@ -59,7 +59,7 @@
     pub(super) fn new(config: PoolConfig, now: Time) -> Pool {
         Pool {
             balancer: Balancer::new(config.settings.clone(), config.seed, now),
-            peers: Peers::new(config.gossip_config(), config.seed),
+            gossip: Gossip::new(config.gossip_config(), config.seed),
             rebalance: Rebalancer::new(config.rebalance, config.rebalance_context(), config.seed, now),
             probes: ProbeRecords::default(),
             endpoints: EndpointList::default(),
@@ -90,7 +90,7 @@
     /// Replaces the configuration. Connections and the learned state of servers remain.
     pub(super) fn configure(&mut self, now: Time, config: PoolConfig) {
         self.balancer.configure(config.settings.clone());
-        self.peers.configure(config.gossip_config());
+        self.gossip.configure(config.gossip_config());
         self.rebalance.configure(now, config.rebalance, config.rebalance_context());
         self.class_counters.resize(config.classes.len(), ClassCounters::default());
         self.config = config;
@@ -134,8 +134,8 @@
         for (class, counters) in configured {
             let total = metrics.classes.entry(class.clone()).or_default();
             total.succeeded += counters.succeeded;
-            total.declined += counters.declined;
-            total.aborted += counters.aborted;
+            total.rejected += counters.rejected;
+            total.failed += counters.failed;
         }
         metrics.outstanding += self.admitted.count() as u64;
         metrics.discovered += self.endpoints.ids().count() as u64;
@@ -191,7 +191,7 @@
     pub(super) fn import_learned_state(&mut self, state: &PoolHandoverState) {
         for ExportedEndpoint { endpoint, learned } in &state.endpoints {
             if let Some(learned) = *learned {
-                self.balancer.restore_learned_state(server_id(&endpoint.name), learned);
+                self.balancer.import_learned_state(server_id(&endpoint.name), learned);
             }
         }
     }
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -14,7 +14,7 @@
     /// Name of this replica, unique among all replicas.
     pub node: String,
     /// Addresses of the other replicas.
-    pub peers: Vec<SocketAddr>,
+    pub other_replicas: Vec<SocketAddr>,
 }
 
 /// Limits of all fronts together, derived from the limits of this machine.
@@ -47,7 +47,7 @@
     /// Address at which the endpoint list is watched. `None` if the list is read from a file.
     pub discovery: Option<SocketAddr>,
     /// Time within which a client has to send its request after it has connected.
-    pub handshake_timeout: Micros,
+    pub request_timeout: Micros,
     /// Whether entries of the replicated map may add servers and limit the connections.
     pub uses_replicated_map: bool,
     /// The limit of connections that applies if the replicated map contains none.
@@ -92,8 +92,8 @@
             price: self.gossip_price.unwrap_or(0.0),
             balancers: self.settings.balancers,
             message_objective: self.settings.message_objective(),
-            observation_hold: self.settings.peer_observation_hold(),
-            slow_setup_hold: self.settings.slow_setup_hold(),
+            observation_validity: self.settings.peer_observation_validity(),
+            slow_setup_validity: self.settings.slow_setup_validity(),
         }
     }
 
--- a/src/routing/probe_records.rs
+++ b/src/routing/probe_records.rs
@@ -1,7 +1,7 @@
 //! The probes in flight of one pool, and the server processes that decline probes.
 //!
 //! Rule: at most [`MAX_PROBES`] probes are in flight, at most one for each server. None is sent to a process
-//! that has declined probes. A server's process is identified by its start time.
+//! that has refused probes. A server's process is identified by its start time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
     /// The probes in flight: for each server, the start time of the probed process.
     in_flight: BTreeMap<ServerId, Option<Time>>,
     /// Processes that answered that they must not be probed.
-    declining: BTreeSet<Incarnation>,
+    processes_refusing_probes: BTreeSet<Incarnation>,
 }
 
 impl ProbeRecords {
@@ -33,7 +33,7 @@
     pub(super) fn try_start(&mut self, probed: Incarnation) -> bool {
         let may_start = self.in_flight.len() < MAX_PROBES
             && !self.in_flight.contains_key(&probed.server)
-            && !self.declining.contains(&probed);
+            && !self.processes_refusing_probes.contains(&probed);
         if may_start {
             self.in_flight.insert(probed.server, probed.started);
         }
@@ -49,9 +49,9 @@
     /// Records that a process declines probes, and removes the records of processes that were replaced or are
     /// not listed any more.
     pub(super) fn record_declined(&mut self, probed: Incarnation, endpoints: &EndpointList) {
-        self.declining.retain(|process| {
+        self.processes_refusing_probes.retain(|process| {
             endpoints.get(process.server).is_some_and(|endpoint| endpoint.started == process.started)
         });
-        self.declining.insert(probed);
+        self.processes_refusing_probes.insert(probed);
     }
 }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -7,13 +7,13 @@
 //! - to a server that is ready, because a draining server must not receive new requests;
 //! - to a server without a probe in flight, because a server that has not answered yet is busy;
 //! - while fewer than [`super::MAX_PROBES`] are in flight in its pool, for which descriptors are reserved;
-//! - to a process that has not declined probes.
+//! - to a process that has not refused probes.
 //!
 //! A server's process is identified by its start time. The result of a probe is ignored if the probed process
 //! was replaced meanwhile.
 
 use super::probe_records::Incarnation;
-use super::{Effect, LogEvent, PoolId, ProbeEnd, State};
+use super::{Effect, LogEvent, PoolId, ProbeOutcome, State};
 use crate::{Event, Micros, Outcome, ServerId, Settings, Time};
 
 /// The timeout for the answer to a probe if no set-up objective is configured, as a multiple of the connect
@@ -38,7 +38,13 @@
     }
 
     /// Reports a probe's result to the balancer, if the probed process is still listed as ready.
-    pub(super) fn on_probe_completed(&mut self, now: Time, pool_id: PoolId, server: ServerId, end: ProbeEnd) {
+    pub(super) fn on_probe_completed(
+        &mut self,
+        now: Time,
+        pool_id: PoolId,
+        server: ServerId,
+        end: ProbeOutcome,
+    ) {
         let Some(pool) = self.pools.get_mut(pool_id) else { return };
         let Some(probed) = pool.probes.finish(server) else { return };
         let current_start = pool.endpoints.get_ready(server).map(|endpoint| endpoint.started);
@@ -46,22 +52,22 @@
             return;
         }
         let (outcome, report) = match end {
-            ProbeEnd::Answered(report) => (Outcome::Ok, report),
-            ProbeEnd::Error(report) => (Outcome::Error, report),
-            ProbeEnd::Declined => (Outcome::Rejected, None),
-            ProbeEnd::NoAnswer => (Outcome::TimedOut, None),
+            ProbeOutcome::Answered(report) => (Outcome::Ok, report),
+            ProbeOutcome::Error(report) => (Outcome::Error, report),
+            ProbeOutcome::ProbingRefused => (Outcome::Rejected, None),
+            ProbeOutcome::NoAnswer => (Outcome::TimedOut, None),
         };
-        if end == ProbeEnd::Declined {
-            self.on_probes_declined(pool_id, probed);
+        if end == ProbeOutcome::ProbingRefused {
+            self.on_probes_refused(pool_id, probed);
         }
         self.dispatch(now, pool_id, Event::ProbeCompleted { server, outcome, report });
     }
 
-    fn on_probes_declined(&mut self, pool_id: PoolId, probed: Incarnation) {
+    fn on_probes_refused(&mut self, pool_id: PoolId, probed: Incarnation) {
         let pool = &mut self.pools[pool_id];
         pool.probes.record_declined(probed, &pool.endpoints);
         let name = pool.endpoints.get(probed.server).map_or("", |endpoint| &endpoint.name);
-        self.effects.push(Effect::Log(LogEvent::ProbesDeclined { server: name.to_owned() }));
+        self.effects.push(Effect::Log(LogEvent::ProbesRefused { server: name.to_owned() }));
     }
 }
 
--- a/src/routing/reducer.rs
+++ b/src/routing/reducer.rs
@@ -20,7 +20,7 @@
                 self.on_connection_requested(now, connection, request);
             }
             Input::ClientDisconnected { connection } => self.on_client_disconnected(now, connection),
-            Input::HandshakeTimedOut { connection } => self.on_handshake_timed_out(now, connection),
+            Input::RequestTimedOut { connection } => self.on_request_timed_out(now, connection),
             Input::SocketsClosed { connection } => self.on_sockets_closed(now, connection),
             Input::RequestForwarded { connection, attempt } => {
                 self.on_request_forwarded(now, connection, attempt);
@@ -34,8 +34,8 @@
             Input::LineForwarded { connection } => self.on_line_forwarded(now, connection),
             Input::ServerActivity { connection } => self.on_server_activity(connection),
             Input::LoadReported { connection, load } => self.on_load_reported(now, connection, load),
-            Input::StateRestored { entries, excluded_by_operator } => {
-                self.on_state_restored(now, entries, excluded_by_operator);
+            Input::StoredStateRead { entries, excluded_by_operator } => {
+                self.on_stored_state_read(now, entries, excluded_by_operator);
             }
             Input::CachedEndpoints { pool, endpoints } => {
                 self.apply_endpoint_update(now, pool, true, endpoints);
@@ -50,8 +50,8 @@
             Input::GossipReceived { pool, message } => self.on_gossip_received(now, pool, message),
             Input::ProbeCompleted { pool, server, end } => self.on_probe_completed(now, pool, server, end),
             Input::ReplicaMessage { from, message } => self.on_replica_message(now, from, message),
-            Input::ConfigurationChanged { pools, peers, budget } => {
-                self.on_configuration_changed(now, pools, peers, budget);
+            Input::ConfigurationChanged { pools, other_replicas, budget } => {
+                self.on_configuration_changed(now, pools, other_replicas, budget);
             }
             Input::SuccessorStarted => self.on_successor_started(),
             Input::SuccessorReady => self.on_successor_ready(now),
--- a/src/routing/replica.rs
+++ b/src/routing/replica.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use super::store::{AddressedReplicaMessage, Digest, Entry, ReplicaMessage, ReplicatedMap, WriteError};
+use super::store::{
+    AddressedReplicaMessage, Digest, Entry, KeyedEntry, ReplicaMessage, ReplicatedMap, WriteError,
+};
 use super::ReplicationConfig;
 use crate::{Micros, Time};
 
@@ -13,10 +15,10 @@
 pub(super) struct Replica {
     map: ReplicatedMap,
     /// Addresses of the other replicas.
-    peers: Vec<SocketAddr>,
-    /// Number of digests sent. It selects the peer that receives the next digest, in rotation.
+    other_replicas: Vec<SocketAddr>,
+    /// Number of digests sent. It selects the replica that receives the next digest, in rotation.
     digests_sent: usize,
-    /// Time at which the next digest is sent; `None` without peers.
+    /// Time at which the next digest is sent; `None` without other replicas.
     next_digest_at: Option<Time>,
 }
 
@@ -24,8 +26,8 @@
     pub(super) fn new(config: ReplicationConfig, now: Time) -> Replica {
         Replica {
             map: ReplicatedMap::new(&config.node),
-            next_digest_at: (!config.peers.is_empty()).then_some(now),
-            peers: config.peers,
+            next_digest_at: (!config.other_replicas.is_empty()).then_some(now),
+            other_replicas: config.other_replicas,
             digests_sent: 0,
         }
     }
@@ -39,13 +41,13 @@
         self.map.is_enabled()
     }
 
-    pub(super) fn entries(&self) -> Vec<(String, Entry)> {
-        self.map.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
+    pub(super) fn entries(&self) -> Vec<KeyedEntry> {
+        self.map.entries().map(|(key, entry)| KeyedEntry { key: key.clone(), entry: entry.clone() }).collect()
     }
 
     /// Merges entries that an earlier process stored or exported.
-    pub(super) fn import_entries(&mut self, entries: Vec<(String, Entry)>) {
-        for (key, entry) in entries {
+    pub(super) fn import_entries(&mut self, entries: Vec<KeyedEntry>) {
+        for KeyedEntry { key, entry } in entries {
             self.map.merge_entry(&key, entry);
         }
     }
@@ -66,15 +68,15 @@
     }
 
     /// Returns the addresses of the other replicas.
-    pub(super) fn peers(&self) -> &[SocketAddr] {
-        &self.peers
+    pub(super) fn other_replicas(&self) -> &[SocketAddr] {
+        &self.other_replicas
     }
 
     /// Replaces the addresses of the other replicas. If they have changed, a digest is sent at once.
-    pub(super) fn set_peers(&mut self, now: Time, peers: Vec<SocketAddr>) {
-        if self.peers != peers {
-            self.next_digest_at = (!peers.is_empty()).then_some(now);
-            self.peers = peers;
+    pub(super) fn set_other_replicas(&mut self, now: Time, other_replicas: Vec<SocketAddr>) {
+        if self.other_replicas != other_replicas {
+            self.next_digest_at = (!other_replicas.is_empty()).then_some(now);
+            self.other_replicas = other_replicas;
         }
     }
 
@@ -88,14 +90,14 @@
         self.next_digest(now)
     }
 
-    /// Returns a digest for the next peer in rotation, and schedules the following digest. Returns `None`
-    /// without peers.
+    /// Returns a digest for the next replica in rotation, and schedules the following digest. Returns `None`
+    /// without other replicas.
     fn next_digest(&mut self, now: Time) -> Option<AddressedReplicaMessage> {
-        let peer = *self.peers.get(self.digests_sent % self.peers.len().max(1))?;
+        let replica = *self.other_replicas.get(self.digests_sent % self.other_replicas.len().max(1))?;
         self.digests_sent += 1;
         self.next_digest_at = Some(now.plus(DIGEST_INTERVAL));
         let message = ReplicaMessage::Digest { wanted: true, buckets: self.map.digest() };
-        Some(AddressedReplicaMessage { to: peer, message })
+        Some(AddressedReplicaMessage { to: replica, message })
     }
 
     /// Returns the messages to a replica with this digest: the local digest if it was requested and differs,
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -17,7 +17,9 @@
 
 use super::endpoint_updates::ENDPOINT_KEY_PREFIX;
 use super::exclusions::EXCLUSION_KEY_PREFIX;
-use super::store::{AddressedReplicaMessage, Digest, Entry, ReplicaMessage, ReplicatedMap, WriteError};
+use super::store::{
+    AddressedReplicaMessage, Digest, Entry, KeyedEntry, ReplicaMessage, ReplicatedMap, WriteError,
+};
 use super::{Effect, LogEvent, State};
 use crate::Time;
 
@@ -33,8 +35,10 @@
     /// Handles a message of another replica or of an operator's command.
     pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, message: ReplicaMessage) {
         // Any process can send datagrams to the port. Replicas are recognised by their configured addresses.
-        if !matches!(message, ReplicaMessage::Write { .. }) && !self.replication.peers().contains(&from) {
-            return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownPeer { from }));
+        if !matches!(message, ReplicaMessage::Write { .. })
+            && !self.replication.other_replicas().contains(&from)
+        {
+            return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownReplica { from }));
         }
         match message {
             ReplicaMessage::Digest { wanted, buckets } => self.on_digest(from, wanted, &buckets),
@@ -74,10 +78,10 @@
     }
 
     /// Imports the entries and exclusions that an earlier process stored on disk.
-    pub(super) fn on_state_restored(
+    pub(super) fn on_stored_state_read(
         &mut self,
         now: Time,
-        entries: Vec<(String, Entry)>,
+        entries: Vec<KeyedEntry>,
         excluded_by_operator: Vec<String>,
     ) {
         self.exclusions.import(excluded_by_operator, Vec::new());
@@ -99,8 +103,8 @@
         let entry = self.replication.write(key, value)?;
         let message = ReplicaMessage::Entry { key: key.to_owned(), entry: entry.clone() };
         self.on_entry_stored(now, key.to_owned(), entry);
-        for peer in self.replication.peers().to_vec() {
-            self.send_replica_message(peer, message.clone());
+        for replica in self.replication.other_replicas().to_vec() {
+            self.send_replica_message(replica, message.clone());
         }
         Ok(())
     }
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -70,8 +70,8 @@
     /// Ends a connection that is open at the time of the exit.
     fn finish_connection(&mut self, now: Time, id: ConnectionId) {
         let answer = match self.connections.get(id).map(|connection| connection.phase) {
-            Some(Phase::Handshaking) => {
-                return self.effects.push(Effect::CheckHandshake { connection: id });
+            Some(Phase::AwaitingRequest) => {
+                return self.effects.push(Effect::CheckRequestArrival { connection: id });
             }
             Some(Phase::Established) => Answer::Migrated,
             // The client may still wait for its answer after this process has exited, and another balancer
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -24,7 +24,7 @@
 use super::repair_position::RepairPosition;
 
 pub use super::digest::{Digest, DIGEST_BUCKETS};
-pub use super::entry::Entry;
+pub use super::entry::{Entry, KeyedEntry};
 pub use super::replica_message::{AddressedReplicaMessage, ReplicaMessage};
 
 /// Longest key, in bytes. This limit and the next two ensure that every entry fits a datagram of 256 bytes.
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -53,7 +53,7 @@
     fn on_connection_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         match connection.phase {
-            Phase::Handshaking => self.effects.push(Effect::CheckHandshake { connection: id }),
+            Phase::AwaitingRequest => self.effects.push(Effect::CheckRequestArrival { connection: id }),
             Phase::Connecting => self.on_attempt_timer(now, id),
             Phase::Restoring { deadline, server } => self.continue_restoring(now, id, deadline, server),
             Phase::Established => self.on_established_timer(now, id),
--- a/src/transport/assembly.rs
+++ b/src/transport/assembly.rs
@@ -80,7 +80,7 @@
     let mut replication = ReplicationConfig::default();
     if let Some(store) = store {
         replication.node = store.node.clone();
-        replication.peers = store.peers.clone();
+        replication.other_replicas = store.peers.clone();
     }
     let platform_pool = platform.iter().map(|platform| platform.pool.clone());
     let pools = platform_pool.chain(irc.iter().map(|irc| irc.pool.clone())).collect();
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -9,7 +9,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::routing::{AdminClientId, Answer, ConnectionId, EstablishedConnection, PoolId};
+use crate::routing::{AdminClientId, Answer, ConnectionId, PoolId, TransferredConnection};
 use crate::{Micros, ServerId};
 
 /// A command for the task of one connection.
@@ -22,26 +22,26 @@
         /// Address of the server, with its port.
         address: String,
         /// Time-out of the server's answer.
-        timeout: Micros,
+        acceptance_timeout: Micros,
     },
     /// Close the current attempt.
     CloseAttempt,
     /// Send an answer to the client, then close both sides in order.
     SendAnswer(Answer),
     /// Read the bytes that the client has sent so far, then feed
-    /// [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut). The reducer ignores this input if the
+    /// [`RequestTimedOut`](crate::routing::Input::RequestTimedOut). The reducer ignores this input if the
     /// bytes completed the request.
-    CheckHandshake,
+    CheckRequestArrival,
     /// Close all sockets immediately. Pending bytes are dropped.
     Abort,
     /// Send the sockets through this channel for a transfer to the successor, if the connection is between
     /// two lines. The sender is dropped otherwise.
-    Transfer(oneshot::Sender<TransferredConnection>),
+    Transfer(oneshot::Sender<TransferredSockets>),
 }
 
 /// The sockets and state of a connection that is being transferred to the successor.
 #[derive(Debug)]
-pub(super) struct TransferredConnection {
+pub(super) struct TransferredSockets {
     /// Socket to the client.
     pub client: OwnedFd,
     /// Socket to the server that accepted the attempt.
@@ -70,7 +70,7 @@
         /// Pool of the connection's front.
         pool: PoolId,
         /// The reducer's state of the connection, from which the successor continues it.
-        established: Box<EstablishedConnection>,
+        established: Box<TransferredConnection>,
     },
 }
 
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -16,13 +16,13 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, Instant};
 
-use super::commands::{ConnectionCommand, TransferredConnection};
+use super::commands::{ConnectionCommand, TransferredSockets};
 use super::connection_registry::{ConnectionRegistry, RegisteredConnection};
 use super::record::TrafficRecorder;
 use super::reducer::ReducerHandle;
 use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
 use crate::protocol::{Front, FrontEvent};
-use crate::routing::{Answer, ConnectionId, EstablishedConnection, Input, PoolId};
+use crate::routing::{Answer, ConnectionId, Input, PoolId, TransferredConnection};
 use crate::{Micros, Time};
 use socket_end::{wait_readable, wait_writable, SocketEnd};
 use upstream::{wait_connected, Awaited, Upstream};
@@ -74,7 +74,7 @@
     /// Recorder of the client's traffic; none if the traffic is not recorded.
     recorder: Option<ConnectionRecorder>,
     /// Channel through which the sockets are sent to the successor. Set when a transfer is requested.
-    successor: Option<oneshot::Sender<TransferredConnection>>,
+    successor: Option<oneshot::Sender<TransferredSockets>>,
 }
 
 /// Starts the task of a client that has just connected to a pool's front.
@@ -122,7 +122,7 @@
     pool: PoolId,
     sockets: AdoptedSockets,
     front: Box<dyn Front>,
-    established: EstablishedConnection,
+    established: TransferredConnection,
 ) {
     let RegisteredConnection { id, commands } = context.registry.register();
     let mut connection = Connection::new(context, id, front, sockets.client);
@@ -260,13 +260,13 @@
             // Dropping the sender rejects the transfer, which is retried later.
             ConnectionCommand::Transfer(_) => {}
             _ if self.is_closing() => {}
-            ConnectionCommand::OpenAttempt { attempt, address, timeout } => {
-                self.open_attempt(attempt, address, timeout);
+            ConnectionCommand::OpenAttempt { attempt, address, acceptance_timeout } => {
+                self.open_attempt(attempt, address, acceptance_timeout);
             }
             ConnectionCommand::CloseAttempt => self.upstream = Upstream::Idle,
-            ConnectionCommand::CheckHandshake => {
+            ConnectionCommand::CheckRequestArrival => {
                 self.read_pending_request();
-                self.context.reducer.feed(Input::HandshakeTimedOut { connection: self.id });
+                self.context.reducer.feed(Input::RequestTimedOut { connection: self.id });
             }
             ConnectionCommand::SendAnswer(answer) => self.send_answer(answer),
         }
@@ -285,7 +285,7 @@
         self.client.push(&bytes);
         self.discard_server_output = true;
         self.close_in_order();
-        if bytes.is_empty() && answer == Answer::HandshakeTimedOut {
+        if bytes.is_empty() && answer == Answer::RequestTimedOut {
             self.close_deadline = Some(Instant::now());
         }
     }
@@ -308,7 +308,7 @@
         self.established && !self.is_closing() && settled && self.front.export_state().is_some()
     }
 
-    fn transfer(mut self, successor: oneshot::Sender<TransferredConnection>) {
+    fn transfer(mut self, successor: oneshot::Sender<TransferredSockets>) {
         let (Some(front_state), Some(attempt)) = (self.front.export_state(), self.upstream.take_connected())
         else {
             return;
@@ -318,7 +318,7 @@
         let attempt = attempt.into_stream().into_std();
         let (Ok(client), Ok(attempt)) = (client, attempt) else { return };
         // The receiver waits only for this value, so it is not dropped before the send.
-        let _ = successor.send(TransferredConnection {
+        let _ = successor.send(TransferredSockets {
             client: client.into(),
             attempt: attempt.into(),
             front_state,
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -51,9 +51,9 @@
 
         let platform_pool = platform.iter().map(|platform| platform.config.pool.clone());
         let pools = platform_pool.chain(irc.iter().map(|irc| irc.config.pool.clone())).collect();
-        let peers = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
+        let other_replicas = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
         self.store = store;
-        self.assembly.reducer.feed(Input::ConfigurationChanged { pools, peers, budget });
+        self.assembly.reducer.feed(Input::ConfigurationChanged { pools, other_replicas, budget });
         self.reload_admin_endpoint(admin_endpoint);
         let irc_pool = usize::from(platform.is_some());
         if let Some(platform) = platform {
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -9,7 +9,6 @@
 use super::super::assembly::Assembly;
 use super::super::commands::WatchCommand;
 use super::super::datagrams::{GossipSocket, ReplicationSocket};
-use super::super::driver::EntryToPersist;
 use super::super::error::TransportError;
 use super::super::files::{Files, OpenedFiles, SharedFiles};
 use super::super::fronts::{irc_factory, platform_factory, ActiveFront, ActiveFronts};
@@ -21,6 +20,7 @@
 use super::running::{open_admin_endpoint, Daemon, IRC_FRONT, PLATFORM_FRONT};
 use crate::program::config::{Config, Irc, PeersAt, Platform, Sources, StoreConfig};
 use crate::routing::store::AddressedReplicaMessage;
+use crate::routing::store::KeyedEntry;
 use crate::routing::{Input, PoolId};
 
 /// Configuration of a front, with the front's pool.
@@ -86,7 +86,7 @@
             None => None,
         };
         self.persist_exclusions();
-        reducer.feed(self.restored_state(received.as_mut()));
+        reducer.feed(self.stored_state(received.as_mut()));
         if let Some(PooledFront { pool, config: platform }) = self.platform.take() {
             let acceptor = start_platform(&self.daemon, pool, &platform, received.as_mut())?;
             self.daemon.platform_acceptor = Some(acceptor);
@@ -104,10 +104,10 @@
         Ok(self.daemon)
     }
 
-    fn restored_state(&self, received: Option<&mut ReceivedState>) -> Input {
+    fn stored_state(&self, received: Option<&mut ReceivedState>) -> Input {
         match received {
             Some(received) => Input::ImportState(Box::new(std::mem::take(&mut received.state))),
-            None => Input::StateRestored {
+            None => Input::StoredStateRead {
                 entries: Vec::new(),
                 excluded_by_operator: excluded_servers::load_excluded(&self.hot_restart_socket),
             },
@@ -186,8 +186,8 @@
     let OpenedFiles { files, entries } = Files::open(folder)?;
     let files = SharedFiles::new(files);
     let persisting = files.clone();
-    assembly.effects.entries.register(move |EntryToPersist { key, entry }| persisting.persist(&key, &entry));
-    assembly.reducer.feed(Input::StateRestored { entries, excluded_by_operator: Vec::new() });
+    assembly.effects.entries.register(move |KeyedEntry { key, entry }| persisting.persist(&key, &entry));
+    assembly.reducer.feed(Input::StoredStateRead { entries, excluded_by_operator: Vec::new() });
     Ok(files)
 }
 
--- a/src/transport/discovery_watch/connection.rs
+++ b/src/transport/discovery_watch/connection.rs
@@ -97,7 +97,7 @@
         let open = self.open.insert(open);
         let since = since.map(|since| http::ChangesQuery {
             generation: since.generation,
-            hold_ms: since.hold.as_millis() as u64,
+            max_delay_ms: since.hold.as_millis() as u64,
         });
         let request = http::encode_request(&self.discovery.to_string(), since);
         open.stream.write_all(&request).await?;
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -15,17 +15,9 @@
 use super::pending_admin_calls::PendingAdminCalls;
 use super::reducer::EffectHandler;
 use crate::peers::GossipMessage;
-use crate::routing::store::{AddressedReplicaMessage, Entry};
+use crate::routing::store::{AddressedReplicaMessage, KeyedEntry};
 use crate::routing::{Effect, HandoverState};
 
-/// An entry of the replicated map that must be written to disk.
-pub(super) struct EntryToPersist {
-    /// Key of the entry in the replicated map.
-    pub key: String,
-    /// Value of the key, with the counter and node of its write.
-    pub entry: Entry,
-}
-
 /// Dispatches effects to the tasks and consumers that carry them out.
 ///
 /// Channels to tasks are unbounded, because [`EffectHandler::carry_out`] must not wait and a bounded channel
@@ -48,7 +40,7 @@
     /// Consumed by the replication socket.
     pub replica_messages: Outlet<AddressedReplicaMessage>,
     /// Consumed by the files of the replicated map.
-    pub entries: Outlet<EntryToPersist>,
+    pub entries: Outlet<KeyedEntry>,
     /// Names of all servers that operators excluded. Consumed by the file that keeps them.
     pub exclusions: Outlet<Vec<String>>,
     /// Consumed by the hot restart, which sends this process's state to the successor.
@@ -89,9 +81,9 @@
     // This function is long because it has one arm for each effect. The arms only dispatch.
     fn carry_out(&self, effect: Effect) {
         match effect {
-            Effect::OpenAttempt { connection, attempt, address, timeout } => {
+            Effect::OpenAttempt { connection, attempt, address, acceptance_timeout } => {
                 log_event!(LogEvent::AttemptOpened { connection, attempt, address: &address });
-                let command = ConnectionCommand::OpenAttempt { attempt, address, timeout };
+                let command = ConnectionCommand::OpenAttempt { attempt, address, acceptance_timeout };
                 self.connections.send(connection, command);
             }
             Effect::CloseAttempt { connection } => {
@@ -101,8 +93,8 @@
             Effect::AbortConnection { connection } => {
                 self.connections.send(connection, ConnectionCommand::Abort);
             }
-            Effect::CheckHandshake { connection } => {
-                self.connections.send(connection, ConnectionCommand::CheckHandshake);
+            Effect::CheckRequestArrival { connection } => {
+                self.connections.send(connection, ConnectionCommand::CheckRequestArrival);
             }
             Effect::Answer { connection, answer } => {
                 self.connections.send(connection, ConnectionCommand::SendAnswer(answer));
@@ -118,7 +110,7 @@
                 self.watches.pass(WatchCommand::Start { pool, discovery, generation: None });
             }
             Effect::SendReplicaMessage(message) => self.replica_messages.pass(message),
-            Effect::PersistEntry { key, entry } => self.entries.pass(EntryToPersist { key, entry }),
+            Effect::PersistEntry { key, entry } => self.entries.pass(KeyedEntry { key, entry }),
             Effect::ExportState(state) => self.exported_state.pass(*state),
             Effect::TransferConnection { connection, pool, established } => {
                 let established = Box::new(established);
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -13,7 +13,7 @@
 use super::error::TransportError;
 use super::log_event::{log_event, LogEvent};
 use crate::protocol::replica_messages;
-use crate::routing::store::{Entry, ReplicatedMap};
+use crate::routing::store::{Entry, KeyedEntry, ReplicatedMap};
 
 /// Length beyond which the journal is replaced by a new snapshot.
 const MAX_JOURNAL_BYTES: u64 = 256 << 10;
@@ -26,7 +26,7 @@
 const NEW_SNAPSHOT_FILE: &str = "store.new";
 
 /// Keys with their entries, in the order in which they were written.
-pub type Entries = Vec<(String, Entry)>;
+pub type Entries = Vec<KeyedEntry>;
 
 /// How a sequence of records ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,7 +138,7 @@
         file.set_len(journal.length as u64).and_then(|()| file.sync_all()).map_err(file_error)?;
         File::open(folder).and_then(|folder| folder.sync_all()).map_err(file_error)?;
         let mut store = ReplicatedMap::new("");
-        for (key, entry) in &entries {
+        for KeyedEntry { key, entry } in &entries {
             store.merge_entry(key, entry.clone());
         }
         let journal_bytes = journal.length as u64;
--- a/src/transport/hot_restart/transfer.rs
+++ b/src/transport/hot_restart/transfer.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-use super::super::commands::{ConnectionCommand, PeerProcessMessage, TransferredConnection};
+use super::super::commands::{ConnectionCommand, PeerProcessMessage, TransferredSockets};
 use super::super::connection::{self, AdoptedSockets};
 use super::super::fronts::FrontConnection;
 use super::super::peer_process::PeerProcess;
@@ -16,7 +16,7 @@
 use super::error::LinkError;
 use super::link::Link;
 use crate::protocol::hot_restart::HandoverMessage;
-use crate::routing::{ConnectionId, EstablishedConnection, Input, PoolId};
+use crate::routing::{ConnectionId, Input, PoolId, TransferredConnection};
 
 /// Interval at which the transfer of a connection is retried until the connection is between two lines.
 const TRANSFER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -31,7 +31,7 @@
     sockets: Vec<OwnedFd>,
     front: &str,
     front_state: &[u8],
-    established: EstablishedConnection,
+    established: TransferredConnection,
 ) -> Result<(), LinkError> {
     let received = sockets.len();
     let Ok([client, attempt]) = <[OwnedFd; 2]>::try_from(sockets) else {
@@ -60,7 +60,7 @@
     link: &Link,
     connection: ConnectionId,
     pool: PoolId,
-    established: EstablishedConnection,
+    established: TransferredConnection,
 ) -> Result<(), LinkError> {
     let (sender, receiver) = oneshot::channel();
     context.connections.registry.send(connection, ConnectionCommand::Transfer(sender));
@@ -70,7 +70,7 @@
         }
         return Ok(());
     };
-    let TransferredConnection { client, attempt, front_state, migration_notice } = transferred;
+    let TransferredSockets { client, attempt, front_state, migration_notice } = transferred;
     let front = context.fronts.name_of(pool).unwrap_or_default().to_owned();
     let message = HandoverMessage::EstablishedConnection { front, established, state: front_state };
     let sent = link.send(&message, &[client.as_fd(), attempt.as_fd()]).await;
@@ -86,7 +86,7 @@
     peer_process: &PeerProcess,
     connection: ConnectionId,
     pool: PoolId,
-    established: EstablishedConnection,
+    established: TransferredConnection,
 ) {
     let peer_process = peer_process.clone();
     let established = Box::new(established);
--- a/src/transport/observation.rs
+++ b/src/transport/observation.rs
@@ -49,7 +49,7 @@
             Observation::Answered { after, answer: Answer::Failed } => {
                 write!(formatter, "failed after {:.1} ms", milliseconds(after))
             }
-            Observation::Answered { answer: Answer::HandshakeTimedOut, .. } => {
+            Observation::Answered { answer: Answer::RequestTimedOut, .. } => {
                 write!(formatter, "handshake timed out")
             }
             Observation::Answered { answer: Answer::Migrated, .. } => write!(formatter, "migrated"),
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -16,7 +16,7 @@
 use super::reducer::ReducerHandle;
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::protocol::{platform, MAX_LINE_LENGTH};
-use crate::routing::{Input, ProbeEnd, MAX_PROBES};
+use crate::routing::{Input, ProbeOutcome, MAX_PROBES};
 use crate::ServerId;
 
 /// How long an idle connection is cached. The time is limited because servers close idle connections after a
@@ -97,9 +97,9 @@
     let (end, stream) = match report {
         Ok(Some(ProbeReport { line, stream })) => {
             let end = platform::parse_probe_answer(&line, &load_names);
-            (end, Some(stream).filter(|_| matches!(end, ProbeEnd::Answered(_))))
+            (end, Some(stream).filter(|_| matches!(end, ProbeOutcome::Answered(_))))
         }
-        _ => (ProbeEnd::NoAnswer, None),
+        _ => (ProbeOutcome::NoAnswer, None),
     };
     reducer.feed(Input::ProbeCompleted { pool, server, end });
     stream.map(|stream| IdleConnection { target: ProbeTarget { server, address }, stream })
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -57,7 +57,7 @@
         /// Server to connect to.
         server: ServerId,
         /// Time after which the host reports [`Outcome::TimedOut`](crate::Outcome::TimedOut).
-        timeout: Micros,
+        acceptance_timeout: Micros,
         /// Time within which the request must be written in full; otherwise the host reports
         /// [`Outcome::NotSent`](crate::Outcome::NotSent). After this time the server would no longer
         /// recognise the repeat of an attempt that may have run, or the endpoint list would have expired.
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -78,7 +78,7 @@
         deadline: Time,
     },
     /// A connection had been established before the balancer started. Its attempt 0 counts as sent.
-    ConnectionRestored {
+    EstablishedConnectionAdded {
         /// Request from which the connection was established.
         request: RequestId,
         /// Class of the request.
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -138,13 +138,13 @@
 
     /// Returns the time for which an observation of slow setups is valid. Connections that were admitted
     /// before the observation are still being set up during this time.
-    pub(crate) fn slow_setup_hold(&self) -> Micros {
+    pub(crate) fn slow_setup_validity(&self) -> Micros {
         2 * self.setup_objective()
     }
 
     /// Returns the longest time for which a server is avoided after another balancer observed a fault of it.
     /// The time is twice the longest wait of a client that was rejected because of the fault.
-    pub(crate) fn peer_observation_hold(&self) -> Micros {
+    pub(crate) fn peer_observation_validity(&self) -> Micros {
         2 * self.max_retry_after
     }
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -7,7 +7,7 @@
 fn accepts_the_shipped_operator_file() {
     let operator = parse_operator(include_bytes!("../deploy/irc.json")).expect("valid");
     assert_eq!((operator.irc.endpoints.len(), operator.store), (2, None));
-    assert_eq!(operator.irc.pool.handshake_timeout, Micros::from_secs(10));
+    assert_eq!(operator.irc.pool.request_timeout, Micros::from_secs(10));
 }
 
 #[test]
--- a/tests/policy/attempts.rs
+++ b/tests/policy/attempts.rs
@@ -18,7 +18,7 @@
     let mut harness = Harness::new(settings(), &endpoints(2));
     harness.arrive();
     let timeout = harness.actions.iter().find_map(|action| match action {
-        Action::StartAttempt { timeout, .. } => Some(*timeout),
+        Action::StartAttempt { acceptance_timeout, .. } => Some(*acceptance_timeout),
         _ => None,
     });
     assert!(timeout.is_some_and(|t| t > 3 * SECOND * 9 / 10 && t < 3 * SECOND));
--- a/tests/policy/connection_load.rs
+++ b/tests/policy/connection_load.rs
@@ -25,7 +25,7 @@
     let mut harness = Harness::new(settings, &endpoints(1));
     let (light, heavy) = (harness.restore(1, None), harness.next_request());
     let (tenant, group, load, class) = (None, None, None, ClassId(1));
-    harness.handle(Event::ConnectionRestored {
+    harness.handle(Event::EstablishedConnectionAdded {
         request: heavy,
         class,
         tenant,
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -134,8 +134,8 @@
         self.fleet[balancer].handle(event);
         for action in self.fleet[balancer].actions.clone() {
             match action {
-                Action::StartAttempt { request, timeout, .. } => {
-                    self.start_attempt(balancer, request, timeout);
+                Action::StartAttempt { request, acceptance_timeout, .. } => {
+                    self.start_attempt(balancer, request, acceptance_timeout);
                 }
                 Action::ReportSlowSetup if self.may_gossip() => {
                     self.last_gossip = self.now;
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -104,7 +104,7 @@
     pub(crate) fn restore(&mut self, server: u32, group: Option<u64>) -> RequestId {
         let request = self.next_request();
         let (group, server) = (group.map(GroupId), ServerId(server));
-        self.handle(Event::ConnectionRestored {
+        self.handle(Event::EstablishedConnectionAdded {
             request,
             class: ClassId(0),
             tenant: None,
--- a/tests/policy/peers.rs
+++ b/tests/policy/peers.rs
@@ -1,7 +1,7 @@
 //! Tests of gossip between the balancers of a tier: its cost, its effect on decisions, and that no message
 //! can do harm.
 
-use connection_balancer::peers::{GossipConfig, GossipMessage, Observation, Peers, MAX_SAMPLED_GROUPS};
+use connection_balancer::peers::{Gossip, GossipConfig, GossipMessage, Observation, MAX_SAMPLED_GROUPS};
 use connection_balancer::protocol::gossip::{decode, encode, MAX_DATAGRAM_LENGTH};
 use connection_balancer::*;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 use crate::harness::{endpoints, settings, Harness, MS, SECOND, START};
 
 /// Time for which an observation of a server counts.
-const OBSERVATION_HOLD: Micros = Micros::from_secs(2);
+const OBSERVATION_VALIDITY: Micros = Micros::from_secs(2);
 
 fn slow(server: u32, ms: u64) -> Observation {
     Observation::SlowServer(ServerId(server), ms * MS)
@@ -21,8 +21,8 @@
         balancers,
         price,
         message_objective: 100 * MS,
-        observation_hold: OBSERVATION_HOLD,
-        slow_setup_hold: 600 * MS,
+        observation_validity: OBSERVATION_VALIDITY,
+        slow_setup_validity: 600 * MS,
     }
 }
 
@@ -30,26 +30,26 @@
 fn broadcasts_each_observation_once_within_its_hold_and_not_after_a_peer_did() {
     let dropped = |server| Observation::Dropped(ServerId(server));
     let observations = [
-        (slow(1, 50), slow(2, 60), OBSERVATION_HOLD),
-        (dropped(1), dropped(2), OBSERVATION_HOLD),
+        (slow(1, 50), slow(2, 60), OBSERVATION_VALIDITY),
+        (dropped(1), dropped(2), OBSERVATION_VALIDITY),
         (Observation::SlowSetUps, Observation::SlowSetUps, 600 * MS),
     ];
     for (own, received, hold) in observations {
-        let mut peers = Peers::new(gossip_config(3, 0.0), 7);
+        let mut gossip = Gossip::new(gossip_config(3, 0.0), 7);
         assert!(
-            !peers.should_broadcast(START, slow(1, 49)),
+            !gossip.should_broadcast(START, slow(1, 49)),
             "messages that take less than half of the objective were reported"
         );
-        assert!(peers.should_broadcast(START, own));
-        peers.earn_credit();
-        assert!(!peers.should_broadcast(START.plus(hold - Micros(1)), own));
-        assert!(peers.should_broadcast(START.plus(hold), own));
-        peers.earn_credit();
-        assert!(peers.record_received(START.plus(2 * hold), received));
-        assert!(!peers.should_broadcast(START.plus(3 * hold - Micros(1)), received));
+        assert!(gossip.should_broadcast(START, own));
+        gossip.earn_credit();
+        assert!(!gossip.should_broadcast(START.plus(hold - Micros(1)), own));
+        assert!(gossip.should_broadcast(START.plus(hold), own));
+        gossip.earn_credit();
+        assert!(gossip.record_received(START.plus(2 * hold), received));
+        assert!(!gossip.should_broadcast(START.plus(3 * hold - Micros(1)), received));
         for config in [gossip_config(1, 0.0), GossipConfig { enabled: false, ..gossip_config(3, 0.0) }] {
             assert!(
-                !Peers::new(config, 7).should_broadcast(START, own),
+                !Gossip::new(config, 7).should_broadcast(START, own),
                 "broadcast without a peer, or with gossip disabled"
             );
         }
@@ -63,12 +63,12 @@
     for (balancers, price) in [(100, 0.01), (3, 0.01), (100, 0.5)] {
         let (mut sent, mut established) = (0.0, 0.0);
         for seed in 0..200 {
-            let mut peers = Peers::new(gossip_config(balancers, price), seed);
+            let mut gossip = Gossip::new(gossip_config(balancers, price), seed);
             established += 1.0;
             for n in 0..10u32 {
-                let now = START.plus(u64::from(n) * OBSERVATION_HOLD);
-                sent += (0..5).filter(|k| peers.should_broadcast(now, slow(n * 5 + k, 500))).count() as f64;
-                peers.earn_credit();
+                let now = START.plus(u64::from(n) * OBSERVATION_VALIDITY);
+                sent += (0..5).filter(|k| gossip.should_broadcast(now, slow(n * 5 + k, 500))).count() as f64;
+                gossip.earn_credit();
                 established += 1.0;
             }
         }
--- a/tests/policy/rules/rule_checker.rs
+++ b/tests/policy/rules/rule_checker.rs
@@ -106,8 +106,8 @@
         for action in std::mem::take(&mut self.harness.actions) {
             self.executed_actions.push(action.clone());
             match action {
-                Action::StartAttempt { request, server, timeout, .. } => {
-                    self.start_attempt(request, server, timeout);
+                Action::StartAttempt { request, server, acceptance_timeout, .. } => {
+                    self.start_attempt(request, server, acceptance_timeout);
                 }
                 Action::Reject { request, .. } => self.reject(request),
                 Action::Fail { request, .. } => self.answer(request),
@@ -325,7 +325,7 @@
             self.requests.insert(request, tracked);
         }
         let (tenant, group, load) = (None, Some(GroupId(1)), Some(3.0));
-        self.handle(Event::ConnectionRestored { request, class, tenant, group, load, server });
+        self.handle(Event::EstablishedConnectionAdded { request, class, tenant, group, load, server });
     }
 
     fn establish(&mut self, index: usize) {
--- a/tests/rebalance/reducer.rs
+++ b/tests/rebalance/reducer.rs
@@ -23,7 +23,7 @@
     let mut harness = ReducerHarness::new();
     harness.feed(Input::ConfigurationChanged {
         pools: vec![rebalancing_pool()],
-        peers: Vec::new(),
+        other_replicas: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
     let mut connections = Vec::new();
@@ -119,7 +119,7 @@
     let (mut harness, connections) = unbalanced_reducer();
     harness.feed(Input::ConfigurationChanged {
         pools: vec![reducer_harness::pool_config()],
-        peers: Vec::new(),
+        other_replicas: Vec::new(),
         budget: reducer_harness::BUDGET,
     });
     assert!(run_and_collect_migrated(&mut harness, &connections, 15).is_empty());
--- a/tests/reducer/admin.rs
+++ b/tests/reducer/admin.rs
@@ -132,8 +132,8 @@
             Effect::Answer { connection, answer } => {
                 self.open.remove(&connection);
                 if let Some(counters) = self.classes.get_mut(self.class_of(connection)) {
-                    counters.declined += u64::from(matches!(answer, Answer::Rejected(_)));
-                    counters.aborted += u64::from(answer == Answer::Failed);
+                    counters.rejected += u64::from(matches!(answer, Answer::Rejected(_)));
+                    counters.failed += u64::from(answer == Answer::Failed);
                 }
             }
             _ => {}
@@ -190,8 +190,8 @@
                 2 => harness.update_endpoint(server, Lifecycle::Gone),
                 3 => harness.update_endpoint(server, Lifecycle::Ready),
                 4 => {
-                    let (pools, peers, budget) = (vec![pool_config()], Vec::new(), BUDGET);
-                    harness.feed(Input::ConfigurationChanged { pools, peers, budget })
+                    let (pools, other_replicas, budget) = (vec![pool_config()], Vec::new(), BUDGET);
+                    harness.feed(Input::ConfigurationChanged { pools, other_replicas, budget })
                 }
                 5 => {
                     attempts.entry(connection).and_modify(|(.., forwarded)| *forwarded = true);
--- a/tests/reducer/harness.rs
+++ b/tests/reducer/harness.rs
@@ -46,5 +46,9 @@
 }
 
 pub(crate) fn reload(harness: &mut ReducerHarness, config: PoolConfig) -> Vec<Effect> {
-    harness.feed(Input::ConfigurationChanged { pools: vec![config], peers: Vec::new(), budget: BUDGET })
+    harness.feed(Input::ConfigurationChanged {
+        pools: vec![config],
+        other_replicas: Vec::new(),
+        budget: BUDGET,
+    })
 }
--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of the messages of a hot restart.
 
 use connection_balancer::protocol::hot_restart::{decode, encode, HandoverMessage, Part};
-use connection_balancer::routing::store::Entry;
+use connection_balancer::routing::store::{Entry, KeyedEntry};
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
 use proptest::prelude::*;
@@ -58,7 +58,8 @@
     (name(), any_request(), optional_time(), prop::collection::vec(any::<u8>(), 0..60)).prop_map(
         |(server, request, awaiting_server_since, state)| {
             let load = request.load;
-            let established = EstablishedConnection { load, request, server, awaiting_server_since };
+            let established =
+                TransferredConnection { reported_load: load, request, server, awaiting_server_since };
             HandoverMessage::EstablishedConnection { front: "irc".to_owned(), established, state }
         },
     )
@@ -76,7 +77,10 @@
             HandoverMessage::Part(Part::Endpoint { pool, endpoint, learned })
         }),
         ("[a-z]{1,40}", 1u64..99, prop::option::of(name())).prop_map(|(key, counter, value)| {
-            HandoverMessage::Part(Part::Entry(key, Entry { counter, node: "n".to_owned(), value }))
+            HandoverMessage::Part(Part::Entry(KeyedEntry {
+                key,
+                entry: Entry { counter, node: "n".to_owned(), value },
+            }))
         }),
         established_message(),
         (any::<u64>(), name(), any::<bool>()).prop_map(|(number, server, excluded)| {
--- a/tests/reducer/hot_restart/mod.rs
+++ b/tests/reducer/hot_restart/mod.rs
@@ -53,13 +53,13 @@
 /// Starts a successor that serves, and returns it with the connections that the predecessor transfers.
 fn start_successor(
     predecessor: &mut ReducerHarness,
-) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
+) -> (ReducerHarness, Vec<(ConnectionId, TransferredConnection)>) {
     let (successor, effects) = start_successor_with_effects(predecessor);
     (successor, transferred(&effects))
 }
 
 /// Returns the connections that these effects transfer to the successor.
-fn transferred(effects: &[Effect]) -> Vec<(ConnectionId, EstablishedConnection)> {
+fn transferred(effects: &[Effect]) -> Vec<(ConnectionId, TransferredConnection)> {
     let transfer = |effect: &Effect| match effect {
         Effect::TransferConnection { connection, established, .. } => {
             Some((*connection, established.clone()))
@@ -73,9 +73,9 @@
 fn complete_transfer(
     successor: &mut ReducerHarness,
     predecessor: &mut ReducerHarness,
-    transferred: Vec<(ConnectionId, EstablishedConnection)>,
+    transferred: Vec<(ConnectionId, TransferredConnection)>,
 ) -> Vec<ConnectionId> {
-    let transfer = |(index, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
+    let transfer = |(index, (connection, established)): (usize, (ConnectionId, TransferredConnection))| {
         assert_eq!(
             predecessor.feed(Input::ConnectionTransferred { connection }),
             [],
--- a/tests/reducer/hot_restart/random_steps.rs
+++ b/tests/reducer/hot_restart/random_steps.rs
@@ -151,7 +151,7 @@
         &mut self,
         process: usize,
         connection: ConnectionId,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) -> Result<(), TestCaseError> {
         let number =
             self.number_of(process, connection).expect("a transferred connection is open at its process");
--- a/tests/reducer/hot_restart/state.rs
+++ b/tests/reducer/hot_restart/state.rs
@@ -14,7 +14,7 @@
     predecessor.feed(Input::LineForwarded { connection: connections[0] });
     let (mut successor, established) = start_successor(&mut predecessor);
     assert_eq!(established.len(), 20);
-    assert_eq!(established[0].1.load, Some(50_000.0));
+    assert_eq!(established[0].1.reported_load, Some(50_000.0));
     let at_successor = complete_transfer(&mut successor, &mut predecessor, established);
     assert_eq!((metrics(&mut predecessor).outstanding, metrics(&mut successor).outstanding), (0, 20));
     // A server counts as silent from the first unanswered line, and only one connection has sent a line.
--- a/tests/reducer/probes.rs
+++ b/tests/reducer/probes.rs
@@ -23,8 +23,8 @@
     effects.iter().filter_map(server).collect()
 }
 
-fn load_report(utilisation: f64) -> ProbeEnd {
-    ProbeEnd::Answered(Some(LoadReport { utilisation, connections: None }))
+fn load_report(utilisation: f64) -> ProbeOutcome {
+    ProbeOutcome::Answered(Some(LoadReport { utilisation, connections: None }))
 }
 
 /// Establishes connections one minute apart, and returns the servers that are probed meanwhile.
@@ -45,8 +45,8 @@
     let mut first = probed_while_connecting(&mut harness, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each is probed once, because none has answered");
-    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeEnd::NoAnswer });
-    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeEnd::NoAnswer });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(2), end: ProbeOutcome::NoAnswer });
+    harness.feed(Input::ProbeCompleted { pool: 0, server: ServerId(3), end: ProbeOutcome::NoAnswer });
     harness.drain_server(1);
     let probed = probed_while_connecting(&mut harness, 10);
     assert!(
@@ -59,7 +59,7 @@
 fn does_not_probe_a_server_that_declined_until_it_restarts() {
     let mut harness = probing_harness();
     for server in probed_while_connecting(&mut harness, 10) {
-        harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeEnd::Declined });
+        harness.feed(Input::ProbeCompleted { pool: 0, server, end: ProbeOutcome::ProbingRefused });
     }
     assert_eq!(probed_while_connecting(&mut harness, 10), []);
     harness.restart_server(0);
--- a/tests/reducer/random_steps.rs
+++ b/tests/reducer/random_steps.rs
@@ -67,7 +67,7 @@
             }
             9 if index == 0 && pause < 40_000 => self.harness.feed(Input::ShutdownRequested),
             // This input arrives late: the request was received before.
-            9 => self.harness.feed(Input::HandshakeTimedOut { connection }),
+            9 => self.harness.feed(Input::RequestTimedOut { connection }),
             _ => Vec::new(),
         }
     }
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -48,7 +48,7 @@
         },
         seed: 7,
         discovery: None,
-        handshake_timeout: Micros::from_secs(10),
+        request_timeout: Micros::from_secs(10),
         uses_replicated_map: false,
         max_connections: usize::MAX,
         drain_duration: Micros::ZERO,
--- a/tests/store_files.rs
+++ b/tests/store_files.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use connection_balancer::routing::store::{Entry, ReplicatedMap};
+use connection_balancer::routing::store::{Entry, KeyedEntry, ReplicatedMap};
 use connection_balancer::transport::files::{
     decode_records, encode_record, Files, OpenedFiles, RecordsEnd, RECORD_HEAD_BYTES,
 };
@@ -81,7 +81,7 @@
 
     let OpenedFiles { entries, .. } = Files::open(&folder.0).expect("existing files can be opened");
     let mut store = ReplicatedMap::new("");
-    for (key, entry) in entries {
+    for KeyedEntry { key, entry } in entries {
         store.merge_entry(&key, entry);
     }
     assert_eq!(store.entries().count(), 7);
