--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::deployment::VirtualTime;
-use connection_balancer::routing::{ConnectionRequest, Input};
+use connection_balancer::routing::{ConnectionRequest, Input, PoolId};
 use rand::Rng;
 
 use super::{Balancer, Day, Event, NETWORK_DELAY};
@@ -100,7 +100,7 @@
             established_at: established_server,
             ..ConnectionRequest::default()
         };
-        self.feed(balancer, Input::ClientConnected { connection, pool: 0 });
+        self.feed(balancer, Input::ClientConnected { connection, pool: PoolId(0) });
         self.feed(balancer, Input::ConnectionRequested { connection, request });
     }
 
--- a/simulation/src/day/endpoint_list.rs
+++ b/simulation/src/day/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list and its delivery to the balancers.
 
-use connection_balancer::routing::{Endpoint, Input, Lifecycle};
+use connection_balancer::routing::{Endpoint, Input, Lifecycle, PoolId};
 use rand::Rng;
 
 use super::{Day, Event};
@@ -23,7 +23,7 @@
             self.invariants.on_server_listed(self.now, balancer, server, is_ready);
         }
         let endpoints = self.endpoints();
-        self.feed(balancer, Input::EndpointsUpdated { pool: 0, is_snapshot: true, endpoints });
+        self.feed(balancer, Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: true, endpoints });
     }
 
     /// Changes a server's entry, and schedules the delivery of the list to each balancer with a random delay.
--- a/simulation/src/day/measurement.rs
+++ b/simulation/src/day/measurement.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use connection_balancer::routing::{AttemptOutcome, Input};
+use connection_balancer::routing::{AttemptOutcome, Input, PoolId};
 
 use super::client_events::ClientPhase;
 use super::{Day, DayResult, Event, ServerSample, STEP_INTERVAL};
@@ -116,7 +116,7 @@
     fn sample(&mut self) {
         self.sample_quality();
         self.sample_servers();
-        let metrics = self.balancers[0].state.rebalancing(0).unwrap_or_default();
+        let metrics = self.balancers[0].state.rebalancing(PoolId(0)).unwrap_or_default();
         self.result.rates.push(metrics.migrations_per_second);
         self.result.hold_reasons.push(metrics.hold_reason);
         self.sample_groups();
@@ -194,7 +194,7 @@
         let Measurement { value, group_spread, .. } = self.measurement;
         self.result.served_value = value.served / value.requested.max(MIN_VALUE)
             - MIGRATION_COST * migrated as f64 / arrived_clients.max(1) as f64;
-        let metrics = self.balancers.iter().filter_map(|balancer| balancer.state.rebalancing(0));
+        let metrics = self.balancers.iter().filter_map(|balancer| balancer.state.rebalancing(PoolId(0)));
         self.result.migrations_for_balance = metrics.map(|metrics| metrics.migrated).sum();
         if group_spread.groups > 0.0 {
             self.result.servers_per_group = group_spread.servers / group_spread.groups;
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -1,7 +1,9 @@
 //! A balancer with established connections and no traffic, for measurements of its CPU time.
 
 use connection_balancer::rebalance::RebalanceConfig;
-use connection_balancer::routing::{reduce, ConnectionId, ConnectionRequest, Input, Lifecycle, State};
+use connection_balancer::routing::{
+    reduce, ConnectionId, ConnectionRequest, Input, Lifecycle, PoolId, State,
+};
 
 use crate::clients::CLASSES;
 use crate::deployment::{Deployment, VirtualTime, SECOND};
@@ -30,7 +32,7 @@
         };
         let mut balancer = IdleBalancer { state: new_reducer(&deployment, SEED, 0), now: 0 };
         balancer.feed(Input::EndpointsUpdated {
-            pool: 0,
+            pool: PoolId(0),
             is_snapshot: true,
             endpoints: (0..SERVERS).map(|server| endpoint(server, Lifecycle::Ready, None)).collect(),
         });
@@ -52,7 +54,7 @@
             ..ConnectionRequest::default()
         };
         let load = MEAN_LOAD_MICROS_PER_S * (0.5 + (n % 7) as f64 / 6.0);
-        self.feed(Input::ClientConnected { connection, pool: 0 });
+        self.feed(Input::ClientConnected { connection, pool: PoolId(0) });
         self.feed(Input::ConnectionRequested { connection, request });
         self.feed(Input::RequestForwarded { connection, attempt: 0 });
         self.feed(Input::AttemptAccepted { connection, attempt: 0 });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -65,8 +65,9 @@
 //! let mut timer_at = None;
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::StartAttempt { request, server, timeout, .. } => {
-//!             println!("connect {request:?} to {server:?} within {} microseconds", timeout.0);
+//!         Action::StartAttempt { request, server, acceptance_timeout, .. } => {
+//!             let microseconds = acceptance_timeout.0;
+//!             println!("connect {request:?} to {server:?} within {microseconds} microseconds");
 //!         }
 //!         Action::SetTimer(delay) => timer_at = Some(now.plus(delay)),
 //!         other => println!("{other:?}"),
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -46,7 +46,7 @@
     pub(super) fn count_outcome(&mut self, id: ConnectionId, count: impl FnOnce(&mut ClassCounters)) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(class) = connection.class else { return };
-        if let Some(counters) = self.pools[connection.pool].class_counters_mut(class) {
+        if let Some(counters) = self.pools[connection.pool.0].class_counters_mut(class) {
             count(counters);
         }
     }
@@ -55,14 +55,14 @@
     /// harmless.
     pub(super) fn may_reject(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
-        self.pools[connection.pool].balancer.may_reject(request_id(id))
+        self.pools[connection.pool.0].balancer.may_reject(request_id(id))
     }
 
     /// Returns a rejection with this Retry-After, limited to the pool's maximum. The Retry-After is 0 where
     /// the settings switch it off.
     pub(super) fn rejection_with_retry_after(&self, id: ConnectionId, retry_after: Micros) -> Answer {
         let pool = self.connections.pool_of(id);
-        let settings = pool.map(|pool| &self.pools[pool].config.settings);
+        let settings = pool.map(|pool| &self.pools[pool.0].config.settings);
         let max_retry_after = settings
             .filter(|settings| settings.retry_after)
             .map_or(Micros::ZERO, |settings| settings.max_retry_after);
@@ -96,7 +96,7 @@
     pub(super) fn remove_connection(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
-        let pool = &mut self.pools[connection.pool];
+        let pool = &mut self.pools[connection.pool.0];
         pool.rebalance.on_event(now, RebalanceEvent::ConnectionEnded { connection: id, natural: false });
         if connection.phase != Phase::AwaitingRequest {
             pool.admitted.remove(&connection.request);
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -40,7 +40,7 @@
         acceptance_timeout: Micros,
         forwarding_timeout: Option<Micros>,
     ) {
-        let Some(pool) = self.connections.pool_of(id).map(|pool| &self.pools[pool]) else { return };
+        let Some(pool) = self.connections.pool_of(id).map(|pool| &self.pools[pool.0]) else { return };
         let connect_deadline = now.plus(pool.config.settings.connect_timeout);
         let acceptance_deadline = now.plus(acceptance_timeout);
         let forwarding_deadline = forwarding_timeout.map(|timeout| now.plus(timeout));
@@ -90,7 +90,7 @@
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, setup_time);
         if was_placed {
-            self.pools[pool].gossip.earn_credit();
+            self.pools[pool.0].gossip.earn_credit();
             let event = Event::ConnectionEstablished { request: request_id(id), attempt: number };
             self.dispatch(now, pool, event);
         }
@@ -168,7 +168,7 @@
     /// ([`UNLISTED_SERVER_TIMEOUT`]).
     fn may_restore(&self, now: Time, id: ConnectionId, deadline: Time, server: ServerId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
-        let max_attempts = self.pools[connection.pool].config.settings.max_attempts;
+        let max_attempts = self.pools[connection.pool.0].config.settings.max_attempts;
         let may_still_be_listed = now.since(connection.connected_at) < UNLISTED_SERVER_TIMEOUT;
         now < deadline
             && connection.attempts < max_attempts
@@ -177,7 +177,7 @@
 
     fn is_listed(&self, id: ConnectionId, server: ServerId) -> bool {
         let pool = self.connections.pool_of(id);
-        pool.is_some_and(|pool| self.pools[pool].endpoints.get(server).is_some())
+        pool.is_some_and(|pool| self.pools[pool.0].endpoints.get(server).is_some())
     }
 }
 
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -47,7 +47,7 @@
 impl State {
     /// Adds an accepted connection, and sets its timer to the end of the pool's request timeout.
     pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
-        let Some(pool) = self.pools.get(pool_id) else { return };
+        let Some(pool) = self.pools.get(pool_id.0) else { return };
         let request_timeout = pool.config.request_timeout;
         self.connections.insert(id, ClientConnection::new(pool_id, now));
         self.connections.set_timer(id, Some(now.plus(request_timeout)));
@@ -90,7 +90,7 @@
     fn classify_connection(&mut self, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         // A class that is no longer configured has an empty name, which must not be matched.
         let name = Some(&request.class).filter(|name| !name.is_empty());
-        let class = name.and_then(|name| self.pools[pool_id].config.class_id(name));
+        let class = name.and_then(|name| self.pools[pool_id.0].config.class_id(name));
         self.connections.record_class(id, class);
     }
 
@@ -104,14 +104,14 @@
             return Some(self.rejection_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
         }
         if self.is_at_connection_limit(pool_id) {
-            let retry_after = self.pools[pool_id].config.settings.max_retry_after / 2;
+            let retry_after = self.pools[pool_id.0].config.settings.max_retry_after / 2;
             return Some(self.rejection_with_retry_after(id, retry_after));
         }
         None
     }
 
     fn is_at_connection_limit(&self, pool_id: PoolId) -> bool {
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         let replicated_limit = self.replication.map().get(CONNECTION_LIMIT_KEY);
         let applicable_limit = replicated_limit.filter(|_| pool.config.uses_replicated_map);
         let parsed_limit = applicable_limit.and_then(|text| text.parse().ok());
@@ -129,7 +129,7 @@
         pool_id: PoolId,
         request: &ConnectionRequest,
     ) -> Option<RequestProfile> {
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         let class = self.connections.get(id).and_then(|connection| connection.class)?;
         let named_tenant = request.tenant.as_deref();
         // A tenant that is no longer configured has an empty name, which must not be matched.
@@ -146,7 +146,7 @@
     fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         self.admission.remove_pending(id);
         self.evict_idle_connection(now);
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         pool.admitted.add(request);
         let ConnectionRequest { key, reconnecting, .. } = *request;
         pool.rebalance
@@ -165,7 +165,7 @@
         timeout: Option<Micros>,
     ) {
         let Some(connection) = self.connections.get(id) else { return };
-        let request_deadline = connection.connected_at.plus(self.pools[pool_id].config.request_timeout);
+        let request_deadline = connection.connected_at.plus(self.pools[pool_id.0].config.request_timeout);
         let deadline = timeout.map_or(request_deadline, |timeout| now.plus(timeout));
         self.connections.set_phase(id, Phase::Connecting);
         let RequestProfile { class, tenant, group, load } = profile;
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -22,15 +22,15 @@
     ) {
         self.admission.set_budget(budget);
         let known_pools = self.pools.len();
-        for (pool, config) in configs.into_iter().enumerate().take(known_pools) {
-            self.configure_pool(now, pool, config);
+        for (index, config) in configs.into_iter().enumerate().take(known_pools) {
+            self.configure_pool(now, PoolId(index), config);
         }
         self.replication.set_other_replicas(now, other_replicas);
     }
 
     /// Replaces a pool's configuration, and starts a new watch if its discovery address has changed.
     fn configure_pool(&mut self, now: Time, pool_id: PoolId, config: PoolConfig) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let config = config.renumbered_like(&pool.config);
         let new_discovery = config.discovery.filter(|_| config.discovery != pool.config.discovery);
         pool.configure(now, config);
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -19,7 +19,7 @@
     /// Passes an event to a pool's balancer, and executes the returned actions in order.
     pub(super) fn dispatch(&mut self, now: Time, pool: PoolId, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.pools[pool].balancer.handle(now, event, &mut actions);
+        self.pools[pool.0].balancer.handle(now, event, &mut actions);
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             // Cancelling an attempt may cause further actions. They are executed after the actions that are
@@ -60,7 +60,7 @@
                 self.broadcast_observation(now, pool, Observation::Dropped(server));
             }
             Action::WatchEndpoints => self.effects.push(Effect::WatchEndpoints { pool }),
-            Action::SetTimer(delay) => self.pools[pool].set_balancer_timer(now.plus(delay)),
+            Action::SetTimer(delay) => self.pools[pool.0].set_balancer_timer(now.plus(delay)),
             Action::ProbeServer { server } => self.start_probe(pool, server),
         }
         Vec::new()
@@ -69,7 +69,7 @@
     /// Rejects or fails a request for which the balancer has no server, and counts and logs the reason.
     fn answer_without_server(&mut self, now: Time, id: ConnectionId, reason: RefusalReason, answer: Answer) {
         let Some(pool) = self.connections.pool_of(id) else { return };
-        self.pools[pool].count_refusal(reason);
+        self.pools[pool.0].count_refusal(reason);
         self.answer_and_remove(now, id, answer);
         self.effects.push(Effect::Log(LogEvent::RequestRefused { connection: id, reason }));
         if reason == RefusalReason::EndpointListExpired {
@@ -80,7 +80,7 @@
     /// Logs that a pool's endpoint list has expired, unless that is logged and the list was not confirmed
     /// since.
     fn log_endpoint_list_expiry(&mut self, pool: PoolId) {
-        let pool = &mut self.pools[pool];
+        let pool = &mut self.pools[pool.0];
         if pool.record_expiry() {
             let pool = pool.config.name;
             self.effects.push(Effect::Log(LogEvent::EndpointListExpired { pool }));
@@ -96,7 +96,7 @@
         }
         let mut actions = Vec::new();
         let ended = Event::AttemptEnded { request, attempt, outcome: Outcome::Cancelled, answered: true };
-        self.pools[pool].balancer.handle(now, ended, &mut actions);
+        self.pools[pool.0].balancer.handle(now, ended, &mut actions);
         actions
     }
 }
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -70,13 +70,13 @@
         is_snapshot: bool,
         endpoints: Vec<Endpoint>,
     ) {
-        let Some(pool) = self.pools.get_mut(pool_id) else { return };
+        let Some(pool) = self.pools.get_mut(pool_id.0) else { return };
         pool.listed.apply(is_snapshot, endpoints);
         self.refresh_endpoints(now, pool_id);
     }
 
     pub(super) fn refresh_all_endpoints(&mut self, now: Time) {
-        for pool in 0..self.pools.len() {
+        for pool in (0..self.pools.len()).map(PoolId) {
             self.refresh_endpoints(now, pool);
         }
     }
@@ -87,7 +87,7 @@
         let mut endpoints = self.collect_listed_endpoints(pool_id);
         self.exclusions.record_listed(endpoints.keys());
         let excluded = self.excluded_servers();
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let slow_start_duration = pool.slow_start_duration();
         pool.exclusions.replace(now, excluded, slow_start_duration);
         pool.exclusions.apply_readmissions(&mut endpoints);
@@ -99,7 +99,7 @@
 
     /// Returns the servers that discovery lists and those that the replicated map adds, by name.
     fn collect_listed_endpoints(&self, pool_id: PoolId) -> BTreeMap<String, Endpoint> {
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         let mut endpoints = pool.listed.by_name().clone();
         if pool.config.uses_replicated_map {
             let replicated = self.replication.map().with_prefix(ENDPOINT_KEY_PREFIX);
@@ -115,7 +115,7 @@
         if !self.hot_restart.successor_serves() {
             return;
         }
-        let slow_start_duration = self.pools[pool_id].slow_start_duration();
+        let slow_start_duration = self.pools[pool_id.0].slow_start_duration();
         for endpoint in endpoints.values_mut() {
             if endpoint.started.is_some_and(|started| now.since(started) < slow_start_duration) {
                 endpoint.lifecycle = Lifecycle::Draining;
@@ -125,7 +125,7 @@
 
     /// Marks excluded servers as draining, or removes them.
     fn apply_exclusions(&self, pool_id: PoolId, endpoints: &mut BTreeMap<String, Endpoint>) {
-        for name in self.pools[pool_id].exclusions.excluded() {
+        for name in self.pools[pool_id.0].exclusions.excluded() {
             if self.replication.map().get(&exclusion_key(name)) == Some(EXCLUSION_VALUE_GONE) {
                 endpoints.remove(name);
             } else if let Some(endpoint) = endpoints.get_mut(name) {
@@ -136,7 +136,7 @@
 
     /// Replaces the list in effect, and passes it to the rebalancer and the balancer.
     fn publish_endpoints(&mut self, now: Time, pool_id: PoolId, endpoints: BTreeMap<String, Endpoint>) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let entries = pool.endpoints.replace(endpoints.into_values(), &pool.config.zones);
         let ready = entries.iter().filter(|entry| entry.state == EndpointState::Serving).count();
         pool.rebalance.on_event(now, RebalanceEvent::EndpointListChanged { ready });
@@ -149,7 +149,7 @@
         &self,
         pool_id: PoolId,
     ) -> impl Iterator<Item = PlacedConnection> + '_ {
-        let endpoints = &self.pools[pool_id].endpoints;
+        let endpoints = &self.pools[pool_id.0].endpoints;
         self.connections.placed(pool_id).filter(|placed| endpoints.get_ready(placed.server).is_none())
     }
 
@@ -184,7 +184,7 @@
                 self.on_attempt_failed(now, id, Outcome::NotSent);
                 None
             }
-            Phase::Established if self.pools[pool_id].endpoints.get(server).is_none() => {
+            Phase::Established if self.pools[pool_id.0].endpoints.get(server).is_none() => {
                 self.migrate(now, id, Outcome::Reset);
                 None
             }
@@ -199,7 +199,7 @@
     /// Returns the time over which a draining server's connections are migrated, or `None` if the server
     /// redirects them itself.
     fn drain_duration(&self, pool_id: PoolId, server: ServerId) -> Option<Micros> {
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         match pool.config.drain_duration {
             Micros::ZERO => pool.is_excluded(server).then_some(EXCLUSION_DRAIN_DURATION),
             duration => Some(duration),
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -37,7 +37,7 @@
 impl State {
     /// Records that a list was received, and renews its lease if the list is from discovery.
     pub(super) fn confirm_endpoint_list(&mut self, now: Time, pool_id: PoolId) {
-        let Some(pool) = self.pools.get_mut(pool_id) else { return };
+        let Some(pool) = self.pools.get_mut(pool_id.0) else { return };
         let was_expiry_logged = pool.record_received_list(now);
         let name = pool.config.name;
         if pool.config.discovery.is_some() {
@@ -52,7 +52,7 @@
     /// the poll.
     pub(super) fn on_endpoint_watch_silent(&mut self, now: Time, pool: PoolId, called_ago: Micros) {
         let since = now.minus(called_ago);
-        self.pools[pool].count_discovery_failure();
+        self.pools[pool.0].count_discovery_failure();
         self.notify_rebalancer(now, pool, RebalanceEvent::EndpointListLost);
         self.dispatch(now, pool, Event::EndpointWatchSilent { since });
         self.limit_forwarding_to_list_expiry(pool);
@@ -62,7 +62,7 @@
     pub(super) fn on_endpoint_watch_lost(&mut self, now: Time, pool: PoolId, failure: WatchFailure) {
         // An unanswered poll was already counted when the watch became silent.
         if failure != WatchFailure::Unanswered {
-            self.pools[pool].count_discovery_failure();
+            self.pools[pool.0].count_discovery_failure();
         }
         self.notify_rebalancer(now, pool, RebalanceEvent::EndpointListLost);
         self.dispatch(now, pool, Event::EndpointWatchFailed(failure));
@@ -71,7 +71,7 @@
 
     /// Makes attempts in flight fail at the list's expiry, if their request is not written in full by then.
     fn limit_forwarding_to_list_expiry(&mut self, pool: PoolId) {
-        let Some(expires_at) = self.pools[pool].balancer.endpoint_list_expires_at() else { return };
+        let Some(expires_at) = self.pools[pool.0].balancer.endpoint_list_expires_at() else { return };
         let placed: Vec<PlacedConnection> = self.connections.placed(pool).collect();
         for PlacedConnection { connection, .. } in placed {
             self.connections.limit_forwarding(connection, expires_at);
@@ -80,7 +80,7 @@
 
     /// Returns the timing of the watch on a pool's endpoint list.
     pub fn endpoint_watch_timing(&self, pool: PoolId) -> EndpointWatchTiming {
-        let settings = &self.pools[pool].config.settings;
+        let settings = &self.pools[pool.0].config.settings;
         EndpointWatchTiming {
             answer_timeout: settings.watch_answer_timeout(),
             reopening_timeout: settings.watch_reopening_timeout(),
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -42,7 +42,7 @@
             return;
         }
         let pool_id = connection.pool;
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         let measurement = if pool.load_reports.is_message_time(now, attempt.server, value, &pool.config) {
             self.record_message_time(now, pool_id, attempt.server, value)
         } else {
@@ -58,7 +58,7 @@
         server: ServerId,
         message_time_ms: f64,
     ) -> Measurement {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         pool.load_reports.add_message_time(now, server, message_time_ms);
         let message_time = Micros::from_f64(message_time_ms.max(0.0) * MICROS_PER_MILLISECOND);
         let event = RebalanceEvent::MessageTimeReported { server, took: message_time };
@@ -68,7 +68,7 @@
     }
 
     fn record_load(&mut self, now: Time, pool_id: PoolId, id: ConnectionId, load: f64) -> Measurement {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         pool.load_reports.add_load(load);
         pool.rebalance.on_event(now, RebalanceEvent::LoadReported { connection: id, load });
         self.connections.record_load(id, load);
@@ -79,7 +79,7 @@
     /// whichever comes first.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let silence_timeout = self.pools[connection.pool].config.server_silence_timeout;
+        let silence_timeout = self.pools[connection.pool.0].config.server_silence_timeout;
         let silent_since = connection.awaiting_server_since.unwrap_or(now);
         let silence_deadline = (silence_timeout > Micros::ZERO).then(|| silent_since.plus(silence_timeout));
         let deadline = connection.migrate_at.into_iter().chain(silence_deadline).min();
@@ -90,7 +90,7 @@
     /// sets the timer again.
     pub(super) fn on_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
-        let silence_timeout = self.pools[connection.pool].config.server_silence_timeout;
+        let silence_timeout = self.pools[connection.pool.0].config.server_silence_timeout;
         let is_server_silent = silence_timeout > Micros::ZERO
             && connection.awaiting_server_since.is_some_and(|since| since.plus(silence_timeout) <= now);
         let is_migration_due = connection.migrate_at.is_some_and(|at| at <= now);
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -14,7 +14,7 @@
 impl State {
     /// Applies a message of another balancer.
     pub(super) fn on_gossip_received(&mut self, now: Time, pool_id: PoolId, message: GossipMessage) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let is_listed = |server| pool.endpoints.get(server).is_some();
         if !message.observation.server().is_none_or(is_listed) {
             return;
@@ -30,7 +30,7 @@
     /// established at this balancer. Does nothing if [`crate::peers::Gossip::should_broadcast`] decides
     /// against it, for instance for lack of credit.
     pub(super) fn broadcast_observation(&mut self, now: Time, pool_id: PoolId, observation: Observation) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         if pool.gossip.should_broadcast(now, observation) {
             let groups = pool.gossip.sample_groups(pool.balancer.established_groups());
             self.effects.push(Effect::BroadcastGossip(GossipMessage { observation, groups }));
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -72,7 +72,7 @@
         let Some(connection) = self.connections.get_established(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
         let pool = connection.pool;
-        let Some(endpoint) = self.pools[pool].endpoints.get(attempt.server) else { return };
+        let Some(endpoint) = self.pools[pool.0].endpoints.get(attempt.server) else { return };
         let established = TransferredConnection {
             request: connection.request.clone(),
             server: endpoint.name.clone(),
@@ -110,12 +110,12 @@
         self.exclusions.import(state.excluded_by_operator, state.ever_listed);
         self.replication.import_entries(state.entries);
         self.persist_exclusions();
-        for pool_id in 0..self.pools.len() {
-            let pool = &mut self.pools[pool_id];
+        for pool_id in (0..self.pools.len()).map(PoolId) {
+            let pool = &mut self.pools[pool_id.0];
             let Some(pool_state) = state.pools.get(pool.config.name) else { continue };
             pool.import_state(pool_state);
             self.refresh_endpoints(now, pool_id);
-            self.pools[pool_id].import_learned_state(pool_state);
+            self.pools[pool_id.0].import_learned_state(pool_state);
         }
     }
 
@@ -127,7 +127,7 @@
         pool_id: PoolId,
         established: TransferredConnection,
     ) {
-        let Some(pool) = self.pools.get_mut(pool_id) else { return };
+        let Some(pool) = self.pools.get_mut(pool_id.0) else { return };
         let server = server_id(&established.server);
         let was_listed = pool.endpoints.get(server).is_some();
         pool.admitted.add_transferred(&established.request);
@@ -141,7 +141,7 @@
         self.notify_established(now, id, None);
         // A connection at a draining or unlisted server must leave it, like the connections that were there
         // when the server's state changed.
-        if !was_listed || self.pools[pool_id].endpoints.get_ready(server).is_none() {
+        if !was_listed || self.pools[pool_id.0].endpoints.get_ready(server).is_none() {
             self.refresh_endpoints(now, pool_id);
         }
     }
@@ -156,7 +156,7 @@
         server: ServerId,
         established: TransferredConnection,
     ) -> RequestProfile {
-        let config = &self.pools[pool_id].config;
+        let config = &self.pools[pool_id.0].config;
         let request = &established.request;
         // The predecessor admitted the connection, so it is served even if this process does not have its
         // class configured. In that case it is counted in no class.
@@ -194,7 +194,7 @@
     /// Records the load that the server reported last for a transferred connection.
     fn record_transferred_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
         self.connections.record_load(id, load);
-        self.pools[pool_id].load_reports.add_load(load);
+        self.pools[pool_id.0].load_reports.add_load(load);
         let measurement = Measurement::Load(load);
         self.dispatch(now, pool_id, Event::ConnectionMeasured { request: request_id(id), measurement });
     }
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -30,7 +30,7 @@
 
 impl State {
     pub(super) fn notify_rebalancer(&mut self, now: Time, pool: PoolId, event: RebalanceEvent) {
-        if let Some(pool) = self.pools.get_mut(pool) {
+        if let Some(pool) = self.pools.get_mut(pool.0) {
             pool.rebalance.on_event(now, event);
         }
     }
@@ -78,7 +78,7 @@
     /// Returns the metrics of a pool's rebalancing for simulations and tests, or `None` if rebalancing is
     /// off.
     pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
-        let pool = self.pools.get(pool).filter(|pool| pool.config.rebalance.enabled)?;
+        let pool = self.pools.get(pool.0).filter(|pool| pool.config.rebalance.enabled)?;
         Some(pool.rebalance.metrics())
     }
 }
@@ -89,7 +89,7 @@
     /// Requests a decision from the rebalancer of a pool, and executes it.
     pub(super) fn rebalance(&mut self, now: Time, pool_id: PoolId) {
         let conditions = self.system_conditions(pool_id);
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let servers = pool.server_snapshots(now);
         let decision = pool.rebalance.evaluate(now, conditions, &servers);
         self.apply_decision(now, pool_id, decision);
@@ -105,21 +105,21 @@
     }
 
     fn apply_decision(&mut self, now: Time, pool_id: PoolId, decision: Decision) {
-        let pool = self.pools[pool_id].config.name;
+        let pool = self.pools[pool_id.0].config.name;
         let log_event = decision.hold_transition.map(|transition| match transition {
             HoldTransition::Held(reason) => LogEvent::RebalancingPaused { pool, reason },
             HoldTransition::Resumed => LogEvent::RebalancingResumed { pool },
         });
         self.effects.extend(log_event.map(Effect::Log));
         for CeilingIncrease { server, ceiling } in decision.ceiling_increases {
-            self.pools[pool_id].balancer.raise_ceiling(server, ceiling);
+            self.pools[pool_id.0].balancer.raise_ceiling(server, ceiling);
         }
         for server in decision.ceilings_to_lower {
-            self.pools[pool_id].balancer.lower_ceiling_to_occupancy(server);
+            self.pools[pool_id.0].balancer.lower_ceiling_to_occupancy(server);
         }
         for Migration { connection: id, from: server } in decision.migrations {
             self.migrate(now, id, Outcome::Cancelled);
-            self.pools[pool_id].balancer.on_migrated_for_balance(now, server);
+            self.pools[pool_id.0].balancer.on_migrated_for_balance(now, server);
         }
     }
 }
--- a/src/routing/probes.rs
+++ b/src/routing/probes.rs
@@ -23,7 +23,7 @@
 impl State {
     /// Sends a probe to a server, if it may be probed now.
     pub(super) fn start_probe(&mut self, pool_id: PoolId, server: ServerId) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let Some(endpoint) = pool.endpoints.get_ready(server) else { return };
         if !pool.probes.try_start(Incarnation { server, started: endpoint.started }) {
             return;
@@ -45,7 +45,7 @@
         server: ServerId,
         end: ProbeOutcome,
     ) {
-        let Some(pool) = self.pools.get_mut(pool_id) else { return };
+        let Some(pool) = self.pools.get_mut(pool_id.0) else { return };
         let Some(probed) = pool.probes.finish(server) else { return };
         let current_start = pool.endpoints.get_ready(server).map(|endpoint| endpoint.started);
         if current_start != Some(probed.started) {
@@ -64,7 +64,7 @@
     }
 
     fn on_probes_refused(&mut self, pool_id: PoolId, probed: Incarnation) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         pool.probes.record_declined(probed, &pool.endpoints);
         let name = pool.endpoints.get(probed.server).map_or("", |endpoint| &endpoint.name);
         self.effects.push(Effect::Log(LogEvent::ProbesRefused { server: name.to_owned() }));
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -4,7 +4,7 @@
 //! all parts of the state, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
 
 use super::connection_table::Phase;
-use super::{ConnectionId, Effect, State};
+use super::{ConnectionId, Effect, PoolId, State};
 use crate::{Event, Outcome, Time};
 
 impl State {
@@ -40,11 +40,11 @@
         }
         self.reply_to_timed_out_admin_clients(now);
         self.send_scheduled_digest(now);
-        for pool in 0..self.pools.len() {
-            if self.pools[pool].clear_expired_balancer_timer(now) {
+        for pool in (0..self.pools.len()).map(PoolId) {
+            if self.pools[pool.0].clear_expired_balancer_timer(now) {
                 self.dispatch(now, pool, Event::TimerFired);
             }
-            if self.pools[pool].rebalance.next_evaluation().is_some_and(|at| at <= now) {
+            if self.pools[pool.0].rebalance.next_evaluation().is_some_and(|at| at <= now) {
                 self.rebalance(now, pool);
             }
         }
--- a/src/transport/assembly.rs
+++ b/src/transport/assembly.rs
@@ -46,12 +46,12 @@
     }
 
     fn feed_configured_endpoints(&mut self, config: &Config) {
-        let mut pool = 0;
+        let mut pool = PoolId(0);
         if let Some(platform) = &config.platform {
             let endpoints = platform.known.endpoints.clone();
             self.reducer.feed(Input::CachedEndpoints { pool, endpoints });
             self.platform = Some(pool);
-            pool += 1;
+            pool.0 += 1;
         }
         if let Some(irc) = &config.irc {
             let endpoints = irc.endpoints.clone();
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -55,9 +55,9 @@
         self.store = store;
         self.assembly.reducer.feed(Input::ConfigurationChanged { pools, other_replicas, budget });
         self.reload_admin_endpoint(admin_endpoint);
-        let irc_pool = usize::from(platform.is_some());
+        let irc_pool = PoolId(usize::from(platform.is_some()));
         if let Some(platform) = platform {
-            self.reload_platform(0, platform);
+            self.reload_platform(PoolId(0), platform);
         }
         if let Some(irc) = irc {
             self.reload_irc(irc_pool, irc);
--- a/tests/rebalance/reducer.rs
+++ b/tests/rebalance/reducer.rs
@@ -93,7 +93,7 @@
             ..connection_request()
         },
     });
-    assert_eq!(harness.state.rebalancing(0).map(|metrics| metrics.returned), Some(1));
+    assert_eq!(harness.state.rebalancing(PoolId(0)).map(|metrics| metrics.returned), Some(1));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let (mut harness, connections) = unbalanced_reducer();
     harness.feed(Input::ShutdownRequested);
     run_and_collect_migrated(&mut harness, &connections, 3);
-    assert_eq!(harness.state.rebalancing(0).map(|metrics| metrics.migrated), Some(0));
+    assert_eq!(harness.state.rebalancing(PoolId(0)).map(|metrics| metrics.migrated), Some(0));
 }
 
 #[test]
@@ -123,5 +123,5 @@
         budget: reducer_harness::BUDGET,
     });
     assert!(run_and_collect_migrated(&mut harness, &connections, 15).is_empty());
-    assert_eq!(harness.state.rebalancing(0), None);
+    assert_eq!(harness.state.rebalancing(PoolId(0)), None);
 }
--- a/tests/reducer/admin.rs
+++ b/tests/reducer/admin.rs
@@ -101,7 +101,7 @@
                 Input::ClientDisconnected { connection }
             }
             _ if connection_index == 0 => Input::ShutdownRequested,
-            _ => Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Rejected },
+            _ => Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Rejected },
         }
     }
 
@@ -259,9 +259,9 @@
 #[test]
 fn counts_each_failed_call_to_discovery_once() {
     let mut harness = ReducerHarness::new();
-    harness.feed(Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Rejected });
-    harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: Micros::from_secs(2) });
-    harness.feed(Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Unanswered });
+    harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Rejected });
+    harness.feed(Input::EndpointWatchSilent { pool: PoolId(0), called_ago: Micros::from_secs(2) });
+    harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Unanswered });
     assert_eq!(metrics(&mut harness).discovery_failures, 2);
 }
 
@@ -321,12 +321,12 @@
     harness.feed(Input::Listening);
     // The cached list must suffice, or no process could become ready while discovery is down or overloaded.
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
-    harness.feed(Input::CachedEndpoints { pool: 0, endpoints: Vec::new() });
+    harness.feed(Input::CachedEndpoints { pool: PoolId(0), endpoints: Vec::new() });
     assert!(
         matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)),
         "ready with an empty cached list"
     );
-    harness.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints: Vec::new() });
+    harness.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: false, endpoints: Vec::new() });
     assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
     harness.feed(Input::ShutdownRequested);
     assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)));
--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -73,7 +73,7 @@
         gossip(&sender.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }));
     let [message] = sent[..] else { panic!("{sent:?}") };
     assert_eq!(message.observation, Observation::Dropped(server_id(SERVERS[server])));
-    receiver.feed(Input::GossipReceived { pool: 0, message });
+    receiver.feed(Input::GossipReceived { pool: PoolId(0), message });
     // Each of the five servers has four slots at first. After the gossip, this server has half of them.
     let placed_at_server = (0..18).filter(|_| receiver.forward_request().1 == server).count();
     assert_eq!(placed_at_server, 2, "of 18 connections placed at server {server} after gossip about it");
@@ -236,15 +236,15 @@
 fn rejects_unwritten_requests_when_discovery_is_reachable_again_but_overloaded() {
     let mut harness = ReducerHarness::new();
     harness.advance(Micros::from_millis(3_500));
-    harness.feed(Input::EndpointWatchSilent { pool: 0, called_ago: Micros::from_millis(3_500) });
-    harness.feed(Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Unreachable });
+    harness.feed(Input::EndpointWatchSilent { pool: PoolId(0), called_ago: Micros::from_millis(3_500) });
+    harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Unreachable });
     harness.advance(Micros::from_secs(4));
     let (forwarded, _) = harness.forward_request();
     let connection = harness.connect_client();
     let effects = harness.feed(Input::ConnectionRequested { connection, request: connection_request() });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 0, .. }]), "{effects:?}");
 
-    harness.feed(Input::EndpointWatchLost { pool: 0, failure: WatchFailure::Rejected });
+    harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Rejected });
     let effects = harness.feed(Input::TimerFired);
 
     let expired = LogEvent::RequestRefused { connection, reason: RefusalReason::EndpointListExpired };
--- a/tests/reducer/harness.rs
+++ b/tests/reducer/harness.rs
@@ -9,7 +9,7 @@
     pub(crate) fn with_cached_endpoints() -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(BUDGET);
         let endpoints = harness.endpoints();
-        harness.feed(Input::CachedEndpoints { pool: 0, endpoints });
+        harness.feed(Input::CachedEndpoints { pool: PoolId(0), endpoints });
         harness
     }
 
--- a/tests/reducer/hot_restart/mod.rs
+++ b/tests/reducer/hot_restart/mod.rs
@@ -82,7 +82,7 @@
             "unexpected effects of a completed transfer"
         );
         let connection = ConnectionId(1_000_000 + index as u64);
-        successor.feed(Input::ConnectionReceived { connection, pool: 0, established });
+        successor.feed(Input::ConnectionReceived { connection, pool: PoolId(0), established });
         connection
     };
     transferred.into_iter().enumerate().map(transfer).collect()
--- a/tests/reducer/hot_restart/random_steps.rs
+++ b/tests/reducer/hot_restart/random_steps.rs
@@ -166,7 +166,10 @@
             established: true,
         };
         self.feed(process, Input::ConnectionTransferred { connection })?;
-        self.feed(process + 1, Input::ConnectionReceived { connection: received, pool: 0, established })
+        self.feed(
+            process + 1,
+            Input::ConnectionReceived { connection: received, pool: PoolId(0), established },
+        )
     }
 }
 
--- a/tests/reducer/reload.rs
+++ b/tests/reducer/reload.rs
@@ -24,7 +24,7 @@
     config.discovery = Some("127.0.0.1:9".parse().expect("an address"));
     let effects = reload(&mut harness, config.clone());
     let discovery = config.discovery.expect("set above");
-    assert_eq!(effects, [Effect::WatchEndpointsAt { pool: 0, discovery }]);
+    assert_eq!(effects, [Effect::WatchEndpointsAt { pool: PoolId(0), discovery }]);
     let effects = reload(&mut harness, config);
     assert_eq!(effects, [], "the same address needs no new watch");
     // The request would fail here if it were assigned to the class that is now first, which must not be
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -71,7 +71,7 @@
     pub(crate) fn with_budget(budget: Budget) -> ReducerHarness {
         let mut harness = ReducerHarness::without_endpoints(budget);
         let endpoints = harness.endpoints();
-        harness.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: true, endpoints });
+        harness.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: true, endpoints });
         harness.feed(Input::Listening);
         harness
     }
@@ -117,7 +117,7 @@
     pub(crate) fn connect_client_with_effects(&mut self) -> (ConnectionId, Vec<Effect>) {
         self.last_connection += 1;
         let connection = ConnectionId(self.last_connection);
-        (connection, self.feed(Input::ClientConnected { connection, pool: 0 }))
+        (connection, self.feed(Input::ClientConnected { connection, pool: PoolId(0) }))
     }
 
     pub(crate) fn drain_server(&mut self, server: usize) -> Vec<Effect> {
@@ -127,11 +127,11 @@
     /// Updates the list so that a server's process started now.
     pub(crate) fn restart_server(&mut self, server: usize) -> Vec<Effect> {
         let endpoint = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
-        self.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints: vec![endpoint] })
+        self.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: false, endpoints: vec![endpoint] })
     }
 
     pub(crate) fn update_endpoint(&mut self, server: usize, lifecycle: Lifecycle) -> Vec<Effect> {
         let endpoints = vec![self.endpoint(server, lifecycle)];
-        self.feed(Input::EndpointsUpdated { pool: 0, is_snapshot: false, endpoints })
+        self.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: false, endpoints })
     }
 }
