--- a/simulation/src/clients.rs
+++ b/simulation/src/clients.rs
@@ -4,7 +4,7 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-use crate::deployment::{Deployment, GroupSize, VirtualTime, SECOND};
+use crate::deployment::{Deployment, GroupSize, VirtualDuration, VirtualTime, SECOND};
 use crate::server::GROUP_OVERHEAD_LOADS;
 
 /// Mean and standard deviation of the logarithm of a connection's load, relative to its class's mean.
@@ -29,9 +29,9 @@
     /// Objective for the message time, in microseconds.
     pub message_objective_micros: f64,
     /// Objective for the duration of a connection setup.
-    pub setup_objective: VirtualTime,
+    pub setup_objective: VirtualDuration,
     /// Longest duration for which a client waits for a connection.
-    pub max_wait_duration: VirtualTime,
+    pub max_wait_duration: VirtualDuration,
     /// Share of all arrivals.
     pub arrival_share: f64,
     /// Mean load of a connection, 1 being about the mean of all classes.
--- a/simulation/src/day/attempts.rs
+++ b/simulation/src/day/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at servers: arrival, connection setup and end.
 
-use crate::deployment::VirtualTime;
+use crate::deployment::VirtualDuration;
 use connection_balancer::routing::{AttemptOutcome, Input};
 
 use super::client_events::ClientPhase;
@@ -46,10 +46,10 @@
     }
 
     /// Notifies the balancer that an attempt ended before its setup began.
-    fn fail_attempt(&mut self, attempt: AttemptRef, end: AttemptOutcome) {
+    fn fail_attempt(&mut self, attempt: AttemptRef, outcome: AttemptOutcome) {
         let ConnectionRef { balancer, connection, .. } = attempt.request;
         self.invariants.on_attempt_ended(attempt.request);
-        self.feed(balancer, Input::AttemptEnded { connection, attempt: attempt.attempt, end });
+        self.feed(balancer, Input::AttemptEnded { connection, attempt: attempt.attempt, outcome });
     }
 
     /// Adds the connection to the server and schedules the completion of its setup.
@@ -69,7 +69,7 @@
         let stored_at = if self.now <= NETWORK_DELAY { self.now } else { self.store.enqueue_setup(self.now) };
         let setup_duration = server.message_micros(self.now) * SETUP_MESSAGES;
         let server_incarnation = server.incarnation;
-        let completes_at = stored_at + setup_duration as VirtualTime;
+        let completes_at = stored_at + setup_duration as VirtualDuration;
         self.schedule(completes_at, Event::SetupCompletes { attempt, server_incarnation });
     }
 
@@ -86,7 +86,7 @@
         let ConnectionRef { balancer, connection, .. } = request;
         self.feed(balancer, Input::AttemptAccepted { connection, attempt: number });
         let load = self.clients[client].load * MEAN_LOAD_MICROS_PER_S;
-        self.feed(balancer, Input::LoadReported { connection, load });
+        self.feed(balancer, Input::LoadReported { connection, value: load });
     }
 
     /// Returns whether the client still waits for this attempt and the server process that began the setup
@@ -105,7 +105,7 @@
     }
 
     /// Ends a client's established connection from the server's side; the client reconnects.
-    pub(super) fn end_by_server(&mut self, client: usize, end: AttemptOutcome) {
+    pub(super) fn end_by_server(&mut self, client: usize, outcome: AttemptOutcome) {
         let ClientPhase::Connected { connection: request, .. } = self.client_states[client].phase else {
             return;
         };
@@ -113,7 +113,7 @@
         let ConnectionRef { balancer, connection, .. } = request;
         self.close_attempt(request);
         self.balancers[balancer].connections.remove(&connection);
-        self.feed(balancer, Input::AttemptEnded { connection, attempt, end });
+        self.feed(balancer, Input::AttemptEnded { connection, attempt, outcome });
         self.feed(balancer, Input::SocketsClosed { connection });
         self.reconnect_client(client);
     }
--- a/simulation/src/day/client_events.rs
+++ b/simulation/src/day/client_events.rs
@@ -3,7 +3,7 @@
 use connection_balancer::Micros;
 use std::collections::BTreeMap;
 
-use crate::deployment::VirtualTime;
+use crate::deployment::VirtualDuration;
 use connection_balancer::routing::{ConnectionRequest, Input, PoolId};
 use rand::Rng;
 
@@ -14,15 +14,15 @@
 use crate::pool::server_name;
 
 /// Duration for which the front still sends clients to a balancer that has died.
-const FRONT_DETECTION_DELAY: VirtualTime = 2 * SECOND;
+const FRONT_DETECTION_DELAY: VirtualDuration = 2 * SECOND;
 /// Number of retries after rejections or failures before [`SLOW_RETRY_DELAY`] is added.
 const QUICK_RETRIES: u32 = 2;
 /// Duration until a client reconnects after a migration or a broken connection.
-const RECONNECT_DELAY: std::ops::Range<VirtualTime> = 100_000..1_300_000;
+const RECONNECT_DELAY: std::ops::Range<VirtualDuration> = 100_000..1_300_000;
 /// Duration until a client retries if it received no Retry-After.
-const RETRY_DELAY: std::ops::Range<VirtualTime> = 200_000..1_500_000;
+const RETRY_DELAY: std::ops::Range<VirtualDuration> = 200_000..1_500_000;
 /// Additional duration until a client retries once its quick retries are used up.
-const SLOW_RETRY_DELAY: std::ops::Range<VirtualTime> = 1_000_000..4_000_000;
+const SLOW_RETRY_DELAY: std::ops::Range<VirtualDuration> = 1_000_000..4_000_000;
 
 /// Phase of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -97,7 +97,7 @@
             timeout: Some(Micros(class.max_wait_duration)),
             key: Some(client as u64),
             reconnecting: self.client_states[client].reconnecting,
-            established_at: established_server,
+            established_server,
             ..ConnectionRequest::default()
         };
         self.feed(balancer, Input::ClientConnected { connection, pool: PoolId(0) });
@@ -188,7 +188,7 @@
 
     /// Schedules the retry of a client whose request was rejected or failed: after `retry_after_duration`, or
     /// after a random delay if that is 0.
-    pub(super) fn reject_client(&mut self, client: usize, retry_after_duration: VirtualTime) {
+    pub(super) fn reject_client(&mut self, client: usize, retry_after_duration: VirtualDuration) {
         self.result.rejected += 1;
         let state = &mut self.client_states[client];
         let quick_retries_used_up = state.quick_retries_left == 0;
--- a/simulation/src/day/faults.rs
+++ b/simulation/src/day/faults.rs
@@ -53,7 +53,7 @@
             open.server = None;
         }
         let attempt = self.latest_attempt(request);
-        let reset = Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Reset };
+        let reset = Input::AttemptEnded { connection, attempt, outcome: AttemptOutcome::Reset };
         if matches!(phase, ClientPhase::Connected { .. }) {
             self.balancers[balancer].connections.remove(&connection);
             self.feed(balancer, reset);
--- a/simulation/src/day/measurement.rs
+++ b/simulation/src/day/measurement.rs
@@ -116,8 +116,8 @@
     fn sample(&mut self) {
         self.sample_quality();
         self.sample_servers();
-        let metrics = self.balancers[0].state.rebalancing(PoolId(0)).unwrap_or_default();
-        self.result.rates.push(metrics.migrations_per_second);
+        let metrics = self.balancers[0].state.rebalance_metrics(PoolId(0)).unwrap_or_default();
+        self.result.rates.push(metrics.allowed_migrations_per_second);
         self.result.hold_reasons.push(metrics.hold_reason);
         self.sample_groups();
     }
@@ -182,7 +182,7 @@
                 continue;
             }
             if self.balancers[balancer].incarnation == incarnation {
-                self.feed(balancer, Input::LoadReported { connection, load: millis });
+                self.feed(balancer, Input::LoadReported { connection, value: millis });
             }
         }
     }
@@ -194,7 +194,8 @@
         let Measurement { value, group_spread, .. } = self.measurement;
         self.result.served_value = value.served / value.requested.max(MIN_VALUE)
             - MIGRATION_COST * migrated as f64 / arrived_clients.max(1) as f64;
-        let metrics = self.balancers.iter().filter_map(|balancer| balancer.state.rebalancing(PoolId(0)));
+        let metrics =
+            self.balancers.iter().filter_map(|balancer| balancer.state.rebalance_metrics(PoolId(0)));
         self.result.migrations_for_balance = metrics.map(|metrics| metrics.migrated).sum();
         if group_spread.groups > 0.0 {
             self.result.servers_per_group = group_spread.servers / group_spread.groups;
--- a/simulation/src/day/mod.rs
+++ b/simulation/src/day/mod.rs
@@ -11,7 +11,7 @@
 mod measurement;
 mod result;
 
-use crate::deployment::VirtualTime;
+use crate::deployment::{VirtualDuration, VirtualTime};
 use connection_balancer::routing::{reduce, Answer, ConnectionId, Effect, Input, Lifecycle};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -31,9 +31,9 @@
 pub use result::{DayResult, ServerSample};
 
 /// Duration of a step, by which the servers advance.
-const STEP_INTERVAL: VirtualTime = 100_000;
+const STEP_INTERVAL: VirtualDuration = 100_000;
 /// Duration of a message's way over the network, in one direction.
-const NETWORK_DELAY: VirtualTime = 600;
+const NETWORK_DELAY: VirtualDuration = 600;
 /// Capacity of the slow server in [`Scenario::SlowServer`], relative to the other servers.
 const SLOW_SERVER_CAPACITY_FACTOR: f64 = 0.7;
 /// Range of the servers' capacities, relative to the deployment's. The balancers do not know them.
--- a/simulation/src/deployment.rs
+++ b/simulation/src/deployment.rs
@@ -2,13 +2,14 @@
 
 use connection_balancer::rebalance::RebalanceConfig;
 
-/// Virtual time in microseconds: either a point in time, counted from the start of the day, or a duration.
-/// Points in time are named `now`, `at`, `..._at` or `..._since`; variables and fields with other names are
-/// durations.
+/// Point in virtual time, in microseconds from the start of the day.
 pub type VirtualTime = u64;
 
+/// Duration in virtual time, in microseconds.
+pub type VirtualDuration = u64;
+
 /// Microseconds in a second.
-pub const SECOND: VirtualTime = 1_000_000;
+pub const SECOND: VirtualDuration = 1_000_000;
 
 /// Sizes and behaviour of servers, balancers, clients, session store and discovery.
 #[derive(Clone, Debug)]
@@ -29,7 +30,7 @@
     /// clients.
     pub store_rate_factor: f64,
     /// Longest duration until a change of the endpoint list reaches a balancer. The shortest is half of it.
-    pub list_delay: VirtualTime,
+    pub list_delay: VirtualDuration,
     /// Probability that a client reconnects after a migration.
     pub return_probability: f64,
     /// Whether servers report their message times.
--- a/simulation/src/idle_balancer.rs
+++ b/simulation/src/idle_balancer.rs
@@ -49,7 +49,7 @@
         let server = if n % SERVERS == SERVERS - 1 && n.is_multiple_of(3) { 0 } else { n % SERVERS };
         let request = ConnectionRequest {
             class: CLASSES[0].name.to_owned(),
-            established_at: Some(server_name(server)),
+            established_server: Some(server_name(server)),
             key: Some(n as u64),
             ..ConnectionRequest::default()
         };
@@ -58,7 +58,7 @@
         self.feed(Input::ConnectionRequested { connection, request });
         self.feed(Input::RequestForwarded { connection, attempt: 0 });
         self.feed(Input::AttemptAccepted { connection, attempt: 0 });
-        self.feed(Input::LoadReported { connection, load });
+        self.feed(Input::LoadReported { connection, value: load });
     }
 
     fn feed(&mut self, input: Input) {
--- a/simulation/src/invariants.rs
+++ b/simulation/src/invariants.rs
@@ -4,18 +4,18 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-use crate::deployment::VirtualTime;
+use crate::deployment::{VirtualDuration, VirtualTime};
 use connection_balancer::routing::ConnectionId;
 
 /// Duration after the notification that a server is draining within which attempts may still be sent to it.
-const DRAIN_GRACE_DURATION: VirtualTime = 250_000;
+const DRAIN_GRACE_DURATION: VirtualDuration = 250_000;
 /// Highest allowed number of attempts of a request.
 const MAX_ATTEMPTS: u32 = 6;
 /// The load of new connections at a server in slow start is limited to a multiple of the rate at which its
 /// capacity grows, over a window. This is the multiple.
 const OVERLOAD_FACTOR: f64 = 4.0;
 /// Duration of that window.
-const OVERLOAD_WINDOW: VirtualTime = 3_000_000;
+const OVERLOAD_WINDOW: VirtualDuration = 3_000_000;
 /// Load in mean connections that random variation may add to that limit.
 const OVERLOAD_TOLERANCE: f64 = 3.0;
 /// Duration of slow start.
--- a/simulation/src/pool.rs
+++ b/simulation/src/pool.rs
@@ -1,10 +1,12 @@
 //! Pool settings and endpoints of the simulated balancers.
 
-use connection_balancer::routing::{Budget, Endpoint, Lifecycle, PoolConfig, ReplicationConfig, State};
+use connection_balancer::routing::{
+    Endpoint, Lifecycle, PoolConfig, ReplicationConfig, ResourceLimits, State,
+};
 use connection_balancer::{Class, Idempotency, Micros, Settings, Time};
 
 use crate::clients::{ClassProfile, CLASSES};
-use crate::deployment::{Deployment, VirtualTime, SECOND};
+use crate::deployment::{Deployment, VirtualDuration, VirtualTime, SECOND};
 
 /// Time on the reducers' clock at which the day starts.
 const DAY_START_ON_REDUCER_CLOCK: VirtualTime = 1_000 * SECOND;
@@ -13,7 +15,11 @@
 /// Mean load of a connection, in microseconds of work per second.
 pub const MEAN_LOAD_MICROS_PER_S: f64 = 60_000.0;
 /// Resource limits of a reducer, high enough not to take effect: the simulation does not test them.
-const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
+const RESOURCE_LIMITS: ResourceLimits = ResourceLimits {
+    max_pending_connections: 100_000,
+    max_admitted_connections: 100_000,
+    buffer_bytes: 8192,
+};
 /// Zone of all servers and balancers.
 const ZONE: &str = "a";
 
@@ -30,7 +36,7 @@
 /// Creates a reducer without endpoints.
 pub fn new_reducer(deployment: &Deployment, seed: u64, now: VirtualTime) -> State {
     let pools = vec![pool_config(deployment, seed)];
-    State::new(pools, ReplicationConfig::default(), BUDGET, to_reducer_clock(now))
+    State::new(pools, ReplicationConfig::default(), RESOURCE_LIMITS, to_reducer_clock(now))
 }
 
 fn pool_config(deployment: &Deployment, seed: u64) -> PoolConfig {
@@ -50,7 +56,7 @@
         reports_message_time: deployment.reports_message_time,
         reports_load: true,
         load_report_fields: Vec::new(),
-        longest_wait: Micros::from_millis(3_200),
+        max_client_wait: Micros::from_millis(3_200),
         rebalance: deployment.rebalance,
         gossip_price: None,
     }
@@ -61,7 +67,7 @@
         priority_weight: profile.priority_weight,
         setup_objective: Micros(profile.setup_objective),
         message_objective: if deployment.reports_message_time {
-            Micros(profile.message_objective_micros as VirtualTime)
+            Micros(profile.message_objective_micros as VirtualDuration)
         } else {
             Micros::ZERO
         },
@@ -71,8 +77,8 @@
         balancers: deployment.balancers as u32,
         classes: CLASSES.iter().map(class).collect(),
         max_attempts: 6,
-        cancel: true,
-        retry_after: true,
+        cancellation_allowed: true,
+        retry_after_supported: true,
         max_retry_after: Micros::from_millis(1_500),
         connect_timeout: Micros::from_millis(250),
         poll_required: true,
@@ -99,7 +105,7 @@
         cell: 0,
         lifecycle,
         weight: 1.0,
-        started: started_at.map(to_reducer_clock),
+        started_at: started_at.map(to_reducer_clock),
     }
 }
 
--- a/simulation/src/session_store.rs
+++ b/simulation/src/session_store.rs
@@ -1,7 +1,7 @@
 //! The session store: one FIFO queue that is processed at a bounded rate. Each new connection adds one
 //! setup. The store also processes setups whose clients no longer wait.
 
-use crate::deployment::VirtualTime;
+use crate::deployment::{VirtualDuration, VirtualTime};
 
 /// Factor by which the processing of a setup takes longer while the store is slow.
 const SLOW_FACTOR: f64 = 5.0;
@@ -43,7 +43,7 @@
             StoreCondition::SlowMidway => SLOW_PERIOD.contains(&now),
         };
         let service_micros = 1e6 / self.rate_per_s * if is_slow { SLOW_FACTOR } else { 1.0 };
-        self.idle_at = self.idle_at.max(now) + service_micros as VirtualTime;
+        self.idle_at = self.idle_at.max(now) + service_micros as VirtualDuration;
         self.idle_at
     }
 }
--- a/src/bin/simulator-adapter/configuration.rs
+++ b/src/bin/simulator-adapter/configuration.rs
@@ -117,12 +117,12 @@
     let reports_utilisation =
         reported_fields.iter().any(|field| utilisation_fields.contains(&field.as_str()));
     let report_mode = reader.text(&nested_key(&[key::REPORTING, reporting_key::MODE]));
-    let probe_reports = reports_utilisation && report_mode != Some(REPORTING_OFF);
+    let probes_report_load = reports_utilisation && report_mode != Some(REPORTING_OFF);
     let settings = Settings {
         zone: ZoneId(zone as u16),
         classes: class_settings,
         tenants: tenant_settings,
-        probe_reports,
+        probes_report_load,
         ..parse_settings(&reader)?
     };
     Ok(InstanceConfig { settings, zones, classes, tenants, utilisation_fields })
@@ -188,8 +188,8 @@
             Some(text) => parse_decimal(text).ok_or_else(|| reader.malformed(&quotas_key))?,
             None => 0.0,
         };
-        let quota_per_s = reader.decimal(&tenant_field(tenant_key::QUOTA_PER_SECOND), 0.0)?;
-        let value = Tenant { quota_per_s, quota_connections };
+        let quota_per_second = reader.decimal(&tenant_field(tenant_key::QUOTA_PER_SECOND), 0.0)?;
+        let value = Tenant { quota_per_second, quota_connections };
         let name = reader.text(&tenant_field(tenant_key::NAME)).unwrap_or("").to_owned();
         tenants.push(Named { name, value });
     }
@@ -207,15 +207,15 @@
         balancers: reader.decimal(key::BALANCERS, 1.0)?.max(1.0) as u32,
         over_quota_weight: reader.decimal(key::OVER_QUOTA_WEIGHT, default.over_quota_weight)?,
         max_attempts: reader.decimal(&limit(limit_key::MAX_ATTEMPTS), default.max_attempts as f64)? as u32,
-        cancel: reader.flag(&limit(limit_key::CANCEL))?,
-        retry_after: reader.flag(&limit(limit_key::RETRY_AFTER))?,
+        cancellation_allowed: reader.flag(&limit(limit_key::CANCEL))?,
+        retry_after_supported: reader.flag(&limit(limit_key::RETRY_AFTER))?,
         max_retry_after: reader.duration(&limit(limit_key::MAX_RETRY_AFTER_MS), default.max_retry_after)?,
         connect_timeout: reader.duration(&limit(limit_key::CONNECT_TIMEOUT_MS), default.connect_timeout)?,
         poll_required: discovery_mode == Some(DISCOVERY_POLLED),
         poll_interval: reader.duration(&rule(rule_key::POLL_INTERVAL_MS), default.poll_interval)?,
         endpoints_pushed: discovery_mode == Some(DISCOVERY_PUSHED),
         drain_grace: reader.duration(&rule(rule_key::DRAIN_GRACE_MS), default.drain_grace)?,
-        probes: reader.flag(&limit(limit_key::PROBES))?,
+        probes_allowed: reader.flag(&limit(limit_key::PROBES))?,
         probe_cost: reader.decimal(&charge(charge_key::PROBE), 0.0)?,
         cross_zone_cost: reader.decimal(&charge(charge_key::CROSS_ZONE), 0.0)?,
         migration_cost: reader.decimal(&charge(charge_key::MIGRATION), 0.0)?,
--- a/src/bin/simulator-adapter/instance.rs
+++ b/src/bin/simulator-adapter/instance.rs
@@ -93,11 +93,11 @@
             }
             EndpointSync::Snapshot { set } => {
                 let endpoints = self.resolve_zones(&sets[set]);
-                self.balancer.handle(now, Event::EndpointsReplaced(&endpoints), actions);
+                self.balancer.handle(now, Event::EndpointListReplaced(&endpoints), actions);
             }
             EndpointSync::Changes { set } => {
                 let endpoints = self.resolve_zones(&sets[set]);
-                self.balancer.handle(now, Event::EndpointsChanged(&endpoints), actions);
+                self.balancer.handle(now, Event::EndpointListChanged(&endpoints), actions);
             }
         }
     }
--- a/src/bin/simulator-adapter/message.rs
+++ b/src/bin/simulator-adapter/message.rs
@@ -166,7 +166,7 @@
             zone: ZoneId(0),
             cell: CellId(line.optional(field::CELL, parse_number)?.unwrap_or(0)),
             state: line.required(field::ENDPOINT_STATE, parse_state)?,
-            started: line.optional(field::STARTED, parse_time)?.filter(|&at| at > Time(0)),
+            started_at: line.optional(field::STARTED, parse_time)?.filter(|&at| at > Time(0)),
             weight: line.optional(field::WEIGHT, parse_decimal)?.unwrap_or(0.0),
         },
     })
--- a/src/bookkeeping/server_connections.rs
+++ b/src/bookkeeping/server_connections.rs
@@ -98,7 +98,7 @@
 
     /// Adjusts the occupied slots after a load measurement. `additional_slots` is negative if the connection
     /// now occupies fewer slots.
-    pub fn resize(&mut self, additional_slots: f64) {
+    pub fn adjust_occupied_slots(&mut self, additional_slots: f64) {
         self.occupied_slots += additional_slots;
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -49,10 +49,10 @@
 //!     zone: ZoneId(0),
 //!     cell: CellId(0),
 //!     state: EndpointState::Serving,
-//!     started: None,
+//!     started_at: None,
 //!     weight: 1.0,
 //! };
-//! balancer.handle(now, Event::EndpointsReplaced(&[server(1), server(2)]), &mut actions);
+//! balancer.handle(now, Event::EndpointListReplaced(&[server(1), server(2)]), &mut actions);
 //! let (class, tenant, group, load) = (ClassId(0), None, None, None);
 //! let (request, server) = (RequestId(0), ServerId(1));
 //! let established = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -11,7 +11,7 @@
     /// This server dropped an established connection.
     Dropped(ServerId),
     /// Connection setups are slow or fail at all servers.
-    SlowSetUps,
+    SlowSetups,
 }
 
 /// Subject of an observation.
@@ -28,7 +28,7 @@
     pub fn server(self) -> Option<ServerId> {
         match self {
             Observation::SlowServer(server, _) | Observation::Dropped(server) => Some(server),
-            Observation::SlowSetUps => None,
+            Observation::SlowSetups => None,
         }
     }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -83,8 +83,8 @@
         self.credit.earn(self.config.price, self.config.balancers);
     }
 
-    /// Decides whether an observation of this balancer is broadcast. If it is, records it. The credit is spent
-    /// even if the random draw (`credit`) then decides against the broadcast.
+    /// Decides whether an observation of this balancer is broadcast. If it is, records it. The credit is
+    /// spent even if the random draw (`credit`) then decides against the broadcast.
     pub fn should_broadcast(&mut self, now: Time, observation: Observation) -> bool {
         let has_receivers = self.config.enabled && self.config.balancers > 1;
         if !has_receivers || !self.is_relevant(observation) {
@@ -120,7 +120,7 @@
             Observation::SlowServer(_, message_time) => {
                 objective > Micros::ZERO && message_time.as_f64() >= SLOW_MESSAGE_RATIO * objective.as_f64()
             }
-            Observation::Dropped(_) | Observation::SlowSetUps => true,
+            Observation::Dropped(_) | Observation::SlowSetups => true,
         }
     }
 }
--- a/src/peers/recent_observations.rs
+++ b/src/peers/recent_observations.rs
@@ -35,6 +35,6 @@
 fn validity_of(observation: Observation, config: &GossipConfig) -> Micros {
     match observation {
         Observation::SlowServer(..) | Observation::Dropped(_) => config.observation_validity,
-        Observation::SlowSetUps => config.slow_setup_validity,
+        Observation::SlowSetups => config.slow_setup_validity,
     }
 }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -91,10 +91,10 @@
             None => {
                 self.by_id.insert(entry.server, new);
             }
-            Some(server) if entry.started > server.entry.started => *server = new,
+            Some(server) if entry.started_at > server.entry.started_at => *server = new,
             Some(server) => {
-                let is_same_start = entry.started == server.entry.started;
-                server.slow_start.on_listed_again(entry.started, is_same_start, now);
+                let is_same_start = entry.started_at == server.entry.started_at;
+                server.slow_start.on_listed_again(entry.started_at, is_same_start, now);
                 server.entry = *entry;
             }
         }
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -34,7 +34,7 @@
 
     /// Returns whether a listed server counts as `ejected` in metrics: it is ejected, or it is full and had a
     /// recent fault. Selection does not use this; it checks each rule separately.
-    pub fn is_avoided(&self, now: Time, server: ServerId) -> bool {
+    pub fn counts_as_ejected(&self, now: Time, server: ServerId) -> bool {
         let Some(server) = self.servers.get(server) else { return false };
         let is_full = server.connections.occupied_slots() >= server.limit.ceiling();
         let is_connecting = server.connections.has_attempt_in_flight();
@@ -73,7 +73,7 @@
 
     /// Records that rebalancing has migrated a connection away from a server, and lowers the ceiling. The
     /// slot that the connection frees may be the only free one, and would attract the same client again.
-    pub fn on_migrated_for_balance(&mut self, now: Time, server: ServerId) {
+    pub fn on_rebalancing_migration(&mut self, now: Time, server: ServerId) {
         self.lower_ceiling_to_occupancy(server);
         if let Some(server) = self.servers.get_mut(server) {
             server.last_migration.record(now);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -145,17 +145,17 @@
 
     fn apply_event(&mut self, event: Event<'_>) {
         match event {
-            Event::EndpointsReplaced(entries) => {
+            Event::EndpointListReplaced(entries) => {
                 self.servers.replace(entries, self.now);
                 self.on_endpoints_applied();
             }
-            Event::EndpointsChanged(entries) => {
+            Event::EndpointListChanged(entries) => {
                 self.servers.update(entries, self.now);
                 self.on_endpoints_applied();
             }
             Event::EndpointListConfirmed => self.endpoint_lease.on_confirmed(self.now),
-            Event::EndpointWatchSilent { since } => {
-                self.endpoint_lease.on_watch_silent(since, self.settings.endpoints_pushed);
+            Event::EndpointWatchSilent { called_at } => {
+                self.endpoint_lease.on_watch_silent(called_at, self.settings.endpoints_pushed);
             }
             Event::EndpointWatchFailed(failure) => self.on_endpoint_watch_failed(failure),
             Event::RequestArrived { request, class, group, load, deadline, .. } => {
@@ -182,8 +182,8 @@
                 self.on_attempt_ended(request, attempt, outcome, answered);
             }
             Event::ClientLeft { request } => self.requests.mark_answered(request),
-            Event::PeerObservation { server, took } => self.on_peer_observation(server, took),
-            Event::PeerSetupSlow => self.admission_rate.on_slow_setups(self.now, &self.settings),
+            Event::PeerObservation { server, message_time } => self.on_peer_observation(server, message_time),
+            Event::PeerObservedSlowSetups => self.admission_rate.on_slow_setups(self.now, &self.settings),
             Event::PeerGroupSample(groups) => {
                 groups.iter().for_each(|&group| self.group_statistics.record(group));
             }
--- a/src/policy/observations.rs
+++ b/src/policy/observations.rs
@@ -31,7 +31,7 @@
         }
         let Some(slots) = self.connection_sizes.record(request.class, load) else { return };
         if let Some(server) = self.servers.get_mut_for_attempt(&attempt) {
-            server.connections.resize(slots - request.slots);
+            server.connections.adjust_occupied_slots(slots - request.slots);
         }
         request.slots = slots;
     }
@@ -97,7 +97,7 @@
 
     /// Adds the credit that an established connection earns, and sends as many probes as the credit covers.
     pub(super) fn send_probes(&mut self) {
-        let are_allowed = self.settings.probes && self.settings.probe_reports;
+        let are_allowed = self.settings.probes_allowed && self.settings.probes_report_load;
         if !are_allowed || self.endpoint_lease.is_expired(self.now) {
             return;
         }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -19,7 +19,7 @@
 //! drops is not treated as healthy.
 //!
 //! The metric `ejected` counts these servers, and those that are full and had a recent fault: see
-//! [`Balancer::is_avoided`](crate::Balancer::is_avoided).
+//! [`Balancer::counts_as_ejected`](crate::Balancer::counts_as_ejected).
 
 use rand::Rng;
 
@@ -29,7 +29,7 @@
 /// Points that a failure adds to the failure score; a success subtracts one.
 const FAILURE_SCORE_STEP: u32 = 2;
 /// Highest failure score. A hot restart hands over no higher one.
-pub const MAX_FAILURES: u32 = 16;
+pub const MAX_FAILURE_SCORE: u32 = 16;
 
 /// Returns whether the outcome of an attempt counts as a failure of its server. A cancelled attempt counts if
 /// its connection was not established and its request had no answer yet.
@@ -106,7 +106,7 @@
             return;
         }
         self.last_failure = Some(now);
-        self.failure_score = (self.failure_score + FAILURE_SCORE_STEP).min(MAX_FAILURES);
+        self.failure_score = (self.failure_score + FAILURE_SCORE_STEP).min(MAX_FAILURE_SCORE);
         self.eject(now, times, rng);
     }
 
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -89,12 +89,8 @@
         // store would still process its setup, for no client, and the next attempt would join the same queue.
         // A server that is down is detected by the connection that cannot be opened.
         let acceptance_timeout = request.deadline.since(now).max(Micros(1));
-        self.actions.push(Action::StartAttempt {
-            request: id,
-            server: to,
-            acceptance_timeout,
-            forwarding_timeout,
-        });
+        let action = Action::StartAttempt { request: id, server: to, acceptance_timeout, forwarding_timeout };
+        self.actions.push(action);
         let times = EjectionTimes::from_settings(&self.settings);
         server.outlier.on_attempt_started(now, times, &mut self.rng);
     }
@@ -103,7 +99,8 @@
     /// once for each request. The answer is a rejection only if a retry is harmless.
     pub(super) fn send_final_answer(&mut self, id: RequestId, reason: RefusalReason) {
         let Some(request) = self.requests.get(id).filter(|request| !request.is_answered) else { return };
-        if let Some(Attempt { number: attempt, .. }) = request.attempt.filter(|_| self.settings.cancel) {
+        let cancelled = request.attempt.filter(|_| self.settings.cancellation_allowed);
+        if let Some(Attempt { number: attempt, .. }) = cancelled {
             self.actions.push(Action::CancelAttempt { request: id, attempt });
         }
         let retry_after = retry_policy::draw_retry_after(&self.settings, &mut self.rng);
@@ -209,7 +206,7 @@
             if let Some(unanswered) = self.requests.get(id).and_then(|request| request.attempt) {
                 self.record_server_failure(unanswered.endpoint.server, unanswered.sent_at);
             }
-            self.send_final_answer(id, RefusalReason::OutOfTime);
+            self.send_final_answer(id, RefusalReason::DeadlineExceeded);
         }
     }
 
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -48,7 +48,7 @@
 /// that clients honour, jittered to between a third and all of it. A common wait would make all rejected
 /// clients reconnect at the same time. Returns zero if the settings do not allow the advice.
 pub fn draw_retry_after(settings: &Settings, rng: &mut impl Rng) -> Micros {
-    let longest = if settings.retry_after { settings.max_retry_after } else { Micros::ZERO };
+    let longest = if settings.retry_after_supported { settings.max_retry_after } else { Micros::ZERO };
     jittered(rng, longest * 2 / 3)
 }
 
@@ -88,9 +88,9 @@
     /// Returns the reason why no further attempt may be made at any server; none if an attempt may be made.
     pub fn refusal(&self, now: Time, deadline: Time, max_attempts: u32) -> Option<RefusalReason> {
         if now >= deadline {
-            return Some(RefusalReason::OutOfTime);
+            return Some(RefusalReason::DeadlineExceeded);
         }
-        (self.attempts_started >= max_attempts).then_some(RefusalReason::AttemptsSpent)
+        (self.attempts_started >= max_attempts).then_some(RefusalReason::AttemptsExhausted)
     }
 
     /// Returns whether an attempt may be sent to a server.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -34,7 +34,7 @@
 impl Server {
     /// Creates the state of a new process without learned state.
     pub fn new(entry: EndpointEntry, incarnation: u64, now: Time) -> Server {
-        let slow_start = SlowStart::of_process(entry.started, now);
+        let slow_start = SlowStart::of_process(entry.started_at, now);
         Server { entry, incarnation, slow_start, ..Server::default() }
     }
 
@@ -56,7 +56,7 @@
             failure_score: self.outlier.failure_score(),
             last_failure: self.outlier.last_failure(),
             ejected_until: self.outlier.ejected_until(),
-            next_slow_start_send: self.slow_start.next_attempt_at(),
+            next_slow_start_attempt_at: self.slow_start.next_attempt_at(),
             last_migration: self.last_migration.at(),
         }
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -153,7 +153,7 @@
 
     /// Restores the wait that another process has set.
     pub fn restore_wait(&mut self, learned: &LearnedState) {
-        self.next_attempt_at = learned.next_slow_start_send;
+        self.next_attempt_at = learned.next_slow_start_attempt_at;
         self.freeze_wait();
     }
 
--- a/src/program/commands.rs
+++ b/src/program/commands.rs
@@ -71,11 +71,11 @@
 fn check(options: Check) -> Result<(), CommandError> {
     let config = sources(options.config, options.irc, options.rebalance).read()?;
     if let Some(platform) = config.platform {
-        let servers = platform.known.endpoints.len();
+        let servers = platform.cached_endpoints.endpoints.len();
         println!("platform: sound; {} on {}, {servers} hosts known", platform.name, platform.listen);
     }
     if let Some(irc) = config.irc {
-        println!("irc: sound; {} on {}, {} hosts", irc.setup.name, irc.listen, irc.endpoints.len());
+        println!("irc: sound; {} on {}, {} hosts", irc.protocol.name, irc.listen, irc.endpoints.len());
     }
     Ok(())
 }
@@ -103,7 +103,7 @@
         Command::Replay(options) => replay(options),
         Command::Exclude(Exclude { server, mgmt }) => make_admin_call(mgmt, &AdminCall::Exclude(server)),
         Command::Include(Include { server, mgmt }) => make_admin_call(mgmt, &AdminCall::Readmit(server)),
-        Command::Readyz(Readyz { mgmt }) => make_admin_call(mgmt, &AdminCall::Ready),
+        Command::Readyz(Readyz { mgmt }) => make_admin_call(mgmt, &AdminCall::Readiness),
         Command::Telemetry(Telemetry { mgmt }) => make_admin_call(mgmt, &AdminCall::Metrics),
         Command::Set(options) => write_replicated_entry(options),
         Command::Version(_) => {
--- a/src/program/config/irc.rs
+++ b/src/program/config/irc.rs
@@ -111,23 +111,23 @@
 
 /// Configuration of the IRC front.
 #[derive(Debug)]
-pub struct Irc {
+pub struct IrcFrontConfig {
     /// Address that the front listens on for clients.
     pub listen: SocketAddr,
     /// The front's own name, advertised address, class, tenant and capabilities.
-    pub setup: IrcConfig,
+    pub protocol: IrcConfig,
     /// Servers that the file lists. The replicated map may add others.
     pub endpoints: Vec<Endpoint>,
     /// Configuration of the front's pool.
     pub pool: PoolConfig,
 }
 
-impl Irc {
+impl IrcFrontConfig {
     /// Sets the advertised port to the port of the bound address if it is 0. A listener that is configured
     /// with port 0 is bound to a free port that the system chooses.
-    pub fn take_port(&mut self, bound: SocketAddr) {
-        if self.setup.address.port == 0 {
-            self.setup.address.port = bound.port();
+    pub fn advertise_bound_port(&mut self, bound: SocketAddr) {
+        if self.protocol.advertised_address.port == 0 {
+            self.protocol.advertised_address.port = bound.port();
         }
     }
 }
@@ -141,7 +141,7 @@
     client_timeout: Micros,
 }
 
-pub(super) fn decode_irc(root: &JsonNode<'_>) -> Result<Irc, DecodeError> {
+pub(super) fn decode_irc(root: &JsonNode<'_>) -> Result<IrcFrontConfig, DecodeError> {
     let listen = decode_address(&root.field(key::LISTEN))?;
     let advertised = decode_optional_address(&root.field(key::ADVERTISED_ADDRESS))?.unwrap_or(listen);
     let class = root.field(key::CLASS);
@@ -156,16 +156,16 @@
         zones: root.field(key::ZONES).text_list()?,
     };
     let settings = decode_settings(root, &shared)?;
-    let setup = IrcConfig {
+    let protocol = IrcConfig {
         name: root.field(key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
-        address: AdvertisedAddress { host: advertised.ip().to_string(), port: advertised.port() },
+        advertised_address: AdvertisedAddress { host: advertised.ip().to_string(), port: advertised.port() },
         class: shared.class.clone(),
         tenant: shared.tenant.clone(),
         capabilities: root.field(key::CAPABILITIES).text_list()?,
     };
     let endpoints =
         root.field(key::ENDPOINTS).elements()?.iter().map(decode_endpoint).collect::<Result<_, _>>()?;
-    Ok(Irc { listen, setup, endpoints, pool: decode_pool(root, shared, settings)? })
+    Ok(IrcFrontConfig { listen, protocol, endpoints, pool: decode_pool(root, shared, settings)? })
 }
 
 fn decode_settings(root: &JsonNode<'_>, shared: &SharedSettings) -> Result<Settings, DecodeError> {
@@ -173,33 +173,35 @@
     let class = root.field(key::CLASS);
     let limits = root.field(operator_key::LIMITS);
     Ok(Settings {
-        balancers: root.field(key::BALANCERS).positive_count(1)?,
+        balancers: root.field(key::BALANCERS).positive_count_or(1)?,
         zone: decode_zone(&root.field(key::ZONE), &shared.zones)?,
         classes: vec![Class {
-            priority_weight: class.field(class_key::PRIORITY_WEIGHT).number(1.0)?,
+            priority_weight: class.field(class_key::PRIORITY_WEIGHT).number_or(1.0)?,
             setup_objective: class
                 .field(class_key::SETUP_OBJECTIVE_MS)
-                .duration_ms(shared.client_timeout / SETUP_OBJECTIVE_DIVISOR)?,
+                .duration_ms_or(shared.client_timeout / SETUP_OBJECTIVE_DIVISOR)?,
             message_objective: Micros::ZERO,
             idempotency: Idempotency::Idempotent,
         }],
         tenants: shared.tenant.iter().map(|_| Tenant::default()).collect(),
         max_attempts: limits
             .field(limit_key::MAX_ATTEMPTS)
-            .positive_count(DEFAULT_MAX_ATTEMPTS)?
+            .positive_count_or(DEFAULT_MAX_ATTEMPTS)?
             .min(MAX_ATTEMPTS),
-        cancel: true,
-        retry_after: true,
-        max_retry_after: limits.field(limit_key::MAX_RETRY_AFTER_MS).duration_ms(DEFAULT_MAX_RETRY_AFTER)?,
+        cancellation_allowed: true,
+        retry_after_supported: true,
+        max_retry_after: limits
+            .field(limit_key::MAX_RETRY_AFTER_MS)
+            .duration_ms_or(DEFAULT_MAX_RETRY_AFTER)?,
         connect_timeout: limits
             .field(limit_key::CONNECT_TIMEOUT_MS)
             .positive_duration_ms(DEFAULT_CONNECT_TIMEOUT)?,
         slow_start_share: limits
             .field(limit_key::SLOW_START_SHARE)
-            .number_in_range(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
+            .number_in_range_or(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
         slow_start_duration: limits
             .field(limit_key::SLOW_START_DURATION_MS)
-            .duration_ms(default.slow_start_duration)?,
+            .duration_ms_or(default.slow_start_duration)?,
         ..default
     })
 }
@@ -222,13 +224,13 @@
         max_connections: root
             .field(operator_key::LIMITS)
             .field(limit_key::MAX_CONNECTIONS)
-            .number(DEFAULT_MAX_CONNECTIONS)? as usize,
-        drain_duration: root.field(key::DRAIN_DURATION_MS).duration_ms(DEFAULT_DRAIN_DURATION)?,
+            .number_or(DEFAULT_MAX_CONNECTIONS)? as usize,
+        drain_duration: root.field(key::DRAIN_DURATION_MS).duration_ms_or(DEFAULT_DRAIN_DURATION)?,
         server_silence_timeout: Micros::ZERO,
         reports_message_time: false,
         reports_load: true,
         load_report_fields: Vec::new(),
-        longest_wait: shared.client_timeout,
+        max_client_wait: shared.client_timeout,
         rebalance: RebalanceConfig::default(),
         gossip_price: None,
     })
@@ -242,7 +244,7 @@
         zone: node.field(endpoint_key::ZONE).optional_text()?.unwrap_or_default(),
         cell: 0,
         lifecycle: Lifecycle::Ready,
-        weight: node.field(endpoint_key::WEIGHT).number(1.0)?,
-        started: None,
+        weight: node.field(endpoint_key::WEIGHT).number_or(1.0)?,
+        started_at: None,
     })
 }
--- a/src/program/config/limits.rs
+++ b/src/program/config/limits.rs
@@ -1,7 +1,7 @@
 //! Limits on the resources of the process, and their division between connections.
 
 use crate::protocol::json::{DecodeError, JsonNode};
-use crate::routing::{Budget, MAX_PROBES};
+use crate::routing::{ResourceLimits, MAX_PROBES};
 
 /// Highest number of simultaneous admin clients. Their descriptors are reserved.
 pub const MAX_ADMIN_CLIENTS: usize = 10;
@@ -48,8 +48,8 @@
     pub(super) fn decode(node: &JsonNode<'_>) -> Result<Limits, DecodeError> {
         let default = Limits::default();
         let limits = Limits {
-            sockets: node.field(key::SOCKETS).number(default.sockets as f64)? as usize,
-            memory_mb: node.field(key::MEMORY_MB).number(default.memory_mb as f64)? as usize,
+            sockets: node.field(key::SOCKETS).number_or(default.sockets as f64)? as usize,
+            memory_mb: node.field(key::MEMORY_MB).number_or(default.memory_mb as f64)? as usize,
         };
         if limits.sockets < MIN_SOCKETS {
             let reason = format!("expected at least {MIN_SOCKETS} descriptors, got {}", limits.sockets);
@@ -79,7 +79,7 @@
     ///   eighths of the free ones.
     /// - Half of the memory is for buffers. Admitted connections may use three quarters of the buffers,
     ///   pending ones a quarter.
-    pub fn budget(self, has_admin_endpoint: bool, has_probes: bool) -> Budget {
+    pub fn resource_limits(self, has_admin_endpoint: bool, has_probes: bool) -> ResourceLimits {
         let admin_sockets = if has_admin_endpoint { ADMIN_SOCKETS } else { 0 };
         let probe_sockets = if has_probes { MAX_PROBES } else { 0 };
         let free_sockets = self.sockets - (RESERVED_SOCKETS + admin_sockets + probe_sockets);
@@ -92,6 +92,10 @@
             .min(max_buffers * 3 / 8);
         let pending = (free_sockets - 2 * admitted).min(max_buffers / 4);
         let buffer = buffer_memory / (pending + 2 * admitted);
-        Budget { pending, admitted, buffer: buffer.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES) }
+        ResourceLimits {
+            max_pending_connections: pending,
+            max_admitted_connections: admitted,
+            buffer_bytes: buffer.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
+        }
     }
 }
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -19,10 +19,10 @@
 
 pub use daemon::Config;
 pub use error::{ConfigError, ReplicatedEntryError};
-pub use irc::Irc;
+pub use irc::IrcFrontConfig;
 pub use limits::{Limits, MAX_ADMIN_CLIENTS};
 pub use operator::{parse_operator, Operator};
-pub use platform::{parse_platform, PeersAt, Platform};
+pub use platform::{parse_platform, PeerAddresses, PlatformConfig};
 pub use rebalance::parse_rebalance;
 pub use replicated_entry::check_replicated_entry;
 pub use sources::{read_config, read_file, Sources};
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::fields::decode_optional_address;
-use super::irc::{self, Irc};
+use super::irc::{self, IrcFrontConfig};
 use super::limits::Limits;
 use super::log::decode_log;
 use super::operator_key as key;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct Operator {
     /// Configuration of the IRC front.
-    pub irc: Irc,
+    pub irc: IrcFrontConfig,
     /// Configuration of the replicated map. `None` if the file has none.
     pub store: Option<StoreConfig>,
     /// Resources that the process may use.
--- a/src/program/config/platform.rs
+++ b/src/program/config/platform.rs
@@ -29,13 +29,13 @@
 
 /// Configuration of the platform's front.
 #[derive(Debug)]
-pub struct Platform {
+pub struct PlatformConfig {
     /// Name of the balancer.
     pub name: String,
     /// Address that the front listens on for clients.
     pub listen: SocketAddr,
     /// Cached endpoint list that the pool starts with.
-    pub known: EndpointListUpdate,
+    pub cached_endpoints: EndpointListUpdate,
     /// Configuration of the front's pool.
     pub pool: PoolConfig,
     /// Resources that the process may use, as configured by the platform.
@@ -44,25 +44,25 @@
     pub admin_address: Option<SocketAddr>,
     /// Addresses for gossip with the other balancers of the tier. `None` if they are incomplete or the
     /// settings disable gossip.
-    pub peers: Option<PeersAt>,
+    pub peers: Option<PeerAddresses>,
 }
 
 /// Addresses for gossip between the balancers of a tier.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeersAt {
+pub struct PeerAddresses {
     /// Address at which this balancer receives gossip.
     pub listen: SocketAddr,
     /// Address at which all balancers of the tier receive gossip.
-    pub all: SocketAddr,
+    pub shared: SocketAddr,
     /// Addresses from which gossip is accepted.
-    pub from: Vec<SocketAddr>,
+    pub allowed_senders: Vec<SocketAddr>,
 }
 
 /// Parses the text of the platform's configuration.
 ///
 /// # Errors
 /// [`DecodeError`] if the text is not JSON, or for the first invalid value.
-pub fn parse_platform(text: &[u8]) -> Result<Platform, DecodeError> {
+pub fn parse_platform(text: &[u8]) -> Result<PlatformConfig, DecodeError> {
     let document = json::parse_document(text)?;
     let root = JsonNode::root(&document);
     let listen = decode_address(&root.field(key::LISTEN))?;
@@ -73,10 +73,10 @@
     let peers = decode_peers(&root)?.filter(|_| pool.gossip_price.is_some());
     // Gossip is disabled if its addresses are not configured.
     pool.gossip_price = pool.gossip_price.filter(|_| peers.is_some());
-    Ok(Platform {
+    Ok(PlatformConfig {
         name: root.field(key::NAME).optional_text()?.unwrap_or_else(|| DEFAULT_NAME.to_owned()),
         listen,
-        known: http::decode_endpoint_list(&root.field(key::CACHED_ENDPOINT_LIST))?,
+        cached_endpoints: http::decode_endpoint_list(&root.field(key::CACHED_ENDPOINT_LIST))?,
         pool,
         limits: Limits::decode(&root.field(key::LIMITS))?,
         admin_address: decode_optional_address(&root.field(key::ADMIN_ADDRESS))?,
@@ -84,9 +84,10 @@
     })
 }
 
-fn decode_peers(root: &JsonNode<'_>) -> Result<Option<PeersAt>, DecodeError> {
+fn decode_peers(root: &JsonNode<'_>) -> Result<Option<PeerAddresses>, DecodeError> {
     let listen = decode_optional_address(&root.field(key::PEER_LISTEN))?;
-    let all = decode_optional_address(&root.field(key::PEERS_ALL))?;
-    let from = root.field(key::PEERS).elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
-    Ok(listen.zip(all).map(|(listen, all)| PeersAt { listen, all, from }))
+    let shared = decode_optional_address(&root.field(key::PEERS_ALL))?;
+    let allowed_senders =
+        root.field(key::PEERS).elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
+    Ok(listen.zip(shared).map(|(listen, shared)| PeerAddresses { listen, shared, allowed_senders }))
 }
--- a/src/program/config/pool.rs
+++ b/src/program/config/pool.rs
@@ -39,15 +39,15 @@
         max_connections: usize::MAX,
         drain_duration: Micros::ZERO,
         server_silence_timeout: SERVER_SILENCE_TIMEOUT,
-        reports_message_time: family.field(family_key::REPORTS_MESSAGE_TIME).flag(false)?,
-        reports_load: family.field(family_key::REPORTS_LOAD).flag(true)?,
+        reports_message_time: family.field(family_key::REPORTS_MESSAGE_TIME).flag_or(false)?,
+        reports_load: family.field(family_key::REPORTS_LOAD).flag_or(true)?,
         load_report_fields: decode_report_fields(settings)?,
-        longest_wait: Micros::ZERO,
+        max_client_wait: Micros::ZERO,
         rebalance: RebalanceConfig::default(),
         gossip_price: None,
     };
-    if settings.field(key::LIMITS).field(limit_key::PEERS).flag(false)? {
-        pool.gossip_price = Some(settings.field(key::CHARGES).field(charge_key::GOSSIP).number(0.0)?);
+    if settings.field(key::LIMITS).field(limit_key::PEERS).flag_or(false)? {
+        pool.gossip_price = Some(settings.field(key::CHARGES).field(charge_key::GOSSIP).number_or(0.0)?);
     }
     let classes = decode_classes(settings, &mut pool)?;
     let tenants = decode_tenants(settings, &mut pool)?;
@@ -62,14 +62,14 @@
         settings.field(key::FAMILY_INFO).field(family_key::MESSAGE_OBJECTIVES).elements()?;
     for (index, class) in settings.field(key::CLASSES).elements()?.iter().enumerate() {
         push_unique_name(&mut pool.classes, &class.field(class_key::NAME))?;
-        pool.longest_wait =
-            pool.longest_wait.max(class.field(class_key::DEADLINE_MS).positive_duration_ms(Micros::ZERO)?);
+        pool.max_client_wait =
+            pool.max_client_wait.max(class.field(class_key::DEADLINE_MS).positive_duration_ms(Micros::ZERO)?);
         classes.push(Class {
-            priority_weight: class.field(class_key::PRIORITY_WEIGHT).number(1.0)?,
-            setup_objective: class.field(class_key::SETUP_OBJECTIVE_MS).duration_ms(Micros::ZERO)?,
+            priority_weight: class.field(class_key::PRIORITY_WEIGHT).number_or(1.0)?,
+            setup_objective: class.field(class_key::SETUP_OBJECTIVE_MS).duration_ms_or(Micros::ZERO)?,
             message_objective: message_objectives
                 .get(index)
-                .map_or(Ok(Micros::ZERO), |objective| objective.duration_ms(Micros::ZERO))?,
+                .map_or(Ok(Micros::ZERO), |objective| objective.duration_ms_or(Micros::ZERO))?,
             idempotency: decode_idempotency(class)?,
         });
     }
@@ -84,8 +84,8 @@
     for (index, tenant) in settings.field(key::TENANTS).elements()?.iter().enumerate() {
         push_unique_name(&mut pool.tenants, &tenant.field(tenant_key::NAME))?;
         tenants.push(Tenant {
-            quota_per_s: tenant.field(tenant_key::QUOTA_PER_SECOND).number(0.0)?,
-            quota_connections: connection_quotas.get(index).map_or(Ok(0.0), |quota| quota.number(0.0))?,
+            quota_per_second: tenant.field(tenant_key::QUOTA_PER_SECOND).number_or(0.0)?,
+            quota_connections: connection_quotas.get(index).map_or(Ok(0.0), |quota| quota.number_or(0.0))?,
         });
     }
     Ok(tenants)
@@ -102,17 +102,19 @@
     let charges = settings.field(key::CHARGES);
     let rules = settings.field(key::RULES);
     Ok(Settings {
-        balancers: settings.field(key::BALANCERS).positive_count(1)?,
+        balancers: settings.field(key::BALANCERS).positive_count_or(1)?,
         zone: decode_zone(&settings.field(key::ZONE), &pool.zones)?,
         classes,
         tenants,
         over_quota_weight: settings
             .field(key::OVER_QUOTA_WEIGHT)
-            .number_in_range(0.0..=1.0, default.over_quota_weight)?,
-        max_attempts: limits.field(limit_key::MAX_ATTEMPTS).positive_count(default.max_attempts)?,
-        cancel: limits.field(limit_key::CANCEL).flag(false)?,
-        retry_after: limits.field(limit_key::RETRY_AFTER).flag(false)?,
-        max_retry_after: limits.field(limit_key::MAX_RETRY_AFTER_MS).duration_ms(default.max_retry_after)?,
+            .number_in_range_or(0.0..=1.0, default.over_quota_weight)?,
+        max_attempts: limits.field(limit_key::MAX_ATTEMPTS).positive_count_or(default.max_attempts)?,
+        cancellation_allowed: limits.field(limit_key::CANCEL).flag_or(false)?,
+        retry_after_supported: limits.field(limit_key::RETRY_AFTER).flag_or(false)?,
+        max_retry_after: limits
+            .field(limit_key::MAX_RETRY_AFTER_MS)
+            .duration_ms_or(default.max_retry_after)?,
         connect_timeout: limits
             .field(limit_key::CONNECT_TIMEOUT_MS)
             .positive_duration_ms(default.connect_timeout)?,
@@ -122,20 +124,20 @@
         poll_interval: rules.field(rule_key::POLL_INTERVAL_MS).positive_duration_ms(default.poll_interval)?,
         endpoints_pushed: decode_endpoints_pushed(&settings.field(key::DISCOVERY_MODE))?,
         drain_grace: rules.field(rule_key::DRAIN_GRACE_MS).positive_duration_ms(default.drain_grace)?,
-        probes: limits.field(limit_key::PROBES).flag(false)?,
-        probe_reports: !pool.load_report_fields.is_empty(),
-        probe_cost: charges.field(charge_key::PROBE).number(0.0)?,
-        cross_zone_cost: charges.field(charge_key::CROSS_ZONE).number(0.0)?,
-        migration_cost: charges.field(charge_key::MIGRATION).number(0.0)?,
+        probes_allowed: limits.field(limit_key::PROBES).flag_or(false)?,
+        probes_report_load: !pool.load_report_fields.is_empty(),
+        probe_cost: charges.field(charge_key::PROBE).number_or(0.0)?,
+        cross_zone_cost: charges.field(charge_key::CROSS_ZONE).number_or(0.0)?,
+        migration_cost: charges.field(charge_key::MIGRATION).number_or(0.0)?,
         slow_start_share: rules
             .field(rule_key::SLOW_START_SHARE)
-            .number_in_range(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
+            .number_in_range_or(MIN_SLOW_START_SHARE..=1.0, default.slow_start_share)?,
         slow_start_duration: rules
             .field(rule_key::SLOW_START_DURATION_MS)
-            .duration_ms(default.slow_start_duration)?,
+            .duration_ms_or(default.slow_start_duration)?,
         slow_start_overload_factor: rules
             .field(rule_key::SLOW_START_OVERLOAD_FACTOR)
-            .number_in_range(1.0..=MAX_OVERLOAD_FACTOR, default.slow_start_overload_factor)?,
+            .number_in_range_or(1.0..=MAX_OVERLOAD_FACTOR, default.slow_start_overload_factor)?,
         slow_start_window: rules
             .field(rule_key::SLOW_START_WINDOW_MS)
             .positive_duration_ms(default.slow_start_window)?,
--- a/src/program/config/rebalance.rs
+++ b/src/program/config/rebalance.rs
@@ -41,10 +41,10 @@
     let min_gain_over_cost = node.field(key::MIN_GAIN_OVER_COST);
     let assumed_utilisation = node.field(key::ASSUMED_UTILISATION);
     let config = RebalanceConfig {
-        enabled: node.field(key::ENABLED).flag(default.enabled)?,
-        max_migrations_per_second: max_migrations_per_second.number(default.max_migrations_per_second)?,
-        min_gain_over_cost: min_gain_over_cost.number(default.min_gain_over_cost)?,
-        assumed_utilisation: assumed_utilisation.number(default.assumed_utilisation)?,
+        enabled: node.field(key::ENABLED).flag_or(default.enabled)?,
+        max_migrations_per_second: max_migrations_per_second.number_or(default.max_migrations_per_second)?,
+        min_gain_over_cost: min_gain_over_cost.number_or(default.min_gain_over_cost)?,
+        assumed_utilisation: assumed_utilisation.number_or(default.assumed_utilisation)?,
     };
     if config.max_migrations_per_second <= 0.0 {
         let reason = format!(
--- a/src/program/config/replicated_entry.rs
+++ b/src/program/config/replicated_entry.rs
@@ -1,7 +1,7 @@
 //! Validates entries that an operator writes to the replicated map.
 
 use super::error::ReplicatedEntryError;
-use crate::routing::stored_endpoint;
+use crate::routing::parse_replicated_endpoint;
 
 // Prefixes of the keys, up to the slash.
 const ENDPOINT: &str = "host";
@@ -17,7 +17,7 @@
 pub fn check_replicated_entry(key: &str, value: Option<&str>) -> Result<(), ReplicatedEntryError> {
     let (is_valid, expected) = match key.split_once('/') {
         Some((ENDPOINT, name)) => {
-            let valid_value = value.is_none_or(|text| stored_endpoint(name, text).is_some());
+            let valid_value = value.is_none_or(|text| parse_replicated_endpoint(name, text).is_some());
             (
                 valid_value && !name.is_empty(),
                 "host/NAME with a nonempty NAME, and value ADDRESS [ZONE [WEIGHT]] or none",
--- a/src/program/config/sources.rs
+++ b/src/program/config/sources.rs
@@ -87,13 +87,13 @@
     let platform_limits = platform.as_ref().map(|platform| platform.limits);
     let limits = [platform_limits, operator_limits].into_iter().flatten().reduce(Limits::min);
     let platform_admin_address = platform.as_ref().and_then(|platform| platform.admin_address);
-    let mgmt = platform_admin_address.or(operator_admin_address).or(default_admin_address);
-    let has_probes = platform
-        .as_ref()
-        .is_some_and(|platform| platform.pool.settings.probes && platform.pool.settings.probe_reports);
-    let budget = limits.unwrap_or_default().budget(mgmt.is_some(), has_probes);
+    let admin_address = platform_admin_address.or(operator_admin_address).or(default_admin_address);
+    let has_probes = platform.as_ref().is_some_and(|platform| {
+        platform.pool.settings.probes_allowed && platform.pool.settings.probes_report_load
+    });
+    let resource_limits = limits.unwrap_or_default().resource_limits(admin_address.is_some(), has_probes);
     if platform.is_none() && irc.is_none() {
         return Err(ConfigError::NoFront);
     }
-    Ok(Config { platform, irc, mgmt, store, budget, log })
+    Ok(Config { platform, irc, admin_address, store, resource_limits, log })
 }
--- a/src/program/config/store.rs
+++ b/src/program/config/store.rs
@@ -26,7 +26,7 @@
     /// Addresses of the other replicas.
     pub peers: Vec<SocketAddr>,
     /// Directory in which entries are persisted. Without it entries are kept in memory only.
-    pub data: Option<PathBuf>,
+    pub directory: Option<PathBuf>,
 }
 
 /// Decodes the configuration of the replicated map, or returns `None` if the file has none.
@@ -42,7 +42,7 @@
         return Err(node.field(key::NODE).error(&reason));
     }
     let peers = node.field(key::PEERS).elements()?.iter().map(decode_address).collect::<Result<_, _>>()?;
-    let data = node.field(key::DIRECTORY).optional_text()?.map(PathBuf::from);
+    let directory = node.field(key::DIRECTORY).optional_text()?.map(PathBuf::from);
     let listen = decode_address(&node.field(key::LISTEN))?;
-    Ok(Some(StoreConfig { node: node_name, listen, peers, data }))
+    Ok(Some(StoreConfig { node: node_name, listen, peers, directory }))
 }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -79,7 +79,7 @@
     let name_bytes = || take_while(1..=MAX_SERVER_NAME_LENGTH, |b: u8| b.is_ascii_graphic());
     let server_name = || name_bytes().verify_map(|name: &[u8]| String::from_utf8(name.to_vec()).ok());
     let mut call = alt((
-        READYZ.as_bytes().value(AdminCall::Ready),
+        READYZ.as_bytes().value(AdminCall::Readiness),
         TELEMETRY.as_bytes().value(AdminCall::Metrics),
         preceded((EXCLUDE.as_bytes(), space1), server_name()).map(AdminCall::Exclude),
         preceded((INCLUDE.as_bytes(), space1), server_name()).map(AdminCall::Readmit),
@@ -90,7 +90,7 @@
 /// Encodes a call, without a line ending.
 pub fn encode_call(call: &AdminCall) -> String {
     match call {
-        AdminCall::Ready => READYZ.to_owned(),
+        AdminCall::Readiness => READYZ.to_owned(),
         AdminCall::Metrics => TELEMETRY.to_owned(),
         AdminCall::Exclude(server) => format!("{EXCLUDE} {server}"),
         AdminCall::Readmit(server) => format!("{INCLUDE} {server}"),
@@ -165,10 +165,10 @@
 
 fn push_rebalance(lines: &mut MetricLines, front: &str, rebalance: &RebalanceMetrics) {
     let prefix = format!("{}.{}", metric::REBALANCE, metric_name_part(front));
-    let rate_milli = (rebalance.migrations_per_second * MILLI_PER_UNIT) as u64;
+    let rate_milli = (rebalance.allowed_migrations_per_second * MILLI_PER_UNIT) as u64;
     let hold_code = rebalance.hold_reason.map_or(0, |reason| reason.code());
     lines.counter(&format!("{prefix}.{}", metric::MIGRATED), rebalance.migrated);
-    lines.counter(&format!("{prefix}.{}", metric::RETURNED), rebalance.returned);
+    lines.counter(&format!("{prefix}.{}", metric::RETURNED), rebalance.reconnected);
     lines.counter(&format!("{prefix}.{}", metric::REJECTED), rebalance.rejected);
     lines.gauge(&format!("{prefix}.{}", metric::RATE_MILLI), rate_milli);
     lines.gauge(&format!("{prefix}.{}", metric::HOLD_REASON), hold_code);
--- a/src/protocol/flows.rs
+++ b/src/protocol/flows.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use super::pcap::{Close, Segment};
+use super::pcap::{CloseKind, Segment};
 use crate::Time;
 
 /// Maximum number of bytes of a flow that are kept while an earlier byte is missing. Beyond it, the missing
@@ -21,7 +21,7 @@
     /// Address of the receiver.
     pub to: SocketAddr,
     /// Capture time of the flow's first segment.
-    pub start: Time,
+    pub started_at: Time,
     /// The flow's start was not captured, since the connection was open before the capture began.
     pub began_before_capture: bool,
     /// Bytes of the flow in order.
@@ -33,14 +33,14 @@
     pub end: Option<FlowEnd>,
     /// Number of bytes after which bytes are missing, if any are. The bytes after the gap are left out, since
     /// they may not be whole lines.
-    pub gap: Option<usize>,
+    pub gap_after_bytes: Option<usize>,
 }
 
 /// Bytes of a flow that became readable at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowChunk {
     /// Time at which these bytes and all bytes before them had arrived.
-    pub at: Time,
+    pub readable_at: Time,
     /// The bytes, without those of earlier chunks.
     pub bytes: Vec<u8>,
 }
@@ -58,15 +58,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlowEnd {
     /// Time at which the flow ended.
-    pub at: Time,
+    pub ended_at: Time,
     /// Whether the sender closed the connection in order or reset it.
-    pub close: Close,
+    pub close: CloseKind,
 }
 
 impl Flow {
     /// Returns the number of lines that the other side had sent by a time, including lines captured at that
     /// time.
-    pub fn answers_before(&self, at: Time) -> usize {
+    pub fn answer_lines_until(&self, at: Time) -> usize {
         self.answer_line_counts
             .iter()
             .take_while(|count| count.at <= at)
@@ -113,12 +113,12 @@
             flow: Flow {
                 from: segment.from,
                 to: segment.to,
-                start: segment.captured_at,
+                started_at: segment.captured_at,
                 began_before_capture: !segment.flags.syn,
                 chunks: Vec::new(),
                 answer_line_counts: Vec::new(),
                 end: None,
-                gap: None,
+                gap_after_bytes: None,
             },
             syn_seq: segment.flags.syn.then_some(segment.seq),
             next_seq: payload_seq(segment),
@@ -131,11 +131,11 @@
     }
 
     fn add_segment(&mut self, segment: &Segment) {
-        if self.flow.end.is_some() || self.flow.gap.is_some() {
+        if self.flow.end.is_some() || self.flow.gap_after_bytes.is_some() {
             return;
         }
         if segment.flags.rst {
-            self.flow.end = Some(FlowEnd { at: segment.captured_at, close: Close::Reset });
+            self.flow.end = Some(FlowEnd { ended_at: segment.captured_at, close: CloseKind::Reset });
             return;
         }
         // Sequence numbers wrap around. One that is less than half of their range ahead of `next_seq` counts
@@ -156,17 +156,18 @@
         }
         self.append_contiguous(segment.captured_at);
         if self.pending_bytes > MAX_PENDING_BYTES {
-            self.flow.gap = Some(self.next_offset);
+            self.flow.gap_after_bytes = Some(self.next_offset);
         }
     }
 
     /// Keeps bytes until all bytes before them have arrived. Of two segments with the same offset, the longer
     /// is kept.
-    fn add_pending(&mut self, offset: usize, at: Time, bytes: &[u8]) {
-        let chunk = self.pending.entry(offset).or_insert_with(|| FlowChunk { at, bytes: Vec::new() });
+    fn add_pending(&mut self, offset: usize, readable_at: Time, bytes: &[u8]) {
+        let chunk =
+            self.pending.entry(offset).or_insert_with(|| FlowChunk { readable_at, bytes: Vec::new() });
         if chunk.bytes.len() < bytes.len() {
             self.pending_bytes += bytes.len() - chunk.bytes.len();
-            *chunk = FlowChunk { at, bytes: bytes.to_vec() };
+            *chunk = FlowChunk { readable_at, bytes: bytes.to_vec() };
         }
     }
 
@@ -178,13 +179,13 @@
             self.pending_bytes -= bytes.len();
             let new_bytes = bytes.get(self.next_offset - start..).unwrap_or_default();
             if !new_bytes.is_empty() {
-                self.flow.chunks.push(FlowChunk { at: now, bytes: new_bytes.to_vec() });
+                self.flow.chunks.push(FlowChunk { readable_at: now, bytes: new_bytes.to_vec() });
                 self.next_offset += new_bytes.len();
                 self.next_seq = self.next_seq.wrapping_add(new_bytes.len() as u32);
             }
         }
         if let Some(fin) = self.fin.filter(|fin| fin.offset <= self.next_offset) {
-            self.flow.end = Some(FlowEnd { at: fin.at.max(now), close: Close::Orderly });
+            self.flow.end = Some(FlowEnd { ended_at: fin.at.max(now), close: CloseKind::Orderly });
         }
     }
 
@@ -212,8 +213,8 @@
     fn finish(mut self) -> Flow {
         let is_missing_bytes =
             !self.pending.is_empty() || self.fin.is_some_and(|fin| fin.offset > self.next_offset);
-        if self.flow.gap.is_none() && is_missing_bytes && self.flow.end.is_none() {
-            self.flow.gap = Some(self.next_offset);
+        if self.flow.gap_after_bytes.is_none() && is_missing_bytes && self.flow.end.is_none() {
+            self.flow.gap_after_bytes = Some(self.next_offset);
         }
         self.flow
     }
@@ -243,6 +244,6 @@
         open_flows.entry(key).or_insert_with(|| FlowAssembler::new(segment)).add_segment(segment);
     }
     finished_flows.extend(open_flows.into_values().map(FlowAssembler::finish));
-    finished_flows.sort_by_key(|flow| (flow.start, flow.from));
+    finished_flows.sort_by_key(|flow| (flow.started_at, flow.from));
     finished_flows
 }
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -29,7 +29,7 @@
             [SLOW_SERVER_V2, &server.0.to_be_bytes(), &duration_ms.to_be_bytes()].concat()
         }
         Observation::Dropped(server) => [DROPPED_V1, &server.0.to_be_bytes()].concat(),
-        Observation::SlowSetUps => SLOW_SETUPS_V1.to_vec(),
+        Observation::SlowSetups => SLOW_SETUPS_V1.to_vec(),
     };
     bytes.push(message.groups.iter().flatten().count() as u8);
     bytes.extend(message.groups.iter().flatten().flat_map(|group| group.0.to_be_bytes()));
@@ -56,7 +56,7 @@
     let dropped = be_u32.map(|server| Observation::Dropped(ServerId(server)));
     let (observation, groups) = alt((
         (preceded(SLOW_SERVER_V2, parse_slow_server), parse_groups),
-        (SLOW_SETUPS_V1.value(Observation::SlowSetUps), parse_groups),
+        (SLOW_SETUPS_V1.value(Observation::SlowSetups), parse_groups),
         (preceded(DROPPED_V1, dropped), parse_groups),
         (preceded(SLOW_SERVER_V1, parse_slow_server), no_groups),
     ))
--- a/src/protocol/hot_restart/decode.rs
+++ b/src/protocol/hot_restart/decode.rs
@@ -4,8 +4,8 @@
 use winnow::combinator::{dispatch, fail, preceded};
 use winnow::{ModalResult, Parser};
 
-use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC};
-use crate::policy::outlier_detection::MAX_FAILURES;
+use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, StatePart, MAGIC};
+use crate::policy::outlier_detection::MAX_FAILURE_SCORE;
 use crate::routing::store::{Entry, KeyedEntry, ReplicatedMap};
 use crate::routing::{ConnectionRequest, Endpoint, Lifecycle, TransferredConnection};
 use crate::{LearnedState, Time};
@@ -44,14 +44,14 @@
 }
 
 fn parse_learned_state(input: &mut &[u8]) -> ModalResult<LearnedState> {
-    let mut parse_failures = be_u32.verify(|failures| *failures <= MAX_FAILURES);
+    let mut parse_failures = be_u32.verify(|failures| *failures <= MAX_FAILURE_SCORE);
     Ok(LearnedState {
         ceiling: parse_number.verify(|ceiling| *ceiling >= 0.0).parse_next(input)?,
         last_fault: optional(parse_time).parse_next(input)?,
         failure_score: parse_failures.parse_next(input)?,
         last_failure: optional(parse_time).parse_next(input)?,
         ejected_until: parse_time(input)?,
-        next_slow_start_send: parse_time(input)?,
+        next_slow_start_attempt_at: parse_time(input)?,
         last_migration: optional(parse_time).parse_next(input)?,
     })
 }
@@ -73,7 +73,7 @@
         cell: be_u32(input)?,
         lifecycle: parse_lifecycle(input)?,
         weight: parse_number(input)?,
-        started: optional(parse_time).parse_next(input)?,
+        started_at: optional(parse_time).parse_next(input)?,
     })
 }
 
@@ -85,7 +85,7 @@
         group: optional(be_u64).parse_next(input)?,
         load: optional(parse_number).parse_next(input)?,
         timeout: None,
-        established_at: None,
+        established_server: None,
         // The message does not contain these two, since the previous version does not know them. A client
         // without a key is not recognised when it returns after a migration.
         key: None,
@@ -100,34 +100,38 @@
     Ok(TransferredConnection { request, server, reported_load: load, awaiting_server_since })
 }
 
-fn parse_entry(input: &mut &[u8]) -> ModalResult<Part> {
+fn parse_entry(input: &mut &[u8]) -> ModalResult<StatePart> {
     let fields = (parse_text, be_u64, parse_text, optional(parse_text));
     fields
         .map(|(key, counter, node, value)| KeyedEntry { key, entry: Entry { counter, node, value } })
         .verify(|KeyedEntry { key, entry }| ReplicatedMap::is_valid(key, entry))
-        .map(Part::Entry)
+        .map(StatePart::Entry)
         .parse_next(input)
 }
 
-fn parse_pool_endpoint(input: &mut &[u8]) -> ModalResult<Part> {
+fn parse_pool_endpoint(input: &mut &[u8]) -> ModalResult<StatePart> {
     let fields = (parse_text, parse_endpoint, optional(parse_learned_state));
-    fields.map(|(pool, endpoint, learned)| Part::Endpoint { pool, endpoint, learned }).parse_next(input)
+    fields
+        .map(|(pool, endpoint, learned_state)| StatePart::Endpoint { pool, endpoint, learned_state })
+        .parse_next(input)
 }
 
-fn parse_readmitted(input: &mut &[u8]) -> ModalResult<Part> {
+fn parse_readmitted(input: &mut &[u8]) -> ModalResult<StatePart> {
     let fields = (parse_text, parse_text, parse_time);
-    fields.map(|(pool, server, since)| Part::Readmitted { pool, server, since }).parse_next(input)
+    fields
+        .map(|(pool, server, readmitted_at)| StatePart::Readmitted { pool, server, readmitted_at })
+        .parse_next(input)
 }
 
-fn parse_part(input: &mut &[u8]) -> ModalResult<Part> {
+fn parse_part(input: &mut &[u8]) -> ModalResult<StatePart> {
     dispatch! {u8;
-        part_tag::EXCLUDED => parse_text.map(Part::Excluded),
-        part_tag::EVER_LISTED => parse_text.map(Part::EverListed),
+        part_tag::EXCLUDED => parse_text.map(StatePart::Excluded),
+        part_tag::EVER_LISTED => parse_text.map(StatePart::EverListed),
         part_tag::ENTRY => parse_entry,
         part_tag::ENDPOINT => parse_pool_endpoint,
         part_tag::READMITTED => parse_readmitted,
-        part_tag::ID => (parse_text, parse_text).map(|(pool, id)| Part::Id { pool, id }),
-        part_tag::OPEN_DESCRIPTORS => be_u64.map(Part::OpenDescriptors),
+        part_tag::ID => (parse_text, parse_text).map(|(pool, id)| StatePart::RequestId { pool, id }),
+        part_tag::OPEN_DESCRIPTORS => be_u64.map(StatePart::OpenDescriptors),
         _ => fail,
     }
     .parse_next(input)
@@ -148,7 +152,7 @@
     dispatch! {u8;
         message_tag::REQUEST_STATE => ().value(HandoverMessage::RequestState),
         message_tag::SOCKET => parse_text.map(HandoverMessage::Socket),
-        message_tag::PART => parse_part.map(HandoverMessage::Part),
+        message_tag::PART => parse_part.map(HandoverMessage::StatePart),
         message_tag::DONE => ().value(HandoverMessage::Done),
         message_tag::SERVING => ().value(HandoverMessage::Serving),
         message_tag::ESTABLISHED_CONNECTION => parse_connection,
--- a/src/protocol/hot_restart/encode.rs
+++ b/src/protocol/hot_restart/encode.rs
@@ -1,6 +1,6 @@
 //! Encoding of messages.
 
-use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, Part, MAGIC, MAX_MESSAGE_LENGTH};
+use super::{flag, lifecycle, message_tag, part_tag, HandoverMessage, StatePart, MAGIC, MAX_MESSAGE_LENGTH};
 use crate::routing::store::KeyedEntry;
 use crate::routing::{Endpoint, Lifecycle, TransferredConnection};
 use crate::{LearnedState, Time};
@@ -87,7 +87,7 @@
             .u32(learned.failure_score)
             .optional_time(&learned.last_failure)
             .time(learned.ejected_until)
-            .time(learned.next_slow_start_send)
+            .time(learned.next_slow_start_attempt_at)
             .optional_time(&learned.last_migration)
     }
 
@@ -105,7 +105,7 @@
             .u32(endpoint.cell)
             .lifecycle(endpoint.lifecycle)
             .f64(endpoint.weight)
-            .optional_time(&endpoint.started)
+            .optional_time(&endpoint.started_at)
     }
 
     fn established_connection(&mut self, established: &TransferredConnection) -> &mut Encoder {
@@ -120,26 +120,26 @@
             .optional_time(&established.awaiting_server_since)
     }
 
-    fn part(&mut self, part: &Part) -> &mut Encoder {
+    fn part(&mut self, part: &StatePart) -> &mut Encoder {
         match part {
-            Part::Excluded(server) => self.byte(part_tag::EXCLUDED).text(server),
-            Part::EverListed(server) => self.byte(part_tag::EVER_LISTED).text(server),
-            Part::Entry(KeyedEntry { key, entry }) => self
+            StatePart::Excluded(server) => self.byte(part_tag::EXCLUDED).text(server),
+            StatePart::EverListed(server) => self.byte(part_tag::EVER_LISTED).text(server),
+            StatePart::Entry(KeyedEntry { key, entry }) => self
                 .byte(part_tag::ENTRY)
                 .text(key)
                 .u64(entry.counter)
                 .text(&entry.node)
                 .optional_text(&entry.value),
-            Part::Endpoint { pool, endpoint, learned } => self
+            StatePart::Endpoint { pool, endpoint, learned_state } => self
                 .byte(part_tag::ENDPOINT)
                 .text(pool)
                 .endpoint(endpoint)
-                .optional(learned, |encoder, learned| encoder.learned_state(learned)),
-            Part::Readmitted { pool, server, since } => {
-                self.byte(part_tag::READMITTED).text(pool).text(server).time(*since)
+                .optional(learned_state, |encoder, learned_state| encoder.learned_state(learned_state)),
+            StatePart::Readmitted { pool, server, readmitted_at } => {
+                self.byte(part_tag::READMITTED).text(pool).text(server).time(*readmitted_at)
             }
-            Part::Id { pool, id } => self.byte(part_tag::ID).text(pool).text(id),
-            Part::OpenDescriptors(count) => self.byte(part_tag::OPEN_DESCRIPTORS).u64(*count),
+            StatePart::RequestId { pool, id } => self.byte(part_tag::ID).text(pool).text(id),
+            StatePart::OpenDescriptors(count) => self.byte(part_tag::OPEN_DESCRIPTORS).u64(*count),
         }
     }
 
@@ -147,7 +147,7 @@
         match message {
             HandoverMessage::RequestState => self.byte(message_tag::REQUEST_STATE),
             HandoverMessage::Socket(name) => self.byte(message_tag::SOCKET).text(name),
-            HandoverMessage::Part(part) => self.byte(message_tag::PART).part(part),
+            HandoverMessage::StatePart(part) => self.byte(message_tag::PART).part(part),
             HandoverMessage::Done => self.byte(message_tag::DONE),
             HandoverMessage::Serving => self.byte(message_tag::SERVING),
             HandoverMessage::EstablishedConnection { front, established, state } => self
--- a/src/protocol/hot_restart/mod.rs
+++ b/src/protocol/hot_restart/mod.rs
@@ -66,7 +66,7 @@
     /// map.
     Socket(String),
     /// One part of the predecessor's state.
-    Part(Part),
+    StatePart(StatePart),
     /// The predecessor has sent its whole state.
     Done,
     /// The successor has started to serve.
@@ -99,7 +99,7 @@
 
 /// Part of the exported state.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum StatePart {
     /// Name of a server that an operator has excluded.
     Excluded(String),
     /// Name of a server that an endpoint list has contained.
@@ -113,7 +113,7 @@
         /// Endpoint as listed.
         endpoint: Endpoint,
         /// State learned of the endpoint's server, or `None` if the pool's balancer does not know the server.
-        learned: Option<LearnedState>,
+        learned_state: Option<LearnedState>,
     },
     /// Server of a pool that an operator has readmitted.
     Readmitted {
@@ -122,10 +122,10 @@
         /// Name of the server.
         server: String,
         /// Time of the readmission.
-        since: Time,
+        readmitted_at: Time,
     },
     /// Id that a client gave to a connection that is open at the predecessor.
-    Id {
+    RequestId {
         /// Name of the pool.
         pool: String,
         /// Id in the client's request.
@@ -136,39 +136,39 @@
 }
 
 /// Splits an exported state into parts.
-pub fn split_state(state: HandoverState) -> Vec<Part> {
-    let mut parts: Vec<Part> = state.excluded_by_operator.into_iter().map(Part::Excluded).collect();
-    parts.extend(state.ever_listed.into_iter().map(Part::EverListed));
-    parts.extend(state.entries.into_iter().map(Part::Entry));
+pub fn split_state(state: HandoverState) -> Vec<StatePart> {
+    let mut parts: Vec<StatePart> = state.excluded_by_operator.into_iter().map(StatePart::Excluded).collect();
+    parts.extend(state.known_server_names.into_iter().map(StatePart::EverListed));
+    parts.extend(state.entries.into_iter().map(StatePart::Entry));
     for (name, pool) in state.pools {
-        parts.extend(pool.endpoints.into_iter().map(|ExportedEndpoint { endpoint, learned }| {
-            Part::Endpoint { pool: name.clone(), endpoint, learned }
+        parts.extend(pool.endpoints.into_iter().map(|ExportedEndpoint { endpoint, learned_state }| {
+            StatePart::Endpoint { pool: name.clone(), endpoint, learned_state }
         }));
         let readmitted = pool.readmitted.into_iter();
-        parts.extend(readmitted.map(|Readmission { server, at }| Part::Readmitted {
+        parts.extend(readmitted.map(|Readmission { server, readmitted_at }| StatePart::Readmitted {
             pool: name.clone(),
             server,
-            since: at,
+            readmitted_at,
         }));
-        parts.extend(pool.ids.into_iter().map(|id| Part::Id { pool: name.clone(), id }));
+        parts.extend(pool.request_ids.into_iter().map(|id| StatePart::RequestId { pool: name.clone(), id }));
     }
-    parts.push(Part::OpenDescriptors(state.open_descriptors as u64));
+    parts.push(StatePart::OpenDescriptors(state.pending_descriptors as u64));
     parts
 }
 
 /// Adds a part to a state that is being imported.
-pub fn add_part(state: &mut HandoverState, part: Part) {
+pub fn add_part(state: &mut HandoverState, part: StatePart) {
     match part {
-        Part::Excluded(server) => state.excluded_by_operator.push(server),
-        Part::EverListed(server) => state.ever_listed.push(server),
-        Part::Entry(entry) => state.entries.push(entry),
-        Part::Endpoint { pool, endpoint, learned } => {
-            state.pools.entry(pool).or_default().endpoints.push(ExportedEndpoint { endpoint, learned });
+        StatePart::Excluded(server) => state.excluded_by_operator.push(server),
+        StatePart::EverListed(server) => state.known_server_names.push(server),
+        StatePart::Entry(entry) => state.entries.push(entry),
+        StatePart::Endpoint { pool, endpoint, learned_state } => {
+            state.pools.entry(pool).or_default().endpoints.push(ExportedEndpoint { endpoint, learned_state });
         }
-        Part::Readmitted { pool, server, since } => {
-            state.pools.entry(pool).or_default().readmitted.push(Readmission { server, at: since });
+        StatePart::Readmitted { pool, server, readmitted_at } => {
+            state.pools.entry(pool).or_default().readmitted.push(Readmission { server, readmitted_at });
         }
-        Part::Id { pool, id } => state.pools.entry(pool).or_default().ids.push(id),
-        Part::OpenDescriptors(count) => state.open_descriptors = count as usize,
+        StatePart::RequestId { pool, id } => state.pools.entry(pool).or_default().request_ids.push(id),
+        StatePart::OpenDescriptors(count) => state.pending_descriptors = count as usize,
     }
 }
--- a/src/protocol/http/endpoint_list.rs
+++ b/src/protocol/http/endpoint_list.rs
@@ -41,15 +41,15 @@
         name: node.field(key::NAME).required_text()?,
         address: node.field(key::ADDRESS).required_text()?,
         zone: node.field(key::ZONE).optional_text()?.unwrap_or_default(),
-        cell: node.field(key::CELL).number(0.0)? as u32,
+        cell: node.field(key::CELL).number_or(0.0)? as u32,
         lifecycle: match lifecycle.required_text()?.as_str() {
             LIFECYCLE_READY => Lifecycle::Ready,
             LIFECYCLE_DRAINING => Lifecycle::Draining,
             LIFECYCLE_GONE => Lifecycle::Gone,
             _ => return Err(lifecycle.unexpected("ready, draining or gone")),
         },
-        weight: node.field(key::WEIGHT).number(1.0)?,
-        started: Some(node.field(key::STARTED_AT_MS).duration_ms(Micros::ZERO)?)
+        weight: node.field(key::WEIGHT).number_or(1.0)?,
+        started_at: Some(node.field(key::STARTED_AT_MS).duration_ms_or(Micros::ZERO)?)
             .filter(|at| !at.is_zero())
             .map(|at| Time(at.0)),
     })
@@ -62,8 +62,8 @@
 /// [`DecodeError`] with the key of the first faulty value.
 pub fn decode_endpoint_list(node: &JsonNode<'_>) -> Result<EndpointListUpdate, DecodeError> {
     Ok(EndpointListUpdate {
-        generation: node.field(key::GENERATION).number(0.0)? as u64,
-        is_snapshot: node.field(key::IS_SNAPSHOT).flag(false)?,
+        generation: node.field(key::GENERATION).number_or(0.0)? as u64,
+        is_snapshot: node.field(key::IS_SNAPSHOT).flag_or(false)?,
         endpoints: node
             .field(key::ENDPOINTS)
             .elements()?
--- a/src/protocol/http/response.rs
+++ b/src/protocol/http/response.rs
@@ -73,9 +73,9 @@
     /// Body, decoded if it was chunked.
     pub body: Vec<u8>,
     /// The connection cannot be used for another request.
-    pub close: bool,
+    pub closes_connection: bool,
     /// Number of input bytes that the response occupies.
-    pub taken: usize,
+    pub consumed: usize,
 }
 
 type Input<'a> = Partial<&'a [u8]>;
@@ -184,6 +184,11 @@
     };
     let Some(body) = body else { return Ok(None) };
     let remaining: &[u8] = &input;
-    let close = head.close || (head.content_length.is_none() && !head.chunked);
-    Ok(Some(Response { status: head.status, body, close, taken: bytes.len() - remaining.len() }))
+    let closes_connection = head.close || (head.content_length.is_none() && !head.chunked);
+    Ok(Some(Response {
+        status: head.status,
+        body,
+        closes_connection,
+        consumed: bytes.len() - remaining.len(),
+    }))
 }
--- a/src/protocol/irc/config.rs
+++ b/src/protocol/irc/config.rs
@@ -6,7 +6,7 @@
     /// Name of the front as an IRC server, the prefix of its own messages.
     pub name: String,
     /// Address to which a migrated client should reconnect.
-    pub address: AdvertisedAddress,
+    pub advertised_address: AdvertisedAddress,
     /// Class of all requests at this front.
     pub class: String,
     /// Tenant of all requests at this front, if any.
--- a/src/protocol/irc/replies.rs
+++ b/src/protocol/irc/replies.rs
@@ -40,7 +40,7 @@
     /// Encodes the notice that asks a migrated client to reconnect.
     pub(super) fn migration_notice(&self) -> Vec<u8> {
         let (name, nick) = (&self.config().name, self.display_nick());
-        let AdvertisedAddress { host, port } = &self.config().address;
+        let AdvertisedAddress { host, port } = &self.config().advertised_address;
         let notice = format!(":{name} NOTICE {nick} :Your server is leaving; please reconnect\r\n");
         let text = format!("{host} {port} :Please use this Server/Port instead");
         [notice.into_bytes(), self.numeric_reply(RPL_BOUNCE, &text)].concat()
--- a/src/protocol/json.rs
+++ b/src/protocol/json.rs
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// See [`JsonNode`].
-    pub fn number(&self, default: f64) -> Result<f64, DecodeError> {
+    pub fn number_or(&self, default: f64) -> Result<f64, DecodeError> {
         let convert =
             |value: &OwnedValue| value.cast_f64().filter(|number| number.is_finite() && *number >= 0.0);
         Ok(self.decode("a number of 0 or more", convert)?.unwrap_or(default))
@@ -160,8 +160,8 @@
     ///
     /// # Errors
     /// See [`JsonNode`].
-    pub fn duration_ms(&self, default: Micros) -> Result<Micros, DecodeError> {
-        let milliseconds = self.number(default.as_f64() / MICROS_PER_MS)?;
+    pub fn duration_ms_or(&self, default: Micros) -> Result<Micros, DecodeError> {
+        let milliseconds = self.number_or(default.as_f64() / MICROS_PER_MS)?;
         if milliseconds > MAX_DURATION_MS {
             return Err(self.unexpected(&format!("at most {MAX_DURATION_MS} milliseconds")));
         }
@@ -173,7 +173,7 @@
     /// # Errors
     /// See [`JsonNode`].
     pub fn positive_duration_ms(&self, default: Micros) -> Result<Micros, DecodeError> {
-        match self.duration_ms(default)? {
+        match self.duration_ms_or(default)? {
             Micros::ZERO if self.is_present() => Err(self.unexpected("more than 0 milliseconds")),
             duration => Ok(duration),
         }
@@ -183,8 +183,8 @@
     ///
     /// # Errors
     /// See [`JsonNode`].
-    pub fn number_in_range(&self, range: RangeInclusive<f64>, default: f64) -> Result<f64, DecodeError> {
-        let number = self.number(default)?;
+    pub fn number_in_range_or(&self, range: RangeInclusive<f64>, default: f64) -> Result<f64, DecodeError> {
+        let number = self.number_or(default)?;
         if self.is_present() && !range.contains(&number) {
             let expected = format!("a number from {} to {}", range.start(), range.end());
             return Err(self.unexpected(&expected));
@@ -196,8 +196,8 @@
     ///
     /// # Errors
     /// See [`JsonNode`].
-    pub fn positive_count(&self, default: u32) -> Result<u32, DecodeError> {
-        let count = self.number_in_range(1.0..=MAX_COUNT, default.into())?;
+    pub fn positive_count_or(&self, default: u32) -> Result<u32, DecodeError> {
+        let count = self.number_in_range_or(1.0..=MAX_COUNT, default.into())?;
         if count.fract() != 0.0 {
             return Err(self.unexpected("a whole number"));
         }
@@ -208,7 +208,7 @@
     ///
     /// # Errors
     /// See [`JsonNode`].
-    pub fn flag(&self, default: bool) -> Result<bool, DecodeError> {
+    pub fn flag_or(&self, default: bool) -> Result<bool, DecodeError> {
         let convert =
             |value: &OwnedValue| value.as_bool().or_else(|| value.cast_f64().map(|number| number != 0.0));
         Ok(self.decode("true or false", convert)?.unwrap_or(default))
--- a/src/protocol/pcap/mod.rs
+++ b/src/protocol/pcap/mod.rs
@@ -9,7 +9,7 @@
 
 pub use error::{PcapError, PcapErrorKind};
 pub use read::read_segments;
-pub use recorder::{encode_file_header, Close, ConnectionRecorder, Direction};
+pub use recorder::{encode_file_header, CloseKind, ConnectionRecorder, Direction};
 
 use crate::Time;
 
--- a/src/protocol/pcap/recorder.rs
+++ b/src/protocol/pcap/recorder.rs
@@ -40,7 +40,7 @@
 
 /// Way in which one side of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Close {
+pub enum CloseKind {
     /// The side sent a FIN.
     Orderly,
     /// The side sent a RST.
@@ -89,13 +89,17 @@
     }
 
     /// Encodes the record of the end of a direction. Returns no bytes if that end was recorded before.
-    pub fn record_close(&mut self, at: Time, direction: Direction, close: Close) -> Vec<u8> {
+    pub fn record_close(&mut self, at: Time, direction: Direction, close: CloseKind) -> Vec<u8> {
         let index = direction as usize;
         if std::mem::replace(&mut self.is_closed[index], true) {
             return Vec::new();
         }
-        let flags =
-            TcpFlags { syn: false, ack: true, fin: close == Close::Orderly, rst: close == Close::Reset };
+        let flags = TcpFlags {
+            syn: false,
+            ack: true,
+            fin: close == CloseKind::Orderly,
+            rst: close == CloseKind::Reset,
+        };
         let record = self.encode_packet(at, direction, self.next_seq[index], flags, &[]);
         self.next_seq[index] = self.next_seq[index].wrapping_add(1);
         record
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -137,7 +137,7 @@
     }
     // A request without a timeout is valid only for a connection that is established already.
     let has_required_fields =
-        (request.timeout.is_some() || request.established_at.is_some()) && !request.class.is_empty();
+        (request.timeout.is_some() || request.established_server.is_some()) && !request.class.is_empty();
     has_required_fields.then_some(ClientCommand::Open { request: Box::new(request), template })
 }
 
@@ -152,7 +152,7 @@
         field_name::LOAD => request.load = Some(parse_non_negative_number(value)?),
         field_name::RECONNECTING => request.reconnecting = value == TRUE,
         field_name::ESTABLISHED_AT => {
-            request.established_at = Some(to_text(value)).filter(|name| !name.is_empty());
+            request.established_server = Some(to_text(value)).filter(|name| !name.is_empty());
         }
         field_name::TIMEOUT_MS => {
             let timeout_ms = parse_non_negative_number(value).filter(|ms| *ms <= MAX_TIMEOUT_MS)?;
--- a/src/protocol/replica_messages.rs
+++ b/src/protocol/replica_messages.rs
@@ -42,11 +42,11 @@
 }
 
 fn parse_digest(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
-    let wanted = u8.verify(|flag| *flag <= YES).parse_next(input)? == YES;
+    let digest_requested = u8.verify(|flag| *flag <= YES).parse_next(input)? == YES;
     let hashes: Vec<u64> = repeat(DIGEST_BUCKETS, be_u64).parse_next(input)?;
-    let mut buckets = [0; DIGEST_BUCKETS];
-    buckets.copy_from_slice(&hashes);
-    Ok(ReplicaMessage::Digest { wanted, buckets })
+    let mut digest = [0; DIGEST_BUCKETS];
+    digest.copy_from_slice(&hashes);
+    Ok(ReplicaMessage::Digest { digest_requested, digest })
 }
 
 fn parse_message(input: &mut &[u8]) -> ModalResult<ReplicaMessage> {
@@ -98,9 +98,9 @@
 pub fn encode(message: &ReplicaMessage) -> Option<Vec<u8>> {
     let mut out = MAGIC.to_vec();
     match message {
-        ReplicaMessage::Digest { wanted, buckets } => {
-            out.extend([DIGEST, u8::from(*wanted)]);
-            out.extend(buckets.iter().flat_map(|bucket| bucket.to_be_bytes()));
+        ReplicaMessage::Digest { digest_requested, digest } => {
+            out.extend([DIGEST, u8::from(*digest_requested)]);
+            out.extend(digest.iter().flat_map(|bucket| bucket.to_be_bytes()));
         }
         ReplicaMessage::Entry { key, entry } => {
             out.push(ENTRY);
--- a/src/rebalance/event.rs
+++ b/src/rebalance/event.rs
@@ -13,7 +13,7 @@
         /// Key of the flow, by which a migrated client is recognised; `None` if the request has none.
         key: Option<u64>,
         /// Whether the client reports that it was migrated, or that its previous connection broke.
-        reconnecting: bool,
+        reports_reconnection: bool,
     },
     /// A connection was established.
     ConnectionEstablished {
@@ -23,7 +23,7 @@
         properties: ConnectionProperties,
         /// Time from the request at the server to the establishment. `None` if the connection had been
         /// established before this balancer started.
-        setup: Option<Micros>,
+        setup_time: Option<Micros>,
     },
     /// A connection reported its load.
     LoadReported {
@@ -37,7 +37,7 @@
         /// Server that sent the report.
         server: ServerId,
         /// Time that a message takes at the server.
-        took: Micros,
+        message_time: Micros,
     },
     /// A requested connection was rejected, or failed.
     ConnectionRejected {
@@ -49,12 +49,12 @@
         /// Connection that ended.
         connection: ConnectionId,
         /// Whether the client ended the connection, rather than a migration or a fault.
-        natural: bool,
+        ended_by_client: bool,
     },
     /// The endpoint list has changed.
     EndpointListChanged {
         /// Number of servers that the list shows as ready.
-        ready: usize,
+        ready_servers: usize,
     },
     /// The endpoint list is unavailable.
     EndpointListLost,
--- a/src/rebalance/fair_share.rs
+++ b/src/rebalance/fair_share.rs
@@ -18,7 +18,7 @@
     /// Computes the sums over the ready servers in `servers`.
     pub(super) fn new(servers: &[ServerSnapshot]) -> FairShare {
         let mut fair_share = FairShare { total_weight: 0.0, total_slots: 0.0 };
-        for server in servers.iter().filter(|server| server.ready) {
+        for server in servers.iter().filter(|server| server.is_ready) {
             fair_share.total_weight += server.weight;
             fair_share.total_slots += server.occupied_slots;
         }
--- a/src/rebalance/metrics.rs
+++ b/src/rebalance/metrics.rs
@@ -8,11 +8,11 @@
     /// Number of clients migrated for balance.
     pub migrated: u64,
     /// Number of migrated clients that reconnected to this balancer.
-    pub returned: u64,
+    pub reconnected: u64,
     /// Number of reconnected clients whose connection was then rejected or failed.
     pub rejected: u64,
     /// Number of migrations that are currently allowed per second.
-    pub migrations_per_second: f64,
+    pub allowed_migrations_per_second: f64,
     /// Reason for which no client may be migrated now; `None` while there is no hold.
     pub hold_reason: Option<HoldReason>,
 }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -158,8 +158,9 @@
 
     /// Returns the current metrics.
     pub fn metrics(&self) -> RebalanceMetrics {
-        let migrations_per_second = if self.config.enabled { self.rate.allowed_per_second() } else { 0.0 };
-        RebalanceMetrics { migrations_per_second, ..self.metrics }
+        let allowed_migrations_per_second =
+            if self.config.enabled { self.rate.allowed_per_second() } else { 0.0 };
+        RebalanceMetrics { allowed_migrations_per_second, ..self.metrics }
     }
 
     /// Returns a connection if it is established. Used by tests.
@@ -174,25 +175,25 @@
     /// Records an event.
     pub fn on_event(&mut self, now: Time, event: RebalanceEvent) {
         match event {
-            RebalanceEvent::ConnectionRequested { connection, key, reconnecting } => {
-                self.on_requested(now, connection, key, reconnecting);
+            RebalanceEvent::ConnectionRequested { connection, key, reports_reconnection } => {
+                self.on_requested(now, connection, key, reports_reconnection);
             }
-            RebalanceEvent::ConnectionEstablished { connection, properties, setup } => {
-                self.on_established(now, connection, properties, setup);
+            RebalanceEvent::ConnectionEstablished { connection, properties, setup_time } => {
+                self.on_established(now, connection, properties, setup_time);
             }
             RebalanceEvent::LoadReported { connection, load } => {
                 self.connections.on_load_reported(connection, load);
             }
-            RebalanceEvent::MessageTimeReported { server, took } => {
-                self.connections.on_message_time_reported(now, server, took);
+            RebalanceEvent::MessageTimeReported { server, message_time } => {
+                self.connections.on_message_time_reported(now, server, message_time);
             }
             RebalanceEvent::ConnectionRejected { connection } => self.on_rejected(now, connection),
-            RebalanceEvent::ConnectionEnded { connection, natural } => {
-                self.connections.on_ended(now, connection, natural);
+            RebalanceEvent::ConnectionEnded { connection, ended_by_client } => {
+                self.connections.on_ended(now, connection, ended_by_client);
                 self.disconnected.on_ended(connection);
             }
-            RebalanceEvent::EndpointListChanged { ready } => {
-                self.hold_conditions.on_endpoint_list_changed(now, ready);
+            RebalanceEvent::EndpointListChanged { ready_servers } => {
+                self.hold_conditions.on_endpoint_list_changed(now, ready_servers);
             }
             RebalanceEvent::EndpointListLost => self.hold_conditions.on_endpoint_list_lost(),
             RebalanceEvent::EndpointListReceived => self.hold_conditions.on_endpoint_list_received(),
@@ -200,16 +201,22 @@
         }
     }
 
-    fn on_requested(&mut self, now: Time, connection: ConnectionId, key: Option<u64>, reconnecting: bool) {
+    fn on_requested(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        key: Option<u64>,
+        reports_reconnection: bool,
+    ) {
         self.hold_conditions.on_arrival(now);
         let was_migrated = self.disconnected.on_requested(now, connection, key);
-        if was_migrated || reconnecting {
+        if was_migrated || reports_reconnection {
             self.connections.on_reconnecting(connection);
         }
         if was_migrated {
-            self.metrics.returned += 1;
+            self.metrics.reconnected += 1;
             self.rate.on_reconnected();
-        } else if reconnecting {
+        } else if reports_reconnection {
             self.rate.on_reconnected_from_other();
         }
     }
@@ -304,7 +311,7 @@
         conditions: SystemConditions,
         servers: &[ServerSnapshot],
     ) -> Option<HoldReason> {
-        let ready_servers = servers.iter().filter(|server| server.ready).count();
+        let ready_servers = servers.iter().filter(|server| server.is_ready).count();
         let condition = self.hold_conditions.hold_reason(now, conditions, ready_servers);
         condition.or_else(|| self.rate.hold_reason(now))
     }
@@ -334,7 +341,7 @@
             connections: &self.connections,
             fair_share,
         };
-        let ready = servers.iter().filter(|server| server.ready);
+        let ready = servers.iter().filter(|server| server.is_ready);
         ready
             .filter_map(|server| estimator.estimate(server, self.history.is_being_relieved(server.server)))
             .collect()
--- a/src/rebalance/observed_connections.rs
+++ b/src/rebalance/observed_connections.rs
@@ -122,14 +122,14 @@
 
     /// Records the message time of a server. The report is ignored if the server has no connections, in which
     /// case it may not even be in the endpoint list.
-    pub(super) fn on_message_time_reported(&mut self, now: Time, server: ServerId, took: Micros) {
+    pub(super) fn on_message_time_reported(&mut self, now: Time, server: ServerId, message_time: Micros) {
         let Some(server) = self.servers.get_mut(&server) else { return };
-        server.slow_message_reports.record(now, took, self.message_objective);
+        server.slow_message_reports.record(now, message_time, self.message_objective);
     }
 
-    /// Records the end of a connection. `natural` means that the client ended it.
-    pub(super) fn on_ended(&mut self, now: Time, connection: ConnectionId, natural: bool) {
-        if self.remove(now, connection) && natural {
+    /// Records the end of a connection.
+    pub(super) fn on_ended(&mut self, now: Time, connection: ConnectionId, ended_by_client: bool) {
+        if self.remove(now, connection) && ended_by_client {
             self.lifetime.on_natural_end();
         }
         self.reconnecting.remove(&connection);
--- a/src/rebalance/server_snapshot.rs
+++ b/src/rebalance/server_snapshot.rs
@@ -8,7 +8,7 @@
     /// Server that the snapshot describes.
     pub server: ServerId,
     /// Whether the server is listed as ready and its failure score is 0.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Slots that this balancer's connections occupy at the server.
     pub occupied_slots: f64,
     /// Concurrency limit: the largest number of slots that this balancer's connections may occupy at the
@@ -19,7 +19,7 @@
     /// Share of the capacity that is available during slow start, from 0 to 1.
     pub warmth: f64,
     /// Time at which the server process started; `None` if the endpoint list does not contain it.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
     /// Time at which the current server process last rejected, dropped or delayed a request.
-    pub last_fault: Option<Time>,
+    pub last_fault_at: Option<Time>,
 }
--- a/src/rebalance/spare_capacity.rs
+++ b/src/rebalance/spare_capacity.rs
@@ -78,7 +78,7 @@
         excluded: impl Fn(ServerId) -> bool,
     ) -> Vec<SpareCapacity> {
         let mut spare = Vec::new();
-        for server in servers.iter().filter(|server| server.ready && !excluded(server.server)) {
+        for server in servers.iter().filter(|server| server.is_ready && !excluded(server.server)) {
             let slots = self.spare_slots(server);
             if slots > 0.0 {
                 spare.push(SpareCapacity { server: server.server, slots });
@@ -94,7 +94,7 @@
         if self.is_slow(server) || self.is_within_noise(server, fair_slots) {
             return 0.0;
         }
-        match server.last_fault {
+        match server.last_fault_at {
             Some(at) if self.now.since(at) < FAULT_COOLDOWN => 0.0,
             Some(_) => server.ceiling.min(fair_slots) * server.warmth - server.occupied_slots,
             None if server.warmth < 1.0 => self.warming_slots(server, fair_slots),
@@ -122,11 +122,14 @@
     /// Returns whether a server has started recently and had no fault since. Its low ceiling then does not
     /// indicate its capacity.
     fn has_unknown_capacity(&self, server: &ServerSnapshot) -> bool {
-        self.started_recently(server) && server.ready && server.last_fault.is_none() && !self.is_slow(server)
+        self.started_recently(server)
+            && server.is_ready
+            && server.last_fault_at.is_none()
+            && !self.is_slow(server)
     }
 
     fn started_recently(&self, server: &ServerSnapshot) -> bool {
-        server.started.is_some_and(|at| self.now.since(at) < RECENT_START)
+        server.started_at.is_some_and(|at| self.now.since(at) < RECENT_START)
     }
 
     fn is_slow(&self, server: &ServerSnapshot) -> bool {
--- a/src/routing/admin.rs
+++ b/src/routing/admin.rs
@@ -9,44 +9,44 @@
 //!
 //! The only state of this module is whether the fronts listen.
 
-use super::{AdminCall, AdminClientId, AdminRejection, AdminResponse, Effect, Metrics, State};
+use super::{AdminCall, AdminCallId, AdminRejection, AdminResponse, Effect, Metrics, State};
 use crate::Time;
 
 impl State {
     /// Executes a call. Replies at once, or after the peer process's acknowledgement.
-    pub(super) fn on_admin_request(&mut self, now: Time, admin_client: AdminClientId, call: AdminCall) {
+    pub(super) fn on_admin_request(&mut self, now: Time, admin_call: AdminCallId, call: AdminCall) {
         match call {
-            AdminCall::Ready => {
+            AdminCall::Readiness => {
                 let reply = self.readiness().map_or_else(AdminResponse::No, |()| AdminResponse::Yes);
-                self.reply_to_admin_client(admin_client, reply);
+                self.reply_to_admin_call(admin_call, reply);
             }
             AdminCall::Metrics => {
                 let reply = AdminResponse::Metrics(self.metrics(now));
-                self.reply_to_admin_client(admin_client, reply);
+                self.reply_to_admin_call(admin_call, reply);
             }
-            AdminCall::Exclude(server) => self.exclude_or_readmit(now, admin_client, server, true),
-            AdminCall::Readmit(server) => self.exclude_or_readmit(now, admin_client, server, false),
+            AdminCall::Exclude(server) => self.exclude_or_readmit(now, admin_call, server, true),
+            AdminCall::Readmit(server) => self.exclude_or_readmit(now, admin_call, server, false),
         }
     }
 
-    fn reply_to_admin_client(&mut self, admin_client: AdminClientId, reply: AdminResponse) {
-        self.effects.push(Effect::AdminReply { admin_client, reply });
+    fn reply_to_admin_call(&mut self, admin_call: AdminCallId, reply: AdminResponse) {
+        self.effects.push(Effect::AdminReply { admin_call, reply });
     }
 
     /// Excludes or readmits a server, and shares the change with the peer process, if there is one.
-    fn exclude_or_readmit(&mut self, now: Time, admin_client: AdminClientId, server: String, excluded: bool) {
+    fn exclude_or_readmit(&mut self, now: Time, admin_call: AdminCallId, server: String, excluded: bool) {
         if let Err(rejection) = self.try_set_exclusion(now, &server, excluded) {
-            return self.reply_to_admin_client(admin_client, AdminResponse::No(rejection));
+            return self.reply_to_admin_call(admin_call, AdminResponse::No(rejection));
         }
         if self.hot_restart.has_peer_process() {
-            return self.share_exclusion(now, admin_client, server, excluded);
+            return self.share_exclusion(now, admin_call, server, excluded);
         }
-        self.reply_to_admin_client(admin_client, AdminResponse::Yes);
+        self.reply_to_admin_call(admin_call, AdminResponse::Yes);
     }
 
     fn try_set_exclusion(&mut self, now: Time, server: &str, excluded: bool) -> Result<(), AdminRejection> {
         if !self.is_listening {
-            return Err(AdminRejection::NotReady);
+            return Err(AdminRejection::ExclusionsNotAccepted);
         }
         if !self.is_known_server(server) {
             return Err(AdminRejection::UnknownServer(server.to_owned()));
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether this process can serve new requests.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.readiness().is_ok()
     }
 
--- a/src/routing/admin_call.rs
+++ b/src/routing/admin_call.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCall {
     /// Requests the readiness of this process.
-    Ready,
+    Readiness,
     /// Requests the current metrics.
     Metrics,
     /// Excludes the server of this name.
@@ -46,7 +46,7 @@
     NoEndpointList,
     /// Exclusions are not accepted before the fronts listen.
     #[error("not ready yet")]
-    NotReady,
+    ExclusionsNotAccepted,
     /// No endpoint list has ever contained a server of this name.
     #[error("no host {0} was ever listed")]
     UnknownServer(String),
--- a/src/routing/admitted_connections.rs
+++ b/src/routing/admitted_connections.rs
@@ -61,7 +61,7 @@
     }
 
     /// Removes the ids of the predecessor's connections, after it has ended.
-    pub(super) fn forget_predecessor(&mut self) {
+    pub(super) fn release_predecessor_ids(&mut self) {
         self.request_ids_at_predecessor.clear();
     }
 }
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -64,7 +64,7 @@
         let pool = self.connections.pool_of(id);
         let settings = pool.map(|pool| &self.pools[pool.0].config.settings);
         let max_retry_after = settings
-            .filter(|settings| settings.retry_after)
+            .filter(|settings| settings.retry_after_supported)
             .map_or(Micros::ZERO, |settings| settings.max_retry_after);
         Answer::Rejected(retry_after.min(max_retry_after))
     }
@@ -75,8 +75,12 @@
         let Some(connection) = self.connections.get(id) else { return };
         let (pool, phase) = (connection.pool, connection.phase);
         // The rebalancer ignores this event if the connection was reported as migrated or broken before.
-        let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionEnded { connection: id, natural });
+        let ended_by_client = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
+        self.notify_rebalancer(
+            now,
+            pool,
+            RebalanceEvent::ConnectionEnded { connection: id, ended_by_client },
+        );
         let attempt = self.remove_connection(now, id).map(|attempt| attempt.number);
         let attempt = match phase {
             // For the balancer, a restored connection was established by attempt 0, regardless of how many
@@ -97,7 +101,8 @@
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
         let pool = &mut self.pools[connection.pool.0];
-        pool.rebalance.on_event(now, RebalanceEvent::ConnectionEnded { connection: id, natural: false });
+        pool.rebalance
+            .on_event(now, RebalanceEvent::ConnectionEnded { connection: id, ended_by_client: false });
         if connection.phase != Phase::AwaitingRequest {
             pool.admitted.remove(&connection.request);
         }
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -99,7 +99,13 @@
 
     /// Handles the end of an attempt: schedules the next attempt to restore the connection, reports the
     /// failure to the balancer, or ends the connection.
-    pub(super) fn on_attempt_ended(&mut self, now: Time, id: ConnectionId, number: u32, end: AttemptOutcome) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        number: u32,
+        outcome: AttemptOutcome,
+    ) {
         if self.connections.attempt(id, number).is_none() {
             return;
         }
@@ -109,22 +115,22 @@
                 self.connections.remove_attempt(id);
                 self.connections.set_timer(id, Some(now.plus(RESTORE_RETRY_INTERVAL)));
             }
-            Phase::Connecting if end != AttemptOutcome::VerdictForwarded => {
-                self.on_attempt_failed(now, id, outcome_of(end));
+            Phase::Connecting if outcome != AttemptOutcome::VerdictForwarded => {
+                self.on_attempt_failed(now, id, outcome_of(outcome));
             }
-            _ => self.on_final_attempt_ended(now, id, phase, end),
+            _ => self.on_final_attempt_ended(now, id, phase, outcome),
         }
     }
 
     /// Ends a connection whose attempt has ended and is not retried.
-    fn on_final_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, end: AttemptOutcome) {
-        if phase != Phase::Established && end == AttemptOutcome::VerdictForwarded {
+    fn on_final_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, outcome: AttemptOutcome) {
+        if phase != Phase::Established && outcome == AttemptOutcome::VerdictForwarded {
             self.count_outcome(id, |counters| counters.rejected += 1);
         }
-        if end == AttemptOutcome::RedirectedByServer {
+        if outcome == AttemptOutcome::RedirectedByServer {
             self.notify_interrupted(now, id);
         }
-        self.end_connection(now, id, outcome_of(end));
+        self.end_connection(now, id, outcome_of(outcome));
     }
 
     /// Removes a failed attempt and reports it to the balancer, which retries the request or answers it.
@@ -182,8 +188,8 @@
 }
 
 /// Translates the end of an attempt into the outcome that the balancer counts for the server.
-fn outcome_of(end: AttemptOutcome) -> Outcome {
-    match end {
+fn outcome_of(outcome: AttemptOutcome) -> Outcome {
+    match outcome {
         // A server that answers the client with its own verdict works correctly.
         AttemptOutcome::Served | AttemptOutcome::VerdictForwarded => Outcome::Ok,
         AttemptOutcome::RedirectedByServer => Outcome::Cancelled,
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -52,13 +52,13 @@
         self.connections.insert(id, ClientConnection::new(pool_id, now));
         self.connections.set_timer(id, Some(now.plus(request_timeout)));
         self.admission.add_pending(now, id);
-        self.evict_idle_connection(now);
+        self.evict_pending_connections(now);
     }
 
     /// Answers a client whose request did not arrive in time. The driver feeds this input after
     /// [`super::Effect::CheckRequestArrival`], once it has read all bytes that the client sent.
     pub(super) fn on_request_timed_out(&mut self, now: Time, id: ConnectionId) {
-        if self.connections.get_handshaking(id).is_some() {
+        if self.connections.get_awaiting_request(id).is_some() {
             self.answer_and_remove(now, id, Answer::RequestTimedOut);
         }
     }
@@ -70,7 +70,7 @@
         id: ConnectionId,
         request: ConnectionRequest,
     ) {
-        let Some(connection) = self.connections.get_handshaking(id) else { return };
+        let Some(connection) = self.connections.get_awaiting_request(id) else { return };
         let pool_id = connection.pool;
         self.classify_connection(id, pool_id, &request);
         if let Some(rejection) = self.check_admission(id, pool_id) {
@@ -80,7 +80,7 @@
             return self.answer_and_remove(now, id, Answer::Failed);
         };
         self.admit(now, id, pool_id, &request);
-        match &request.established_at {
+        match &request.established_server {
             Some(server) => self.restore_connection(now, id, pool_id, profile, server),
             None => self.place_connection(now, id, pool_id, profile, request.timeout),
         }
@@ -117,7 +117,8 @@
         let parsed_limit = applicable_limit.and_then(|text| text.parse().ok());
         let limit: usize = parsed_limit.unwrap_or(pool.config.max_connections);
         let admitted_in_all_pools: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
-        pool.admitted.count() >= limit || admitted_in_all_pools >= self.admission.budget().admitted
+        pool.admitted.count() >= limit
+            || admitted_in_all_pools >= self.admission.resource_limits().max_admitted_connections
     }
 
     /// Looks up the names in a request. Returns `None` if the class or the tenant is not configured, because
@@ -145,12 +146,14 @@
     /// Counts a request among the admitted ones and stops the request timer.
     fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         self.admission.remove_pending(id);
-        self.evict_idle_connection(now);
+        self.evict_pending_connections(now);
         let pool = &mut self.pools[pool_id.0];
         pool.admitted.add(request);
         let ConnectionRequest { key, reconnecting, .. } = *request;
-        pool.rebalance
-            .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting });
+        pool.rebalance.on_event(
+            now,
+            RebalanceEvent::ConnectionRequested { connection: id, key, reports_reconnection: reconnecting },
+        );
         self.connections.record_admission(id, request);
     }
 
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -8,7 +8,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Budget, Effect, PoolConfig, PoolId, State};
+use super::{Effect, PoolConfig, PoolId, ResourceLimits, State};
 use crate::Time;
 
 impl State {
@@ -18,9 +18,9 @@
         now: Time,
         configs: Vec<PoolConfig>,
         other_replicas: Vec<SocketAddr>,
-        budget: Budget,
+        resource_limits: ResourceLimits,
     ) {
-        self.admission.set_budget(budget);
+        self.admission.set_resource_limits(resource_limits);
         let known_pools = self.pools.len();
         for (index, config) in configs.into_iter().enumerate().take(known_pools) {
             self.configure_pool(now, PoolId(index), config);
--- a/src/routing/connection_request.rs
+++ b/src/routing/connection_request.rs
@@ -20,7 +20,7 @@
     /// client waits until the end of the request timeout.
     pub timeout: Option<Micros>,
     /// Name of the server at which the connection was established before this process started.
-    pub established_at: Option<String>,
+    pub established_server: Option<String>,
     /// Hash of the flow's key, by which a returning client is recognised.
     pub key: Option<u64>,
     /// Whether the client reconnects after its connection broke or was migrated.
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -130,7 +130,7 @@
 
 /// A connection and the server of its attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PlacedConnection {
+pub(super) struct ConnectionAtServer {
     pub(super) connection: ConnectionId,
     pub(super) server: ServerId,
 }
@@ -181,7 +181,7 @@
     }
 
     /// Returns the connection if no request has arrived on it yet.
-    pub(super) fn get_handshaking(&self, id: ConnectionId) -> Option<&ClientConnection> {
+    pub(super) fn get_awaiting_request(&self, id: ConnectionId) -> Option<&ClientConnection> {
         self.get(id).filter(|connection| connection.phase == Phase::AwaitingRequest)
     }
 
@@ -367,11 +367,14 @@
     }
 
     /// Returns all connections with an attempt at a pool's servers, ordered by server and then by connection.
-    pub(super) fn placed(&self, pool: PoolId) -> impl Iterator<Item = PlacedConnection> + '_ {
+    pub(super) fn connections_with_attempt(
+        &self,
+        pool: PoolId,
+    ) -> impl Iterator<Item = ConnectionAtServer> + '_ {
         let first = PoolServer { pool, server: ServerId(0) };
         let last = PoolServer { pool, server: ServerId(u32::MAX) };
         self.by_server.range(first..=last).flat_map(|(&PoolServer { server, .. }, connections)| {
-            connections.iter().map(move |&connection| PlacedConnection { connection, server })
+            connections.iter().map(move |&connection| ConnectionAtServer { connection, server })
         })
     }
 }
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -55,7 +55,7 @@
                 return self.cancel_attempt(now, pool, request, attempt)
             }
             Action::Migrate { request } => self.migrate(now, connection_id(request), Outcome::Cancelled),
-            Action::ReportSlowSetup => self.broadcast_observation(now, pool, Observation::SlowSetUps),
+            Action::ReportSlowSetup => self.broadcast_observation(now, pool, Observation::SlowSetups),
             Action::ReportDrop { server } => {
                 self.broadcast_observation(now, pool, Observation::Dropped(server));
             }
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -4,8 +4,7 @@
 
 use super::store::{AddressedReplicaMessage, Entry};
 use super::{
-    AdminClientId, AdminResponse, Answer, ConnectionId, HandoverState, LogEvent, PoolId,
-    TransferredConnection,
+    AdminCallId, AdminResponse, Answer, ConnectionId, HandoverState, LogEvent, PoolId, TransferredConnection,
 };
 use crate::peers::GossipMessage;
 use crate::{Micros, ServerId};
@@ -64,7 +63,7 @@
         address: String,
         /// Names of fields under which the report may carry the utilisation. The first one that the report
         /// contains is used.
-        names: Vec<&'static str>,
+        load_report_fields: Vec<&'static str>,
         /// Time within which the connect and the answer both have to be complete.
         timeout: Micros,
     },
@@ -104,8 +103,8 @@
     },
     /// Send an exclusion or readmission to the peer process.
     ShareExclusion {
-        /// The admin client whose reply waits for the acknowledgement.
-        admin_client: AdminClientId,
+        /// The admin call whose reply waits for the acknowledgement.
+        admin_call: AdminCallId,
         /// Name of the server.
         server: String,
         /// True if the server was excluded, false if it was readmitted.
@@ -113,10 +112,10 @@
     },
     /// Store the names of the servers that an operator excluded on disk.
     PersistExclusions(Vec<String>),
-    /// Reply to an admin client.
+    /// Reply to an admin call.
     AdminReply {
         /// Number of the call that is answered.
-        admin_client: AdminClientId,
+        admin_call: AdminCallId,
         /// The reply, which the driver encodes and sends.
         reply: AdminResponse,
     },
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -25,9 +25,9 @@
 
 use std::collections::BTreeMap;
 
-use super::connection_table::{Phase, PlacedConnection};
+use super::connection_table::{ConnectionAtServer, Phase};
 use super::exclusions::exclusion_key;
-use super::{stored_endpoint, ConnectionId, Effect, Endpoint, Lifecycle, PoolId, State};
+use super::{parse_replicated_endpoint, ConnectionId, Effect, Endpoint, Lifecycle, PoolId, State};
 use crate::rebalance::RebalanceEvent;
 use crate::{EndpointState, Event, Micros, Outcome, ServerId, Time};
 
@@ -103,7 +103,7 @@
         let mut endpoints = pool.listed.by_name().clone();
         if pool.config.uses_replicated_map {
             let replicated = self.replication.map().with_prefix(ENDPOINT_KEY_PREFIX);
-            let added = replicated.filter_map(|(name, text)| stored_endpoint(name, text));
+            let added = replicated.filter_map(|(name, text)| parse_replicated_endpoint(name, text));
             endpoints.extend(added.map(|endpoint| (endpoint.name.clone(), endpoint)));
         }
         endpoints
@@ -117,7 +117,7 @@
         }
         let slow_start_duration = self.pools[pool_id.0].slow_start_duration();
         for endpoint in endpoints.values_mut() {
-            if endpoint.started.is_some_and(|started| now.since(started) < slow_start_duration) {
+            if endpoint.started_at.is_some_and(|started| now.since(started) < slow_start_duration) {
                 endpoint.lifecycle = Lifecycle::Draining;
             }
         }
@@ -138,9 +138,9 @@
     fn publish_endpoints(&mut self, now: Time, pool_id: PoolId, endpoints: BTreeMap<String, Endpoint>) {
         let pool = &mut self.pools[pool_id.0];
         let entries = pool.endpoints.replace(endpoints.into_values(), &pool.config.zones);
-        let ready = entries.iter().filter(|entry| entry.state == EndpointState::Serving).count();
-        pool.rebalance.on_event(now, RebalanceEvent::EndpointListChanged { ready });
-        self.dispatch(now, pool_id, Event::EndpointsReplaced(&entries));
+        let ready_servers = entries.iter().filter(|entry| entry.state == EndpointState::Serving).count();
+        pool.rebalance.on_event(now, RebalanceEvent::EndpointListChanged { ready_servers });
+        self.dispatch(now, pool_id, Event::EndpointListReplaced(&entries));
     }
 
     /// Returns the connections with an attempt at a server that is not ready, ordered by server and then by
@@ -148,16 +148,18 @@
     pub(super) fn connections_at_unready_servers(
         &self,
         pool_id: PoolId,
-    ) -> impl Iterator<Item = PlacedConnection> + '_ {
+    ) -> impl Iterator<Item = ConnectionAtServer> + '_ {
         let endpoints = &self.pools[pool_id.0].endpoints;
-        self.connections.placed(pool_id).filter(|placed| endpoints.get_ready(placed.server).is_none())
+        self.connections
+            .connections_with_attempt(pool_id)
+            .filter(|placed| endpoints.get_if_ready(placed.server).is_none())
     }
 
     /// Retries or migrates the connections at servers that are not ready.
     fn drain_connections(&mut self, now: Time, pool_id: PoolId) {
-        let placed: Vec<PlacedConnection> = self.connections_at_unready_servers(pool_id).collect();
+        let placed: Vec<ConnectionAtServer> = self.connections_at_unready_servers(pool_id).collect();
         let mut groups: BTreeMap<DrainGroup, Vec<ConnectionId>> = BTreeMap::new();
-        for PlacedConnection { connection, server } in placed {
+        for ConnectionAtServer { connection, server } in placed {
             if let Some(group) = self.drain_connection(now, pool_id, connection, server) {
                 groups.entry(group).or_default().push(connection);
             }
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -17,7 +17,7 @@
 //!
 //! This module owns no state. The pool records when its list was received and whether its expiry was logged.
 
-use super::connection_table::PlacedConnection;
+use super::connection_table::ConnectionAtServer;
 use super::{Effect, LogEvent, PoolId, State};
 use crate::rebalance::RebalanceEvent;
 use crate::{Event, Micros, Time, WatchFailure};
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Handles a poll that was sent `called_ago` before now and was not answered in time. The driver repeats
+    /// Handles a poll that was sent `polled_ago` before now and was not answered in time. The driver repeats
     /// the poll.
-    pub(super) fn on_endpoint_watch_silent(&mut self, now: Time, pool: PoolId, called_ago: Micros) {
-        let since = now.minus(called_ago);
+    pub(super) fn on_endpoint_watch_silent(&mut self, now: Time, pool: PoolId, polled_ago: Micros) {
+        let called_at = now.minus(polled_ago);
         self.pools[pool.0].count_discovery_failure();
         self.notify_rebalancer(now, pool, RebalanceEvent::EndpointListLost);
-        self.dispatch(now, pool, Event::EndpointWatchSilent { since });
+        self.dispatch(now, pool, Event::EndpointWatchSilent { called_at });
         self.limit_forwarding_to_list_expiry(pool);
     }
 
@@ -72,8 +72,8 @@
     /// Makes attempts in flight fail at the list's expiry, if their request is not written in full by then.
     fn limit_forwarding_to_list_expiry(&mut self, pool: PoolId) {
         let Some(expires_at) = self.pools[pool.0].balancer.endpoint_list_expires_at() else { return };
-        let placed: Vec<PlacedConnection> = self.connections.placed(pool).collect();
-        for PlacedConnection { connection, .. } in placed {
+        let placed: Vec<ConnectionAtServer> = self.connections.connections_with_attempt(pool).collect();
+        for ConnectionAtServer { connection, .. } in placed {
             self.connections.limit_forwarding(connection, expires_at);
         }
     }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -40,7 +40,7 @@
     /// Capacity relative to the other servers; 1 for a server of the usual size.
     pub weight: f64,
     /// Time at which the server's process started, if known.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// The endpoint list in effect, ordered by server number.
@@ -51,7 +51,7 @@
 
 impl EndpointList {
     /// Returns the server, if it is listed and accepts new connections.
-    pub(super) fn get_ready(&self, server: ServerId) -> Option<&Endpoint> {
+    pub(super) fn get_if_ready(&self, server: ServerId) -> Option<&Endpoint> {
         self.get(server).filter(|endpoint| endpoint.lifecycle == Lifecycle::Ready)
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Returns the numbers of all listed servers in ascending order.
-    pub(super) fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
+    pub(super) fn server_ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.endpoints.keys().copied()
     }
 
@@ -90,7 +90,7 @@
                 Lifecycle::Draining => EndpointState::Draining,
                 Lifecycle::Gone => EndpointState::Gone,
             },
-            started: self.started,
+            started_at: self.started_at,
             weight: self.weight,
         }
     }
@@ -98,7 +98,7 @@
 
 /// Parses a server's entry in the replicated map: the address, optionally followed by the zone and the
 /// weight, separated by spaces. Returns `None` if the address or the weight cannot be parsed.
-pub fn stored_endpoint(name: &str, text: &str) -> Option<Endpoint> {
+pub fn parse_replicated_endpoint(name: &str, text: &str) -> Option<Endpoint> {
     let mut fields = text.split_ascii_whitespace();
     let address = fields.next()?.parse::<std::net::SocketAddr>().ok()?.to_string();
     let zone = fields.next().unwrap_or("").to_owned();
@@ -110,7 +110,7 @@
         cell: 0,
         lifecycle: Lifecycle::Ready,
         weight,
-        started: None,
+        started_at: None,
     })
 }
 
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -61,7 +61,7 @@
         let pool = &mut self.pools[pool_id.0];
         pool.load_reports.add_message_time(now, server, message_time_ms);
         let message_time = Micros::from_f64(message_time_ms.max(0.0) * MICROS_PER_MILLISECOND);
-        let event = RebalanceEvent::MessageTimeReported { server, took: message_time };
+        let event = RebalanceEvent::MessageTimeReported { server, message_time };
         pool.rebalance.on_event(now, event);
         self.broadcast_observation(now, pool_id, Observation::SlowServer(server, message_time));
         Measurement::MessageTime(message_time)
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -1,18 +1,18 @@
 //! Admission at the sockets: how many connections without an attempt may be open, and when the fronts accept.
 //!
-//! This module owns the limits of all fronts ([`Budget`]) and the set of pending connections. A connection is
-//! pending if it has sent no request yet, or if it is answered and its sockets are not closed yet. It uses a
-//! descriptor of the process, and no limit of admitted connections applies to it. Clients that connect
-//! without sending a request could therefore use up all descriptors.
+//! This module owns the limits of all fronts ([`ResourceLimits`]) and the set of pending connections. A
+//! connection is pending if it has sent no request yet, or if it is answered and its sockets are not closed
+//! yet. It uses a descriptor of the process, and no limit of admitted connections applies to it. Clients that
+//! connect without sending a request could therefore use up all descriptors.
 //!
-//! Rule: the limit is `Budget::pending`, less the descriptors that the predecessor of a hot restart still
-//! uses. While fewer connections are pending, the fronts accept. At the limit, the oldest pending connection
-//! is aborted once it has been pending for [`MIN_PENDING_TIME`]. Until then, the accept gate is closed and
-//! new clients wait in the listeners' queues.
+//! Rule: the limit is `ResourceLimits::max_pending_connections`, less the descriptors that the predecessor of
+//! a hot restart still uses. While fewer connections are pending, the fronts accept. At the limit, the oldest
+//! pending connection is aborted once it has been pending for [`MIN_PENDING_TIME`]. Until then, the accept
+//! gate is closed and new clients wait in the listeners' queues.
 
 use std::collections::BTreeMap;
 
-use super::{Budget, ConnectionId};
+use super::{ConnectionId, ResourceLimits};
 use crate::{Micros, Time};
 
 /// Time for which a connection has to be pending before it may be aborted at the limit. A client that intends
@@ -21,7 +21,7 @@
 
 /// The limits of all fronts, and the pending connections.
 pub(super) struct FrontAdmission {
-    budget: Budget,
+    resource_limits: ResourceLimits,
     /// Connections without a request and ended ones whose sockets are still open, each with the time since
     /// which it is pending.
     pending: BTreeMap<ConnectionId, Time>,
@@ -40,16 +40,16 @@
 }
 
 impl FrontAdmission {
-    pub(super) fn new(budget: Budget) -> FrontAdmission {
-        FrontAdmission { budget, pending: BTreeMap::new(), gate_closed_until: None }
+    pub(super) fn new(resource_limits: ResourceLimits) -> FrontAdmission {
+        FrontAdmission { resource_limits, pending: BTreeMap::new(), gate_closed_until: None }
     }
 
-    pub(super) fn budget(&self) -> Budget {
-        self.budget
+    pub(super) fn resource_limits(&self) -> ResourceLimits {
+        self.resource_limits
     }
 
-    pub(super) fn set_budget(&mut self, budget: Budget) {
-        self.budget = budget;
+    pub(super) fn set_resource_limits(&mut self, resource_limits: ResourceLimits) {
+        self.resource_limits = resource_limits;
     }
 
     /// Records that a connection is pending from now on.
@@ -80,10 +80,10 @@
         self.gate_closed_until.is_none()
     }
 
-    /// Returns when one more connection may be accepted. `borrowed_descriptors` is the number of descriptors
-    /// for pending connections that a predecessor uses.
-    pub(super) fn capacity(&self, now: Time, borrowed_descriptors: usize) -> Capacity {
-        if self.pending.len() + borrowed_descriptors < self.budget.pending {
+    /// Returns when one more connection may be accepted. `predecessor_descriptors` is the number of
+    /// descriptors for pending connections that a predecessor uses.
+    pub(super) fn capacity(&self, now: Time, predecessor_descriptors: usize) -> Capacity {
+        if self.pending.len() + predecessor_descriptors < self.resource_limits.max_pending_connections {
             return Capacity::Available;
         }
         let Some((&oldest, &since)) = self.pending.iter().min_by_key(|(_, since)| **since) else {
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -41,8 +41,8 @@
 /// Returns the event that reports an observation to the balancer.
 fn event_of(observation: Observation) -> Event<'static> {
     match observation {
-        Observation::SlowServer(server, took) => Event::PeerObservation { server, took: Some(took) },
-        Observation::Dropped(server) => Event::PeerObservation { server, took: None },
-        Observation::SlowSetUps => Event::PeerSetupSlow,
+        Observation::SlowServer(server, time) => Event::PeerObservation { server, message_time: Some(time) },
+        Observation::Dropped(server) => Event::PeerObservation { server, message_time: None },
+        Observation::SlowSetups => Event::PeerObservedSlowSetups,
     }
 }
--- a/src/routing/handover_state.rs
+++ b/src/routing/handover_state.rs
@@ -29,14 +29,14 @@
     /// Names of servers that an operator excluded without a replicated map.
     pub excluded_by_operator: Vec<String>,
     /// Names of all servers that were ever listed.
-    pub ever_listed: Vec<String>,
+    pub known_server_names: Vec<String>,
     /// Entries of the replicated map.
     pub entries: Vec<KeyedEntry>,
     /// State of each pool, by the name of the pool.
     pub pools: BTreeMap<String, PoolHandoverState>,
     /// Number of descriptors that pending connections of the exporting process use at the time of the export.
     /// The exporting process keeps them open for a limited time.
-    pub open_descriptors: usize,
+    pub pending_descriptors: usize,
 }
 
 /// State of one pool that a process exports to its successor.
@@ -47,7 +47,7 @@
     /// Servers that were readmitted within the slow-start duration.
     pub readmitted: Vec<Readmission>,
     /// Client-chosen ids of the requests whose connections are open at the exporting process.
-    pub ids: Vec<String>,
+    pub request_ids: Vec<String>,
 }
 
 /// A listed server, with the state that the exporting process has learned about it.
@@ -56,7 +56,7 @@
     /// The server's entry in the endpoint list as received.
     pub endpoint: Endpoint,
     /// Learned state, or `None` if the balancer does not know the server.
-    pub learned: Option<LearnedState>,
+    pub learned_state: Option<LearnedState>,
 }
 
 /// A server that an operator has readmitted.
@@ -65,5 +65,5 @@
     /// Name of the server.
     pub server: String,
     /// Time of the readmission.
-    pub at: Time,
+    pub readmitted_at: Time,
 }
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -25,7 +25,7 @@
 use super::dispatch::request_id;
 use super::hot_restart_state::PeerProcess;
 use super::{
-    server_id, AdminClientId, AdminResponse, ConnectionId, Effect, HandoverState, LogEvent, PoolId, State,
+    server_id, AdminCallId, AdminResponse, ConnectionId, Effect, HandoverState, LogEvent, PoolId, State,
     TransferredConnection,
 };
 use crate::{Event, GroupId, Measurement, Outcome, ServerId, Time};
@@ -45,10 +45,10 @@
         let pools = self.pools.iter().map(|pool| (pool.config.name.to_owned(), pool.export_state()));
         HandoverState {
             excluded_by_operator: self.exclusions.excluded_names(),
-            ever_listed: self.exclusions.names_ever_listed(),
+            known_server_names: self.exclusions.names_ever_listed(),
             entries: self.replication.entries(),
             pools: pools.collect(),
-            open_descriptors: self.admission.pending_count(),
+            pending_descriptors: self.admission.pending_count(),
         }
     }
 
@@ -106,8 +106,8 @@
     /// Imports the predecessor's state. The learned state of servers is imported last, because the balancer
     /// keeps it only for listed servers.
     pub(super) fn import_state(&mut self, now: Time, state: HandoverState) {
-        self.hot_restart.record_predecessor(state.open_descriptors);
-        self.exclusions.import(state.excluded_by_operator, state.ever_listed);
+        self.hot_restart.record_predecessor(state.pending_descriptors);
+        self.exclusions.import(state.excluded_by_operator, state.known_server_names);
         self.replication.import_entries(state.entries);
         self.persist_exclusions();
         for pool_id in (0..self.pools.len()).map(PoolId) {
@@ -141,7 +141,7 @@
         self.notify_established(now, id, None);
         // A connection at a draining or unlisted server must leave it, like the connections that were there
         // when the server's state changed.
-        if !was_listed || self.pools[pool_id.0].endpoints.get_ready(server).is_none() {
+        if !was_listed || self.pools[pool_id.0].endpoints.get_if_ready(server).is_none() {
             self.refresh_endpoints(now, pool_id);
         }
     }
@@ -208,35 +208,35 @@
     pub(super) fn share_exclusion(
         &mut self,
         now: Time,
-        admin_client: AdminClientId,
+        admin_call: AdminCallId,
         server: String,
         excluded: bool,
     ) {
-        self.hot_restart.await_acknowledgement(now, admin_client);
-        self.effects.push(Effect::ShareExclusion { admin_client, server, excluded });
+        self.hot_restart.await_acknowledgement(now, admin_call);
+        self.effects.push(Effect::ShareExclusion { admin_call, server, excluded });
     }
 
     /// Replies to an admin client after the peer process has acknowledged its exclusion, or after the wait
     /// for the acknowledgement has ended.
-    pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
-        if self.hot_restart.end_acknowledgement_wait(admin_client) {
-            self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
+    pub(super) fn on_exclusion_acknowledged(&mut self, admin_call: AdminCallId) {
+        if self.hot_restart.end_acknowledgement_wait(admin_call) {
+            self.effects.push(Effect::AdminReply { admin_call, reply: AdminResponse::Yes });
         }
     }
 
     /// Replies `YES` to admin clients whose wait has timed out, since their exclusion is in effect at this
     /// process.
     pub(super) fn reply_to_timed_out_admin_clients(&mut self, now: Time) {
-        for admin_client in self.hot_restart.timed_out_admin_clients(now) {
-            self.on_exclusion_acknowledged(admin_client);
+        for admin_call in self.hot_restart.timed_out_admin_calls(now) {
+            self.on_exclusion_acknowledged(admin_call);
         }
     }
 
     /// Handles the end of the peer process, or of the link to it.
     pub(super) fn on_peer_process_lost(&mut self, now: Time) {
         let peer_process = self.hot_restart.take_peer_process();
-        for admin_client in self.hot_restart.pending_admin_clients() {
-            self.on_exclusion_acknowledged(admin_client);
+        for admin_call in self.hot_restart.pending_admin_calls() {
+            self.on_exclusion_acknowledged(admin_call);
         }
         match peer_process {
             Some(PeerProcess::StartingSuccessor | PeerProcess::Successor) => self.on_successor_lost(now),
@@ -255,8 +255,8 @@
     /// Releases the request ids and descriptors that were reserved for the predecessor.
     fn on_predecessor_lost(&mut self, now: Time) {
         for pool in &mut self.pools {
-            pool.admitted.forget_predecessor();
+            pool.admitted.release_predecessor_ids();
         }
-        self.evict_idle_connection(now);
+        self.evict_pending_connections(now);
     }
 }
--- a/src/routing/hot_restart_state.rs
+++ b/src/routing/hot_restart_state.rs
@@ -1,8 +1,8 @@
-//! The peer process of a hot restart, and the admin clients whose replies wait for its acknowledgement.
+//! The peer process of a hot restart, and the admin calls whose replies wait for its acknowledgement.
 
 use std::collections::BTreeMap;
 
-use super::{AdminClientId, Budget};
+use super::{AdminCallId, ResourceLimits};
 use crate::{Micros, Time};
 
 /// Longest time for which the reply to an admin client waits for the peer process. Admin clients expect a
@@ -19,17 +19,17 @@
     StartingSuccessor,
     /// Successor that serves in place of this process.
     Successor,
-    /// Process that served before this one. `open_descriptors` is the number of descriptors that its pending
-    /// connections used when it exported its state.
-    Predecessor { open_descriptors: usize },
+    /// Process that served before this one. `pending_descriptors` is the number of descriptors that its
+    /// pending connections used when it exported its state.
+    Predecessor { pending_descriptors: usize },
 }
 
-/// The peer process, and the admin clients whose replies wait for its acknowledgement.
+/// The peer process, and the admin calls whose replies wait for its acknowledgement.
 #[derive(Default)]
 pub(super) struct HotRestartState {
     peer_process: Option<PeerProcess>,
-    /// Admin clients whose replies wait, each with the deadline of the wait.
-    pending_acknowledgements: BTreeMap<AdminClientId, Time>,
+    /// Admin calls whose replies wait, each with the deadline of the wait.
+    pending_acknowledgements: BTreeMap<AdminCallId, Time>,
 }
 
 impl HotRestartState {
@@ -47,9 +47,9 @@
         has_started
     }
 
-    /// Records that there is a predecessor, whose pending connections use `open_descriptors` descriptors.
-    pub(super) fn record_predecessor(&mut self, open_descriptors: usize) {
-        self.peer_process = Some(PeerProcess::Predecessor { open_descriptors });
+    /// Records that there is a predecessor, whose pending connections use `pending_descriptors` descriptors.
+    pub(super) fn record_predecessor(&mut self, pending_descriptors: usize) {
+        self.peer_process = Some(PeerProcess::Predecessor { pending_descriptors });
     }
 
     /// Removes and returns the peer process, which has ended or is unreachable.
@@ -71,24 +71,24 @@
     }
 
     /// Returns the number of descriptors for pending connections that are counted as used by the predecessor.
-    /// At most three quarters of the budget are counted, so that this process can always accept clients.
-    pub(super) fn borrowed_descriptors(&self, budget: Budget) -> usize {
+    /// At most three quarters of the limit are counted, so that this process can always accept clients.
+    pub(super) fn predecessor_descriptors(&self, resource_limits: ResourceLimits) -> usize {
         match self.peer_process {
-            Some(PeerProcess::Predecessor { open_descriptors }) => {
-                open_descriptors.min(budget.pending * MAX_BORROWED_PERCENT / 100)
+            Some(PeerProcess::Predecessor { pending_descriptors }) => {
+                pending_descriptors.min(resource_limits.max_pending_connections * MAX_BORROWED_PERCENT / 100)
             }
             _ => 0,
         }
     }
 
-    /// Records that the reply to an admin client waits for the peer process's acknowledgement.
-    pub(super) fn await_acknowledgement(&mut self, now: Time, admin_client: AdminClientId) {
-        self.pending_acknowledgements.insert(admin_client, now.plus(ACKNOWLEDGEMENT_TIMEOUT));
+    /// Records that the reply to an admin call waits for the peer process's acknowledgement.
+    pub(super) fn await_acknowledgement(&mut self, now: Time, admin_call: AdminCallId) {
+        self.pending_acknowledgements.insert(admin_call, now.plus(ACKNOWLEDGEMENT_TIMEOUT));
     }
 
-    /// Ends the wait of the reply to an admin client. Returns false if the reply was not waiting.
-    pub(super) fn end_acknowledgement_wait(&mut self, admin_client: AdminClientId) -> bool {
-        self.pending_acknowledgements.remove(&admin_client).is_some()
+    /// Ends the wait of the reply to an admin call. Returns false if the reply was not waiting.
+    pub(super) fn end_acknowledgement_wait(&mut self, admin_call: AdminCallId) -> bool {
+        self.pending_acknowledgements.remove(&admin_call).is_some()
     }
 
     /// Returns the earliest deadline of a waiting reply.
@@ -96,14 +96,14 @@
         self.pending_acknowledgements.values().copied().min()
     }
 
-    /// Returns the admin clients whose replies wait for an acknowledgement.
-    pub(super) fn pending_admin_clients(&self) -> Vec<AdminClientId> {
+    /// Returns the admin calls whose replies wait for an acknowledgement.
+    pub(super) fn pending_admin_calls(&self) -> Vec<AdminCallId> {
         self.pending_acknowledgements.keys().copied().collect()
     }
 
-    /// Returns the admin clients whose wait for an acknowledgement has timed out.
-    pub(super) fn timed_out_admin_clients(&self, now: Time) -> Vec<AdminClientId> {
+    /// Returns the admin calls whose wait for an acknowledgement has timed out.
+    pub(super) fn timed_out_admin_calls(&self, now: Time) -> Vec<AdminCallId> {
         let timed_out = self.pending_acknowledgements.iter().filter(|(_, deadline)| **deadline <= now);
-        timed_out.map(|(&admin_client, _)| admin_client).collect()
+        timed_out.map(|(&admin_call, _)| admin_call).collect()
     }
 }
--- a/src/routing/ids.rs
+++ b/src/routing/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers by which the reducer and the driver identify connections, pools and admin clients.
+//! Numbers by which the reducer and the driver identify connections, pools and admin calls.
 
 pub use crate::ConnectionId;
 
@@ -8,4 +8,4 @@
 
 /// Number of one call of an admin client, assigned by the driver. The reply has the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AdminClientId(pub u64);
+pub struct AdminCallId(pub u64);
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -4,8 +4,8 @@
 
 use super::store::{KeyedEntry, ReplicaMessage};
 use super::{
-    AdminCall, AdminClientId, AttemptOutcome, Budget, ConnectionId, ConnectionRequest, Endpoint,
-    HandoverState, PoolConfig, PoolId, ProbeOutcome, TransferredConnection,
+    AdminCall, AdminCallId, AttemptOutcome, ConnectionId, ConnectionRequest, Endpoint, HandoverState,
+    PoolConfig, PoolId, ProbeOutcome, ResourceLimits, TransferredConnection,
 };
 use crate::peers::GossipMessage;
 use crate::ServerId;
@@ -65,7 +65,7 @@
         /// Number of the attempt, as in [`super::Effect::OpenAttempt`].
         attempt: u32,
         /// How the attempt ended.
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
     /// A client's line was forwarded to the server of an established connection.
     LineForwarded {
@@ -84,7 +84,7 @@
         /// The connection's load in microseconds of work per second. Where the settings say that servers
         /// report message times, it may instead be the time that a message takes at the server, in
         /// milliseconds.
-        load: f64,
+        value: f64,
     },
     /// The state that an earlier process stored was read.
     StoredStateRead {
@@ -123,7 +123,7 @@
         /// The probed server.
         server: ServerId,
         /// How the probe ended, with the load report if the server sent one.
-        end: ProbeOutcome,
+        outcome: ProbeOutcome,
     },
     /// The watch on a pool's endpoint list broke, or could not be established.
     EndpointWatchLost {
@@ -137,7 +137,7 @@
         /// The pool whose list was polled.
         pool: PoolId,
         /// Time since the unanswered poll was sent.
-        called_ago: Micros,
+        polled_ago: Micros,
     },
     /// A message of another replica or of an operator's command arrived.
     ReplicaMessage {
@@ -153,7 +153,7 @@
         /// Addresses of the other replicas.
         other_replicas: Vec<SocketAddr>,
         /// The limits of all fronts together.
-        budget: Budget,
+        resource_limits: ResourceLimits,
     },
     /// The listeners of all fronts are open.
     Listening,
@@ -188,13 +188,13 @@
     },
     /// The peer process has applied an exclusion that was shared with it.
     ExclusionAcknowledged {
-        /// The admin client whose reply waits for the acknowledgement.
-        admin_client: AdminClientId,
+        /// The admin call whose reply waits for the acknowledgement.
+        admin_call: AdminCallId,
     },
     /// An admin client sent a call.
     AdminRequest {
         /// Number that the driver assigned to the call, by which it routes the reply.
-        admin_client: AdminClientId,
+        admin_call: AdminCallId,
         /// The parsed call.
         call: AdminCall,
     },
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -49,7 +49,7 @@
             self.notify_rebalancer(
                 now,
                 pool,
-                RebalanceEvent::ConnectionEnded { connection: id, natural: false },
+                RebalanceEvent::ConnectionEnded { connection: id, ended_by_client: false },
             );
         }
     }
@@ -71,13 +71,13 @@
         self.notify_rebalancer(
             now,
             pool,
-            RebalanceEvent::ConnectionEstablished { connection: id, properties, setup: setup_time },
+            RebalanceEvent::ConnectionEstablished { connection: id, properties, setup_time },
         );
     }
 
     /// Returns the metrics of a pool's rebalancing for simulations and tests, or `None` if rebalancing is
     /// off.
-    pub fn rebalancing(&self, pool: PoolId) -> Option<RebalanceMetrics> {
+    pub fn rebalance_metrics(&self, pool: PoolId) -> Option<RebalanceMetrics> {
         let pool = self.pools.get(pool.0).filter(|pool| pool.config.rebalance.enabled)?;
         Some(pool.rebalance.metrics())
     }
@@ -119,7 +119,7 @@
         }
         for Migration { connection: id, from: server } in decision.migrations {
             self.migrate(now, id, Outcome::Cancelled);
-            self.pools[pool_id.0].balancer.on_migrated_for_balance(now, server);
+            self.pools[pool_id.0].balancer.on_rebalancing_migration(now, server);
         }
     }
 }
@@ -127,25 +127,25 @@
 impl Pool {
     /// Returns a snapshot of each listed server that the balancer knows.
     fn server_snapshots(&self, now: Time) -> Vec<ServerSnapshot> {
-        self.endpoints.ids().filter_map(|server| self.server_snapshot(now, server)).collect()
+        self.endpoints.server_ids().filter_map(|server| self.server_snapshot(now, server)).collect()
     }
 
     fn server_snapshot(&self, now: Time, server: ServerId) -> Option<ServerSnapshot> {
         let Occupancy { occupied_slots, ceiling } = self.balancer.occupancy(server)?;
         let learned = self.balancer.learned_state(server)?;
         let endpoint = self.endpoints.get(server)?;
-        let is_ready = self.endpoints.get_ready(server).is_some() && learned.failure_score == 0;
+        let is_ready = self.endpoints.get_if_ready(server).is_some() && learned.failure_score == 0;
         let weight = Some(endpoint.weight).filter(|weight| *weight > 0.0 && weight.is_finite());
-        let warmth = endpoint.started.map_or(1.0, |started| self.warmth(now, started));
+        let warmth = endpoint.started_at.map_or(1.0, |started| self.warmth(now, started));
         Some(ServerSnapshot {
             server,
-            ready: is_ready,
+            is_ready,
             occupied_slots,
             ceiling,
             weight: weight.unwrap_or(DEFAULT_WEIGHT),
             warmth: warmth.clamp(MIN_WARMTH, 1.0),
-            started: endpoint.started,
-            last_fault: learned.last_fault,
+            started_at: endpoint.started_at,
+            last_fault_at: learned.last_fault,
         })
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -87,16 +87,16 @@
 pub use connection_request::ConnectionRequest;
 pub use effect::Effect;
 pub use endpoint_watch::EndpointWatchTiming;
-pub use endpoints::{server_id, stored_endpoint, Endpoint, Lifecycle};
+pub use endpoints::{parse_replicated_endpoint, server_id, Endpoint, Lifecycle};
 pub use handover_state::{
     ExportedEndpoint, HandoverState, PoolHandoverState, Readmission, TransferredConnection,
 };
-pub use ids::{AdminClientId, ConnectionId, PoolId};
+pub use ids::{AdminCallId, ConnectionId, PoolId};
 pub use input::Input;
 pub use log_event::LogEvent;
 pub use metrics::{ClassCounters, Metrics};
 pub use outcome::{Answer, AttemptOutcome, ProbeOutcome};
-pub use pool_config::{Budget, PoolConfig, ReplicationConfig};
+pub use pool_config::{PoolConfig, ReplicationConfig, ResourceLimits};
 pub use probe_records::MAX_PROBES;
 pub use reducer::reduce;
 pub use state::State;
--- a/src/routing/pending_connections.rs
+++ b/src/routing/pending_connections.rs
@@ -10,10 +10,11 @@
 impl State {
     /// Aborts the oldest pending connections until one more client can be accepted, and opens or closes the
     /// accept gate. The gate is not opened while a successor accepts.
-    pub(super) fn evict_idle_connection(&mut self, now: Time) {
-        let borrowed_descriptors = self.hot_restart.borrowed_descriptors(self.admission.budget());
+    pub(super) fn evict_pending_connections(&mut self, now: Time) {
+        let predecessor_descriptors =
+            self.hot_restart.predecessor_descriptors(self.admission.resource_limits());
         let closed_until = loop {
-            match self.admission.capacity(now, borrowed_descriptors) {
+            match self.admission.capacity(now, predecessor_descriptors) {
                 Capacity::Available => break None,
                 Capacity::AvailableAt(time) => break Some(time),
                 Capacity::AvailableAfterAborting(id) => self.abort_connection(now, id),
@@ -35,6 +36,6 @@
     /// Handles the close of a connection's last socket, which may make room for another client.
     pub(super) fn on_sockets_closed(&mut self, now: Time, id: ConnectionId) {
         self.admission.remove_pending(id);
-        self.evict_idle_connection(now);
+        self.evict_pending_connections(now);
     }
 }
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -6,8 +6,8 @@
 //! | --- | --- |
 //! | `balancer` | server, retry and rejection for each request; occupancy and learned state of servers |
 //! | `rebalance` | which established connections migrate for balance |
-//! | `peers` | which observations are sent to the other balancers |
-//! | `probes` | health checks in flight, and processes that decline them |
+//! | `gossip` | which observations are sent to the other balancers |
+//! | `probes` | health checks in flight, and processes that refuse them |
 //! | `listed`, `endpoints` | the endpoint list as received, and the list in effect |
 //! | `exclusions` | excluded and readmitted servers |
 //! | `admitted` | number and request ids of admitted connections |
@@ -138,8 +138,9 @@
             total.failed += counters.failed;
         }
         metrics.outstanding += self.admitted.count() as u64;
-        metrics.discovered += self.endpoints.ids().count() as u64;
-        metrics.ejected += self.endpoints.ids().filter(|&server| self.is_avoided(now, server)).count() as u64;
+        metrics.discovered += self.endpoints.server_ids().count() as u64;
+        metrics.ejected +=
+            self.endpoints.server_ids().filter(|&server| self.counts_as_ejected(now, server)).count() as u64;
         for (&reason, count) in &self.refusals {
             *metrics.refusals.entry(reason).or_default() += count;
         }
@@ -152,8 +153,8 @@
         }
     }
 
-    fn is_avoided(&self, now: Time, server: ServerId) -> bool {
-        self.is_excluded(server) || self.balancer.is_avoided(now, server)
+    fn counts_as_ejected(&self, now: Time, server: ServerId) -> bool {
+        self.is_excluded(server) || self.balancer.counts_as_ejected(now, server)
     }
 
     /// Returns whether a server is listed and excluded by an operator.
@@ -167,19 +168,19 @@
     pub(super) fn export_state(&self) -> PoolHandoverState {
         let export = |endpoint: &Endpoint| ExportedEndpoint {
             endpoint: endpoint.clone(),
-            learned: self.balancer.learned_state(server_id(&endpoint.name)),
+            learned_state: self.balancer.learned_state(server_id(&endpoint.name)),
         };
         PoolHandoverState {
             endpoints: self.listed.by_name().values().map(export).collect(),
             readmitted: self.exclusions.readmitted(),
-            ids: self.admitted.request_ids(),
+            request_ids: self.admitted.request_ids(),
         }
     }
 
     /// Imports the predecessor's endpoint list, readmissions and request ids.
     pub(super) fn import_state(&mut self, state: &PoolHandoverState) {
         self.exclusions.import_readmitted(&state.readmitted);
-        self.admitted.import_request_ids(&state.ids);
+        self.admitted.import_request_ids(&state.request_ids);
         // Without discovery, the list is read from this process's own configuration.
         if self.config.discovery.is_some() && !state.endpoints.is_empty() {
             self.listed.import(state.endpoints.iter().map(|exported| &exported.endpoint));
@@ -189,9 +190,9 @@
     /// Imports the predecessor's learned state of servers. The servers have to be in the list in effect
     /// before this call.
     pub(super) fn import_learned_state(&mut self, state: &PoolHandoverState) {
-        for ExportedEndpoint { endpoint, learned } in &state.endpoints {
-            if let Some(learned) = *learned {
-                self.balancer.import_learned_state(server_id(&endpoint.name), learned);
+        for ExportedEndpoint { endpoint, learned_state } in &state.endpoints {
+            if let Some(learned_state) = *learned_state {
+                self.balancer.import_learned_state(server_id(&endpoint.name), learned_state);
             }
         }
     }
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -19,14 +19,14 @@
 
 /// Limits of all fronts together, derived from the limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct ResourceLimits {
     /// Limit of pending connections, which have no attempt: those without a request, and answered ones whose
     /// sockets are still open.
-    pub pending: usize,
+    pub max_pending_connections: usize,
     /// Limit of connections whose request was admitted, including established ones.
-    pub admitted: usize,
+    pub max_admitted_connections: usize,
     /// Bytes buffered for one side of a connection at which the balancer stops reading from the other side.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
 }
 
 /// Configuration of one pool of servers.
@@ -66,7 +66,7 @@
     /// preference.
     pub load_report_fields: Vec<&'static str>,
     /// The longest time that a client waits for its answer.
-    pub longest_wait: Micros,
+    pub max_client_wait: Micros,
     /// Configuration of the migration of established connections for balance.
     pub rebalance: rebalance::RebalanceConfig,
     /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` if the
--- a/src/routing/pool_exclusions.rs
+++ b/src/routing/pool_exclusions.rs
@@ -27,13 +27,16 @@
     }
 
     pub(super) fn readmitted(&self) -> Vec<Readmission> {
-        self.readmitted.iter().map(|(name, &at)| Readmission { server: name.clone(), at }).collect()
+        self.readmitted
+            .iter()
+            .map(|(name, &at)| Readmission { server: name.clone(), readmitted_at: at })
+            .collect()
     }
 
     /// Adds the readmissions of an earlier process.
     pub(super) fn import_readmitted(&mut self, readmitted: &[Readmission]) {
         let added = readmitted.iter().cloned();
-        self.readmitted.extend(added.map(|Readmission { server, at }| (server, at)));
+        self.readmitted.extend(added.map(|Readmission { server, readmitted_at: at }| (server, at)));
     }
 
     /// Replaces the exclusions. Servers that are no longer excluded count as readmitted now.
@@ -47,7 +50,7 @@
     pub(super) fn apply_readmissions(&self, endpoints: &mut BTreeMap<String, Endpoint>) {
         for (name, &at) in &self.readmitted {
             if let Some(endpoint) = endpoints.get_mut(name) {
-                endpoint.started = endpoint.started.max(Some(at));
+                endpoint.started_at = endpoint.started_at.max(Some(at));
             }
         }
     }
--- a/src/routing/probe_records.rs
+++ b/src/routing/probe_records.rs
@@ -1,4 +1,4 @@
-//! The probes in flight of one pool, and the server processes that decline probes.
+//! The probes in flight of one pool, and the server processes that refuse probes.
 //!
 //! Rule: at most [`MAX_PROBES`] probes are in flight, at most one for each server. None is sent to a process
 //! that has refused probes. A server's process is identified by its start time.
@@ -46,11 +46,11 @@
         Some(Incarnation { server, started })
     }
 
-    /// Records that a process declines probes, and removes the records of processes that were replaced or are
+    /// Records that a process refuses probes, and removes the records of processes that were replaced or are
     /// not listed any more.
-    pub(super) fn record_declined(&mut self, probed: Incarnation, endpoints: &EndpointList) {
+    pub(super) fn record_refusal(&mut self, probed: Incarnation, endpoints: &EndpointList) {
         self.processes_refusing_probes.retain(|process| {
-            endpoints.get(process.server).is_some_and(|endpoint| endpoint.started == process.started)
+            endpoints.get(process.server).is_some_and(|endpoint| endpoint.started_at == process.started)
         });
         self.processes_refusing_probes.insert(probed);
     }
--- a/src/routing/reducer.rs
+++ b/src/routing/reducer.rs
@@ -28,12 +28,12 @@
             Input::AttemptAccepted { connection, attempt } => {
                 self.on_attempt_accepted(now, connection, attempt);
             }
-            Input::AttemptEnded { connection, attempt, end } => {
-                self.on_attempt_ended(now, connection, attempt, end);
+            Input::AttemptEnded { connection, attempt, outcome } => {
+                self.on_attempt_ended(now, connection, attempt, outcome);
             }
             Input::LineForwarded { connection } => self.on_line_forwarded(now, connection),
             Input::ServerActivity { connection } => self.on_server_activity(connection),
-            Input::LoadReported { connection, load } => self.on_load_reported(now, connection, load),
+            Input::LoadReported { connection, value } => self.on_load_reported(now, connection, value),
             Input::StoredStateRead { entries, excluded_by_operator } => {
                 self.on_stored_state_read(now, entries, excluded_by_operator);
             }
@@ -44,14 +44,16 @@
                 self.on_endpoints_updated(now, pool, is_snapshot, endpoints);
             }
             Input::EndpointWatchLost { pool, failure } => self.on_endpoint_watch_lost(now, pool, failure),
-            Input::EndpointWatchSilent { pool, called_ago } => {
-                self.on_endpoint_watch_silent(now, pool, called_ago);
+            Input::EndpointWatchSilent { pool, polled_ago } => {
+                self.on_endpoint_watch_silent(now, pool, polled_ago);
             }
             Input::GossipReceived { pool, message } => self.on_gossip_received(now, pool, message),
-            Input::ProbeCompleted { pool, server, end } => self.on_probe_completed(now, pool, server, end),
+            Input::ProbeCompleted { pool, server, outcome } => {
+                self.on_probe_completed(now, pool, server, outcome);
+            }
             Input::ReplicaMessage { from, message } => self.on_replica_message(now, from, message),
-            Input::ConfigurationChanged { pools, other_replicas, budget } => {
-                self.on_configuration_changed(now, pools, other_replicas, budget);
+            Input::ConfigurationChanged { pools, other_replicas, resource_limits } => {
+                self.on_configuration_changed(now, pools, other_replicas, resource_limits);
             }
             Input::SuccessorStarted => self.on_successor_started(),
             Input::SuccessorReady => self.on_successor_ready(now),
@@ -62,9 +64,9 @@
             }
             Input::PeerProcessLost => self.on_peer_process_lost(now),
             Input::ExclusionShared { server, excluded } => self.on_exclusion_shared(now, &server, excluded),
-            Input::ExclusionAcknowledged { admin_client } => self.on_exclusion_acknowledged(admin_client),
+            Input::ExclusionAcknowledged { admin_call } => self.on_exclusion_acknowledged(admin_call),
             Input::Listening => self.on_listening(),
-            Input::AdminRequest { admin_client, call } => self.on_admin_request(now, admin_client, call),
+            Input::AdminRequest { admin_call, call } => self.on_admin_request(now, admin_call, call),
             Input::ShutdownRequested => self.on_shutdown_requested(now),
             Input::TimerFired => self.on_timer_fired(now),
         }
--- a/src/routing/replica.rs
+++ b/src/routing/replica.rs
@@ -96,16 +96,16 @@
         let replica = *self.other_replicas.get(self.digests_sent % self.other_replicas.len().max(1))?;
         self.digests_sent += 1;
         self.next_digest_at = Some(now.plus(DIGEST_INTERVAL));
-        let message = ReplicaMessage::Digest { wanted: true, buckets: self.map.digest() };
+        let message = ReplicaMessage::Digest { digest_requested: true, digest: self.map.digest() };
         Some(AddressedReplicaMessage { to: replica, message })
     }
 
     /// Returns the messages to a replica with this digest: the local digest if it was requested and differs,
     /// followed by entries.
-    pub(super) fn answer_digest(&mut self, wanted: bool, buckets: &Digest) -> Vec<ReplicaMessage> {
-        let mut answer = self.map.repair(buckets);
-        if wanted && (!answer.is_empty() || *buckets != self.map.digest()) {
-            answer.insert(0, ReplicaMessage::Digest { wanted: false, buckets: self.map.digest() });
+    pub(super) fn answer_digest(&mut self, digest_requested: bool, digest: &Digest) -> Vec<ReplicaMessage> {
+        let mut answer = self.map.answer_digest(digest);
+        if digest_requested && (!answer.is_empty() || *digest != self.map.digest()) {
+            answer.insert(0, ReplicaMessage::Digest { digest_requested: false, digest: self.map.digest() });
         }
         answer
     }
--- a/src/routing/replica_message.rs
+++ b/src/routing/replica_message.rs
@@ -11,9 +11,9 @@
     /// Digest of the sender's entries.
     Digest {
         /// Whether the sender requests the receiver's digest.
-        wanted: bool,
+        digest_requested: bool,
         /// Sums of the entries' hashes, by bucket.
-        buckets: Digest,
+        digest: Digest,
     },
     /// An entry of the map.
     Entry {
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -28,7 +28,7 @@
 
 impl State {
     /// Returns this node's replica of the map.
-    pub fn store(&self) -> &ReplicatedMap {
+    pub fn replicated_map(&self) -> &ReplicatedMap {
         self.replication.map()
     }
 
@@ -41,14 +41,16 @@
             return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownReplica { from }));
         }
         match message {
-            ReplicaMessage::Digest { wanted, buckets } => self.on_digest(from, wanted, &buckets),
+            ReplicaMessage::Digest { digest_requested, digest } => {
+                self.on_digest(from, digest_requested, &digest);
+            }
             ReplicaMessage::Entry { key, entry } => self.on_entry_received(now, key, entry),
             ReplicaMessage::Write { key, value } => self.on_write_requested(now, from, key, value),
         }
     }
 
-    fn on_digest(&mut self, from: SocketAddr, wanted: bool, buckets: &Digest) {
-        for message in self.replication.answer_digest(wanted, buckets) {
+    fn on_digest(&mut self, from: SocketAddr, digest_requested: bool, digest: &Digest) {
+        for message in self.replication.answer_digest(digest_requested, digest) {
             self.send_replica_message(from, message);
         }
     }
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -41,7 +41,7 @@
         if self.shutdown.has_begun() {
             return;
         }
-        let answer_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or_default();
+        let answer_wait = self.pools.iter().map(|pool| pool.config.max_client_wait).max().unwrap_or_default();
         let duration = answer_wait.min(MAX_ANSWER_WAIT) + SHUTDOWN_MARGIN;
         let successor_serves = self.hot_restart.successor_serves();
         let min_duration = if successor_serves { Micros::ZERO } else { MIN_SHUTDOWN_DURATION.min(duration) };
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -7,7 +7,7 @@
 use super::pool::Pool;
 use super::replica::Replica;
 use super::shutdown_state::ShutdownState;
-use super::{Budget, Effect, PoolConfig, ReplicationConfig};
+use super::{Effect, PoolConfig, ReplicationConfig, ResourceLimits};
 use crate::Time;
 
 /// All state of the daemon.
@@ -29,11 +29,16 @@
 
 impl State {
     /// Returns the state of a process that has just started with this configuration.
-    pub fn new(pools: Vec<PoolConfig>, replication: ReplicationConfig, budget: Budget, now: Time) -> State {
+    pub fn new(
+        pools: Vec<PoolConfig>,
+        replication: ReplicationConfig,
+        resource_limits: ResourceLimits,
+        now: Time,
+    ) -> State {
         State {
             pools: pools.into_iter().map(|config| Pool::new(config, now)).collect(),
             connections: ConnectionTable::default(),
-            admission: FrontAdmission::new(budget),
+            admission: FrontAdmission::new(resource_limits),
             exclusions: OperatorExclusions::default(),
             replication: Replica::new(replication, now),
             hot_restart: HotRestartState::default(),
@@ -45,7 +50,7 @@
     }
 
     /// Returns the limits of all fronts together.
-    pub fn budget(&self) -> Budget {
-        self.admission.budget()
+    pub fn resource_limits(&self) -> ResourceLimits {
+        self.admission.resource_limits()
     }
 }
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -184,7 +184,7 @@
 
     /// Returns the messages to a node with this digest: at most `MAX_REPAIR_ENTRIES` entries of the buckets
     /// in which the digests differ.
-    pub fn repair(&mut self, remote: &Digest) -> Vec<ReplicaMessage> {
+    pub fn answer_digest(&mut self, remote: &Digest) -> Vec<ReplicaMessage> {
         self.has_peer_contact = true;
         let local = self.digest();
         if local == *remote {
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -36,7 +36,7 @@
             self.on_connection_timer(now, id);
         }
         if self.admission.gate_closed_until().is_some_and(|at| at <= now) {
-            self.evict_idle_connection(now);
+            self.evict_pending_connections(now);
         }
         self.reply_to_timed_out_admin_clients(now);
         self.send_scheduled_digest(now);
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -126,7 +126,7 @@
 async fn handle_call(context: &AdminContext, line: &[u8]) -> AdminResponse {
     match admin::parse_call(line) {
         Ok(call) => {
-            let input = |admin_client| Input::AdminRequest { admin_client, call };
+            let input = |admin_call| Input::AdminRequest { admin_call, call };
             context.calls.call(&context.reducer, input).await
         }
         Err(_) => AdminResponse::No(AdminRejection::InvalidCall(admin::UnknownCall::EXPECTED.to_owned())),
--- a/src/transport/assembly.rs
+++ b/src/transport/assembly.rs
@@ -48,7 +48,7 @@
     fn feed_configured_endpoints(&mut self, config: &Config) {
         let mut pool = PoolId(0);
         if let Some(platform) = &config.platform {
-            let endpoints = platform.known.endpoints.clone();
+            let endpoints = platform.cached_endpoints.endpoints.clone();
             self.reducer.feed(Input::CachedEndpoints { pool, endpoints });
             self.platform = Some(pool);
             pool.0 += 1;
@@ -76,7 +76,7 @@
 }
 
 fn initial_state(config: &Config, clock: Clock) -> State {
-    let Config { platform, irc, store, budget, .. } = config;
+    let Config { platform, irc, store, resource_limits, .. } = config;
     let mut replication = ReplicationConfig::default();
     if let Some(store) = store {
         replication.node = store.node.clone();
@@ -84,5 +84,5 @@
     }
     let platform_pool = platform.iter().map(|platform| platform.pool.clone());
     let pools = platform_pool.chain(irc.iter().map(|irc| irc.pool.clone())).collect();
-    State::new(pools, replication, *budget, clock.started_at())
+    State::new(pools, replication, *resource_limits, clock.started_at())
 }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -9,7 +9,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::routing::{AdminClientId, Answer, ConnectionId, PoolId, TransferredConnection};
+use crate::routing::{AdminCallId, Answer, ConnectionId, PoolId, TransferredConnection};
 use crate::{Micros, ServerId};
 
 /// A command for the task of one connection.
@@ -56,8 +56,8 @@
 pub(super) enum PeerProcessMessage {
     /// An operator excluded or readmitted a server.
     ShareExclusion {
-        /// The admin client that waits for the acknowledgement.
-        admin_client: AdminClientId,
+        /// The admin call whose reply waits for the acknowledgement.
+        admin_call: AdminCallId,
         /// Name of the server.
         server: String,
         /// True if the server was excluded, false if it was readmitted.
@@ -83,7 +83,7 @@
     /// Address of the server, with its port.
     pub address: String,
     /// Names of the report's fields that may hold the load, in order of preference.
-    pub load_names: Vec<&'static str>,
+    pub load_report_fields: Vec<&'static str>,
     /// Time-out of the probe, including the time to connect.
     pub timeout: Duration,
 }
--- a/src/transport/connection/client_side.rs
+++ b/src/transport/connection/client_side.rs
@@ -6,7 +6,7 @@
 
 use super::socket_end::SocketEnd;
 use super::{Connection, CLOSE_TIMEOUT, READ_BUFFER_BYTES};
-use crate::protocol::pcap::{Close, Direction};
+use crate::protocol::pcap::{CloseKind, Direction};
 use crate::routing::Input;
 
 /// A function that reads a socket: [`SocketEnd::read`] or [`SocketEnd::read_from_system`].
@@ -49,7 +49,7 @@
             self.record(|recorder, at| recorder.record_data(at, Direction::ToClient, &recorded));
         }
         if self.client.is_write_finished() {
-            self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, Close::Orderly));
+            self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, CloseKind::Orderly));
         }
         if flushed.is_err() {
             self.on_client_broken();
@@ -60,7 +60,7 @@
     /// order.
     fn on_client_ended(&mut self) {
         self.client.set_read_ended();
-        self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Orderly));
+        self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, CloseKind::Orderly));
         if self.is_closing() {
             return;
         }
@@ -78,7 +78,7 @@
     /// Handles a failed read or write of the client's socket. An established attempt is reset as well.
     fn on_client_broken(&mut self) {
         self.client.set_read_ended();
-        self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, Close::Reset));
+        self.record(|recorder, at| recorder.record_close(at, Direction::FromClient, CloseKind::Reset));
         let must_reset_attempt = self.established && !self.client.is_write_closing();
         if let Some(attempt) = self.upstream.take_connected().filter(|_| must_reset_attempt) {
             attempt.reset_on_drop();
--- a/src/transport/connection/mod.rs
+++ b/src/transport/connection/mod.rs
@@ -20,7 +20,7 @@
 use super::connection_registry::{ConnectionRegistry, RegisteredConnection};
 use super::record::TrafficRecorder;
 use super::reducer::ReducerHandle;
-use crate::protocol::pcap::{Close, ConnectionRecorder, Direction};
+use crate::protocol::pcap::{CloseKind, ConnectionRecorder, Direction};
 use crate::protocol::{Front, FrontEvent};
 use crate::routing::{Answer, ConnectionId, Input, PoolId, TransferredConnection};
 use crate::{Micros, Time};
@@ -172,7 +172,7 @@
                 Some(successor) => self.transfer(successor),
                 None => {
                     self.record(|recorder, at| {
-                        recorder.record_close(at, Direction::ToClient, Close::Orderly)
+                        recorder.record_close(at, Direction::ToClient, CloseKind::Orderly)
                     });
                 }
             }
@@ -360,7 +360,9 @@
                         .reducer
                         .feed(Input::AttemptAccepted { connection, attempt: self.attempt_number });
                 }
-                FrontEvent::Load(load) => self.context.reducer.feed(Input::LoadReported { connection, load }),
+                FrontEvent::Load(value) => {
+                    self.context.reducer.feed(Input::LoadReported { connection, value });
+                }
                 FrontEvent::AttemptEnded(outcome) => self.on_attempt_ended(outcome),
                 FrontEvent::Close => {
                     self.discard_server_output = true;
--- a/src/transport/connection/server_side.rs
+++ b/src/transport/connection/server_side.rs
@@ -7,7 +7,7 @@
 
 use super::upstream::{is_local_shortage, Upstream};
 use super::{Connection, READ_BUFFER_BYTES};
-use crate::protocol::pcap::{Close, Direction};
+use crate::protocol::pcap::{CloseKind, Direction};
 use crate::routing::{AttemptOutcome, Input};
 use crate::transport::log_event::{log_event, LogEvent};
 
@@ -124,7 +124,7 @@
             let _ = self.client.flush();
             self.client.reset_on_drop();
             self.client.set_read_ended();
-            self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, Close::Reset));
+            self.record(|recorder, at| recorder.record_close(at, Direction::ToClient, CloseKind::Reset));
         }
         self.upstream.close_connected();
         self.close_in_order();
@@ -146,6 +146,6 @@
     fn report_attempt_end(&self, outcome: AttemptOutcome) {
         let (connection, attempt) = (self.id, self.attempt_number);
         log_event!(LogEvent::AttemptEnded { connection, attempt, outcome });
-        self.context.reducer.feed(Input::AttemptEnded { connection, attempt, end: outcome });
+        self.context.reducer.feed(Input::AttemptEnded { connection, attempt, outcome });
     }
 }
--- a/src/transport/daemon/reload.rs
+++ b/src/transport/daemon/reload.rs
@@ -10,7 +10,7 @@
 use super::super::listener::{bound_address, Acceptor};
 use super::super::log_event::{log_event, LogEvent};
 use super::running::{open_admin_endpoint, read_configuration, Daemon, IRC_FRONT, PLATFORM_FRONT};
-use crate::program::config::{Config, Irc, Platform, StoreConfig};
+use crate::program::config::{Config, IrcFrontConfig, PlatformConfig, StoreConfig};
 use crate::routing::{Input, PoolId};
 
 /// New configuration of a front or of the admin endpoint, with its listener.
@@ -41,19 +41,20 @@
     /// Reads the configuration again and applies it. Every step that can fail is done before the first
     /// change, so that a reload is applied in full or not at all.
     pub(super) fn reload(&mut self) -> Result<(), TransportError> {
-        let Config { platform, irc, mgmt, store, budget, log: _ } = read_configuration(&self.sources)?;
+        let Config { platform, irc, admin_address, store, resource_limits, log: _ } =
+            read_configuration(&self.sources)?;
         if without_peers(&store) != without_peers(&self.store) {
             return Err(TransportError::StoreChanged);
         }
         let platform = Bound::bind(platform, |platform| platform.listen, &self.platform_acceptor)?;
         let irc = Bound::bind(irc, |irc| irc.listen, &self.irc_acceptor)?;
-        let admin_endpoint = Bound::bind(mgmt, |address| *address, &self.admin_acceptor)?;
+        let admin_endpoint = Bound::bind(admin_address, |address| *address, &self.admin_acceptor)?;
 
         let platform_pool = platform.iter().map(|platform| platform.config.pool.clone());
         let pools = platform_pool.chain(irc.iter().map(|irc| irc.config.pool.clone())).collect();
         let other_replicas = store.as_ref().map_or(Vec::new(), |store| store.peers.clone());
         self.store = store;
-        self.assembly.reducer.feed(Input::ConfigurationChanged { pools, other_replicas, budget });
+        self.assembly.reducer.feed(Input::ConfigurationChanged { pools, other_replicas, resource_limits });
         self.reload_admin_endpoint(admin_endpoint);
         let irc_pool = PoolId(usize::from(platform.is_some()));
         if let Some(platform) = platform {
@@ -81,7 +82,7 @@
         }
     }
 
-    fn reload_platform(&mut self, pool: PoolId, platform: Bound<Platform>) {
+    fn reload_platform(&mut self, pool: PoolId, platform: Bound<PlatformConfig>) {
         let Bound { config: platform, listener } = platform;
         let address = bound_address(&listener, platform.listen);
         log_event!(LogEvent::PlatformReconfigured { name: &platform.name, address });
@@ -89,17 +90,17 @@
         self.open_front(PLATFORM_FRONT, platform.listen, front).replace(&mut self.platform_acceptor);
     }
 
-    fn reload_irc(&mut self, pool: PoolId, irc: Bound<Irc>) {
+    fn reload_irc(&mut self, pool: PoolId, irc: Bound<IrcFrontConfig>) {
         let Bound { config: mut irc, listener } = irc;
         let address = bound_address(&listener, irc.listen);
-        irc.take_port(address);
-        log_event!(LogEvent::IrcReconfigured { name: &irc.setup.name, address });
+        irc.advertise_bound_port(address);
+        log_event!(LogEvent::IrcReconfigured { name: &irc.protocol.name, address });
         self.assembly.reducer.feed(Input::EndpointsUpdated {
             pool,
             is_snapshot: true,
             endpoints: irc.endpoints,
         });
-        let front = ActiveFront { pool, factory: irc_factory(irc.setup), listener };
+        let front = ActiveFront { pool, factory: irc_factory(irc.protocol), listener };
         self.open_front(IRC_FRONT, irc.listen, front).replace(&mut self.irc_acceptor);
     }
 }
--- a/src/transport/daemon/start.rs
+++ b/src/transport/daemon/start.rs
@@ -18,7 +18,7 @@
 use super::super::record::Recorder;
 use super::super::{discovery_watch, excluded_servers, probes};
 use super::running::{open_admin_endpoint, Daemon, IRC_FRONT, PLATFORM_FRONT};
-use crate::program::config::{Config, Irc, PeersAt, Platform, Sources, StoreConfig};
+use crate::program::config::{Config, IrcFrontConfig, PeerAddresses, PlatformConfig, Sources, StoreConfig};
 use crate::routing::store::AddressedReplicaMessage;
 use crate::routing::store::KeyedEntry;
 use crate::routing::{Input, PoolId};
@@ -38,8 +38,8 @@
 /// A daemon that is starting. The admin endpoint is open, and the fronts are still closed.
 pub(super) struct Start {
     daemon: Daemon,
-    platform: Option<PooledFront<Platform>>,
-    irc: Option<PooledFront<Irc>>,
+    platform: Option<PooledFront<PlatformConfig>>,
+    irc: Option<PooledFront<IrcFrontConfig>>,
     /// Path of the socket on which a process exports its state: first the predecessor, later this process.
     pub(super) hot_restart_socket: PathBuf,
 }
@@ -48,9 +48,9 @@
     /// Sets up the pools and opens the admin endpoint. Until the start is finished, the admin endpoint
     /// reports that this process is not ready.
     pub(super) fn begin(sources: Sources, config: Config) -> Result<Start, TransportError> {
-        let admin_listener = config.mgmt.map(listen).transpose()?;
+        let admin_listener = config.admin_address.map(listen).transpose()?;
         let assembly = Assembly::new(&config);
-        let admin_endpoint = config.mgmt.zip(admin_listener);
+        let admin_endpoint = config.admin_address.zip(admin_listener);
         let admin_acceptor =
             admin_endpoint.map(|(configured, listener)| open_admin_endpoint(&assembly, configured, listener));
         let hot_restart_socket = hot_restart::socket_path(&config);
@@ -165,7 +165,7 @@
 ) -> Result<OpenStore, TransportError> {
     // The files must not be opened before the predecessor has exported its state: until then it writes to
     // them.
-    let files = store.data.as_deref().map(|folder| open_files(assembly, folder)).transpose()?;
+    let files = store.directory.as_deref().map(|folder| open_files(assembly, folder)).transpose()?;
     let inherited = received.and_then(|received| received.take_socket(REPLICATION_SOCKET));
     let socket = match inherited {
         Some(socket) => UdpSocket::from_std(std::net::UdpSocket::from(socket)),
@@ -203,11 +203,11 @@
 }
 
 /// Starts to exchange gossip for a pool on a socket.
-fn start_gossip(assembly: &Assembly, pool: PoolId, socket: UdpSocket, peers: &PeersAt) {
-    let socket = GossipSocket::new(socket, peers.all);
+fn start_gossip(assembly: &Assembly, pool: PoolId, socket: UdpSocket, peers: &PeerAddresses) {
+    let socket = GossipSocket::new(socket, peers.shared);
     let sending = socket.clone();
     assembly.effects.gossip.register(move |message| sending.broadcast(message));
-    tokio::task::spawn_local(socket.receive(assembly.reducer.clone(), pool, peers.from.clone()));
+    tokio::task::spawn_local(socket.receive(assembly.reducer.clone(), pool, peers.allowed_senders.clone()));
 }
 
 /// Starts the tasks that probe servers and watch endpoint lists, and the watch on a pool's endpoint list.
@@ -224,11 +224,11 @@
 fn start_platform(
     daemon: &Daemon,
     pool: PoolId,
-    platform: &Platform,
+    platform: &PlatformConfig,
     received: Option<&mut ReceivedState>,
 ) -> Result<Acceptor, TransportError> {
     if let Some(discovery) = platform.pool.discovery {
-        start_discovery(&daemon.assembly, pool, discovery, platform.known.generation);
+        start_discovery(&daemon.assembly, pool, discovery, platform.cached_endpoints.generation);
     }
     if let Some(peers) = &platform.peers {
         match bind_shared_datagrams(peers.listen) {
@@ -248,14 +248,14 @@
 fn start_irc(
     daemon: &Daemon,
     pool: PoolId,
-    mut irc: Irc,
+    mut irc: IrcFrontConfig,
     received: Option<&mut ReceivedState>,
 ) -> Result<Acceptor, TransportError> {
     let listener = inherit_listener(received, IRC_FRONT, irc.listen)?;
-    irc.take_port(bound_address(&listener, irc.listen));
+    irc.advertise_bound_port(bound_address(&listener, irc.listen));
     let address = bound_address(&listener, irc.listen);
-    log_event!(LogEvent::IrcListening { name: &irc.setup.name, address });
-    let front = ActiveFront { pool, factory: irc_factory(irc.setup), listener };
+    log_event!(LogEvent::IrcListening { name: &irc.protocol.name, address });
+    let front = ActiveFront { pool, factory: irc_factory(irc.protocol), listener };
     Ok(daemon.open_front(IRC_FRONT, irc.listen, front))
 }
 
--- a/src/transport/discovery_watch/connection.rs
+++ b/src/transport/discovery_watch/connection.rs
@@ -102,7 +102,7 @@
         let request = http::encode_request(&self.discovery.to_string(), since);
         open.stream.write_all(&request).await?;
         let answer = open.read_answer().await?;
-        if answer.close {
+        if answer.closes_connection {
             self.open = None;
         }
         Ok(answer)
@@ -121,7 +121,7 @@
             let ended = self.stream.read_buf(&mut self.received).await? == 0;
             let answer = http::parse_response(&self.received, ended).map_err(DiscoveryError::Malformed)?;
             if let Some(answer) = answer {
-                self.received.drain(..answer.taken);
+                self.received.drain(..answer.consumed);
                 return Ok(answer);
             }
             if ended {
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -198,8 +198,8 @@
     }
 
     fn feed_silence(&self, called_at: Instant) {
-        let called_ago = Micros(called_at.elapsed().as_micros() as u64);
-        self.reducer.feed(Input::EndpointWatchSilent { pool: self.pool, called_ago });
+        let polled_ago = Micros(called_at.elapsed().as_micros() as u64);
+        self.reducer.feed(Input::EndpointWatchSilent { pool: self.pool, polled_ago });
     }
 
     /// Applies the list of a successful call, or returns the call's error.
--- a/src/transport/driver.rs
+++ b/src/transport/driver.rs
@@ -101,9 +101,9 @@
             }
             Effect::SetAccepting { open } => self.accepting.set(open),
             Effect::BroadcastGossip(message) => self.gossip.pass(message),
-            Effect::ProbeServer { pool, server, address, names, timeout } => {
+            Effect::ProbeServer { pool, server, address, load_report_fields, timeout } => {
                 let timeout = Duration::from(timeout);
-                self.probes.pass(ProbeCommand { pool, server, address, load_names: names, timeout });
+                self.probes.pass(ProbeCommand { pool, server, address, load_report_fields, timeout });
             }
             Effect::WatchEndpoints { pool } => self.watches.pass(WatchCommand::Resume { pool }),
             Effect::WatchEndpointsAt { pool, discovery } => {
@@ -117,12 +117,12 @@
                 let message = PeerProcessMessage::TransferConnection { connection, pool, established };
                 self.peer_process.send(message);
             }
-            Effect::ShareExclusion { admin_client, server, excluded } => {
-                let message = PeerProcessMessage::ShareExclusion { admin_client, server, excluded };
+            Effect::ShareExclusion { admin_call, server, excluded } => {
+                let message = PeerProcessMessage::ShareExclusion { admin_call, server, excluded };
                 self.peer_process.send(message);
             }
             Effect::PersistExclusions(excluded) => self.exclusions.pass(excluded),
-            Effect::AdminReply { admin_client, reply } => self.admin_calls.reply(admin_client, reply),
+            Effect::AdminReply { admin_call, reply } => self.admin_calls.reply(admin_call, reply),
             Effect::Log(event) => log_event!(event),
             Effect::Exit => self.request_exit(),
         }
--- a/src/transport/files.rs
+++ b/src/transport/files.rs
@@ -18,7 +18,7 @@
 /// Length beyond which the journal is replaced by a new snapshot.
 const MAX_JOURNAL_BYTES: u64 = 256 << 10;
 /// Length of a record's header, which precedes the entry.
-pub const RECORD_HEAD_BYTES: usize = 12;
+pub const RECORD_HEADER_BYTES: usize = 12;
 
 const SNAPSHOT_FILE: &str = "store.snapshot";
 const JOURNAL_FILE: &str = "store.journal";
@@ -77,7 +77,7 @@
         let remaining = &bytes[offset..];
         // An interrupted write may have updated the file's length before the written bytes. They then read as
         // zeros.
-        if remaining.len() < RECORD_HEAD_BYTES || remaining.iter().all(|&byte| byte == 0) {
+        if remaining.len() < RECORD_HEADER_BYTES || remaining.iter().all(|&byte| byte == 0) {
             return Ok(Records { entries, end: torn });
         }
         let header_field = |at: usize| {
@@ -87,8 +87,8 @@
         if length != !complement {
             return Err(CorruptRecord { offset });
         }
-        let record_end = RECORD_HEAD_BYTES + length as usize;
-        let Some(body) = remaining.get(RECORD_HEAD_BYTES..record_end) else {
+        let record_end = RECORD_HEADER_BYTES + length as usize;
+        let Some(body) = remaining.get(RECORD_HEADER_BYTES..record_end) else {
             return Ok(Records { entries, end: torn });
         };
         match replica_messages::decode_entry(body).filter(|_| crc32fast::hash(body) == checksum) {
@@ -175,13 +175,13 @@
         let appended = journal.write_all(&record).and_then(|()| journal.sync_data());
         self.journal_bytes += record.len() as u64;
         let is_over_limit = self.journal_bytes > MAX_JOURNAL_BYTES;
-        let persisted = appended.and_then(|()| if is_over_limit { self.fold() } else { Ok(()) });
+        let persisted = appended.and_then(|()| if is_over_limit { self.write_snapshot() } else { Ok(()) });
         if let Err(error) = persisted {
             log_event!(LogEvent::EntryNotPersisted { folder: &self.folder, key, error: &error });
             // An incomplete record that is followed by others would count as corrupt at the next start. All
             // entries are therefore written to a new snapshot. If that also fails, the next entry tries
             // again.
-            let _ = self.fold();
+            let _ = self.write_snapshot();
         }
     }
 
@@ -192,7 +192,7 @@
     ///
     /// Returns an error if a file cannot be written.
     #[doc(hidden)]
-    pub fn fold(&mut self) -> io::Result<()> {
+    pub fn write_snapshot(&mut self) -> io::Result<()> {
         let (new, snapshot) = (self.folder.join(NEW_SNAPSHOT_FILE), self.folder.join(SNAPSHOT_FILE));
         let records = self.entries.entries().flat_map(|(key, entry)| encode_record(key, entry));
         let records: Vec<u8> = records.collect();
