--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -28,7 +28,7 @@
 use super::log_event::{log_event, LogEvent};
 use crate::program::config::Config;
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_PARTS};
-use crate::routing::{AdminClientId, HandoverState, Input};
+use crate::routing::{AdminCallId, HandoverState, Input};
 use context::NamedSocket;
 use error::LinkError;
 use link::{Link, ReceivedMessage};
@@ -52,7 +52,7 @@
 /// listening addresses of the fronts, and is the same for every version.
 pub(super) fn socket_path(config: &Config) -> PathBuf {
     let platform = config.platform.iter().map(|platform| format!("{} {}", platform.name, platform.listen));
-    let irc = config.irc.iter().map(|irc| format!("{} {}", irc.setup.name, irc.listen));
+    let irc = config.irc.iter().map(|irc| format!("{} {}", irc.protocol.name, irc.listen));
     let fronts = platform.chain(irc).collect::<Vec<_>>().join("\n");
     std::env::temp_dir().join(format!("sagemount-{:08x}.sock", crc32fast::hash(fronts.as_bytes())))
 }
@@ -117,7 +117,7 @@
         };
         match message {
             HandoverMessage::Done => return Ok(Some(ReceivedState { link, sockets: named_sockets, state })),
-            HandoverMessage::Part(part) => hot_restart::add_part(&mut state, part),
+            HandoverMessage::StatePart(part) => hot_restart::add_part(&mut state, part),
             HandoverMessage::Socket(name) => {
                 named_sockets.extend(sockets.into_iter().map(|socket| (name.clone(), socket)));
             }
@@ -192,7 +192,7 @@
         link.send(&HandoverMessage::Socket(name), &[socket.as_fd()]).await?;
     }
     for part in hot_restart::split_state(context.exported_state.take()) {
-        let message = HandoverMessage::Part(part);
+        let message = HandoverMessage::StatePart(part);
         // A part that does not fit in a message is dropped. No valid name or id is that long.
         if hot_restart::encode(&message).is_some() {
             link.send(&message, &[]).await?;
@@ -239,7 +239,7 @@
             link.send(&HandoverMessage::ExclusionAcknowledged { number }, &[]).await
         }
         HandoverMessage::ExclusionAcknowledged { number } => {
-            context.reducer().feed(Input::ExclusionAcknowledged { admin_client: AdminClientId(number) });
+            context.reducer().feed(Input::ExclusionAcknowledged { admin_call: AdminCallId(number) });
             Ok(())
         }
         HandoverMessage::EstablishedConnection { front, established, state } => {
@@ -255,8 +255,8 @@
     message: PeerProcessMessage,
 ) -> Result<(), LinkError> {
     match message {
-        PeerProcessMessage::ShareExclusion { admin_client, server, excluded } => {
-            let message = HandoverMessage::ShareExclusion { number: admin_client.0, server, excluded };
+        PeerProcessMessage::ShareExclusion { admin_call, server, excluded } => {
+            let message = HandoverMessage::ShareExclusion { number: admin_call.0, server, excluded };
             link.send(&message, &[]).await
         }
         PeerProcessMessage::TransferConnection { connection, pool, established } => {
--- a/src/transport/id_sequence.rs
+++ b/src/transport/id_sequence.rs
@@ -1,4 +1,4 @@
-//! Ids of connections and admin clients, which share one sequence.
+//! Ids of connections and admin calls, which share one sequence.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/transport/observation.rs
+++ b/src/transport/observation.rs
@@ -82,12 +82,12 @@
                 let after = self.time_since_connected(now, connection);
                 self.push(connection, Observation::Established { after, attempt });
             }
-            Input::AttemptEnded { connection, end: AttemptOutcome::VerdictForwarded, .. } => {
+            Input::AttemptEnded { connection, outcome: AttemptOutcome::VerdictForwarded, .. } => {
                 self.push(connection, Observation::VerdictForwarded);
             }
             Input::AttemptEnded {
                 connection,
-                end: AttemptOutcome::Served | AttemptOutcome::RedirectedByServer,
+                outcome: AttemptOutcome::Served | AttemptOutcome::RedirectedByServer,
                 ..
             } => self.push(connection, Observation::ServerEnded),
             Input::ClientDisconnected { connection } => {
--- a/src/transport/probes.rs
+++ b/src/transport/probes.rs
@@ -92,16 +92,16 @@
     command: ProbeCommand,
     cached: Option<TcpStream>,
 ) -> Option<IdleConnection> {
-    let ProbeCommand { pool, server, address, load_names, timeout: probe_timeout } = command;
+    let ProbeCommand { pool, server, address, load_report_fields, timeout: probe_timeout } = command;
     let report = timeout(probe_timeout, request_report(&address, cached)).await;
-    let (end, stream) = match report {
+    let (outcome, stream) = match report {
         Ok(Some(ProbeReport { line, stream })) => {
-            let end = platform::parse_probe_answer(&line, &load_names);
-            (end, Some(stream).filter(|_| matches!(end, ProbeOutcome::Answered(_))))
+            let outcome = platform::parse_probe_answer(&line, &load_report_fields);
+            (outcome, Some(stream).filter(|_| matches!(outcome, ProbeOutcome::Answered(_))))
         }
         _ => (ProbeOutcome::NoAnswer, None),
     };
-    reducer.feed(Input::ProbeCompleted { pool, server, end });
+    reducer.feed(Input::ProbeCompleted { pool, server, outcome });
     stream.map(|stream| IdleConnection { target: ProbeTarget { server, address }, stream })
 }
 
--- a/src/transport/reducer.rs
+++ b/src/transport/reducer.rs
@@ -99,7 +99,7 @@
 impl ReducerHandle {
     /// Returns whether this process can serve clients.
     pub(super) fn is_serving(&self) -> bool {
-        self.0.state.borrow().serves()
+        self.0.state.borrow().is_serving()
     }
 
     /// Returns whether a deadline of a connection has passed and [`Input::TimerFired`] has not been fed
@@ -110,7 +110,7 @@
 
     /// Returns how many bytes a connection may buffer for a side that does not read.
     pub(super) fn buffer_limit(&self) -> usize {
-        self.0.state.borrow().budget().buffer
+        self.0.state.borrow().resource_limits().buffer_bytes
     }
 
     /// Returns the time-outs and delays of a pool's watch on its endpoint list.
@@ -120,7 +120,7 @@
 
     /// Calls a function with the replicated map. The function must not feed an input.
     pub(super) fn with_replicated_map(&self, read: impl FnOnce(&ReplicatedMap)) {
-        read(self.0.state.borrow().store());
+        read(self.0.state.borrow().replicated_map());
     }
 }
 
--- a/src/transport/replay/mod.rs
+++ b/src/transport/replay/mod.rs
@@ -138,7 +138,7 @@
 }
 
 fn check_servers_on_loopback(config: &Config) -> Result<(), ReplayError> {
-    let platform = config.platform.iter().flat_map(|platform| &platform.known.endpoints);
+    let platform = config.platform.iter().flat_map(|platform| &platform.cached_endpoints.endpoints);
     let irc = config.irc.iter().flat_map(|irc| &irc.endpoints);
     for server in platform.chain(irc) {
         if !server.address.parse().is_ok_and(|address: SocketAddr| address.ip().is_loopback()) {
@@ -152,7 +152,7 @@
 async fn play_all(flows: Vec<Flow>, config: Config, front: FrontKind) -> Result<(), ReplayError> {
     let assembly = Assembly::new(&config);
     let factory = match (front, config.irc) {
-        (FrontKind::Irc, Some(irc)) => irc_factory(irc.setup),
+        (FrontKind::Irc, Some(irc)) => irc_factory(irc.protocol),
         _ => platform_factory(),
     };
     let pool = match front {
@@ -167,7 +167,7 @@
         pool,
         factory,
         listener: Mutex::new(listener),
-        first_flow_start: flows.iter().map(|flow| flow.start).min().unwrap_or_default(),
+        first_flow_start: flows.iter().map(|flow| flow.started_at).min().unwrap_or_default(),
         started_at: Instant::now(),
         counts: RefCell::default(),
     });
--- a/src/transport/replay/player.rs
+++ b/src/transport/replay/player.rs
@@ -17,7 +17,7 @@
 use super::super::fronts::ConnectionFactory;
 use super::report::FlowReport;
 use crate::protocol::flows::{Flow, FlowChunk, FlowEnd};
-use crate::protocol::pcap::Close;
+use crate::protocol::pcap::CloseKind;
 use crate::routing::{ConnectionId, PoolId};
 use crate::Time;
 
@@ -76,7 +76,7 @@
         let mut counts = self.counts.borrow_mut();
         counts.played += 1;
         counts.served += usize::from(result.as_ref().is_ok_and(FlowReport::is_served));
-        let at_seconds = flow.start.since(self.first_flow_start).as_f64() / MICROS_PER_SECOND;
+        let at_seconds = flow.started_at.since(self.first_flow_start).as_f64() / MICROS_PER_SECOND;
         match result {
             Ok(report) => println!("{} at {at_seconds:.3} s: {report}", flow.from),
             Err(error) => println!("{} at {at_seconds:.3} s: {error}", flow.from),
@@ -89,7 +89,7 @@
     }
 
     async fn play(&self, flow: &Flow) -> Result<FlowReport, FlowError> {
-        sleep_until(self.replay_time(flow.start)).await;
+        sleep_until(self.replay_time(flow.started_at)).await;
         let PlayedClient { stream, connection } = self.connect().await?;
         let (reader, mut writer) = stream.into_split();
         let (lines, received_lines) = watch::channel(0);
@@ -102,7 +102,7 @@
             answered_bytes: wait_for_end(reading).await,
             observations: self.context.reducer.observations(connection),
             ended_early: sent.is_err(),
-            gap_after_bytes: flow.gap,
+            gap_after_bytes: flow.gap_after_bytes,
             began_before_capture: flow.began_before_capture,
         })
     }
@@ -155,7 +155,7 @@
     /// Waits for a recorded time, and for the answers that had been recorded by that time.
     async fn wait(&mut self, recorded: Time) {
         sleep_until(self.replay.replay_time(recorded)).await;
-        let expected_lines = self.flow.answers_before(recorded);
+        let expected_lines = self.flow.answer_lines_until(recorded);
         if self.waits_for_answers {
             let answered = self.received_lines.wait_for(|lines| *lines >= expected_lines);
             self.waits_for_answers = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
@@ -165,8 +165,8 @@
 
 /// Sends the chunks of a flow, each at its paced time.
 async fn send_chunks(pacer: &mut Pacer<'_>, writer: &mut OwnedWriteHalf) -> io::Result<()> {
-    for FlowChunk { at, bytes } in &pacer.flow.chunks {
-        pacer.wait(*at).await;
+    for FlowChunk { readable_at, bytes } in &pacer.flow.chunks {
+        pacer.wait(*readable_at).await;
         writer.write_all(bytes).await?;
     }
     Ok(())
@@ -175,13 +175,13 @@
 /// Ends a flow in the recorded way. Returns the writer unless the flow ends with a reset.
 async fn end_flow(pacer: &mut Pacer<'_>, mut writer: OwnedWriteHalf) -> Option<OwnedWriteHalf> {
     match pacer.flow.end {
-        Some(FlowEnd { at, close: Close::Orderly }) => {
-            pacer.wait(at).await;
+        Some(FlowEnd { ended_at, close: CloseKind::Orderly }) => {
+            pacer.wait(ended_at).await;
             let _ = writer.shutdown().await;
             Some(writer)
         }
-        Some(FlowEnd { at, close: Close::Reset }) => {
-            pacer.wait(at).await;
+        Some(FlowEnd { ended_at, close: CloseKind::Reset }) => {
+            pacer.wait(ended_at).await;
             // With a linger time of zero, dropping the socket resets the connection.
             let _ = socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO));
             None
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -15,9 +15,9 @@
     /// which (`policy::endpoint_lease`).
     EndpointListExpired,
     /// All attempts that the request is allowed were made (`policy::retry_policy`).
-    AttemptsSpent,
+    AttemptsExhausted,
     /// The deadline of the request has passed (`policy::retry_policy`).
-    OutOfTime,
+    DeadlineExceeded,
     /// An attempt failed shortly after an attempt at another server, which indicates a cause that all servers
     /// share (`policy::admission_rate`).
     CorrelatedFailure,
@@ -29,8 +29,8 @@
         RefusalReason::AdmissionRate,
         RefusalReason::NoServer,
         RefusalReason::EndpointListExpired,
-        RefusalReason::AttemptsSpent,
-        RefusalReason::OutOfTime,
+        RefusalReason::AttemptsExhausted,
+        RefusalReason::DeadlineExceeded,
         RefusalReason::CorrelatedFailure,
     ];
 
@@ -40,8 +40,8 @@
             RefusalReason::AdmissionRate => "admission_rate",
             RefusalReason::NoServer => "no_server",
             RefusalReason::EndpointListExpired => "endpoint_list_expired",
-            RefusalReason::AttemptsSpent => "attempts_spent",
-            RefusalReason::OutOfTime => "out_of_time",
+            RefusalReason::AttemptsExhausted => "attempts_spent",
+            RefusalReason::DeadlineExceeded => "out_of_time",
             RefusalReason::CorrelatedFailure => "shared_fault",
         }
     }
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -29,7 +29,7 @@
     /// State of the server.
     pub state: EndpointState,
     /// Time at which the server process started; `None` if that is unknown or long ago.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
     /// Capacity relative to the other servers. A value of 0 or less, or of 1e9 or more, counts as unknown.
     pub weight: f64,
 }
@@ -65,7 +65,7 @@
     /// Time before which a server with failures gets no trial.
     pub ejected_until: Time,
     /// Time before which a server in slow start gets no attempt.
-    pub next_slow_start_send: Time,
+    pub next_slow_start_attempt_at: Time,
     /// Time at which a client was last asked to migrate away from the server.
     pub last_migration: Option<Time>,
 }
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -49,15 +49,15 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// Complete endpoint list; at startup possibly a cached one. A server missing from it is gone.
-    EndpointsReplaced(&'a [EndpointEntry]),
+    EndpointListReplaced(&'a [EndpointEntry]),
     /// Changed entries of the endpoint list.
-    EndpointsChanged(&'a [EndpointEntry]),
+    EndpointListChanged(&'a [EndpointEntry]),
     /// Discovery has answered: the endpoint list is up to date.
     EndpointListConfirmed,
     /// A watch on the endpoint list was not answered when an answer was due.
     EndpointWatchSilent {
         /// Time at which the unanswered call was made.
-        since: Time,
+        called_at: Time,
     },
     /// A call for the endpoint list failed, or the connection of a watch broke. The previous list is
     /// kept.
@@ -127,10 +127,10 @@
         /// Server that the observation is about.
         server: ServerId,
         /// Time that a message takes at the server; `None` if the server dropped a connection.
-        took: Option<Micros>,
+        message_time: Option<Micros>,
     },
     /// Another balancer observed slow connection setups for a cause that all servers share.
-    PeerSetupSlow,
+    PeerObservedSlowSetups,
     /// Another balancer sent the groups of some of its established connections, drawn at random.
     PeerGroupSample(&'a [Option<GroupHash>]),
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) fired.
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
     /// Quota of requests per second, over all balancers; 0 if unknown.
-    pub quota_per_s: f64,
+    pub quota_per_second: f64,
     /// Quota of established connections, over all balancers; 0 if unknown.
     pub quota_connections: f64,
 }
@@ -69,9 +69,9 @@
     /// Largest number of attempts for one request. Two attempts are never in flight at the same time.
     pub max_attempts: u32,
     /// Whether the balancer may cancel an attempt that it waits for.
-    pub cancel: bool,
+    pub cancellation_allowed: bool,
     /// Whether rejected clients get a Retry-After.
-    pub retry_after: bool,
+    pub retry_after_supported: bool,
     /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
     /// Time after which a connection that has not been opened counts as failed.
@@ -86,9 +86,9 @@
     /// Time within which attempts at a server must end once its draining has been notified.
     pub drain_grace: Micros,
     /// Whether the balancer may probe servers.
-    pub probes: bool,
+    pub probes_allowed: bool,
     /// Whether the answer of a probe contains a load report.
-    pub probe_reports: bool,
+    pub probes_report_load: bool,
     /// Cost of one probe for each request, as a fraction of the value of all requests.
     pub probe_cost: f64,
     /// Cost if each request crossed zones once, as a fraction of the value of all requests.
@@ -163,16 +163,16 @@
             tenants: Vec::new(),
             over_quota_weight: 1.0,
             max_attempts: 2,
-            cancel: false,
-            retry_after: false,
+            cancellation_allowed: false,
+            retry_after_supported: false,
             max_retry_after: Micros::from_secs(1),
             connect_timeout: Micros::from_millis(250),
             poll_required: false,
             poll_interval: Micros::from_secs(10),
             endpoints_pushed: false,
             drain_grace: Micros::from_millis(250),
-            probes: false,
-            probe_reports: false,
+            probes_allowed: false,
+            probes_report_load: false,
             probe_cost: 0.0,
             cross_zone_cost: 0.0,
             migration_cost: 0.0,
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -73,8 +73,8 @@
     );
 }
 
-/// Any customer may write these settings. Invalid values must be reported, not replaced by a default or read as
-/// something else.
+/// Any customer may write these settings. Invalid values must be reported, not replaced by a default or read
+/// as something else.
 #[test]
 fn settings_out_of_range_are_rejected_by_their_key() {
     let check_settings = |settings: &str| {
@@ -139,7 +139,7 @@
            "charges": {"peer": 0.01}, "invariants": {"cold-share": 0.3, "tip-multiple": 4, "overload-for": 3000}"#,
     );
     assert!(shop.peers.is_some() && shop.pool.reports_load && shop.pool.load_report_fields.is_empty());
-    assert!(!shop.pool.settings.probes && !shop.pool.settings.probe_reports);
+    assert!(!shop.pool.settings.probes_allowed && !shop.pool.settings.probes_report_load);
     assert_eq!(
         (shop.pool.settings.slow_start_overload_factor, shop.pool.settings.slow_start_window),
         (4.0, Micros::from_secs(3))
@@ -155,7 +155,7 @@
     assert!(meters.peers.is_none() && !meters.pool.reports_load && meters.pool.reports_message_time);
     assert_eq!(meters.pool.load_report_fields, ["x0", "utilization", "util"]);
     let settings = &meters.pool.settings;
-    assert!(settings.probes && settings.probe_reports);
+    assert!(settings.probes_allowed && settings.probes_report_load);
     assert_eq!((settings.probe_cost, settings.connect_timeout), (0.0021, Micros::from_millis(100)));
     assert_eq!((settings.slow_start_share, settings.slow_start_duration), (0.17, Micros::from_secs(24)));
     // Without `report-x0`, the `x0` of a load report is not the utilisation.
@@ -163,7 +163,7 @@
         platform(r#""reporting": {"fields": ["x0"], "how": "on_probe"}, "limits": {"probing": true}"#);
     assert!(
         without_report_x0.pool.load_report_fields.is_empty()
-            && !without_report_x0.pool.settings.probe_reports
+            && !without_report_x0.pool.settings.probes_report_load
     );
     let off =
         platform(r#""reporting": {"fields": ["utilization"], "how": "off"}, "limits": {"probing": true}"#);
@@ -175,15 +175,21 @@
 #[test]
 fn budget_stays_within_the_limits() {
     for (sockets, memory_mb) in [(256, 32), (1024, 32), (1024, 192), (64, 8), (65_536, 16)] {
-        let budget = Limits { sockets, memory_mb }.budget(true, true);
-        let all = budget.pending + 2 * budget.admitted;
-        assert!(all + 36 <= sockets, "{budget:?} exceeds {sockets} descriptors");
-        assert!(all * budget.buffer <= memory_mb << 19, "{budget:?} exceeds half of {memory_mb} MB");
+        let resource_limits = Limits { sockets, memory_mb }.resource_limits(true, true);
+        let all = resource_limits.max_pending_connections + 2 * resource_limits.max_admitted_connections;
+        assert!(all + 36 <= sockets, "{resource_limits:?} exceeds {sockets} descriptors");
         assert!(
-            budget.admitted >= sockets / 3 || !(256..=1024).contains(&sockets),
-            "{budget:?} admits less than a third of {sockets}"
+            all * resource_limits.buffer_bytes <= memory_mb << 19,
+            "{resource_limits:?} exceeds half of {memory_mb} MB"
+        );
+        assert!(
+            resource_limits.max_admitted_connections >= sockets / 3 || !(256..=1024).contains(&sockets),
+            "{resource_limits:?} admits less than a third of {sockets}"
+        );
+        assert!(
+            resource_limits.max_pending_connections > 0 && resource_limits.max_admitted_connections > 0,
+            "{resource_limits:?} has an empty share"
         );
-        assert!(budget.pending > 0 && budget.admitted > 0, "{budget:?} has an empty share");
     }
     let parse_limits = |fields: &str| {
         let text =
--- a/tests/daemon/fake_servers/daemon.rs
+++ b/tests/daemon/fake_servers/daemon.rs
@@ -6,21 +6,21 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Mutex;
 
-use super::{wait_until, Client, Server, MAX_WAIT};
+use super::{wait_until, Client, FakeIrcServer, MAX_WAIT};
 
 /// A running daemon. Dropping it kills the process and removes its temporary folder.
 pub(crate) struct Daemon {
     child: Child,
     log: Receiver<String>,
     /// Address of the IRC front, from the daemon's log.
-    pub irc: String,
+    pub irc_address: String,
     /// Address of the platform's front; empty without a platform configuration.
-    pub platform: String,
+    pub platform_address: String,
     /// Address on which the replicated map exchanges messages; empty without a `store` in the operator's
     /// file.
-    pub store: String,
+    pub replication_address: String,
     /// Address of the admin endpoint; empty without `mgmt` in the operator's file.
-    pub mgmt: String,
+    pub admin_address: String,
     /// The daemon's temporary folder, which also holds its configuration files.
     pub folder: PathBuf,
 }
@@ -28,11 +28,11 @@
 impl Daemon {
     /// Starts a daemon with the contents of an operator's file and, if given, of a platform configuration.
     pub(crate) fn start(irc: &str, platform: Option<&str>) -> Daemon {
-        Daemon::start_with(irc, platform, &[])
+        Daemon::start_with_arguments(irc, platform, &[])
     }
 
     /// Starts a daemon as [`Daemon::start`] does, with additional arguments of the `serve` command.
-    pub(crate) fn start_with(irc: &str, platform: Option<&str>, arguments: &[&str]) -> Daemon {
+    pub(crate) fn start_with_arguments(irc: &str, platform: Option<&str>, arguments: &[&str]) -> Daemon {
         static COUNT: Mutex<u32> = Mutex::new(0);
         let count = {
             let mut count = COUNT.lock().unwrap();
@@ -79,24 +79,28 @@
         let mut daemon = Daemon {
             child,
             log,
-            irc: String::new(),
-            platform: String::new(),
-            store: String::new(),
-            mgmt: String::new(),
+            irc_address: String::new(),
+            platform_address: String::new(),
+            replication_address: String::new(),
+            admin_address: String::new(),
             folder,
         };
-        while daemon.irc.is_empty() {
+        while daemon.irc_address.is_empty() {
             let line = daemon.log_line("");
             let address_after = |prefix: &str| {
                 let (_, rest) = line.split_once(prefix)?;
                 rest.split(' ').next().map(str::to_owned)
             };
             if let Some(address) = address_after("replicates on ") {
-                daemon.store = address;
+                daemon.replication_address = address;
             } else if let Some(address) = address_after("admin endpoint open on ") {
-                daemon.mgmt = address;
+                daemon.admin_address = address;
             } else if let Some(address) = address_after("listens on ") {
-                *if line.contains("for IRC") { &mut daemon.irc } else { &mut daemon.platform } = address;
+                *if line.contains("for IRC") {
+                    &mut daemon.irc_address
+                } else {
+                    &mut daemon.platform_address
+                } = address;
             }
         }
         daemon
@@ -123,7 +127,7 @@
 
     /// Sends a call to the admin endpoint and returns the whole reply.
     pub(crate) fn admin_call(&self, call: &str) -> String {
-        let mut admin_client = Client::connect(&self.mgmt);
+        let mut admin_client = Client::connect(&self.admin_address);
         admin_client.send_line(call);
         admin_client.read_to_end()
     }
@@ -131,16 +135,21 @@
     /// Excludes a server by the `exclude` command.
     pub(crate) fn exclude(&self, server: &str) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        let output =
-            command.args(["exclude", server, "--mgmt", &self.mgmt]).output().expect("the command runs");
+        let output = command
+            .args(["exclude", server, "--mgmt", &self.admin_address])
+            .output()
+            .expect("the command runs");
         assert!(output.status.success(), "{output:?}");
     }
 
     /// Runs a command of the command line on this daemon's replicated map.
     pub(crate) fn run_store_command(&self, arguments: &[&str]) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_connection-balancer"));
-        let output =
-            command.args(arguments).args(["--store", &self.store]).output().expect("the command runs");
+        let output = command
+            .args(arguments)
+            .args(["--store", &self.replication_address])
+            .output()
+            .expect("the command runs");
         assert!(output.status.success(), "{output:?}");
     }
 
@@ -198,8 +207,8 @@
 
 /// Returns an operator's file that lists `servers` as `irc-0`, `irc-1` and so on. `more` is inserted as
 /// further JSON members.
-pub(crate) fn irc_config(servers: &[&Server], more: &str) -> String {
-    let server = |(n, server): (usize, &&Server)| {
+pub(crate) fn irc_config(servers: &[&FakeIrcServer], more: &str) -> String {
+    let server = |(n, server): (usize, &&FakeIrcServer)| {
         format!("{{\"name\": \"irc-{n}\", \"address\": \"{}\"}}", server.address)
     };
     let servers: Vec<String> = servers.iter().enumerate().map(server).collect();
--- a/tests/daemon/fake_servers/irc_server.rs
+++ b/tests/daemon/fake_servers/irc_server.rs
@@ -6,7 +6,7 @@
 
 /// How a fake IRC server replies to a registration.
 #[derive(Clone)]
-pub(crate) enum Behaviour {
+pub(crate) enum RegistrationReply {
     /// Sends a `PING`, and the welcome only after the matching `PONG`.
     Welcome,
     /// Sends this line and closes the connection.
@@ -18,27 +18,27 @@
 }
 
 /// A fake IRC server (RFC 2812), which records every line that it receives.
-pub(crate) struct Server {
+pub(crate) struct FakeIrcServer {
     pub address: SocketAddr,
     /// The received lines of all connections, in order of arrival.
-    pub lines: Arc<Mutex<Vec<String>>>,
+    pub received_lines: Arc<Mutex<Vec<String>>>,
     /// All accepted connections, including closed ones.
     pub streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Server {
-    pub(crate) fn start(behaviour: Behaviour) -> Server {
+impl FakeIrcServer {
+    pub(crate) fn start(reply: RegistrationReply) -> FakeIrcServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds");
         let address = listener.local_addr().expect("the listener has an address");
         let (lines, streams) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
-        let server = Server { address, lines: lines.clone(), streams: streams.clone() };
+        let server = FakeIrcServer { address, received_lines: lines.clone(), streams: streams.clone() };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (behaviour, lines) = (behaviour.clone(), lines.clone());
+                let (reply, lines) = (reply.clone(), lines.clone());
                 streams.lock().unwrap().push(stream.try_clone().expect("the stream is cloned"));
                 std::thread::spawn(move || {
                     let stream_to_close = stream.try_clone().expect("the stream is cloned");
-                    Server::serve(stream, behaviour, &lines);
+                    FakeIrcServer::serve(stream, reply, &lines);
                     let _ = stream_to_close.shutdown(Shutdown::Both);
                 });
             }
@@ -46,7 +46,7 @@
         server
     }
 
-    fn serve(mut stream: TcpStream, behaviour: Behaviour, lines: &Mutex<Vec<String>>) {
+    fn serve(mut stream: TcpStream, reply: RegistrationReply, lines: &Mutex<Vec<String>>) {
         let mut reader = BufReader::new(stream.try_clone().expect("the stream is cloned"));
         let (mut line, mut nick, mut is_welcomed) = (String::new(), String::new(), false);
         while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -56,17 +56,17 @@
             let mut send = |text: &str| drop(stream.write_all(format!("{text}\r\n").as_bytes()));
             match text.split_once(' ').unwrap_or((&text, "")) {
                 ("NICK", name) => nick = name.to_owned(),
-                ("USER", _) => match &behaviour {
-                    Behaviour::Welcome => {
+                ("USER", _) => match &reply {
+                    RegistrationReply::Welcome => {
                         send(":irc.test NOTICE * :*** Looking up your hostname");
                         send("PING :cookie-17");
                     }
-                    Behaviour::ReplyAndClose(line) => {
+                    RegistrationReply::ReplyAndClose(line) => {
                         send(line);
                         return;
                     }
-                    Behaviour::CloseWithoutReply => return,
-                    Behaviour::Silent => {}
+                    RegistrationReply::CloseWithoutReply => return,
+                    RegistrationReply::Silent => {}
                 },
                 ("PONG", ":cookie-17") if !is_welcomed => {
                     is_welcomed = true;
@@ -84,12 +84,12 @@
 
     /// Returns whether the server has received this line.
     pub(crate) fn received(&self, line: &str) -> bool {
-        self.lines.lock().unwrap().iter().any(|l| l == line)
+        self.received_lines.lock().unwrap().iter().any(|l| l == line)
     }
 
     /// Returns the number of received lines.
-    pub(crate) fn count(&self) -> usize {
-        self.lines.lock().unwrap().len()
+    pub(crate) fn received_line_count(&self) -> usize {
+        self.received_lines.lock().unwrap().len()
     }
 
     /// Sends a line over every connection.
--- a/tests/daemon/fake_servers/mod.rs
+++ b/tests/daemon/fake_servers/mod.rs
@@ -12,7 +12,7 @@
 
 pub(crate) use client::Client;
 pub(crate) use daemon::{irc_config, Daemon};
-pub(crate) use irc_server::{Behaviour, Server};
+pub(crate) use irc_server::{FakeIrcServer, RegistrationReply};
 pub(crate) use manual_server::ManualServer;
 
 /// Limit of each wait of a test. It leaves room for a busy machine and is reached only where a test fails.
--- a/tests/daemon/hot_restart.rs
+++ b/tests/daemon/hot_restart.rs
@@ -10,7 +10,7 @@
 use connection_balancer::routing::LogEvent;
 use rustix::net::{connect, socket, AddressFamily, SocketAddrUnix, SocketType};
 
-use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
+use crate::fake_servers::{irc_config, wait_until, Client, Daemon, FakeIrcServer, RegistrationReply};
 
 /// Starts a platform server that accepts each request and echoes later lines. Returns its address.
 fn start_platform_server() -> SocketAddr {
@@ -48,7 +48,7 @@
 
 /// Connects a client that requests a connection at the platform's front.
 fn connect_platform_client(daemon: &Daemon, id: u32) -> Client {
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     client.send_line(&format!("OPEN {id} 7f3a c=chat,d=9000"));
     client
 }
@@ -63,7 +63,7 @@
 /// the exclusions must be handed over.
 #[test]
 fn keeps_clients_of_both_fronts_through_two_hot_restarts() {
-    let irc = Server::start(Behaviour::Welcome);
+    let irc = FakeIrcServer::start(RegistrationReply::Welcome);
     let mut serving = Daemon::start(&irc_config(&[&irc], ""), Some(&platform_config()));
     wait_until("the first daemon is ready", || serving.admin_call("readyz") == "YES\r\n");
     assert_eq!(serving.admin_call("exclude s-00000002"), "YES\r\n");
@@ -74,7 +74,7 @@
         clients.push(connect_platform_client(&serving, n));
         assert_eq!(clients[n as usize].read_line(), "UP 1");
     }
-    let mut irc_client = Client::register(&serving.irc, "olga");
+    let mut irc_client = Client::register(&serving.irc_address, "olga");
     irc_client.expect_line("001 olga");
     // The first client is in the middle of a line. Its connection is transferred only at the end of the line.
     clients[0].stream().write_all(b"half").expect("the bytes are written");
@@ -82,8 +82,12 @@
     let mut exited_daemons = Vec::new();
     for round in 1..3 {
         let successor = serving.start_successor();
-        let addresses = (&successor.platform, &successor.irc);
-        assert_eq!(addresses, (&serving.platform, &serving.irc), "both listen on the same sockets");
+        let addresses = (&successor.platform_address, &successor.irc_address);
+        assert_eq!(
+            addresses,
+            (&serving.platform_address, &serving.irc_address),
+            "both listen on the same sockets"
+        );
         wait_until("the successor is ready", || successor.admin_call("readyz") == "YES\r\n");
         if round == 1 {
             wait_until("all connections but one are transferred", || outstanding(&successor) == 8);
--- a/tests/daemon/irc.rs
+++ b/tests/daemon/irc.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
+use crate::fake_servers::{irc_config, wait_until, Client, Daemon, FakeIrcServer, RegistrationReply};
 
-fn start_front(servers: &[&Server], more: &str) -> Daemon {
+fn start_front(servers: &[&FakeIrcServer], more: &str) -> Daemon {
     Daemon::start(&irc_config(servers, more), None)
 }
 
 #[test]
 fn forwards_registration_and_lines_unchanged_in_both_directions() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&server], ", \"capabilities\": [\"server-time\"]");
 
-    let mut client = Client::connect(&daemon.irc);
+    let mut client = Client::connect(&daemon.irc_address);
     client.send_line("CAP LS 302");
     assert_eq!(client.read_line(), ":front.test CAP * LS :server-time");
     client.send_line("PASS secret word\r\nNICK anna\r\nUSER u 0 * :A tool");
@@ -21,7 +21,7 @@
     assert_eq!(client.read_line(), ":front.test CAP anna ACK :server-time");
     client.send_line("CAP REQ :unheard-of");
     assert_eq!(client.read_line(), ":front.test CAP anna NAK :unheard-of");
-    assert_eq!(server.count(), 0, "nothing reaches a server before CAP END");
+    assert_eq!(server.received_line_count(), 0, "nothing reaches a server before CAP END");
     client.send_line("CAP END\r\nPRIVMSG #a :early");
     // The client also receives lines from before the welcome, but not the PING, which the attempt answered.
     assert_eq!(client.read_line(), ":irc.test NOTICE * :*** Looking up your hostname");
@@ -30,7 +30,7 @@
     client.send_line("@label=7 TAGMSG #a\r\nPRIVMSG #a ::) two  spaces ");
     assert_eq!(client.read_line(), ":anna!u@h PRIVMSG #a ::) two  spaces");
     for line in ["CAP REQ :server-time", "PASS :secret", "NICK anna", "USER u 0 * :A tool", "CAP END"] {
-        assert!(server.received(line), "{line} in {:?}", server.lines.lock().unwrap());
+        assert!(server.received(line), "{line} in {:?}", server.received_lines.lock().unwrap());
     }
     assert!(server.received("@label=7 TAGMSG #a"));
     client.send_line("QUIT :bye");
@@ -40,16 +40,19 @@
 
 #[test]
 fn retries_at_another_server_when_one_fails() {
-    let unreachable =
-        Server { address: closed_port(), lines: Default::default(), streams: Default::default() };
-    let erring = Server::start(Behaviour::ReplyAndClose("ERROR :Closing Link: no more"));
-    let full = Server::start(Behaviour::ReplyAndClose(":irc.test 263 bert USER :Please wait"));
-    let closing = Server::start(Behaviour::CloseWithoutReply);
-    let accepting = Server::start(Behaviour::Welcome);
+    let unreachable = FakeIrcServer {
+        address: closed_port(),
+        received_lines: Default::default(),
+        streams: Default::default(),
+    };
+    let erring = FakeIrcServer::start(RegistrationReply::ReplyAndClose("ERROR :Closing Link: no more"));
+    let full = FakeIrcServer::start(RegistrationReply::ReplyAndClose(":irc.test 263 bert USER :Please wait"));
+    let closing = FakeIrcServer::start(RegistrationReply::CloseWithoutReply);
+    let accepting = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&unreachable, &erring, &full, &closing, &accepting], "");
 
     for n in 0..4 {
-        let mut client = Client::register(&daemon.irc, &format!("bert{n}"));
+        let mut client = Client::register(&daemon.irc_address, &format!("bert{n}"));
         client.expect_line(&format!("001 bert{n}"));
     }
 }
@@ -64,29 +67,29 @@
 fn forwards_the_rejection_of_a_nick_without_a_retry() {
     let nick_in_use = ":irc.test 433 * carl :Nickname is already in use";
     let servers = [
-        Server::start(Behaviour::ReplyAndClose(nick_in_use)),
-        Server::start(Behaviour::ReplyAndClose(nick_in_use)),
+        FakeIrcServer::start(RegistrationReply::ReplyAndClose(nick_in_use)),
+        FakeIrcServer::start(RegistrationReply::ReplyAndClose(nick_in_use)),
     ];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
 
-    let mut client = Client::register(&daemon.irc, "carl");
+    let mut client = Client::register(&daemon.irc_address, "carl");
     assert_eq!(
         client.read_to_end(),
         format!("{nick_in_use}\r\nERROR :Closing Link: carl (Registration refused)\r\n")
     );
 
-    assert_eq!(servers.iter().filter(|server| server.count() > 0).count(), 1);
+    assert_eq!(servers.iter().filter(|server| server.received_line_count() > 0).count(), 1);
 }
 
 #[test]
 fn rejects_with_retry_after_when_no_server_accepts() {
     let servers = [
-        Server::start(Behaviour::ReplyAndClose("ERROR :full")),
-        Server::start(Behaviour::ReplyAndClose("ERROR :full")),
+        FakeIrcServer::start(RegistrationReply::ReplyAndClose("ERROR :full")),
+        FakeIrcServer::start(RegistrationReply::ReplyAndClose("ERROR :full")),
     ];
     let daemon = start_front(&[&servers[0], &servers[1]], "");
 
-    let mut client = Client::register(&daemon.irc, "dora");
+    let mut client = Client::register(&daemon.irc_address, "dora");
     let line = client.read_line();
     assert!(line.starts_with(":front.test 263 dora USER :Server load is too heavy. Please wait "), "{line}");
     let rest = client.read_to_end();
@@ -97,10 +100,10 @@
 
 #[test]
 fn answers_before_the_give_up_time_while_servers_stay_silent() {
-    let silent = Server::start(Behaviour::Silent);
+    let silent = FakeIrcServer::start(RegistrationReply::Silent);
     let daemon = start_front(&[&silent], ", \"class\": {\"give_up_ms\": 1500}");
 
-    let mut client = Client::register(&daemon.irc, "emil");
+    let mut client = Client::register(&daemon.irc_address, "emil");
     let rest = client.read_to_end();
 
     assert!(rest.contains("ERROR :Closing Link: emil ("), "{rest}");
@@ -109,10 +112,10 @@
 
 #[test]
 fn sends_one_error_for_a_registration_that_crosses_its_give_up_time() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&server], ", \"class\": {\"give_up_ms\": 400}");
 
-    let mut client = Client::connect(&daemon.irc);
+    let mut client = Client::connect(&daemon.irc_address);
     client.send_line("NICK fred");
     let rest = client.read_to_end();
     assert_eq!(rest, "ERROR :Closing Link: fred (Registration timed out)\r\n");
@@ -120,24 +123,25 @@
     let _ = std::io::Write::write_all(&mut client.stream(), b"USER u 0 * :late\r\n");
     std::thread::sleep(Duration::from_millis(300));
 
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.received_line_count(), 0);
 }
 
 /// The operators named this as the difficult case of draining: a server sends PING while it drains. Its
 /// established clients must stay connected and answer, and no new client may be forwarded to it.
 #[test]
 fn keeps_an_excluded_servers_clients_but_sends_it_no_new_ones() {
-    let (old, new) = (Server::start(Behaviour::Welcome), Server::start(Behaviour::Welcome));
+    let (old, new) =
+        (FakeIrcServer::start(RegistrationReply::Welcome), FakeIrcServer::start(RegistrationReply::Welcome));
     let daemon = start_front(&[&old, &new], ", \"drain_over_ms\": 600000");
 
     let mut clients = Vec::new();
     // Clients are placed at random, so they connect until each server has one.
     wait_until("both servers have a client", || {
         let nick = format!("gina{}", clients.len());
-        let mut client = Client::register(&daemon.irc, &nick);
+        let mut client = Client::register(&daemon.irc_address, &nick);
         client.expect_line("001");
         clients.push((nick, client));
-        old.count() > 0 && new.count() > 0
+        old.received_line_count() > 0 && new.received_line_count() > 0
     });
     let (nick, client) = {
         let at = clients
@@ -151,7 +155,7 @@
     let connections = old.streams.lock().unwrap().len();
     old.send_line("PING :still-there");
     for n in 0..8 {
-        Client::register(&daemon.irc, &format!("hugo{n}")).expect_line("001");
+        Client::register(&daemon.irc_address, &format!("hugo{n}")).expect_line("001");
 
         assert!(!old.received(&format!("NICK hugo{n}")), "a new client was forwarded to a draining server");
     }
@@ -163,33 +167,33 @@
 
 #[test]
 fn migrates_clients_of_an_excluded_server_with_a_notice() {
-    let old = Server::start(Behaviour::Welcome);
+    let old = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&old], ", \"drain_over_ms\": 200");
 
-    let mut client = Client::register(&daemon.irc, "ida");
+    let mut client = Client::register(&daemon.irc_address, "ida");
     client.expect_line("001 ida");
     daemon.exclude("irc-0");
     client.expect_line(":front.test NOTICE ida :Your server is leaving");
-    let port = daemon.irc.rsplit(':').next().expect("the address has a port");
+    let port = daemon.irc_address.rsplit(':').next().expect("the address has a port");
     let bounce = format!(":front.test 010 ida 127.0.0.1 {port} :Please use this Server/Port instead\r\n");
     assert_eq!(client.read_to_end(), bounce);
     // No server is left for the client, so it is rejected at once.
-    Client::register(&daemon.irc, "ida").expect_line(" 263 ida ");
+    Client::register(&daemon.irc_address, "ida").expect_line(" 263 ida ");
 }
 
 #[test]
 fn applies_servers_and_limits_of_the_replicated_map() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[], "");
 
-    Client::register(&daemon.irc, "ines").expect_line(" 263 ines ");
+    Client::register(&daemon.irc_address, "ines").expect_line(" 263 ines ");
     daemon.run_store_command(&["set", "host/irc-9", &server.address.to_string()]);
-    let mut first = Client::register(&daemon.irc, "ines");
+    let mut first = Client::register(&daemon.irc_address, "ines");
     first.expect_line("001 ines");
     daemon.run_store_command(&["set", "limit/connections", "1"]);
-    Client::register(&daemon.irc, "jana").expect_line(" 263 jana ");
+    Client::register(&daemon.irc_address, "jana").expect_line(" 263 jana ");
     daemon.run_store_command(&["set", "limit/connections"]);
-    Client::register(&daemon.irc, "jana").expect_line("001 jana");
+    Client::register(&daemon.irc_address, "jana").expect_line("001 jana");
     // The clients of a server that is removed from the map must be migrated at once.
     daemon.run_store_command(&["set", "host/irc-9"]);
     first.expect_line(" 010 ines ");
@@ -197,13 +201,13 @@
 
 #[test]
 fn migrates_clients_and_answers_new_ones_at_sigterm_and_exits() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let mut daemon = start_front(&[&server], ", \"class\": {\"give_up_ms\": 3000}");
 
-    let mut established = Client::register(&daemon.irc, "jan");
+    let mut established = Client::register(&daemon.irc_address, "jan");
     established.expect_line("001 jan");
     // This registration is not complete, so the daemon must not exit before it is answered.
-    let mut registering = Client::connect(&daemon.irc);
+    let mut registering = Client::connect(&daemon.irc_address);
     registering.send_line("NICK kim");
     daemon.signal("-TERM");
     daemon.log_line("draining: ");
@@ -217,10 +221,10 @@
 
 #[test]
 fn closes_the_client_when_its_server_closes() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&server], "");
 
-    let mut client = Client::register(&daemon.irc, "lea");
+    let mut client = Client::register(&daemon.irc_address, "lea");
     client.expect_line("001 lea");
     server.close_all();
 
@@ -229,10 +233,10 @@
 
 #[test]
 fn answers_invalid_irc_with_a_numeric_or_an_error_and_continues() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&server], "");
 
-    let mut client = Client::connect(&daemon.irc);
+    let mut client = Client::connect(&daemon.irc_address);
     for (sent, answer) in [
         ("PRIVMSG #a :hi", " 451 "),
         ("NICK", " 431 "),
@@ -260,16 +264,16 @@
     client.send_line("PRIVMSG #a :fine");
     client.expect_line("PRIVMSG #a :fine");
 
-    let mut flooding_client = Client::connect(&daemon.irc);
+    let mut flooding_client = Client::connect(&daemon.irc_address);
     let _ = std::io::Write::write_all(&mut flooding_client.stream(), "JOIN #a\r\n".repeat(200).as_bytes());
     flooding_client.expect_line("ERROR :Closing Link: * (Excess Flood)");
-    Client::register(&daemon.irc, "nora").expect_line("001 nora");
+    Client::register(&daemon.irc_address, "nora").expect_line("001 nora");
 }
 
 /// One daemon serves both fronts, each with its own servers. No line may reach a server of the other front.
 #[test]
 fn serves_both_fronts_in_one_daemon() {
-    let irc = Server::start(Behaviour::Welcome);
+    let irc = FakeIrcServer::start(RegistrationReply::Welcome);
     let platform_server = start_platform_server();
     let config = format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "{}", "seed": "5",
@@ -281,7 +285,7 @@
     );
     let daemon = Daemon::start(&irc_config(&[&irc], ""), Some(&config));
 
-    let mut platform_client = Client::connect(&daemon.platform);
+    let mut platform_client = Client::connect(&daemon.platform_address);
     platform_client.send_line("PING");
     assert_eq!(platform_client.read_line(), "PONG");
     platform_client
@@ -289,11 +293,11 @@
     assert_eq!(platform_client.read_line(), "UP 77");
     platform_client.send_line("M 1");
     assert_eq!(platform_client.read_line(), "M 1");
-    let mut irc_client = Client::register(&daemon.irc, "olga");
+    let mut irc_client = Client::register(&daemon.irc_address, "olga");
     irc_client.expect_line("001 olga");
 
     assert!(!irc.received("M 1"));
-    assert_eq!(irc.lines.lock().unwrap().iter().filter(|l| l.starts_with("OPEN")).count(), 0);
+    assert_eq!(irc.received_lines.lock().unwrap().iter().filter(|l| l.starts_with("OPEN")).count(), 0);
 }
 
 /// Starts a platform server that accepts one connection and echoes its lines. Returns its address.
@@ -316,10 +320,11 @@
 /// gone. An invalid file must change nothing.
 #[test]
 fn applies_a_valid_irc_file_at_sighup_and_ignores_an_invalid_one() {
-    let (old, new) = (Server::start(Behaviour::Welcome), Server::start(Behaviour::Welcome));
+    let (old, new) =
+        (FakeIrcServer::start(RegistrationReply::Welcome), FakeIrcServer::start(RegistrationReply::Welcome));
     let daemon = start_front(&[&old], "");
 
-    let mut established = Client::register(&daemon.irc, "olga");
+    let mut established = Client::register(&daemon.irc_address, "olga");
     established.expect_line("001 olga");
     let file = irc_config(&[&new], "").replace("irc-0", "irc-1");
     daemon.reload("irc.json", &file.replace("\"hosts\"", "\"hots\""));
@@ -336,7 +341,7 @@
         established.read_to_end().contains(" 010 olga "),
         "the client of a server that is no longer listed was not migrated"
     );
-    let mut client = Client::connect(&daemon.irc);
+    let mut client = Client::connect(&daemon.irc_address);
     client.send_line("PING 1\r\nNICK pia\r\nUSER u 0 * :A tool");
     client.expect_line(":anew.test PONG anew.test");
     client.expect_line("001 pia");
@@ -348,11 +353,11 @@
 /// must not affect other clients on this front either.
 #[test]
 fn serves_clients_while_hundreds_stay_silent() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let daemon = start_front(&[&server], ", \"limits\": {\"sockets\": 160, \"memory_mb\": 32}");
 
-    let mut silent_clients: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.irc)).collect();
-    let mut registered = Client::register(&daemon.irc, "rosa");
+    let mut silent_clients: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.irc_address)).collect();
+    let mut registered = Client::register(&daemon.irc_address, "rosa");
     registered.expect_line("001 rosa");
     // The oldest silent clients were closed for newer ones. The last ones may still register.
     assert_eq!(silent_clients[0].read_to_end(), "");
--- a/tests/daemon/migration.rs
+++ b/tests/daemon/migration.rs
@@ -82,7 +82,7 @@
 
 /// Requests a connection. Returns the client and the answer.
 fn request_connection(daemon: &Daemon, n: usize, fields: &str) -> (Client, String) {
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     client.send_line(&format!("OPEN id{n}{} key{n} c=chat,d=3000{fields}", fields.len()));
     let answer = client.read_line();
     (client, answer)
@@ -98,7 +98,7 @@
     let file = std::env::temp_dir().join(format!("connection-balancer-moves-{}.json", std::process::id()));
     std::fs::write(&file, r#"{"platform": {"on": true, "most_per_s": 20}}"#).expect("the file is written");
     let path = file.to_str().expect("the path is valid UTF-8").to_owned();
-    let daemon = Daemon::start_with(&irc_config(&[], ""), Some(&text), &["--rebalance", &path]);
+    let daemon = Daemon::start_with_arguments(&irc_config(&[], ""), Some(&text), &["--rebalance", &path]);
     // Connections that were established at one server before the daemon started.
     let mut clients: Vec<_> = (0..30).map(|n| request_connection(&daemon, n, ",at=s-00000001")).collect();
     assert!(clients.iter().all(|(_, answer)| answer == "UP overloaded"));
--- a/tests/daemon/pcap.rs
+++ b/tests/daemon/pcap.rs
@@ -5,12 +5,14 @@
 use std::process::{Command, Output};
 
 use connection_balancer::protocol::flows::{self, FlowEnd};
-use connection_balancer::protocol::pcap::{self, Close, ConnectionRecorder, Direction, Segment, TcpFlags};
+use connection_balancer::protocol::pcap::{
+    self, CloseKind, ConnectionRecorder, Direction, Segment, TcpFlags,
+};
 use connection_balancer::Time;
 use etherparse::PacketBuilder;
 use proptest::prelude::*;
 
-use crate::fake_servers::{irc_config, wait_until, Behaviour, Client, Daemon, Server};
+use crate::fake_servers::{irc_config, wait_until, Client, Daemon, FakeIrcServer, RegistrationReply};
 
 /// Encodes a file with one packet, with the given byte order, magic number, link type and fraction of a
 /// second.
@@ -112,7 +114,7 @@
 fn flow_ends_at_its_first_gap() {
     let syn = with_syn(segment(100, b""));
     let flows = flows::reassemble_flows(&[syn, segment(101, b"NICK"), segment(108, b"USER")], 6667);
-    assert_eq!((flows[0].chunks.len(), flows[0].gap), (1, Some(4)));
+    assert_eq!((flows[0].chunks.len(), flows[0].gap_after_bytes), (1, Some(4)));
     assert_eq!(flows::reassemble_flows(&[], 6667), []);
 }
 
@@ -137,7 +139,8 @@
         segment(101, b"x"),
     ];
     let flows = flows::reassemble_flows(&segments, 6667);
-    let counts: Vec<usize> = [4, 5, 6, 7, 9].iter().map(|&at| flows[0].answers_before(Time(at))).collect();
+    let counts: Vec<usize> =
+        [4, 5, 6, 7, 9].iter().map(|&at| flows[0].answer_lines_until(Time(at))).collect();
     assert_eq!(counts, [0, 1, 1, 3, 3]);
 }
 
@@ -176,8 +179,8 @@
         prop_assert_eq!(flows.len(), 1);
         let reassembled: Vec<u8> = flows[0].chunks.iter().flat_map(|chunk| chunk.bytes.clone()).collect();
         prop_assert_eq!(reassembled, sent);
-        prop_assert_eq!(flows[0].end.map(|end| end.close), Some(Close::Orderly));
-        prop_assert_eq!(flows[0].gap, None);
+        prop_assert_eq!(flows[0].end.map(|end| end.close), Some(CloseKind::Orderly));
+        prop_assert_eq!(flows[0].gap_after_bytes, None);
     }
 
     /// Reading a file with arbitrary changes does not panic, and the offset of an error lies within the file.
@@ -206,9 +209,9 @@
         let mut bytes = [pcap::encode_file_header(), records].concat();
         bytes.extend(recorder.record_data(Time(2_000_000), Direction::FromClient, &[b'x'; 3000]));
         bytes.extend(recorder.record_data(Time(2_000_000), Direction::ToClient, b"back"));
-        bytes.extend(recorder.record_close(Time(3_000_000), Direction::FromClient, Close::Orderly));
+        bytes.extend(recorder.record_close(Time(3_000_000), Direction::FromClient, CloseKind::Orderly));
         assert_eq!(
-            recorder.record_close(Time(3_000_000), Direction::FromClient, Close::Reset),
+            recorder.record_close(Time(3_000_000), Direction::FromClient, CloseKind::Reset),
             Vec::<u8>::new(),
             "the end of one side was recorded twice"
         );
@@ -217,7 +220,7 @@
         let sent: usize = flows[0].chunks.iter().map(|chunk| chunk.bytes.len()).sum();
         assert_eq!(
             (sent, flows[0].end),
-            (3000, Some(FlowEnd { at: Time(3_000_000), close: Close::Orderly }))
+            (3000, Some(FlowEnd { ended_at: Time(3_000_000), close: CloseKind::Orderly }))
         );
         let mut offset = 24;
         while offset < bytes.len() {
@@ -252,22 +255,22 @@
 
 #[test]
 fn replay_reads_recordings_of_serve() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     let folder = std::env::temp_dir().join(format!("connection-balancer-replay-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("creating the folder failed");
     let (capture, config) = (folder.join("front.pcap"), folder.join("irc.json"));
-    let daemon =
-        Daemon::start_with(&irc_config(&[&server], ""), None, &["--record", capture.to_str().unwrap()]);
-    let port = daemon.irc.rsplit(':').next().unwrap().to_owned();
+    let arguments = ["--record", capture.to_str().unwrap()];
+    let daemon = Daemon::start_with_arguments(&irc_config(&[&server], ""), None, &arguments);
+    let port = daemon.irc_address.rsplit(':').next().unwrap().to_owned();
     for nick in ["pia", "quinn"] {
-        let mut client = Client::register(&daemon.irc, nick);
+        let mut client = Client::register(&daemon.irc_address, nick);
         client.expect_line("001");
         client.send_line("PRIVMSG #a :recorded");
         client.expect_line("PRIVMSG #a :recorded");
         client.send_line("QUIT");
         client.read_to_end();
     }
-    drop(Client::connect(&daemon.irc));
+    drop(Client::connect(&daemon.irc_address));
     let flows = |bytes: &[u8]| {
         let segments = pcap::read_segments(bytes).expect("the recorded file was rejected");
         flows::reassemble_flows(&segments, port.parse().unwrap())
@@ -279,13 +282,13 @@
     drop(daemon);
     std::fs::write(&config, irc_config(&[&server], "")).expect("writing the configuration failed");
     let replay = || run_replay(&capture, &config, &port);
-    let lines_before = server.count();
+    let lines_before = server.received_line_count();
     let output = replay();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
     assert_eq!(text.matches(": served after ").count(), 2, "{text}");
     assert!(text.contains(": left; 0 bytes back") && text.ends_with("3 flows, 2 served\n"), "{text}");
-    let lines = server.lines.lock().unwrap()[lines_before..].to_vec();
+    let lines = server.received_lines.lock().unwrap()[lines_before..].to_vec();
     assert_eq!(lines.iter().filter(|line| *line == "PRIVMSG #a :recorded").count(), 2, "{lines:?}");
     // A replay must never connect to a production server.
     std::fs::write(
--- a/tests/daemon/platform/clients.rs
+++ b/tests/daemon/platform/clients.rs
@@ -16,7 +16,7 @@
     let daemon =
         start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", server, "ready")]));
 
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     for piece in ["PI", "NG\r", "\nOPEN 9b1f 7f3a c=ch", "at,d=3000\r", "\n"] {
         client.stream().write_all(piece.as_bytes()).expect("the bytes are written");
         std::thread::sleep(Duration::from_millis(20));
@@ -128,12 +128,12 @@
         start_daemon(discovery.address, &endpoint_list(1, true, &[endpoint("s-00000001", server, "ready")]));
 
     let since = Instant::now();
-    let silent_clients: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.platform)).collect();
+    let silent_clients: Vec<Client> = (0..400).map(|_| Client::connect(&daemon.platform_address)).collect();
     let mut valid_client = connect_and_open(&daemon);
     assert_eq!(valid_client.read_line(), "UP 1");
     let mut invalid_clients: Vec<Client> = (0..50)
         .map(|n| {
-            let mut client = Client::connect(&daemon.platform);
+            let mut client = Client::connect(&daemon.platform_address);
             client.send_line(&format!("OPEN bad{n} k c=nothing,d=1000"));
             client
         })
@@ -141,11 +141,11 @@
     invalid_clients.iter_mut().for_each(|client| assert_eq!(client.read_to_end(), "ERR\r\n"));
     // A client that sends far more than the balancer reads still receives its error, since it reads while it
     // writes.
-    let mut flooding_client = Client::connect(&daemon.platform);
+    let mut flooding_client = Client::connect(&daemon.platform_address);
     let mut writer = flooding_client.stream().try_clone().expect("the stream is cloned");
     std::thread::spawn(move || (0..1000).take_while(|_| writer.write_all(&[b'x'; 60_000]).is_ok()).count());
     assert_eq!(flooding_client.read_line(), "ERR");
-    let mut half_line_client = Client::connect(&daemon.platform);
+    let mut half_line_client = Client::connect(&daemon.platform_address);
     half_line_client.stream().write_all(b"OPEN half").expect("the bytes are written");
     assert_eq!(half_line_client.read_to_end(), "");
     for mut client in silent_clients {
--- a/tests/daemon/platform/mod.rs
+++ b/tests/daemon/platform/mod.rs
@@ -62,7 +62,7 @@
 
 fn connect_and_open(daemon: &Daemon) -> Client {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     client.send_line(&format!("OPEN id{} 7f3a c=chat,d=3000", NEXT_ID.fetch_add(1, Ordering::Relaxed)));
     client
 }
--- a/tests/daemon/races/client.rs
+++ b/tests/daemon/races/client.rs
@@ -91,7 +91,7 @@
     let members = format!(r#", "hosts": [{}, {}], "class": {{"give_up_ms": 100000}}"#, server(0), server(1));
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &members), None);
 
-    let client = Client::register(&daemon.irc, "ann");
+    let client = Client::register(&daemon.irc_address, "ann");
     let mut server_end = accept_at_any(&servers);
     server_end.expect_line("USER");
     let lines = "PRIVMSG #a :b\r\n".repeat(6000);
@@ -131,7 +131,7 @@
     let members = format!(r#"{hosts}, "limits": {{"connect_ms": 9000}}"#);
     let daemon = Daemon::start(&irc_config(&[], "").replace(r#", "hosts": []"#, &members), None);
 
-    let mut client = Client::register(&daemon.irc, "ann");
+    let mut client = Client::register(&daemon.irc_address, "ann");
     wait_until("the request is outstanding", || daemon.metric("outstanding") == 1);
     daemon.suspend();
     client.send_line("QUIT :bye");
@@ -154,7 +154,7 @@
     // More than the 160 descriptors that the daemon may have.
     let open_clients: Vec<Client> = (0..250)
         .map(|n| {
-            let mut client = Client::connect(&daemon.platform);
+            let mut client = Client::connect(&daemon.platform_address);
             client.send_line(if n % 2 == 0 { "NONSENSE" } else { "OPEN x 7f3a c=nothing,d=900" });
             client
         })
@@ -163,19 +163,19 @@
     drop(open_clients);
 }
 
-/// The client's first line arrives and its handshake timeout fires in one wake-up. Whichever is handled
+/// The client's first line arrives and its request timeout fires in one wake-up. Whichever is handled
 /// first, the client must be admitted, not closed without an answer.
 #[test]
 fn accepts_a_first_line_that_crosses_the_handshake_timeout() {
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
 
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     client.send_line("PING");
     assert_eq!(client.read_line(), "PONG");
     daemon.suspend();
     client.send_line("OPEN late 7f3a c=chat,d=9000");
-    // The handshake timeout of 1.5 s passes during the suspension.
+    // The request timeout of 1.5 s passes during the suspension.
     std::thread::sleep(Duration::from_millis(1700));
     daemon.resume();
     let mut server_end = server.accept();
--- a/tests/daemon/races/discovery.rs
+++ b/tests/daemon/races/discovery.rs
@@ -16,7 +16,7 @@
     let (daemon, discovery) = TestSettings::default().start(&[]);
 
     let ping = || {
-        let mut client = Client::connect(&daemon.platform);
+        let mut client = Client::connect(&daemon.platform_address);
         client.send_line("PING");
         client.read_line()
     };
--- a/tests/daemon/races/mod.rs
+++ b/tests/daemon/races/mod.rs
@@ -68,7 +68,7 @@
 /// Connects a client that requests a connection and gives up after `wait_ms`.
 fn connect_and_open(daemon: &Daemon, wait_ms: u32) -> Client {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     client.send_line(&format!("OPEN id{} 7f3a c=chat,d={wait_ms}", NEXT_ID.fetch_add(1, Ordering::Relaxed)));
     client
 }
--- a/tests/daemon/races/relay.rs
+++ b/tests/daemon/races/relay.rs
@@ -99,7 +99,7 @@
     let server = ManualServer::start();
     let (daemon, _discovery) = TestSettings::default().start(&[&server]);
 
-    let mut client = Client::connect(&daemon.platform);
+    let mut client = Client::connect(&daemon.platform_address);
     let since = Instant::now();
     client.send_line("NONSENSE");
     assert_eq!(client.read_line(), "ERR");
--- a/tests/daemon/stale_list.rs
+++ b/tests/daemon/stale_list.rs
@@ -125,7 +125,7 @@
     discovery.publish("s-00000001", entry(&draining, "s-00000001", "draining"));
     let recovery = silent_since + NOTIFIED_AFTER + Duration::from_secs(2);
     std::thread::scope(|scope| {
-        let addresses = daemons.iter().map(|daemon| &daemon.platform);
+        let addresses = daemons.iter().map(|daemon| &daemon.platform_address);
         let clients: Vec<_> =
             addresses.map(|address| scope.spawn(move || request_until(address, recovery))).collect();
         for client in clients {
@@ -143,7 +143,9 @@
 
     discovery.set_reply(Reply::EndpointList);
     for daemon in &daemons {
-        wait_until("clients are served again", || connect_and_open(&daemon.platform).read_line() == "UP 1");
+        wait_until("clients are served again", || {
+            connect_and_open(&daemon.platform_address).read_line() == "UP 1"
+        });
     }
     assert!(other.last_arrival() > Some(recovery));
 }
@@ -160,7 +162,7 @@
     discovery.silence_open_calls(Reply::Status(503));
     let silent_since = Instant::now();
     discovery.publish("s-00000001", endpoint("s-00000001", draining.address, "draining"));
-    let mut client = connect_and_open(&daemon.platform);
+    let mut client = connect_and_open(&daemon.platform_address);
     let allowed_until = silent_since + NOTIFIED_AFTER + DRAIN_GRACE + SOCKET_SLACK;
     std::thread::sleep(allowed_until.saturating_duration_since(Instant::now()));
     draining.empty_queue();
@@ -196,7 +198,7 @@
                 if drains {
                     discovery.publish("s-00000001", entry(&draining, "s-00000001", "draining"));
                 }
-                let served = request_until(&daemon.platform, notified_at + Duration::from_secs(1));
+                let served = request_until(&daemon.platform_address, notified_at + Duration::from_secs(1));
 
                 assert!(
                     served.iter().all(|served| *served),
@@ -239,7 +241,7 @@
 
                 begin_outage(&discovery);
                 let end = Instant::now() + NOTIFIED_AFTER + Duration::from_secs(2);
-                let served = request_until(&daemon.platform, end);
+                let served = request_until(&daemon.platform_address, end);
 
                 assert!(served.iter().all(|served| *served), "{outage}: a request was rejected");
             });
--- a/tests/daemon/store.rs
+++ b/tests/daemon/store.rs
@@ -9,7 +9,7 @@
 use connection_balancer::ServerId;
 use proptest::prelude::*;
 
-use crate::fake_servers::{wait_until, Behaviour, Client, Daemon, Server};
+use crate::fake_servers::{wait_until, Client, Daemon, FakeIrcServer, RegistrationReply};
 
 fn entries_of(map: &ReplicatedMap) -> BTreeMap<String, Entry> {
     map.entries().map(|(key, entry)| (key.clone(), entry.clone())).collect()
@@ -26,15 +26,15 @@
 /// `is_lost` accepts are dropped.
 fn exchange(replicas: &mut [ReplicatedMap], a: usize, b: usize, is_lost: impl Fn(usize) -> bool) {
     let digest = |map: &ReplicatedMap| match encode_and_decode(&ReplicaMessage::Digest {
-        wanted: true,
-        buckets: map.digest(),
+        digest_requested: true,
+        digest: map.digest(),
     }) {
-        ReplicaMessage::Digest { buckets, .. } => buckets,
+        ReplicaMessage::Digest { digest, .. } => digest,
         other => panic!("{other:?}"),
     };
     for (receiver, sender) in [(a, b), (b, a)] {
         let received_digest = digest(&replicas[receiver]);
-        let mut repairs = replicas[sender].repair(&received_digest);
+        let mut repairs = replicas[sender].answer_digest(&received_digest);
         repairs.reverse();
         for (n, message) in repairs.iter().enumerate().filter(|(n, _)| !is_lost(*n)) {
             let ReplicaMessage::Entry { key, entry } = encode_and_decode(message) else {
@@ -129,7 +129,7 @@
 
 #[test]
 fn shares_an_exclusion_with_the_other_daemon_and_keeps_it_over_a_restart() {
-    let server = Server::start(Behaviour::Welcome);
+    let server = FakeIrcServer::start(RegistrationReply::Welcome);
     // Daemons need each other's addresses before they start, so these are loopback addresses that no other
     // process uses.
     let id = std::process::id();
@@ -148,11 +148,11 @@
     let first_config = config(1, 2, &format!(", \"data\": \"{}\"", data_folder.display()));
     let first = Daemon::start(&first_config, None);
     let second = Daemon::start(&config(2, 1, ""), None);
-    let mut client = Client::register(&second.irc, "rosa");
+    let mut client = Client::register(&second.irc_address, "rosa");
     client.expect_line("001 rosa");
     first.exclude("irc-0");
     client.expect_line(" 010 rosa ");
-    Client::register(&first.irc, "rosa").expect_line(" 263 rosa ");
+    Client::register(&first.irc_address, "rosa").expect_line(" 263 rosa ");
     // The daemon with a data folder restores the exclusion. The other one receives it from there.
     drop(first);
     drop(second);
@@ -164,7 +164,7 @@
         node: "n1".to_owned(),
     };
     second.log_line(&stored.to_string());
-    Client::register(&second.irc, "rosa").expect_line(" 263 rosa ");
+    Client::register(&second.irc_address, "rosa").expect_line(" 263 rosa ");
     wait_until("the journal is written", || data_folder.join("store.journal").exists());
     let _ = std::fs::remove_dir_all(&data_folder);
 }
@@ -193,7 +193,7 @@
     }
     let empty_digest = ReplicatedMap::new("node-2").digest();
 
-    let first_keys = [(); 6].map(|()| match map.repair(&empty_digest).first() {
+    let first_keys = [(); 6].map(|()| match map.answer_digest(&empty_digest).first() {
         Some(ReplicaMessage::Entry { key, .. }) => key.clone(),
         other => panic!("{other:?}"),
     });
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -10,12 +10,12 @@
 fn starts_no_attempt_at_a_draining_or_removed_server() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut harness = Harness::new(settings(), &endpoints(1));
-        harness.handle(Event::EndpointsChanged(&[EndpointEntry { state, ..endpoint(1) }]));
+        harness.handle(Event::EndpointListChanged(&[EndpointEntry { state, ..endpoint(1) }]));
         harness.arrive();
         assert_eq!(harness.attempted_server(), None);
     }
     let mut harness = Harness::new(settings(), &endpoints(2));
-    harness.handle(Event::EndpointsReplaced(&[endpoint(2)]));
+    harness.handle(Event::EndpointListReplaced(&[endpoint(2)]));
     harness.arrive();
     assert_eq!(harness.attempted_server(), Some(2), "attempt at a server that the new list does not name");
 }
@@ -24,8 +24,8 @@
 fn a_restarted_server_starts_without_learned_state() {
     let mut harness = Harness::new(settings(), &endpoints(1));
     let (request, _) = harness.place();
-    let restarted = EndpointEntry { started: Some(harness.now), ..endpoint(1) };
-    harness.handle(Event::EndpointsChanged(&[restarted]));
+    let restarted = EndpointEntry { started_at: Some(harness.now), ..endpoint(1) };
+    harness.handle(Event::EndpointListChanged(&[restarted]));
     assert_eq!(harness.occupied_slots(1), 0.0);
     harness.end_attempt(request, 0, Outcome::Reset, true);
     assert_eq!(
@@ -86,17 +86,18 @@
 /// migrated client would be rejected, and a probe would have no use.
 #[test]
 fn does_not_migrate_or_probe_while_the_list_is_expired() {
-    let settings = Settings { probes: true, probe_reports: true, probe_cost: 0.01, ..settings() };
+    let settings =
+        Settings { probes_allowed: true, probes_report_load: true, probe_cost: 0.01, ..settings() };
     let [with_confirmed, with_expired] = [true, false].map(|is_confirmed| {
         let mut harness = Harness::new(settings.clone(), &endpoints(4));
         let established: Vec<_> = (0..14).map(|_| harness.restore(1, None)).collect();
-        let since = harness.now;
+        let called_at = harness.now;
         harness.advance(6 * SECOND - 100 * MS);
         let requests: Vec<_> = (0..6).map(|_| harness.arrive()).collect();
         harness.advance(100 * MS);
         harness.handle(match is_confirmed {
             true => Event::EndpointListConfirmed,
-            false => Event::EndpointWatchSilent { since },
+            false => Event::EndpointWatchSilent { called_at },
         });
         let mut probes = 0;
         for request in requests {
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -140,7 +140,7 @@
                 Action::ReportSlowSetup if self.may_gossip() => {
                     self.last_gossip = self.now;
                     (0..self.fleet.len()).filter(|&other| other != balancer).for_each(|other| {
-                        self.handle(other, Event::PeerSetupSlow);
+                        self.handle(other, Event::PeerObservedSlowSetups);
                     });
                 }
                 _ => {}
@@ -284,7 +284,7 @@
     let mut settings = Settings { max_attempts: 1, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.setup_objective = Micros::ZERO);
     let mut store = SharedStore::with_settings(settings, StoreConfig::unbounded());
-    store.handle(0, Event::PeerSetupSlow);
+    store.handle(0, Event::PeerObservedSlowSetups);
     store.run_millisecond(40, 500 * MS);
     let sent: u32 = store.attempts.values().sum();
     assert!((8..=32).contains(&sent), "{sent} of 40 requests admitted, 8 to 32 expected");
@@ -303,10 +303,10 @@
         (false, Vec::new()),
         (false, changed(|entry| entry.state = EndpointState::Draining)),
         (false, changed(|entry| entry.state = EndpointState::Gone)),
-        (true, changed(|entry| entry.started = Some(START.minus(MS)))),
-        (true, changed(|entry| entry.started = Some(START))),
-        (true, changed(|entry| entry.started = Some(START.plus(3600 * SECOND)))),
-        (true, changed(|entry| entry.started = Some(Time(u64::MAX)))),
+        (true, changed(|entry| entry.started_at = Some(START.minus(MS)))),
+        (true, changed(|entry| entry.started_at = Some(START))),
+        (true, changed(|entry| entry.started_at = Some(START.plus(3600 * SECOND)))),
+        (true, changed(|entry| entry.started_at = Some(Time(u64::MAX)))),
         (true, changed(|entry| entry.weight = 1e308)),
     ];
     for balancers in [0, 1, 100, u32::MAX] {
@@ -366,7 +366,7 @@
     for harness in &mut fleet {
         samples.iter().for_each(|sample| harness.handle(Event::PeerGroupSample(sample)));
         (1..=12).for_each(|server| {
-            harness.handle(Event::PeerObservation { server: ServerId(server), took: Some(60 * MS) });
+            harness.handle(Event::PeerObservation { server: ServerId(server), message_time: Some(60 * MS) });
         });
     }
     let mut servers_by_group: BTreeMap<u64, BTreeMap<u32, u32>> = BTreeMap::new();
@@ -419,7 +419,7 @@
             0 => vec![],
             _ => vec![
                 EndpointEntry { state: EndpointState::Gone, ..endpoint(server) },
-                EndpointEntry { started: Some(start), ..endpoint(server + servers) },
+                EndpointEntry { started_at: Some(start), ..endpoint(server + servers) },
             ],
         })
         .collect();
@@ -428,7 +428,7 @@
         let request = harness.arrive();
         harness.end_attempt(request, 0, Outcome::Ok, true);
         harness.now = start;
-        harness.handle(Event::EndpointsChanged(&replaced));
+        harness.handle(Event::EndpointListChanged(&replaced));
     }
     let mut to_cold = vec![vec![0; servers as usize]; seconds];
     for n in 0..requests_per_second * seconds {
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -25,8 +25,8 @@
     Settings {
         classes: vec![class(Idempotency::Idempotent)],
         max_attempts: 4,
-        cancel: true,
-        retry_after: true,
+        cancellation_allowed: true,
+        retry_after_supported: true,
         ..Settings::default()
     }
 }
@@ -38,7 +38,7 @@
         zone: ZoneId(0),
         cell: CellId(0),
         state: EndpointState::Serving,
-        started: None,
+        started_at: None,
         weight: 1.0,
     }
 }
@@ -64,7 +64,7 @@
     pub(crate) fn seeded(settings: Settings, list: &[EndpointEntry], seed: u64) -> Harness {
         let balancer = Balancer::new(settings, seed, START);
         let mut harness = Harness { balancer, now: START, actions: Vec::new(), last_request: 0 };
-        harness.handle(Event::EndpointsReplaced(list));
+        harness.handle(Event::EndpointListReplaced(list));
         harness
     }
 
--- a/tests/policy/migration.rs
+++ b/tests/policy/migration.rs
@@ -11,8 +11,9 @@
 #[test]
 fn does_not_migrate_to_free_slots_that_slow_start_withholds() {
     let migrations = |is_cold: bool| {
-        let started = is_cold.then_some(START);
-        let mut harness = Harness::new(settings(), &[endpoint(1), EndpointEntry { started, ..endpoint(2) }]);
+        let started_at = is_cold.then_some(START);
+        let mut harness =
+            Harness::new(settings(), &[endpoint(1), EndpointEntry { started_at, ..endpoint(2) }]);
         let established: Vec<_> = (0..16).map(|_| harness.restore(1, None)).collect();
         harness.arrive_and_end();
         let message_time = 90 * MS;
--- a/tests/policy/peers.rs
+++ b/tests/policy/peers.rs
@@ -32,7 +32,7 @@
     let observations = [
         (slow(1, 50), slow(2, 60), OBSERVATION_VALIDITY),
         (dropped(1), dropped(2), OBSERVATION_VALIDITY),
-        (Observation::SlowSetUps, Observation::SlowSetUps, 600 * MS),
+        (Observation::SlowSetups, Observation::SlowSetups, 600 * MS),
     ];
     for (own, received, hold) in observations {
         let mut gossip = Gossip::new(gossip_config(3, 0.0), 7);
@@ -97,7 +97,8 @@
             let mut placed = 0;
             for harness in &mut fleet {
                 if has_gossip && second == 0 {
-                    harness.handle(Event::PeerObservation { server: ServerId(1), took: Some(300 * MS) });
+                    harness
+                        .handle(Event::PeerObservation { server: ServerId(1), message_time: Some(300 * MS) });
                 }
                 let (request, server) = harness.place();
                 placed += usize::from(server == 1);
@@ -130,7 +131,7 @@
         let mut count = 0;
         for harness in &mut fleet {
             if is_drop_reported {
-                harness.handle(Event::PeerObservation { server: ServerId(1), took: None });
+                harness.handle(Event::PeerObservation { server: ServerId(1), message_time: None });
             }
             for _ in 0..10 {
                 let (request, server) = harness.place();
@@ -155,15 +156,15 @@
     for _ in 0..3 {
         harness.place();
     }
-    harness.handle(Event::PeerObservation { server: ServerId(1), took: None });
+    harness.handle(Event::PeerObservation { server: ServerId(1), message_time: None });
     assert_eq!((harness.occupied_slots(1), harness.ceiling(1)), (3.0, 3.5));
 }
 
 #[test]
 fn an_invalid_observation_changes_nothing() {
     let mut harness = Harness::new(settings(), &endpoints(2));
-    harness.handle(Event::PeerObservation { server: ServerId(77), took: Some(300 * MS) });
-    harness.handle(Event::PeerObservation { server: ServerId(1), took: Some(Micros::ZERO) });
+    harness.handle(Event::PeerObservation { server: ServerId(77), message_time: Some(300 * MS) });
+    harness.handle(Event::PeerObservation { server: ServerId(1), message_time: Some(Micros::ZERO) });
     assert_eq!((harness.ceiling(1), harness.ceiling(2)), (4.0, 4.0));
 }
 
@@ -177,7 +178,7 @@
         arbitrary: Vec<u8>,
     ) {
         let message = |ms| GossipMessage {
-            observation: server.map_or(Observation::SlowSetUps, |server| match dropped {
+            observation: server.map_or(Observation::SlowSetups, |server| match dropped {
                 true => Observation::Dropped(ServerId(server)),
                 false => slow(server, ms),
             }),
--- a/tests/policy/probes.rs
+++ b/tests/policy/probes.rs
@@ -6,8 +6,13 @@
 
 #[test]
 fn probes_cost_a_bounded_share_of_the_delivered_value() {
-    let settings =
-        Settings { probes: true, probe_reports: true, probe_cost: 0.01, poll_required: false, ..settings() };
+    let settings = Settings {
+        probes_allowed: true,
+        probes_report_load: true,
+        probe_cost: 0.01,
+        poll_required: false,
+        ..settings()
+    };
     let mut harness = Harness::new(settings, &endpoints(4));
     let mut sent = 0;
     for _ in 0..1000 {
--- a/tests/policy/rules/mod.rs
+++ b/tests/policy/rules/mod.rs
@@ -88,7 +88,7 @@
     ) {
         let settings = Settings { balancers: 4, ..settings() };
         let mut list = endpoints(4);
-        list[0].started = Some(START);
+        list[0].started_at = Some(START);
         let mut harness = Harness::seeded(settings.clone(), &list, seed);
         for i in 0..established {
             harness.restore(2 + i % 3, None);
--- a/tests/policy/rules/rule_checker.rs
+++ b/tests/policy/rules/rule_checker.rs
@@ -73,8 +73,8 @@
             balancers: 2,
             cross_zone_cost: 0.1,
             poll_required: true,
-            probes: true,
-            probe_reports: true,
+            probes_allowed: true,
+            probes_report_load: true,
             probe_cost: 0.001,
             ..settings()
         };
@@ -281,9 +281,9 @@
             }
             Step::UpdateEndpoint { server, state, is_restarted, is_snapshot, weight } => {
                 let state = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][state];
-                let listed_start = self.list.get(&ServerId(server)).and_then(|entry| entry.started);
-                let started = if is_restarted { Some(self.harness.now) } else { listed_start };
-                let entry = EndpointEntry { state, started, weight, ..RuleChecker::endpoint(server) };
+                let listed_start = self.list.get(&ServerId(server)).and_then(|entry| entry.started_at);
+                let started_at = if is_restarted { Some(self.harness.now) } else { listed_start };
+                let entry = EndpointEntry { state, started_at, weight, ..RuleChecker::endpoint(server) };
                 self.update_endpoint(entry, is_snapshot);
             }
             Step::FailEndpointWatch => self.handle(Event::EndpointWatchFailed(WatchFailure::Rejected)),
@@ -353,9 +353,9 @@
         let entries: Vec<EndpointEntry> = self.list.values().copied().collect();
         let repeated = [entry, entry];
         self.handle(if is_snapshot {
-            Event::EndpointsReplaced(&entries)
+            Event::EndpointListReplaced(&entries)
         } else {
-            Event::EndpointsChanged(&repeated)
+            Event::EndpointListChanged(&repeated)
         });
     }
 
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -8,10 +8,10 @@
 /// the balancer had any connection is too long once it has some.
 #[test]
 fn shortens_a_slow_start_wait_once_more_is_known() {
-    let cold = EndpointEntry { started: Some(START), ..endpoint(2) };
+    let cold = EndpointEntry { started_at: Some(START), ..endpoint(2) };
     let settings = Settings { slow_start_duration: 24 * SECOND, ..settings() };
     let mut harness = Harness::new(settings, &[cold]);
-    harness.handle(Event::EndpointsChanged(&endpoints(1)));
+    harness.handle(Event::EndpointListChanged(&endpoints(1)));
     (0..24).for_each(|_| _ = harness.restore(1, None));
     let sent_to_cold = (0..60).filter(|_| {
         harness.advance(50 * MS);
@@ -33,8 +33,8 @@
         for &id in &established[remaining..] {
             harness.end_attempt(id, 0, Outcome::Ok, true);
         }
-        let cold = EndpointEntry { started: Some(harness.now), ..endpoint(5) };
-        harness.handle(Event::EndpointsReplaced(&[cold]));
+        let cold = EndpointEntry { started_at: Some(harness.now), ..endpoint(5) };
+        harness.handle(Event::EndpointListReplaced(&[cold]));
         let mut sent = 0;
         for _ in 0..50 {
             harness.advance(100 * MS);
@@ -70,8 +70,8 @@
         harness.arrive_and_end();
         let draining =
             endpoints(4).into_iter().map(|s| EndpointEntry { state: EndpointState::Draining, ..s });
-        let cold = EndpointEntry { started: Some(START), ..endpoint(5) };
-        harness.handle(Event::EndpointsChanged(&draining.chain([cold]).collect::<Vec<_>>()));
+        let cold = EndpointEntry { started_at: Some(START), ..endpoint(5) };
+        harness.handle(Event::EndpointListChanged(&draining.chain([cold]).collect::<Vec<_>>()));
         let mut sent = Vec::new();
         while harness.now.since(START) < settings.slow_start_duration {
             harness.advance(50 * MS);
@@ -108,7 +108,7 @@
     // All balancers restarted together with the server. Each sends at most its part, whatever the occupancy
     // of the others is.
     let settings = Settings { balancers: 5, ..settings() };
-    let cold = EndpointEntry { started: Some(START), ..endpoint(1) };
+    let cold = EndpointEntry { started_at: Some(START), ..endpoint(1) };
     let mut harness = Harness::new(settings.clone(), &[cold]);
     let mut sent = 0.0;
     let end = START.plus(settings.slow_start_window);
@@ -135,8 +135,9 @@
     for seed in 0..100 {
         let mut harness = Harness::seeded(settings.clone(), &endpoints(2), seed);
         harness.restore(2, None);
-        harness.handle(Event::EndpointsChanged(&[EndpointEntry { started: Some(START), ..endpoint(1) }]));
-        harness.handle(Event::EndpointsChanged(&[EndpointEntry {
+        harness
+            .handle(Event::EndpointListChanged(&[EndpointEntry { started_at: Some(START), ..endpoint(1) }]));
+        harness.handle(Event::EndpointListChanged(&[EndpointEntry {
             state: EndpointState::Draining,
             ..endpoint(2)
         }]));
--- a/tests/policy_rules.rs
+++ b/tests/policy_rules.rs
@@ -205,7 +205,7 @@
     assert!(
         !retry.may_reject(keyed, false) && !retry.may_run_at(&server(1, 1), Idempotency::NotIdempotent, NOW)
     );
-    assert_eq!(retry.refusal(NOW, NOW, 6), Some(RefusalReason::OutOfTime));
-    assert_eq!(retry.refusal(NOW, NOW.plus(SECOND), 2), Some(RefusalReason::AttemptsSpent));
+    assert_eq!(retry.refusal(NOW, NOW, 6), Some(RefusalReason::DeadlineExceeded));
+    assert_eq!(retry.refusal(NOW, NOW.plus(SECOND), 2), Some(RefusalReason::AttemptsExhausted));
     assert_eq!(retry.refusal(NOW, NOW.plus(SECOND), 3), None);
 }
--- a/tests/rebalance/candidates.rs
+++ b/tests/rebalance/candidates.rs
@@ -15,10 +15,10 @@
             (0..120 / size).map(|n| harness.establish(0, size, Some(n as u64))).collect();
         harness.establish(1, 20, None);
         harness.establish(2, 20, None);
-        harness.servers[3].started = Some(harness.now);
+        harness.servers[3].started_at = Some(harness.now);
         for second in 0..60 {
             harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
-            harness.servers[3].started = Some(harness.now);
+            harness.servers[3].started_at = Some(harness.now);
             let was_migrated = |connection: &&ConnectionId| {
                 harness.rebalancer.metrics().migrated > 0 && !harness.is_established(**connection)
             };
@@ -47,7 +47,7 @@
         harness.establish(server, 20, None);
     }
     harness.establish(0, 30, Some(9));
-    harness.servers[3].started = Some(harness.now);
+    harness.servers[3].started_at = Some(harness.now);
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
 }
 
@@ -82,14 +82,14 @@
         }
     }
     let metrics = harness.rebalancer.metrics();
-    assert!(metrics.migrated > 0 && metrics.returned == metrics.migrated, "{metrics:?}");
+    assert!(metrics.migrated > 0 && metrics.reconnected == metrics.migrated, "{metrics:?}");
     // The last server is now the overloaded one.
     harness.servers[3].occupied_slots = 60.0;
     for _ in 0..40 {
         harness.now = harness.now.plus(SECOND / 2);
         harness.notify(RebalanceEvent::MessageTimeReported {
             server: ServerId(3),
-            took: Micros::from_millis(90),
+            message_time: Micros::from_millis(90),
         });
         let decision = harness.rebalancer.evaluate(harness.now, harness.conditions, &harness.servers);
         assert!(decision.migrations.iter().all(|migration| !reconnected.contains(&migration.connection)));
--- a/tests/rebalance/harness.rs
+++ b/tests/rebalance/harness.rs
@@ -54,13 +54,13 @@
         let now = Time(1_000_000_000);
         let server = |n| ServerSnapshot {
             server: ServerId(n),
-            ready: true,
+            is_ready: true,
             occupied_slots: 0.0,
             ceiling: 4.0,
             weight: 1.0,
             warmth: 1.0,
-            started: None,
-            last_fault: None,
+            started_at: None,
+            last_fault_at: None,
         };
         let servers = (0..servers as u32).map(server).collect();
         let mut harness = RebalanceHarness {
@@ -70,7 +70,7 @@
             last_connection_id: 0,
             conditions: SystemConditions::default(),
         };
-        harness.notify(RebalanceEvent::EndpointListChanged { ready: harness.servers.len() });
+        harness.notify(RebalanceEvent::EndpointListChanged { ready_servers: harness.servers.len() });
         harness
     }
 
@@ -81,7 +81,7 @@
         for server in 0..3 {
             harness.establish(server, if server == 0 { 40 } else { 20 }, None);
         }
-        harness.servers[3].started = Some(harness.now);
+        harness.servers[3].started_at = Some(harness.now);
         harness
     }
 
@@ -99,7 +99,7 @@
         self.last_connection_id += 1;
         let (connection, key) = (ConnectionId(self.last_connection_id), Some(self.last_connection_id));
         let properties = ConnectionProperties { server: ServerId(server), class: 0, group, load: None, key };
-        self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: None });
+        self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup_time: None });
         self.servers[server as usize].occupied_slots += 1.0;
         connection
     }
@@ -107,13 +107,13 @@
     /// Evaluates half a second later. The first server reports `message_time` once per second.
     pub(crate) fn evaluate_after_half_second(&mut self, message_time: Option<Micros>) -> Decision {
         self.now = self.now.plus(SECOND / 2);
-        if let Some(took) = message_time.filter(|_| self.now.0.is_multiple_of(SECOND.0)) {
-            self.notify(RebalanceEvent::MessageTimeReported { server: ServerId(0), took });
+        if let Some(message_time) = message_time.filter(|_| self.now.0.is_multiple_of(SECOND.0)) {
+            self.notify(RebalanceEvent::MessageTimeReported { server: ServerId(0), message_time });
         }
         let decision = self.rebalancer.evaluate(self.now, self.conditions, &self.servers);
         for &Migration { connection, from } in &decision.migrations {
             self.servers[from.0 as usize].occupied_slots -= 1.0;
-            self.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
+            self.notify(RebalanceEvent::ConnectionEnded { connection, ended_by_client: false });
         }
         decision
     }
@@ -133,10 +133,14 @@
         self.last_connection_id += 1;
         let (connection, key) =
             (ConnectionId(self.last_connection_id + RECONNECTED_ID_OFFSET), Some(migrated.0));
-        self.notify(RebalanceEvent::ConnectionRequested { connection, key, reconnecting: true });
+        self.notify(RebalanceEvent::ConnectionRequested { connection, key, reports_reconnection: true });
         let server = ServerId(self.servers.len() as u32 - 1);
         let properties = ConnectionProperties { server, class: 0, group: None, load: None, key };
-        self.notify(RebalanceEvent::ConnectionEstablished { connection, properties, setup: Some(setup) });
+        self.notify(RebalanceEvent::ConnectionEstablished {
+            connection,
+            properties,
+            setup_time: Some(setup),
+        });
         self.servers.last_mut().expect("the harness has servers").occupied_slots += 1.0;
     }
 
--- a/tests/rebalance/holds.rs
+++ b/tests/rebalance/holds.rs
@@ -33,8 +33,8 @@
     for (event, reason) in [
         (RebalanceEvent::ConfigurationReloaded, HoldReason::ConfigurationReloaded),
         (RebalanceEvent::EndpointListLost, HoldReason::EndpointListUnavailable),
-        (RebalanceEvent::EndpointListChanged { ready: 2 }, HoldReason::EndpointListShrank),
-        (RebalanceEvent::EndpointListChanged { ready: 0 }, HoldReason::EndpointListShrank),
+        (RebalanceEvent::EndpointListChanged { ready_servers: 2 }, HoldReason::EndpointListShrank),
+        (RebalanceEvent::EndpointListChanged { ready_servers: 0 }, HoldReason::EndpointListShrank),
     ] {
         let found = hold_reason_after(|harness| harness.notify(event));
         assert_eq!(found, Some(reason), "{event:?}");
@@ -48,7 +48,7 @@
             harness.notify(RebalanceEvent::ConnectionRequested {
                 connection: ConnectionId(80_000 + n),
                 key: None,
-                reconnecting: false,
+                reports_reconnection: false,
             });
         }
     });
@@ -58,7 +58,7 @@
 #[test]
 fn holds_all_migrations_with_a_single_ready_server() {
     let found = hold_reason_after(|harness| {
-        harness.servers.iter_mut().skip(1).for_each(|server| server.ready = false);
+        harness.servers.iter_mut().skip(1).for_each(|server| server.is_ready = false);
     });
     assert_eq!(found, Some(HoldReason::TooFewServers));
 }
--- a/tests/rebalance/invariants.rs
+++ b/tests/rebalance/invariants.rs
@@ -41,8 +41,8 @@
         harness.now = harness.now.plus(Micros(number * 10_000));
         match kind {
             0..=9 => harness.notify(arbitrary_event(step)),
-            10 => harness.servers[server as usize].ready ^= true,
-            11 => harness.servers[server as usize].started = Some(harness.now),
+            10 => harness.servers[server as usize].is_ready ^= true,
+            11 => harness.servers[server as usize].started_at = Some(harness.now),
             _ => decisions.push(evaluate_checked(&mut harness, number, server)?),
         }
         if kind <= 3 {
@@ -50,10 +50,10 @@
         }
         let metrics = harness.rebalancer.metrics();
         prop_assert!(
-            metrics.migrations_per_second.is_finite()
-                && (0.0..=20.0).contains(&metrics.migrations_per_second)
+            metrics.allowed_migrations_per_second.is_finite()
+                && (0.0..=20.0).contains(&metrics.allowed_migrations_per_second)
         );
-        prop_assert!(metrics.returned <= metrics.migrated && metrics.rejected <= metrics.returned);
+        prop_assert!(metrics.reconnected <= metrics.migrated && metrics.rejected <= metrics.reconnected);
     }
     Ok(decisions)
 }
@@ -71,13 +71,17 @@
         0..=3 => RebalanceEvent::ConnectionEstablished {
             connection,
             properties,
-            setup: Some(Micros(number * 5_000)),
+            setup_time: Some(Micros(number * 5_000)),
+        },
+        4 => RebalanceEvent::ConnectionEnded { connection, ended_by_client: server > 2 },
+        5 => RebalanceEvent::ConnectionRequested {
+            connection,
+            key: Some(number),
+            reports_reconnection: server > 2,
         },
-        4 => RebalanceEvent::ConnectionEnded { connection, natural: server > 2 },
-        5 => RebalanceEvent::ConnectionRequested { connection, key: Some(number), reconnecting: server > 2 },
         6 => RebalanceEvent::ConnectionRejected { connection },
         7 => RebalanceEvent::LoadReported { connection, load: number as f64 * 5_000.0 },
-        8 => RebalanceEvent::EndpointListChanged { ready: server as usize },
+        8 => RebalanceEvent::EndpointListChanged { ready_servers: server as usize },
         _ if server > 2 => RebalanceEvent::EndpointListLost,
         _ => RebalanceEvent::EndpointListReceived,
     }
@@ -92,18 +96,18 @@
     for _ in 0..3 {
         harness.now = harness.now.plus(SECOND);
         let server = ServerId(slow_server);
-        harness.notify(RebalanceEvent::MessageTimeReported { server, took: Micros(number * 10_000) });
+        harness.notify(RebalanceEvent::MessageTimeReported { server, message_time: Micros(number * 10_000) });
     }
     let established_count = (0..40).filter_map(|n| harness.rebalancer.connection(ConnectionId(n))).count();
     let decision = harness.rebalancer.evaluate(harness.now, harness.conditions, &harness.servers);
     let mut migrated = std::collections::BTreeSet::new();
     for &Migration { connection, from } in &decision.migrations {
         prop_assert!(migrated.insert(connection), "{connection:?} is migrated twice in one decision");
-        prop_assert!(harness.servers[from.0 as usize].ready);
+        prop_assert!(harness.servers[from.0 as usize].is_ready);
         let server =
             harness.rebalancer.connection(connection).map(|established| established.properties.server);
         prop_assert_eq!(server, Some(from));
-        harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: false });
+        harness.notify(RebalanceEvent::ConnectionEnded { connection, ended_by_client: false });
     }
     prop_assert!(decision.migrations.len() <= established_count);
     let is_valid = |increase: &CeilingIncrease| increase.ceiling.is_finite() && increase.ceiling > 0.0;
--- a/tests/rebalance/outcomes.rs
+++ b/tests/rebalance/outcomes.rs
@@ -23,9 +23,9 @@
             harness.notify(RebalanceEvent::ConnectionEstablished {
                 connection,
                 properties,
-                setup: Some(Micros(setup_micros)),
+                setup_time: Some(Micros(setup_micros)),
             });
-            harness.notify(RebalanceEvent::ConnectionEnded { connection, natural: true });
+            harness.notify(RebalanceEvent::ConnectionEnded { connection, ended_by_client: true });
             harness.servers[server as usize].occupied_slots -= 1.0;
         }
     };
@@ -34,7 +34,7 @@
     complete_setups(&mut harness, 200_000, 1);
     assert!(harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)).is_empty());
     assert_eq!(harness.hold_reason(), Some(HoldReason::SlowSetups));
-    assert_eq!(harness.rebalancer.metrics().migrations_per_second, 0.0);
+    assert_eq!(harness.rebalancer.metrics().allowed_migrations_per_second, 0.0);
     complete_setups(&mut harness, 40_000, 1);
     harness.run_seconds(8, Some(SLOW_MESSAGE_TIME));
     assert_eq!(harness.hold_reason(), None);
@@ -57,7 +57,7 @@
         harness.notify(RebalanceEvent::ConnectionEstablished {
             connection,
             properties,
-            setup: Some(Micros::from_millis(400)),
+            setup_time: Some(Micros::from_millis(400)),
         });
     }
     harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
@@ -71,7 +71,7 @@
     let mut was_held = false;
     for _ in 0..40 {
         harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
-        harness.servers[3].started = Some(harness.now);
+        harness.servers[3].started_at = Some(harness.now);
         was_held |= harness.hold_reason() == Some(HoldReason::ClientsNotReconnecting);
     }
     assert!(was_held, "{:?}", harness.rebalancer.metrics());
@@ -97,7 +97,7 @@
                 harness.notify(RebalanceEvent::ConnectionRequested {
                     connection: ConnectionId(50_000 + connection.0),
                     key: Some(90_000 + connection.0),
-                    reconnecting: true,
+                    reports_reconnection: true,
                 });
             }
         }
@@ -116,7 +116,7 @@
             migrated = harness.run_seconds(1, Some(SLOW_MESSAGE_TIME));
             assert!(harness.now < Time(2_000_000_000), "no client was migrated within 1000 s");
         }
-        harness.servers[3].started = Some(harness.now);
+        harness.servers[3].started_at = Some(harness.now);
         for (n, connection) in migrated.into_iter().enumerate() {
             if n > 0 {
                 harness.reconnect_client(connection, SETUP_TIME);
@@ -126,10 +126,11 @@
             harness.notify(RebalanceEvent::ConnectionRequested {
                 connection: reconnected,
                 key: Some(connection.0),
-                reconnecting: true,
+                reports_reconnection: true,
             });
             harness.notify(RebalanceEvent::ConnectionRejected { connection: reconnected });
-            harness.notify(RebalanceEvent::ConnectionEnded { connection: reconnected, natural: false });
+            harness
+                .notify(RebalanceEvent::ConnectionEnded { connection: reconnected, ended_by_client: false });
         }
         let hold_start = harness.now;
         harness.evaluate_after_half_second(Some(SLOW_MESSAGE_TIME));
@@ -154,7 +155,7 @@
     harness.establish(0, 100, None);
     let mut was_held = false;
     for _ in 0..60 {
-        harness.servers[3].started = Some(harness.now);
+        harness.servers[3].started_at = Some(harness.now);
         for connection in harness.run_seconds(1, Some(SLOW_MESSAGE_TIME)) {
             harness.reconnect_client(connection, SETUP_TIME);
             // For each client that leaves the overloaded server, another client connects to it. No client
--- a/tests/rebalance/pressure.rs
+++ b/tests/rebalance/pressure.rs
@@ -64,7 +64,7 @@
     for server in 0..3 {
         harness.establish(server, 200, None);
     }
-    harness.servers[3].started = Some(harness.now);
+    harness.servers[3].started_at = Some(harness.now);
     assert!(!harness.run_seconds(10, None).is_empty());
 }
 
@@ -77,7 +77,7 @@
         4,
     );
     (0..3).for_each(|server| drop(harness.establish(server, if server == 0 { 40 } else { 20 }, None)));
-    harness.servers[3].started = Some(harness.now);
+    harness.servers[3].started_at = Some(harness.now);
     assert!(
         harness.run_seconds(10, Some(SLOW_MESSAGE_TIME)).is_empty(),
         "message times of 80 ms are fast with an objective of 1 s"
--- a/tests/rebalance/reducer.rs
+++ b/tests/rebalance/reducer.rs
@@ -24,21 +24,21 @@
     harness.feed(Input::ConfigurationChanged {
         pools: vec![rebalancing_pool()],
         other_replicas: Vec::new(),
-        budget: reducer_harness::BUDGET,
+        resource_limits: reducer_harness::RESOURCE_LIMITS,
     });
     let mut connections = Vec::new();
     for n in 0..40 {
         let connection = harness.connect_client();
         let server = SERVERS[if n < 25 { 0 } else { 1 + n % 3 }].to_owned();
         let request = ConnectionRequest {
-            established_at: Some(server),
+            established_server: Some(server),
             key: Some(connection.0),
             ..connection_request()
         };
         harness.feed(Input::ConnectionRequested { connection, request });
         harness.feed(Input::RequestForwarded { connection, attempt: 0 });
         harness.feed(Input::AttemptAccepted { connection, attempt: 0 });
-        harness.feed(Input::LoadReported { connection, load: 60_000.0 });
+        harness.feed(Input::LoadReported { connection, value: 60_000.0 });
         connections.push(connection);
     }
     // The last server has restarted: its start time in the endpoint list is now.
@@ -60,7 +60,7 @@
                 (tenth, connections.iter().find(|connection| !migrated.contains(*connection)))
             {
                 // A third of the objective: the decision module migrates no client for such a message time.
-                effects.extend(harness.feed(Input::LoadReported { connection, load: 45.0 }));
+                effects.extend(harness.feed(Input::LoadReported { connection, value: 45.0 }));
             }
             migrated.extend(effects.iter().filter_map(|effect| match effect {
                 Effect::Answer { connection, answer: Answer::Migrated } => Some(*connection),
@@ -77,8 +77,7 @@
     let migrated = run_and_collect_migrated(&mut harness, &connections, 15);
     assert!(!migrated.is_empty(), "no client was migrated");
     assert!(migrated.iter().all(|connection| connections[..25].contains(connection)));
-    let reply =
-        harness.feed(Input::AdminRequest { admin_client: AdminClientId(1), call: AdminCall::Metrics });
+    let reply = harness.feed(Input::AdminRequest { admin_call: AdminCallId(1), call: AdminCall::Metrics });
     let Some(Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }) = reply.last() else {
         panic!("{reply:?}")
     };
@@ -93,7 +92,7 @@
             ..connection_request()
         },
     });
-    assert_eq!(harness.state.rebalancing(PoolId(0)).map(|metrics| metrics.returned), Some(1));
+    assert_eq!(harness.state.rebalance_metrics(PoolId(0)).map(|metrics| metrics.reconnected), Some(1));
 }
 
 #[test]
@@ -104,7 +103,7 @@
     let (mut harness, connections) = unbalanced_reducer();
     harness.feed(Input::ShutdownRequested);
     run_and_collect_migrated(&mut harness, &connections, 3);
-    assert_eq!(harness.state.rebalancing(PoolId(0)).map(|metrics| metrics.migrated), Some(0));
+    assert_eq!(harness.state.rebalance_metrics(PoolId(0)).map(|metrics| metrics.migrated), Some(0));
 }
 
 #[test]
@@ -120,8 +119,8 @@
     harness.feed(Input::ConfigurationChanged {
         pools: vec![reducer_harness::pool_config()],
         other_replicas: Vec::new(),
-        budget: reducer_harness::BUDGET,
+        resource_limits: reducer_harness::RESOURCE_LIMITS,
     });
     assert!(run_and_collect_migrated(&mut harness, &connections, 15).is_empty());
-    assert_eq!(harness.state.rebalancing(PoolId(0)), None);
+    assert_eq!(harness.state.rebalance_metrics(PoolId(0)), None);
 }
--- a/tests/rebalance/spare_capacity.rs
+++ b/tests/rebalance/spare_capacity.rs
@@ -10,7 +10,7 @@
     let mut harness = RebalanceHarness::unbalanced();
     // The last server has about as many connections as the others, and no server has started recently.
     harness.establish(3, 25, None);
-    harness.servers[3].started = None;
+    harness.servers[3].started_at = None;
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
 }
 
@@ -19,8 +19,8 @@
 fn does_not_migrate_to_a_slow_server_below_its_fair_share() {
     let mut harness = RebalanceHarness::unbalanced();
     harness.establish(3, 8, None);
-    harness.servers[3].started = None;
-    harness.servers[3].last_fault = Some(harness.now);
+    harness.servers[3].started_at = None;
+    harness.servers[3].last_fault_at = Some(harness.now);
     harness.servers[3].ceiling = 8.0;
     harness.now = harness.now.plus(30 * SECOND);
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
@@ -61,6 +61,6 @@
 fn migrates_no_client_to_a_server_that_is_gone_again() {
     let mut harness = RebalanceHarness::unbalanced();
     assert!(!harness.run_seconds(8, Some(SLOW_MESSAGE_TIME)).is_empty());
-    harness.servers[3].ready = false;
+    harness.servers[3].is_ready = false;
     assert!(harness.run_seconds(20, Some(SLOW_MESSAGE_TIME)).is_empty());
 }
--- a/tests/reducer/admin.rs
+++ b/tests/reducer/admin.rs
@@ -8,21 +8,21 @@
 use connection_balancer::{Micros, WatchFailure};
 use proptest::prelude::*;
 
-use crate::reducer_harness::{connection_request, pool_config, ReducerHarness, BUDGET, SERVERS};
+use crate::reducer_harness::{connection_request, pool_config, ReducerHarness, RESOURCE_LIMITS, SERVERS};
 
-const ADMIN_CLIENT: AdminClientId = AdminClientId(77);
+const ADMIN_CALL: AdminCallId = AdminCallId(77);
 
 /// Makes a call, and returns the reply.
 fn call(harness: &mut ReducerHarness, call: AdminCall) -> AdminResponse {
     match call_with_effects(harness, call).pop() {
-        Some(Effect::AdminReply { admin_client: ADMIN_CLIENT, reply }) => reply,
+        Some(Effect::AdminReply { admin_call: ADMIN_CALL, reply }) => reply,
         other => panic!("last effect of the call is {other:?}, expected a reply"),
     }
 }
 
 /// Makes a call, and returns all effects. The reply is the last one.
 fn call_with_effects(harness: &mut ReducerHarness, call: AdminCall) -> Vec<Effect> {
-    harness.feed(Input::AdminRequest { admin_client: ADMIN_CLIENT, call })
+    harness.feed(Input::AdminRequest { admin_call: ADMIN_CALL, call })
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
@@ -57,9 +57,9 @@
 
 impl ExpectedMetrics {
     fn new() -> ExpectedMetrics {
-        let budget = Budget { admitted: 12, ..BUDGET };
+        let resource_limits = ResourceLimits { max_admitted_connections: 12, ..RESOURCE_LIMITS };
         ExpectedMetrics {
-            harness: ReducerHarness::with_budget(budget),
+            harness: ReducerHarness::with_resource_limits(resource_limits),
             connections: Vec::new(),
             classes: ["chat", "wallet"].map(|class| (class.to_owned(), ClassCounters::default())).into(),
             forwards: 0,
@@ -113,12 +113,12 @@
         Input::ConnectionRequested { connection, request }
     }
 
-    fn end_attempt(&mut self, connection: ConnectionId, attempt: u32, end: AttemptOutcome) -> Input {
+    fn end_attempt(&mut self, connection: ConnectionId, attempt: u32, outcome: AttemptOutcome) -> Input {
         self.attempts.remove(&connection);
         if self.established.contains(&connection) {
             self.open.remove(&connection);
         }
-        Input::AttemptEnded { connection, attempt, end }
+        Input::AttemptEnded { connection, attempt, outcome }
     }
 
     fn count_effect(&mut self, effect: Effect) {
@@ -190,8 +190,9 @@
                 2 => harness.update_endpoint(server, Lifecycle::Gone),
                 3 => harness.update_endpoint(server, Lifecycle::Ready),
                 4 => {
-                    let (pools, other_replicas, budget) = (vec![pool_config()], Vec::new(), BUDGET);
-                    harness.feed(Input::ConfigurationChanged { pools, other_replicas, budget })
+                    let (pools, other_replicas) = (vec![pool_config()], Vec::new());
+                    let resource_limits = RESOURCE_LIMITS;
+                    harness.feed(Input::ConfigurationChanged { pools, other_replicas, resource_limits })
                 }
                 5 => {
                     attempts.entry(connection).and_modify(|(.., forwarded)| *forwarded = true);
@@ -199,7 +200,8 @@
                 }
                 6 => {
                     attempts.remove(&connection);
-                    harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
+                    let outcome = AttemptOutcome::Rejected;
+                    harness.feed(Input::AttemptEnded { connection, attempt, outcome })
                 }
                 _ => {
                     let connection = harness.connect_client();
@@ -260,7 +262,7 @@
 fn counts_each_failed_call_to_discovery_once() {
     let mut harness = ReducerHarness::new();
     harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Rejected });
-    harness.feed(Input::EndpointWatchSilent { pool: PoolId(0), called_ago: Micros::from_secs(2) });
+    harness.feed(Input::EndpointWatchSilent { pool: PoolId(0), polled_ago: Micros::from_secs(2) });
     harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Unanswered });
     assert_eq!(metrics(&mut harness).discovery_failures, 2);
 }
@@ -273,7 +275,7 @@
         (AdminRejection::ReplacedBySuccessor, "NO another process serves in its place\r\n"),
         (AdminRejection::NotListening, "NO not listening yet\r\n"),
         (AdminRejection::NoEndpointList, "NO no routing table yet\r\n"),
-        (AdminRejection::NotReady, "NO not ready yet\r\n"),
+        (AdminRejection::ExclusionsNotAccepted, "NO not ready yet\r\n"),
         (AdminRejection::UnknownServer("s-1".to_owned()), "NO no host s-1 was ever listed\r\n"),
         (AdminRejection::NotStored(WriteError::MapFull), "NO the store is full\r\n"),
         (AdminRejection::NoReply, "NO no answer\r\n"),
@@ -305,7 +307,7 @@
 fn counts_a_server_as_ejected_only_while_it_is_avoided() {
     let mut harness = ReducerHarness::new();
     let (connection, _) = harness.forward_request();
-    harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
+    harness.feed(Input::AttemptEnded { connection, attempt: 0, outcome: AttemptOutcome::Reset });
     assert_eq!(metrics(&mut harness).ejected, 1);
     harness.advance(Micros::from_secs(60));
     assert_eq!(metrics(&mut harness).ejected, 0);
@@ -315,21 +317,21 @@
 fn is_ready_with_an_endpoint_list_and_listeners_and_not_during_shutdown() {
     let mut harness = ReducerHarness::with_cached_endpoints();
     assert!(
-        matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)),
+        matches!(call(&mut harness, AdminCall::Readiness), AdminResponse::No(_)),
         "ready before the fronts listen"
     );
     harness.feed(Input::Listening);
     // The cached list must suffice, or no process could become ready while discovery is down or overloaded.
-    assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
+    assert_eq!(call(&mut harness, AdminCall::Readiness), AdminResponse::Yes);
     harness.feed(Input::CachedEndpoints { pool: PoolId(0), endpoints: Vec::new() });
     assert!(
-        matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)),
+        matches!(call(&mut harness, AdminCall::Readiness), AdminResponse::No(_)),
         "ready with an empty cached list"
     );
     harness.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: false, endpoints: Vec::new() });
-    assert_eq!(call(&mut harness, AdminCall::Ready), AdminResponse::Yes);
+    assert_eq!(call(&mut harness, AdminCall::Readiness), AdminResponse::Yes);
     harness.feed(Input::ShutdownRequested);
-    assert!(matches!(call(&mut harness, AdminCall::Ready), AdminResponse::No(_)));
+    assert!(matches!(call(&mut harness, AdminCall::Readiness), AdminResponse::No(_)));
 }
 
 #[test]
@@ -357,7 +359,7 @@
 }
 
 fn reply_yes() -> Effect {
-    Effect::AdminReply { admin_client: ADMIN_CLIENT, reply: AdminResponse::Yes }
+    Effect::AdminReply { admin_call: ADMIN_CALL, reply: AdminResponse::Yes }
 }
 
 /// Excluded servers restart after 1.5 s, which breaks the connections that are not migrated by then.
--- a/tests/reducer/attempts.rs
+++ b/tests/reducer/attempts.rs
@@ -70,7 +70,7 @@
     let (connection, server) = sender.forward_request();
     sender.feed(Input::AttemptAccepted { connection, attempt: 0 });
     let sent =
-        gossip(&sender.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }));
+        gossip(&sender.feed(Input::AttemptEnded { connection, attempt: 0, outcome: AttemptOutcome::Reset }));
     let [message] = sent[..] else { panic!("{sent:?}") };
     assert_eq!(message.observation, Observation::Dropped(server_id(SERVERS[server])));
     receiver.feed(Input::GossipReceived { pool: PoolId(0), message });
@@ -81,7 +81,11 @@
     receiver.feed(Input::AttemptAccepted { connection, attempt: 0 });
     receiver.drain_server(server);
     assert_eq!(
-        gossip(&receiver.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset })),
+        gossip(&receiver.feed(Input::AttemptEnded {
+            connection,
+            attempt: 0,
+            outcome: AttemptOutcome::Reset
+        })),
         [],
         "gossip about a server that drains"
     );
@@ -92,9 +96,13 @@
 fn ignores_late_reports_of_an_ended_attempt() {
     let mut harness = ReducerHarness::new();
     let (connection, _) = harness.forward_request();
-    let effects = harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Rejected });
+    let effects =
+        harness.feed(Input::AttemptEnded { connection, attempt: 0, outcome: AttemptOutcome::Rejected });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
-    assert_eq!(harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset }), []);
+    assert_eq!(
+        harness.feed(Input::AttemptEnded { connection, attempt: 0, outcome: AttemptOutcome::Reset }),
+        []
+    );
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 0 }), []);
     assert_eq!(harness.feed(Input::AttemptAccepted { connection, attempt: 1 }), []);
 }
@@ -104,11 +112,12 @@
 fn retries_a_restored_connection_at_its_own_server() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
-    let request = ConnectionRequest { established_at: Some(SERVERS[1].to_owned()), ..connection_request() };
+    let request =
+        ConnectionRequest { established_server: Some(SERVERS[1].to_owned()), ..connection_request() };
     let effects = harness.feed(Input::ConnectionRequested { connection, request });
     let Effect::OpenAttempt { address, attempt: 0, .. } = &effects[0] else { panic!("{effects:?}") };
     assert_eq!(*address, harness.address(SERVERS[1]));
-    harness.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::ConnectFailed });
+    harness.feed(Input::AttemptEnded { connection, attempt: 0, outcome: AttemptOutcome::ConnectFailed });
     harness.advance(Micros::from_millis(600));
     let effects = harness.feed(Input::TimerFired);
     assert!(
@@ -123,7 +132,8 @@
 fn fails_a_restored_connection_of_an_unlisted_server_within_three_seconds() {
     let mut harness = ReducerHarness::new();
     let connection = harness.connect_client();
-    let request = ConnectionRequest { established_at: Some("s-0000dead".to_owned()), ..connection_request() };
+    let request =
+        ConnectionRequest { established_server: Some("s-0000dead".to_owned()), ..connection_request() };
     let mut effects = harness.feed(Input::ConnectionRequested { connection, request });
     for _ in 0..28 {
         harness.advance(Micros::from_millis(100));
@@ -151,7 +161,11 @@
 /// descriptors. The oldest one is aborted, unless its request may still be on the way.
 #[test]
 fn aborts_the_oldest_connections_without_an_attempt_at_the_limit() {
-    let mut harness = ReducerHarness::with_budget(Budget { pending: 3, admitted: 2, buffer: 8192 });
+    let mut harness = ReducerHarness::with_resource_limits(ResourceLimits {
+        max_pending_connections: 3,
+        max_admitted_connections: 2,
+        buffer_bytes: 8192,
+    });
     let silent = harness.connect_client();
     let answered = harness.connect_client();
     harness.feed(Input::ConnectionRequested {
@@ -221,7 +235,7 @@
     for _ in 0..20 {
         let (connection, _) = harness.forward_request();
         for attempt in 0..6 {
-            harness.feed(Input::AttemptEnded { connection, attempt, end: AttemptOutcome::OutOfSockets });
+            harness.feed(Input::AttemptEnded { connection, attempt, outcome: AttemptOutcome::OutOfSockets });
         }
     }
     let connection = harness.connect_client();
@@ -236,7 +250,7 @@
 fn rejects_unwritten_requests_when_discovery_is_reachable_again_but_overloaded() {
     let mut harness = ReducerHarness::new();
     harness.advance(Micros::from_millis(3_500));
-    harness.feed(Input::EndpointWatchSilent { pool: PoolId(0), called_ago: Micros::from_millis(3_500) });
+    harness.feed(Input::EndpointWatchSilent { pool: PoolId(0), polled_ago: Micros::from_millis(3_500) });
     harness.feed(Input::EndpointWatchLost { pool: PoolId(0), failure: WatchFailure::Unreachable });
     harness.advance(Micros::from_secs(4));
     let (forwarded, _) = harness.forward_request();
--- a/tests/reducer/harness.rs
+++ b/tests/reducer/harness.rs
@@ -2,12 +2,12 @@
 
 use connection_balancer::routing::*;
 
-use crate::reducer_harness::{connection_request, ReducerHarness, BUDGET, SERVERS};
+use crate::reducer_harness::{connection_request, ReducerHarness, RESOURCE_LIMITS, SERVERS};
 
 impl ReducerHarness {
     /// Returns a reducer that does not listen yet and has only a cached endpoint list.
     pub(crate) fn with_cached_endpoints() -> ReducerHarness {
-        let mut harness = ReducerHarness::without_endpoints(BUDGET);
+        let mut harness = ReducerHarness::without_endpoints(RESOURCE_LIMITS);
         let endpoints = harness.endpoints();
         harness.feed(Input::CachedEndpoints { pool: PoolId(0), endpoints });
         harness
@@ -49,6 +49,6 @@
     harness.feed(Input::ConfigurationChanged {
         pools: vec![config],
         other_replicas: Vec::new(),
-        budget: BUDGET,
+        resource_limits: RESOURCE_LIMITS,
     })
 }
--- a/tests/reducer/hot_restart/messages.rs
+++ b/tests/reducer/hot_restart/messages.rs
@@ -1,6 +1,6 @@
 //! Encoding and decoding of the messages of a hot restart.
 
-use connection_balancer::protocol::hot_restart::{decode, encode, HandoverMessage, Part};
+use connection_balancer::protocol::hot_restart::{decode, encode, HandoverMessage, StatePart};
 use connection_balancer::routing::store::{Entry, KeyedEntry};
 use connection_balancer::routing::*;
 use connection_balancer::{LearnedState, Time};
@@ -21,7 +21,7 @@
             failure_score,
             last_failure,
             ejected_until: Time(ejected_until),
-            next_slow_start_send: Time(ejected_until / 2),
+            next_slow_start_attempt_at: Time(ejected_until / 2),
             last_fault: last_event,
             last_migration: last_event,
         },
@@ -30,14 +30,14 @@
 
 fn endpoint() -> impl Strategy<Value = Endpoint> {
     (name(), name(), any::<u32>(), any::<bool>(), 0.0..9.0f64, optional_time()).prop_map(
-        |(name, zone, cell, is_ready, weight, started)| Endpoint {
+        |(name, zone, cell, is_ready, weight, started_at)| Endpoint {
             address: format!("{name}:1"),
             lifecycle: if is_ready { Lifecycle::Ready } else { Lifecycle::Draining },
             name,
             zone,
             cell,
             weight,
-            started,
+            started_at,
         },
     )
 }
@@ -73,11 +73,13 @@
             HandoverMessage::Serving
         ]),
         name().prop_map(HandoverMessage::Socket),
-        (name(), endpoint(), prop::option::of(learned_state())).prop_map(|(pool, endpoint, learned)| {
-            HandoverMessage::Part(Part::Endpoint { pool, endpoint, learned })
-        }),
+        (name(), endpoint(), prop::option::of(learned_state())).prop_map(
+            |(pool, endpoint, learned_state)| {
+                HandoverMessage::StatePart(StatePart::Endpoint { pool, endpoint, learned_state })
+            }
+        ),
         ("[a-z]{1,40}", 1u64..99, prop::option::of(name())).prop_map(|(key, counter, value)| {
-            HandoverMessage::Part(Part::Entry(KeyedEntry {
+            HandoverMessage::StatePart(StatePart::Entry(KeyedEntry {
                 key,
                 entry: Entry { counter, node: "n".to_owned(), value },
             }))
@@ -118,7 +120,7 @@
         failure_score: 3,
         last_failure: None,
         ejected_until: Time(8),
-        next_slow_start_send: Time(9),
+        next_slow_start_attempt_at: Time(9),
         last_migration: Some(Time(10)),
     };
     let endpoint = Endpoint {
@@ -128,18 +130,22 @@
         cell: 2,
         lifecycle: Lifecycle::Draining,
         weight: 1.5,
-        started: Some(Time(11)),
+        started_at: Some(Time(11)),
     };
-    let endpoint_part = Part::Endpoint { pool: "irc".to_owned(), endpoint, learned: Some(learned) };
+    let endpoint_part =
+        StatePart::Endpoint { pool: "irc".to_owned(), endpoint, learned_state: Some(learned) };
     let share_exclusion =
         HandoverMessage::ShareExclusion { number: 5, server: "s-1".to_owned(), excluded: true };
     for (message, expected) in [
         (HandoverMessage::RequestState, r"SGH1T"),
         (share_exclusion, r"SGH1B\x00\x00\x00\x00\x00\x00\x00\x05\x00\x03s-1\x01"),
         (HandoverMessage::ExclusionAcknowledged { number: 5 }, r"SGH1A\x00\x00\x00\x00\x00\x00\x00\x05"),
-        (HandoverMessage::Part(Part::OpenDescriptors(6)), r"SGH1PL\x00\x00\x00\x00\x00\x00\x00\x06"),
         (
-            HandoverMessage::Part(endpoint_part),
+            HandoverMessage::StatePart(StatePart::OpenDescriptors(6)),
+            r"SGH1PL\x00\x00\x00\x00\x00\x00\x00\x06",
+        ),
+        (
+            HandoverMessage::StatePart(endpoint_part),
             r"SGH1PH\x00\x03irc\x00\x03s-1\x00\x03a:1\x00\x01z\x00\x00\x00\x02\x01?\xf8\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x0b\x01@\x12\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00\x00\x00\x03\x00\x00\x00\x00\x00\x00\x00\x00\x08\x00\x00\x00\x00\x00\x00\x00\t\x01\x00\x00\x00\x00\x00\x00\x00\n",
         ),
     ] {
--- a/tests/reducer/hot_restart/mod.rs
+++ b/tests/reducer/hot_restart/mod.rs
@@ -9,10 +9,10 @@
 
 use crate::reducer_harness::ReducerHarness;
 
-const ADMIN_CLIENT: AdminClientId = AdminClientId(7);
+const ADMIN_CALL: AdminCallId = AdminCallId(7);
 
 fn call(harness: &mut ReducerHarness, call: AdminCall) -> Vec<Effect> {
-    harness.feed(Input::AdminRequest { admin_client: ADMIN_CLIENT, call })
+    harness.feed(Input::AdminRequest { admin_call: ADMIN_CALL, call })
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
@@ -31,8 +31,8 @@
     assert!(effects.contains(&Effect::SetAccepting { open: false }), "predecessor still accepts connections");
     let mut received = HandoverState::default();
     for part in split_state((**exported).clone()) {
-        let bytes = encode(&HandoverMessage::Part(part)).expect("a part fits a message");
-        let Some(HandoverMessage::Part(part)) = decode(&bytes) else {
+        let bytes = encode(&HandoverMessage::StatePart(part)).expect("a part fits a message");
+        let Some(HandoverMessage::StatePart(part)) = decode(&bytes) else {
             panic!("cannot decode the encoded part {bytes:?}")
         };
         add_part(&mut received, part);
--- a/tests/reducer/hot_restart/random_steps.rs
+++ b/tests/reducer/hot_restart/random_steps.rs
@@ -80,7 +80,7 @@
         if let Some(open) = self.find_open(process, connection) {
             open.attempt = None;
         }
-        self.feed(process, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
+        self.feed(process, Input::AttemptEnded { connection, attempt, outcome: AttemptOutcome::Rejected })
     }
 
     /// Excludes or readmits a server at the serving process and at its predecessor, if there is one.
--- a/tests/reducer/hot_restart/state.rs
+++ b/tests/reducer/hot_restart/state.rs
@@ -3,14 +3,14 @@
 use connection_balancer::routing::*;
 use connection_balancer::Micros;
 
-use super::{call, complete_transfer, export_state, metrics, start_successor, transferred, ADMIN_CLIENT};
+use super::{call, complete_transfer, export_state, metrics, start_successor, transferred, ADMIN_CALL};
 use crate::reducer_harness::{connection_request, ReducerHarness, SERVERS};
 
 #[test]
 fn transfers_established_connections_with_their_load_and_silence() {
     let mut predecessor = ReducerHarness::new();
     let connections: Vec<ConnectionId> = (0..20).map(|_| predecessor.establish_connection()).collect();
-    predecessor.feed(Input::LoadReported { connection: connections[0], load: 50_000.0 });
+    predecessor.feed(Input::LoadReported { connection: connections[0], value: 50_000.0 });
     predecessor.feed(Input::LineForwarded { connection: connections[0] });
     let (mut successor, established) = start_successor(&mut predecessor);
     assert_eq!(established.len(), 20);
@@ -66,7 +66,7 @@
 fn imports_exclusions_learned_state_and_open_ids() {
     let mut predecessor = ReducerHarness::new();
     let (connection, _) = predecessor.forward_request();
-    predecessor.feed(Input::AttemptEnded { connection, attempt: 0, end: AttemptOutcome::Reset });
+    predecessor.feed(Input::AttemptEnded { connection, attempt: 0, outcome: AttemptOutcome::Reset });
     call(&mut predecessor, AdminCall::Exclude(SERVERS[3].to_owned()));
     call(&mut predecessor, AdminCall::Exclude(SERVERS[4].to_owned()));
     call(&mut predecessor, AdminCall::Readmit(SERVERS[4].to_owned()));
@@ -86,8 +86,8 @@
     successor.feed(Input::PeerProcessLost);
     let mut exported_again = export_state(&mut successor);
     let pool = exported_again.pools.get_mut("platform").expect("the pool is exported");
-    pool.ids.clone_from(&exported.pools["platform"].ids);
-    exported_again.open_descriptors = exported.open_descriptors;
+    pool.request_ids.clone_from(&exported.pools["platform"].request_ids);
+    exported_again.pending_descriptors = exported.pending_descriptors;
     assert_eq!(exported_again, exported);
     // The id of a connection that is open at the predecessor is in use until the predecessor is lost.
     let mut second_successor = ReducerHarness::new();
@@ -133,22 +133,22 @@
 
 #[test]
 fn replies_to_an_exclusion_once_the_peer_process_has_acknowledged_it() {
-    let reply_yes = Effect::AdminReply { admin_client: ADMIN_CLIENT, reply: AdminResponse::Yes };
+    let reply_yes = Effect::AdminReply { admin_call: ADMIN_CALL, reply: AdminResponse::Yes };
     let server = SERVERS[1].to_owned();
     let mut predecessor = ReducerHarness::new();
     let (successor, _) = start_successor(&mut predecessor);
     for mut harness in [predecessor, successor] {
         let effects = call(&mut harness, AdminCall::Exclude(server.clone()));
         let share_exclusion =
-            Effect::ShareExclusion { admin_client: ADMIN_CLIENT, server: server.clone(), excluded: true };
+            Effect::ShareExclusion { admin_call: ADMIN_CALL, server: server.clone(), excluded: true };
         assert_eq!(effects.last(), Some(&share_exclusion));
         assert_eq!(metrics(&mut harness).ejected, 1, "exclusion not in effect before the acknowledgement");
         assert_eq!(
-            harness.feed(Input::ExclusionAcknowledged { admin_client: ADMIN_CLIENT }),
+            harness.feed(Input::ExclusionAcknowledged { admin_call: ADMIN_CALL }),
             vec![reply_yes.clone()]
         );
         assert_eq!(
-            harness.feed(Input::ExclusionAcknowledged { admin_client: ADMIN_CLIENT }),
+            harness.feed(Input::ExclusionAcknowledged { admin_call: ADMIN_CALL }),
             [],
             "second reply to one call"
         );
@@ -178,7 +178,7 @@
         if successor_serves {
             predecessor.feed(Input::SuccessorReady);
             assert!(matches!(
-                call(&mut predecessor, AdminCall::Ready)[..],
+                call(&mut predecessor, AdminCall::Readiness)[..],
                 [Effect::AdminReply { reply: AdminResponse::No(_), .. }]
             ));
         }
--- a/tests/reducer/load_reports.rs
+++ b/tests/reducer/load_reports.rs
@@ -12,7 +12,7 @@
     let mut migrated = 0;
     for second in 0..20 {
         harness.advance(Micros::from_secs(1));
-        let effects = harness.feed(Input::LoadReported { connection, load: 99.0 + f64::from(second) });
+        let effects = harness.feed(Input::LoadReported { connection, value: 99.0 + f64::from(second) });
         migrated += count_migrations(&effects);
     }
     migrated
@@ -25,7 +25,7 @@
     let mut harness = ReducerHarness::new();
     let connections: Vec<ConnectionId> = (0..12).map(|_| harness.establish_connection()).collect();
     for &connection in &connections {
-        harness.feed(Input::LoadReported { connection, load: 60_000.0 });
+        harness.feed(Input::LoadReported { connection, value: 60_000.0 });
     }
     // The objective is 100 ms. A message time of 99 ms is far too slow, so a connection has to migrate.
     let migrated = count_migrations_for_message_times(&mut harness, connections[0]);
--- a/tests/reducer/probes.rs
+++ b/tests/reducer/probes.rs
@@ -10,8 +10,8 @@
 fn probing_harness() -> ReducerHarness {
     let mut harness = ReducerHarness::new();
     let mut config = pool_config();
-    config.settings.probes = true;
-    config.settings.probe_reports = true;
+    config.settings.probes_allowed = true;
+    config.settings.probes_report_load = true;
     config.load_report_fields = vec!["x0"];
     reload(&mut harness, config);
     harness
@@ -45,8 +45,16 @@
     let mut first = probed_while_connecting(&mut harness, 30);
     first.sort();
     assert_eq!(first, [1, 2, 3, 4, 5].map(ServerId), "each is probed once, because none has answered");
-    harness.feed(Input::ProbeCompleted { pool: PoolId(0), server: ServerId(2), end: ProbeOutcome::NoAnswer });
-    harness.feed(Input::ProbeCompleted { pool: PoolId(0), server: ServerId(3), end: ProbeOutcome::NoAnswer });
+    harness.feed(Input::ProbeCompleted {
+        pool: PoolId(0),
+        server: ServerId(2),
+        outcome: ProbeOutcome::NoAnswer,
+    });
+    harness.feed(Input::ProbeCompleted {
+        pool: PoolId(0),
+        server: ServerId(3),
+        outcome: ProbeOutcome::NoAnswer,
+    });
     harness.drain_server(1);
     let probed = probed_while_connecting(&mut harness, 10);
     assert!(
@@ -59,7 +67,11 @@
 fn does_not_probe_a_server_that_declined_until_it_restarts() {
     let mut harness = probing_harness();
     for server in probed_while_connecting(&mut harness, 10) {
-        harness.feed(Input::ProbeCompleted { pool: PoolId(0), server, end: ProbeOutcome::ProbingRefused });
+        harness.feed(Input::ProbeCompleted {
+            pool: PoolId(0),
+            server,
+            outcome: ProbeOutcome::ProbingRefused,
+        });
     }
     assert_eq!(probed_while_connecting(&mut harness, 10), []);
     harness.restart_server(0);
@@ -77,7 +89,11 @@
             harness.restart_server(0);
         }
         harness.advance(Micros::from_secs(60));
-        harness.feed(Input::ProbeCompleted { pool: PoolId(0), server: ServerId(1), end: load_report(3.0) });
+        harness.feed(Input::ProbeCompleted {
+            pool: PoolId(0),
+            server: ServerId(1),
+            outcome: load_report(3.0),
+        });
         (0..10).filter(|_| harness.forward_request().1 == 0).count()
     };
     assert_eq!(placed_at_server(false), 0, "the server reported three times its capacity");
--- a/tests/reducer/random_steps.rs
+++ b/tests/reducer/random_steps.rs
@@ -78,9 +78,14 @@
         self.harness.feed(Input::ConnectionRequested { connection, request: connection_request() })
     }
 
-    fn end_attempt(&mut self, connection: ConnectionId, attempt: u32, end: AttemptOutcome) -> Vec<Effect> {
+    fn end_attempt(
+        &mut self,
+        connection: ConnectionId,
+        attempt: u32,
+        outcome: AttemptOutcome,
+    ) -> Vec<Effect> {
         self.in_flight.remove(&connection);
-        self.harness.feed(Input::AttemptEnded { connection, attempt, end })
+        self.harness.feed(Input::AttemptEnded { connection, attempt, outcome })
     }
 
     /// Checks effects against the rules, in order, and records them.
@@ -138,8 +143,8 @@
         for &(connection, _) in &self.connections {
             self.harness.feed(Input::ClientDisconnected { connection });
         }
-        let (admin_client, call) = (AdminClientId(0), AdminCall::Metrics);
-        let effects = self.harness.feed(Input::AdminRequest { admin_client, call });
+        let (admin_call, call) = (AdminCallId(0), AdminCall::Metrics);
+        let effects = self.harness.feed(Input::AdminRequest { admin_call, call });
         let [Effect::AdminReply { reply: AdminResponse::Metrics(metrics), .. }] = &effects[..] else {
             panic!("{effects:?}")
         };
--- a/tests/reducer/reload.rs
+++ b/tests/reducer/reload.rs
@@ -29,8 +29,11 @@
     assert_eq!(effects, [], "the same address needs no new watch");
     // The request would fail here if it were assigned to the class that is now first, which must not be
     // retried.
-    let effects =
-        harness.feed(Input::AttemptEnded { connection: connecting, attempt: 0, end: AttemptOutcome::Reset });
+    let effects = harness.feed(Input::AttemptEnded {
+        connection: connecting,
+        attempt: 0,
+        outcome: AttemptOutcome::Reset,
+    });
     assert!(matches!(effects[..], [Effect::OpenAttempt { attempt: 1, .. }]), "{effects:?}");
     assert_eq!(
         harness.drain_server(server),
--- a/tests/reducer_harness/mod.rs
+++ b/tests/reducer_harness/mod.rs
@@ -8,7 +8,11 @@
 pub(crate) const CLIENT_TIMEOUT: Micros = Micros::from_millis(3_200);
 
 /// Limits that no test reaches. Tests of the limits set their own.
-pub(crate) const BUDGET: Budget = Budget { pending: 100_000, admitted: 100_000, buffer: 8192 };
+pub(crate) const RESOURCE_LIMITS: ResourceLimits = ResourceLimits {
+    max_pending_connections: 100_000,
+    max_admitted_connections: 100_000,
+    buffer_bytes: 8192,
+};
 
 /// The reducer's state, the time that is passed with each input, and the number of the last connection.
 pub(crate) struct ReducerHarness {
@@ -42,8 +46,8 @@
         settings: Settings {
             classes: vec![class.clone(), class],
             max_attempts: 6,
-            cancel: true,
-            retry_after: true,
+            cancellation_allowed: true,
+            retry_after_supported: true,
             ..Settings::default()
         },
         seed: 7,
@@ -56,7 +60,7 @@
         reports_message_time: true,
         reports_load: true,
         load_report_fields: Vec::new(),
-        longest_wait: CLIENT_TIMEOUT,
+        max_client_wait: CLIENT_TIMEOUT,
         rebalance: rebalance::RebalanceConfig::default(),
         gossip_price: None,
     }
@@ -64,12 +68,12 @@
 
 impl ReducerHarness {
     pub(crate) fn new() -> ReducerHarness {
-        ReducerHarness::with_budget(BUDGET)
+        ReducerHarness::with_resource_limits(RESOURCE_LIMITS)
     }
 
     /// Returns a reducer that listens and has all servers in its list.
-    pub(crate) fn with_budget(budget: Budget) -> ReducerHarness {
-        let mut harness = ReducerHarness::without_endpoints(budget);
+    pub(crate) fn with_resource_limits(resource_limits: ResourceLimits) -> ReducerHarness {
+        let mut harness = ReducerHarness::without_endpoints(resource_limits);
         let endpoints = harness.endpoints();
         harness.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: true, endpoints });
         harness.feed(Input::Listening);
@@ -77,10 +81,10 @@
     }
 
     /// Returns a reducer that does not listen yet and has no endpoint list.
-    pub(crate) fn without_endpoints(budget: Budget) -> ReducerHarness {
+    pub(crate) fn without_endpoints(resource_limits: ResourceLimits) -> ReducerHarness {
         let now = Time(1_000_000_000);
         ReducerHarness {
-            state: State::new(vec![pool_config()], ReplicationConfig::default(), budget, now),
+            state: State::new(vec![pool_config()], ReplicationConfig::default(), resource_limits, now),
             now,
             last_connection: 0,
         }
@@ -98,7 +102,7 @@
     fn endpoint(&self, server: usize, lifecycle: Lifecycle) -> Endpoint {
         let name = SERVERS[server].to_owned();
         let (address, zone) = (self.address(&name), "a".to_owned());
-        Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started: None }
+        Endpoint { name, address, zone, cell: 0, lifecycle, weight: 1.0, started_at: None }
     }
 
     pub(crate) fn feed(&mut self, input: Input) -> Vec<Effect> {
@@ -126,7 +130,7 @@
 
     /// Updates the list so that a server's process started now.
     pub(crate) fn restart_server(&mut self, server: usize) -> Vec<Effect> {
-        let endpoint = Endpoint { started: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
+        let endpoint = Endpoint { started_at: Some(self.now), ..self.endpoint(server, Lifecycle::Ready) };
         self.feed(Input::EndpointsUpdated { pool: PoolId(0), is_snapshot: false, endpoints: vec![endpoint] })
     }
 
--- a/tests/store_files.rs
+++ b/tests/store_files.rs
@@ -6,7 +6,7 @@
 
 use connection_balancer::routing::store::{Entry, KeyedEntry, ReplicatedMap};
 use connection_balancer::transport::files::{
-    decode_records, encode_record, Files, OpenedFiles, RecordsEnd, RECORD_HEAD_BYTES,
+    decode_records, encode_record, Files, OpenedFiles, RecordsEnd, RECORD_HEADER_BYTES,
 };
 
 /// Returns an entry with this counter. All other fields are the same.
@@ -75,7 +75,7 @@
     for counter in 1..200u64 {
         files.persist(&format!("life/h{}", counter % 7), &entry(counter));
         if counter % 50 == 0 {
-            files.fold().expect("the journal can be folded into the snapshot");
+            files.write_snapshot().expect("the journal can be folded into the snapshot");
         }
     }
 
@@ -95,7 +95,7 @@
     (1..4).for_each(|counter| files.persist("life/h", &entry(counter)));
     let journal = folder.0.join("store.journal");
     let mut bytes = fs::read(&journal).expect("the journal can be read");
-    bytes[RECORD_HEAD_BYTES + 2] ^= 1;
+    bytes[RECORD_HEADER_BYTES + 2] ^= 1;
     fs::write(&journal, bytes).expect("the journal can be overwritten");
 
     let error = Files::open(&folder.0).err().expect("a corrupt journal is rejected").to_string();
