--- a/src/lib.rs
+++ b/src/lib.rs
@@ -49,14 +49,14 @@
 //!     zone: ZoneId(0),
 //!     cell: CellId(0),
 //!     state: EndpointState::Serving,
-//!     started: None,
+//!     started_at: None,
 //!     weight: 1.0,
 //! };
-//! balancer.handle(now, Event::EndpointsReplaced(&[server(1), server(2)]), &mut actions);
+//! balancer.handle(now, Event::EndpointListReplaced(&[server(1), server(2)]), &mut actions);
 //! let (class, tenant, group, load) = (ClassId(0), None, None, None);
 //! let (request, server) = (RequestId(0), ServerId(1));
-//! let restored = Event::ConnectionRestored { request, class, tenant, group, load, server };
-//! balancer.handle(now, restored, &mut actions);
+//! let established = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
+//! balancer.handle(now, established, &mut actions);
 //!
 //! // A client requests a connection.
 //! let (request, deadline) = (RequestId(1), now.plus(Micros::from_secs(2)));
@@ -65,8 +65,9 @@
 //! let mut timer_at = None;
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::StartAttempt { request, server, timeout, .. } => {
-//!             println!("connect {request:?} to {server:?} within {} microseconds", timeout.0);
+//!         Action::StartAttempt { request, server, acceptance_timeout, .. } => {
+//!             let microseconds = acceptance_timeout.0;
+//!             println!("connect {request:?} to {server:?} within {microseconds} microseconds");
 //!         }
 //!         Action::SetTimer(delay) => timer_at = Some(now.plus(delay)),
 //!         other => println!("{other:?}"),
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -53,24 +53,24 @@
 const SEED_MASK: u64 = u64::from_be_bytes(*b"the tier");
 
 /// Gossip of one balancer: decides which observations are broadcast, and records those of other balancers.
-pub struct Peers {
+pub struct Gossip {
     config: GossipConfig,
     rng: Pcg64Mcg,
     credit: MessageCredit,
     observations: RecentObservations,
 }
 
-impl Peers {
+impl Gossip {
     /// Creates a state without observations, with the credit that one connection earns.
-    pub fn new(config: GossipConfig, seed: u64) -> Peers {
-        let mut peers = Peers {
+    pub fn new(config: GossipConfig, seed: u64) -> Gossip {
+        let mut gossip = Gossip {
             config,
             rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK),
             credit: MessageCredit::default(),
             observations: RecentObservations::default(),
         };
-        peers.earn_credit();
-        peers
+        gossip.earn_credit();
+        gossip
     }
 
     /// Replaces the configuration. Credit and observations are kept.
@@ -83,8 +83,8 @@
         self.credit.earn(self.config.price, self.config.balancers);
     }
 
-    /// Decides whether an observation of this balancer is broadcast. If it is, records it. The credit is spent
-    /// even if the random draw (`credit`) then decides against the broadcast.
+    /// Decides whether an observation of this balancer is broadcast. If it is, records it. The credit is
+    /// spent even if the random draw (`credit`) then decides against the broadcast.
     pub fn should_broadcast(&mut self, now: Time, observation: Observation) -> bool {
         let has_receivers = self.config.enabled && self.config.balancers > 1;
         if !has_receivers || !self.is_relevant(observation) {
@@ -120,7 +120,7 @@
             Observation::SlowServer(_, message_time) => {
                 objective > Micros::ZERO && message_time.as_f64() >= SLOW_MESSAGE_RATIO * objective.as_f64()
             }
-            Observation::Dropped(_) | Observation::SlowSetUps => true,
+            Observation::Dropped(_) | Observation::SlowSetups => true,
         }
     }
 }
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -28,16 +28,16 @@
     pub(super) fn send_answer(&mut self, now: Time, id: ConnectionId, answer: Answer) {
         match answer {
             Answer::Rejected(_) => {
-                self.count_outcome(id, |counters| counters.declined += 1);
+                self.count_outcome(id, |counters| counters.rejected += 1);
                 self.notify_rejected(now, id);
             }
             Answer::Failed => {
-                self.count_outcome(id, |counters| counters.aborted += 1);
+                self.count_outcome(id, |counters| counters.failed += 1);
                 self.notify_rejected(now, id);
             }
             // A migrated connection was counted when it was established. A client that sent no request has no
             // class to count for.
-            Answer::Migrated | Answer::HandshakeTimedOut => {}
+            Answer::Migrated | Answer::RequestTimedOut => {}
         }
         self.effects.push(Effect::Answer { connection: id, answer });
     }
@@ -46,7 +46,7 @@
     pub(super) fn count_outcome(&mut self, id: ConnectionId, count: impl FnOnce(&mut ClassCounters)) {
         let Some(connection) = self.connections.get(id) else { return };
         let Some(class) = connection.class else { return };
-        if let Some(counters) = self.pools[connection.pool].class_counters_mut(class) {
+        if let Some(counters) = self.pools[connection.pool.0].class_counters_mut(class) {
             count(counters);
         }
     }
@@ -55,16 +55,16 @@
     /// harmless.
     pub(super) fn may_reject(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
-        self.pools[connection.pool].balancer.may_reject(request_id(id))
+        self.pools[connection.pool.0].balancer.may_reject(request_id(id))
     }
 
     /// Returns a rejection with this Retry-After, limited to the pool's maximum. The Retry-After is 0 where
     /// the settings switch it off.
     pub(super) fn rejection_with_retry_after(&self, id: ConnectionId, retry_after: Micros) -> Answer {
         let pool = self.connections.pool_of(id);
-        let settings = pool.map(|pool| &self.pools[pool].config.settings);
+        let settings = pool.map(|pool| &self.pools[pool.0].config.settings);
         let max_retry_after = settings
-            .filter(|settings| settings.retry_after)
+            .filter(|settings| settings.retry_after_supported)
             .map_or(Micros::ZERO, |settings| settings.max_retry_after);
         Answer::Rejected(retry_after.min(max_retry_after))
     }
@@ -75,8 +75,12 @@
         let Some(connection) = self.connections.get(id) else { return };
         let (pool, phase) = (connection.pool, connection.phase);
         // The rebalancer ignores this event if the connection was reported as migrated or broken before.
-        let natural = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        self.notify_rebalancer(now, pool, RebalanceEvent::ConnectionEnded { connection: id, natural });
+        let ended_by_client = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
+        self.notify_rebalancer(
+            now,
+            pool,
+            RebalanceEvent::ConnectionEnded { connection: id, ended_by_client },
+        );
         let attempt = self.remove_connection(now, id).map(|attempt| attempt.number);
         let attempt = match phase {
             // For the balancer, a restored connection was established by attempt 0, regardless of how many
@@ -96,9 +100,10 @@
     pub(super) fn remove_connection(&mut self, now: Time, id: ConnectionId) -> Option<Attempt> {
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
-        let pool = &mut self.pools[connection.pool];
-        pool.rebalance.on_event(now, RebalanceEvent::ConnectionEnded { connection: id, natural: false });
-        if connection.phase != Phase::Handshaking {
+        let pool = &mut self.pools[connection.pool.0];
+        pool.rebalance
+            .on_event(now, RebalanceEvent::ConnectionEnded { connection: id, ended_by_client: false });
+        if connection.phase != Phase::AwaitingRequest {
             pool.admitted.remove(&connection.request);
         }
         connection.attempt()
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -40,7 +40,7 @@
         acceptance_timeout: Micros,
         forwarding_timeout: Option<Micros>,
     ) {
-        let Some(pool) = self.connections.pool_of(id).map(|pool| &self.pools[pool]) else { return };
+        let Some(pool) = self.connections.pool_of(id).map(|pool| &self.pools[pool.0]) else { return };
         let connect_deadline = now.plus(pool.config.settings.connect_timeout);
         let acceptance_deadline = now.plus(acceptance_timeout);
         let forwarding_deadline = forwarding_timeout.map(|timeout| now.plus(timeout));
@@ -52,7 +52,7 @@
             connection: id,
             attempt: attempt.number,
             address,
-            timeout: acceptance_timeout,
+            acceptance_timeout,
         });
     }
 
@@ -90,7 +90,7 @@
         self.schedule_established_timer(now, id);
         self.notify_established(now, id, setup_time);
         if was_placed {
-            self.pools[pool].peers.earn_credit();
+            self.pools[pool.0].gossip.earn_credit();
             let event = Event::ConnectionEstablished { request: request_id(id), attempt: number };
             self.dispatch(now, pool, event);
         }
@@ -99,7 +99,13 @@
 
     /// Handles the end of an attempt: schedules the next attempt to restore the connection, reports the
     /// failure to the balancer, or ends the connection.
-    pub(super) fn on_attempt_ended(&mut self, now: Time, id: ConnectionId, number: u32, end: AttemptOutcome) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        number: u32,
+        outcome: AttemptOutcome,
+    ) {
         if self.connections.attempt(id, number).is_none() {
             return;
         }
@@ -109,22 +115,22 @@
                 self.connections.remove_attempt(id);
                 self.connections.set_timer(id, Some(now.plus(RESTORE_RETRY_INTERVAL)));
             }
-            Phase::Connecting if end != AttemptOutcome::VerdictForwarded => {
-                self.on_attempt_failed(now, id, outcome_of(end));
+            Phase::Connecting if outcome != AttemptOutcome::VerdictForwarded => {
+                self.on_attempt_failed(now, id, outcome_of(outcome));
             }
-            _ => self.on_final_attempt_ended(now, id, phase, end),
+            _ => self.on_final_attempt_ended(now, id, phase, outcome),
         }
     }
 
     /// Ends a connection whose attempt has ended and is not retried.
-    fn on_final_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, end: AttemptOutcome) {
-        if phase != Phase::Established && end == AttemptOutcome::VerdictForwarded {
-            self.count_outcome(id, |counters| counters.declined += 1);
+    fn on_final_attempt_ended(&mut self, now: Time, id: ConnectionId, phase: Phase, outcome: AttemptOutcome) {
+        if phase != Phase::Established && outcome == AttemptOutcome::VerdictForwarded {
+            self.count_outcome(id, |counters| counters.rejected += 1);
         }
-        if end == AttemptOutcome::RedirectedByServer {
+        if outcome == AttemptOutcome::RedirectedByServer {
             self.notify_interrupted(now, id);
         }
-        self.end_connection(now, id, outcome_of(end));
+        self.end_connection(now, id, outcome_of(outcome));
     }
 
     /// Removes a failed attempt and reports it to the balancer, which retries the request or answers it.
@@ -168,7 +174,7 @@
     /// ([`UNLISTED_SERVER_TIMEOUT`]).
     fn may_restore(&self, now: Time, id: ConnectionId, deadline: Time, server: ServerId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
-        let max_attempts = self.pools[connection.pool].config.settings.max_attempts;
+        let max_attempts = self.pools[connection.pool.0].config.settings.max_attempts;
         let may_still_be_listed = now.since(connection.connected_at) < UNLISTED_SERVER_TIMEOUT;
         now < deadline
             && connection.attempts < max_attempts
@@ -177,13 +183,13 @@
 
     fn is_listed(&self, id: ConnectionId, server: ServerId) -> bool {
         let pool = self.connections.pool_of(id);
-        pool.is_some_and(|pool| self.pools[pool].endpoints.get(server).is_some())
+        pool.is_some_and(|pool| self.pools[pool.0].endpoints.get(server).is_some())
     }
 }
 
 /// Translates the end of an attempt into the outcome that the balancer counts for the server.
-fn outcome_of(end: AttemptOutcome) -> Outcome {
-    match end {
+fn outcome_of(outcome: AttemptOutcome) -> Outcome {
+    match outcome {
         // A server that answers the client with its own verdict works correctly.
         AttemptOutcome::Served | AttemptOutcome::VerdictForwarded => Outcome::Ok,
         AttemptOutcome::RedirectedByServer => Outcome::Cancelled,
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -1,7 +1,7 @@
-//! Requests of clients, from the handshake of a new connection to the admission of its request.
+//! Requests of clients, from the new connection to the admission of its request.
 //!
-//! A connection is in [`Phase::Handshaking`] until its request has arrived, for at most the pool's handshake
-//! timeout. It is closed earlier when its descriptor is needed for other connections
+//! A connection is in [`Phase::AwaitingRequest`] until its request has arrived, for at most the pool's
+//! request timeout. It is closed earlier when its descriptor is needed for other connections
 //! ([`super::pending_connections`]), or at the latest exit of a shutdown. When the request arrives, it passes
 //! these checks in order. The first one that fails ends the connection:
 //!
@@ -45,21 +45,21 @@
 }
 
 impl State {
-    /// Adds an accepted connection, and sets its timer to the end of the pool's handshake timeout.
+    /// Adds an accepted connection, and sets its timer to the end of the pool's request timeout.
     pub(super) fn on_client_connected(&mut self, now: Time, id: ConnectionId, pool_id: PoolId) {
-        let Some(pool) = self.pools.get(pool_id) else { return };
-        let handshake_timeout = pool.config.handshake_timeout;
+        let Some(pool) = self.pools.get(pool_id.0) else { return };
+        let request_timeout = pool.config.request_timeout;
         self.connections.insert(id, ClientConnection::new(pool_id, now));
-        self.connections.set_timer(id, Some(now.plus(handshake_timeout)));
+        self.connections.set_timer(id, Some(now.plus(request_timeout)));
         self.admission.add_pending(now, id);
-        self.evict_idle_connection(now);
+        self.evict_pending_connections(now);
     }
 
     /// Answers a client whose request did not arrive in time. The driver feeds this input after
-    /// [`super::Effect::CheckHandshake`], once it has read all bytes that the client sent.
-    pub(super) fn on_handshake_timed_out(&mut self, now: Time, id: ConnectionId) {
-        if self.connections.get_handshaking(id).is_some() {
-            self.answer_and_remove(now, id, Answer::HandshakeTimedOut);
+    /// [`super::Effect::CheckRequestArrival`], once it has read all bytes that the client sent.
+    pub(super) fn on_request_timed_out(&mut self, now: Time, id: ConnectionId) {
+        if self.connections.get_awaiting_request(id).is_some() {
+            self.answer_and_remove(now, id, Answer::RequestTimedOut);
         }
     }
 
@@ -70,7 +70,7 @@
         id: ConnectionId,
         request: ConnectionRequest,
     ) {
-        let Some(connection) = self.connections.get_handshaking(id) else { return };
+        let Some(connection) = self.connections.get_awaiting_request(id) else { return };
         let pool_id = connection.pool;
         self.classify_connection(id, pool_id, &request);
         if let Some(rejection) = self.check_admission(id, pool_id) {
@@ -80,7 +80,7 @@
             return self.answer_and_remove(now, id, Answer::Failed);
         };
         self.admit(now, id, pool_id, &request);
-        match &request.established_at {
+        match &request.established_server {
             Some(server) => self.restore_connection(now, id, pool_id, profile, server),
             None => self.place_connection(now, id, pool_id, profile, request.timeout),
         }
@@ -90,7 +90,7 @@
     fn classify_connection(&mut self, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         // A class that is no longer configured has an empty name, which must not be matched.
         let name = Some(&request.class).filter(|name| !name.is_empty());
-        let class = name.and_then(|name| self.pools[pool_id].config.class_id(name));
+        let class = name.and_then(|name| self.pools[pool_id.0].config.class_id(name));
         self.connections.record_class(id, class);
     }
 
@@ -104,20 +104,21 @@
             return Some(self.rejection_with_retry_after(id, SHUTDOWN_RETRY_AFTER));
         }
         if self.is_at_connection_limit(pool_id) {
-            let retry_after = self.pools[pool_id].config.settings.max_retry_after / 2;
+            let retry_after = self.pools[pool_id.0].config.settings.max_retry_after / 2;
             return Some(self.rejection_with_retry_after(id, retry_after));
         }
         None
     }
 
     fn is_at_connection_limit(&self, pool_id: PoolId) -> bool {
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         let replicated_limit = self.replication.map().get(CONNECTION_LIMIT_KEY);
         let applicable_limit = replicated_limit.filter(|_| pool.config.uses_replicated_map);
         let parsed_limit = applicable_limit.and_then(|text| text.parse().ok());
         let limit: usize = parsed_limit.unwrap_or(pool.config.max_connections);
         let admitted_in_all_pools: usize = self.pools.iter().map(|pool| pool.admitted.count()).sum();
-        pool.admitted.count() >= limit || admitted_in_all_pools >= self.admission.budget().admitted
+        pool.admitted.count() >= limit
+            || admitted_in_all_pools >= self.admission.resource_limits().max_admitted_connections
     }
 
     /// Looks up the names in a request. Returns `None` if the class or the tenant is not configured, because
@@ -129,7 +130,7 @@
         pool_id: PoolId,
         request: &ConnectionRequest,
     ) -> Option<RequestProfile> {
-        let pool = &self.pools[pool_id];
+        let pool = &self.pools[pool_id.0];
         let class = self.connections.get(id).and_then(|connection| connection.class)?;
         let named_tenant = request.tenant.as_deref();
         // A tenant that is no longer configured has an empty name, which must not be matched.
@@ -142,20 +143,22 @@
         Some(RequestProfile { class, tenant, group: request.group.map(GroupId), load: request.load })
     }
 
-    /// Counts a request among the admitted ones and stops the handshake timer.
+    /// Counts a request among the admitted ones and stops the request timer.
     fn admit(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, request: &ConnectionRequest) {
         self.admission.remove_pending(id);
-        self.evict_idle_connection(now);
-        let pool = &mut self.pools[pool_id];
+        self.evict_pending_connections(now);
+        let pool = &mut self.pools[pool_id.0];
         pool.admitted.add(request);
         let ConnectionRequest { key, reconnecting, .. } = *request;
-        pool.rebalance
-            .on_event(now, RebalanceEvent::ConnectionRequested { connection: id, key, reconnecting });
+        pool.rebalance.on_event(
+            now,
+            RebalanceEvent::ConnectionRequested { connection: id, key, reports_reconnection: reconnecting },
+        );
         self.connections.record_admission(id, request);
     }
 
     /// Requests a server from the balancer. The client waits for its answer for `timeout`. If it gave none,
-    /// it waits until the end of its handshake timeout.
+    /// it waits until the end of its request timeout.
     fn place_connection(
         &mut self,
         now: Time,
@@ -165,8 +168,8 @@
         timeout: Option<Micros>,
     ) {
         let Some(connection) = self.connections.get(id) else { return };
-        let handshake_deadline = connection.connected_at.plus(self.pools[pool_id].config.handshake_timeout);
-        let deadline = timeout.map_or(handshake_deadline, |timeout| now.plus(timeout));
+        let request_deadline = connection.connected_at.plus(self.pools[pool_id.0].config.request_timeout);
+        let deadline = timeout.map_or(request_deadline, |timeout| now.plus(timeout));
         self.connections.set_phase(id, Phase::Connecting);
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
@@ -188,7 +191,7 @@
         self.connections.set_phase(id, Phase::Restoring { deadline, server });
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
-        let event = Event::ConnectionRestored { request, class, tenant, group, load, server };
+        let event = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
         self.dispatch(now, pool_id, event);
         self.continue_restoring(now, id, deadline, server);
     }
--- a/src/routing/configuration.rs
+++ b/src/routing/configuration.rs
@@ -8,7 +8,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Budget, Effect, PoolConfig, PoolId, State};
+use super::{Effect, PoolConfig, PoolId, ResourceLimits, State};
 use crate::Time;
 
 impl State {
@@ -17,20 +17,20 @@
         &mut self,
         now: Time,
         configs: Vec<PoolConfig>,
-        peers: Vec<SocketAddr>,
-        budget: Budget,
+        other_replicas: Vec<SocketAddr>,
+        resource_limits: ResourceLimits,
     ) {
-        self.admission.set_budget(budget);
+        self.admission.set_resource_limits(resource_limits);
         let known_pools = self.pools.len();
-        for (pool, config) in configs.into_iter().enumerate().take(known_pools) {
-            self.configure_pool(now, pool, config);
+        for (index, config) in configs.into_iter().enumerate().take(known_pools) {
+            self.configure_pool(now, PoolId(index), config);
         }
-        self.replication.set_peers(now, peers);
+        self.replication.set_other_replicas(now, other_replicas);
     }
 
     /// Replaces a pool's configuration, and starts a new watch if its discovery address has changed.
     fn configure_pool(&mut self, now: Time, pool_id: PoolId, config: PoolConfig) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let config = config.renumbered_like(&pool.config);
         let new_discovery = config.discovery.filter(|_| config.discovery != pool.config.discovery);
         pool.configure(now, config);
--- a/src/routing/gossip.rs
+++ b/src/routing/gossip.rs
@@ -14,12 +14,12 @@
 impl State {
     /// Applies a message of another balancer.
     pub(super) fn on_gossip_received(&mut self, now: Time, pool_id: PoolId, message: GossipMessage) {
-        let pool = &mut self.pools[pool_id];
+        let pool = &mut self.pools[pool_id.0];
         let is_listed = |server| pool.endpoints.get(server).is_some();
         if !message.observation.server().is_none_or(is_listed) {
             return;
         }
-        if !pool.peers.record_received(now, message.observation) {
+        if !pool.gossip.record_received(now, message.observation) {
             return;
         }
         self.dispatch(now, pool_id, Event::PeerGroupSample(&message.groups));
@@ -27,12 +27,12 @@
     }
 
     /// Sends an observation to the other balancers, with a sample of the groups of connections that are
-    /// established at this balancer. Does nothing if [`crate::peers::Peers::should_broadcast`] decides
+    /// established at this balancer. Does nothing if [`crate::peers::Gossip::should_broadcast`] decides
     /// against it, for instance for lack of credit.
     pub(super) fn broadcast_observation(&mut self, now: Time, pool_id: PoolId, observation: Observation) {
-        let pool = &mut self.pools[pool_id];
-        if pool.peers.should_broadcast(now, observation) {
-            let groups = pool.peers.sample_groups(pool.balancer.established_groups());
+        let pool = &mut self.pools[pool_id.0];
+        if pool.gossip.should_broadcast(now, observation) {
+            let groups = pool.gossip.sample_groups(pool.balancer.established_groups());
             self.effects.push(Effect::BroadcastGossip(GossipMessage { observation, groups }));
         }
     }
@@ -41,8 +41,8 @@
 /// Returns the event that reports an observation to the balancer.
 fn event_of(observation: Observation) -> Event<'static> {
     match observation {
-        Observation::SlowServer(server, took) => Event::PeerObservation { server, took: Some(took) },
-        Observation::Dropped(server) => Event::PeerObservation { server, took: None },
-        Observation::SlowSetUps => Event::PeerSetupSlow,
+        Observation::SlowServer(server, time) => Event::PeerObservation { server, message_time: Some(time) },
+        Observation::Dropped(server) => Event::PeerObservation { server, message_time: None },
+        Observation::SlowSetups => Event::PeerObservedSlowSetups,
     }
 }
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -25,8 +25,8 @@
 use super::dispatch::request_id;
 use super::hot_restart_state::PeerProcess;
 use super::{
-    server_id, AdminClientId, AdminResponse, ConnectionId, Effect, EstablishedConnection, HandoverState,
-    LogEvent, PoolId, State,
+    server_id, AdminCallId, AdminResponse, ConnectionId, Effect, HandoverState, LogEvent, PoolId, State,
+    TransferredConnection,
 };
 use crate::{Event, GroupId, Measurement, Outcome, ServerId, Time};
 
@@ -45,10 +45,10 @@
         let pools = self.pools.iter().map(|pool| (pool.config.name.to_owned(), pool.export_state()));
         HandoverState {
             excluded_by_operator: self.exclusions.excluded_names(),
-            ever_listed: self.exclusions.names_ever_listed(),
+            known_server_names: self.exclusions.names_ever_listed(),
             entries: self.replication.entries(),
             pools: pools.collect(),
-            open_descriptors: self.admission.pending_count(),
+            pending_descriptors: self.admission.pending_count(),
         }
     }
 
@@ -72,11 +72,11 @@
         let Some(connection) = self.connections.get_established(id) else { return };
         let Some(attempt) = connection.attempt() else { return };
         let pool = connection.pool;
-        let Some(endpoint) = self.pools[pool].endpoints.get(attempt.server) else { return };
-        let established = EstablishedConnection {
+        let Some(endpoint) = self.pools[pool.0].endpoints.get(attempt.server) else { return };
+        let established = TransferredConnection {
             request: connection.request.clone(),
             server: endpoint.name.clone(),
-            load: connection.load,
+            reported_load: connection.load,
             awaiting_server_since: connection.awaiting_server_since,
         };
         self.effects.push(Effect::TransferConnection { connection: id, pool, established });
@@ -106,16 +106,16 @@
     /// Imports the predecessor's state. The learned state of servers is imported last, because the balancer
     /// keeps it only for listed servers.
     pub(super) fn import_state(&mut self, now: Time, state: HandoverState) {
-        self.hot_restart.record_predecessor(state.open_descriptors);
-        self.exclusions.import(state.excluded_by_operator, state.ever_listed);
+        self.hot_restart.record_predecessor(state.pending_descriptors);
+        self.exclusions.import(state.excluded_by_operator, state.known_server_names);
         self.replication.import_entries(state.entries);
         self.persist_exclusions();
-        for pool_id in 0..self.pools.len() {
-            let pool = &mut self.pools[pool_id];
+        for pool_id in (0..self.pools.len()).map(PoolId) {
+            let pool = &mut self.pools[pool_id.0];
             let Some(pool_state) = state.pools.get(pool.config.name) else { continue };
             pool.import_state(pool_state);
             self.refresh_endpoints(now, pool_id);
-            self.pools[pool_id].import_learned_state(pool_state);
+            self.pools[pool_id.0].import_learned_state(pool_state);
         }
     }
 
@@ -125,13 +125,13 @@
         now: Time,
         id: ConnectionId,
         pool_id: PoolId,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) {
-        let Some(pool) = self.pools.get_mut(pool_id) else { return };
+        let Some(pool) = self.pools.get_mut(pool_id.0) else { return };
         let server = server_id(&established.server);
         let was_listed = pool.endpoints.get(server).is_some();
         pool.admitted.add_transferred(&established.request);
-        let load = established.load;
+        let load = established.reported_load;
         let profile = self.insert_received_connection(now, id, pool_id, server, established);
         self.report_to_balancer(now, id, pool_id, server, profile);
         if let Some(load) = load {
@@ -141,7 +141,7 @@
         self.notify_established(now, id, None);
         // A connection at a draining or unlisted server must leave it, like the connections that were there
         // when the server's state changed.
-        if !was_listed || self.pools[pool_id].endpoints.get_ready(server).is_none() {
+        if !was_listed || self.pools[pool_id.0].endpoints.get_if_ready(server).is_none() {
             self.refresh_endpoints(now, pool_id);
         }
     }
@@ -154,9 +154,9 @@
         id: ConnectionId,
         pool_id: PoolId,
         server: ServerId,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) -> RequestProfile {
-        let config = &self.pools[pool_id].config;
+        let config = &self.pools[pool_id.0].config;
         let request = &established.request;
         // The predecessor admitted the connection, so it is served even if this process does not have its
         // class configured. In that case it is counted in no class.
@@ -187,14 +187,14 @@
     ) {
         let RequestProfile { class, tenant, group, load } = profile;
         let request = request_id(id);
-        let event = Event::ConnectionRestored { request, class, tenant, group, load, server };
+        let event = Event::EstablishedConnectionAdded { request, class, tenant, group, load, server };
         self.dispatch(now, pool_id, event);
     }
 
     /// Records the load that the server reported last for a transferred connection.
     fn record_transferred_load(&mut self, now: Time, id: ConnectionId, pool_id: PoolId, load: f64) {
         self.connections.record_load(id, load);
-        self.pools[pool_id].load_reports.add_load(load);
+        self.pools[pool_id.0].load_reports.add_load(load);
         let measurement = Measurement::Load(load);
         self.dispatch(now, pool_id, Event::ConnectionMeasured { request: request_id(id), measurement });
     }
@@ -208,35 +208,35 @@
     pub(super) fn share_exclusion(
         &mut self,
         now: Time,
-        admin_client: AdminClientId,
+        admin_call: AdminCallId,
         server: String,
         excluded: bool,
     ) {
-        self.hot_restart.await_acknowledgement(now, admin_client);
-        self.effects.push(Effect::ShareExclusion { admin_client, server, excluded });
+        self.hot_restart.await_acknowledgement(now, admin_call);
+        self.effects.push(Effect::ShareExclusion { admin_call, server, excluded });
     }
 
     /// Replies to an admin client after the peer process has acknowledged its exclusion, or after the wait
     /// for the acknowledgement has ended.
-    pub(super) fn on_exclusion_acknowledged(&mut self, admin_client: AdminClientId) {
-        if self.hot_restart.end_acknowledgement_wait(admin_client) {
-            self.effects.push(Effect::AdminReply { admin_client, reply: AdminResponse::Yes });
+    pub(super) fn on_exclusion_acknowledged(&mut self, admin_call: AdminCallId) {
+        if self.hot_restart.end_acknowledgement_wait(admin_call) {
+            self.effects.push(Effect::AdminReply { admin_call, reply: AdminResponse::Yes });
         }
     }
 
     /// Replies `YES` to admin clients whose wait has timed out, since their exclusion is in effect at this
     /// process.
     pub(super) fn reply_to_timed_out_admin_clients(&mut self, now: Time) {
-        for admin_client in self.hot_restart.timed_out_admin_clients(now) {
-            self.on_exclusion_acknowledged(admin_client);
+        for admin_call in self.hot_restart.timed_out_admin_calls(now) {
+            self.on_exclusion_acknowledged(admin_call);
         }
     }
 
     /// Handles the end of the peer process, or of the link to it.
     pub(super) fn on_peer_process_lost(&mut self, now: Time) {
         let peer_process = self.hot_restart.take_peer_process();
-        for admin_client in self.hot_restart.pending_admin_clients() {
-            self.on_exclusion_acknowledged(admin_client);
+        for admin_call in self.hot_restart.pending_admin_calls() {
+            self.on_exclusion_acknowledged(admin_call);
         }
         match peer_process {
             Some(PeerProcess::StartingSuccessor | PeerProcess::Successor) => self.on_successor_lost(now),
@@ -255,8 +255,8 @@
     /// Releases the request ids and descriptors that were reserved for the predecessor.
     fn on_predecessor_lost(&mut self, now: Time) {
         for pool in &mut self.pools {
-            pool.admitted.forget_predecessor();
+            pool.admitted.release_predecessor_ids();
         }
-        self.evict_idle_connection(now);
+        self.evict_pending_connections(now);
     }
 }
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -14,19 +14,19 @@
     /// Name of this replica, unique among all replicas.
     pub node: String,
     /// Addresses of the other replicas.
-    pub peers: Vec<SocketAddr>,
+    pub other_replicas: Vec<SocketAddr>,
 }
 
 /// Limits of all fronts together, derived from the limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct ResourceLimits {
     /// Limit of pending connections, which have no attempt: those without a request, and answered ones whose
     /// sockets are still open.
-    pub pending: usize,
+    pub max_pending_connections: usize,
     /// Limit of connections whose request was admitted, including established ones.
-    pub admitted: usize,
+    pub max_admitted_connections: usize,
     /// Bytes buffered for one side of a connection at which the balancer stops reading from the other side.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
 }
 
 /// Configuration of one pool of servers.
@@ -47,7 +47,7 @@
     /// Address at which the endpoint list is watched. `None` if the list is read from a file.
     pub discovery: Option<SocketAddr>,
     /// Time within which a client has to send its request after it has connected.
-    pub handshake_timeout: Micros,
+    pub request_timeout: Micros,
     /// Whether entries of the replicated map may add servers and limit the connections.
     pub uses_replicated_map: bool,
     /// The limit of connections that applies if the replicated map contains none.
@@ -66,7 +66,7 @@
     /// preference.
     pub load_report_fields: Vec<&'static str>,
     /// The longest time that a client waits for its answer.
-    pub longest_wait: Micros,
+    pub max_client_wait: Micros,
     /// Configuration of the migration of established connections for balance.
     pub rebalance: rebalance::RebalanceConfig,
     /// Price of 256 bytes of gossip with each request, as a share of the value delivered. `None` if the
@@ -92,8 +92,8 @@
             price: self.gossip_price.unwrap_or(0.0),
             balancers: self.settings.balancers,
             message_objective: self.settings.message_objective(),
-            observation_hold: self.settings.peer_observation_hold(),
-            slow_setup_hold: self.settings.slow_setup_hold(),
+            observation_validity: self.settings.peer_observation_validity(),
+            slow_setup_validity: self.settings.slow_setup_validity(),
         }
     }
 
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -17,7 +17,9 @@
 
 use super::endpoint_updates::ENDPOINT_KEY_PREFIX;
 use super::exclusions::EXCLUSION_KEY_PREFIX;
-use super::store::{AddressedReplicaMessage, Digest, Entry, ReplicaMessage, ReplicatedMap, WriteError};
+use super::store::{
+    AddressedReplicaMessage, Digest, Entry, KeyedEntry, ReplicaMessage, ReplicatedMap, WriteError,
+};
 use super::{Effect, LogEvent, State};
 use crate::Time;
 
@@ -26,25 +28,29 @@
 
 impl State {
     /// Returns this node's replica of the map.
-    pub fn store(&self) -> &ReplicatedMap {
+    pub fn replicated_map(&self) -> &ReplicatedMap {
         self.replication.map()
     }
 
     /// Handles a message of another replica or of an operator's command.
     pub(super) fn on_replica_message(&mut self, now: Time, from: SocketAddr, message: ReplicaMessage) {
         // Any process can send datagrams to the port. Replicas are recognised by their configured addresses.
-        if !matches!(message, ReplicaMessage::Write { .. }) && !self.replication.peers().contains(&from) {
-            return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownPeer { from }));
+        if !matches!(message, ReplicaMessage::Write { .. })
+            && !self.replication.other_replicas().contains(&from)
+        {
+            return self.effects.push(Effect::Log(LogEvent::MessageFromUnknownReplica { from }));
         }
         match message {
-            ReplicaMessage::Digest { wanted, buckets } => self.on_digest(from, wanted, &buckets),
+            ReplicaMessage::Digest { digest_requested, digest } => {
+                self.on_digest(from, digest_requested, &digest);
+            }
             ReplicaMessage::Entry { key, entry } => self.on_entry_received(now, key, entry),
             ReplicaMessage::Write { key, value } => self.on_write_requested(now, from, key, value),
         }
     }
 
-    fn on_digest(&mut self, from: SocketAddr, wanted: bool, buckets: &Digest) {
-        for message in self.replication.answer_digest(wanted, buckets) {
+    fn on_digest(&mut self, from: SocketAddr, digest_requested: bool, digest: &Digest) {
+        for message in self.replication.answer_digest(digest_requested, digest) {
             self.send_replica_message(from, message);
         }
     }
@@ -74,10 +80,10 @@
     }
 
     /// Imports the entries and exclusions that an earlier process stored on disk.
-    pub(super) fn on_state_restored(
+    pub(super) fn on_stored_state_read(
         &mut self,
         now: Time,
-        entries: Vec<(String, Entry)>,
+        entries: Vec<KeyedEntry>,
         excluded_by_operator: Vec<String>,
     ) {
         self.exclusions.import(excluded_by_operator, Vec::new());
@@ -99,8 +105,8 @@
         let entry = self.replication.write(key, value)?;
         let message = ReplicaMessage::Entry { key: key.to_owned(), entry: entry.clone() };
         self.on_entry_stored(now, key.to_owned(), entry);
-        for peer in self.replication.peers().to_vec() {
-            self.send_replica_message(peer, message.clone());
+        for replica in self.replication.other_replicas().to_vec() {
+            self.send_replica_message(replica, message.clone());
         }
         Ok(())
     }
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -41,7 +41,7 @@
         if self.shutdown.has_begun() {
             return;
         }
-        let answer_wait = self.pools.iter().map(|pool| pool.config.longest_wait).max().unwrap_or_default();
+        let answer_wait = self.pools.iter().map(|pool| pool.config.max_client_wait).max().unwrap_or_default();
         let duration = answer_wait.min(MAX_ANSWER_WAIT) + SHUTDOWN_MARGIN;
         let successor_serves = self.hot_restart.successor_serves();
         let min_duration = if successor_serves { Micros::ZERO } else { MIN_SHUTDOWN_DURATION.min(duration) };
@@ -70,8 +70,8 @@
     /// Ends a connection that is open at the time of the exit.
     fn finish_connection(&mut self, now: Time, id: ConnectionId) {
         let answer = match self.connections.get(id).map(|connection| connection.phase) {
-            Some(Phase::Handshaking) => {
-                return self.effects.push(Effect::CheckHandshake { connection: id });
+            Some(Phase::AwaitingRequest) => {
+                return self.effects.push(Effect::CheckRequestArrival { connection: id });
             }
             Some(Phase::Established) => Answer::Migrated,
             // The client may still wait for its answer after this process has exited, and another balancer
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -24,7 +24,7 @@
 use super::repair_position::RepairPosition;
 
 pub use super::digest::{Digest, DIGEST_BUCKETS};
-pub use super::entry::Entry;
+pub use super::entry::{Entry, KeyedEntry};
 pub use super::replica_message::{AddressedReplicaMessage, ReplicaMessage};
 
 /// Longest key, in bytes. This limit and the next two ensure that every entry fits a datagram of 256 bytes.
@@ -184,7 +184,7 @@
 
     /// Returns the messages to a node with this digest: at most `MAX_REPAIR_ENTRIES` entries of the buckets
     /// in which the digests differ.
-    pub fn repair(&mut self, remote: &Digest) -> Vec<ReplicaMessage> {
+    pub fn answer_digest(&mut self, remote: &Digest) -> Vec<ReplicaMessage> {
         self.has_peer_contact = true;
         let local = self.digest();
         if local == *remote {
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -4,7 +4,7 @@
 //! all parts of the state, and feeds [`super::Input::TimerFired`] at that time. Each part owns its deadline.
 
 use super::connection_table::Phase;
-use super::{ConnectionId, Effect, State};
+use super::{ConnectionId, Effect, PoolId, State};
 use crate::{Event, Outcome, Time};
 
 impl State {
@@ -36,15 +36,15 @@
             self.on_connection_timer(now, id);
         }
         if self.admission.gate_closed_until().is_some_and(|at| at <= now) {
-            self.evict_idle_connection(now);
+            self.evict_pending_connections(now);
         }
         self.reply_to_timed_out_admin_clients(now);
         self.send_scheduled_digest(now);
-        for pool in 0..self.pools.len() {
-            if self.pools[pool].clear_expired_balancer_timer(now) {
+        for pool in (0..self.pools.len()).map(PoolId) {
+            if self.pools[pool.0].clear_expired_balancer_timer(now) {
                 self.dispatch(now, pool, Event::TimerFired);
             }
-            if self.pools[pool].rebalance.next_evaluation().is_some_and(|at| at <= now) {
+            if self.pools[pool.0].rebalance.next_evaluation().is_some_and(|at| at <= now) {
                 self.rebalance(now, pool);
             }
         }
@@ -53,7 +53,7 @@
     fn on_connection_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         match connection.phase {
-            Phase::Handshaking => self.effects.push(Effect::CheckHandshake { connection: id }),
+            Phase::AwaitingRequest => self.effects.push(Effect::CheckRequestArrival { connection: id }),
             Phase::Connecting => self.on_attempt_timer(now, id),
             Phase::Restoring { deadline, server } => self.continue_restoring(now, id, deadline, server),
             Phase::Established => self.on_established_timer(now, id),
--- a/src/transport/assembly.rs
+++ b/src/transport/assembly.rs
@@ -46,12 +46,12 @@
     }
 
     fn feed_configured_endpoints(&mut self, config: &Config) {
-        let mut pool = 0;
+        let mut pool = PoolId(0);
         if let Some(platform) = &config.platform {
-            let endpoints = platform.known.endpoints.clone();
+            let endpoints = platform.cached_endpoints.endpoints.clone();
             self.reducer.feed(Input::CachedEndpoints { pool, endpoints });
             self.platform = Some(pool);
-            pool += 1;
+            pool.0 += 1;
         }
         if let Some(irc) = &config.irc {
             let endpoints = irc.endpoints.clone();
@@ -76,13 +76,13 @@
 }
 
 fn initial_state(config: &Config, clock: Clock) -> State {
-    let Config { platform, irc, store, budget, .. } = config;
+    let Config { platform, irc, store, resource_limits, .. } = config;
     let mut replication = ReplicationConfig::default();
     if let Some(store) = store {
         replication.node = store.node.clone();
-        replication.peers = store.peers.clone();
+        replication.other_replicas = store.peers.clone();
     }
     let platform_pool = platform.iter().map(|platform| platform.pool.clone());
     let pools = platform_pool.chain(irc.iter().map(|irc| irc.pool.clone())).collect();
-    State::new(pools, replication, *budget, clock.started_at())
+    State::new(pools, replication, *resource_limits, clock.started_at())
 }
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -9,7 +9,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::routing::{AdminClientId, Answer, ConnectionId, EstablishedConnection, PoolId};
+use crate::routing::{AdminCallId, Answer, ConnectionId, PoolId, TransferredConnection};
 use crate::{Micros, ServerId};
 
 /// A command for the task of one connection.
@@ -22,26 +22,26 @@
         /// Address of the server, with its port.
         address: String,
         /// Time-out of the server's answer.
-        timeout: Micros,
+        acceptance_timeout: Micros,
     },
     /// Close the current attempt.
     CloseAttempt,
     /// Send an answer to the client, then close both sides in order.
     SendAnswer(Answer),
     /// Read the bytes that the client has sent so far, then feed
-    /// [`HandshakeTimedOut`](crate::routing::Input::HandshakeTimedOut). The reducer ignores this input if the
+    /// [`RequestTimedOut`](crate::routing::Input::RequestTimedOut). The reducer ignores this input if the
     /// bytes completed the request.
-    CheckHandshake,
+    CheckRequestArrival,
     /// Close all sockets immediately. Pending bytes are dropped.
     Abort,
     /// Send the sockets through this channel for a transfer to the successor, if the connection is between
     /// two lines. The sender is dropped otherwise.
-    Transfer(oneshot::Sender<TransferredConnection>),
+    Transfer(oneshot::Sender<TransferredSockets>),
 }
 
 /// The sockets and state of a connection that is being transferred to the successor.
 #[derive(Debug)]
-pub(super) struct TransferredConnection {
+pub(super) struct TransferredSockets {
     /// Socket to the client.
     pub client: OwnedFd,
     /// Socket to the server that accepted the attempt.
@@ -56,8 +56,8 @@
 pub(super) enum PeerProcessMessage {
     /// An operator excluded or readmitted a server.
     ShareExclusion {
-        /// The admin client that waits for the acknowledgement.
-        admin_client: AdminClientId,
+        /// The admin call whose reply waits for the acknowledgement.
+        admin_call: AdminCallId,
         /// Name of the server.
         server: String,
         /// True if the server was excluded, false if it was readmitted.
@@ -70,7 +70,7 @@
         /// Pool of the connection's front.
         pool: PoolId,
         /// The reducer's state of the connection, from which the successor continues it.
-        established: Box<EstablishedConnection>,
+        established: Box<TransferredConnection>,
     },
 }
 
@@ -83,7 +83,7 @@
     /// Address of the server, with its port.
     pub address: String,
     /// Names of the report's fields that may hold the load, in order of preference.
-    pub load_names: Vec<&'static str>,
+    pub load_report_fields: Vec<&'static str>,
     /// Time-out of the probe, including the time to connect.
     pub timeout: Duration,
 }
--- a/tests/reducer/harness.rs
+++ b/tests/reducer/harness.rs
@@ -2,14 +2,14 @@
 
 use connection_balancer::routing::*;
 
-use crate::reducer_harness::{connection_request, ReducerHarness, BUDGET, SERVERS};
+use crate::reducer_harness::{connection_request, ReducerHarness, RESOURCE_LIMITS, SERVERS};
 
 impl ReducerHarness {
     /// Returns a reducer that does not listen yet and has only a cached endpoint list.
     pub(crate) fn with_cached_endpoints() -> ReducerHarness {
-        let mut harness = ReducerHarness::without_endpoints(BUDGET);
+        let mut harness = ReducerHarness::without_endpoints(RESOURCE_LIMITS);
         let endpoints = harness.endpoints();
-        harness.feed(Input::CachedEndpoints { pool: 0, endpoints });
+        harness.feed(Input::CachedEndpoints { pool: PoolId(0), endpoints });
         harness
     }
 
@@ -46,5 +46,9 @@
 }
 
 pub(crate) fn reload(harness: &mut ReducerHarness, config: PoolConfig) -> Vec<Effect> {
-    harness.feed(Input::ConfigurationChanged { pools: vec![config], peers: Vec::new(), budget: BUDGET })
+    harness.feed(Input::ConfigurationChanged {
+        pools: vec![config],
+        other_replicas: Vec::new(),
+        resource_limits: RESOURCE_LIMITS,
+    })
 }
--- a/tests/reducer/hot_restart/mod.rs
+++ b/tests/reducer/hot_restart/mod.rs
@@ -9,10 +9,10 @@
 
 use crate::reducer_harness::ReducerHarness;
 
-const ADMIN_CLIENT: AdminClientId = AdminClientId(7);
+const ADMIN_CALL: AdminCallId = AdminCallId(7);
 
 fn call(harness: &mut ReducerHarness, call: AdminCall) -> Vec<Effect> {
-    harness.feed(Input::AdminRequest { admin_client: ADMIN_CLIENT, call })
+    harness.feed(Input::AdminRequest { admin_call: ADMIN_CALL, call })
 }
 
 fn metrics(harness: &mut ReducerHarness) -> Metrics {
@@ -31,8 +31,8 @@
     assert!(effects.contains(&Effect::SetAccepting { open: false }), "predecessor still accepts connections");
     let mut received = HandoverState::default();
     for part in split_state((**exported).clone()) {
-        let bytes = encode(&HandoverMessage::Part(part)).expect("a part fits a message");
-        let Some(HandoverMessage::Part(part)) = decode(&bytes) else {
+        let bytes = encode(&HandoverMessage::StatePart(part)).expect("a part fits a message");
+        let Some(HandoverMessage::StatePart(part)) = decode(&bytes) else {
             panic!("cannot decode the encoded part {bytes:?}")
         };
         add_part(&mut received, part);
@@ -53,13 +53,13 @@
 /// Starts a successor that serves, and returns it with the connections that the predecessor transfers.
 fn start_successor(
     predecessor: &mut ReducerHarness,
-) -> (ReducerHarness, Vec<(ConnectionId, EstablishedConnection)>) {
+) -> (ReducerHarness, Vec<(ConnectionId, TransferredConnection)>) {
     let (successor, effects) = start_successor_with_effects(predecessor);
     (successor, transferred(&effects))
 }
 
 /// Returns the connections that these effects transfer to the successor.
-fn transferred(effects: &[Effect]) -> Vec<(ConnectionId, EstablishedConnection)> {
+fn transferred(effects: &[Effect]) -> Vec<(ConnectionId, TransferredConnection)> {
     let transfer = |effect: &Effect| match effect {
         Effect::TransferConnection { connection, established, .. } => {
             Some((*connection, established.clone()))
@@ -73,16 +73,16 @@
 fn complete_transfer(
     successor: &mut ReducerHarness,
     predecessor: &mut ReducerHarness,
-    transferred: Vec<(ConnectionId, EstablishedConnection)>,
+    transferred: Vec<(ConnectionId, TransferredConnection)>,
 ) -> Vec<ConnectionId> {
-    let transfer = |(index, (connection, established)): (usize, (ConnectionId, EstablishedConnection))| {
+    let transfer = |(index, (connection, established)): (usize, (ConnectionId, TransferredConnection))| {
         assert_eq!(
             predecessor.feed(Input::ConnectionTransferred { connection }),
             [],
             "unexpected effects of a completed transfer"
         );
         let connection = ConnectionId(1_000_000 + index as u64);
-        successor.feed(Input::ConnectionReceived { connection, pool: 0, established });
+        successor.feed(Input::ConnectionReceived { connection, pool: PoolId(0), established });
         connection
     };
     transferred.into_iter().enumerate().map(transfer).collect()
--- a/tests/reducer/hot_restart/random_steps.rs
+++ b/tests/reducer/hot_restart/random_steps.rs
@@ -80,7 +80,7 @@
         if let Some(open) = self.find_open(process, connection) {
             open.attempt = None;
         }
-        self.feed(process, Input::AttemptEnded { connection, attempt, end: AttemptOutcome::Rejected })
+        self.feed(process, Input::AttemptEnded { connection, attempt, outcome: AttemptOutcome::Rejected })
     }
 
     /// Excludes or readmits a server at the serving process and at its predecessor, if there is one.
@@ -151,7 +151,7 @@
         &mut self,
         process: usize,
         connection: ConnectionId,
-        established: EstablishedConnection,
+        established: TransferredConnection,
     ) -> Result<(), TestCaseError> {
         let number =
             self.number_of(process, connection).expect("a transferred connection is open at its process");
@@ -166,7 +166,10 @@
             established: true,
         };
         self.feed(process, Input::ConnectionTransferred { connection })?;
-        self.feed(process + 1, Input::ConnectionReceived { connection: received, pool: 0, established })
+        self.feed(
+            process + 1,
+            Input::ConnectionReceived { connection: received, pool: PoolId(0), established },
+        )
     }
 }
 
