--- a/tests/daemon/fake_servers/manual_server.rs
+++ b/tests/daemon/fake_servers/manual_server.rs
@@ -1,5 +1,7 @@
 //! A server whose connections the test accepts one by one.
 
+use std::cell::RefCell;
+use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
@@ -12,6 +14,8 @@
     /// Connections of the test itself. They fill the accept queue, so that no other connection is
     /// established.
     queue_fillers: Vec<TcpStream>,
+    /// Connections of others that were accepted while the queue was emptied.
+    accepted_early: RefCell<VecDeque<Client>>,
 }
 
 impl ManualServer {
@@ -36,13 +40,17 @@
         socket.listen(length).expect("the socket listens");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("the listener has an address");
-        ManualServer { address, listener, queue_fillers: Vec::new() }
+        ManualServer { address, listener, queue_fillers: Vec::new(), accepted_early: RefCell::default() }
     }
 
     /// Accepts the connections that fill the queue: from now on others are established.
+    ///
+    /// Does not wait for a certain number of them. A filler can be established for its own side and not be in the
+    /// queue, if the queue was full when its handshake completed. A wait for it would accept another connection in
+    /// its place, and the test would never get that one.
     pub(crate) fn empty_queue(&mut self) {
-        for _ in self.queue_fillers.drain(..) {
-            self.listener.accept().expect("a connection of the test itself is accepted");
+        while let Some(connection) = self.accept_queued() {
+            self.accepted_early.get_mut().push_back(connection);
         }
     }
 
@@ -58,12 +66,22 @@
 
     /// Accepts the next connection if one is already established, and returns the server's end of it.
     pub(crate) fn try_accept(&self) -> Option<Client> {
+        self.accepted_early.borrow_mut().pop_front().or_else(|| self.accept_queued())
+    }
+
+    /// Accepts the next connection in the queue that does not fill it.
+    fn accept_queued(&self) -> Option<Client> {
         self.listener.set_nonblocking(true).expect("the mode is set");
-        let accepted = self.listener.accept().ok();
+        let accepted =
+            std::iter::from_fn(|| self.listener.accept().ok()).find(|(_, peer)| !self.is_filler(*peer));
         self.listener.set_nonblocking(false).expect("the mode is set");
         accepted.map(|(stream, _)| {
             stream.set_nonblocking(false).expect("the mode is set");
             Client::from_stream(stream)
         })
     }
+
+    fn is_filler(&self, peer: SocketAddr) -> bool {
+        self.queue_fillers.iter().any(|filler| filler.local_addr().is_ok_and(|address| address == peer))
+    }
 }
