--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 //!   first event is the endpoint list, as far as it is known.
 //! * Each request has a [`RequestId`] that was never used before.
 //! * The host reports exactly one [`Event::AttemptEnded`] for each [`Action::StartAttempt`], at the latest
-//!   when the attempt's time-out or the client's deadline has passed. If the connection was established, the
+//!   when the attempt's timeout or the client's deadline has passed. If the connection was established, the
 //!   host reports one [`Event::ConnectionEstablished`] before it.
 //! * The host reports [`Event::TimerFired`] when a time set by [`Action::SetTimer`] has passed. Several
 //!   timers may run at the same time. A timer that is no longer needed has no effect.
--- a/src/peers/credit.rs
+++ b/src/peers/credit.rs
@@ -3,7 +3,7 @@
 //! Inputs: the price of gossip and the number of balancers. A message is one datagram to each other balancer.
 //! Its cost is measured in units of the value of one connection. Rule:
 //!
-//! - Each connection established at this balancer earns credit worth [`MAX_COST_SHARE`] of its value, counted
+//! - Each connection established at this balancer earns credit of [`MAX_COST_SHARE`] of its value, counted
 //!   as a number of messages. At most [`MAX_CREDIT`] messages are saved up.
 //! - A message costs one unit of credit. A credit below one unit buys a message with the corresponding
 //!   probability and is spent whether or not the message is sent. In a large tier each balancer has few
--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -12,8 +12,8 @@
 //!
 //! **Rule.** The rate is the share of new requests that is admitted, from 0 to 1.
 //!
-//! - A setup at this balancer that takes longer than the objective halves the rate, and so does a peer's
-//!   observation of slow or correlated setups.
+//! - A setup at this balancer that takes longer than the objective halves the rate. A peer's
+//!   observation of slow or correlated setups also halves the rate.
 //! - Failures at two servers within the duration of a slow start, with no connection established in between,
 //!   are correlated. They multiply the rate by a half, or by the objective over the time of the failed
 //!   attempt if that is less.
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -18,7 +18,7 @@
 //! - while the silence of a watch has an explanation: calls are refused or not connected, or, where lists are
 //!   pushed to an agent, the agent does not answer.
 //!
-//! **Why.** A silent watch cannot be told from a watch without changes. Each change that discovery lists
+//! **Why.** A silent watch looks the same as a watch without changes. Each change that discovery lists
 //! counts as notified 6 s later, whether or not it has arrived. From then on each server of the old list may
 //! be draining. While discovery is down it lists no changes, so no newer list exists than the old one.
 
--- a/src/program/config/log.rs
+++ b/src/program/config/log.rs
@@ -26,7 +26,7 @@
     };
     let levels = match levels_text {
         None => LogConfig::default().levels,
-        // The logging library takes a misspelt level for a module's name and would enable all levels of that
+        // The logging library treats a misspelt level as a module's name and would enable all levels of that
         // module. The text is therefore validated before the library parses it.
         Some(text) => LogConfig::parse_levels(&text).ok_or_else(|| {
             levels.error(&format!(
--- a/src/protocol/platform/request.rs
+++ b/src/protocol/platform/request.rs
@@ -50,7 +50,7 @@
     Open {
         /// Decoded request.
         request: Box<ConnectionRequest>,
-        /// Request line, in which the timeout is set anew for each server.
+        /// Request line, in which the timeout is set again for each server.
         template: RequestTemplate,
     },
 }
--- a/src/rebalance/cost_benefit.rs
+++ b/src/rebalance/cost_benefit.rs
@@ -11,7 +11,7 @@
 //!   that miss the objective);
 //! - cost = priority weight * cost of a client;
 //! - a candidate is migrated if its gain exceeds `margin` times its cost. Candidates with the largest ratio
-//!   come first.
+//!   are first.
 //!
 //! **Reason:** the remaining clients gain from the shorter queue (`pressure.rs`). The migrated client gains
 //! from a server that is not slow. Both gains last for about half a mean lifetime: after that time, newly
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -128,7 +128,7 @@
     pub(super) fn estimate(&self, server: &ServerSnapshot, is_being_relieved: bool) -> Option<Pressure> {
         let fair_slots = self.fair_share.slots_of(server);
         let excess_slots = server.occupied_slots - fair_slots;
-        // This check comes first because it is cheap and excludes most servers.
+        // This check is first because it is cheap and excludes most servers.
         if excess_slots < MIN_EXCESS_SLOTS {
             return None;
         }
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -215,7 +215,7 @@
 
     // ---- Events of a connection ----
 
-    /// Records the class that a connection's request names. `None` stands for a class that is not configured.
+    /// Records the class that a connection's request names. `None` means a class that is not configured.
     pub(super) fn record_class(&mut self, id: ConnectionId, class: Option<ClassId>) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.class = class;
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,9 +1,9 @@
 //! Established connections: silence of their servers, load reports, and migration.
 //!
-//! - **Silence.** A server may fail without closing its connections, and its clients would then wait for
-//!   ever. The server has to send something within the pool's `server_silence_timeout` after the first line
+//! - **Silence.** A server may fail without closing its connections, and its clients would then wait without
+//!   limit. The server has to send something within the pool's `server_silence_timeout` after the first line
 //!   that it has not answered. Otherwise the connection is migrated and a fault of the server is reported to
-//!   the balancer. The timer is not set anew for each line; if it fires too early, it is set again.
+//!   the balancer. The timer is not reset for each line; if it fires too early, it is set again.
 //! - **Load reports.** A reported value is the connection's load or the server's message time
 //!   ([`super::load_reports`]). It is recorded and passed to the rebalancer and the balancer. A message time
 //!   is also sent to the other balancers by gossip.
@@ -76,7 +76,7 @@
     }
 
     /// Sets an established connection's timer to its migration or the end of its server's silence timeout,
-    /// whichever comes first.
+    /// whichever is earlier.
     pub(super) fn schedule_established_timer(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let silence_timeout = self.pools[connection.pool.0].config.server_silence_timeout;
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -1,7 +1,7 @@
 //! Load reports of servers: a connection's load, or the time that a message takes at the server.
 //!
 //! Both may arrive in the same form, as one number. They are therefore distinguished by their values. If a
-//! message time were taken for a load, the slowest server would look idle and receive more connections.
+//! message time were treated as a load, the slowest server would look idle and receive more connections.
 //!
 //! The module owns, for each pool, the mean of all loads (in the settings' unit) and the last message time of
 //! each server (in milliseconds). Rule, where servers report message times: a value is a message time if
@@ -11,7 +11,7 @@
 //!   or
 //! - the value resembles the server's last message time. A slow server repeats its report every second. A
 //!   value that differs from the last one by a factor of at most [`REPEATED_REPORT_FACTOR`] and arrives
-//!   within [`REPEATED_REPORT_TIMEOUT`] after it is therefore taken for the next report.
+//!   within [`REPEATED_REPORT_TIMEOUT`] after it is therefore treated as the next report.
 
 use std::collections::BTreeMap;
 
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -38,6 +38,6 @@
     /// Time since discovery last sent or confirmed an endpoint list, in the pool where this time is longest.
     /// `None` if no list was received.
     pub endpoint_list_age: Option<Micros>,
-    /// Metrics of rebalancing, by the name of the front, for the pools where it is on.
+    /// Metrics of rebalancing, by the name of the front, for the pools that enable rebalancing.
     pub rebalance: BTreeMap<String, RebalanceMetrics>,
 }
--- a/src/transport/admin_client.rs
+++ b/src/transport/admin_client.rs
@@ -9,11 +9,11 @@
 use crate::protocol::replica_messages::{self, MAX_DATAGRAM_LENGTH};
 use crate::routing::store::{Entry, ReplicaMessage};
 
-/// Time-out of each read of an admin endpoint's answer.
+/// Timeout of each read of an admin endpoint's answer.
 const ADMIN_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// How many times a write is sent to a store before it fails.
 const STORE_WRITE_ATTEMPTS: usize = 6;
-/// Time-out of the store's answer to each of these attempts.
+/// Timeout of the store's answer to each of these attempts.
 const STORE_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// Local address for the answers of this machine's stores. The system chooses the port.
 const LOOPBACK: &str = "127.0.0.1:0";
--- a/src/transport/admin_server.rs
+++ b/src/transport/admin_server.rs
@@ -19,7 +19,7 @@
 use crate::protocol::lines::{LineBuffer, NextLine};
 use crate::routing::{AdminRejection, AdminResponse, Input};
 
-/// Time-out of a client's line. Some clients send nothing or an incomplete line, and remain connected.
+/// Timeout of a client's line. Some clients send nothing or an incomplete line, and remain connected.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a client has to close its connection after the answer. Closing the socket while bytes are unread
 /// would reset the connection, and the answer would be lost.
@@ -85,7 +85,7 @@
         Ok(line) => handle_call(&context, &line).await,
         Err(error) => AdminResponse::No(AdminRejection::InvalidCall(error.to_string())),
     };
-    // A time-out is ignored: the answer has been sent even if the client does not close in time.
+    // A timeout is ignored: the answer has been sent even if the client does not close in time.
     let _ = timeout(CLOSE_TIMEOUT, write_reply(&mut stream, &reply)).await;
 }
 
--- a/src/transport/commands.rs
+++ b/src/transport/commands.rs
@@ -21,7 +21,7 @@
         attempt: u32,
         /// Address of the server, with its port.
         address: String,
-        /// Time-out of the server's answer.
+        /// Timeout of the server's answer.
         acceptance_timeout: Micros,
     },
     /// Close the current attempt.
@@ -84,7 +84,7 @@
     pub address: String,
     /// Names of the report's fields that may hold the load, in order of preference.
     pub load_report_fields: Vec<&'static str>,
-    /// Time-out of the probe, including the time to connect.
+    /// Timeout of the probe, including the time to connect.
     pub timeout: Duration,
 }
 
--- a/src/transport/discovery_watch/error.rs
+++ b/src/transport/discovery_watch/error.rs
@@ -12,16 +12,16 @@
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// Discovery did not answer before the time-out of the call.
+    /// Discovery did not answer before the timeout of the call.
     #[error("discovery did not answer within {} ms", .call_timeout.as_millis())]
     TimedOut {
-        /// Time-out of the call.
+        /// Timeout of the call.
         call_timeout: Duration,
     },
-    /// No connection was established before the time-out of the call.
+    /// No connection was established before the timeout of the call.
     #[error("no connection to discovery was established within {} ms", .call_timeout.as_millis())]
     NotConnected {
-        /// Time-out of the call, which includes the connect.
+        /// Timeout of the call, which includes the connect.
         call_timeout: Duration,
     },
     /// The connection cannot be established.
--- a/src/transport/discovery_watch/follower.rs
+++ b/src/transport/discovery_watch/follower.rs
@@ -1,7 +1,7 @@
 //! Follows one pool's endpoint list by long polls. Discovery holds each call until the list changes or the
 //! hold expires.
 //!
-//! A held call is silent if it has no answer within its hold and an additional answer time-out. The
+//! A held call is silent if it has no answer within its hold and an additional answer timeout. The
 //! watch is then reopened after a random delay with a call that is not held. The silent call remains open,
 //! and its answer is used unless it is older than the current list. A call that is not held and times out is
 //! also reported as silent, and ends the watch with an error.
@@ -27,8 +27,8 @@
 /// the list expires (6 s), and until the hold expires a silent watch cannot be distinguished from a watch
 /// without changes.
 const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time-out of a call for a snapshot, and of a held call in addition to its hold. The time-out is long
-/// because an overloaded discovery still serves cancelled calls: with short time-outs all its work would be
+/// Timeout of a call for a snapshot, and of a held call in addition to its hold. The timeout is long
+/// because an overloaded discovery still serves cancelled calls: with short timeouts all its work would be
 /// wasted.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(5);
 /// Pause after an answer without changes that arrives faster than this. The pause limits the rate of calls to
@@ -154,7 +154,7 @@
         PendingCall { future, called_at, silent_at }
     }
 
-    /// Returns the time-out of the next call.
+    /// Returns the timeout of the next call.
     fn call_timeout(&self, timing: &EndpointWatchTiming) -> Duration {
         match (self.generation, self.hold) {
             (None, _) => MAX_ANSWER_TIME,
--- a/src/transport/hot_restart/error.rs
+++ b/src/transport/hot_restart/error.rs
@@ -24,10 +24,10 @@
     /// A message is longer than the link can carry.
     #[error("a message to the peer process exceeds the limit of {MAX_MESSAGE_LENGTH} bytes")]
     MessageTooLong,
-    /// The peer process did not read a message before the time-out.
+    /// The peer process did not read a message before the timeout.
     #[error("the peer process did not read a message within {} ms", .send_timeout.as_millis())]
     SendTimedOut {
-        /// Time-out of sending a message.
+        /// Timeout of sending a message.
         send_timeout: Duration,
     },
     /// A message cannot be decoded.
--- a/src/transport/hot_restart/link.rs
+++ b/src/transport/hot_restart/link.rs
@@ -15,7 +15,7 @@
 use super::error::LinkError;
 use crate::protocol::hot_restart::{self, HandoverMessage, MAX_MESSAGE_LENGTH, MAX_SOCKETS};
 
-/// Time-out of sending a message. Without it this process would wait for a peer process that hangs.
+/// Timeout of sending a message. Without it this process would wait for a peer process that hangs.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum number of processes whose connections wait to be accepted.
 const LISTEN_BACKLOG: i32 = 8;
--- a/src/transport/hot_restart/mod.rs
+++ b/src/transport/hot_restart/mod.rs
@@ -36,8 +36,8 @@
 
 pub(super) use context::{ExportedState, HotRestartContext, REPLICATION_SOCKET};
 
-/// Time-out for a predecessor to export its state, and for a connected successor to request it. Without a
-/// time-out this process would wait for a process that hangs.
+/// Timeout for a predecessor to export its state, and for a connected successor to request it. Without a
+/// timeout this process would wait for a process that hangs.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a successor keeps requesting the state of a predecessor that is busy with another successor.
 const BUSY_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
--- a/src/transport/reducer.rs
+++ b/src/transport/reducer.rs
@@ -113,7 +113,7 @@
         self.0.state.borrow().resource_limits().buffer_bytes
     }
 
-    /// Returns the time-outs and delays of a pool's watch on its endpoint list.
+    /// Returns the timeouts and delays of a pool's watch on its endpoint list.
     pub(super) fn endpoint_watch_timing(&self, pool: PoolId) -> EndpointWatchTiming {
         self.0.state.borrow().endpoint_watch_timing(pool)
     }
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -14,7 +14,7 @@
     Error,
     /// The server rejected the request without running it.
     Rejected,
-    /// The server did not answer within the time-out. The request may have run.
+    /// The server did not answer within the timeout. The request may have run.
     TimedOut,
     /// No connection to the server could be opened.
     ConnectFailed,
--- a/tests/daemon/fake_servers/discovery.rs
+++ b/tests/daemon/fake_servers/discovery.rs
@@ -176,7 +176,7 @@
         self.shared.lock().reply = reply;
     }
 
-    /// Leaves the open calls without a reply for ever, and sets the reply to later ones.
+    /// Leaves the open calls without a reply forever, and sets the reply to later ones.
     pub(crate) fn silence_open_calls(&self, reply: Reply) {
         let mut state = self.shared.lock();
         state.reply = reply;
--- a/tests/daemon/hot_restart.rs
+++ b/tests/daemon/hot_restart.rs
@@ -178,7 +178,7 @@
                 .expect("the message is sent");
         }
         if n == 2 {
-            // The successor has requested the state and hangs. The daemon must not wait for it for ever.
+            // The successor has requested the state and hangs. The daemon must not wait for it forever.
             predecessor.log_line("hot restart aborted: the successor does not serve in time");
         }
         drop(successor);
--- a/tests/daemon/platform/clients.rs
+++ b/tests/daemon/platform/clients.rs
@@ -151,7 +151,7 @@
     for mut client in silent_clients {
         assert_eq!(client.read_to_end(), "");
     }
-    // Only a slow machine may come near this limit.
+    // Only a slow machine may get near this limit.
     assert!(since.elapsed() < MAX_WAIT / 2, "answered only after {:?}", since.elapsed());
     valid_client.send_line("M 1");
     assert_eq!(valid_client.read_line(), "M 1");
--- a/tests/reducer/load_reports.rs
+++ b/tests/reducer/load_reports.rs
@@ -18,7 +18,7 @@
     migrated
 }
 
-/// Servers report a message time in the same form as a load. If it were taken for a load, the slowest server
+/// Servers report a message time in the same form as a load. If it were treated as a load, the slowest server
 /// would look idle.
 #[test]
 fn treats_a_value_far_below_the_mean_load_as_a_message_time() {
@@ -32,7 +32,7 @@
     assert!(migrated > 0, "no connection was migrated from a slow server");
 }
 
-/// If servers do not report loads, a message time of 99 ms must not be taken for a load. Otherwise no client
+/// If servers do not report loads, a message time of 99 ms must not be treated as a load. Otherwise no client
 /// would be migrated from a slow server.
 #[test]
 fn treats_every_value_as_a_message_time_where_servers_report_no_loads() {
