--- a/src/rebalance/arrival_storm.rs
+++ b/src/rebalance/arrival_storm.rs
@@ -21,8 +21,8 @@
 const USUAL_COUNT_WINDOWS: f64 = 16.0;
 /// Multiple of the usual count in the storm threshold.
 const STORM_USUAL_MULTIPLE: f64 = 3.0;
-/// Number of arrivals that is added to the multiple of the usual count in the storm threshold. Small counts
-/// vary by more than a multiple of themselves.
+/// Number of arrivals that is added to the multiple of the usual count in the storm threshold. A small count
+/// can exceed [`STORM_USUAL_MULTIPLE`] times its mean by chance.
 const STORM_MIN_EXTRA_ARRIVALS: f64 = 6.0;
 /// Time from the last request above the threshold to the end of a storm.
 const STORM_COOLDOWN: Micros = Micros::from_secs(3);
--- a/src/rebalance/cost_benefit.rs
+++ b/src/rebalance/cost_benefit.rs
@@ -4,14 +4,15 @@
 //! which candidates are migrated.
 //!
 //! **Inputs:** the pressure on the server; the candidate's slots, relief and priority weight; the mean
-//! lifetime of a connection and the cost of migrating a client, both in seconds; the operator's `margin`.
+//! lifetime of a connection and the cost of migrating a client, both in seconds; the operator's
+//! [`CostBenefit::min_gain_over_cost`].
 //!
 //! **Rule**, in units of one second of good service of a connection with mean priority weight:
 //! - gain = half the mean lifetime * (relief in slots * relief per slot + priority weight * share of messages
 //!   that miss the objective);
 //! - cost = priority weight * cost of a client;
-//! - a candidate is migrated if its gain exceeds `margin` times its cost. Candidates with the largest ratio
-//!   come first.
+//! - a candidate is migrated if its gain exceeds `min_gain_over_cost` times its cost. Candidates with the
+//!   largest ratio come first.
 //!
 //! **Reason:** the remaining clients gain from the shorter queue (`pressure.rs`). The migrated client gains
 //! from a server that is not slow. Both gains last for about half a mean lifetime: after that time, newly
--- a/src/rebalance/disconnected_clients.rs
+++ b/src/rebalance/disconnected_clients.rs
@@ -4,9 +4,9 @@
 //! migrated client, and the mean time for which such a client is disconnected (part of the cost of a
 //! migration).
 //!
-//! **Inputs:** migrations with the client's flow key and slots; requests with their flow keys.
+//! **Inputs:** migrations with the client's key and slots; requests with their clients' keys.
 //!
-//! **Rule:** a client with a flow key is recognised by its key, for [`RECONNECT_TIMEOUT`]. A client without a
+//! **Rule:** a client with a key is recognised by its key, for [`RECONNECT_TIMEOUT`]. A client without a
 //! key counts as reconnected after twice the mean disconnected time, which is an exponentially weighted mean
 //! over recognised clients. With several balancers, most clients reconnect to another balancer. After the
 //! timeout they count as placed there.
--- a/src/rebalance/event.rs
+++ b/src/rebalance/event.rs
@@ -10,7 +10,8 @@
     ConnectionRequested {
         /// Requested connection.
         connection: ConnectionId,
-        /// Key of the flow, by which a migrated client is recognised; `None` if the request has none.
+        /// Hash of the client's key, by which a migrated client is recognised; `None` if the request has
+        /// none.
         key: Option<u64>,
         /// Whether the client reports that it was migrated, or that its previous connection broke.
         reports_reconnection: bool,
@@ -48,7 +49,8 @@
     ConnectionEnded {
         /// Connection that ended.
         connection: ConnectionId,
-        /// Whether the client ended the connection, rather than a migration or a fault.
+        /// Whether the connection ended normally, rather than by a migration or a fault: the client left, or
+        /// the server closed the connection cleanly.
         ended_by_client: bool,
     },
     /// The endpoint list has changed.
--- a/src/rebalance/hold_backoff.rs
+++ b/src/rebalance/hold_backoff.rs
@@ -25,18 +25,19 @@
 pub(super) struct HoldBackoff {
     current: Option<Hold>,
     next_duration: Micros,
-    last_begun: Time,
+    /// Time at which the last hold began; the time of creation before the first hold.
+    last_hold_at: Time,
 }
 
 impl HoldBackoff {
     pub(super) fn new(now: Time) -> HoldBackoff {
-        HoldBackoff { current: None, next_duration: INITIAL_HOLD, last_begun: now }
+        HoldBackoff { current: None, next_duration: INITIAL_HOLD, last_hold_at: now }
     }
 
     pub(super) fn begin(&mut self, now: Time, reason: HoldReason) {
         self.current = Some(Hold { until: now.plus(self.next_duration), reason });
         self.next_duration = (self.next_duration * 2).min(MAX_HOLD);
-        self.last_begun = now;
+        self.last_hold_at = now;
     }
 
     /// Ends the hold when its duration has passed, and resets the duration of the next hold after
@@ -45,7 +46,7 @@
         if self.current.is_some_and(|hold| hold.until <= now) {
             self.current = None;
         }
-        if now.since(self.last_begun) > RESET_AFTER {
+        if now.since(self.last_hold_at) > RESET_AFTER {
             self.next_duration = INITIAL_HOLD;
         }
     }
--- a/src/rebalance/hold_conditions.rs
+++ b/src/rebalance/hold_conditions.rs
@@ -11,7 +11,7 @@
 //! - a reload, for [`RELOAD_HOLD`];
 //! - a list that lost more than a quarter of its ready servers, for [`LIST_SHRINK_HOLD`];
 //! - an unavailable list, until it is received again;
-//! - fewer than [`MIN_READY_SERVERS`] ready servers;
+//! - fewer than [`MIN_READY_SERVERS`] servers that are ready and have a failure score of 0;
 //! - an arrival storm (`arrival_storm.rs`).
 //!
 //! **Reason:** each of these conditions migrates or reconnects clients itself, or makes it uncertain which
@@ -30,7 +30,7 @@
 const MAX_DRAINING_HOLD: Micros = Micros::from_secs(30);
 /// Share of the ready servers below which the list counts as shrunk.
 const MIN_REMAINING_SERVERS_SHARE: f64 = 0.75;
-/// Smallest number of ready servers between which connections can be balanced.
+/// Smallest number of ready servers without failures between which connections can be balanced.
 const MIN_READY_SERVERS: usize = 2;
 
 /// Conditions that the reducer reports at each evaluation.
@@ -47,7 +47,8 @@
 /// Conditions that put rebalancing on hold, with the times at which they began.
 #[derive(Debug)]
 pub(super) struct HoldConditions {
-    ready_servers: usize,
+    /// Number of servers that the last endpoint list shows as ready.
+    listed_ready_servers: usize,
     list_shrank_at: Option<Time>,
     list_unavailable: bool,
     reloaded_at: Option<Time>,
@@ -58,7 +59,7 @@
 impl HoldConditions {
     pub(super) fn new(now: Time) -> HoldConditions {
         HoldConditions {
-            ready_servers: 0,
+            listed_ready_servers: 0,
             list_shrank_at: None,
             list_unavailable: false,
             reloaded_at: None,
@@ -72,12 +73,12 @@
     }
 
     pub(super) fn on_endpoint_list_changed(&mut self, now: Time, ready_servers: usize) {
-        let previous_servers = self.ready_servers;
+        let previous_servers = self.listed_ready_servers;
         let min_remaining = previous_servers as f64 * MIN_REMAINING_SERVERS_SHARE;
         if (ready_servers as f64) < min_remaining || ready_servers == 0 && previous_servers > 0 {
             self.list_shrank_at = Some(now);
         }
-        self.ready_servers = ready_servers;
+        self.listed_ready_servers = ready_servers;
     }
 
     pub(super) fn on_endpoint_list_lost(&mut self) {
@@ -92,12 +93,13 @@
         self.reloaded_at = Some(now);
     }
 
-    /// Returns the first reason for a hold that applies now, in order of precedence.
+    /// Returns the first reason for a hold that applies now, in order of precedence. `healthy_servers` is the
+    /// number of servers that are listed as ready and have a failure score of 0.
     pub(super) fn hold_reason(
         &mut self,
         now: Time,
         conditions: SystemConditions,
-        ready_servers: usize,
+        healthy_servers: usize,
     ) -> Option<HoldReason> {
         self.arrival_storm.advance(now);
         let is_draining = conditions.draining_connections > 0;
@@ -110,7 +112,7 @@
             (within(self.reloaded_at, RELOAD_HOLD), HoldReason::ConfigurationReloaded),
             (within(self.list_shrank_at, LIST_SHRINK_HOLD), HoldReason::EndpointListShrank),
             (self.list_unavailable, HoldReason::EndpointListUnavailable),
-            (ready_servers < MIN_READY_SERVERS, HoldReason::TooFewServers),
+            (healthy_servers < MIN_READY_SERVERS, HoldReason::TooFewServers),
             (self.arrival_storm.is_active(now), HoldReason::ArrivalStorm),
         ];
         rules.into_iter().find(|(applies, _)| *applies).map(|(_, reason)| reason)
--- a/src/rebalance/migration_candidates.rs
+++ b/src/rebalance/migration_candidates.rs
@@ -1,13 +1,14 @@
 //! Finds the connections at a server that can be migrated.
 //!
-//! **Decided:** the units in which a server's connections can be migrated: single connections, and complete
-//! groups.
+//! **Decided:** the units in which a server's connections can be migrated: single connections, and all
+//! members of a group at this server.
 //!
 //! **Inputs:** the server's connections with their slots, classes and groups; the classes' priority weights.
 //!
-//! **Rule:** each single connection and each complete group is a candidate, except clients that have
-//! reconnected after a migration or a broken connection, groups with such a member, and the larger part of a
-//! group that is split between servers.
+//! **Rule:** each single connection is a candidate, and each group's members at this server together are one.
+//! Exceptions are clients that have reconnected after a migration or a broken connection, groups with such a
+//! member here, and groups with members elsewhere that are no more numerous than those here. Of two equal
+//! parts of a split group, neither is a candidate.
 //!
 //! **Reason:** a client must not be migrated from server to server repeatedly. The smaller part of a split
 //! group reconnects to the server of the larger part, which removes the group's overhead at this server. If
@@ -18,7 +19,7 @@
 use super::RebalanceContext;
 use crate::{ConnectionId, ServerId};
 
-/// Single connection or complete group that can be migrated.
+/// Single connection, or all members of a group at one server, that can be migrated.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct MigrationCandidate {
     /// Connections that are migrated together.
--- a/src/rebalance/migration_outcome.rs
+++ b/src/rebalance/migration_outcome.rs
@@ -2,12 +2,13 @@
 //!
 //! **Decided:** whether recent migrations had no effect, which puts rebalancing on hold.
 //!
-//! **Inputs:** the number of migrated clients; at each evaluation, the largest excess of a server over its
-//! fair share, in slots.
+//! **Inputs:** the number of migrated clients; at each evaluation, the largest excess over its fair share, in
+//! slots, of a server that clients may be migrated away from; 0 if there is no such server.
 //!
 //! **Rule:** the excess is compared with the excess before the migrations, [`COMPARISON_DELAY`] after
 //! [`COMPARED_MIGRATIONS`] clients were migrated. The migrations had no effect if more than
-//! [`MAX_REMAINING_EXCESS_SHARE`] of the earlier excess remains. Without an excess no comparison is made.
+//! [`MAX_REMAINING_EXCESS_SHARE`] of the earlier excess remains. If an excess is 0, no comparison is made,
+//! and the count of migrated clients begins again.
 
 use crate::{Micros, Time};
 
--- a/src/rebalance/migration_rate.rs
+++ b/src/rebalance/migration_rate.rs
@@ -129,7 +129,8 @@
         self.reconnections.on_reconnected();
     }
 
-    /// Records the reconnection of a client that another balancer migrated, or whose connection there broke.
+    /// Records a reported reconnection of a client that was not recognised by its key. In most cases another
+    /// balancer migrated the client, or its connection there broke.
     pub(super) fn on_reconnected_from_other(&mut self) {
         self.reconnections.on_reconnected_from_other();
     }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -9,14 +9,15 @@
 //!    condition elsewhere in the balancer (`hold_conditions.rs`), slow connection setups (`setup_times.rs`),
 //!    or earlier migrations that were unsuccessful (`migration_rate.rs`).
 //! 2. A server is certainly under pressure: its occupied slots exceed its fair share (`fair_share.rs`) by
-//!    more than random placement explains (`placement_noise.rs`). If servers report message times, the
-//!    server's messages are also slow (`pressure.rs`).
+//!    more than a number of standard deviations of random placement (`placement_noise.rs`). `pressure.rs`
+//!    sets the number. If servers report message times, the number is less than one, but the server's
+//!    messages also have to be slow.
 //! 3. Other servers have spare capacity (`spare_capacity.rs`).
 //! 4. The server was not recently filled by migrations, unless servers report message times
 //!    (`migration_history.rs`).
 //! 5. A token is available (`token_bucket.rs`), and the slots that may be migrated are not used up. These are
-//!    at most `MIGRATED_SHARE` of the excess, and at most `MIGRATED_SHARE` of the spare capacity less the
-//!    slots that migrated clients will still occupy (`disconnected_clients.rs`).
+//!    at most the excess times `MIGRATED_SHARE`, and at most the spare capacity times `MIGRATED_SHARE`, minus
+//!    the slots that migrated clients will still occupy (`disconnected_clients.rs`).
 //!
 //! **Which clients are migrated?** Clients at servers under pressure, beginning with the server with the
 //! slowest messages. Clients that are known to have reconnected are excluded, and groups are migrated
@@ -31,7 +32,7 @@
 //! **Guarantees.** The same settings, seed, events and times yield the same migrations. A client that is
 //! known to have reconnected, by its key or by its own report, is not migrated again for balance. A hot
 //! restart loses this knowledge. Memory is bounded by the open connections, the endpoint list and a fixed
-//! maximum number of disconnected clients. The module does not access clock, sockets or files: the reducer
+//! maximum number of disconnected clients. The module performs no I/O and reads no clock: the reducer
 //! (`src/routing/`) owns one [`Rebalancer`] for each pool and carries out its decisions.
 //!
 //! `docs/rebalancing.md` explains the design.
@@ -311,13 +312,14 @@
         conditions: SystemConditions,
         servers: &[ServerSnapshot],
     ) -> Option<HoldReason> {
-        let ready_servers = servers.iter().filter(|server| server.is_ready).count();
-        let condition = self.hold_conditions.hold_reason(now, conditions, ready_servers);
+        let healthy_servers = servers.iter().filter(|server| server.is_ready).count();
+        let condition = self.hold_conditions.hold_reason(now, conditions, healthy_servers);
         condition.or_else(|| self.rate.hold_reason(now))
     }
 
-    /// Records the current hold reason. Returns a change to be logged. A hold that begins before the first
-    /// migration is normal at startup and is not logged.
+    /// Records the current hold reason. Returns a change to be logged. Before the first migration, the
+    /// beginning of a hold is normal at startup and is not logged. Its end and changes of its reason are
+    /// logged.
     fn record_hold_reason(&mut self, reason: Option<HoldReason>) -> Option<HoldTransition> {
         let previous = std::mem::replace(&mut self.metrics.hold_reason, reason);
         let is_logged = self.metrics.migrated > 0 || previous.is_some();
@@ -348,7 +350,9 @@
     }
 
     /// Returns the servers that clients may be migrated away from. A recently filled server is excluded
-    /// unless its pressure is measured, because it would pass on the clients that it just received.
+    /// because it would pass on the clients that it just received. Where servers report message times, a
+    /// recently filled server is not excluded, even if its pressure is inferred for lack of a message
+    /// objective.
     fn migration_sources(&self, mut pressures: Vec<Pressure>) -> Vec<Pressure> {
         let is_measured = self.context.reports_message_time;
         pressures.retain(|pressure| {
--- a/src/rebalance/observed_connections.rs
+++ b/src/rebalance/observed_connections.rs
@@ -1,7 +1,9 @@
 //! Established connections of the pool by server and by group, with the reports of the connections and their
 //! servers.
 //!
-//! One slot is the load of a mean connection. A connection's load is in microseconds of work per second.
+//! One slot is the mean load of the connections that are established now and have reported a load. The policy
+//! counts slots by other means (`bookkeeping::connection_size`), so the two numbers of slots may differ. A
+//! connection's load is in microseconds of work per second.
 //! Memory is bounded by the number of open connections, because nothing is stored for a server without
 //! connections.
 
@@ -24,7 +26,7 @@
     pub group: Option<u64>,
     /// Last reported load, in microseconds of work per second; `None` before the first report.
     pub load: Option<f64>,
-    /// Key of the flow, by which the client is recognised when it reconnects; `None` if unknown.
+    /// Hash of the client's key, by which it is recognised when it reconnects; `None` if unknown.
     pub key: Option<u64>,
 }
 
@@ -46,9 +48,9 @@
     pub(super) connection: EstablishedConnection,
 }
 
-/// Connections of a server.
+/// Connections of a server, separated into single connections and groups.
 #[derive(Debug, Default)]
-pub(super) struct ServerConnections {
+pub(super) struct GroupedConnections {
     /// Connections without a group.
     pub(super) singles: Vec<SingleConnection>,
     /// Groups, with their connections at this server.
@@ -185,8 +187,8 @@
     }
 
     /// Returns the connections at a server, separated into single connections and groups.
-    pub(super) fn connections_at(&self, server: ServerId) -> ServerConnections {
-        let mut at_server = ServerConnections::default();
+    pub(super) fn connections_at(&self, server: ServerId) -> GroupedConnections {
+        let mut at_server = GroupedConnections::default();
         for id in self.servers.get(&server).into_iter().flat_map(|server| &server.connections) {
             let Some(connection) = self.connections.get(id).copied() else { continue };
             match connection.properties.group {
--- a/src/rebalance/placement_noise.rs
+++ b/src/rebalance/placement_noise.rs
@@ -9,13 +9,16 @@
 //! The number of slots is then a compound Poisson sum, whose variance is the sum of the squared slots of the
 //! units. A server with x connections of one slot each therefore has a standard deviation of sqrt(x).
 //!
-//! **Reason:** an excess within this deviation is no reason for a migration, because it appears and
-//! disappears by chance.
+//! **Reason:** an excess of about one deviation appears and disappears by chance, so it is no reason for a
+//! migration on its own. `pressure.rs` sets the number of deviations from which an excess is a reason. The
+//! number is below one where reported message times show that the server is slow.
 
-use super::observed_connections::{ObservedConnections, ServerConnections};
+use super::observed_connections::{GroupedConnections, ObservedConnections};
 use crate::ServerId;
 
 /// Slots that a group with several members occupies at a server, in addition to the slots of its connections.
+/// The policy's count of occupied slots does not use this constant: it adds `GROUP_SLOTS` of
+/// `bookkeeping::server_connections`, including for a group with a single member.
 pub(super) const GROUP_OVERHEAD_SLOTS: f64 = 3.0;
 
 /// Deviation of a server's occupied slots that random placement explains.
@@ -30,7 +33,7 @@
 impl PlacementNoise {
     /// Computes the noise for the connections at a server.
     pub(super) fn at(connections: &ObservedConnections, server: ServerId) -> PlacementNoise {
-        let ServerConnections { singles, groups } = connections.connections_at(server);
+        let GroupedConnections { singles, groups } = connections.connections_at(server);
         let mut variance = 0.0;
         variance += singles
             .iter()
--- a/src/rebalance/pressure.rs
+++ b/src/rebalance/pressure.rs
@@ -6,7 +6,7 @@
 //!
 //! **Inputs:** occupied and fair slots of the server; the standard deviation of random placement in slots
 //! (`placement_noise.rs`); the server's message time divided by the tightest message objective, if servers
-//! report message times; otherwise the operator's `assumed_use`.
+//! report message times; otherwise the operator's [`RebalanceConfig::assumed_utilisation`].
 //!
 //! **Rule:** a server is under pressure if its excess over the fair share is at least [`MIN_EXCESS_SLOTS`]
 //! and, if many of its connections are in groups, at least [`MIN_GROUPED_DEVIATIONS`] standard deviations.
@@ -15,8 +15,9 @@
 //!   (`slow_message_reports.rs`) and its excess is at least the number of standard deviations in
 //!   [`MEASURED_THRESHOLDS`]. A server without such reports is not slow;
 //! - without reported message times: if its excess is at least the number of standard deviations in
-//!   [`INFERRED_THRESHOLDS`]. The utilisation is then inferred: the assumed mean utilisation times the
-//!   occupied slots, less a part of the noise, divided by the fair share.
+//!   [`INFERRED_THRESHOLDS`]. The utilisation is then inferred: assumed mean utilisation * (occupied
+//!   slots - [`DEDUCTED_THRESHOLD_SHARE`] * threshold in slots) / fair share. The same applies if message
+//!   times are reported but no message objective is set.
 //!
 //! Each threshold has a lower value that applies after migrations away from the server have begun.
 //!
@@ -34,10 +35,11 @@
 
 /// Utilisation at which servers begin to report slow messages.
 const SLOW_UTILISATION: f64 = 0.85;
-/// Message time divided by a tight objective, at [`SLOW_UTILISATION`].
+/// Message time divided by the tightest message objective, at [`SLOW_UTILISATION`].
 const MESSAGE_TIME_AT_SLOW_UTILISATION: f64 = 1.0 / 3.0;
 /// Relative decrease of the message time divided by the relative decrease of the load that causes it. For a
-/// message time that grows as 1/(1 - u) it is u/(1 - u), here at u = 0.83.
+/// message time that grows as 1/(1 - u) it is u/(1 - u), which is 5 at u = 0.83, slightly below
+/// [`SLOW_UTILISATION`].
 const MESSAGE_TIME_ELASTICITY: f64 = 5.0;
 /// Highest utilisation that is inferred. It bounds the inferred message time.
 const MAX_INFERRED_UTILISATION: f64 = 0.97;
@@ -105,7 +107,9 @@
     }
 
     /// Returns the gain of the remaining connections from each slot that becomes free, in seconds of good
-    /// service per second.
+    /// service per second. It is the derivative of [`Pressure::missed_share`] with respect to the relative
+    /// decrease of the load. A slot is the load of one mean connection, so the number of connections, which
+    /// all gain, cancels against the share of the load that a slot is.
     pub(super) fn relief_per_slot(&self) -> f64 {
         MESSAGE_TIME_ELASTICITY * self.missed_share()
             / self.relative_message_time.max(MIN_RELATIVE_MESSAGE_TIME)
--- a/src/rebalance/reconnections.rs
+++ b/src/rebalance/reconnections.rs
@@ -3,15 +3,17 @@
 //! **Decided:** whether enough clients reconnect to raise the rate of migrations, and whether so few
 //! reconnect that migrations are put on hold.
 //!
-//! **Inputs:** the number c of clients with a flow key that this balancer migrated and that have reconnected
+//! **Inputs:** the number c of clients with a key that this balancer migrated and that have reconnected
 //! or timed out; the number of reconnections observed at this balancer; the number n of balancers.
 //!
-//! **Rule:** c/n of these clients are expected to reconnect here, and as many clients of the other balancers.
-//! Observed are this balancer's own clients, which are recognised by their key, and with several balancers
-//! all clients that report a migration elsewhere. Half of the expected number is sufficient. Reconnections
-//! have failed when fewer than half are observed and, with several balancers, the shortfall exceeds
-//! [`TOLERATED_DEVIATIONS`] standard deviations of a Poisson count. Counts decay exponentially over
-//! [`DECAY_SECONDS`].
+//! **Rule:** the expected number is c/n, because a migrated client reconnects to any balancer. If each other
+//! balancer migrates as many clients, as many clients of each also reconnect here. They count as observed,
+//! but are not added to the expected number. The observed number is the sum of this balancer's own clients,
+//! which are recognised by their key, and, with several balancers, all other clients that report a
+//! reconnection. Reconnections are sufficient if the observed number is at least c/n/2. They have failed if c
+//! is at least [`MIN_CONCLUDED`], the observed number is below c/n/2 and, with several balancers, it is below
+//! c/n by more than [`TOLERATED_DEVIATIONS`] standard deviations of a Poisson count. Counts decay
+//! exponentially over [`DECAY_SECONDS`].
 
 /// Smallest number of concluded migrations from which a failure is inferred.
 const MIN_CONCLUDED: f64 = 4.0;
@@ -20,15 +22,16 @@
 /// Time constant of the counts' decay.
 const DECAY_SECONDS: f64 = 60.0;
 
-/// Decaying counts of clients with a flow key.
+/// Decaying counts of migrated clients and of reconnections.
 #[derive(Debug)]
 pub(super) struct Reconnections {
     balancers: f64,
-    /// Clients that this balancer migrated and that have reconnected or timed out.
+    /// Clients with a key that this balancer migrated and that have reconnected or timed out.
     concluded: f64,
     /// Concluded clients that reconnected here.
     reconnected: f64,
-    /// Clients of other balancers that reconnected here.
+    /// Clients that reported a reconnection and were not recognised by their key. Most are clients of other
+    /// balancers; clients without a key and those whose connection here broke also count.
     from_others: f64,
 }
 
@@ -82,7 +85,7 @@
     }
 
     /// Returns the number of reconnections here: of this balancer's clients and, with several balancers, of
-    /// the clients of the other balancers.
+    /// all other clients that reported a reconnection.
     fn observed(&self) -> f64 {
         self.reconnected + if self.balancers > 1.0 { self.from_others } else { 0.0 }
     }
--- a/src/rebalance/server_snapshot.rs
+++ b/src/rebalance/server_snapshot.rs
@@ -11,8 +11,8 @@
     pub is_ready: bool,
     /// Slots that this balancer's connections occupy at the server.
     pub occupied_slots: f64,
-    /// Concurrency limit: the largest number of slots that this balancer's connections may occupy at the
-    /// server.
+    /// Concurrency limit: the number of slots up to which this balancer's connections are placed at the
+    /// server by free slots. Overflow may exceed it.
     pub ceiling: f64,
     /// Weight of the server in the endpoint list.
     pub weight: f64,
@@ -20,6 +20,7 @@
     pub warmth: f64,
     /// Time at which the server process started; `None` if the endpoint list does not contain it.
     pub started_at: Option<Time>,
-    /// Time at which the current server process last rejected, dropped or delayed a request.
+    /// Time of the last fault of the current server process, as `policy::concurrency_limit` defines it. An
+    /// observation of another balancer may set it to a time in the future.
     pub last_fault_at: Option<Time>,
 }
--- a/src/rebalance/setup_times.rs
+++ b/src/rebalance/setup_times.rs
@@ -22,8 +22,8 @@
 const MIN_SETUPS: u32 = 16;
 /// Multiple of the usual mean in the limit above which setups are slow.
 const SLOW_USUAL_MULTIPLE: f64 = 2.0;
-/// Time that is added to the multiple of the usual mean in this limit. Usual times of a millisecond vary by
-/// more than a multiple of themselves.
+/// Time that is added to the multiple of the usual mean in this limit. If the usual time is only a
+/// millisecond, a setup can exceed [`SLOW_USUAL_MULTIPLE`] times the usual mean by chance.
 const SLOW_MIN_EXTRA_MICROS: f64 = 20_000.0;
 /// Setup time above which setups are slow, as a share of the tightest objective.
 const SLOW_OBJECTIVE_SHARE: f64 = 1.0 / 2.0;
--- a/src/rebalance/slow_message_reports.rs
+++ b/src/rebalance/slow_message_reports.rs
@@ -6,7 +6,8 @@
 //! **Inputs:** message times, which the server reports about once per second while it is slow; the message
 //! objective.
 //!
-//! **Rule:** a message is slow if it takes at least a third of the objective. A server's slowness is
+//! **Rule:** a message is slow if it takes at least a third of the objective. If no objective is set,
+//! the objective is 0 and each reported message counts as slow. A server's slowness is
 //! sustained if the server sent [`MIN_REPORTS`] reports of slow messages within [`REPORT_WINDOW`], the last
 //! one within [`REPORT_TIMEOUT`]. A report of a fast message clears the earlier reports.
 
--- a/src/rebalance/spare_capacity.rs
+++ b/src/rebalance/spare_capacity.rs
@@ -15,8 +15,8 @@
 //!   time: [`WARMING_BATCH_SECONDS`] divided by the duration of a slow start;
 //! - otherwise the fair share, regardless of the ceiling.
 //!
-//! The ceiling of a ready server that has started recently and had no fault is raised to
-//! [`RAISED_CEILING_SHARE`] of its fair share.
+//! The ceiling of a ready server that has started recently, had no fault and did not report slow messages
+//! recently is raised to [`RAISED_CEILING_SHARE`] of its fair share.
 //!
 //! **Reason:** a server starts with a ceiling of a few slots, which is raised only when they are filled. As
 //! long as servers with more occupied slots also have more free slots, new connections continue to be placed
@@ -37,7 +37,8 @@
 /// Time after a fault in which a server has no spare capacity. A slow server has few connections because it
 /// cannot handle more.
 const FAULT_COOLDOWN: Micros = Micros::from_secs(5);
-/// Seconds of a slow start whose increase of capacity may be used at a time.
+/// Largest part of the capacity of a server in slow start that may be filled at one evaluation, as the
+/// seconds in which its capacity grows by that part.
 const WARMING_BATCH_SECONDS: f64 = 2.0;
 /// Ceiling to which a recently started server is raised, as a share of its fair share.
 const RAISED_CEILING_SHARE: f64 = 0.9;
--- a/src/rebalance/token_bucket.rs
+++ b/src/rebalance/token_bucket.rs
@@ -12,9 +12,9 @@
 const RATE_DECREASE_DIVISOR: f64 = 2.0;
 /// Largest rate, as a share of all established connections.
 const MAX_MIGRATED_SHARE_PER_SECOND: f64 = 0.05;
-/// Time at the current rate for which tokens are saved up, if that is more than [`MIN_SAVED_TOKENS`].
+/// Largest number of saved tokens, as seconds at the current rate, if that is more than [`MIN_SAVED_TOKENS`].
 const MAX_SAVED_SECONDS: f64 = 4.0;
-/// Smallest limit of the number of saved tokens.
+/// Lower bound of the largest number of saved tokens.
 const MIN_SAVED_TOKENS: f64 = 2.0;
 
 /// Saved tokens, and the rate at which tokens are added.
@@ -69,7 +69,7 @@
         self.tokens -= clients as f64;
     }
 
-    /// Decreases the rate by its divisor and empties the bucket.
+    /// Divides the rate by [`RATE_DECREASE_DIVISOR`], down to the smallest rate, and empties the bucket.
     pub(super) fn decrease_rate(&mut self) {
         self.rate_per_second = (self.rate_per_second / RATE_DECREASE_DIVISOR)
             .max(MIN_RATE_PER_SECOND)
--- a/src/routing/admin_call.rs
+++ b/src/routing/admin_call.rs
@@ -32,25 +32,27 @@
 /// Reason for the answer `NO`. The texts are sent to the admin client and are part of the admin protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRejection {
-    /// A graceful shutdown has begun.
+    /// A graceful shutdown has begun. "Leaving" means shutting down.
     #[error("leaving")]
     ShuttingDown,
-    /// The successor of a hot restart serves.
+    /// The successor of a hot restart serves. It is the other process in the text.
     #[error("another process serves in its place")]
     ReplacedBySuccessor,
     /// The fronts do not listen yet.
     #[error("not listening yet")]
     NotListening,
-    /// At least one pool has no endpoint list yet.
+    /// At least one pool has no endpoint list yet. The text calls the list a routing table.
     #[error("no routing table yet")]
     NoEndpointList,
-    /// Exclusions are not accepted before the fronts listen.
+    /// Exclusions are not accepted before the fronts listen. The condition is that of
+    /// [`AdminRejection::NotListening`], which answers a call for the readiness.
     #[error("not ready yet")]
     ExclusionsNotAccepted,
-    /// No endpoint list has ever contained a server of this name.
+    /// No endpoint list has ever contained a server of this name. The text calls the server a host.
     #[error("no host {0} was ever listed")]
     UnknownServer(String),
-    /// The replicated map rejected the exclusion.
+    /// The replicated map rejected the exclusion. The text names a full map for each [`WriteError`]; the map
+    /// may instead have rejected the entry as invalid, for example because the server's name is too long.
     #[error("the store is full")]
     NotStored(#[source] WriteError),
     /// The process ended before it replied.
--- a/src/routing/admitted_connections.rs
+++ b/src/routing/admitted_connections.rs
@@ -8,12 +8,12 @@
 
 use super::ConnectionRequest;
 
-/// The number of a pool's admitted connections, and the request ids in use.
+/// The number of a pool's admitted connections, and the client-chosen ids in use.
 #[derive(Default)]
 pub(super) struct AdmittedConnections {
     count: usize,
-    request_ids: BTreeSet<String>,
-    request_ids_at_predecessor: BTreeSet<String>,
+    client_ids: BTreeSet<String>,
+    client_ids_at_predecessor: BTreeSet<String>,
 }
 
 impl AdmittedConnections {
@@ -24,20 +24,20 @@
     /// Returns whether an open connection has the id of this request.
     pub(super) fn has_id_of(&self, request: &ConnectionRequest) -> bool {
         let is_open =
-            |id: &String| self.request_ids.contains(id) || self.request_ids_at_predecessor.contains(id);
+            |id: &String| self.client_ids.contains(id) || self.client_ids_at_predecessor.contains(id);
         request.id.as_ref().is_some_and(is_open)
     }
 
     /// Adds a connection that this process has admitted.
     pub(super) fn add(&mut self, request: &ConnectionRequest) {
         self.count += 1;
-        self.request_ids.extend(request.id.clone());
+        self.client_ids.extend(request.id.clone());
     }
 
     /// Adds a connection that the predecessor transferred.
     pub(super) fn add_transferred(&mut self, request: &ConnectionRequest) {
         if let Some(id) = &request.id {
-            self.request_ids_at_predecessor.remove(id);
+            self.client_ids_at_predecessor.remove(id);
         }
         self.add(request);
     }
@@ -46,22 +46,22 @@
     pub(super) fn remove(&mut self, request: &ConnectionRequest) {
         self.count -= 1;
         if let Some(id) = &request.id {
-            self.request_ids.remove(id);
+            self.client_ids.remove(id);
         }
     }
 
     /// Returns the ids of this process's own connections.
-    pub(super) fn request_ids(&self) -> Vec<String> {
-        self.request_ids.iter().cloned().collect()
+    pub(super) fn client_ids(&self) -> Vec<String> {
+        self.client_ids.iter().cloned().collect()
     }
 
     /// Adds the ids of connections that are open at the predecessor.
-    pub(super) fn import_request_ids(&mut self, ids: &[String]) {
-        self.request_ids_at_predecessor.extend(ids.iter().cloned());
+    pub(super) fn import_client_ids(&mut self, ids: &[String]) {
+        self.client_ids_at_predecessor.extend(ids.iter().cloned());
     }
 
     /// Removes the ids of the predecessor's connections, after it has ended.
     pub(super) fn release_predecessor_ids(&mut self) {
-        self.request_ids_at_predecessor.clear();
+        self.client_ids_at_predecessor.clear();
     }
 }
--- a/src/routing/answers.rs
+++ b/src/routing/answers.rs
@@ -1,8 +1,9 @@
 //! Final answers to clients, and the end of their connections.
 //!
-//! Each request gets exactly one final answer. Answers of this balancer are sent and counted in
+//! Each request gets at most one final answer from this balancer: none if the client leaves first, or if a
+//! server's verdict, its own final answer, is forwarded. Answers of this balancer are sent and counted in
 //! [`State::send_answer`] alone. The caller of that function removes the connection's record, so that no
-//! later input can cause a second answer. Successes and the servers' own verdicts are counted in
+//! later input can cause a second answer. Successes and the servers' verdicts are counted in
 //! [`super::attempts`]. A connection counts as succeeded when it is established. The end of an established
 //! connection is not counted.
 //!
@@ -101,7 +102,7 @@
         let connection = self.connections.remove(id)?;
         self.admission.add_pending(now, id);
         let pool = &mut self.pools[connection.pool.0];
-        pool.rebalance
+        pool.rebalancer
             .on_event(now, RebalanceEvent::ConnectionEnded { connection: id, ended_by_client: false });
         if connection.phase != Phase::AwaitingRequest {
             pool.admitted.remove(&connection.request);
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -13,8 +13,8 @@
 //! Reports that carry the number of an earlier attempt are ignored.
 //!
 //! A connection in [`Phase::Restoring`] belongs to one server, where it was established before this process
-//! started. Without the balancer, it is retried there every [`RESTORE_RETRY_INTERVAL`], until its deadline or
-//! the largest number of attempts for a request is reached.
+//! started. It is retried there every [`RESTORE_RETRY_INTERVAL`], without a decision of the balancer, until
+//! its deadline or the largest number of attempts for a request is reached.
 //!
 //! The attempts themselves are in the connection table; this module owns no state.
 
--- a/src/routing/client.rs
+++ b/src/routing/client.rs
@@ -2,8 +2,8 @@
 //!
 //! A connection is in [`Phase::AwaitingRequest`] until its request has arrived, for at most the pool's
 //! request timeout. It is closed earlier when its descriptor is needed for other connections
-//! ([`super::pending_connections`]), or at the latest exit of a shutdown. When the request arrives, it passes
-//! these checks in order. The first one that fails ends the connection:
+//! ([`super::pending_connections`]), or when the process exits ([`super::shutdown`]). When the request
+//! arrives, it passes these checks in order. The first one that fails ends the connection:
 //!
 //! 1. Graceful shutdown: the request is rejected with a Retry-After, unless a successor of a hot restart
 //!    serves.
@@ -27,8 +27,8 @@
 use crate::rebalance::RebalanceEvent;
 use crate::{ClassId, Event, GroupId, Micros, Outcome, TenantId, Time};
 
-/// The Retry-After of rejections during a graceful shutdown. After this time, new clients are directed to
-/// other balancers.
+/// The Retry-After of rejections during a graceful shutdown. A client that retries after this time is
+/// directed to another balancer.
 pub(super) const SHUTDOWN_RETRY_AFTER: Micros = Micros::from_millis(400);
 /// Time for which attempts are made to restore a connection that was established before this process started.
 const RESTORE_TIMEOUT: Micros = Micros::from_secs(30);
@@ -150,7 +150,7 @@
         let pool = &mut self.pools[pool_id.0];
         pool.admitted.add(request);
         let ConnectionRequest { key, reconnecting, .. } = *request;
-        pool.rebalance.on_event(
+        pool.rebalancer.on_event(
             now,
             RebalanceEvent::ConnectionRequested { connection: id, key, reports_reconnection: reconnecting },
         );
--- a/src/routing/connection_table.rs
+++ b/src/routing/connection_table.rs
@@ -7,9 +7,9 @@
 //! - the earliest timer is found without a search over all connections;
 //! - the connections at a server that drains or is removed are found without a search.
 //!
-//! Handlers read records, and change them only through methods of the table, each of which is named for an
-//! event. All iteration is in the order of connection numbers, or of servers and then connection numbers, so
-//! that the same inputs give the same effects in the same order.
+//! Handlers read records, and change them only through methods of the table. All iteration is in
+//! the order of connection numbers, or of servers and then connection numbers, so that the same inputs give
+//! the same effects in the same order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/routing/dispatch.rs
+++ b/src/routing/dispatch.rs
@@ -1,8 +1,9 @@
 //! The interface to the balancers: passes them events, and executes the actions that they return.
 //!
 //! A balancer (`src/policy/`) decides and has no side effects. This module translates its actions into
-//! effects and calls of other handlers, in the order in which they were returned. An action may cause further
-//! events and thereby further actions, which are appended to the queue.
+//! effects and calls of other handlers, in the order in which they were returned. Cancelling an attempt is an
+//! event for the balancer, whose further actions are appended to the queue. A migration also causes an event;
+//! the further actions are then executed at once, before those that are already queued.
 //!
 //! Where the balancer rejects or fails a request, this module counts the reason in the metrics and logs it.
 //! No other module does either.
--- a/src/routing/effect.rs
+++ b/src/routing/effect.rs
@@ -23,7 +23,7 @@
         /// Time within which the server has to accept. The request also carries it.
         acceptance_timeout: Micros,
     },
-    /// Close the attempt in flight.
+    /// Close the connection's attempt, whether it is in flight or accepted.
     CloseAttempt {
         /// The connection to which the attempt belongs.
         connection: ConnectionId,
--- a/src/routing/endpoint_updates.rs
+++ b/src/routing/endpoint_updates.rs
@@ -139,7 +139,7 @@
         let pool = &mut self.pools[pool_id.0];
         let entries = pool.endpoints.replace(endpoints.into_values(), &pool.config.zones);
         let ready_servers = entries.iter().filter(|entry| entry.state == EndpointState::Serving).count();
-        pool.rebalance.on_event(now, RebalanceEvent::EndpointListChanged { ready_servers });
+        pool.rebalancer.on_event(now, RebalanceEvent::EndpointListChanged { ready_servers });
         self.dispatch(now, pool_id, Event::EndpointListReplaced(&entries));
     }
 
--- a/src/routing/endpoint_watch.rs
+++ b/src/routing/endpoint_watch.rs
@@ -1,6 +1,8 @@
 //! The watch on a pool's endpoint list: confirmations, failures, and the effect of the list's expiry on
 //! attempts in flight.
 //!
+//! A watch is a sequence of polls of discovery. `src/policy/` names a poll a call.
+//!
 //! Each answer of discovery renews the lease on the list. The balancer decides when the lease expires and
 //! when discovery is polled again (`src/policy/`). This module reports the events of the watch to the
 //! balancer:
--- a/src/routing/established.rs
+++ b/src/routing/established.rs
@@ -1,9 +1,9 @@
 //! Established connections: silence of their servers, load reports, and migration.
 //!
-//! - **Silence.** A server may fail without closing its connections, and its clients would then wait for
-//!   ever. The server has to send something within the pool's `server_silence_timeout` after the first line
-//!   that it has not answered. Otherwise the connection is migrated and a fault of the server is reported to
-//!   the balancer. The timer is not set anew for each line; if it fires too early, it is set again.
+//! - **Silence.** A server may fail without closing its connections, and its clients would then wait forever.
+//!   The server has to send something within the pool's `server_silence_timeout` after the first line that it
+//!   has not answered. Otherwise the connection is migrated and a fault of the server is reported to the
+//!   balancer. A further line does not reset the timer. If the timer fires too early, it is set again.
 //! - **Load reports.** A reported value is the connection's load or the server's message time
 //!   ([`super::load_reports`]). It is recorded and passed to the rebalancer and the balancer. A message time
 //!   is also sent to the other balancers by gossip.
@@ -62,7 +62,7 @@
         pool.load_reports.add_message_time(now, server, message_time_ms);
         let message_time = Micros::from_f64(message_time_ms.max(0.0) * MICROS_PER_MILLISECOND);
         let event = RebalanceEvent::MessageTimeReported { server, message_time };
-        pool.rebalance.on_event(now, event);
+        pool.rebalancer.on_event(now, event);
         self.broadcast_observation(now, pool_id, Observation::SlowServer(server, message_time));
         Measurement::MessageTime(message_time)
     }
@@ -70,7 +70,7 @@
     fn record_load(&mut self, now: Time, pool_id: PoolId, id: ConnectionId, load: f64) -> Measurement {
         let pool = &mut self.pools[pool_id.0];
         pool.load_reports.add_load(load);
-        pool.rebalance.on_event(now, RebalanceEvent::LoadReported { connection: id, load });
+        pool.rebalancer.on_event(now, RebalanceEvent::LoadReported { connection: id, load });
         self.connections.record_load(id, load);
         Measurement::Load(load)
     }
--- a/src/routing/front_admission.rs
+++ b/src/routing/front_admission.rs
@@ -1,4 +1,4 @@
-//! Admission at the sockets: how many connections without an attempt may be open, and when the fronts accept.
+//! Limit of pending connections: how many may be open, and when the fronts accept.
 //!
 //! This module owns the limits of all fronts ([`ResourceLimits`]) and the set of pending connections. A
 //! connection is pending if it has sent no request yet, or if it is answered and its sockets are not closed
--- a/src/routing/hot_restart.rs
+++ b/src/routing/hot_restart.rs
@@ -15,7 +15,7 @@
 //!    answered within half a second. The reply guarantees only that the exclusion is in effect at the process
 //!    that sends it.
 //! 5. When the link to the peer process ends, a predecessor accepts connections again. A successor may then
-//!    use all descriptors, and request ids that were in use at the predecessor.
+//!    use all descriptors, and client-chosen ids that were in use at the predecessor.
 //!
 //! While the predecessor runs, its sockets use descriptors of a limit that both processes share. The
 //! successor therefore accepts fewer pending connections.
--- a/src/routing/hot_restart_state.rs
+++ b/src/routing/hot_restart_state.rs
@@ -65,8 +65,9 @@
         self.peer_process == Some(PeerProcess::Successor)
     }
 
-    /// Returns whether a successor accepts new connections, or is starting to serve.
-    pub(super) fn successor_accepts(&self) -> bool {
+    /// Returns whether there is a successor, which serves or is starting. In both cases this process accepts
+    /// no connections.
+    pub(super) fn has_successor(&self) -> bool {
         matches!(self.peer_process, Some(PeerProcess::StartingSuccessor | PeerProcess::Successor))
     }
 
--- a/src/routing/input.rs
+++ b/src/routing/input.rs
@@ -28,8 +28,8 @@
         /// The request, parsed by the front's protocol.
         request: ConnectionRequest,
     },
-    /// The request timeout has passed, and the bytes that the client sent until now, all of which have been
-    /// read, contain no request: see [`super::Effect::CheckRequestArrival`].
+    /// The request timeout has passed. The driver has read everything that the client sent, and the bytes
+    /// contain no request: see [`super::Effect::CheckRequestArrival`].
     RequestTimedOut {
         /// The connection that was checked.
         connection: ConnectionId,
@@ -186,7 +186,7 @@
         /// True if the server was excluded, false if it was readmitted.
         excluded: bool,
     },
-    /// The peer process has applied an exclusion that was shared with it.
+    /// The peer process has received an exclusion that was shared with it. It may have failed to apply it.
     ExclusionAcknowledged {
         /// The admin call whose reply waits for the acknowledgement.
         admin_call: AdminCallId,
--- a/src/routing/load_reports.rs
+++ b/src/routing/load_reports.rs
@@ -1,10 +1,12 @@
-//! Load reports of servers: a connection's load, or the time that a message takes at the server.
+//! Load reports of servers: a connection's load, or the time that a message takes at the server. They differ
+//! from [`crate::LoadReport`], the utilisation of a server in the answer to a probe.
 //!
 //! Both may arrive in the same form, as one number. They are therefore distinguished by their values. If a
 //! message time were taken for a load, the slowest server would look idle and receive more connections.
 //!
-//! The module owns, for each pool, the mean of all loads (in the settings' unit) and the last message time of
-//! each server (in milliseconds). Rule, where servers report message times: a value is a message time if
+//! The module owns, for each pool, the mean of all loads (in microseconds of work per second) and the last
+//! message time of each server (in milliseconds). Rule, where servers report message times: a value is a
+//! message time if
 //!
 //! - servers do not report loads; or
 //! - the value is below [`MIN_LOAD_SHARE`] of the mean load, since the load of no connection is that small;
--- a/src/routing/log_event.rs
+++ b/src/routing/log_event.rs
@@ -31,7 +31,8 @@
         /// Name of the server.
         server: String,
     },
-    /// A message for replicas arrived from an address that is not configured as another replica's.
+    /// A message for replicas arrived from an address that is not configured as another replica's. The line
+    /// calls such a replica a configured peer.
     MessageFromUnknownReplica {
         /// Address of the sender.
         from: SocketAddr,
@@ -41,7 +42,9 @@
         /// Address of the sender.
         from: SocketAddr,
     },
-    /// A key of the replicated map has a new value.
+    /// A key of the replicated map has a new value. The line calls the map the store. A key `life/NAME`
+    /// excludes the server NAME, `host/NAME` adds a server to the endpoint list, and `limit/connections` is
+    /// the limit of connections.
     EntryStored {
         /// The key that was written.
         key: String,
@@ -61,7 +64,9 @@
     SuccessorReady,
     /// The successor of a hot restart ended, or the link to it broke.
     SuccessorLost,
-    /// A graceful shutdown has begun.
+    /// A graceful shutdown has begun. The line says "draining"; it concerns this process and not a draining
+    /// server. Its number includes connections that are not established, which are migrated only if they
+    /// are established during the shutdown.
     ShutdownStarted {
         /// Number of connections that are open at the start of the shutdown.
         connections: usize,
@@ -73,7 +78,8 @@
         /// The balancer's reason for the refusal.
         reason: RefusalReason,
     },
-    /// A pool's endpoint list has expired. Requests are rejected from now on.
+    /// The first request was refused because a pool's endpoint list has expired. The line is written then,
+    /// not when the list expires. The requests are rejected, or failed where a retry may not be harmless.
     EndpointListExpired {
         /// Name of the pool's front.
         pool: &'static str,
@@ -83,14 +89,15 @@
         /// Name of the pool's front.
         pool: &'static str,
     },
-    /// Migration for balance is paused at a pool.
+    /// Migration for balance is on hold at a pool. The line says "paused".
     RebalancingPaused {
         /// Name of the pool's front.
         pool: &'static str,
-        /// The reason for the pause.
+        /// The reason for the hold.
         reason: HoldReason,
     },
-    /// Migration for balance is resumed at a pool.
+    /// A hold of migration for balance has ended at a pool. The line is also written for a hold that began
+    /// before the first migration, although its beginning is not logged.
     RebalancingResumed {
         /// Name of the pool's front.
         pool: &'static str,
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -12,9 +12,10 @@
 pub struct ClassCounters {
     /// Connections that were established.
     pub succeeded: u64,
-    /// Connections that were rejected by the balancer, or answered by the server with its own verdict.
+    /// Named `declined` on the wire. Connections that were rejected by the balancer, or refused by the
+    /// server's own final answer ([`super::AttemptOutcome::VerdictForwarded`]).
     pub rejected: u64,
-    /// Connections that the balancer failed.
+    /// Named `aborted` on the wire. Connections that the balancer failed.
     pub failed: u64,
 }
 
@@ -29,7 +30,7 @@
     pub outstanding: u64,
     /// Gauge of listed servers.
     pub discovered: u64,
-    /// Gauge of listed servers that are excluded or ejected.
+    /// Gauge of listed servers that are excluded, ejected, or full after a recent fault.
     pub ejected: u64,
     /// Counters of requests that the balancer rejected or failed, by reason.
     pub refusals: BTreeMap<RefusalReason, u64>,
--- a/src/routing/migration.rs
+++ b/src/routing/migration.rs
@@ -31,7 +31,7 @@
 impl State {
     pub(super) fn notify_rebalancer(&mut self, now: Time, pool: PoolId, event: RebalanceEvent) {
         if let Some(pool) = self.pools.get_mut(pool.0) {
-            pool.rebalance.on_event(now, event);
+            pool.rebalancer.on_event(now, event);
         }
     }
 
@@ -79,7 +79,7 @@
     /// off.
     pub fn rebalance_metrics(&self, pool: PoolId) -> Option<RebalanceMetrics> {
         let pool = self.pools.get(pool.0).filter(|pool| pool.config.rebalance.enabled)?;
-        Some(pool.rebalance.metrics())
+        Some(pool.rebalancer.metrics())
     }
 }
 
@@ -91,7 +91,7 @@
         let conditions = self.system_conditions(pool_id);
         let pool = &mut self.pools[pool_id.0];
         let servers = pool.server_snapshots(now);
-        let decision = pool.rebalance.evaluate(now, conditions, &servers);
+        let decision = pool.rebalancer.evaluate(now, conditions, &servers);
         self.apply_decision(now, pool_id, decision);
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -9,7 +9,7 @@
 //!
 //! | concern | modules |
 //! | --- | --- |
-//! | capacity at the sockets, requests, answers | `pending_connections`, `client`, `answers` |
+//! | pending connections, accept gate, requests, answers | `pending_connections`, `client`, `answers` |
 //! | attempts and established connections | `attempts`, `established`, `connection_table` |
 //! | the balancer's events and actions | `dispatch` |
 //! | migration for balance | `migration` |
@@ -19,7 +19,7 @@
 //! | hot restart, shutdown, configuration | `hot_restart`, `shutdown`, `configuration` |
 //! | gossip, health checks, load reports | `gossip`, `probes`, `load_reports` |
 //!
-//! `state` composes the parts, each of which keeps its own state and imports no handler:
+//! `state` composes the parts, each of which keeps its own state and calls no handler:
 //!
 //! | part | modules |
 //! | --- | --- |
@@ -31,6 +31,17 @@
 //! Each pool of servers has a balancer (`src/policy/`), which chooses the server for each request. A
 //! [`ConnectionId`] and the balancer's [`RequestId`](crate::RequestId) of the same connection have the same
 //! number.
+//!
+//! These terms have one meaning each in this module:
+//!
+//! - A *front* is the listener with its protocol at which the clients of one pool connect. Each pool has one
+//!   front and has its name.
+//! - A *pool* is a set of servers with one endpoint list.
+//! - The *tier* is this balancer and the other balancers that share its servers. Balancers of the tier
+//!   exchange observations by gossip (`src/peers/`).
+//! - A *replica* is a node that keeps a copy of the replicated map. The addresses of the other replicas are
+//!   configured, and a log line calls such a replica a configured peer.
+//! - The *peer process* of a hot restart is the predecessor or the successor of this process.
 #![deny(missing_docs)]
 
 mod admin;
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -7,7 +7,7 @@
 /// The end of an attempt, as observed at its server or in the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The connection was served and closed in order.
+    /// The connection was served and closed cleanly.
     Served,
     /// The server redirected the client.
     RedirectedByServer,
@@ -22,7 +22,8 @@
     Reset,
     /// This machine had no socket left for the attempt. This does not count against the server.
     OutOfSockets,
-    /// The server's own final answer was forwarded to the client. The balancer sends no other answer.
+    /// The server's verdict was forwarded to the client: its own final answer, by which it refuses the
+    /// client. The balancer sends no other answer.
     VerdictForwarded,
 }
 
--- a/src/routing/pending_connections.rs
+++ b/src/routing/pending_connections.rs
@@ -1,5 +1,5 @@
-//! Pending connections, which have no attempt: aborts the oldest ones to make room for new clients, and opens
-//! and closes the accept gate.
+//! Pending connections: aborts the oldest ones to make room for new clients, and opens and closes the accept
+//! gate.
 //!
 //! The rule and the state are in [`super::front_admission`].
 
@@ -9,7 +9,7 @@
 
 impl State {
     /// Aborts the oldest pending connections until one more client can be accepted, and opens or closes the
-    /// accept gate. The gate is not opened while a successor accepts.
+    /// accept gate. The gate is not opened while there is a successor, including one that is starting.
     pub(super) fn evict_pending_connections(&mut self, now: Time) {
         let predecessor_descriptors =
             self.hot_restart.predecessor_descriptors(self.admission.resource_limits());
@@ -21,7 +21,7 @@
             }
         };
         if closed_until.is_some() == self.admission.is_gate_open() {
-            let open = closed_until.is_none() && !self.hot_restart.successor_accepts();
+            let open = closed_until.is_none() && !self.hot_restart.has_successor();
             self.effects.push(Effect::SetAccepting { open });
         }
         self.admission.set_gate_closed_until(closed_until);
--- a/src/routing/pool.rs
+++ b/src/routing/pool.rs
@@ -5,12 +5,12 @@
 //! | part | decides or records |
 //! | --- | --- |
 //! | `balancer` | server, retry and rejection for each request; occupancy and learned state of servers |
-//! | `rebalance` | which established connections migrate for balance |
+//! | `rebalancer` | which established connections migrate for balance |
 //! | `gossip` | which observations are sent to the other balancers |
 //! | `probes` | health checks in flight, and processes that refuse them |
 //! | `listed`, `endpoints` | the endpoint list as received, and the list in effect |
 //! | `exclusions` | excluded and readmitted servers |
-//! | `admitted` | number and request ids of admitted connections |
+//! | `admitted` | number and client-chosen ids of admitted connections |
 //! | `load_reports` | whether a reported value is a load or a message time |
 //!
 //! The pool itself owns its metrics and its balancer's timer.
@@ -32,7 +32,7 @@
 pub(super) struct Pool {
     pub(super) config: PoolConfig,
     pub(super) balancer: Balancer,
-    pub(super) rebalance: Rebalancer,
+    pub(super) rebalancer: Rebalancer,
     /// Gossip with the other balancers of the tier.
     pub(super) gossip: Gossip,
     pub(super) probes: ProbeRecords,
@@ -40,7 +40,7 @@
     pub(super) endpoints: EndpointList,
     /// The endpoint list as received from discovery or read from the operator's file.
     pub(super) listed: ListedEndpoints,
-    /// Whether the endpoint list's expiry was logged and the list was not received again since.
+    /// Whether the endpoint list's expiry has been logged and no list has been received since.
     is_expiry_logged: bool,
     pub(super) exclusions: PoolExclusions,
     pub(super) admitted: AdmittedConnections,
@@ -60,7 +60,7 @@
         Pool {
             balancer: Balancer::new(config.settings.clone(), config.seed, now),
             gossip: Gossip::new(config.gossip_config(), config.seed),
-            rebalance: Rebalancer::new(config.rebalance, config.rebalance_context(), config.seed, now),
+            rebalancer: Rebalancer::new(config.rebalance, config.rebalance_context(), config.seed, now),
             probes: ProbeRecords::default(),
             endpoints: EndpointList::default(),
             listed: ListedEndpoints::default(),
@@ -81,7 +81,8 @@
         !std::mem::replace(&mut self.is_expiry_logged, true)
     }
 
-    /// Records that an endpoint list was received. Returns whether the expiry of the list before was logged.
+    /// Records that an endpoint list was received. Returns whether the expiry of the previous list was
+    /// logged.
     pub(super) fn record_received_list(&mut self, now: Time) -> bool {
         self.listed.record_received(now);
         std::mem::take(&mut self.is_expiry_logged)
@@ -91,7 +92,7 @@
     pub(super) fn configure(&mut self, now: Time, config: PoolConfig) {
         self.balancer.configure(config.settings.clone());
         self.gossip.configure(config.gossip_config());
-        self.rebalance.configure(now, config.rebalance, config.rebalance_context());
+        self.rebalancer.configure(now, config.rebalance, config.rebalance_context());
         self.class_counters.resize(config.classes.len(), ClassCounters::default());
         self.config = config;
     }
@@ -149,7 +150,7 @@
         let received_at = self.listed.received_at().filter(|_| self.config.discovery.is_some());
         metrics.endpoint_list_age = metrics.endpoint_list_age.max(received_at.map(|at| now.since(at)));
         if self.config.rebalance.enabled {
-            metrics.rebalance.insert(self.config.name.to_owned(), self.rebalance.metrics());
+            metrics.rebalance.insert(self.config.name.to_owned(), self.rebalancer.metrics());
         }
     }
 
@@ -173,14 +174,14 @@
         PoolHandoverState {
             endpoints: self.listed.by_name().values().map(export).collect(),
             readmitted: self.exclusions.readmitted(),
-            request_ids: self.admitted.request_ids(),
+            request_ids: self.admitted.client_ids(),
         }
     }
 
-    /// Imports the predecessor's endpoint list, readmissions and request ids.
+    /// Imports the predecessor's endpoint list, readmissions and client-chosen ids.
     pub(super) fn import_state(&mut self, state: &PoolHandoverState) {
         self.exclusions.import_readmitted(&state.readmitted);
-        self.admitted.import_request_ids(&state.request_ids);
+        self.admitted.import_client_ids(&state.request_ids);
         // Without discovery, the list is read from this process's own configuration.
         if self.config.discovery.is_some() && !state.endpoints.is_empty() {
             self.listed.import(state.endpoints.iter().map(|exported| &exported.endpoint));
--- a/src/routing/pool_config.rs
+++ b/src/routing/pool_config.rs
@@ -20,8 +20,7 @@
 /// Limits of all fronts together, derived from the limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Limit of pending connections, which have no attempt: those without a request, and answered ones whose
-    /// sockets are still open.
+    /// Limit of pending connections: those without a request, and answered ones whose sockets are still open.
     pub max_pending_connections: usize,
     /// Limit of connections whose request was admitted, including established ones.
     pub max_admitted_connections: usize,
--- a/src/routing/probe_records.rs
+++ b/src/routing/probe_records.rs
@@ -8,8 +8,9 @@
 use super::endpoints::EndpointList;
 use crate::{ServerId, Time};
 
-/// The largest number of connections for probes in one pool, including idle ones without a probe in flight.
-/// Descriptors are reserved for them.
+/// The largest number of probes in flight in one pool. The driver keeps a connection open after its probe
+/// only while fewer probe connections than this number are in use or idle. Descriptors are reserved for this
+/// number of connections.
 pub const MAX_PROBES: usize = 16;
 
 /// One incarnation of a server: its process, which a restart replaces by another.
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -3,9 +3,9 @@
 //!
 //! The window of time within which the process exits is in [`super::shutdown_state`]. Rule:
 //!
-//! - The latest exit follows the request for the shutdown after the longest time that a client waits for its
-//!   answer, limited to [`MAX_ANSWER_WAIT`], plus [`SHUTDOWN_MARGIN`]. Until then, requests in flight can
-//!   still be answered.
+//! - Latest exit = time of the request for the shutdown + min(longest time that a client waits for its
+//!   answer, [`MAX_ANSWER_WAIT`]) + [`SHUTDOWN_MARGIN`]. Until then, requests in flight can still be
+//!   answered.
 //! - The earliest exit is [`MIN_SHUTDOWN_DURATION`] after the request for the shutdown, or the latest exit if
 //!   that is earlier. From then on, the process exits as soon as no connection is open. It does not exit
 //!   earlier, because new clients arrive until they learn of the shutdown, and they need an answer. While a
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -45,10 +45,12 @@
 /// Reason why a key was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WriteError {
-    /// The key or value is too long, the key is empty, this node has no name, or the counters are used up.
+    /// The entry is outside the limits: the key or value is too long, the key is empty, or this node's name
+    /// is empty or too long. The counters may also be used up. In this case all lengths in the text are
+    /// within the limits.
     #[error(
         "entry with a key of {key_length}, a value of {value_length} and a node name of {node_length} bytes \
-        exceeds the limits of the replicated map: key of 1 to {MAX_KEY_LENGTH}, value of up to \
+        is outside the limits of the replicated map: key of 1 to {MAX_KEY_LENGTH}, value of up to \
         {MAX_VALUE_LENGTH} and node name of 1 to {MAX_NODE_LENGTH} bytes"
     )]
     InvalidEntry {
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -12,7 +12,7 @@
     /// set.
     pub fn next_deadline(&self) -> Option<Time> {
         let balancers = self.pools.iter().filter_map(|pool| pool.balancer_timer());
-        let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalance.next_evaluation());
+        let rebalancing = self.pools.iter().filter_map(|pool| pool.rebalancer.next_evaluation());
         balancers
             .chain(rebalancing)
             .chain(self.connections.next_timer())
@@ -44,7 +44,7 @@
             if self.pools[pool.0].clear_expired_balancer_timer(now) {
                 self.dispatch(now, pool, Event::TimerFired);
             }
-            if self.pools[pool.0].rebalance.next_evaluation().is_some_and(|at| at <= now) {
+            if self.pools[pool.0].rebalancer.next_evaluation().is_some_and(|at| at <= now) {
                 self.rebalance(now, pool);
             }
         }
