--- a/src/bookkeeping/connection_size.rs
+++ b/src/bookkeeping/connection_size.rs
@@ -1,4 +1,7 @@
 //! Sizes of connections in slots. One slot is the load of a mean connection.
+//!
+//! The mean is over all loads measured so far or, for a new connection that announces its load, over all
+//! announced loads. `src/rebalance/` uses another mean: that of the connections established now.
 
 use super::RunningMean;
 use crate::types::ClassId;
@@ -56,7 +59,7 @@
 
     /// Adds a measured load and returns the slots of its connection. Returns `None` for an invalid load.
     pub fn record(&mut self, class: ClassId, load: f64) -> Option<f64> {
-        // One invalid value would falsify the means permanently.
+        // One invalid value would corrupt the means permanently.
         if !(load.is_finite() && load >= 0.0) {
             return None;
         }
--- a/src/bookkeeping/random.rs
+++ b/src/bookkeeping/random.rs
@@ -24,7 +24,8 @@
     jittered(rng, initial.saturating_mul(1 << doublings).min(max))
 }
 
-/// Returns an exponentially distributed number of mean 1 that is the same for equal keys at every balancer.
+/// Returns an exponentially distributed number of mean 1 that is the same for equal keys at every balancer
+/// whose build has the same versions of the hash and the generator.
 pub fn exponential_for(key: impl Hash) -> f64 {
     // The hash alone is not uniform for consecutive ids.
     let uniform: f64 = Pcg64Mcg::seed_from_u64(FxBuildHasher.hash_one(key)).random();
--- a/src/bookkeeping/server_connections.rs
+++ b/src/bookkeeping/server_connections.rs
@@ -6,7 +6,8 @@
 
 use crate::types::{GroupId, RequestId};
 
-/// Slots that a group occupies at a server in addition to its connections, as long as any of them is there.
+/// Slots that a group occupies at a server in addition to its connections, from the first connection on.
+/// `src/rebalance/` has an estimate of its own for this cost.
 const GROUP_SLOTS: f64 = 2.0;
 
 /// Established connections at a server, and attempts to connect to it.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,20 +12,23 @@
 //! # Requirements on the host
 //!
 //! * The host reports events in the order in which they happen, with a clock that never runs backwards. The
-//!   first event is the endpoint list, as far as it is known.
+//!   first event is the endpoint list, if one is known at startup: an established connection at a server that
+//!   is not listed is ignored.
 //! * Each request has a [`RequestId`] that was never used before.
-//! * The host reports exactly one [`Event::AttemptEnded`] for each [`Action::StartAttempt`], at the latest
-//!   when the attempt's time-out or the client's deadline has passed. If the connection was established, the
-//!   host reports one [`Event::ConnectionEstablished`] before it.
+//! * The host reports exactly one [`Event::AttemptEnded`] for each [`Action::StartAttempt`]. If no connection
+//!   was established, it does so at the latest when the attempt's timeout or the client's deadline has
+//!   passed. Otherwise it first reports one [`Event::ConnectionEstablished`], and [`Event::AttemptEnded`]
+//!   when the connection ends.
 //! * The host reports [`Event::TimerFired`] when a time set by [`Action::SetTimer`] has passed. Several
 //!   timers may run at the same time. A timer that is no longer needed has no effect.
 //! * The host answers [`Action::WatchEndpoints`] with a complete list, a change of the list, or
-//!   [`Event::EndpointWatchFailed`]. A host that reports [`Event::EndpointListConfirmed`] at all reports it
-//!   with each answer: without it the list expires.
+//!   [`Event::EndpointWatchFailed`]. Reporting [`Event::EndpointListConfirmed`] is optional. A host that has
+//!   reported it once reports it with each answer; otherwise the list expires. [`Event::EndpointWatchSilent`]
+//!   reports that an answer is late, and does not end the call.
 //!
 //! A violation of these requirements does not cause a panic: events of unknown or finished requests are
-//! ignored. A missing [`Event::AttemptEnded`] leaves slots occupied. A missing [`Event::TimerFired`] leaves a
-//! request unanswered.
+//! ignored. A missing [`Event::AttemptEnded`] leaves slots occupied. A missing [`Event::TimerFired`] delays
+//! answers and calls of discovery until the next event.
 //!
 //! # A minimal host
 //!
@@ -87,7 +90,8 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-// The daemon's layers. The decision module depends on none of them; see `docs/design.md`.
+// The decisions are in `policy`, which uses `bookkeeping`. The other modules are the daemon's layers. The
+// decisions depend on none of them; see `docs/design.md`.
 pub mod bookkeeping;
 pub mod peers;
 pub mod policy;
--- a/src/peers/config.rs
+++ b/src/peers/config.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// Settings of gossip between the balancers of a pool.
+/// Settings of gossip between the balancers of a tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GossipConfig {
     /// Whether the balancers of the tier gossip.
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -10,7 +10,8 @@
     SlowServer(ServerId, Micros),
     /// This server dropped an established connection.
     Dropped(ServerId),
-    /// Connection setups are slow or fail at all servers.
+    /// A connection setup was slow, or failures at two servers were correlated. Either is taken as a sign of
+    /// a cause that all servers share.
     SlowSetups,
 }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -8,7 +8,8 @@
 //! - messages at a server are slow;
 //! - a server dropped an established connection. This tells balancers whose servers do not report message
 //!   times that the server is overloaded;
-//! - connection setups are slow at all servers. This happens when a component that all servers share is slow.
+//! - a connection setup was slow, or failures at two servers were correlated. This is taken as a sign that a
+//!   component that all servers share is slow.
 //!
 //! Messages may be lost or delayed, and no decision waits for one. Without messages each balancer learns from
 //! its own connections.
@@ -16,15 +17,16 @@
 //! Rule: this balancer broadcasts its own observation if
 //!
 //! 1. gossip is enabled and there is another balancer;
-//! 2. the other balancers would react to it: a message time has to reach `SLOW_MESSAGE_RATIO` of the message
-//!    objective. Without an objective, message times are never sent;
+//! 2. it is relevant to the other balancers: a message time has to reach `MIN_BROADCAST_RATIO` of the message
+//!    objective. Receivers would react to lower times, too (`policy::concurrency_limit`). Without an
+//!    objective, message times are never sent;
 //! 3. no earlier observation of the same subject, made here or received, is still valid
 //!    (`recent_observations`). Slow messages and a drop at one server are the same subject;
 //! 4. the credit suffices (`credit`).
 //!
 //! Each message also contains a sample of groups (`group_sample`). The reaction to another balancer's
-//! observation is decided in `src/policy/`. The module is pure: the caller passes in the time, and random
-//! draws are seeded.
+//! observation is decided in `src/policy/`. The module performs no I/O and is deterministic: the caller
+//! passes in the time, and random draws are seeded.
 #![deny(missing_docs)]
 
 mod config;
@@ -47,7 +49,7 @@
 
 /// Smallest message time that is broadcast, as a share of the message objective. Many messages of a server
 /// with this mean time miss the objective.
-const SLOW_MESSAGE_RATIO: f64 = 0.5;
+const MIN_BROADCAST_RATIO: f64 = 0.5;
 /// Mask that is combined with the seed, so that random draws differ from those of the policy, which uses the
 /// same seed.
 const SEED_MASK: u64 = u64::from_be_bytes(*b"the tier");
@@ -113,12 +115,12 @@
         self.config.enabled
     }
 
-    /// Returns whether other balancers would react to an observation.
+    /// Returns whether an observation is relevant to other balancers.
     fn is_relevant(&self, observation: Observation) -> bool {
         let objective = self.config.message_objective;
         match observation {
             Observation::SlowServer(_, message_time) => {
-                objective > Micros::ZERO && message_time.as_f64() >= SLOW_MESSAGE_RATIO * objective.as_f64()
+                objective > Micros::ZERO && message_time.as_f64() >= MIN_BROADCAST_RATIO * objective.as_f64()
             }
             Observation::Dropped(_) | Observation::SlowSetups => true,
         }
--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -19,9 +19,10 @@
 //!   attempt if that is less.
 //! - The rate is cut at most once in two setup objectives, because requests that were admitted before the cut
 //!   are still being set up.
-//! - After the last such observation, whether or not it cut the rate, the rate is constant for two
-//!   objectives. It then rises linearly, from 0 to 1 in the duration of a slow start. After a failed setup it
-//!   does not rise for a quarter of that duration, or until a setup succeeds.
+//! - After the last slow setup or correlated failure, here or at a peer, the rate is constant for two
+//!   objectives, whether or not that observation cut it. It then rises linearly, from 0 to 1 in the duration
+//!   of a slow start. After any failed setup, correlated or not, it does not rise until a quarter of that
+//!   duration has passed or a setup has succeeded, whichever is first.
 //!
 //! **Why.** The session store behind all servers processes setups in a queue. Once setups wait in the queue
 //! for longer than clients do, every setup completes too late and the queue does not become shorter. A single
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,8 +1,9 @@
-//! The concurrency limit of a server: how many slots this balancer may occupy there.
+//! The concurrency limit of a server: up to how many slots this balancer fills it.
 //!
 //! **What is decided.** The ceiling of each server, in slots (one slot is the load of a mean connection). The
 //! ceiling limits only the slots that this balancer occupies there. Selection draws servers by their free
-//! slots: the ceiling times the server's warmth, less the occupied slots.
+//! slots: the ceiling times the server's warmth, less the occupied slots. If no server has free slots, a
+//! connection may exceed a ceiling (overflow).
 //!
 //! **Inputs.** The outcome of attempts; the ratio of a message time to the tightest message objective of all
 //! classes; load reports (utilisation, 1 is full); peers' observations of slow messages and drops.
@@ -11,14 +12,15 @@
 //!
 //! - *Start*: a few slots in proportion to the server's weight. A ceiling of 0 is set to this initial value
 //!   whenever an endpoint list, or a change of it, is applied.
-//! - *Increase*: by one slot when the connection that occupied the last free slot is established.
+//! - *Increase*: by one slot when a connection is established that occupied the last free slot or exceeded
+//!   the ceiling.
 //! - *Decrease*: when the server rejects an attempt or drops a connection, to 0.8 of the occupied slots, or
 //!   of the ceiling if that is lower. When an attempt has no answer, to the occupied slots, unless the
 //!   ceiling is lower. There is no minimum: a server that dropped its last connection must not have a free
 //!   slot at once.
 //! - *Message time*: a ratio below a third sets the ceiling to the occupied slots; a ratio of a third or more
-//!   sets it to the occupied slots over (1 + ratio). Even a message in time therefore removes the free slots,
-//!   and the server grows only by overflow.
+//!   sets it to the occupied slots over (1 + ratio). Even a message in time therefore removes the free slots.
+//!   The ceiling then rises again by connections that exceed it.
 //! - *Load report*: a utilisation of 0.85 or more reduces the ceiling to 0.85 of the occupied slots (of the
 //!   ceiling if that is lower), or further if the utilisation is above 1. A lower utilisation, at a server
 //!   without a recent fault, sets the ceiling to the occupied slots that the report certainly includes, plus
@@ -26,9 +28,12 @@
 //!   have at least four slots of this balancer.
 //! - *Peer*: slow messages at a peer lower the ceiling like slow messages here; a drop at a peer removes half
 //!   of the free slots.
-//! - *Recovery*, checked before each selection: a ceiling below the occupied slots (or below 1) rises by one
-//!   slot once in each fault window. After four fault windows without a fault or such a step, and with no
-//!   attempt in flight, it rises to the occupied slots.
+//! - *Recovery*, checked before each selection: after four fault windows without a fault or a step, and with
+//!   no attempt in flight, the ceiling rises to the occupied slots. Otherwise a ceiling below the occupied
+//!   slots (or below 1), at a server that has had a fault, rises by one slot once in each fault window. At a
+//!   server without occupied slots, a ceiling below 1 no longer rises after the four windows.
+//! - *Restored connections* raise the ceiling to the occupied slots. A hot restart sets the ceiling that the
+//!   predecessor had learned.
 //! - *Rebalancing* may raise the ceiling, or lower it to the occupied slots (`src/rebalance/`).
 //!
 //! **Faults.** A rejection, a drop, an attempt without an answer, slow messages, a load report of 0.85 or
@@ -57,15 +62,15 @@
 const TIMEOUT_FACTOR: f64 = 1.0;
 /// Factor that a drop observed by a peer applies to the free slots.
 const PEER_DROP_FREE_SLOTS_FACTOR: f64 = 0.5;
-/// Ratio of message time to objective from which messages count as slow. The server is filling up at this
-/// point: value is lost to slow messages long before a server rejects or drops.
+/// Ratio of message time to objective from which messages count as slow. The server is close to its limit
+/// then: messages miss their objective long before a server rejects or drops.
 const SLOW_MESSAGE_RATIO: f64 = 1.0 / 3.0;
 /// Reported utilisation up to which a ceiling lets a server fill. Messages become slow before utilisation
 /// reaches 1.
 const TARGET_UTILISATION: f64 = 0.85;
 /// Least number of slots that this balancer is assumed to have at a full server when a load report sets a
-/// ceiling. Among many balancers the part of each is close to 0, while a server without a report has a few
-/// initial slots.
+/// ceiling. With many balancers the part of each is close to 0. Without this minimum, a server with a report
+/// would have fewer slots than a server without one, which has a few initial slots.
 const MIN_SLOTS_AT_CAPACITY: f64 = 4.0;
 /// Number of fault windows after a fault in which a server is assumed to be at its limit.
 const AT_LIMIT_FAULT_WINDOWS: u64 = 4;
@@ -79,7 +84,7 @@
     pub utilisation: f64,
     /// Slots occupied by this balancer that the report certainly includes.
     pub occupied_in_report: f64,
-    /// This balancer's part of a full server, in slots: one for each connection.
+    /// Connections of this balancer at a full server. Each counts as one slot.
     pub slots_at_capacity: f64,
 }
 
@@ -156,7 +161,8 @@
         self.ceiling = slots.clamp(MIN_INITIAL_SLOTS, MAX_INITIAL_SLOTS);
     }
 
-    /// Raises the ceiling by one slot when the connection that occupied the last free slot is established.
+    /// Raises the ceiling by one slot when a connection is established that occupied the last free slot or
+    /// exceeded the ceiling.
     pub fn on_last_slot_established(&mut self) {
         self.ceiling += 1.0;
     }
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -12,15 +12,16 @@
 //! **Rule.** A confirmation starts a lease of 6 s. A watch that becomes silent does not renew the lease,
 //! which then counts from the earlier of the watch's call and the last confirmation. The list does not expire
 //!
-//! - before the first answer of discovery;
-//! - after a failed call on a watch that was not silent. A watch ends in this way when discovery goes down,
-//!   too, and is reopened after a backoff;
+//! - before the first answer of discovery, unless a watch becomes silent;
+//! - after a failed call on a watch that was not silent. A watch also fails in this way when discovery goes
+//!   down; it is then reopened after a backoff;
 //! - while the silence of a watch has an explanation: calls are refused or not connected, or, where lists are
 //!   pushed to an agent, the agent does not answer.
 //!
 //! **Why.** A silent watch cannot be told from a watch without changes. Each change that discovery lists
-//! counts as notified 6 s later, whether or not it has arrived. From then on each server of the old list may
-//! be draining. While discovery is down it lists no changes, so no newer list exists than the old one.
+//! counts as notified 6 s later, whether or not it has arrived here. From then on each server of the old list
+//! may be draining, and attempts at a draining server must end within the drain grace. While discovery is
+//! down it lists no changes, so no newer list exists than the old one.
 
 use crate::types::{Micros, Time, WatchFailure};
 
@@ -30,10 +31,10 @@
 /// State of the lease: whether the endpoint list may lack changes that count as notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointLease {
-    /// The list does not expire: discovery has not answered yet, or the watch has ended, as it does when
-    /// discovery goes down.
+    /// The list does not expire: discovery has not answered yet, or a call failed while the watch was not
+    /// silent, which also happens when discovery goes down.
     #[default]
-    Unwatched,
+    Inactive,
     /// Discovery has answered, and later changes arrive on a watch.
     Confirmed {
         /// Time of the answer.
@@ -62,7 +63,7 @@
             EndpointLease::Confirmed { at: earlier } | EndpointLease::Silent { since: earlier, .. } => {
                 called_at.min(earlier)
             }
-            EndpointLease::Unwatched => called_at,
+            EndpointLease::Inactive => called_at,
         };
         *self = EndpointLease::Silent { since, discovery_is_up: !is_pushed };
     }
@@ -71,7 +72,7 @@
     /// running. Any other watch has ended.
     pub fn on_watch_failed(&mut self, failure: WatchFailure, is_pushed: bool) {
         let EndpointLease::Silent { discovery_is_up, .. } = self else {
-            *self = EndpointLease::Unwatched;
+            *self = EndpointLease::Inactive;
             return;
         };
         *discovery_is_up = match failure {
@@ -88,7 +89,7 @@
             | EndpointLease::Silent { since, discovery_is_up: true } => {
                 Some(since.plus(NOTIFICATION_TIMEOUT))
             }
-            EndpointLease::Unwatched | EndpointLease::Silent { discovery_is_up: false, .. } => None,
+            EndpointLease::Inactive | EndpointLease::Silent { discovery_is_up: false, .. } => None,
         }
     }
 
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The servers of the endpoint list: added, changed and removed servers.
 //!
 //! A server that has restarted is a new process. It has no connection of the previous process, and the
-//! learned state of that process is discarded. A server that is gone is removed once it has no connection or
-//! attempt left.
+//! learned state of that process is discarded. A server that is gone and has no connection or attempt left is
+//! removed when the next list, or change of it, is applied.
 
 use std::collections::BTreeMap;
 
--- a/src/policy/endpoint_watch.rs
+++ b/src/policy/endpoint_watch.rs
@@ -3,9 +3,11 @@
 //! **What is decided.** The wait before the next call, in microseconds. The timeout of a call, and the time
 //! after which a watch counts as silent, are decided in `src/types/watch_timing.rs`.
 //!
-//! **Inputs.** Failed calls; the poll interval and the number of balancers from the settings.
+//! **Inputs.** Failed calls; from the settings: whether lists need a call, whether they are pushed to an
+//! agent, the poll interval, the number of balancers and the drain grace.
 //!
-//! **Rule.** The wait is an exponential backoff with jitter. It is reset when a list or a change of it is
+//! **Rule.** The first call is made at creation. Where lists arrive without a call, there is none. The wait
+//! after a failed call is an exponential backoff with jitter. It is reset when a list or a change of it is
 //! applied; an answer without a change does not reset it. The first wait is the time in which discovery
 //! serves a call of every balancer, and the longest wait is twice that time; both are bounded. Where lists
 //! are pushed to an agent, the waits are fractions of the drain grace.
@@ -30,8 +32,9 @@
 const LONGEST_WAIT_FACTOR: u64 = 2;
 /// Lower bound of the longest wait.
 const LONGEST_WAIT_LOWER_BOUND: Micros = Micros::from_secs(1);
-/// Upper bound of the longest wait. A change that discovery lists counts as notified 6 s after discovery can
-/// be reached again. Jitter lengthens a wait by up to a half, and an answer may take 2 s.
+/// Upper bound of the longest wait. After discovery has run again, a change that it lists counts as notified
+/// 6 s later ([`NOTIFICATION_TIMEOUT`](super::endpoint_lease::NOTIFICATION_TIMEOUT)). Jitter lengthens a wait
+/// by up to a half, and an answer may take 2 s.
 const LONGEST_WAIT_UPPER_BOUND: Micros = Micros::from_millis(2500);
 /// Divisor of the drain grace that gives the first wait where endpoints are pushed to an agent.
 const PUSHED_INITIAL_WAIT_DIVISOR: u64 = 8;
--- a/src/policy/fault_window.rs
+++ b/src/policy/fault_window.rs
@@ -3,20 +3,21 @@
 //! **What is decided.** For how long after a fault the ceiling of a server must not be exceeded, and how fast
 //! the ceiling recovers. Faults are defined in `concurrency_limit`.
 //!
-//! **Inputs.** The longest wait of a rejected client (a setting, in microseconds), and the slots that this
-//! balancer occupies at all serving servers.
+//! **Inputs.** The longest Retry-After of a rejected client (a setting, in microseconds), and the slots that
+//! this balancer occupies at all serving servers.
 //!
-//! **Rule.** The window is the longest wait of a rejected client, times the number of servers per occupied
-//! slot, which is bounded between one and four. Each selection adapts the window, and the adapted length
-//! applies from then on.
+//! **Rule.** The window is the longest Retry-After, times the number of servers per occupied slot, which is
+//! bounded between one and four. Each selection adapts the window after it has collected its candidates. The
+//! adapted length applies from the last resort of that selection on.
 //!
-//! **Why.** Clients that were rejected because of a fault reconnect within their longest wait. A balancer
-//! that occupies less than one slot per server is one of many balancers and seldom learns of a server's
-//! fault. With a short window, all these balancers would try the faulty server again at the same time.
+//! **Why.** Clients that were rejected because of a fault reconnect within the longest Retry-After. A
+//! balancer that occupies less than one slot per server is one of many balancers and seldom learns of a
+//! server's fault. With a short window, all these balancers would try the faulty server again at the same
+//! time.
 
 use crate::types::Micros;
 
-/// Highest ratio of the window to the longest wait of rejected clients.
+/// Highest ratio of the window to the longest Retry-After.
 const MAX_FACTOR: f64 = 4.0;
 
 /// Slots that this balancer occupies at all serving servers.
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Raises a server's ceiling to `slots` for rebalancing, if it is lower.
+    /// Raises a server's ceiling to `slots` for rebalancing, if it is lower. The server's current slow-start
+    /// wait is not shortened afterwards.
     pub fn raise_ceiling(&mut self, server: ServerId, slots: f64) {
         if let Some(server) = self.servers.get_mut(server) {
             server.limit.raise_to(slots);
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Lowers a server's ceiling to the occupied slots for rebalancing.
+    /// Lowers a server's ceiling to the occupied slots for rebalancing. The server's current slow-start wait
+    /// is not shortened afterwards.
     pub fn lower_ceiling_to_occupancy(&mut self, server: ServerId) {
         if let Some(server) = self.servers.get_mut(server) {
             server.limit.lower_to(server.connections.occupied_slots());
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -2,20 +2,24 @@
 //!
 //! **What is decided.** How many clients of a server are asked to reconnect, and which.
 //!
-//! **Inputs.** An observation that a server is overloaded: a message time of half its objective or more (the
-//! ratio of the two), or a load report of a full server. The slots that are occupied at the server, the spare
-//! capacity of other servers, and the priority weight of each connection's class.
+//! **Inputs.** An observation that a server is overloaded: a message time of half the tightest message
+//! objective of all classes or more (the ratio of the two), or a load report of a full server. The slots that
+//! are occupied at the server, the spare capacity of other servers, and the priority weight of each
+//! connection's class.
 //!
-//! **Rule.** At most once in half a second (`last_migration`):
+//! **Rule.** In the half second after a migration, no further connection migrates (`last_migration`).
+//! Otherwise each observation draws anew:
 //!
 //! - One connection migrates. With fewer than eight occupied slots, it migrates with a probability of the
-//!   occupied slots over eight.
+//!   occupied slots over eight for each observation.
 //! - If messages take twice their objective or more, a tenth of the connections migrates for each multiple of
 //!   the objective, up to half of them, and at least one connection if eight slots are occupied.
-//! - Except for this one connection, no more connections migrate than there is spare capacity. The spare
-//!   capacity is the sum of free slots and overflow at servers without failures and without a recent fault,
-//!   divided by the number of serving servers that have failures or a recent fault, including the overloaded
-//!   server. It is divided because every balancer may migrate connections away from each of these servers.
+//! - No more connections migrate than there is spare capacity, except for the one connection at eight
+//!   occupied slots and twice the objective. The spare capacity is the sum of free slots and overflow at
+//!   servers that have no failures and no recent fault and are not held back by slow start (a ceiling counts
+//!   times the warmth), divided by the number of serving servers that have failures or a recent fault,
+//!   including the overloaded server. It is divided because every balancer may migrate connections away from
+//!   each of these servers.
 //! - Connections whose end frees the most slots for each unit of priority weight migrate first. The weight
 //!   counts as 1 if no load has been measured. The last connection of a group also frees the slots of the
 //!   group.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,22 +2,23 @@
 //!
 //! The algorithm is that of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière, 2004). Each server
 //! has a ceiling of y slots, and the connections of this balancer occupy x slots there. A new connection is
-//! assigned to a ready server drawn at random, in proportion to its free slots max(0, y - x). If no ready
-//! server has free slots, the connection exceeds the ceiling of a server without recent faults. If there is
-//! no such server either, the request is rejected at once. The ceilings are learned.
+//! assigned to a server drawn at random among the candidates (`selection`), in proportion to its free slots
+//! max(0, y - x). If no candidate has free slots, the connection exceeds the ceiling of a candidate without
+//! recent faults. If there is no such candidate either, an ejected server may be tried as a last resort.
+//! Otherwise the request is answered at once without a server. The ceilings are learned.
 //!
-//! Each rule is a type with private state in a module of its own. The head of the module says what is
-//! decided, from which inputs, by what rule, and why. [`Balancer`] owns these types, and its handlers list
-//! the steps that follow from each event.
+//! Each rule is in a module of its own, and its state is private to the rule's type. The head of the module
+//! says what is decided, from which inputs, by what rule, and why. [`Balancer`] owns the state of all rules,
+//! and its handlers list the steps that follow from each event.
 //!
 //! | module | what it decides |
 //! | --- | --- |
 //! | [`admission_rate`] | which share of new requests is admitted while setups are slow at all servers |
-//! | [`concurrency_limit`] | how many slots may be occupied at a server |
+//! | [`concurrency_limit`] | up to how many slots a server is filled |
 //! | [`fault_window`] | how long a fault of a server counts as recent |
 //! | [`outlier_detection`] | which servers are ejected, and until when |
 //! | [`slow_start`] | when a server that is warming up may receive its next attempt |
-//! | [`selection`] | which of the ready servers receives a connection |
+//! | [`selection`] | which of the candidate servers receives a connection |
 //! | [`retry_policy`] | where a request may be retried, and how its client is answered |
 //! | [`endpoint_lease`] | for how long the endpoint list may be used |
 //! | [`endpoint_watch`] | when discovery is called again |
@@ -25,19 +26,20 @@
 //! | [`probes`] | when servers are probed for their load |
 //!
 //! The outcome of an attempt counts in up to three rules. A *failure* of the server counts in outlier
-//! detection. A *fault* of the server counts in the concurrency limit. Both count only if the server itself
-//! caused them. A *slow* setup, or a failed setup that is *correlated* with the failure of another server,
-//! counts in the admission rate.
+//! detection, which ejects the server. A *fault* of the server counts in the concurrency limit, which lowers
+//! the server's ceiling. Both count by the outcome alone, including when the failure is correlated with the
+//! failure of another server. A *slow* setup, or a *failed* setup that is *correlated* with the failure of
+//! another server, cuts the admission rate. A failed setup that is not correlated only pauses its rise.
 //!
-//! | outcome of an attempt | failure | fault | setup |
+//! | [`Outcome`](crate::Outcome) of an attempt | failure | fault | setup |
 //! | --- | --- | --- | --- |
-//! | rejected | yes | yes | |
-//! | error | yes | | failed |
-//! | no answer in time | yes | yes | failed |
-//! | no connection could be opened | yes | | |
-//! | connection broke before it was established | yes | | |
-//! | connection dropped after it was established | yes | yes | |
-//! | cancelled before its request was answered | yes | | |
+//! | `Rejected`: rejected | yes | yes | |
+//! | `Error`: error | yes | | failed |
+//! | `TimedOut`: no answer in time | yes | yes | failed |
+//! | `ConnectFailed`: the request was not written in full | yes | | |
+//! | `Reset`: connection broke before it was established | yes | | |
+//! | `Reset`: connection dropped after it was established | yes | yes | |
+//! | `Cancelled`: cancelled before its request was answered | yes | | |
 //!
 //! The other modules keep state for these rules: [`endpoint_list`] the servers, [`request`] the requests, and
 //! [`server`] the parts of one server, including [`last_migration`] and [`load_reports`]. `requests.rs`,
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -1,16 +1,19 @@
-//! Probes: how many are sent, and which size of servers their load reports show.
+//! Probes: when servers are probed, and how many connections a full server has by the load reports.
 //!
 //! **What is decided.** When a server is probed for its load, and how many connections of this balancer a
 //! full server has.
 //!
 //! **Inputs.** Established connections; the cost of one probe for each request, as a fraction of the value of
 //! all requests; load reports: the utilisation (1 is full) and, if reported, the connections of all
-//! balancers.
+//! balancers; the number of balancers; whether the endpoint list has expired.
 //!
 //! **Rule.** Each established connection earns credit for (0.004 / that cost) probes, at most four; a
-//! rejected connection earns none. Each whole credit is spent on a probe of the serving server that was
-//! probed least recently. The size of a server is the number of connections established at all servers that
-//! have reported, over the sum of their utilisation times their warmth.
+//! rejected connection earns none. At most one probe for each server is saved up. While the settings do not
+//! allow probes with load reports, or the endpoint list is expired, no credit is earned. Each whole credit is
+//! spent on a probe of the serving server that was probed least recently. The number of connections at a full
+//! server is the number of connections at the serving servers that have reported, over the sum of their
+//! utilisation times their warmth. It is divided by the number of balancers if reports count the connections
+//! of all balancers. There is no estimate if the sum is below 0.1.
 //!
 //! A report is some time old when it arrives. It certainly includes only the slots that were occupied here
 //! when the previous report arrived. A report that equals the previous one may be the same report, and is
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -2,8 +2,9 @@
 //!
 //! This module lists the steps in the order in which they happen. The rule that each step applies is in a
 //! module of its own. A request is refused for the first reason that applies, in this order: admission rate,
-//! deadline, number of attempts, expired endpoint list, no server. After a failed attempt, a correlated
-//! failure is checked before these.
+//! deadline, number of attempts, expired endpoint list, no server. The admission rate is checked on arrival
+//! only. After a failed attempt, a correlated failure is checked before the others. A refused request is
+//! answered by `Action::Reject` or, if a retry may not be harmless, by `Action::Fail`.
 
 use super::outlier_detection::{is_server_failure, EjectionTimes};
 use super::request::{Attempt, Request};
@@ -12,7 +13,7 @@
 use crate::types::{Action, GroupId, Micros, Outcome, RefusalReason, RequestId, ServerId, Time};
 
 impl Balancer {
-    /// Admits or sheds a request that arrived. An id that is already known is ignored.
+    /// Admits or refuses a request that arrived. An id that is already known is ignored.
     pub(super) fn on_request_arrived(&mut self, id: RequestId, request: Request) {
         if self.requests.contains(id) {
             return;
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -24,7 +24,7 @@
 //!   recognises, even after the key's window. It is also a rejection if no attempt may have run and none is
 //!   in flight. Otherwise it is a failure.
 //! - If the settings allow it, a rejection advises a wait before the retry: a third to all of the longest
-//!   wait.
+//!   Retry-After.
 //!
 //! **Why.** A rejection promises the client that a retry is harmless. The promise has to be true for every
 //! possible result of the attempts.
@@ -44,9 +44,9 @@
     client_deadline.minus(client_deadline.since(now) / ANSWER_TIME_DIVISOR)
 }
 
-/// Draws the wait that a rejected client is advised to make before a retry: two thirds of the longest wait
-/// that clients honour, jittered to between a third and all of it. A common wait would make all rejected
-/// clients reconnect at the same time. Returns zero if the settings do not allow the advice.
+/// Draws the wait that a rejected client is advised to make before a retry: two thirds of the longest
+/// Retry-After that clients honour, jittered to between a third and all of it. A common wait would make all
+/// rejected clients reconnect at the same time. Returns zero if the settings do not allow the advice.
 pub fn draw_retry_after(settings: &Settings, rng: &mut impl Rng) -> Micros {
     let longest = if settings.retry_after_supported { settings.max_retry_after } else { Micros::ZERO };
     jittered(rng, longest * 2 / 3)
@@ -98,8 +98,8 @@
         self.last_server != Some(server.server) && self.may_run_at(server, idempotency, now)
     }
 
-    /// Returns whether the request may run at a server after its earlier attempts: none of these may have
-    /// run, or a second run has no second effect there.
+    /// Returns whether the request may run at a server after its earlier attempts: it is certain that none of
+    /// these has run, or a second run has no second effect there.
     pub fn may_run_at(&self, server: &EndpointEntry, idempotency: Idempotency, now: Time) -> bool {
         let Some(PossibleRun { endpoint: first, .. }) = self.first_possible_run else { return true };
         let Idempotency::IdempotencyKey { scope, .. } = idempotency else {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -5,8 +5,8 @@
 //!
 //! **Inputs.** The candidates, which `placement.rs` collects: servers that are listed as serving, are not
 //! ejected (`outlier_detection`), are not held back by `slow_start`, and where the `retry_policy` allows the
-//! request to run. Each candidate has its free slots, its overflow weight, its zone, and whether connections
-//! of the request's group are established there. Selection changes no state.
+//! request to run. Each candidate has its free slots, its overflow weight, its zone, and whether the server
+//! has connections or attempts of the request's group. Selection changes no state.
 //!
 //! **Rule.** A server is drawn at random, in proportion to its free slots. These are its ceiling times its
 //! warmth, less the occupied slots. They count as 0 if they are fewer than the connection needs and also
@@ -15,11 +15,12 @@
 //! within the fault window and the connection fits into its overflow (`concurrency_limit`), and 0 otherwise.
 //! Two preferences narrow the draw:
 //!
-//! - *Group.* A connection of a group is placed on a candidate that already has connections of the group. If
-//!   there is none, it is placed on one of as many servers as the group fills: its share of the connections
-//!   that have a group, times the number of serving servers. These servers are chosen by a draw that depends
-//!   only on the group and the server, weighted by the free slots, so that balancers with similar free slots
-//!   choose the same servers. The first connection of a group needs two more slots.
+//! - *Group.* A connection of a group is placed on a candidate that already has connections or attempts of
+//!   the group. If there is none, it is placed on one of n servers. This n is the group's share of the
+//!   connections that have a group, times the number of serving servers, rounded up. The n servers are chosen
+//!   by a draw that is seeded by the group and the server and weighted by the free slots (in the overflow
+//!   draw, by the overflow weight), so that balancers with similar free slots choose the same servers. The
+//!   first connection of a group needs two more slots.
 //! - *Zone.* If crossing zones has a cost, a server of the local zone is preferred while its occupied slots
 //!   are at most a little above the mean of all servers. The overflow draw has no such preference.
 //!
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -19,7 +19,7 @@
     pub incarnation: u64,
     /// Connections and attempts of this balancer at the server.
     pub connections: ServerConnections,
-    /// Number of slots that may be occupied at the server.
+    /// Ceiling of the slots that this balancer occupies at the server, and the last fault.
     pub limit: ConcurrencyLimit,
     /// Failure score and ejection.
     pub outlier: OutlierDetector,
@@ -48,7 +48,7 @@
         self.entry.state == EndpointState::Gone && self.connections.is_empty()
     }
 
-    /// Returns the learned state, for a successor of this process.
+    /// Returns the learned state, for the balancer process that succeeds this one.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             ceiling: self.limit.ceiling(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Restores the state that a predecessor of this process learned of the server.
+    /// Restores the state that the preceding balancer process learned of the server.
     pub fn import_learned_state(&mut self, learned: &LearnedState) {
         self.limit = ConcurrencyLimit::from_learned(learned);
         self.outlier = OutlierDetector::from_learned(learned);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,9 +4,9 @@
 //! with which share its ceiling counts until it is warm.
 //!
 //! **Inputs.** The server's start, from the endpoint list; the settings of slow start (the initial share of
-//! the capacity; the duration; the overload factor and the window, as a server fails if it receives more than
-//! this multiple of its capacity within the window); the number of balancers; this balancer's peak occupancy;
-//! the number of connections at a full server according to load reports.
+//! the capacity; the duration; the overload factor and the window, see
+//! [`Settings::slow_start_overload_factor`]); the number of balancers; this balancer's peak occupancy; the
+//! number of connections at a full server according to load reports.
 //!
 //! **Warmth.** The share of its capacity, from 0 to 1, that a server has at least. It rises linearly from the
 //! initial share at the server's start to 1 after the duration of a slow start. Free slots are computed from
@@ -22,19 +22,21 @@
 //! - the connections at a full server according to load reports, plus a margin for connections that all
 //!   balancers may send above it in a window.
 //!
-//! The first wait is a random part of a whole one, because balancers that learn of a server at the same time
-//! must not send their first attempts at the same time. When the interval becomes shorter because more is
-//! known, a wait that has begun becomes shorter in proportion. All waits end when the server is warm.
+//! The first wait is a random fraction of a full wait, because balancers that learn of a server at the same
+//! time must not send their first attempts at the same time. When the interval becomes shorter because more
+//! is known, a wait that has begun becomes shorter in proportion. All waits end when the server is warm.
 //!
 //! If the interval is longer than a whole slow start, this balancer's part of the server is less than one
 //! connection. Selection then ignores the wait (migration and the last resort still obey it), and admits the
-//! server with a probability in proportion to the time since the last selection. All balancers together then
-//! send the intended sum on average.
+//! server with a probability: the time since the last selection, at most one window, times the number of
+//! serving servers times the warmth, over the interval. All balancers together then send attempts at the
+//! paced rate on average.
 //!
 //! **Why.** A cold server has all its slots free and would attract every connection. It fails when it
 //! receives more connections within the window than the expected number plus three standard deviations plus
-//! three connections. The margin uses half of these deviations. The size is based on peak occupancy, not on
-//! current occupancy: otherwise, the fewer servers were left, the more slowly new servers would be filled.
+//! three connections. The margin is half of the deviations plus the three connections, less one attempt for
+//! each balancer. The size is based on peak occupancy, not on current occupancy: otherwise, the fewer servers
+//! were left, the more slowly new servers would be filled.
 
 use rand::Rng;
 
@@ -175,7 +177,7 @@
         now >= self.next_attempt_at
     }
 
-    /// Draws the first wait of a server that has just been listed: a random part of a whole one.
+    /// Draws the wait of a server that gets its initial ceiling: a random fraction of a full wait.
     pub fn begin(&mut self, settings: &Settings, now: Time, interval: PacingInterval, rng: &mut impl Rng) {
         let wait = interval.0 * rng.random::<f64>();
         self.set_wait(settings, now, wait, interval);
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -8,8 +8,8 @@
     /// Connection setups are slow at all servers, so that only a share of the requests is admitted
     /// (`policy::admission_rate`).
     AdmissionRate,
-    /// No server is eligible: none is ready (`policy::selection`), or an earlier attempt may have run and no
-    /// server would recognise the retry as a repeat (`policy::retry_policy`).
+    /// No server is eligible: selection found none (`policy::selection`), or an earlier attempt may have run
+    /// and no server would recognise the retry as a repeat (`policy::retry_policy`).
     NoServer,
     /// The endpoint list is so old that some of its servers may be draining, and discovery does not report
     /// which (`policy::endpoint_lease`).
@@ -19,7 +19,7 @@
     /// The deadline of the request has passed (`policy::retry_policy`).
     DeadlineExceeded,
     /// An attempt failed shortly after an attempt at another server, which indicates a cause that all servers
-    /// share (`policy::admission_rate`).
+    /// share (`policy::admission_rate`). Named `shared_fault` in metrics and in the log.
     CorrelatedFailure,
 }
 
@@ -63,7 +63,8 @@
         /// recognise the repeat of an attempt that may have run, or the endpoint list would have expired.
         forwarding_timeout: Option<Micros>,
     },
-    /// Answer a request finally: it was rejected without running, and the client may retry it safely.
+    /// Answer a request finally: it is rejected, and the client may retry it safely. The request has not run,
+    /// or a second run has no second effect.
     Reject {
         /// Request to answer.
         request: RequestId,
@@ -96,8 +97,8 @@
         /// Server to probe.
         server: ServerId,
     },
-    /// Notify the other balancers, if possible, that connection setups are slow for a cause that all servers
-    /// share.
+    /// Notify the other balancers, if possible, that a connection setup was slow or a failed setup was
+    /// correlated. Either is taken as a sign of a cause that all servers share.
     ReportSlowSetup,
     /// Notify the other balancers, if possible, that a server dropped an established connection.
     ReportDrop {
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -56,7 +56,7 @@
 pub struct LearnedState {
     /// Learned concurrency limit, in slots.
     pub ceiling: f64,
-    /// Time at which the server last rejected a request, dropped a connection or was slow.
+    /// Time of the last fault, as defined in `policy::concurrency_limit`; may be in the future.
     pub last_fault: Option<Time>,
     /// Failure score (`policy::outlier_detection`). While it is above 0, the server gets single trials.
     pub failure_score: u32,
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -8,19 +8,22 @@
 /// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was served. For an established connection: it ended normally.
+    /// The server answered the request: it established the connection, or sent its own final answer. For an
+    /// established connection: it ended normally.
     Ok,
     /// The server answered with an error. The request may have run.
     Error,
     /// The server rejected the request without running it.
     Rejected,
-    /// The server did not answer within the time-out. The request may have run.
+    /// The server did not answer within the timeout. The request may have run.
     TimedOut,
-    /// No connection to the server could be opened.
+    /// The request was not written in full: no connection to the server could be opened in time, or the
+    /// connection broke before.
     ConnectFailed,
     /// The connection broke: the server dropped it, or the server was lost. The request may have run.
     Reset,
-    /// The attempt was cancelled. For an established connection: the client left. The request may have run.
+    /// The attempt was cancelled. For an established connection: it ended without a fault of the server, for
+    /// example because the client left or was asked to reconnect. The request may have run.
     Cancelled,
     /// The request was never sent.
     NotSent,
@@ -40,8 +43,8 @@
     Unreachable,
     /// Discovery accepted the call and did not answer in time.
     Unanswered,
-    /// Discovery runs, or nothing indicates that it does not: the answer was an error or cannot be read, or
-    /// the connection broke.
+    /// Any other failure: the answer was an error or cannot be read, or the connection broke. Discovery is
+    /// assumed to run.
     Rejected,
 }
 
@@ -62,13 +65,15 @@
     /// A call for the endpoint list failed, or the connection of a watch broke. The previous list is
     /// kept.
     EndpointWatchFailed(WatchFailure),
-    /// A client requests a connection. The balancer gives the request exactly one final answer.
+    /// A client requests a connection. The balancer answers the request at most once, by
+    /// [`Action::Reject`](crate::Action::Reject) or [`Action::Fail`](crate::Action::Fail): not at all if a
+    /// server answers it, or if the client leaves first.
     RequestArrived {
         /// Number of the new request.
         request: RequestId,
         /// Class of the request.
         class: ClassId,
-        /// Tenant of the request, if any.
+        /// Tenant of the request, if any. No decision uses it yet.
         tenant: Option<TenantId>,
         /// Group of the connection, if any.
         group: Option<GroupId>,
@@ -83,7 +88,7 @@
         request: RequestId,
         /// Class of the request.
         class: ClassId,
-        /// Tenant of the request, if any.
+        /// Tenant of the request, if any. No decision uses it yet.
         tenant: Option<TenantId>,
         /// Group of the connection, if any.
         group: Option<GroupId>,
@@ -129,7 +134,8 @@
         /// Time that a message takes at the server; `None` if the server dropped a connection.
         message_time: Option<Micros>,
     },
-    /// Another balancer observed slow connection setups for a cause that all servers share.
+    /// Another balancer observed a slow connection setup or a correlated failure, which is taken as a sign of
+    /// a cause that all servers share.
     PeerObservedSlowSetups,
     /// Another balancer sent the groups of some of its established connections, drawn at random.
     PeerGroupSample(&'a [Option<GroupHash>]),
--- a/src/types/load.rs
+++ b/src/types/load.rs
@@ -11,7 +11,7 @@
     MessageTime(Micros),
 }
 
-/// Load report of a server.
+/// Load report of a server, from the answer to a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Load divided by capacity. 1 means full, more than 1 overloaded.
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -43,7 +43,7 @@
     pub idempotency: Idempotency,
 }
 
-/// Quotas of a tenant.
+/// Quotas of a tenant. No decision uses them yet.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
     /// Quota of requests per second, over all balancers; 0 if unknown.
@@ -52,10 +52,11 @@
     pub quota_connections: f64,
 }
 
-/// All settings of a balancer. `Default` describes a small, strict single-zone deployment.
+/// All settings of a balancer. `Default` describes a deployment of one balancer in one zone, without
+/// probes, cancellation or Retry-After.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of balancers in this deployment, including this one.
+    /// Number of balancers in this balancer's tier, including this one.
     pub balancers: u32,
     /// Zone of this balancer.
     pub zone: ZoneId,
@@ -64,7 +65,7 @@
     /// Tenants, indexed by [`TenantId`](crate::TenantId). May be empty.
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request beyond its tenant's quota, as a fraction of the weight of one within the
-    /// quota.
+    /// quota. No decision uses it yet.
     pub over_quota_weight: f64,
     /// Largest number of attempts for one request. Two attempts are never in flight at the same time.
     pub max_attempts: u32,
@@ -74,7 +75,8 @@
     pub retry_after_supported: bool,
     /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// Time after which a connection that has not been opened counts as failed.
+    /// Time after which an attempt counts as failed if its connection is not open or its request not written
+    /// in full.
     pub connect_timeout: Micros,
     /// Whether the endpoint list must be polled or watched. Otherwise the host reports changes unasked.
     pub poll_required: bool,
@@ -89,7 +91,8 @@
     pub probes_allowed: bool,
     /// Whether the answer of a probe contains a load report.
     pub probes_report_load: bool,
-    /// Cost of one probe for each request, as a fraction of the value of all requests.
+    /// Total cost if one probe were sent for each request, as a fraction of the value of all requests
+    /// ([`Class::priority_weight`]).
     pub probe_cost: f64,
     /// Cost if each request crossed zones once, as a fraction of the value of all requests.
     pub cross_zone_cost: f64,
@@ -142,8 +145,9 @@
         2 * self.setup_objective()
     }
 
-    /// Returns the longest time for which a server is avoided after another balancer observed a fault of it.
-    /// The time is twice the longest wait of a client that was rejected because of the fault.
+    /// Returns the longest delay after which another balancer's observation of a server counts as a fault.
+    /// Gossip does not repeat an observation within this time. It is twice the longest Retry-After, by which
+    /// clients that were rejected because of the fault reconnect.
     pub(crate) fn peer_observation_validity(&self) -> Micros {
         2 * self.max_retry_after
     }
--- a/src/types/watch_timing.rs
+++ b/src/types/watch_timing.rs
@@ -1,8 +1,8 @@
-//! Time-outs of calls to discovery, and the time after which a watch on the endpoint list counts as silent.
+//! Timeouts of calls to discovery, and the time after which a watch on the endpoint list counts as silent.
 //!
 //! A watch is a call that discovery holds until the endpoint list changes or the hold time ends, and then
 //! answers. Discovery serves the calls of all balancers one after the other, so an answer may take longer the
-//! more balancers there are. The time-outs grow with an estimate of this service time, between bounds.
+//! more balancers there are. The timeouts grow with an estimate of this service time, between bounds.
 //! `src/policy/endpoint_watch.rs` decides when a failed call is repeated.
 
 use super::{Micros, Settings};
@@ -14,7 +14,7 @@
 /// large fleet abandon calls that discovery has not served yet, and no balancer receives an answer.
 const MIN_WATCH_ANSWER_TIMEOUT: Micros = Micros::from_millis(500);
 const MAX_WATCH_ANSWER_TIMEOUT: Micros = Micros::from_secs(2);
-/// Bounds of the time-out of the call that reopens a silent watch.
+/// Bounds of the timeout of the call that reopens a silent watch.
 const MIN_WATCH_REOPENING_TIMEOUT: Micros = Micros::from_secs(2);
 const MAX_WATCH_REOPENING_TIMEOUT: Micros = Micros::from_secs(5);
 /// Upper limit of the random delay before a silent watch is reopened: all balancers of a tier may detect the
@@ -35,7 +35,7 @@
         self.discovery_service_time().clamp(MIN_WATCH_ANSWER_TIMEOUT, MAX_WATCH_ANSWER_TIMEOUT)
     }
 
-    /// Returns the time-out of the call that reopens a silent watch.
+    /// Returns the timeout of the call that reopens a silent watch.
     pub(crate) fn watch_reopening_timeout(&self) -> Micros {
         self.discovery_service_time().clamp(MIN_WATCH_REOPENING_TIMEOUT, MAX_WATCH_REOPENING_TIMEOUT)
     }
