--- a/src/policy/admission_rate.rs
+++ b/src/policy/admission_rate.rs
@@ -1,6 +1,6 @@
 //! Admission rate: fewer new requests are admitted while a resource that all servers share is slow.
 //!
-//! **What is decided.** Whether a new request is admitted, or shed at once with
+//! **What is decided.** Whether a new request is admitted, or refused at once with
 //! [`RefusalReason::AdmissionRate`](crate::RefusalReason::AdmissionRate); and whether the failure of an
 //! attempt is correlated with the failure of another server. A request with a correlated failure ends with
 //! [`RefusalReason::CorrelatedFailure`](crate::RefusalReason::CorrelatedFailure) (`shared_fault` in log and
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -73,7 +73,7 @@
         request: RequestId,
         /// Class of the request.
         class: ClassId,
-        /// Tenant of the request, if any. No decision uses it yet.
+        /// Tenant of the request, if any. No decision uses it.
         tenant: Option<TenantId>,
         /// Group of the connection, if any.
         group: Option<GroupId>,
@@ -88,7 +88,7 @@
         request: RequestId,
         /// Class of the request.
         class: ClassId,
-        /// Tenant of the request, if any. No decision uses it yet.
+        /// Tenant of the request, if any. No decision uses it.
         tenant: Option<TenantId>,
         /// Group of the connection, if any.
         group: Option<GroupId>,
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -43,7 +43,7 @@
     pub idempotency: Idempotency,
 }
 
-/// Quotas of a tenant. No decision uses them yet.
+/// Quotas of a tenant. No decision uses them.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
     /// Quota of requests per second, over all balancers; 0 if unknown.
@@ -65,7 +65,7 @@
     /// Tenants, indexed by [`TenantId`](crate::TenantId). May be empty.
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request beyond its tenant's quota, as a fraction of the weight of one within the
-    /// quota. No decision uses it yet.
+    /// quota. No decision uses it.
     pub over_quota_weight: f64,
     /// Largest number of attempts for one request. Two attempts are never in flight at the same time.
     pub max_attempts: u32,
