--- a/src/bookkeeping/connection_size.rs
+++ b/src/bookkeeping/connection_size.rs
@@ -1,6 +1,6 @@
 //! Sizes of connections in slots. One slot is the load of a mean connection.
 //!
-//! The mean includes all loads measured so far or, for a new connection that announces its load, over all
+//! The mean includes all loads measured so far or, for a new connection that announces its load, all
 //! announced loads. `src/rebalance/` uses another mean: that of the connections established now.
 
 use super::RunningMean;
