--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,8 +1,12 @@
 //! Checks that the pages agree with the code: documented log lines, paths and test names exist.
 
+mod rust_files;
+
 use std::collections::BTreeSet;
 use std::path::Path;
 
+use rust_files::read_rust_files;
+
 /// Upper-case words in documented log lines that are not placeholders.
 const FIXED_WORDS: [&str; 3] = ["IRC", "SIGHUP", "SIGTERM"];
 
@@ -133,22 +137,9 @@
     assert!(path_count > 30, "only {path_count} paths were found in the pages, more than 30 are expected");
 }
 
-/// Appends the text of each Rust file in a folder and its subfolders to `sources`.
-fn add_sources(folder: &Path, sources: &mut String) {
-    for entry in std::fs::read_dir(folder).expect("a folder of tests can be read") {
-        let path = entry.expect("an entry of a folder can be read").path();
-        if path.is_dir() {
-            add_sources(&path, sources);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            sources.push_str(&std::fs::read_to_string(path).expect("a test file can be read"));
-        }
-    }
-}
-
 #[test]
 fn tests_named_in_the_races_page_exist() {
-    let mut sources = String::new();
-    add_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests"), &mut sources);
+    let sources: String = read_rust_files("tests").into_values().collect();
     let page = read("docs/races.md");
     let code_texts = page.split('`').skip(1).step_by(2);
     let is_test = |code: &&str| {
--- a/tests/glossary.rs
+++ b/tests/glossary.rs
@@ -1,10 +1,13 @@
 //! Checks that the glossary maps the operators' words to terms of the code, and that the on-call page maps
 //! each refusal reason to a module.
 
+mod rust_files;
+
 use std::collections::BTreeSet;
 use std::path::Path;
 
 use connection_balancer::RefusalReason;
+use rust_files::read_rust_files;
 
 /// Words of the operators' list. Each has to be in the first cell of a row, alone or with other words.
 const OPERATORS_WORDS: [&str; 35] = [
@@ -58,25 +61,13 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Adds the words in the code of all Rust files under `folder`, without comments, to `identifiers`.
-fn collect_identifiers(folder: &Path, identifiers: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(folder).expect("a source folder can be read") {
-        let path = entry.expect("an entry of a source folder can be read").path();
-        if path.is_dir() {
-            collect_identifiers(&path, identifiers);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            let source = std::fs::read_to_string(&path).expect("a source file can be read");
-            let code = source.lines().map(|line| line.split("//").next().unwrap_or_default());
-            let words = code.flat_map(|line| line.split(|c: char| !c.is_ascii_alphanumeric() && c != '_'));
-            identifiers.extend(words.map(str::to_owned));
-        }
-    }
-}
-
+/// Returns the words in the code of all Rust files in `src`, without comments.
 fn source_identifiers() -> BTreeSet<String> {
-    let mut identifiers = BTreeSet::new();
-    collect_identifiers(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut identifiers);
-    identifiers
+    let sources = read_rust_files("src");
+    let lines = sources.values().flat_map(|source| source.lines());
+    let code = lines.map(|line| line.split("//").next().unwrap_or_default());
+    let words = code.flat_map(|line| line.split(|c: char| !c.is_ascii_alphanumeric() && c != '_'));
+    words.map(str::to_owned).collect()
 }
 
 /// Returns the rows of the glossary's tables with three columns, without the header rows.
--- a/tests/module_graph.rs
+++ b/tests/module_graph.rs
@@ -14,6 +14,8 @@
 //!
 //! Method calls need no path, so they are not edges.
 
+mod rust_files;
+mod rust_lexer;
 mod source_graph;
 
 use std::collections::BTreeSet;
--- a/tests/source_graph/mod.rs
+++ b/tests/source_graph/mod.rs
@@ -5,8 +5,8 @@
 mod token;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::Path;
 
+use crate::rust_files::read_rust_files;
 use crates::LIBRARY;
 use source_file::{Import, SourceFile};
 
@@ -36,9 +36,7 @@
 
     /// Builds the graph of this project's `src`.
     pub(crate) fn of_this_project() -> Graph {
-        let mut sources = BTreeMap::new();
-        let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-        read_sources(&root, &root, &mut sources);
+        let sources = read_rust_files("src");
         assert!(
             sources.len() > 100,
             "only {} files were found in src, more than 100 are expected",
@@ -182,17 +180,3 @@
         text
     }
 }
-
-/// Reads the Rust files in `folder` and its subfolders, by their paths relative to `root`.
-fn read_sources(root: &Path, folder: &Path, sources: &mut BTreeMap<String, String>) {
-    for entry in std::fs::read_dir(folder).expect("a source folder can be read") {
-        let path = entry.expect("an entry of a source folder can be read").path();
-        if path.is_dir() {
-            read_sources(root, &path, sources);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            let name = path.strip_prefix(root).expect("a source file is under the root").to_string_lossy();
-            let source = std::fs::read_to_string(&path).expect("a source file can be read");
-            sources.insert(name.into_owned(), source);
-        }
-    }
-}
--- a/tests/wording.rs
+++ b/tests/wording.rs
@@ -2,10 +2,11 @@
 //! Comments, string literals that contain a space, and identifiers are checked. A string literal without a
 //! space can be a name on a wire or a key of the settings, so it is not checked.
 
+mod rust_files;
+mod rust_lexer;
 mod source_text;
 
-use std::path::{Path, PathBuf};
-
+use rust_files::read_rust_files;
 use source_text::parts;
 use source_text::Place::{self, Comments, Names, Texts};
 
@@ -106,36 +107,23 @@
     findings
 }
 
-/// Appends the paths of all Rust files of a folder and its subfolders.
-fn add_files(folder: &Path, files: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).unwrap_or_else(|error| panic!("{}: {error}", folder.display())) {
-        let path = entry.expect("an entry of a folder can be read").path();
-        if path.is_dir() {
-            add_files(&path, files);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            files.push(path);
-        }
-    }
-}
-
 #[test]
 fn the_code_has_no_withdrawn_words() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let mut files = Vec::new();
-    for folder in ["src", "tests", "simulation/src", "simulation/tests", "benches"] {
-        add_files(&root.join(folder), &mut files);
-    }
-    files.retain(|file| !file.ends_with("tests/wording.rs"));
-    files.sort();
-    assert!(files.len() > 250, "only {} files were found, more than 250 are expected", files.len());
     let mut sources = String::new();
+    let mut files = 0;
     let mut all = Vec::new();
-    for file in files {
-        let source = std::fs::read_to_string(&file).expect("a source file can be read");
-        let name = file.strip_prefix(root).expect("the file is in the repository").display().to_string();
-        all.extend(findings(&name, &source));
-        sources.push_str(&source);
+    for folder in ["src", "tests", "simulation/src", "simulation/tests", "benches"] {
+        for (file, source) in read_rust_files(folder) {
+            let file = format!("{folder}/{file}");
+            if file == "tests/wording.rs" {
+                continue;
+            }
+            files += 1;
+            all.extend(findings(&file, &source));
+            sources.push_str(&source);
+        }
     }
+    assert!(files > 250, "only {files} files were found, more than 250 are expected");
     assert!(all.is_empty(), "words that the code no longer uses:\n{}", all.join("\n"));
     for Exemption { text, reason } in EXEMPTIONS {
         assert!(
