--- a/simulation/tests/grid.rs
+++ b/simulation/tests/grid.rs
@@ -10,10 +10,10 @@
 use simulation::scenario::{Scenario, ALL_SCENARIOS};
 use simulation::session_store::StoreCondition;
 
-/// Number of pairs for each comparison. With twenty pairs, one of the thirty comparisons exceeded its own 95%
-/// interval by chance (-0.0067 against 0.0064), which is sound with sixty pairs.
+/// Pairs of each comparison. With twenty pairs, one of the thirty comparisons exceeds its own 95% interval by
+/// chance.
 const PAIRS: std::ops::Range<u64> = 0..60;
-/// Seeds of the pairs that show the gain after a single restart. Twenty pairs are too few to show it.
+/// Pairs that show the gain after a single restart, which is smaller than the 95% interval of twenty pairs.
 const RESTART_PAIRS: std::ops::Range<u64> = 0..120;
 const THREADS: usize = 4;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! The algorithm is the simple balancing of "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière,
 //! 2004): a new connection is placed at a random server, with a probability in proportion to the server's
-//! free slots. `docs/design.md` describes which parts of the algorithm were kept and which were changed, with
-//! the reasons.
+//! free slots. Departures from it, such as connections of different loads, groups, zones, slow start and the
+//! admission rate, are described in the modules of [`policy`], each with its reason.
 //!
 //! # Requirements on the host
 //!
@@ -91,7 +91,7 @@
 #![deny(missing_docs)]
 
 // The decisions are in `policy`, which uses `bookkeeping`. The other modules are the daemon's layers. The
-// decisions depend on none of them; see `docs/design.md`.
+// decisions depend on none of them, so that another program can embed a balancer without the daemon.
 pub mod bookkeeping;
 pub mod peers;
 pub mod policy;
--- a/src/protocol/irc/connection.rs
+++ b/src/protocol/irc/connection.rs
@@ -138,7 +138,7 @@
         events.push(FrontEvent::Close);
     }
 
-    /// Relays the client's valid lines to the server, and notes a `QUIT`.
+    /// Relays the client's valid lines to the server, and records a `QUIT`.
     fn relay_to_server(&mut self, events: &mut Vec<FrontEvent>) {
         let mut lines = Vec::new();
         while let Some(line) = self.next_client_line(events) {
--- a/src/routing/store.rs
+++ b/src/routing/store.rs
@@ -7,8 +7,10 @@
 //! removed.
 //!
 //! The map is eventually consistent: nodes that exchange digests and entries converge to the same map, even
-//! if messages are lost, repeated or reordered. `docs/design.md` explains why eventual consistency is
-//! sufficient.
+//! if messages are lost, repeated or reordered. This is sufficient for states of servers and a few limits: a
+//! balancer without the latest drain sends requests to the draining server for as long as a digest takes, as
+//! it does with a late endpoint list. A consistent store would need a majority of nodes to drain one server,
+//! and balancers fail when drains are needed most.
 //!
 //! A node that restarts without its entries assigns low counters to its writes, which would then lose to
 //! older entries. Writes made before the first message of another node are therefore unconfirmed. An
