--- a/tests/rust_files/mod.rs
+++ b/tests/rust_files/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Returns the texts of the Rust files in `folder` and its subfolders, by their paths relative to it. The path
-/// of `folder` is relative to the repository.
+/// Returns the texts of the Rust files in `folder` and its subfolders, by their paths relative to it. The
+/// path of `folder` is relative to the repository.
 pub(crate) fn read_rust_files(folder: &str) -> BTreeMap<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let mut sources = BTreeMap::new();
--- a/tests/rust_lexer/mod.rs
+++ b/tests/rust_lexer/mod.rs
@@ -29,8 +29,8 @@
     lexemes
 }
 
-/// Returns the kind and the length of the lexeme at the start of `rest`. The length of an unterminated literal
-/// may exceed `rest`.
+/// Returns the kind and the length of the lexeme at the start of `rest`. The length of an unterminated
+/// literal may exceed `rest`.
 fn first_lexeme(rest: &[char]) -> (LexemeKind, usize) {
     if let Some(length) = raw_string_length(rest) {
         return (LexemeKind::StringLiteral, length);
@@ -85,8 +85,8 @@
     rest.len()
 }
 
-/// Returns the length of a raw string with its prefix, or `None` if `rest` begins with anything else, such as a
-/// name or a raw identifier.
+/// Returns the length of a raw string with its prefix, or `None` if `rest` begins with anything else, such as
+/// a name or a raw identifier.
 fn raw_string_length(rest: &[char]) -> Option<usize> {
     let prefix = match rest {
         ['r', ..] => 1,
